--- a/src/relay/call.c
+++ b/src/relay/call.c
@@ -1,4 +1,7 @@
-/* What the stages of all requests share: calls made, and ends. */
+/*
+ * Upstream calls on behalf of requests, and the ways a request ends; shared
+ * by plain and generation requests.
+ */
 #include <string.h>
 
 #include "base/hash.h"
@@ -42,10 +45,14 @@
     g_free(op);
 }
 
-/* A call that serves no request any more; its outcome changes nothing. */
+/*
+ * Asks an engine to free a reservation or KV cache. Best effort: both expire
+ * by themselves.
+ */
 static void
-give_back(struct fw_relay *r, struct fw_rl_server *s, enum fw_rl_up_kind kind,
-          const char *name, int64_t now_us, struct fw_rl_acts *out)
+free_at_engine(struct fw_relay *r, struct fw_rl_server *s,
+               enum fw_rl_up_kind kind, const char *name, int64_t now_us,
+               struct fw_rl_acts *out)
 {
     struct fw_rl_up_call up = {.kind = kind,
                                .urgency = -1,
@@ -71,7 +78,7 @@
 }
 
 static void
-leave_reader(struct fw_rl_call *c)
+leave_prefill_engine(struct fw_rl_call *c)
 {
     Fw_Call_ReadDone(c);
     if (c->reader) {
@@ -91,7 +98,7 @@
     }
 }
 
-/* With FW_RL_READ the reading engine made nothing that could be freed yet. */
+/* A prefill that is still in progress has no KV cache to free yet. */
 void
 Fw_Call_Release(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
                 struct fw_rl_acts *out)
@@ -101,14 +108,14 @@
         Fw_Op_End(r, c->op);
     }
     if (c->kv[0] && c->reader) {
-        give_back(r, c->reader, FW_RL_UP_DROP_KV, c->kv, now_us, out);
+        free_at_engine(r, c->reader, FW_RL_UP_DROP_KV, c->kv, now_us, out);
     }
     if (c->hold[0] && c->server) {
-        give_back(r, c->server, FW_RL_UP_DROP_HOLD, c->hold, now_us, out);
+        free_at_engine(r, c->server, FW_RL_UP_DROP_HOLD, c->hold, now_us, out);
     }
     c->kv[0] = 0;
     c->hold[0] = 0;
-    leave_reader(c);
+    leave_prefill_engine(c);
     Fw_Call_LeaveServer(c);
 }
 
@@ -138,7 +145,7 @@
 {
     struct fw_rl_act *a;
 
-    /* 503 and its like promise that it has not run and never will. */
+    /* 429 and 503 guarantee that the request has not run and will not. */
     if (c->ran != FW_RAN_NO && (status == 503 || status == 429)) {
         status = 502;
     }
@@ -183,14 +190,14 @@
     r->n.passed.value++;
 }
 
-/* A moment of @c's life, from its arrival on; -1 when it was not reached. */
+/* Milliseconds from @c's arrival to @us, or -1 if @us is unset. */
 static int64_t
-ms_until(const struct fw_rl_call *c, int64_t us)
+ms_since_arrival(const struct fw_rl_call *c, int64_t us)
 {
     return us ? Fw_Relay_Ms(us - c->opened_us) : -1;
 }
 
-/* By the id, so that all lines of a request are there or none. */
+/* Sampled by the request's id: all its log lines are kept, or none. */
 int
 Fw_Call_Severity(const struct fw_relay *r, const struct fw_rl_call *c)
 {
@@ -216,8 +223,8 @@
         ",\"sent_ms\":%" G_GINT64_FORMAT ",\"first_ms\":%" G_GINT64_FORMAT
         ",\"took_ms\":%" G_GINT64_FORMAT,
         c->ask.id, c->route.name, c->server ? c->server->e.id : "", c->tries,
-        ms_until(c, c->room_us), ms_until(c, c->run_us),
-        ms_until(c, c->first_us), Fw_Relay_Ms(now_us - c->opened_us));
+        ms_since_arrival(c, c->room_us), ms_since_arrival(c, c->run_us),
+        ms_since_arrival(c, c->first_us), Fw_Relay_Ms(now_us - c->opened_us));
     Fw_Acts_Add(out, whole ? FW_RL_DO_FINISH : FW_RL_DO_CUT)->u.call = c->id;
     Fw_Call_End(r, c, now_us, out);
 }
--- a/src/relay/open.c
+++ b/src/relay/open.c
@@ -1,60 +1,61 @@
-/* A caller's request comes in: what is refused at once, and why. */
+/* Arrival of a caller's request: routing, admission and immediate refusal. */
 #include <string.h>
 
 #include "base/hash.h"
 #include "relay/relay_internal.h"
 
-/* Nobody has a configuration that counts: reads of it come this often. */
-#define FW_RETRY_UNREADY_US (1 * FW_SEC)
+/* Retry-After of a refusal for lack of a current configuration. */
+#define FW_RETRY_NO_CONFIG_US (1 * FW_SEC)
 /*
- * Servers lost with one request after which it is refused: one or two can
- * be chance (the request was just there), three in a row are not.
+ * Server crashes attributed to one request after which it is refused. One or
+ * two can be coincidence.
  */
-#define FW_POISON_STRIKES 3
+#define FW_POISON_CRASHES_MAX 3
 /*
- * What a request needs of the grace period that is left: a stream the
- * longest usual one (5.5 s for 99 in 100), a plain one its time limit.
+ * Remaining grace period below which a draining instance refuses a request:
+ * the 99th percentile of a stream's duration, and the usual time limit of a
+ * plain request.
  */
-#define FW_DRAIN_STREAM_US (5500 * FW_MSEC)
-#define FW_DRAIN_PLAIN_US (1800 * FW_MSEC)
-/* A route without a time limit: beyond any caller's own. */
-#define FW_TIMEOUT_DEFAULT_US (60 * FW_SEC)
-/* Another instance takes it at once. */
+#define FW_DRAIN_MIN_STREAM_US (5500 * FW_MSEC)
+#define FW_DRAIN_MIN_PLAIN_US (1800 * FW_MSEC)
+/* Time limit for routes that set none. */
+#define FW_DEFAULT_TIMEOUT_US (60 * FW_SEC)
+/* Retry-After when another instance can serve the request now. */
 #define FW_RETRY_ELSEWHERE_US (50 * FW_MSEC)
 /*
- * With news of the store older than this keys may soon not count: callers
- * with kept connections go to others before that. Half as old again as news
- * usually are (a read of 0.75 s that another asks about each 0.7 s).
+ * Age of the configuration above which callers are asked to open their next
+ * connection elsewhere, so that they leave before keys are refused as stale.
+ * In normal operation the age stays below 1.5 s.
  */
-#define FW_DOUBT_US (2200 * FW_MSEC)
-/* A request that crashes its servers should not be back soon. */
+#define FW_CONFIG_AGE_SHED_US (2200 * FW_MSEC)
+/* Retry-After of a request that is refused for crashing its servers. */
 #define FW_RETRY_POISON_US (60 * FW_SEC)
 
-/* By the request's id, so that one that is sent again goes the same way. */
+/* Weighted choice by a hash of the request's id: retries get the same one. */
 static const char *
-pick_service(const struct fw_rl_route_rule *route, const char *id)
+choose_service(const struct fw_rl_route_rule *route, const char *id)
 {
-    uint64_t sum = 0;
-    uint64_t at;
+    uint64_t total = 0;
+    uint64_t point;
 
     for (int i = 0; i < route->n_targets; i++) {
-        sum += (uint64_t)route->targets[i].weight;
+        total += (uint64_t)route->targets[i].weight;
     }
-    if (!sum) {
+    if (!total) {
         return route->targets[0].service;
     }
-    at = Fw_Hash_Str(id) % sum;
+    point = Fw_Hash_Str(id) % total;
     for (int i = 0; i < route->n_targets; i++) {
-        if (at < (uint64_t)route->targets[i].weight) {
+        if (point < (uint64_t)route->targets[i].weight) {
             return route->targets[i].service;
         }
-        at -= (uint64_t)route->targets[i].weight;
+        point -= (uint64_t)route->targets[i].weight;
     }
     return route->targets[0].service;
 }
 
 static int64_t
-cost_of(const struct fw_rl_team_rule *t, const struct fw_rl_ask *ask)
+allowance_cost(const struct fw_rl_team_rule *t, const struct fw_rl_ask *ask)
 {
     if (t->by_request) {
         return 1;
@@ -64,11 +65,11 @@
 }
 
 /*
- * The id stands in log lines. A caller could end its member there and add
- * others, and who reads the log would believe them.
+ * Replaces the characters that would let a caller's id inject members into
+ * JSON log lines.
  */
 static void
-make_printable(char *id)
+sanitize_id(char *id)
 {
     for (char *p = id; *p; p++) {
         if (*p < ' ' || *p > '~' || *p == '"' || *p == '\\') {
@@ -85,7 +86,7 @@
 
     c->id = id;
     c->ask = *ask;
-    make_printable(c->ask.id);
+    sanitize_id(c->ask.id);
     c->opened_us = now_us;
     c->deadline_us = INT64_MAX;
     Fw_List_Append(&r->call_list, &c->link);
@@ -95,10 +96,10 @@
 }
 
 static void
-set_limits(struct fw_rl_call *c, int64_t now_us)
+set_deadline(struct fw_rl_call *c, int64_t now_us)
 {
     int64_t left =
-        c->route.timeout_us ? c->route.timeout_us : FW_TIMEOUT_DEFAULT_US;
+        c->route.timeout_us ? c->route.timeout_us : FW_DEFAULT_TIMEOUT_US;
 
     if (c->ask.left_us > 0) {
         left = MIN(left, c->ask.left_us);
@@ -107,9 +108,9 @@
 }
 
 /*
- * A key that was taken away must stop working although this instance may be
- * cut off from the store: keys count only while the configuration in force
- * is known to be the newest as of a short while ago.
+ * A revoked key must stop working even where this instance is partitioned
+ * from the store. Keys are accepted only while the configuration in force is
+ * known to have been the newest within the configured staleness limit.
  */
 int
 Fw_Relay_KeysFresh(const struct fw_relay *r, int64_t now_us)
@@ -118,25 +119,26 @@
 }
 
 /*
- * An instance that is cut off refuses what others could serve at once, so its
- * callers are sent to them without a pause. Where the others are no better
- * off a quick return would only be refused again.
+ * When this instance is partitioned from most others, or one of them has a
+ * newer configuration, callers are told to retry at once, since others can
+ * serve them. Otherwise the others are likely to be stale as well.
  */
 int64_t
 Fw_Relay_UnreadyRetry(struct fw_relay *r, int64_t now_us)
 {
-    int heard;
-    int count = Fw_Members_Count(r, now_us, &heard);
+    int in_touch;
+    int count = Fw_Members_Count(r, now_us, &in_touch);
 
-    return heard * 2 < count || Fw_Watch_IsBehind(r, now_us)
+    return in_touch * 2 < count || Fw_Watch_IsBehind(r, now_us)
                ? FW_RETRY_ELSEWHERE_US
-               : FW_RETRY_UNREADY_US;
+               : FW_RETRY_NO_CONFIG_US;
 }
 
 int
 Fw_Relay_SendsAway(const struct fw_relay *r, int64_t now_us)
 {
-    return !Fw_Relay_Ready(r, now_us) || now_us - r->fresh_us > FW_DOUBT_US;
+    return !Fw_Relay_Ready(r, now_us) ||
+           now_us - r->fresh_us > FW_CONFIG_AGE_SHED_US;
 }
 
 int
@@ -160,7 +162,7 @@
                 c->ask.id, c->team, c->cost, level, part);
 }
 
-/* Nonzero when the request goes on; else it was answered. */
+/* Return: nonzero if admitted, 0 if the request was refused and freed. */
 static int
 admit_team(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
            struct fw_rl_acts *out)
@@ -182,7 +184,7 @@
     if (t->priority >= 0) {
         c->urgency = t->priority;
     }
-    c->cost = cost_of(t, &c->ask);
+    c->cost = allowance_cost(t, &c->ask);
     if (!Fw_Allowance_Take(r, t, c->cost, now_us, &retry_us)) {
         log_allowance(r, c, out);
         Fw_Call_Refuse(r, c, 429, retry_us, "over_allowance", now_us, out);
@@ -193,22 +195,23 @@
 }
 
 /*
- * A request that a stopping instance could not finish is sent to another
- * one at once: cut at the end it would be lost. Until a balancer has noticed
- * the stop requests still come, and most of them end in time.
+ * Requests still arrive at a draining instance until its load balancer has
+ * noticed. Those that would not complete within the grace period are refused,
+ * since they would be cut off at its end.
  */
 static int
-too_late(const struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us)
+must_refuse_draining(const struct fw_relay *r, const struct fw_rl_call *c,
+                     int64_t now_us)
 {
     int64_t left = r->drain_us + r->opts.grace_us - now_us;
 
-    return r->draining && left < (c->route.generates ? FW_DRAIN_STREAM_US
-                                                     : FW_DRAIN_PLAIN_US);
+    return r->draining && left < (c->route.generates ? FW_DRAIN_MIN_STREAM_US
+                                                     : FW_DRAIN_MIN_PLAIN_US);
 }
 
 static void
-start(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-      struct fw_rl_acts *out)
+dispatch(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+         struct fw_rl_acts *out)
 {
     const struct fw_rl_service_rule *s =
         Fw_Rules_Service(r->rules, c->service);
@@ -230,7 +233,7 @@
     const struct fw_rl_route_rule *route;
 
     if (!r->rules) {
-        Fw_Call_Refuse(r, c, 503, FW_RETRY_UNREADY_US, "no_configuration",
+        Fw_Call_Refuse(r, c, 503, FW_RETRY_NO_CONFIG_US, "no_configuration",
                        now_us, out);
         return;
     }
@@ -241,9 +244,9 @@
     }
     c->route = *route;
     c->urgency = route->priority;
-    g_strlcpy(c->service, pick_service(route, ask->id), sizeof(c->service));
-    set_limits(c, now_us);
-    if (too_late(r, c, now_us)) {
+    g_strlcpy(c->service, choose_service(route, ask->id), sizeof(c->service));
+    set_deadline(c, now_us);
+    if (must_refuse_draining(r, c, now_us)) {
         Fw_Call_Refuse(r, c, 503, FW_RETRY_ELSEWHERE_US, "stopping", now_us,
                        out);
         return;
@@ -254,11 +257,11 @@
     else if (!admit_team(r, c, now_us, out)) {
         return;
     }
-    if (Fw_Poison_Count(r, ask->digest, now_us) >= FW_POISON_STRIKES) {
+    if (Fw_Poison_Count(r, ask->digest, now_us) >= FW_POISON_CRASHES_MAX) {
         Fw_Call_Refuse(r, c, 503, FW_RETRY_POISON_US, "poison", now_us, out);
         return;
     }
-    start(r, c, now_us, out);
+    dispatch(r, c, now_us, out);
 }
 
 void
--- a/src/relay/place.c
+++ b/src/relay/place.c
@@ -1,5 +1,6 @@
 /*
- * Which server gets a request. Decisions only: nothing changes here.
+ * Server selection. Functions here only read the relay's state, apart from
+ * drawing random numbers.
  */
 #include <string.h>
 
@@ -7,33 +8,36 @@
 #include "relay/relay_internal.h"
 
 /*
- * Time that a plain server of unknown speed is expected to take. Only its
- * size beside measured ones matters: unknown ones are tried early.
+ * Response time assumed for a plain server that has not answered yet. Short,
+ * so that a new server is tried early.
  */
-#define FW_TOOK_GUESS_US (30.0 * FW_MSEC)
-/* A failed answer costs a caller about so many times a good one's wait. */
-#define FW_ERROR_WEIGHT 8.0
-/* Scores differ by less than chance: equal servers share the load. */
-#define FW_JITTER 0.3
+#define FW_DEFAULT_RESPONSE_US (30.0 * FW_MSEC)
+/* Weight of a server's error rate in its score. */
+#define FW_ERROR_RATE_WEIGHT 8.0
+/* Relative random spread of scores: spreads load over similar servers. */
+#define FW_SCORE_JITTER 0.3
 /*
- * A plain server is offered what it answers within this part of the route's
- * objective: a server whose queue is full answers everybody late.
+ * A plain server is given as many requests as it can answer within this
+ * fraction of the route's objective; beyond that all its answers are late.
  */
-#define FW_WAIT_PART 0.8
-/* But always so many a slot: work of unknown length must find out. */
-#define FW_LEAST_A_SLOT 1.5
+#define FW_OBJECTIVE_FRACTION 0.8
+/* Lower bound of that limit, for work that exceeds the objective by itself. */
+#define FW_MIN_REQUESTS_PER_SLOT 1.5
 /*
- * From there on fewer and fewer are let through, none at this part more. The
- * others' loads are known 75 to 150 ms late; a sharp bound would let all
- * through at one moment and none at the next.
+ * Above the limit requests are rejected with a probability that reaches 1 at
+ * this fraction over it. Peers' loads are known 75 to 150 ms late, so a hard
+ * limit would oscillate between admitting all requests and none.
  */
-#define FW_CROWD_RAMP 0.5
-/* A prefill engine that turned a prompt away is left alone for so long. */
-#define FW_BUSY_US (300 * FW_MSEC)
-/* Baselines rate engines by requests and chance: parts of one request. */
-#define FW_BASELINE_SCALE 1000.0
-/* A transfer in the same failure domain is cheaper: worth a short wait. */
-#define FW_DOMAIN_BONUS_US (15 * FW_MSEC)
+#define FW_OVERLOAD_RAMP 0.5
+/* Time for which a prefill engine that rejected a prompt is skipped. */
+#define FW_PREFILL_BACKOFF_US (300 * FW_MSEC)
+/* Fixed-point scale of the baseline policies' scores, per request. */
+#define FW_BASELINE_SCORE_SCALE 1000.0
+/*
+ * Longer prefill accepted for a KV cache transfer within a failure domain,
+ * which is cheaper than one between domains.
+ */
+#define FW_SAME_DOMAIN_BONUS_US (15 * FW_MSEC)
 
 int
 Fw_Call_Tried(const struct fw_rl_call *c, const struct fw_rl_server *s)
@@ -50,7 +54,7 @@
 Fw_Place_Load(const struct fw_relay *r, const struct fw_rl_server *s,
               int64_t now_us, struct fw_rl_load *out)
 {
-    struct fw_rl_load part;
+    struct fw_rl_load peers;
 
     *out = (struct fw_rl_load){.to_stage = Fw_Servers_Switching(s, now_us)
                                                ? s->to_stage
@@ -59,42 +63,42 @@
                                .reserved = s->reserved,
                                .reading = s->reading};
     for (int scope = 0; scope < FW_RL_SCOPES; scope++) {
-        Fw_Load_Of(r, s->hash, (enum fw_rl_scope)scope, &part);
-        Fw_Load_Add(out, &part, 1);
+        Fw_Load_Of(r, s->hash, (enum fw_rl_scope)scope, &peers);
+        Fw_Load_Add(out, &peers, 1);
     }
 }
 
 static int
-serves(const struct fw_rl_server *s, const struct fw_rl_call *c)
+runs_service(const struct fw_rl_server *s, const struct fw_rl_call *c)
 {
     return strcmp(s->e.service, c->service) == 0;
 }
 
-/* The baselines' scores, for plain servers and engines alike; low is good. */
+/* Score under the random and least-loaded policies; lower is better. */
 static double
-baseline(struct fw_relay *r, int running)
+baseline_score(struct fw_relay *r, int running)
 {
-    double chance = g_rand_double(r->rand);
+    double noise = g_rand_double(r->rand);
 
-    return r->opts.policy == FW_RL_POLICY_RANDOM ? chance : running + chance;
+    return r->opts.policy == FW_RL_POLICY_RANDOM ? noise : running + noise;
 }
 
 static double
 plain_score(struct fw_relay *r, const struct fw_rl_server *s)
 {
-    double took = s->took_us > 0 ? s->took_us : FW_TOOK_GUESS_US;
+    double took = s->took_us > 0 ? s->took_us : FW_DEFAULT_RESPONSE_US;
     double busy = 1.0 + (double)s->running / MAX(s->e.slots, 1);
 
     if (r->opts.policy != FW_RL_POLICY_FULL) {
-        return 1 + baseline(r, s->running);
+        return 1 + baseline_score(r, s->running);
     }
-    return took * busy * busy * (1.0 + FW_ERROR_WEIGHT * s->errors) *
-           (1.0 + g_rand_double_range(r->rand, 0, FW_JITTER));
+    return took * busy * busy * (1.0 + FW_ERROR_RATE_WEIGHT * s->errors) *
+           (1.0 + g_rand_double_range(r->rand, 0, FW_SCORE_JITTER));
 }
 
 /*
- * A server that was not reached lately is taken only when no other is left:
- * then trying is all that can be done.
+ * Servers that this request has tried, or that could not be reached lately,
+ * are penalized rather than excluded: they are used when no other is left.
  */
 struct fw_rl_server *
 Fw_Place_Plain(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us)
@@ -107,7 +111,7 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
         double score;
 
-        if (!serves(s, c) || s->gone || s->e.draining) {
+        if (!runs_service(s, c) || s->gone || s->e.draining) {
             continue;
         }
         score = plain_score(r, s);
@@ -125,14 +129,14 @@
     return best;
 }
 
-/* Requests at @s that are answered within the objective, waits included. */
+/* Concurrent requests that @s can answer within the objective. */
 static double
-bearable(const struct fw_rl_server *s, int64_t objective_us)
+max_running(const struct fw_rl_server *s, int64_t objective_us)
 {
-    double work = s->work_us > 0 ? s->work_us : FW_TOOK_GUESS_US;
-    double a_slot = FW_WAIT_PART * (double)objective_us / work;
+    double work = s->work_us > 0 ? s->work_us : FW_DEFAULT_RESPONSE_US;
+    double per_slot = FW_OBJECTIVE_FRACTION * (double)objective_us / work;
 
-    return s->e.slots * MAX(a_slot, FW_LEAST_A_SLOT);
+    return s->e.slots * MAX(per_slot, FW_MIN_REQUESTS_PER_SLOT);
 }
 
 int
@@ -140,41 +144,47 @@
                    const struct fw_rl_server *s, int64_t now_us)
 {
     struct fw_rl_load l;
-    double most;
-    double over;
+    double limit;
+    double reject;
 
     if (r->opts.policy != FW_RL_POLICY_FULL || c->route.objective_us <= 0 ||
         s->e.slots <= 0) {
         return 0;
     }
     Fw_Place_Load(r, s, now_us, &l);
-    most = bearable(s, c->route.objective_us);
-    over = (l.running + 1 - most) / (FW_CROWD_RAMP * most);
-    return over > 0 && g_rand_double(r->rand) < over;
+    limit = max_running(s, c->route.objective_us);
+    reject = (l.running + 1 - limit) / (FW_OVERLOAD_RAMP * limit);
+    return reject > 0 && g_rand_double(r->rand) < reject;
 }
 
-/* The instance that ordered it tells the others, before the list does. */
+/*
+ * Peers report a stage change that one of them has ordered before the server
+ * list shows it.
+ */
 static int
-leaving_stage(const struct fw_rl_server *s, const struct fw_rl_load *l)
+is_changing_stage(const struct fw_rl_server *s, const struct fw_rl_load *l)
 {
     return l->to_stage != FW_RL_STAGE_NONE && l->to_stage != s->e.stage;
 }
 
 /*
- * One instance may be cut off from a server that is well; when two could not
- * reach it, it is down, and each further one need not find out by itself.
+ * A failure seen by one instance may be its own network's. A server that two
+ * others could not reach is skipped before this instance tries it.
  */
 static int
-is_down(const struct fw_rl_load *l)
+is_unreachable(const struct fw_rl_load *l)
 {
     return l->unreachable >= 2;
 }
 
-/* What stays free at @s with @c there; below zero: don't ask. */
+/*
+ * Room left at @s with @c placed there: tokens of KV cache, or scaled free
+ * slots under a baseline policy. Negative when @c must not be placed there.
+ */
 static int64_t
-room(struct fw_relay *r, const struct fw_rl_server *s,
-     const struct fw_rl_engine_spec *spec, const struct fw_rl_call *c,
-     int64_t now_us)
+room_left(struct fw_relay *r, const struct fw_rl_server *s,
+          const struct fw_rl_engine_spec *spec, const struct fw_rl_call *c,
+          int64_t now_us)
 {
     const struct fw_learned *known = Fw_Learned_Of(r, c->service);
     struct fw_rl_load l;
@@ -184,74 +194,79 @@
         c->need >= s->full_tokens) {
         return -1;
     }
-    if (l.running >= spec->slots || leaving_stage(s, &l) || is_down(&l)) {
+    if (l.running >= spec->slots || is_changing_stage(s, &l) ||
+        is_unreachable(&l)) {
         return -1;
     }
     if (r->opts.policy != FW_RL_POLICY_FULL) {
-        return (int64_t)(FW_BASELINE_SCALE *
-                         (spec->slots - baseline(r, l.running)));
+        return (int64_t)(FW_BASELINE_SCORE_SCALE *
+                         (spec->slots - baseline_score(r, l.running)));
     }
     return spec->kv_tokens - l.reserved - c->need -
            Fw_Memory_Spare(&c->answer, c->ask.tokens_out, l.running + 1);
 }
 
 static int
-decodes(const struct fw_rl_server *s, int64_t now_us)
+can_decode(const struct fw_rl_server *s, int64_t now_us)
 {
     return s->e.stage == FW_RL_STAGE_DECODE &&
            !Fw_Servers_Switching(s, now_us) && Fw_Servers_Usable(s, now_us);
 }
 
-/** struct draw - two of @n engines, drawn at random, and how good each is. */
-struct draw {
+/** struct sample - two engines drawn at random from @n, with their scores. */
+struct sample {
     int n;
     struct fw_rl_server *s[2];
-    int64_t worth[2];
+    int64_t score[2];
 };
 
 /*
- * Each engine offered stays with the same chance, however many come, so that
- * a long list leaves none of them idle.
+ * Reservoir sampling: each engine is kept with the same probability. Under
+ * the least-loaded policy the engine with the highest score is kept instead.
  */
 static void
-offer(struct fw_relay *r, struct draw *d, struct fw_rl_server *s,
-      int64_t worth)
+sample_add(struct fw_relay *r, struct sample *drawn, struct fw_rl_server *s,
+           int64_t score)
 {
-    int at = d->n < 2 ? d->n : g_rand_int_range(r->rand, 0, d->n + 1);
+    int at =
+        drawn->n < 2 ? drawn->n : g_rand_int_range(r->rand, 0, drawn->n + 1);
 
     if (r->opts.policy == FW_RL_POLICY_LEAST_LOADED) {
-        at = d->n && worth <= d->worth[0] ? 2 : 0;
+        at = drawn->n && score <= drawn->score[0] ? 2 : 0;
     }
-    d->n++;
+    drawn->n++;
     if (at < 2) {
-        d->s[at] = s;
-        d->worth[at] = worth;
+        drawn->s[at] = s;
+        drawn->score[at] = score;
     }
 }
 
-/* Which of the two; by chance when they are as good. */
+/*
+ * Index of the engine to use: under the full policy the one with the higher
+ * score, ties broken at random, else the first.
+ */
 static int
-better_of(struct fw_relay *r, const struct draw *d)
+sample_best(struct fw_relay *r, const struct sample *drawn)
 {
-    if (r->opts.policy != FW_RL_POLICY_FULL || d->n < 2) {
+    if (r->opts.policy != FW_RL_POLICY_FULL || drawn->n < 2) {
         return 0;
     }
-    if (d->worth[0] == d->worth[1]) {
+    if (drawn->score[0] == drawn->score[1]) {
         return g_rand_boolean(r->rand);
     }
-    return d->worth[1] > d->worth[0];
+    return drawn->score[1] > drawn->score[0];
 }
 
 /*
- * Of two engines drawn at random the one with more room: instances that see
- * the same figures do not all go to the same engine.
+ * The power of two choices: of two random engines the one with more room.
+ * Instances with the same view of the load thus don't all pick one engine.
  */
 struct fw_rl_server *
 Fw_Place_Decode(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us)
 {
     const struct fw_rl_service_rule *rule =
         Fw_Rules_Service(r->rules, c->service);
-    struct draw d = {0};
+    struct sample drawn = {0};
     struct fw_list *pos;
 
     if (!rule || !rule->engines) {
@@ -261,68 +276,73 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
         int64_t left;
 
-        if (!serves(s, c) || !decodes(s, now_us) || Fw_Call_Tried(c, s)) {
+        if (!runs_service(s, c) || !can_decode(s, now_us) ||
+            Fw_Call_Tried(c, s)) {
             continue;
         }
-        left = room(r, s, &rule->engine, c, now_us);
+        left = room_left(r, s, &rule->engine, c, now_us);
         if (left >= 0) {
-            offer(r, &d, s, left);
+            sample_add(r, &drawn, s, left);
         }
     }
-    return d.n ? d.s[better_of(r, &d)] : NULL;
+    return drawn.n ? drawn.s[sample_best(r, &drawn)] : NULL;
 }
 
-/* Until @s would have read @c's prompt; negative when it can't be sent. */
+/*
+ * Expected time until @s completes the prefill of @c, minus the bonus for
+ * the same failure domain. Negative when @c can't be sent there.
+ */
 static int64_t
-read_time(const struct fw_relay *r, const struct fw_rl_server *s,
-          const struct fw_rl_call *c, int64_t now_us)
+prefill_time_us(const struct fw_relay *r, const struct fw_rl_server *s,
+                const struct fw_rl_call *c, int64_t now_us)
 {
     struct fw_rl_load l;
     int64_t us;
 
-    if (!serves(s, c) || s->e.stage != FW_RL_STAGE_PREFILL ||
+    if (!runs_service(s, c) || s->e.stage != FW_RL_STAGE_PREFILL ||
         Fw_Servers_Switching(s, now_us) || Fw_Call_Tried(c, s) ||
-        now_us - s->full_us < FW_BUSY_US || !Fw_Servers_Usable(s, now_us)) {
+        now_us - s->full_us < FW_PREFILL_BACKOFF_US ||
+        !Fw_Servers_Usable(s, now_us)) {
         return -1;
     }
     Fw_Place_Load(r, s, now_us, &l);
-    if (leaving_stage(s, &l) || is_down(&l)) {
+    if (is_changing_stage(s, &l) || is_unreachable(&l)) {
         return -1;
     }
     us = Fw_Learned_ReadTime(Fw_Learned_Of(r, c->service),
                              l.reading + c->ask.tokens_in);
     if (c->server && strcmp(s->e.domain, c->server->e.domain) == 0) {
-        us -= FW_DOMAIN_BONUS_US;
+        us -= FW_SAME_DOMAIN_BONUS_US;
     }
     return MAX(us, 0);
 }
 
 /*
- * Of two engines drawn at random the one that would be ready first. Loads of
- * other instances are known late, so the best of all looks best to everyone,
- * and until the next digest all prompts would go to it.
+ * Of two random engines the one that would complete first. Peers' loads are
+ * known late: if every instance chose the best engine, all prompts would go
+ * to it until the next digest.
  */
 struct fw_rl_server *
 Fw_Place_Read(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us,
               int64_t *wait_us)
 {
-    struct draw d = {0};
+    struct sample drawn = {0};
     struct fw_list *pos;
     int at;
 
     *wait_us = 0;
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
-        int64_t t = read_time(r, s, c, now_us);
+        int64_t us = prefill_time_us(r, s, c, now_us);
 
-        if (t >= 0) {
-            offer(r, &d, s, -t);
+        if (us >= 0) {
+            sample_add(r, &drawn, s, -us);
         }
     }
-    if (!d.n) {
+    if (!drawn.n) {
         return NULL;
     }
-    at = better_of(r, &d);
-    *wait_us = -d.worth[at];
-    return d.s[at];
+    at = sample_best(r, &drawn);
+    *wait_us = -drawn.score[at];
+    return drawn.s[at];
 }
--- a/src/relay/plain.c
+++ b/src/relay/plain.c
@@ -1,7 +1,8 @@
 /*
- * Requests for plain services. A request that may be repeated goes to
- * another server after a failure; any other is sent on only after a server
- * has said that it did not run it.
+ * Requests for plain services. An idempotent request, or a resumable stream
+ * that has not begun, is retried at another server after any failure; any
+ * other only if it certainly has not run: the server says so, or nothing of
+ * it was sent.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,41 +11,40 @@
 #include "relay/relay_internal.h"
 
 /*
- * A repeatable request that has no answer by then is tried elsewhere while
- * its objective can still be met: three times the slowest usual answer, and
- * well before the objective of such routes (300 ms) is passed twice.
+ * Timeout of an attempt that can be retried: three times the slowest usual
+ * response.
  */
-#define FW_TRY_US (350 * FW_MSEC)
-/* Wait for a server when none is known, before the caller is sent away. */
+#define FW_ATTEMPT_TIMEOUT_US (350 * FW_MSEC)
+/* Retry-After when no server is available. */
 #define FW_RETRY_NO_SERVER_US (1 * FW_SEC)
 /*
- * Servers full of plain requests: one that comes back within this has a
- * second chance within its objective.
+ * Bounds of the random Retry-After when the servers are full. Short, so that
+ * a retry can still meet the route's objective.
  */
-#define FW_RETRY_BUSY_LEAST_US (80 * FW_MSEC)
-#define FW_RETRY_BUSY_MOST_US (200 * FW_MSEC)
+#define FW_RETRY_FULL_MIN_US (80 * FW_MSEC)
+#define FW_RETRY_FULL_MAX_US (200 * FW_MSEC)
 
 static int
-may_repeat(const struct fw_rl_call *c)
+is_retryable(const struct fw_rl_call *c)
 {
     return c->route.kind == FW_RL_IDEMPOTENT ||
            (c->route.kind == FW_RL_STREAM && c->route.resumable && !c->passed);
 }
 
 static void
-refuse_busy(struct fw_relay *r, struct fw_rl_call *c, const char *why,
-            int64_t now_us, struct fw_rl_acts *out)
+refuse_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
+                  int64_t now_us, struct fw_rl_acts *out)
 {
-    int64_t retry = g_rand_int_range(r->rand, FW_RETRY_BUSY_LEAST_US,
-                                     FW_RETRY_BUSY_MOST_US);
+    int64_t retry_us =
+        g_rand_int_range(r->rand, FW_RETRY_FULL_MIN_US, FW_RETRY_FULL_MAX_US);
 
-    Fw_Call_Refuse(r, c, 503, retry, why, now_us, out);
+    Fw_Call_Refuse(r, c, 503, retry_us, reason, now_us, out);
 }
 
-/* @s: not NULL */
+/* Starts an attempt at @s, which must not be NULL. */
 static void
-send_to(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-        int64_t now_us, struct fw_rl_acts *out)
+send_attempt(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
+             int64_t now_us, struct fw_rl_acts *out)
 {
     struct fw_rl_op *op;
     struct fw_rl_up_call up = {
@@ -53,14 +53,14 @@
         .urgency = -1,
         .whole = c->route.kind != FW_RL_STREAM,
         .connect_us = FW_RL_CONNECT_US,
-        .reuse_us = may_repeat(c) ? FW_RL_REUSE_US : FW_RL_REUSE_ONCE_US,
+        .reuse_us = is_retryable(c) ? FW_RL_REUSE_US : FW_RL_REUSE_ONCE_US,
     };
-    int64_t until = c->deadline_us;
+    int64_t timeout_at_us = c->deadline_us;
     struct fw_rl_load load;
 
     Fw_Place_Load(r, s, now_us, &load);
-    if (may_repeat(c) && c->tries + 1 < c->route.attempts) {
-        until = MIN(until, now_us + FW_TRY_US);
+    if (is_retryable(c) && c->tries + 1 < c->route.attempts) {
+        timeout_at_us = MIN(timeout_at_us, now_us + FW_ATTEMPT_TIMEOUT_US);
     }
     c->server = Fw_Servers_Ref(s);
     c->server->running++;
@@ -71,7 +71,7 @@
         c->tried[c->n_tried++] = s->hash;
     }
     g_strlcpy(up.team, c->team, sizeof(up.team));
-    op = Fw_Call_Ask(r, c, s, &up, until, now_us, out);
+    op = Fw_Call_Ask(r, c, s, &up, timeout_at_us, now_us, out);
     op->found_slot = load.running < s->e.slots;
     Fw_Acts_Log(out, r, Fw_Call_Severity(r, c), "sent",
                 "\"id\":\"%s\",\"route\":\"%s\",\"team\":\"%s\","
@@ -92,20 +92,21 @@
                        out);
     }
     else if (Fw_Place_IsCrowded(r, c, s, now_us)) {
-        refuse_busy(r, c, "servers_crowded", now_us, out);
+        refuse_overloaded(r, c, "servers_crowded", now_us, out);
     }
     else {
-        send_to(r, c, s, now_us, out);
+        send_attempt(r, c, s, now_us, out);
     }
 }
 
 /*
- * The further server that it may go to, or NULL; the repeat is counted then.
- * Where servers are crowded there is none: an answer that failed is passed on
- * rather than repeated at the cost of those that wait.
+ * Returns the server to retry @c at and charges the retry budget, or NULL if
+ * it may not be retried. Crowded servers get no retries, which would delay
+ * the requests that wait there.
  */
 static struct fw_rl_server *
-next_server(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us)
+take_retry_server(struct fw_relay *r, const struct fw_rl_call *c,
+                  int64_t now_us)
 {
     struct fw_rl_server *s;
 
@@ -122,21 +123,21 @@
 }
 
 static void
-try_again(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *next,
-          const char *why, int64_t now_us, struct fw_rl_acts *out)
+retry(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *next,
+      const char *reason, int64_t now_us, struct fw_rl_acts *out)
 {
     Fw_Acts_Log(
         out, r, LOG_NOTICE, "sent_again",
         "\"id\":\"%s\",\"why\":\"%s\",\"server\":\"%s\",\"ran\":\"%s\"",
-        c->ask.id, why, c->server->e.id, Fw_Ran_Name(c->ran));
+        c->ask.id, reason, c->server->e.id, Fw_Ran_Name(c->ran));
     Fw_Call_LeaveServer(c);
-    send_to(r, c, next, now_us, out);
+    send_attempt(r, c, next, now_us, out);
 }
 
 static int
-attempts_left(const struct fw_rl_call *c)
+may_retry(const struct fw_rl_call *c)
 {
-    return (may_repeat(c) || FW_FAULT("once-sent-again")) &&
+    return (is_retryable(c) || FW_FAULT("once-sent-again")) &&
            c->tries < c->route.attempts;
 }
 
@@ -146,7 +147,7 @@
                   struct fw_rl_acts *out)
 {
     struct fw_rl_call *c = op->call;
-    int64_t took = now_us - op->sent_us;
+    int64_t took_us = now_us - op->sent_us;
     struct fw_rl_server *next;
 
     if (c->passed) {
@@ -158,28 +159,28 @@
         if (ans->moved) {
             Fw_Servers_Missed(op->server, now_us);
         }
-        c->tries--; /* it wasn't run there */
+        c->tries--; /* not an attempt: it did not run */
         Fw_Op_End(r, op);
-        next = next_server(r, c, now_us);
+        next = take_retry_server(r, c, now_us);
         if (next) {
-            try_again(r, c, next, "not run", now_us, out);
+            retry(r, c, next, "not run", now_us, out);
         }
         else {
-            refuse_busy(r, c, "servers_full", now_us, out);
+            refuse_overloaded(r, c, "servers_full", now_us, out);
         }
         return;
     }
     c->ran = FW_RAN_YES;
-    Fw_Servers_Served(op->server, ans->status >= 500, took);
+    Fw_Servers_Served(op->server, ans->status >= 500, took_us);
     if (op->found_slot) {
-        Fw_Servers_Worked(op->server, took);
+        Fw_Servers_Worked(op->server, took_us);
     }
-    next = ans->status >= 500 && attempts_left(c) ? next_server(r, c, now_us)
-                                                  : NULL;
+    next = ans->status >= 500 && may_retry(c) ? take_retry_server(r, c, now_us)
+                                              : NULL;
     if (next) {
         Fw_Acts_Add(out, FW_RL_DO_STOP_ASK)->u.xid = op->xid;
         Fw_Op_End(r, op);
-        try_again(r, c, next, "failed there", now_us, out);
+        retry(r, c, next, "server error", now_us, out);
         return;
     }
     Fw_Call_Pass(r, c, now_us, out);
@@ -201,7 +202,8 @@
         }
     }
     else {
-        Fw_Servers_Served(s, 1, err == -ETIMEDOUT ? FW_TRY_US : -1);
+        Fw_Servers_Served(s, 1,
+                          err == -ETIMEDOUT ? FW_ATTEMPT_TIMEOUT_US : -1);
         if (err != -ETIMEDOUT) {
             Fw_Poison_CutOff(r, c->ask.digest, s, now_us);
         }
@@ -217,11 +219,10 @@
     else {
         c->tries--;
     }
-    next = !sent || attempts_left(c) ? next_server(r, c, now_us) : NULL;
+    next = !sent || may_retry(c) ? take_retry_server(r, c, now_us) : NULL;
     if (next) {
-        try_again(r, c, next,
-                  err == -ETIMEDOUT ? "no answer" : "connection lost", now_us,
-                  out);
+        retry(r, c, next, err == -ETIMEDOUT ? "timeout" : "connection lost",
+              now_us, out);
         return;
     }
     if (now_us >= c->deadline_us) {
--- a/src/relay/stream.c
+++ b/src/relay/stream.c
@@ -1,9 +1,9 @@
 /*
- * Requests that carry a model's prompt. An engine's memory is what is short:
- * so room for the whole answer is reserved at a decode engine before the
- * prompt is read anywhere; then a prefill engine reads it, and the decode
- * engine fetches the KV cache and streams. A prompt that was read for an
- * engine without room would be read in vain.
+ * Generation requests. KV cache memory is the scarce resource, so memory is
+ * reserved at a decode engine first; then a prefill engine processes the
+ * prompt, and the decode engine fetches the KV cache and streams the answer.
+ * A prefill without a reservation would be wasted if no decode engine had
+ * room.
  */
 #include <errno.h>
 #include <string.h>
@@ -11,20 +11,20 @@
 #include "relay/relay_internal.h"
 
 /*
- * A reservation that isn't answered by then is asked for elsewhere: it takes
- * an engine a few milliseconds, and each wait is taken off the objective.
+ * Timeout of a reservation request, after which the request is queued again.
+ * An engine normally answers within a few milliseconds.
  */
-#define FW_HOLD_WAIT_US (120 * FW_MSEC)
+#define FW_RESERVE_TIMEOUT_US (120 * FW_MSEC)
 /*
- * A reservation lives for two seconds; with less than half of that left a
- * prompt might be read for one that has lapsed.
+ * Age above which a reservation is not used for another prefill: it could
+ * expire before the prefill completes. Reservations usually last 2 s.
  */
-#define FW_HOLD_USABLE_US (1 * FW_SEC)
-/* Times that one request may start over at another engine. */
-#define FW_STARTS_MAX 3
+#define FW_RESERVATION_AGE_MAX_US (1 * FW_SEC)
+/* Retries of one request at other engines, of its prefill or as a whole. */
+#define FW_RETRIES_MAX 3
 
 static struct fw_rl_call *
-call_of(struct fw_queue_item *it)
+call_from_item(struct fw_queue_item *it)
 {
     return FW_LIST_ENTRY(it, struct fw_rl_call, item);
 }
@@ -37,10 +37,10 @@
 }
 
 static void
-refuse_full(struct fw_relay *r, struct fw_rl_call *c, const char *why,
-            int64_t now_us, struct fw_rl_acts *out)
+refuse_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
+                  int64_t now_us, struct fw_rl_acts *out)
 {
-    Fw_Call_Refuse(r, c, 503, Fw_Stream_RetryAfter(r, c), why, now_us, out);
+    Fw_Call_Refuse(r, c, 503, Fw_Stream_RetryAfter(r, c), reason, now_us, out);
 }
 
 void
@@ -73,7 +73,7 @@
 }
 
 static void
-take_server(struct fw_rl_call *c, struct fw_rl_server *s)
+assign_server(struct fw_rl_call *c, struct fw_rl_server *s)
 {
     c->server = Fw_Servers_Ref(s);
     s->running++;
@@ -81,8 +81,9 @@
 }
 
 static void
-ask_hold(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-         int64_t now_us, struct fw_rl_acts *out)
+request_reservation(struct fw_relay *r, struct fw_rl_call *c,
+                    struct fw_rl_server *s, int64_t now_us,
+                    struct fw_rl_acts *out)
 {
     const struct fw_rl_service_rule *rule =
         Fw_Rules_Service(r->rules, c->service);
@@ -96,11 +97,11 @@
         .ttl_us = rule->engine.hold_us,
     };
 
-    take_server(c, s);
+    assign_server(c, s);
     Fw_Delta_Placed(r, s);
     c->state = FW_RL_HOLD;
     r->n.holds.value++;
-    Fw_Call_Ask(r, c, s, &up, now_us + FW_HOLD_WAIT_US, now_us, out);
+    Fw_Call_Ask(r, c, s, &up, now_us + FW_RESERVE_TIMEOUT_US, now_us, out);
 }
 
 void
@@ -109,7 +110,7 @@
     struct fw_queue_item *it;
 
     while (r->rules && (it = Fw_Queue_Take(&r->queue))) {
-        struct fw_rl_call *c = call_of(it);
+        struct fw_rl_call *c = call_from_item(it);
         struct fw_rl_server *s = NULL;
 
         if (!Fw_Exchange_Awaits(r, c->opened_us, now_us)) {
@@ -119,7 +120,7 @@
             Fw_Queue_PutBack(&r->queue, it);
             return;
         }
-        ask_hold(r, c, s, now_us, out);
+        request_reservation(r, c, s, now_us, out);
     }
 }
 
@@ -129,7 +130,7 @@
 {
     c->state = FW_RL_QUEUED;
     if (now_us >= c->queue_until_us) {
-        refuse_full(r, c, "no_room", now_us, out);
+        refuse_overloaded(r, c, "no_room", now_us, out);
         return;
     }
     Fw_Queue_PutBack(&r->queue, &c->item);
@@ -137,26 +138,27 @@
 }
 
 /*
- * Starts over after an engine did not run it.
- * @arrivals: at engines, beyond what a request needs: one for a prompt that
- *     wasn't read; two where it was, since it is then read again
+ * Releases what @c holds at engines and queues it again, or refuses it if it
+ * may not be retried.
+ * @wasted_calls: charged to the retry budget: calls that reached an engine in
+ *     vain, one for a run and one for the prefill before it
  */
 static void
-start_over(struct fw_relay *r, struct fw_rl_call *c, const char *why,
-           int arrivals, int64_t now_us, struct fw_rl_acts *out)
+restart(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
+        int wasted_calls, int64_t now_us, struct fw_rl_acts *out)
 {
     struct fw_rl_server *s = c->state == FW_RL_READ ? c->reader : c->server;
-    uint64_t at_fault = s ? s->hash : 0;
-    int again = c->n_tried < FW_STARTS_MAX && now_us < c->deadline_us &&
-                Fw_Budget_Repeat(r, c->service, arrivals, now_us);
+    uint64_t failed = s ? s->hash : 0;
+    int retry = c->n_tried < FW_RETRIES_MAX && now_us < c->deadline_us &&
+                Fw_Budget_Repeat(r, c->service, wasted_calls, now_us);
 
     Fw_Acts_Log(out, r, LOG_NOTICE, "start_over",
                 "\"id\":\"%s\",\"why\":\"%s\",\"server\":\"%s\",\"again\":%d",
-                c->ask.id, why, s ? s->e.id : "", again);
-    c->tried[c->n_tried++] = at_fault;
+                c->ask.id, reason, s ? s->e.id : "", retry);
+    c->tried[c->n_tried++] = failed;
     Fw_Call_Release(r, c, now_us, out);
-    if (!again) {
-        refuse_full(r, c, why, now_us, out);
+    if (!retry) {
+        refuse_overloaded(r, c, reason, now_us, out);
         return;
     }
     c->queue_until_us =
@@ -164,10 +166,13 @@
     requeue(r, c, now_us, out);
 }
 
-/* Nonzero when @c's key can't be trusted any more: it was refused. */
+/*
+ * Refuses @c if the configuration has become too old to trust its key.
+ * Return: nonzero if @c was refused and freed.
+ */
 static int
-is_stale(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-         struct fw_rl_acts *out)
+refuse_if_stale(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+                struct fw_rl_acts *out)
 {
     if (Fw_Relay_MayServe(r, c, now_us)) {
         return 0;
@@ -178,8 +183,8 @@
 }
 
 static void
-run(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-    struct fw_rl_acts *out)
+send_run(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+         struct fw_rl_acts *out)
 {
     struct fw_rl_up_call up = {
         .kind = FW_RL_UP_RUN,
@@ -189,7 +194,7 @@
         .connect_us = FW_RL_CONNECT_US,
     };
 
-    if (is_stale(r, c, now_us, out)) {
+    if (refuse_if_stale(r, c, now_us, out)) {
         return;
     }
     g_strlcpy(up.team, c->team, sizeof(up.team));
@@ -213,8 +218,8 @@
 }
 
 static void
-read_prompt(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-            struct fw_rl_acts *out)
+start_prefill(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+              struct fw_rl_acts *out)
 {
     const struct fw_learned *known = Fw_Learned_Of(r, c->service);
     int64_t wait_us;
@@ -230,10 +235,10 @@
     };
 
     if (!s || wait_us > r->opts.read_here_us) {
-        run(r, c, now_us, out); /* the decode engine reads it itself */
+        send_run(r, c, now_us, out); /* prefill at the decode engine */
         return;
     }
-    if (is_stale(r, c, now_us, out)) {
+    if (refuse_if_stale(r, c, now_us, out)) {
         return;
     }
     g_strlcpy(up.team, c->team, sizeof(up.team));
@@ -252,20 +257,21 @@
 }
 
 /*
- * Another engine reads the prompt; the reservation stays. Giving that back
- * and starting over costs a place in a full fleet, and when many engines
- * crash at once, that of many requests.
- * @arrivals: at engines, that the prefill in vain was
+ * Retries a failed prefill at another engine and keeps the reservation, which
+ * might not be had again in a full fleet.
+ * @wasted_calls: charged to the retry budget: 1 if the prefill's call reached
+ *     an engine, else 0
  */
 static void
-read_elsewhere(struct fw_relay *r, struct fw_rl_call *c, int arrivals,
-               int64_t now_us, struct fw_rl_acts *out)
+retry_prefill(struct fw_relay *r, struct fw_rl_call *c, int wasted_calls,
+              int64_t now_us, struct fw_rl_acts *out)
 {
     int64_t held_us = now_us - c->room_us;
 
-    if (held_us > FW_HOLD_USABLE_US || c->n_tried >= FW_STARTS_MAX ||
-        (arrivals && !Fw_Budget_Repeat(r, c->service, arrivals, now_us))) {
-        start_over(r, c, "prompt_not_read", 0, now_us, out);
+    if (held_us > FW_RESERVATION_AGE_MAX_US || c->n_tried >= FW_RETRIES_MAX ||
+        (wasted_calls &&
+         !Fw_Budget_Repeat(r, c->service, wasted_calls, now_us))) {
+        restart(r, c, "prompt_not_read", 0, now_us, out);
         return;
     }
     Fw_Acts_Log(out, r, LOG_NOTICE, "read_elsewhere",
@@ -273,20 +279,20 @@
     c->tried[c->n_tried++] = c->reader->hash;
     Fw_Servers_Unref(c->reader);
     c->reader = NULL;
-    read_prompt(r, c, now_us, out);
+    start_prefill(r, c, now_us, out);
 }
 
 static void
-hold_answered(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-              const struct fw_rl_up_answer *ans, int64_t now_us,
-              struct fw_rl_acts *out)
+reservation_answered(struct fw_relay *r, struct fw_rl_call *c,
+                     struct fw_rl_server *s, const struct fw_rl_up_answer *ans,
+                     int64_t now_us, struct fw_rl_acts *out)
 {
     if (ans->status == 200 && ans->name[0]) {
         g_strlcpy(c->hold, ans->name, sizeof(c->hold));
         c->room_us = now_us;
         Fw_Histogram_Add(&r->n.queued_s, now_us - c->opened_us);
         Fw_Servers_Served(s, 0, -1);
-        read_prompt(r, c, now_us, out);
+        start_prefill(r, c, now_us, out);
         return;
     }
     r->n.holds_refused.value++;
@@ -300,9 +306,9 @@
 }
 
 static void
-read_answered(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-              const struct fw_rl_up_answer *ans, int64_t took_us,
-              int64_t now_us, struct fw_rl_acts *out)
+prefill_answered(struct fw_relay *r, struct fw_rl_call *c,
+                 struct fw_rl_server *s, const struct fw_rl_up_answer *ans,
+                 int64_t took_us, int64_t now_us, struct fw_rl_acts *out)
 {
     Fw_Call_ReadDone(c);
     if (ans->status == 200 && ans->name[0]) {
@@ -311,7 +317,7 @@
         Fw_Histogram_Add(&r->n.read_s, now_us - c->room_us);
         g_strlcpy(c->kv, ans->name, sizeof(c->kv));
         g_strlcpy(c->kv_addr, s->e.addr, sizeof(c->kv_addr));
-        run(r, c, now_us, out);
+        send_run(r, c, now_us, out);
         return;
     }
     s->full_us = now_us;
@@ -319,7 +325,7 @@
     if (ans->moved) {
         Fw_Servers_Missed(s, now_us);
     }
-    read_elsewhere(r, c, 1, now_us, out);
+    retry_prefill(r, c, 1, now_us, out);
 }
 
 static void
@@ -339,7 +345,7 @@
         Fw_Servers_Refused(c->server, now_us);
     }
     c->tries--;
-    start_over(r, c, "engine_full", c->reader ? 2 : 1, now_us, out);
+    restart(r, c, "engine_full", c->reader ? 2 : 1, now_us, out);
 }
 
 void
@@ -354,10 +360,10 @@
 
     Fw_Op_End(r, op);
     if (kind == FW_RL_UP_HOLD) {
-        hold_answered(r, c, s, ans, now_us, out);
+        reservation_answered(r, c, s, ans, now_us, out);
     }
     else if (kind == FW_RL_UP_PREFILL) {
-        read_answered(r, c, s, ans, took_us, now_us, out);
+        prefill_answered(r, c, s, ans, took_us, now_us, out);
     }
     else {
         run_answered(r, c, ans, now_us, out);
@@ -375,7 +381,7 @@
     }
     if (!sent) {
         c->tries--;
-        start_over(r, c, "engine_unreachable", c->reader ? 1 : 0, now_us, out);
+        restart(r, c, "engine_unreachable", c->reader ? 1 : 0, now_us, out);
         return;
     }
     c->ran = FW_RAN_MAYBE;
@@ -385,7 +391,7 @@
         Fw_Call_Refuse(r, c, 504, 0, "timeout", now_us, out);
     }
     else if (c->route.resumable && c->tries < c->route.attempts) {
-        start_over(r, c, "engine_lost", c->reader ? 2 : 1, now_us, out);
+        restart(r, c, "engine_lost", c->reader ? 2 : 1, now_us, out);
     }
     else {
         Fw_Call_Refuse(r, c, 502, 0, "engine_lost", now_us, out);
@@ -421,7 +427,7 @@
     }
     else if (kind == FW_RL_UP_PREFILL) {
         Fw_Call_ReadDone(c);
-        read_elsewhere(r, c, sent ? 1 : 0, now_us, out);
+        retry_prefill(r, c, sent ? 1 : 0, now_us, out);
     }
     else {
         run_failed(r, c, sent, now_us, out);
