--- a/tests/relay/play.h
+++ b/tests/relay/play.h
@@ -1,49 +1,60 @@
-/* Shared by the files that play a script; see script.c. */
-#ifndef FW_TESTS_RELAY_PLAY_H
-#define FW_TESTS_RELAY_PLAY_H
+/* Interface between the files that run scripts; see script.c. */
+#ifndef FW_TESTS_RELAY_SCRIPT_INTERNAL_H
+#define FW_TESTS_RELAY_SCRIPT_INTERNAL_H
 
 #include "relay/relay_internal.h"
 
 #define FW_WORDS_MAX 16
 
-/** struct play - a script under way; @word, @n: of the line in hand. */
-struct play {
+/**
+ * struct relay_script_run - state of a running script.
+ * @out: the output so far: each command, and the actions it led to
+ * @now_us: the time that the relay is given
+ * @print_logs: print log lines as well
+ * @claim_sent_us: when the relay last claimed the order role
+ * @digest_seq: sequence number of the last digest sent to the relay
+ * @word, @n: words of the current command
+ */
+struct relay_script_run {
     struct fw_relay *r;
     struct fw_rl_acts acts;
     struct fw_relay_opts opts;
     GString *out;
     int64_t now_us;
-    int logs; /* log lines are printed */
-    int64_t lead_sent_us;
+    int print_logs;
+    int64_t claim_sent_us;
     uint64_t digest_seq;
     char *word[FW_WORDS_MAX];
     int n;
 };
 
-/* play_words.c */
-/* Value of KEY=VALUE, or NULL. */
+/* script_args.c */
+/* The value of the argument KEY=VALUE, or NULL; owned by @run. */
 const char *
-Fw_Play_Text(const struct play *p, const char *key);
+Fw_RelayScript_GetString(const struct relay_script_run *run, const char *key);
+/* The argument KEY=VALUE as a number, or @fallback. */
 int64_t
-Fw_Play_Number(const struct play *p, const char *key, int64_t fallback);
+Fw_RelayScript_GetNumber(const struct relay_script_run *run, const char *key,
+                         int64_t fallback);
+/* Returns nonzero if @word is among the command's arguments. */
 int
-Fw_Play_Has(const struct play *p, const char *word);
-/* The line's word @i, which must be there, as a number. */
+Fw_RelayScript_HasWord(const struct relay_script_run *run, const char *word);
+/* Word @i of the command as a number. Fails the test if there is none. */
 uint64_t
-Fw_Play_Arg(const struct play *p, int i);
+Fw_RelayScript_GetArg(const struct relay_script_run *run, int i);
 
-/* play_world.c: what the relay is told of the world; one a command. */
+/* script_world.c: commands about everything but requests. */
 void
-Fw_Play_Rules(struct play *p);
+Fw_RelayScript_DoRules(struct relay_script_run *run);
 void
-Fw_Play_Options(struct play *p);
+Fw_RelayScript_DoOptions(struct relay_script_run *run);
 void
-Fw_Play_Server(struct play *p);
+Fw_RelayScript_DoServer(struct relay_script_run *run);
 void
-Fw_Play_Member(struct play *p);
+Fw_RelayScript_DoMember(struct relay_script_run *run);
 void
-Fw_Play_Spent(struct play *p);
+Fw_RelayScript_DoSpent(struct relay_script_run *run);
 void
-Fw_Play_Lead(struct play *p);
+Fw_RelayScript_DoLead(struct relay_script_run *run);
 
 #endif
--- a/tests/relay/play_words.c
+++ b/tests/relay/play_words.c
@@ -1,35 +1,36 @@
-/* Words of a script's line. */
+/* Arguments of a script's commands. */
 #include <check.h>
 #include <string.h>
 
 #include "tests/relay/play.h"
 
 const char *
-Fw_Play_Text(const struct play *p, const char *key)
+Fw_RelayScript_GetString(const struct relay_script_run *run, const char *key)
 {
     size_t len = strlen(key);
 
-    for (int i = 1; i < p->n; i++) {
-        if (strncmp(p->word[i], key, len) == 0 && p->word[i][len] == '=') {
-            return p->word[i] + len + 1;
+    for (int i = 1; i < run->n; i++) {
+        if (strncmp(run->word[i], key, len) == 0 && run->word[i][len] == '=') {
+            return run->word[i] + len + 1;
         }
     }
     return NULL;
 }
 
 int64_t
-Fw_Play_Number(const struct play *p, const char *key, int64_t fallback)
+Fw_RelayScript_GetNumber(const struct relay_script_run *run, const char *key,
+                         int64_t fallback)
 {
-    const char *t = Fw_Play_Text(p, key);
+    const char *value = Fw_RelayScript_GetString(run, key);
 
-    return t ? g_ascii_strtoll(t, NULL, 10) : fallback;
+    return value ? g_ascii_strtoll(value, NULL, 10) : fallback;
 }
 
 int
-Fw_Play_Has(const struct play *p, const char *word)
+Fw_RelayScript_HasWord(const struct relay_script_run *run, const char *word)
 {
-    for (int i = 1; i < p->n; i++) {
-        if (strcmp(p->word[i], word) == 0) {
+    for (int i = 1; i < run->n; i++) {
+        if (strcmp(run->word[i], word) == 0) {
             return 1;
         }
     }
@@ -37,8 +38,8 @@
 }
 
 uint64_t
-Fw_Play_Arg(const struct play *p, int i)
+Fw_RelayScript_GetArg(const struct relay_script_run *run, int i)
 {
-    ck_assert_int_lt(i, p->n);
-    return g_ascii_strtoull(p->word[i], NULL, 10);
+    ck_assert_int_lt(i, run->n);
+    return g_ascii_strtoull(run->word[i], NULL, 10);
 }
--- a/tests/relay/play_world.c
+++ b/tests/relay/play_world.c
@@ -1,4 +1,4 @@
-/* Commands that tell the relay of the world around its requests. */
+/* Script commands about everything but requests. */
 #include <check.h>
 #include <msgpack.h>
 #include <string.h>
@@ -8,8 +8,8 @@
 #include "tests/relay/play.h"
 
 static void
-add_route(struct play *p, struct fw_rl_rules *rules, const char *prefix,
-          enum fw_rl_kind kind, const char *service)
+add_route(struct relay_script_run *run, struct fw_rl_rules *rules,
+          const char *prefix, enum fw_rl_kind kind, const char *service)
 {
     struct fw_rl_route_rule *r = Fw_Rules_AddRoute(rules);
 
@@ -17,9 +17,10 @@
     g_strlcpy(r->host, "h", sizeof(r->host));
     g_strlcpy(r->prefix, prefix, sizeof(r->prefix));
     r->kind = kind;
-    r->timeout_us = Fw_Play_Number(p, "timeout_ms", 10000) * FW_MSEC;
+    r->timeout_us =
+        Fw_RelayScript_GetNumber(run, "timeout_ms", 10000) * FW_MSEC;
     r->objective_us = 900 * FW_MSEC;
-    r->attempts = (int)Fw_Play_Number(p, "attempts", 2);
+    r->attempts = (int)Fw_RelayScript_GetNumber(run, "attempts", 2);
     r->generates = kind == FW_RL_STREAM;
     r->resumable = strcmp(prefix, "/resume/") == 0;
     r->anonymous = strcmp(prefix, "/open/") == 0;
@@ -29,38 +30,39 @@
 }
 
 /*
- * Routes /read/ (repeatable), /order/ (once), /open/ (repeatable, without a
- * key) of the service "plain", /gen/ and /resume/ of the service "llm";
- * teams "a" with key ka and "b" with key kb (without it if keys=1).
+ * Routes to the service "plain": /read/ (idempotent), /order/ (runs at most
+ * once) and /open/ (idempotent, no key needed). Routes to the service "llm":
+ * /gen/ and /resume/ (resumable). Teams: "a" with key ka and, unless keys=1,
+ * "b" with key kb.
  */
 static struct fw_rl_rules *
-make_rules(struct play *p)
+make_rules(struct relay_script_run *run)
 {
     struct fw_rl_rules *rules = Fw_Rules_New();
     struct fw_rl_service_rule *s;
 
-    rules->version = (int64_t)Fw_Play_Arg(p, 1);
-    add_route(p, rules, "/read/", FW_RL_IDEMPOTENT, "plain");
-    add_route(p, rules, "/open/", FW_RL_IDEMPOTENT, "plain");
-    add_route(p, rules, "/order/", FW_RL_ONCE, "plain");
-    add_route(p, rules, "/gen/", FW_RL_STREAM, "llm");
-    add_route(p, rules, "/resume/", FW_RL_STREAM, "llm");
+    rules->version = (int64_t)Fw_RelayScript_GetArg(run, 1);
+    add_route(run, rules, "/read/", FW_RL_IDEMPOTENT, "plain");
+    add_route(run, rules, "/open/", FW_RL_IDEMPOTENT, "plain");
+    add_route(run, rules, "/order/", FW_RL_ONCE, "plain");
+    add_route(run, rules, "/gen/", FW_RL_STREAM, "llm");
+    add_route(run, rules, "/resume/", FW_RL_STREAM, "llm");
     g_strlcpy(Fw_Rules_AddService(rules)->name, "plain", FW_NAME_MAX);
     s = Fw_Rules_AddService(rules);
     g_strlcpy(s->name, "llm", FW_NAME_MAX);
     s->engines = 1;
-    s->engine =
-        (struct fw_rl_engine_spec){.slots = (int)Fw_Play_Number(p, "slots", 8),
-                                   .kv_tokens = Fw_Play_Number(p, "kv", 20000),
-                                   .handle_us = 500 * FW_MSEC,
-                                   .hold_us = 2 * FW_SEC,
-                                   .switch_us = 6 * FW_SEC};
-    for (int i = 0; i < Fw_Play_Number(p, "keys", 2); i++) {
+    s->engine = (struct fw_rl_engine_spec){
+        .slots = (int)Fw_RelayScript_GetNumber(run, "slots", 8),
+        .kv_tokens = Fw_RelayScript_GetNumber(run, "kv", 20000),
+        .handle_us = 500 * FW_MSEC,
+        .hold_us = 2 * FW_SEC,
+        .switch_us = 6 * FW_SEC};
+    for (int i = 0; i < Fw_RelayScript_GetNumber(run, "keys", 2); i++) {
         struct fw_rl_team_rule *t = Fw_Rules_AddTeam(rules);
 
         g_strlcpy(t->name, i ? "b" : "a", FW_NAME_MAX);
-        t->rate = Fw_Play_Number(p, "rate", 0);
-        t->burst = Fw_Play_Number(p, "burst", 0);
+        t->rate = Fw_RelayScript_GetNumber(run, "rate", 0);
+        t->burst = Fw_RelayScript_GetNumber(run, "burst", 0);
         t->plain_cost = 200;
         t->priority = -1;
         Fw_Rules_AddKey(rules, i ? "kb" : "ka", t);
@@ -70,25 +72,28 @@
 }
 
 void
-Fw_Play_Server(struct play *p)
+Fw_RelayScript_DoServer(struct relay_script_run *run)
 {
     struct fw_rl_server_entry e = {.slots = 4};
 
-    g_strlcpy(e.id, p->word[1], sizeof(e.id));
-    g_strlcpy(e.service, p->word[2], sizeof(e.service));
-    g_snprintf(e.addr, sizeof(e.addr), "%s:1", p->word[1]);
-    e.stage = strcmp(p->word[3], "prefill") == 0  ? FW_RL_STAGE_PREFILL
-              : strcmp(p->word[3], "decode") == 0 ? FW_RL_STAGE_DECODE
-                                                  : FW_RL_STAGE_NONE;
-    e.draining = Fw_Play_Has(p, "draining");
-    e.born_ms = Fw_Play_Number(p, "born", 1);
-    Fw_Relay_Server(p->r, e.id, &e, p->now_us, &p->acts);
+    g_strlcpy(e.id, run->word[1], sizeof(e.id));
+    g_strlcpy(e.service, run->word[2], sizeof(e.service));
+    g_snprintf(e.addr, sizeof(e.addr), "%s:1", run->word[1]);
+    e.stage = strcmp(run->word[3], "prefill") == 0  ? FW_RL_STAGE_PREFILL
+              : strcmp(run->word[3], "decode") == 0 ? FW_RL_STAGE_DECODE
+                                                    : FW_RL_STAGE_NONE;
+    e.draining = Fw_RelayScript_HasWord(run, "draining");
+    e.born_ms = Fw_RelayScript_GetNumber(run, "born", 1);
+    Fw_Relay_Server(run->r, e.id, &e, run->now_us, &run->acts);
 }
 
-/* A digest from @name; with @team, what it has spent of that. */
+/*
+ * Delivers a digest from the instance @name. Unless @team is NULL it reports
+ * that team's allowance: @spent tokens in all, @level left.
+ */
 static void
-send_digest(struct play *p, const char *name, const char *team, int64_t spent,
-            int64_t level)
+send_digest(struct relay_script_run *run, const char *name, const char *team,
+            int64_t spent, int64_t level)
 {
     GByteArray *msg = g_byte_array_new();
     struct fw_rl_mail mail;
@@ -101,7 +106,7 @@
     msgpack_pack_uint64(&pk, Fw_Hash_Str(""));
     msgpack_pack_int64(&pk, 0);
     msgpack_pack_uint64(&pk, 1);
-    msgpack_pack_uint64(&pk, ++p->digest_seq);
+    msgpack_pack_uint64(&pk, ++run->digest_seq);
     msgpack_pack_array(&pk, 0);
     msgpack_pack_array(&pk, team ? 1 : 0);
     if (team) {
@@ -120,8 +125,8 @@
     }
     msgpack_pack_array(&pk, 0);
     Fw_Mail_Init(&mail);
-    ck_assert_int_ge(Fw_Relay_ReadMessage(p->r, "127.0.0.9:1", msg->data,
-                                          msg->len, p->now_us, &mail),
+    ck_assert_int_ge(Fw_Relay_ReadMessage(run->r, "127.0.0.9:1", msg->data,
+                                          msg->len, run->now_us, &mail),
                      0);
     Fw_Mail_Clear(&mail);
     g_ptr_array_unref(mail.all);
@@ -129,50 +134,55 @@
 }
 
 void
-Fw_Play_Rules(struct play *p)
+Fw_RelayScript_DoRules(struct relay_script_run *run)
 {
-    struct fw_rl_rules *rules = make_rules(p);
+    struct fw_rl_rules *rules = make_rules(run);
 
-    Fw_Relay_Rules(p->r, rules, (uint64_t)rules->version, p->now_us, &p->acts);
+    Fw_Relay_Rules(run->r, rules, (uint64_t)rules->version, run->now_us,
+                   &run->acts);
     Fw_Rules_Unref(rules);
 }
 
 void
-Fw_Play_Options(struct play *p)
+Fw_RelayScript_DoOptions(struct relay_script_run *run)
 {
-    struct fw_relay_opts *o = &p->opts;
-
-    o->queue_us = Fw_Play_Number(p, "queue_ms", 500) * FW_MSEC;
-    o->key_stale_us = Fw_Play_Number(p, "stale_ms", 4000) * FW_MSEC;
-    o->reserve_permille = (int)Fw_Play_Number(p, "reserve", 1000);
-    o->prefill_permille = (int)Fw_Play_Number(p, "prefill", 50);
-    o->retry_extra = Fw_Play_Number(p, "extra", 100);
-    o->read_here_us = Fw_Play_Number(p, "here_ms", 600) * FW_MSEC;
-    o->log_sample = (int)Fw_Play_Number(p, "sample", 1);
-    o->tolerance = Fw_Play_Number(p, "tolerance", 0);
-    o->lease_us = Fw_Play_Number(p, "lease_ms", 3000) * FW_MSEC;
-    Fw_Relay_SetOpts(p->r, o);
+    struct fw_relay_opts *o = &run->opts;
+
+    o->queue_us = Fw_RelayScript_GetNumber(run, "queue_ms", 500) * FW_MSEC;
+    o->key_stale_us =
+        Fw_RelayScript_GetNumber(run, "stale_ms", 4000) * FW_MSEC;
+    o->reserve_permille = (int)Fw_RelayScript_GetNumber(run, "reserve", 1000);
+    o->prefill_permille = (int)Fw_RelayScript_GetNumber(run, "prefill", 50);
+    o->retry_extra = Fw_RelayScript_GetNumber(run, "extra", 100);
+    o->read_here_us = Fw_RelayScript_GetNumber(run, "here_ms", 600) * FW_MSEC;
+    o->log_sample = (int)Fw_RelayScript_GetNumber(run, "sample", 1);
+    o->tolerance = Fw_RelayScript_GetNumber(run, "tolerance", 0);
+    o->lease_us = Fw_RelayScript_GetNumber(run, "lease_ms", 3000) * FW_MSEC;
+    Fw_Relay_SetOpts(run->r, o);
 }
 
 void
-Fw_Play_Lead(struct play *p)
+Fw_RelayScript_DoLead(struct relay_script_run *run)
 {
-    enum fw_rl_claim c = Fw_Play_Has(p, "made")    ? FW_RL_CLAIM_MADE
-                         : Fw_Play_Has(p, "taken") ? FW_RL_CLAIM_TAKEN
-                                                   : FW_RL_CLAIM_UNKNOWN;
+    enum fw_rl_claim c = Fw_RelayScript_HasWord(run, "made") ? FW_RL_CLAIM_MADE
+                         : Fw_RelayScript_HasWord(run, "taken")
+                             ? FW_RL_CLAIM_TAKEN
+                             : FW_RL_CLAIM_UNKNOWN;
 
-    Fw_Relay_Lead(p->r, c, Fw_Play_Arg(p, 2), p->lead_sent_us, p->now_us);
+    Fw_Relay_Lead(run->r, c, Fw_RelayScript_GetArg(run, 2), run->claim_sent_us,
+                  run->now_us);
 }
 
 void
-Fw_Play_Member(struct play *p)
+Fw_RelayScript_DoMember(struct relay_script_run *run)
 {
-    send_digest(p, p->word[1], NULL, 0, 0);
+    send_digest(run, run->word[1], NULL, 0, 0);
 }
 
 void
-Fw_Play_Spent(struct play *p)
+Fw_RelayScript_DoSpent(struct relay_script_run *run)
 {
-    send_digest(p, p->word[1], p->word[2], (int64_t)Fw_Play_Arg(p, 3),
-                Fw_Play_Number(p, "level", 0));
+    send_digest(run, run->word[1], run->word[2],
+                (int64_t)Fw_RelayScript_GetArg(run, 3),
+                Fw_RelayScript_GetNumber(run, "level", 0));
 }
--- a/tests/relay/script.c
+++ b/tests/relay/script.c
@@ -1,29 +1,34 @@
 /*
  * Commands:
- *   at MS                       the time from now on
+ *   at MS                       sets the clock
  *   options KEY=N ...           queue_ms, stale_ms, reserve, prefill, extra,
  *                               here_ms, lease_ms
- *   rules VERSION [KEY=N ...]   a configuration (see make_rules); rate, burst,
- *                               keys, attempts, timeout_ms, kv, slots
- *   fresh MS                    the store was read as of then
+ *   rules VERSION [KEY=N ...]   loads a configuration (see make_rules); rate,
+ *                               burst, keys, attempts, timeout_ms, kv, slots
+ *   fresh MS                    the configuration was current at that time
  *   server ID SERVICE STAGE [draining] [born=N]
- *   unlisted ID                 its entry vanished
- *   store-back                  the store answers again
- *   list                        the list was read whole
+ *                               adds or updates a server's entry
+ *   unlisted ID                 removes a server's entry
+ *   store-back                  the store is reachable again
+ *   list                        the server list was read completely
  *   open N PATH [key=K] [in=N] [out=N] [digest=N] [left_ms=N] [id=S]
- *   gone N                      the caller left
- *   begun X STATUS              a response began
+ *                               a caller's request
+ *   gone N                      the caller disconnected
+ *   begun X STATUS              the response to call X began
  *   answer X STATUS [name=S] [not-run] [moved] [busy] [orders=N] [stage=S]
- *   fail X ERRNO sent|unsent
+ *                               the response to call X is complete
+ *   fail X ERRNO sent|unsent    call X failed
  *   lead made|taken|unknown OFFSET
- *   member NAME                 another instance, heard now
- *   spent NAME TEAM N [level=N]  it has spent so many tokens in all, and has
- *                               that level of them
- *   tick                        time passes
+ *                               outcome of the last claim of the order role
+ *   member NAME                 a digest from the instance NAME
+ *   spent NAME TEAM N [level=N] a digest from NAME: it has spent N tokens of
+ *                               TEAM's allowance in all; its bucket's level
+ *   tick                        runs the periodic work
  *   drain                       SIGTERM
- *   ready                       prints whether it is
- *   load ID                     prints running, reserved, reading
- *   logs                        prints log lines from now on: severity, event
+ *   ready                       prints whether the instance is ready
+ *   load ID                     prints a server's running requests, reserved
+ *                               tokens and prefill tokens
+ *   logs                        prints log lines from here on: severity, event
  *                               and members
  */
 #include "tests/relay/script.h"
@@ -33,14 +38,14 @@
 
 #include "tests/relay/play.h"
 
-static const char *const kind_names[] = {
+static const char *const call_kind_names[] = {
     "run", "prefill", "hold", "drop-hold", "drop-kv", "report", "stage"};
 
 static void
 print_ask(GString *out, const struct fw_rl_up_call *c)
 {
     g_string_append_printf(out, "  ask %d %s %s", (int)c->xid,
-                           kind_names[c->kind], c->server);
+                           call_kind_names[c->kind], c->server);
     if (c->call) {
         g_string_append_printf(out, " for %d", (int)c->call);
     }
@@ -66,9 +71,9 @@
     g_string_append_c(out, '\n');
 }
 
-/* When the caller is told to come back. */
+/* The delay before a retry that a refusal suggests to the caller. */
 static const char *
-when(int64_t retry_us)
+retry_delay(int64_t retry_us)
 {
     if (retry_us <= 0) {
         return "";
@@ -77,16 +82,16 @@
 }
 
 static void
-print_act(struct play *p, const struct fw_rl_act *a)
+print_act(struct relay_script_run *run, const struct fw_rl_act *a)
 {
-    GString *out = p->out;
+    GString *out = run->out;
 
     switch (a->kind) {
     case FW_RL_DO_REFUSE:
         g_string_append_printf(
             out, "  refuse %d %d %s ran=%s%s\n", (int)a->u.refuse.call,
             a->u.refuse.status, a->u.refuse.reason,
-            Fw_Ran_Name(a->u.refuse.ran), when(a->u.refuse.retry_us));
+            Fw_Ran_Name(a->u.refuse.ran), retry_delay(a->u.refuse.retry_us));
         break;
     case FW_RL_DO_PASS:
         g_string_append_printf(out, "  pass %d from %d\n", (int)a->u.pass.call,
@@ -106,13 +111,13 @@
         break;
     case FW_RL_DO_LEAD:
         g_string_append_printf(out, "  claim at %d\n", (int)a->u.lead_end);
-        p->lead_sent_us = p->now_us;
+        run->claim_sent_us = run->now_us;
         break;
     case FW_RL_DO_FORGET:
         g_string_append_printf(out, "  forget %s\n", a->u.addr);
         break;
     case FW_RL_DO_LOG:
-        if (p->logs) {
+        if (run->print_logs) {
             g_string_append_printf(out, "  %d %s %s\n", a->u.log.severity,
                                    a->u.log.event, a->u.log.text);
         }
@@ -121,149 +126,159 @@
 }
 
 static void
-do_open(struct play *p)
+do_open(struct relay_script_run *run)
 {
-    struct fw_rl_ask ask = {.tokens_in = Fw_Play_Number(p, "in", -1),
-                            .tokens_out = Fw_Play_Number(p, "out", -1),
-                            .hint_out = -1,
-                            .last_event = -1};
-    const char *key = Fw_Play_Text(p, "key");
-    const char *id = Fw_Play_Text(p, "id");
+    struct fw_rl_ask ask = {
+        .tokens_in = Fw_RelayScript_GetNumber(run, "in", -1),
+        .tokens_out = Fw_RelayScript_GetNumber(run, "out", -1),
+        .hint_out = -1,
+        .last_event = -1};
+    const char *key = Fw_RelayScript_GetString(run, "key");
+    const char *id = Fw_RelayScript_GetString(run, "id");
 
     g_strlcpy(ask.host, "h", sizeof(ask.host));
-    g_strlcpy(ask.path, p->word[2], sizeof(ask.path));
+    g_strlcpy(ask.path, run->word[2], sizeof(ask.path));
     g_strlcpy(ask.key, key ? key : "", sizeof(ask.key));
-    g_strlcpy(ask.id, id ? id : p->word[1], sizeof(ask.id));
-    ask.left_us = Fw_Play_Number(p, "left_ms", 0) * FW_MSEC;
-    ask.digest = (uint64_t)Fw_Play_Number(p, "digest", 0);
-    Fw_Relay_Open(p->r, Fw_Play_Arg(p, 1), &ask, p->now_us, &p->acts);
+    g_strlcpy(ask.id, id ? id : run->word[1], sizeof(ask.id));
+    ask.left_us = Fw_RelayScript_GetNumber(run, "left_ms", 0) * FW_MSEC;
+    ask.digest = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
+    Fw_Relay_Open(run->r, Fw_RelayScript_GetArg(run, 1), &ask, run->now_us,
+                  &run->acts);
 }
 
 static struct fw_rl_up_answer
-answer_of(const struct play *p)
+answer_of(const struct relay_script_run *run)
 {
-    struct fw_rl_up_answer ans = {.status = (int)Fw_Play_Arg(p, 2),
-                                  .orders = Fw_Play_Number(p, "orders", -1)};
-    const char *name = Fw_Play_Text(p, "name");
-    const char *stage = Fw_Play_Text(p, "stage");
+    struct fw_rl_up_answer ans = {
+        .status = (int)Fw_RelayScript_GetArg(run, 2),
+        .orders = Fw_RelayScript_GetNumber(run, "orders", -1)};
+    const char *name = Fw_RelayScript_GetString(run, "name");
+    const char *stage = Fw_RelayScript_GetString(run, "stage");
 
     g_strlcpy(ans.name, name ? name : "", sizeof(ans.name));
-    ans.moved = Fw_Play_Has(p, "moved");
-    ans.not_run = ans.moved || Fw_Play_Has(p, "not-run");
-    ans.busy = Fw_Play_Has(p, "busy");
+    ans.moved = Fw_RelayScript_HasWord(run, "moved");
+    ans.not_run = ans.moved || Fw_RelayScript_HasWord(run, "not-run");
+    ans.busy = Fw_RelayScript_HasWord(run, "busy");
     ans.stage = g_strcmp0(stage, "prefill") == 0 ? FW_RL_STAGE_PREFILL
                                                  : FW_RL_STAGE_DECODE;
     return ans;
 }
+
 static void
-do_load(struct play *p)
+do_load(struct relay_script_run *run)
 {
-    struct fw_rl_server *s = Fw_Servers_Find(p->r, p->word[1]);
+    struct fw_rl_server *s = Fw_Servers_Find(run->r, run->word[1]);
 
     ck_assert_ptr_nonnull(s);
-    g_string_append_printf(p->out, "  running=%d reserved=%d reading=%d\n",
+    g_string_append_printf(run->out, "  running=%d reserved=%d reading=%d\n",
                            s->running, (int)s->reserved, (int)s->reading);
 }
 
 static void
-do_at(struct play *p)
+do_at(struct relay_script_run *run)
 {
-    p->now_us = (int64_t)Fw_Play_Arg(p, 1) * FW_MSEC + FW_SEC;
+    run->now_us = (int64_t)Fw_RelayScript_GetArg(run, 1) * FW_MSEC + FW_SEC;
 }
 
 static void
-do_fresh(struct play *p)
+do_fresh(struct relay_script_run *run)
 {
-    Fw_Relay_Fresh(p->r, (int64_t)Fw_Play_Arg(p, 1) * FW_MSEC + FW_SEC);
+    Fw_Relay_Fresh(run->r,
+                   (int64_t)Fw_RelayScript_GetArg(run, 1) * FW_MSEC + FW_SEC);
 }
 
 static void
-do_unlisted(struct play *p)
+do_unlisted(struct relay_script_run *run)
 {
-    Fw_Relay_Server(p->r, p->word[1], NULL, p->now_us, &p->acts);
+    Fw_Relay_Server(run->r, run->word[1], NULL, run->now_us, &run->acts);
 }
 
 static void
-do_store_back(struct play *p)
+do_store_back(struct relay_script_run *run)
 {
-    Fw_Relay_StoreBack(p->r, p->now_us);
+    Fw_Relay_StoreBack(run->r, run->now_us);
 }
 
 static void
-do_list(struct play *p)
+do_list(struct relay_script_run *run)
 {
-    Fw_Relay_ListEnd(p->r, p->now_us, &p->acts);
+    Fw_Relay_ListEnd(run->r, run->now_us, &run->acts);
 }
 
 static void
-do_gone(struct play *p)
+do_gone(struct relay_script_run *run)
 {
-    Fw_Relay_Gone(p->r, Fw_Play_Arg(p, 1), p->now_us, &p->acts);
+    Fw_Relay_Gone(run->r, Fw_RelayScript_GetArg(run, 1), run->now_us,
+                  &run->acts);
 }
 
 static void
-do_begun(struct play *p)
+do_begun(struct relay_script_run *run)
 {
-    struct fw_rl_up_answer ans = answer_of(p);
+    struct fw_rl_up_answer ans = answer_of(run);
 
-    Fw_Relay_Begun(p->r, Fw_Play_Arg(p, 1), &ans, p->now_us, &p->acts);
+    Fw_Relay_Begun(run->r, Fw_RelayScript_GetArg(run, 1), &ans, run->now_us,
+                   &run->acts);
 }
 
 static void
-do_answer(struct play *p)
+do_answer(struct relay_script_run *run)
 {
-    struct fw_rl_up_answer ans = answer_of(p);
+    struct fw_rl_up_answer ans = answer_of(run);
 
-    Fw_Relay_Answered(p->r, Fw_Play_Arg(p, 1), &ans, p->now_us, &p->acts);
+    Fw_Relay_Answered(run->r, Fw_RelayScript_GetArg(run, 1), &ans, run->now_us,
+                      &run->acts);
 }
 
 static void
-do_fail(struct play *p)
+do_fail(struct relay_script_run *run)
 {
-    Fw_Relay_Failed(p->r, Fw_Play_Arg(p, 1), -(int)Fw_Play_Arg(p, 2),
-                    Fw_Play_Has(p, "sent"), p->now_us, &p->acts);
+    Fw_Relay_Failed(run->r, Fw_RelayScript_GetArg(run, 1),
+                    -(int)Fw_RelayScript_GetArg(run, 2),
+                    Fw_RelayScript_HasWord(run, "sent"), run->now_us,
+                    &run->acts);
 }
 
 static void
-do_tick(struct play *p)
+do_tick(struct relay_script_run *run)
 {
-    Fw_Relay_Tick(p->r, p->now_us, &p->acts);
+    Fw_Relay_Tick(run->r, run->now_us, &run->acts);
 }
 
 static void
-do_drain(struct play *p)
+do_drain(struct relay_script_run *run)
 {
-    Fw_Relay_Drain(p->r, p->now_us, &p->acts);
+    Fw_Relay_Drain(run->r, run->now_us, &run->acts);
 }
 
 static void
-do_ready(struct play *p)
+do_ready(struct relay_script_run *run)
 {
-    g_string_append_printf(p->out, "  ready=%d\n",
-                           Fw_Relay_Ready(p->r, p->now_us));
+    g_string_append_printf(run->out, "  ready=%d\n",
+                           Fw_Relay_Ready(run->r, run->now_us));
 }
 
 static void
-do_logs(struct play *p)
+do_logs(struct relay_script_run *run)
 {
-    p->logs = 1;
+    run->print_logs = 1;
 }
 
 static const struct {
-    const char *verb;
-    void (*run)(struct play *);
+    const char *name;
+    void (*handle)(struct relay_script_run *);
 } commands[] = {
     {"at", do_at},
-    {"options", Fw_Play_Options},
-    {"rules", Fw_Play_Rules},
+    {"options", Fw_RelayScript_DoOptions},
+    {"rules", Fw_RelayScript_DoRules},
     {"fresh", do_fresh},
-    {"server", Fw_Play_Server},
+    {"server", Fw_RelayScript_DoServer},
     {"unlisted", do_unlisted},
     {"store-back", do_store_back},
     {"list", do_list},
-    {"member", Fw_Play_Member},
-    {"spent", Fw_Play_Spent},
-    {"lead", Fw_Play_Lead},
+    {"member", Fw_RelayScript_DoMember},
+    {"spent", Fw_RelayScript_DoSpent},
+    {"lead", Fw_RelayScript_DoLead},
     {"open", do_open},
     {"gone", do_gone},
     {"begun", do_begun},
@@ -277,11 +292,11 @@
 };
 
 static void
-run(struct play *p, const char *line)
+run_command(struct relay_script_run *run, const char *line)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
-        if (strcmp(commands[i].verb, p->word[0]) == 0) {
-            commands[i].run(p);
+        if (strcmp(commands[i].name, run->word[0]) == 0) {
+            commands[i].handle(run);
             return;
         }
     }
@@ -289,60 +304,61 @@
 }
 
 static void
-do_line(struct play *p, const char *line)
+run_line(struct relay_script_run *run, const char *line)
 {
     char **words = g_strsplit(line, " ", FW_WORDS_MAX);
 
-    p->n = 0;
+    run->n = 0;
     for (char **w = words; *w; w++) {
         if ((*w)[0]) {
-            p->word[p->n++] = *w;
+            run->word[run->n++] = *w;
         }
     }
-    if (p->n) {
-        g_string_append_printf(p->out, "%s\n", line);
-        run(p, line);
+    if (run->n) {
+        g_string_append_printf(run->out, "%s\n", line);
+        run_command(run, line);
     }
-    for (guint i = 0; i < p->acts.all->len; i++) {
-        print_act(p, &g_array_index(p->acts.all, struct fw_rl_act, i));
+    for (guint i = 0; i < run->acts.all->len; i++) {
+        print_act(run, &g_array_index(run->acts.all, struct fw_rl_act, i));
     }
-    g_array_set_size(p->acts.all, 0);
+    g_array_set_size(run->acts.all, 0);
     g_strfreev(words);
 }
 
 void
 Fw_RelayScript_Check(const struct fw_relay_script *s)
 {
-    struct play p = {.now_us = FW_SEC, .out = g_string_new(NULL)};
+    struct relay_script_run run = {.now_us = FW_SEC,
+                                   .out = g_string_new(NULL)};
     char **lines = g_strsplit(s->text, "\n", 0);
 
-    p.opts = (struct fw_relay_opts){.name = "n1",
-                                    .domain = "d",
-                                    .boot = 1,
-                                    .seed = 7,
-                                    .retry_ratio_ppm = 200000,
-                                    .retry_extra = 100,
-                                    .retry_window_us = 10 * FW_SEC,
-                                    .key_stale_us = 4 * FW_SEC,
-                                    .queue_us = 500 * FW_MSEC,
-                                    .reserve_permille = 1000,
-                                    .read_here_us = 600 * FW_MSEC,
-                                    .prefill_permille = 50,
-                                    .lease_us = 3 * FW_SEC,
-                                    .grace_us = 8 * FW_SEC,
-                                    .log_level = LOG_DEBUG};
-    p.r = Fw_Relay_New(&p.opts, p.now_us);
-    Fw_Acts_Init(&p.acts);
+    run.opts = (struct fw_relay_opts){.name = "n1",
+                                      .domain = "d",
+                                      .boot = 1,
+                                      .seed = 7,
+                                      .retry_ratio_ppm = 200000,
+                                      .retry_extra = 100,
+                                      .retry_window_us = 10 * FW_SEC,
+                                      .key_stale_us = 4 * FW_SEC,
+                                      .queue_us = 500 * FW_MSEC,
+                                      .reserve_permille = 1000,
+                                      .read_here_us = 600 * FW_MSEC,
+                                      .prefill_permille = 50,
+                                      .lease_us = 3 * FW_SEC,
+                                      .grace_us = 8 * FW_SEC,
+                                      .log_level = LOG_DEBUG};
+    run.r = Fw_Relay_New(&run.opts, run.now_us);
+    Fw_Acts_Init(&run.acts);
     for (char **l = lines; *l; l++) {
         if (!g_str_has_prefix(*l, "  ")) {
-            do_line(&p, *l);
+            run_line(&run, *l);
         }
     }
-    ck_assert_msg(strcmp(p.out->str, s->text) == 0,
+    ck_assert_msg(strcmp(run.out->str, s->text) == 0,
                   "%s\n--- wanted\n%s--- got\n%s", s->name, s->text,
-                  p.out->str);
-    Fw_Acts_Clear(&p.acts);
-    Fw_Relay_Free(p.r);
-    g_string_free(p.out, TRUE);
+                  run.out->str);
+    Fw_Acts_Clear(&run.acts);
+    Fw_Relay_Free(run.r);
+    g_string_free(run.out, TRUE);
     g_strfreev(lines);
 }
--- a/tests/relay/script.h
+++ b/tests/relay/script.h
@@ -1,21 +1,22 @@
 /*
- * Scripted runs of the relay's core. A script is a text of commands, one a
- * line; what the core must do about each stands below it, indented by two
- * spaces. See script.c for the commands.
+ * Scripted tests of the relay's core. A script has one command per line,
+ * each followed by the actions that the core must request, indented by two
+ * spaces. script.c lists the commands.
  */
 #ifndef FW_TESTS_RELAY_SCRIPT_H
 #define FW_TESTS_RELAY_SCRIPT_H
 
 /**
- * struct fw_relay_script - @name for a failure's message.
- * @text: commands and what each leads to
+ * struct fw_relay_script - a scripted test.
+ * @name: printed on failure
+ * @text: commands and expected actions
  */
 struct fw_relay_script {
     const char *name;
     const char *text;
 };
 
-/* Plays a script and compares its output. */
+/* Runs the commands of @s and fails the test if the output differs. */
 void
 Fw_RelayScript_Check(const struct fw_relay_script *s);
 
