--- a/tests/relay/test_events.c
+++ b/tests/relay/test_events.c
@@ -1,7 +1,7 @@
 /*
- * Each line that the core logs, with all of its members: what an operator
- * reads after a failure, and what `fuchsiaward explain` relies on. The figure
- * before an event is its syslog severity.
+ * Log events of the relay's core with all of their members, which operators
+ * and `fuchsiaward explain` rely on. The number before an event is its syslog
+ * severity.
  */
 #include <check.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 #include "tests/relay/script.h"
 
 static const struct fw_relay_script scripts[] = {
-    {.name = "the lines of a plain request",
+    {.name = "events of a plain request",
      .text =
          "logs\n"
          "rules 3\n"
@@ -89,7 +89,7 @@
          "  stop 4\n"
          "drain\n"
          "  5 draining \"open\":0\n"},
-    {.name = "the lines of a stream",
+    {.name = "events of a stream",
      .text =
          "logs\n"
          "rules 1\n"
@@ -185,7 +185,7 @@
          "  refuse 3 502 no_room ran=maybe\n"
          "at 4300\n"
          "tick\n"},
-    {.name = "the lines of servers and instances",
+    {.name = "events of servers and instances",
      .text =
          "logs\n"
          "rules 1\n"
@@ -227,7 +227,7 @@
          "at 25000\n"
          "tick\n"
          "  5 member_gone \"member\":\"n2\",\"addr\":\"127.0.0.9:1\"\n"},
-    {.name = "the lines of a change of stage",
+    {.name = "events of a stage change",
      .text =
          "logs\n"
          "options prefill=100\n"
@@ -268,7 +268,7 @@
          "at 1210\n"
          "answer 5 202\n"
          "  5 ordered \"server\":\"e2\",\"status\":202\n"},
-    {.name = "the lines of a request that takes its servers down",
+    {.name = "events of a request that crashes its server",
      .text =
          "logs\n"
          "rules 1\n"
@@ -302,7 +302,7 @@
          "  4 strike "
          "\"digest\":\"000000000000004d\",\"count\":1,\"server\":\"s1\"\n"
          "  forget s1:1\n"},
-    {.name = "the line of a team without tokens",
+    {.name = "event of a team over its allowance",
      .text =
          "logs\n"
          "rules 1 rate=1000 burst=1000\n"
@@ -324,11 +324,8 @@
          "\"reason\":\"over_allowance\",\"ran\":\"no\",\"cost\":900,\"tries\":"
          "0,\"after_ms\":0,\"retry_ms\":650\n"
          "  refuse 1 429 over_allowance ran=no later\n"},
-    /*
-     * A caller sends an id with quotes in it, to have its refusal told of as
-     * somebody else's.
-     */
-    {.name = "an id can't add members to a line",
+    /* Guards against log injection by a request id with quotes. */
+    {.name = "a request id can't add members to a log line",
      .text = "rules 1\n"
              "logs\n"
              "open 1 /none/x id=q1\",\"team\":\"b\\\n"
@@ -337,7 +334,7 @@
              "\"status\":404,\"reason\":\"no_route\",\"ran\":\"no\",\"cost\":"
              "0,\"tries\":0,\"after_ms\":0,\"retry_ms\":0\n"
              "  refuse 1 404 no_route ran=no\n"},
-    {.name = "one in a few of the requests that go well is logged",
+    {.name = "requests outside the log sample are logged at debug level",
      .text = "options sample=3\n"
              "rules 1\n"
              "fresh 0\n"
@@ -366,8 +363,8 @@
              "  refuse 4 404 no_route ran=no\n"},
 };
 
-/* Names are as long as they may be, and the line is still JSON. */
-START_TEST(a_line_that_is_too_long_is_kept_as_one_text)
+/* Guards against log lines that truncation makes invalid JSON. */
+START_TEST(long_log_line_becomes_one_string)
 {
     struct fw_relay_opts opts = {.retry_window_us = 1, .log_level = 7};
     struct fw_relay *r = Fw_Relay_New(&opts, FW_SEC);
@@ -388,7 +385,7 @@
 }
 END_TEST
 
-START_TEST(lines_have_their_members)
+START_TEST(script_output_matches)
 {
     Fw_RelayScript_Check(&scripts[_i]);
 }
@@ -399,8 +396,7 @@
 {
     TCase *tc = Fw_Suite_New("relay events");
 
-    tcase_add_loop_test(tc, lines_have_their_members, 0,
-                        G_N_ELEMENTS(scripts));
-    tcase_add_test(tc, a_line_that_is_too_long_is_kept_as_one_text);
+    tcase_add_loop_test(tc, script_output_matches, 0, G_N_ELEMENTS(scripts));
+    tcase_add_test(tc, long_log_line_becomes_one_string);
     return Fw_Suite_Run(tc);
 }
--- a/tests/relay/test_requests.c
+++ b/tests/relay/test_requests.c
@@ -1,14 +1,11 @@
-/* Scripted runs of the relay's core: requests of one instance. See script.c.
- */
+/* Scripted tests of the relay's core: requests at one instance. */
 #include "tests/base/suite.h"
 #include "tests/relay/script.h"
 
 static const struct fw_relay_script scripts[] = {
-    /*
-     * A server answers 500, or its connection breaks, while a caller reads a
-     * figure. Another server has it; the caller should notice nothing.
-     */
-    {.name = "a repeatable request goes to another server after a failure",
+    /* Guards against a failure of one server shown to the caller. */
+    {.name = "an idempotent request is retried after an error or lost "
+             "connection",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -32,12 +29,11 @@
              "  finish 2\n"
              "  stop 4\n"},
     /*
-     * The connection breaks while a server works on an order. Nobody can tell
-     * whether it ran; sending it again could double it, and a refusal would
-     * say that it has not run.
+     * Guards against running the request twice, and against a 503, which
+     * would claim that it has not run.
      */
-    {.name = "a request that must run once is never sent again once it may "
-             "have run",
+    {.name = "a request that must run once is not retried once it may have "
+             "run",
      .text = "rules 1\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -52,12 +48,8 @@
              "  pass 2 from 2\n"
              "  finish 2\n"
              "  stop 2\n"},
-    /*
-     * A full server turns an order away and says that it did not run it. The
-     * order goes to another server; with none left the caller is told when to
-     * come back.
-     */
-    {.name = "what a server says it did not run may go to another one",
+    /* Guards against refusing a request that another server has room for. */
+    {.name = "a request that certainly did not run is retried elsewhere",
      .text = "rules 1\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -91,12 +83,10 @@
              "open 4 /open/x key=wrong\n"
              "  ask 1 run s1 for 4 left=10000\n"},
     /*
-     * An instance is cut off from the store when a key is withdrawn. It can't
-     * know, so after a while no key counts, the instance says that it is not
-     * ready, and callers are sent to others. What needs no key goes on.
+     * Guards against a revoked key that keeps working at an instance
+     * partitioned from the store. Routes that need no key are still served.
      */
-    {.name =
-         "a withdrawn key stops working although the store is out of reach",
+    {.name = "keys are refused when the configuration is stale",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -120,7 +110,7 @@
              "rules 2 keys=1\n"
              "open 4 /read/x key=kb\n"
              "  refuse 4 401 unknown_key ran=no\n"},
-    {.name = "an older configuration never comes back",
+    {.name = "an older or equal configuration version is ignored",
      .text = "rules 5\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -128,8 +118,7 @@
              "rules 5 keys=1\n"
              "open 1 /read/x key=kb\n"
              "  ask 1 run s1 for 1 team=b left=10000\n"},
-    {.name = "room is reserved before the prompt is read, and the stream goes "
-             "through",
+    {.name = "a stream takes a reservation, then prefill, then decode",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -153,13 +142,8 @@
              "  finish 1\n"
              "load d1\n"
              "  running=0 reserved=0 reading=0\n"},
-    /*
-     * All engines are full at a peak. Waiting longer than the objective helps
-     * nobody: the caller is told when to come back, and nothing was read in
-     * vain.
-     */
-    {.name =
-         "without room a request waits, and is refused when its time is over",
+    /* Guards against waiting past the objective, or a prefill without room. */
+    {.name = "a queued request is refused at its queue timeout",
      .text = "rules 1 kv=15000\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -174,7 +158,7 @@
              "at 520\n"
              "tick\n"
              "  refuse 2 503 no_room ran=no later\n"},
-    {.name = "the end of a stream makes room for the one that waits",
+    {.name = "the end of a stream starts a queued request",
      .text = "rules 1 kv=15000\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -192,12 +176,10 @@
              "  finish 1\n"
              "  ask 4 hold d1 for 2 tokens=14000\n"},
     /*
-     * Streams take little memory at first and all of it at their end. An
-     * engine whose streams are old has less room than their number says; a
-     * further one would make it preempt them, and their callers' answers
-     * stop for a while.
+     * Guards against placing a stream at an engine whose streams have grown,
+     * which would preempt them.
      */
-    {.name = "an old stream counts as what it has grown to",
+    {.name = "a stream's expected memory grows with its age",
      .text = "rules 1 kv=23000\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -224,11 +206,10 @@
              "  finish 1\n"
              "  ask 4 hold d1 for 2 tokens=14000\n"},
     /*
-     * A caller says that its prompt and answer have no tokens. Taken for a
-     * plain request halfway, it would be given the engine's answer to the
-     * reservation as its own.
+     * Guards against treating the request as a plain one and passing the
+     * response to its reservation on to the caller.
      */
-    {.name = "a stream that says it takes nothing is still a stream",
+    {.name = "a stream with token counts of 0 is still a stream",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -240,11 +221,10 @@
              "answer 2 200 name=K\n"
              "  ask 3 run d1 for 1 hold=H kv=K team=a left=10000\n"},
     /*
-     * An engine's answer to a reservation is lost on the way. The engine is
-     * well; left alone for it, its memory would be missed at a peak. Two in a
-     * row look like an engine that is gone.
+     * Guards against losing a healthy engine's memory because one response was
+     * lost. After two timeouts in a row the engine is suspected.
      */
-    {.name = "one lost answer does not take an engine away",
+    {.name = "an engine is skipped only after two timeouts in a row",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -262,7 +242,7 @@
              "  stop 2\n"
              "at 400\n"
              "tick\n"},
-    {.name = "an engine that has no room is asked again only after a while",
+    {.name = "a full engine is asked again only after a delay",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -275,11 +255,8 @@
              "at 80\n"
              "tick\n"
              "  ask 2 hold d1 for 1 tokens=9000\n"},
-    /*
-     * A caller gives up while its prompt is being read, or while tokens are
-     * generated. Engines would go on for nobody and their memory stay taken.
-     */
-    {.name = "a caller who leaves frees what was held for it",
+    /* Guards against engines that keep working on abandoned requests. */
+    {.name = "a caller's disconnect during prefill or decode frees memory",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -307,11 +284,8 @@
              "  stop 6\n"
              "load d1\n"
              "  running=0 reserved=0 reading=0\n"},
-    /*
-     * The prefill engine crashes. The room at the decode engine was hard to
-     * get and is kept; another engine reads the prompt.
-     */
-    {.name = "a prompt is read elsewhere when its prefill engine is lost",
+    /* Guards against giving up a reservation when only the prefill failed. */
+    {.name = "a failed prefill is retried and the reservation kept",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -329,12 +303,8 @@
              "  pass 1 from 4\n"
              "answer 4 200\n"
              "  finish 1\n"},
-    /*
-     * The decode engine turns a run away after its prompt was read. The KV
-     * cache at the prefill engine and the reservation are given back, and the
-     * request starts over elsewhere.
-     */
-    {.name = "a kv cache that nobody takes is freed",
+    /* Guards against memory leaked at both engines when the run is refused. */
+    {.name = "KV cache and reservation are freed when a run is refused",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -358,11 +328,8 @@
              "  pass 1 from 8\n"
              "answer 8 200\n"
              "  finish 1\n"},
-    /*
-     * The only prefill engine is lost. Rather than to refuse all, decode
-     * engines read prompts themselves, more slowly.
-     */
-    {.name = "a prompt is read by its decode engine when no other engine can",
+    /* Guards against refusing all streams when no prefill engine is left. */
+    {.name = "the decode engine does the prefill if no other engine can",
      .text = "rules 1\n"
              "fresh 0\n"
              "server d1 llm decode\n"
@@ -374,11 +341,8 @@
              "  pass 1 from 2\n"
              "answer 2 200\n"
              "  finish 1\n"},
-    /*
-     * The engine is lost in the middle of an answer. The caller must see that
-     * the answer is not whole.
-     */
-    {.name = "a stream that broke off is cut, not ended",
+    /* Guards against a truncated answer that looks complete to the caller. */
+    {.name = "a stream that fails after its first event is cut",
      .text = "rules 1\n"
              "fresh 0\n"
              "server p1 llm prefill\n"
@@ -395,7 +359,7 @@
              "  cut 1\n"
              "load d1\n"
              "  running=0 reserved=0 reading=0\n"},
-    {.name = "a run that broke off before its first event is repeated only if "
+    {.name = "a stream that fails before its first event is retried only if "
              "resumable",
      .text = "rules 1\n"
              "fresh 0\n"
@@ -420,7 +384,7 @@
              "  ask 7 hold d1 for 2 tokens=9000\n"},
 };
 
-START_TEST(a_script_runs_as_written)
+START_TEST(script_output_matches)
 {
     Fw_RelayScript_Check(&scripts[_i]);
 }
@@ -431,7 +395,6 @@
 {
     TCase *tc = Fw_Suite_New("relay requests");
 
-    tcase_add_loop_test(tc, a_script_runs_as_written, 0,
-                        G_N_ELEMENTS(scripts));
+    tcase_add_loop_test(tc, script_output_matches, 0, G_N_ELEMENTS(scripts));
     return Fw_Suite_Run(tc);
 }
--- a/tests/relay/test_world.c
+++ b/tests/relay/test_world.c
@@ -1,10 +1,12 @@
-/* Scripted runs of the relay's core: servers, the fleet, limits, orders. See
- * script.c. */
+/*
+ * Scripted tests of the relay's core: the server list, peers, team limits,
+ * draining, and orders to engines.
+ */
 #include "tests/base/suite.h"
 #include "tests/relay/script.h"
 
 static const struct fw_relay_script scripts[] = {
-    {.name = "a leaving server gets no new request",
+    {.name = "a draining server gets no new request",
      .text = "rules 1\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -16,12 +18,10 @@
              "open 2 /read/x key=ka\n"
              "  refuse 2 503 no_server ran=no later\n"},
     /*
-     * The store was down and servers could not renew their entries; all lapse
-     * at once although the servers live. Dropping them would refuse
-     * everything.
+     * Guards against dropping all servers at once after a store outage, in
+     * which healthy servers could not renew their entries.
      */
-    {.name = "entries that lapsed while the store was away count after two "
-             "seconds",
+    {.name = "entries that expired in a store outage get two seconds of grace",
      .text = "rules 1\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -43,7 +43,7 @@
              "  ask 3 run s1 for 2 team=a left=10000\n"
              "open 3 /read/x key=ka\n"
              "  ask 4 run s1 for 3 team=a left=10000\n"},
-    {.name = "a new lifetime under an old id is another server",
+    {.name = "a restarted server with the same id is a new server",
      .text = "rules 1\n"
              "fresh 0\n"
              "server s1 plain none born=1\n"
@@ -53,11 +53,8 @@
              "  forget s1:1\n"
              "load s1\n"
              "  running=0 reserved=0 reading=0\n"},
-    /*
-     * A team sends through several instances at once. Each knows what the
-     * others have let through, and the sum stays within the rate.
-     */
-    {.name = "the allowance is counted over all instances",
+    /* Guards against a team that gets its rate once per instance. */
+    {.name = "a team's allowance is shared by all instances",
      .text = "rules 1 rate=1000 burst=1000\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -75,11 +72,8 @@
              "  ask 3 run s1 for 4 team=a left=10000\n"
              "open 5 /read/x key=ka\n"
              "  refuse 5 429 over_allowance ran=no later\n"},
-    /*
-     * Instances lose each other. Each must keep to its part of the rate, or
-     * the team would have it several times.
-     */
-    {.name = "an instance that hears nobody keeps to its own part",
+    /* Guards against granting the full rate on each side of a partition. */
+    {.name = "an isolated instance grants only its share of the allowance",
      .text = "rules 1 rate=1000 burst=1000\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -98,18 +92,15 @@
              "  refuse 4 429 over_allowance ran=no later\n"
              "open 5 /read/x key=ka\n"
              "  refuse 5 429 over_allowance ran=no later\n"},
-    {.name = "what never ran is given back to its team",
+    {.name = "tokens of a request that did not run are refunded",
      .text = "rules 1 rate=300 burst=800\n"
              "fresh 0\n"
              "open 1 /read/x key=ka\n"
              "  refuse 1 503 no_server ran=no later\n"
              "open 2 /read/x key=ka\n"
              "  refuse 2 503 no_server ran=no later\n"},
-    /*
-     * A service fails all that it gets. Retries would double its load; they
-     * end with the budget, and callers get the failure itself.
-     */
-    {.name = "repeats stop when the budget is spent",
+    /* Guards against retries that double the load of a failing service. */
+    {.name = "retries stop when the retry budget is used up",
      .text = "options extra=1\n"
              "rules 1\n"
              "fresh 0\n"
@@ -121,11 +112,8 @@
              "  pass 1 from 1\n"
              "  finish 1\n"
              "  stop 1\n"},
-    /*
-     * One request takes down each server that runs it, and its caller sends it
-     * again. After the third server it is refused, so that the service lives.
-     */
-    {.name = "a request that crashes its servers is refused after three",
+    /* Guards against one request, sent again and again, crashing a service. */
+    {.name = "a request that has crashed three servers is refused",
      .text = "rules 1\n"
              "fresh 0\n"
              "server s1 plain none born=1\n"
@@ -151,7 +139,7 @@
              "  refuse 4 503 poison ran=no later\n"
              "open 5 /order/x key=ka digest=8\n"
              "  ask 4 run s1 for 5 team=a left=10000\n"},
-    {.name = "a request that takes too long is answered at its time limit",
+    {.name = "a request that exceeds its time limit gets a 504",
      .text = "rules 1 timeout_ms=1000 attempts=1\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -164,12 +152,11 @@
              "  refuse 1 504 timeout ran=maybe\n"
              "  stop 1\n"},
     /*
-     * An instance is cut off from the store and from the others, but not from
-     * callers. The others could serve them: told to wait a second, callers
-     * would get a plain answer of 60 ms after 1.1 s. When the others are in
-     * touch and no better off, coming back at once would be in vain.
+     * Guards against a needless wait of callers whom other instances could
+     * serve. If the others are in touch they are likely as stale, and an
+     * immediate retry would fail there, too.
      */
-    {.name = "an instance that is cut off sends callers to others at once",
+    {.name = "an isolated instance tells callers to retry at once",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -183,11 +170,8 @@
              "member n3\n"
              "open 2 /read/x key=ka\n"
              "  refuse 2 503 configuration_stale ran=no later\n"},
-    /*
-     * SIGTERM comes; the process is killed eight seconds later. A stream that
-     * began now would be cut then, so its caller is sent elsewhere.
-     */
-    {.name = "a stopping instance sends away what it can't finish",
+    /* Guards against streams cut off at the end of the grace period (8 s). */
+    {.name = "a draining instance refuses what it can't complete",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -204,8 +188,7 @@
              "  refuse 2 503 stopping ran=no at-once\n"
              "open 3 /read/x key=ka\n"
              "  ask 2 run s1 for 3 team=a left=10000\n"},
-    {.name =
-         "stages are changed by one holder at a time, under its fencing token",
+    {.name = "the lease holder orders stage changes with its fencing token",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -237,10 +220,10 @@
              "tick\n"
              "  ask 7 report p1\n"},
     /*
-     * The holder is frozen between its look at the engines and the order.
-     * Another may hold the role by now; two orders could undo each other.
+     * Guards against conflicting orders of two instances when the holder is
+     * suspended between its survey of the engines and the order.
      */
-    {.name = "a holder whose lease ran out orders nothing",
+    {.name = "a holder whose lease has expired orders nothing",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -265,7 +248,7 @@
              "at 3600\n"
              "fresh 3600\n"
              "answer 5 200 orders=0 stage=prefill\n"},
-    {.name = "a claim that came second waits for the first one's lease",
+    {.name = "an instance that lost a claim waits for the lease to expire",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -286,7 +269,7 @@
              "fresh 4900\n"
              "tick\n"
              "  claim at 9\n"},
-    {.name = "an instance of a lower name orders, the others wait",
+    {.name = "only the instance with the lowest name claims the order role",
      .text = "rules 1\n"
              "fresh 0\n"
              "list\n"
@@ -299,12 +282,10 @@
              "at 800\n"
              "tick\n"},
     /*
-     * Two instances let a large request of a team through at the same moment,
-     * and what is left falls below zero. Plain requests cost next to nothing;
-     * refused until the debt is paid they would be a third of all the team
-     * sends. A large one waits.
+     * Guards against refusing a team's small requests because its large ones,
+     * admitted by two instances at once, made its level negative.
      */
-    {.name = "a small request passes on credit, a large one doesn't",
+    {.name = "a negative level within tolerance admits only small requests",
      .text = "options tolerance=72000\n"
              "rules 1 rate=10000 burst=10000\n"
              "fresh 0\n"
@@ -317,12 +298,8 @@
              "spent n2 a 20500 level=-26000\n"
              "open 3 /read/x key=ka\n"
              "  refuse 3 429 over_allowance ran=no later\n"},
-    /*
-     * An instance is restarted while a team sends more than its rate. It can't
-     * know what was spent before; guessing, it would let the team have it
-     * twice.
-     */
-    {.name = "an instance that starts takes over what the others know",
+    /* Guards against a fresh allowance for each team at a restart. */
+    {.name = "an instance that starts adopts the levels of its peers",
      .text = "rules 1 rate=1000 burst=1000\n"
              "fresh 0\n"
              "server s1 plain none\n"
@@ -339,7 +316,7 @@
              "  ask 1 run s1 for 3 team=a left=10000\n"},
 };
 
-START_TEST(a_script_runs_as_written)
+START_TEST(script_output_matches)
 {
     Fw_RelayScript_Check(&scripts[_i]);
 }
@@ -350,7 +327,6 @@
 {
     TCase *tc = Fw_Suite_New("relay world");
 
-    tcase_add_loop_test(tc, a_script_runs_as_written, 0,
-                        G_N_ELEMENTS(scripts));
+    tcase_add_loop_test(tc, script_output_matches, 0, G_N_ELEMENTS(scripts));
     return Fw_Suite_Run(tc);
 }
