--- a/explore/p_relay.h
+++ b/explore/p_relay.h
@@ -1,4 +1,4 @@
-/* Promises of the relay's core. */
+/* Seeded runs that check the relay's core. */
 #ifndef FW_EXPLORE_RELAY_H
 #define FW_EXPLORE_RELAY_H
 
--- a/explore/relay_orders.c
+++ b/explore/relay_orders.c
@@ -1,26 +1,41 @@
 /*
- * one-order-holder: orders to engines bear rising fencing tokens, and two
- * instances never order within a lease of each other, although claims are
- * answered late or not at all and instances stand still.
+ * one-order-holder: the fencing tokens of orders to engines never decrease,
+ * and orders of two instances have different tokens and are at least 2 s
+ * apart, although claims are answered late or with an unknown outcome and
+ * instances are suspended and restarted.
  */
 #include "explore/p_relay.h"
 #include "explore/relay_fleet.h"
 
-#define FW_ENGINES 6
+#define FW_ENGINE_COUNT 6
 
-/** struct claim - a claim under way to the log, or its answer back. */
+/**
+ * struct claim - a claim on its way to the log, or the log's reply.
+ * @boot: boot number of the claiming instance
+ * @append_at: offset at which the claim must be appended
+ * @sent_us: on the claiming instance's clock
+ * @due_us: when the claim or the reply arrives
+ * @decided: the log has decided; @result and @offset are set
+ */
 struct claim {
     int site;
     uint64_t boot;
-    uint64_t end;
-    int64_t sent_us; /* on the site's clock */
-    int64_t at_us;
-    int done; /* the log has dealt with it */
+    uint64_t append_at;
+    int64_t sent_us;
+    int64_t due_us;
+    int decided;
     enum fw_rl_claim result;
     uint64_t offset;
 };
 
-/** struct order_world - the log's end and what the engines have seen. */
+/**
+ * struct order_world - instances, the log, and the engines.
+ * @claims: of struct claim
+ * @log_end: offset at which the log appends next
+ * @last_fence: highest token of an order so far, 0 before the first
+ * @last_site, @last_us: sender and time of the last order
+ * @stage, @orders: of each engine; @orders: orders accepted
+ */
 struct order_world {
     struct fleet f;
     GPtrArray *claims;
@@ -28,16 +43,16 @@
     uint64_t last_fence;
     int last_site;
     int64_t last_us;
-    enum fw_rl_stage stage[FW_ENGINES];
-    int64_t orders[FW_ENGINES];
+    enum fw_rl_stage stage[FW_ENGINE_COUNT];
+    int64_t orders[FW_ENGINE_COUNT];
 };
 
 static void
-list_engines(struct order_world *w, int i)
+update_engines(struct order_world *w, int i)
 {
     struct fleet_site *s = &w->f.sites[i];
 
-    for (int e = 0; e < FW_ENGINES; e++) {
+    for (int e = 0; e < FW_ENGINE_COUNT; e++) {
         struct fw_rl_server_entry entry = {
             .service = "llm", .slots = 8, .stage = w->stage[e], .born_ms = 1};
 
@@ -49,8 +64,9 @@
     Fw_Relay_Fresh(s->relay, Fw_RelayFleet_Now(&w->f, i));
 }
 
+/* Checks an order of instance @i against earlier ones and carries it out. */
 static void
-ordered(struct order_world *w, int i, const struct fw_rl_up_call *c)
+apply_order(struct order_world *w, int i, const struct fw_rl_up_call *c)
 {
     int e = c->server[1] - '0';
 
@@ -79,7 +95,7 @@
 }
 
 static void
-answer(struct order_world *w, int i, const struct fw_rl_up_call *c)
+respond(struct order_world *w, int i, const struct fw_rl_up_call *c)
 {
     struct fleet_site *s = &w->f.sites[i];
     int e = c->server[1] - '0';
@@ -87,7 +103,7 @@
         .status = 200, .stage = w->stage[e], .orders = w->orders[e]};
 
     if (c->kind == FW_RL_UP_STAGE) {
-        ordered(w, i, c);
+        apply_order(w, i, c);
         a.status = 202;
     }
     if (Fw_RelayFleet_Below(&w->f, 100) < 10) {
@@ -100,40 +116,44 @@
 }
 
 static void
-claim(struct order_world *w, int i, uint64_t end)
+send_claim(struct order_world *w, int i, uint64_t append_at)
 {
     struct claim *c = g_new0(struct claim, 1);
 
     *c = (struct claim){.site = i,
                         .boot = w->f.sites[i].boot,
-                        .end = end,
+                        .append_at = append_at,
                         .sent_us = Fw_RelayFleet_Now(&w->f, i),
-                        .at_us = w->f.now_us +
-                                 Fw_RelayFleet_Below(&w->f, 900 * FW_MSEC)};
+                        .due_us = w->f.now_us +
+                                  Fw_RelayFleet_Below(&w->f, 900 * FW_MSEC)};
     g_ptr_array_add(w->claims, c);
 }
 
-/* Each claim reaches the log, then its answer the claimant, if at all. */
+/*
+ * Delivers claims that are due to the log, and its replies to the claimants.
+ * Some replies report the outcome as unknown, and those to an instance that
+ * has been restarted are dropped.
+ */
 static void
-move_claims(struct order_world *w)
+deliver_claims(struct order_world *w)
 {
     for (guint k = 0; k < w->claims->len;) {
         struct claim *c = g_ptr_array_index(w->claims, k);
         struct fleet_site *s = &w->f.sites[c->site];
 
-        if (w->f.now_us < c->at_us ||
-            (c->done && !Fw_RelayFleet_Runs(&w->f, c->site))) {
+        if (w->f.now_us < c->due_us ||
+            (c->decided && !Fw_RelayFleet_Runs(&w->f, c->site))) {
             k++;
             continue;
         }
-        if (!c->done) {
-            c->done = 1;
-            c->result =
-                c->end == w->log_end ? FW_RL_CLAIM_MADE : FW_RL_CLAIM_TAKEN;
+        if (!c->decided) {
+            c->decided = 1;
+            c->result = c->append_at == w->log_end ? FW_RL_CLAIM_MADE
+                                                   : FW_RL_CLAIM_TAKEN;
             w->log_end += c->result == FW_RL_CLAIM_MADE;
             c->offset =
                 c->result == FW_RL_CLAIM_MADE ? w->log_end - 1 : w->log_end;
-            c->at_us += Fw_RelayFleet_Below(&w->f, 900 * FW_MSEC);
+            c->due_us += Fw_RelayFleet_Below(&w->f, 900 * FW_MSEC);
             if (Fw_RelayFleet_Below(&w->f, 100) < 15) {
                 c->result = FW_RL_CLAIM_UNKNOWN;
             }
@@ -149,7 +169,7 @@
 }
 
 static void
-act(struct order_world *w, int i)
+run_instance(struct order_world *w, int i)
 {
     struct fleet_site *s = &w->f.sites[i];
 
@@ -161,10 +181,10 @@
         struct fw_rl_act a = g_array_index(s->acts.all, struct fw_rl_act, k);
 
         if (a.kind == FW_RL_DO_LEAD) {
-            claim(w, i, a.u.lead_end);
+            send_claim(w, i, a.u.lead_end);
         }
         else if (a.kind == FW_RL_DO_ASK) {
-            answer(w, i, &a.u.ask);
+            respond(w, i, &a.u.ask);
         }
     }
     g_array_set_size(s->acts.all, 0);
@@ -194,7 +214,7 @@
     w.claims = g_ptr_array_new_with_free_func(g_free);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         int i = Fw_RelayFleet_Below(&w.f, w.f.n);
-        int e = Fw_RelayFleet_Below(&w.f, FW_ENGINES);
+        int e = Fw_RelayFleet_Below(&w.f, FW_ENGINE_COUNT);
 
         Fw_RelayFleet_Advance(&w.f, Fw_RelayFleet_Below(&w.f, 200) * FW_MSEC);
         if (Fw_RelayFleet_Below(&w.f, 8) == 0) {
@@ -208,10 +228,10 @@
         if (Fw_RelayFleet_Below(&w.f, 150) == 0) {
             Fw_RelayFleet_Restart(&w.f, i);
         }
-        move_claims(&w);
+        deliver_claims(&w);
         for (int k = 0; k < w.f.n; k++) {
-            list_engines(&w, k);
-            act(&w, k);
+            update_engines(&w, k);
+            run_instance(&w, k);
         }
     }
     g_ptr_array_unref(w.claims);
--- a/explore/relay_requests.c
+++ b/explore/relay_requests.c
@@ -1,7 +1,8 @@
 /*
- * relayed-once-true: a request that must not be repeated runs at most once;
- * one that was refused as not run has not run and never does; each request
- * gets one end; and nothing stays counted or held for requests that are over.
+ * relayed-once-true: a request that is not idempotent runs at most once; one
+ * that was refused with 503 has not run and never does; each request ends
+ * exactly once; and requests that have ended leave no load counted at any
+ * server.
  */
 #include "explore/p_relay.h"
 #include "relay/relay_internal.h"
@@ -9,62 +10,74 @@
 #include <errno.h>
 #include <string.h>
 
-#define FW_CALLS_MAX 6000
-#define FW_PLAIN 3
-#define FW_DECODE 3
-#define FW_PREFILL 2
-#define FW_SERVERS (FW_PLAIN + FW_DECODE + FW_PREFILL)
-
-/** struct told - a request: how often it ran and how it ended. */
-struct told {
+#define FW_REQUESTS_MAX 6000
+#define FW_PLAIN_SERVERS 3
+#define FW_DECODE_ENGINES 3
+#define FW_PREFILL_ENGINES 2
+#define FW_SERVERS (FW_PLAIN_SERVERS + FW_DECODE_ENGINES + FW_PREFILL_ENGINES)
+
+/**
+ * struct request_state - what happened to a request.
+ * @once: it must not run more than once
+ * @runs: times that a server has run it
+ * @over: it has ended
+ * @refused: it was refused with 503
+ */
+struct request_state {
     int once;
     int runs;
     int over;
     int refused;
 };
 
-/** struct pending - a call to an upstream that was not answered yet. */
+/** struct pending - an upstream call; @begun: its response has begun. */
 struct pending {
     struct fw_rl_up_call call;
     int begun;
 };
 
+/**
+ * struct req_world - the relay under test and its simulated surroundings.
+ * @pending: of struct pending
+ * @requests: by request id; @n: used elements
+ * @held: names of reservations and KV caches that engines hold
+ */
 struct req_world {
     struct fw_run *run;
     struct fw_relay *r;
     struct fw_rl_acts acts;
     int64_t now_us;
     GPtrArray *pending;
-    struct told told[FW_CALLS_MAX];
+    struct request_state requests[FW_REQUESTS_MAX];
     int n;
-    GHashTable *names; /* reservations and caches that are held */
+    GHashTable *held;
 };
 
 static int
-below(struct req_world *w, int n)
+random_below(struct req_world *w, int n)
 {
     return g_rand_int_range(w->run->rand, 0, n);
 }
 
 static void
-end(struct req_world *w, uint64_t call, int refused, const char *what)
+record_end(struct req_world *w, uint64_t call, int refused, const char *what)
 {
-    struct told *t = &w->told[call];
+    struct request_state *state = &w->requests[call];
 
-    if (t->over) {
+    if (state->over) {
         Fw_Run_Breach(w->run, "request %d ended twice, now %s", (int)call,
                       what);
     }
-    t->over = 1;
-    t->refused = refused;
-    if (refused && t->runs) {
+    state->over = 1;
+    state->refused = refused;
+    if (refused && state->runs) {
         Fw_Run_Breach(w->run, "request %d refused as not run, but ran",
                       (int)call);
     }
 }
 
 static struct pending *
-find(struct req_world *w, uint64_t xid)
+find_pending(struct req_world *w, uint64_t xid)
 {
     for (guint i = 0; i < w->pending->len; i++) {
         struct pending *p = g_ptr_array_index(w->pending, i);
@@ -77,7 +90,7 @@
 }
 
 static void
-do_act(struct req_world *w, const struct fw_rl_act *a)
+apply_action(struct req_world *w, const struct fw_rl_act *a)
 {
     struct pending *p;
 
@@ -88,19 +101,19 @@
         g_ptr_array_add(w->pending, p);
         break;
     case FW_RL_DO_STOP_ASK:
-        p = find(w, a->u.xid);
+        p = find_pending(w, a->u.xid);
         if (p) {
             g_ptr_array_remove(w->pending, p);
         }
         break;
     case FW_RL_DO_REFUSE:
-        end(w, a->u.refuse.call, a->u.refuse.status == 503, "refused");
+        record_end(w, a->u.refuse.call, a->u.refuse.status == 503, "refused");
         break;
     case FW_RL_DO_FINISH:
-        end(w, a->u.call, 0, "finished");
+        record_end(w, a->u.call, 0, "finished");
         break;
     case FW_RL_DO_CUT:
-        end(w, a->u.call, 0, "cut");
+        record_end(w, a->u.call, 0, "cut");
         break;
     default:
         break;
@@ -108,61 +121,61 @@
 }
 
 static void
-carry_out(struct req_world *w)
+apply_actions(struct req_world *w)
 {
     for (guint i = 0; i < w->acts.all->len; i++) {
         struct fw_rl_act a = g_array_index(w->acts.all, struct fw_rl_act, i);
 
-        do_act(w, &a);
+        apply_action(w, &a);
     }
     g_array_set_size(w->acts.all, 0);
 }
 
 static void
-runs(struct req_world *w, uint64_t call)
+record_run(struct req_world *w, uint64_t call)
 {
-    struct told *t = &w->told[call];
+    struct request_state *state = &w->requests[call];
 
-    t->runs++;
-    if (t->once && t->runs > 1) {
+    state->runs++;
+    if (state->once && state->runs > 1) {
         Fw_Run_Breach(w->run, "request %d ran twice", (int)call);
     }
-    if (t->refused) {
+    if (state->refused) {
         Fw_Run_Breach(w->run, "request %d ran after it was refused",
                       (int)call);
     }
 }
 
 static void
-hold(struct req_world *w, struct fw_rl_up_answer *a, const char *kind)
+allocate(struct req_world *w, struct fw_rl_up_answer *a, const char *prefix)
 {
-    static int last;
+    static int last_id;
 
-    g_snprintf(a->name, sizeof(a->name), "%s%d", kind, ++last);
-    g_hash_table_add(w->names, g_strdup(a->name));
+    g_snprintf(a->name, sizeof(a->name), "%s%d", prefix, ++last_id);
+    g_hash_table_add(w->held, g_strdup(a->name));
 }
 
-/* What a run used up at the engines. */
+/* A run consumes its reservation and KV cache. */
 static void
-use(struct req_world *w, const struct fw_rl_up_call *c)
+consume(struct req_world *w, const struct fw_rl_up_call *c)
 {
-    g_hash_table_remove(w->names, c->hold);
-    g_hash_table_remove(w->names, c->kv);
+    g_hash_table_remove(w->held, c->hold);
+    g_hash_table_remove(w->held, c->kv);
 }
 
 static void
-answer_run(struct req_world *w, struct pending *p)
+respond_to_run(struct req_world *w, struct pending *p)
 {
-    struct fw_rl_up_answer a = {.status = below(w, 5) ? 200 : 500};
+    struct fw_rl_up_answer a = {.status = random_below(w, 5) ? 200 : 500};
     uint64_t xid = p->call.xid;
 
-    if (!p->begun && below(w, 6) == 0) {
+    if (!p->begun && random_below(w, 6) == 0) {
         a.status = 503;
         a.not_run = 1;
     }
     else if (!p->begun) {
-        runs(w, p->call.call);
-        use(w, &p->call);
+        record_run(w, p->call.call);
+        consume(w, &p->call);
         if (!p->call.whole) {
             p->begun = 1;
             Fw_Relay_Begun(w->r, xid, &a, w->now_us, &w->acts);
@@ -174,14 +187,15 @@
 }
 
 static void
-fail(struct req_world *w, struct pending *p)
+fail_call(struct req_world *w, struct pending *p)
 {
     uint64_t xid = p->call.xid;
-    int sent = p->begun || below(w, 3) > 0;
+    int sent = p->begun || random_below(w, 3) > 0;
 
-    if (sent && p->call.kind == FW_RL_UP_RUN && !p->begun && below(w, 2)) {
-        runs(w, p->call.call); /* its answer is lost */
-        use(w, &p->call);
+    if (sent && p->call.kind == FW_RL_UP_RUN && !p->begun &&
+        random_below(w, 2)) {
+        record_run(w, p->call.call); /* it ran, but the response is lost */
+        consume(w, &p->call);
     }
     g_ptr_array_remove(w->pending, p);
     Fw_Relay_Failed(w->r, xid, sent ? -ECONNRESET : -ECONNREFUSED, sent,
@@ -189,37 +203,37 @@
 }
 
 static void
-progress(struct req_world *w, struct pending *p)
+advance_call(struct req_world *w, struct pending *p)
 {
     struct fw_rl_up_answer a = {.status = 200};
     uint64_t xid = p->call.xid;
 
-    if (below(w, 8) == 0) {
-        fail(w, p);
+    if (random_below(w, 8) == 0) {
+        fail_call(w, p);
         return;
     }
     switch (p->call.kind) {
     case FW_RL_UP_RUN:
-        answer_run(w, p);
+        respond_to_run(w, p);
         return;
     case FW_RL_UP_HOLD:
-        a.status = below(w, 4) ? 200 : 503;
+        a.status = random_below(w, 4) ? 200 : 503;
         if (a.status == 200) {
-            hold(w, &a, "h");
+            allocate(w, &a, "h");
         }
         break;
     case FW_RL_UP_PREFILL:
-        a.status = below(w, 8) ? 200 : 503;
+        a.status = random_below(w, 8) ? 200 : 503;
         a.not_run = a.status != 200;
         if (a.status == 200) {
-            hold(w, &a, "k");
+            allocate(w, &a, "k");
         }
         break;
     case FW_RL_UP_DROP_HOLD:
-        g_hash_table_remove(w->names, p->call.hold);
+        g_hash_table_remove(w->held, p->call.hold);
         break;
     case FW_RL_UP_DROP_KV:
-        g_hash_table_remove(w->names, p->call.kv);
+        g_hash_table_remove(w->held, p->call.kv);
         break;
     case FW_RL_UP_REPORT:
     case FW_RL_UP_STAGE:
@@ -230,46 +244,48 @@
 }
 
 static void
-open_one(struct req_world *w)
+open_request(struct req_world *w)
 {
     static const char *const paths[] = {"/read/", "/order/", "/gen/"};
-    int kind = below(w, 3);
+    int kind = random_below(w, 3);
     struct fw_rl_ask ask = {.host = "h",
                             .tokens_in = kind == 2 ? 1000 : -1,
                             .tokens_out = kind == 2 ? 1000 : -1,
                             .digest = (uint64_t)w->n};
     uint64_t id = (uint64_t)w->n++;
 
-    w->told[id].once = kind != 0;
+    w->requests[id].once = kind != 0;
     g_strlcpy(ask.path, paths[kind], sizeof(ask.path));
     g_snprintf(ask.id, sizeof(ask.id), "%d", (int)id);
     Fw_Relay_Open(w->r, id, &ask, w->now_us, &w->acts);
 }
 
 static void
-leave_one(struct req_world *w)
+disconnect_caller(struct req_world *w)
 {
-    uint64_t id = (uint64_t)below(w, w->n);
+    uint64_t id = (uint64_t)random_below(w, w->n);
 
-    if (!w->told[id].over) {
-        end(w, id, 0, "left");
+    if (!w->requests[id].over) {
+        record_end(w, id, 0, "left");
         Fw_Relay_Gone(w->r, id, w->now_us, &w->acts);
     }
 }
 
 static void
-list_server(struct req_world *w, int i, int born)
+update_server(struct req_world *w, int i, int born)
 {
-    struct fw_rl_server_entry e = {.slots = 4,
-                                   .born_ms = born,
-                                   .stage = i < FW_PLAIN ? FW_RL_STAGE_NONE
-                                            : i < FW_PLAIN + FW_DECODE
-                                                ? FW_RL_STAGE_DECODE
-                                                : FW_RL_STAGE_PREFILL};
+    struct fw_rl_server_entry e = {
+        .slots = 4,
+        .born_ms = born,
+        .stage = i < FW_PLAIN_SERVERS ? FW_RL_STAGE_NONE
+                 : i < FW_PLAIN_SERVERS + FW_DECODE_ENGINES
+                     ? FW_RL_STAGE_DECODE
+                     : FW_RL_STAGE_PREFILL};
 
     g_snprintf(e.id, sizeof(e.id), "s%d", i);
     g_snprintf(e.addr, sizeof(e.addr), "10.0.0.%d:1", i + 1);
-    g_strlcpy(e.service, i < FW_PLAIN ? "plain" : "llm", sizeof(e.service));
+    g_strlcpy(e.service, i < FW_PLAIN_SERVERS ? "plain" : "llm",
+              sizeof(e.service));
     Fw_Relay_Server(w->r, e.id, &e, w->now_us, &w->acts);
 }
 
@@ -314,7 +330,7 @@
     *w = (struct req_world){.run = run, .now_us = 1000 * FW_SEC};
     w->r = Fw_Relay_New(&o, w->now_us);
     w->pending = g_ptr_array_new_with_free_func(g_free);
-    w->names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    w->held = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     Fw_Acts_Init(&w->acts);
     rules->version = 1;
     add_route(rules, "/read/", FW_RL_IDEMPOTENT);
@@ -330,38 +346,39 @@
     Fw_Relay_Rules(w->r, rules, 1, w->now_us, &w->acts);
     Fw_Rules_Unref(rules);
     for (int i = 0; i < FW_SERVERS; i++) {
-        list_server(w, i, 1);
+        update_server(w, i, 1);
     }
 }
 
 static void
 step(struct req_world *w)
 {
-    w->now_us += below(w, 60) * FW_MSEC;
-    if (w->n < FW_CALLS_MAX && below(w, 3) == 0) {
-        open_one(w);
-        carry_out(w);
+    w->now_us += random_below(w, 60) * FW_MSEC;
+    if (w->n < FW_REQUESTS_MAX && random_below(w, 3) == 0) {
+        open_request(w);
+        apply_actions(w);
     }
-    if (w->n && below(w, 30) == 0) {
-        leave_one(w);
-        carry_out(w);
+    if (w->n && random_below(w, 30) == 0) {
+        disconnect_caller(w);
+        apply_actions(w);
     }
-    if (below(w, 120) == 0) {
-        list_server(w, below(w, FW_SERVERS), below(w, 1000));
-        carry_out(w);
+    if (random_below(w, 120) == 0) {
+        update_server(w, random_below(w, FW_SERVERS), random_below(w, 1000));
+        apply_actions(w);
     }
     if (w->pending->len) {
-        progress(w, g_ptr_array_index(w->pending,
-                                      (guint)below(w, (int)w->pending->len)));
-        carry_out(w);
+        advance_call(
+            w, g_ptr_array_index(
+                   w->pending, (guint)random_below(w, (int)w->pending->len)));
+        apply_actions(w);
     }
     Fw_Relay_Tick(w->r, w->now_us, &w->acts);
-    carry_out(w);
+    apply_actions(w);
 }
 
-/* With no request left nothing may be counted or held any more. */
+/* Once all requests have ended no server may have load counted. */
 static void
-check_rest(struct req_world *w)
+check_final_state(struct req_world *w)
 {
     struct fw_list *pos;
 
@@ -375,7 +392,7 @@
         }
     }
     for (int i = 0; i < w->n; i++) {
-        if (!w->told[i].over) {
+        if (!w->requests[i].over) {
             Fw_Run_Breach(w->run, "request %d never ended", i);
         }
     }
@@ -387,26 +404,26 @@
     struct req_world *w = g_new0(struct req_world, 1);
 
     world_init(w, run);
-    carry_out(w);
+    apply_actions(w);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         step(w);
     }
     for (int s = 0; s < 400 && !run->breach[0]; s++) {
         w->now_us += 50 * FW_MSEC;
         if (w->pending->len) {
-            progress(w, g_ptr_array_index(w->pending, 0));
+            advance_call(w, g_ptr_array_index(w->pending, 0));
         }
-        carry_out(w);
+        apply_actions(w);
         Fw_Relay_Tick(w->r, w->now_us, &w->acts);
-        carry_out(w);
+        apply_actions(w);
     }
     if (!run->breach[0]) {
-        check_rest(w);
+        check_final_state(w);
     }
     Fw_Run_Trace(run, "%d requests", w->n);
     Fw_Acts_Clear(&w->acts);
     Fw_Relay_Free(w->r);
     g_ptr_array_unref(w->pending);
-    g_hash_table_destroy(w->names);
+    g_hash_table_destroy(w->held);
     g_free(w);
 }
--- a/src/relay/place.c
+++ b/src/relay/place.c
@@ -21,7 +21,10 @@
  * fraction of the route's objective; beyond that all its answers are late.
  */
 #define FW_OBJECTIVE_FRACTION 0.8
-/* Lower bound of that limit, for work that exceeds the objective by itself. */
+/*
+ * Lower bound of that limit, for requests that take longer than the objective
+ * even on an idle server.
+ */
 #define FW_MIN_REQUESTS_PER_SLOT 1.5
 /*
  * Above the limit requests are rejected with a probability that reaches 1 at
@@ -34,8 +37,8 @@
 /* Fixed-point scale of the baseline policies' scores, per request. */
 #define FW_BASELINE_SCORE_SCALE 1000.0
 /*
- * Longer prefill accepted for a KV cache transfer within a failure domain,
- * which is cheaper than one between domains.
+ * Deducted from the prefill time of an engine in the decode engine's failure
+ * domain, as a KV cache transfer between domains costs more.
  */
 #define FW_SAME_DOMAIN_BONUS_US (15 * FW_MSEC)
 
@@ -86,13 +89,14 @@
 static double
 plain_score(struct fw_relay *r, const struct fw_rl_server *s)
 {
-    double took = s->took_us > 0 ? s->took_us : FW_DEFAULT_RESPONSE_US;
-    double busy = 1.0 + (double)s->running / MAX(s->e.slots, 1);
+    double response_us = s->took_us > 0 ? s->took_us : FW_DEFAULT_RESPONSE_US;
+    double load_factor = 1.0 + (double)s->running / MAX(s->e.slots, 1);
 
     if (r->opts.policy != FW_RL_POLICY_FULL) {
         return 1 + baseline_score(r, s->running);
     }
-    return took * busy * busy * (1.0 + FW_ERROR_RATE_WEIGHT * s->errors) *
+    return response_us * load_factor * load_factor *
+           (1.0 + FW_ERROR_RATE_WEIGHT * s->errors) *
            (1.0 + g_rand_double_range(r->rand, 0, FW_SCORE_JITTER));
 }
 
@@ -133,8 +137,9 @@
 static double
 max_running(const struct fw_rl_server *s, int64_t objective_us)
 {
-    double work = s->work_us > 0 ? s->work_us : FW_DEFAULT_RESPONSE_US;
-    double per_slot = FW_OBJECTIVE_FRACTION * (double)objective_us / work;
+    double response_us = s->work_us > 0 ? s->work_us : FW_DEFAULT_RESPONSE_US;
+    double per_slot =
+        FW_OBJECTIVE_FRACTION * (double)objective_us / response_us;
 
     return s->e.slots * MAX(per_slot, FW_MIN_REQUESTS_PER_SLOT);
 }
@@ -145,7 +150,7 @@
 {
     struct fw_rl_load l;
     double limit;
-    double reject;
+    double reject_probability;
 
     if (r->opts.policy != FW_RL_POLICY_FULL || c->route.objective_us <= 0 ||
         s->e.slots <= 0) {
@@ -153,13 +158,14 @@
     }
     Fw_Place_Load(r, s, now_us, &l);
     limit = max_running(s, c->route.objective_us);
-    reject = (l.running + 1 - limit) / (FW_OVERLOAD_RAMP * limit);
-    return reject > 0 && g_rand_double(r->rand) < reject;
+    reject_probability = (l.running + 1 - limit) / (FW_OVERLOAD_RAMP * limit);
+    return reject_probability > 0 &&
+           g_rand_double(r->rand) < reject_probability;
 }
 
 /*
- * Peers report a stage change that one of them has ordered before the server
- * list shows it.
+ * True during a stage change, ordered here or by a peer, that the server list
+ * doesn't show yet.
  */
 static int
 is_changing_stage(const struct fw_rl_server *s, const struct fw_rl_load *l)
@@ -168,8 +174,8 @@
 }
 
 /*
- * A failure seen by one instance may be its own network's. A server that two
- * others could not reach is skipped before this instance tries it.
+ * A single peer may have been partitioned from a healthy server. A server that
+ * two peers could not reach is skipped without being tried here.
  */
 static int
 is_unreachable(const struct fw_rl_load *l)
@@ -221,8 +227,8 @@
 };
 
 /*
- * Reservoir sampling: each engine is kept with the same probability. Under
- * the least-loaded policy the engine with the highest score is kept instead.
+ * Reservoir sampling: every engine added is kept with equal probability. Under
+ * the least-loaded policy the one with the highest score is kept instead.
  */
 static void
 sample_add(struct fw_relay *r, struct sample *drawn, struct fw_rl_server *s,
@@ -289,7 +295,7 @@
 }
 
 /*
- * Expected time until @s completes the prefill of @c, minus the bonus for
+ * Expected time until @s completes the prefill of @c, with the deduction for
  * the same failure domain. Negative when @c can't be sent there.
  */
 static int64_t
