--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -13,19 +13,19 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_DELTA 4
+#define FW_MSG_TYPE_DELTA 4
 
 /* Tokens spent here and by this hub's leaves. */
 static int64_t
-spent_by_all(const struct fw_rl_allowance *p)
+total_spent(const struct fw_rl_allowance *p)
 {
     return p->spent + p->leaves;
 }
 
 static int
-is_sent(const struct fw_rl_allowance *p, int only_unsent)
+should_send(const struct fw_rl_allowance *p, int only_unsent)
 {
-    return !only_unsent || spent_by_all(p) != p->sent;
+    return !only_unsent || total_spent(p) != p->sent;
 }
 
 void
@@ -37,21 +37,21 @@
 
     g_hash_table_iter_init(&it, r->allowances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        n += (size_t)is_sent(v, only_unsent);
+        n += (size_t)should_send(v, only_unsent);
     }
     msgpack_pack_array(pk, n);
     g_hash_table_iter_init(&it, r->allowances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct fw_rl_allowance *p = v;
 
-        if (!is_sent(p, only_unsent)) {
+        if (!should_send(p, only_unsent)) {
             continue;
         }
         msgpack_pack_array(pk, 3);
         msgpack_pack_uint64(pk, p->hash);
-        msgpack_pack_int64(pk, spent_by_all(p));
+        msgpack_pack_int64(pk, total_spent(p));
         msgpack_pack_int64(pk, (int64_t)p->level);
-        p->sent = spent_by_all(p);
+        p->sent = total_spent(p);
         p->counted = p->spent;
     }
 }
@@ -70,12 +70,12 @@
 
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, 6);
-    msgpack_pack_int(&pk, FW_FORM_DELTA);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_DELTA);
     Fw_Pack_Str(&pk, r->opts.name);
     msgpack_pack_uint64(&pk, r->opts.boot);
     msgpack_pack_uint64(&pk, ++r->digest_seq);
     Fw_Delta_PackSpent(r, &pk, 1);
-    Fw_Share_PackLoad(r, &pk, NULL, 1, now_us);
+    Fw_Message_PackLoad(r, &pk, NULL, 1, now_us);
 }
 
 /*
@@ -84,20 +84,20 @@
  * has started anew starts from nothing.
  */
 void
-Fw_Delta_TakeSpent(struct fw_relay *r, struct fw_rl_member *m, int first,
-                   const msgpack_object_array *rows, int64_t now_us)
+Fw_Delta_ApplySpent(struct fw_relay *r, struct fw_rl_member *m, int is_first,
+                    const msgpack_object_array *rows, int64_t now_us)
 {
     if (!m->spent) {
         m->spent = Fw_Rows_NewTable();
     }
     for (uint32_t i = 0; i < rows->size; i++) {
         uint64_t hash = (uint64_t)Fw_Rows_Cell(rows, i, 0);
-        int64_t *before = Fw_Rows_Slot(m->spent, hash, 0);
+        int64_t *previous = Fw_Rows_LookupOrAdd(m->spent, hash, 0);
         int64_t spent = Fw_Rows_Cell(rows, i, 1);
 
-        Fw_Allowance_Others(r, hash, first ? 0 : spent - *before,
+        Fw_Allowance_Others(r, hash, is_first ? 0 : spent - *previous,
                             Fw_Rows_Cell(rows, i, 2), now_us);
-        *before = spent;
+        *previous = spent;
     }
 }
 
@@ -117,7 +117,7 @@
     uint64_t seq;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 6 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_DELTA ||
+        Fw_Unpack_U64(o, 0, &form) || form != FW_MSG_TYPE_DELTA ||
         Fw_Unpack_Str(o, 1, name, sizeof(name)) ||
         Fw_Unpack_U64(o, 2, &boot) || Fw_Unpack_U64(o, 3, &seq)) {
         return -EBADMSG;
@@ -128,12 +128,12 @@
         return -EBADMSG;
     }
     m = Fw_Members_Find(r, name);
-    if (!r->x.is_hub || !m || boot != m->boot || seq <= m->seq ||
-        !m->digest_us || now_us - m->digest_us >= Fw_Members_Touch(r)) {
+    if (!r->x.is_hub || !m || boot != m->boot || seq <= m->digest_seq ||
+        !m->digest_us || now_us - m->digest_us >= Fw_Members_TimeoutUs(r)) {
         return 0;
     }
-    m->seq = seq;
-    Fw_Delta_TakeSpent(r, m, 0, spent, now_us);
+    m->digest_seq = seq;
+    Fw_Delta_ApplySpent(r, m, 0, spent, now_us);
     Fw_Load_Merge(r, m, load, now_us);
     return 0;
 }
--- a/src/relay/digest.c
+++ b/src/relay/digest.c
@@ -8,13 +8,13 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_DIGEST 7
+#define FW_MSG_TYPE_DIGEST 7
 #define FW_DIGEST_SIZE 12
 
 static int
-is_recent_leaf(const struct fw_rl_member *m)
+is_current_leaf(const struct fw_rl_member *m)
 {
-    return m->report_us && m->report_us >= m->digest_us;
+    return m->last_report_us && m->last_report_us >= m->digest_us;
 }
 
 /* Each leaf, and how long it has been silent. */
@@ -25,7 +25,7 @@
     size_t n = 0;
 
     FW_LIST_EACH (pos, &r->members) {
-        n += (size_t)is_recent_leaf(
+        n += (size_t)is_current_leaf(
             FW_LIST_ENTRY(pos, struct fw_rl_member, link));
     }
     msgpack_pack_array(pk, n);
@@ -33,7 +33,7 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (is_recent_leaf(m)) {
+        if (is_current_leaf(m)) {
             msgpack_pack_array(pk, 2);
             msgpack_pack_uint64(pk, m->hash);
             msgpack_pack_int64(pk, MAX(now_us - m->heard_us, 0));
@@ -48,14 +48,14 @@
 
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, FW_DIGEST_SIZE);
-    msgpack_pack_int(&pk, FW_FORM_DIGEST);
-    Fw_Share_PackSender(r, &pk);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_DIGEST);
+    Fw_Message_PackSender(r, &pk);
     msgpack_pack_uint64(&pk, ++r->digest_seq);
-    Fw_Share_PackReading(r, &pk, now_us);
+    Fw_Message_PackPrefillRates(r, &pk, now_us);
     Fw_Delta_PackSpent(r, &pk, 0);
-    Fw_Share_PackLoad(r, &pk, NULL, 0, now_us);
-    Fw_Share_PackStrikes(r, &pk, NULL);
-    Fw_Share_PackWatch(r, &pk, now_us);
+    Fw_Message_PackLoad(r, &pk, NULL, 0, now_us);
+    Fw_Message_PackStrikes(r, &pk, NULL);
+    Fw_Message_PackStoreState(r, &pk, now_us);
     pack_leaves(r, now_us, &pk);
 }
 
@@ -63,7 +63,7 @@
 struct digest {
     struct fw_rl_sender from;
     uint64_t seq;
-    struct fw_rl_sums sums;
+    struct fw_rl_common_rows common;
     const msgpack_object_array *leaves;
 };
 
@@ -74,45 +74,45 @@
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
         o->via.array.size != FW_DIGEST_SIZE || Fw_Unpack_U64(o, 0, &form) ||
-        form != FW_FORM_DIGEST || Fw_Share_ReadSender(o, &d->from) ||
+        form != FW_MSG_TYPE_DIGEST || Fw_Message_ReadSender(o, &d->from) ||
         Fw_Unpack_U64(o, 5, &d->seq)) {
         return -EBADMSG;
     }
     d->leaves = Fw_Rows_Of(o, 11, 2);
-    return d->leaves ? Fw_Share_ReadSums(o, 6, &d->sums) : -EBADMSG;
+    return d->leaves ? Fw_Message_ReadCommonRows(o, 6, &d->common) : -EBADMSG;
 }
 
 /* Datagrams overtake each other: an older one says nothing new. */
 static int
-is_old(const struct fw_rl_member *m, const struct digest *d)
+is_stale(const struct fw_rl_member *m, const struct digest *d)
 {
     return d->from.boot < m->boot ||
-           (d->from.boot == m->boot && d->seq <= m->seq);
+           (d->from.boot == m->boot && d->seq <= m->digest_seq);
 }
 
 static void
-take_leaves(struct fw_relay *r, const msgpack_object_array *rows,
-            int64_t now_us)
+apply_leaves(struct fw_relay *r, const msgpack_object_array *rows,
+             int64_t now_us)
 {
     for (uint32_t i = 0; i < rows->size; i++) {
-        Fw_Members_Elsewhere(r, (uint64_t)Fw_Rows_Cell(rows, i, 0),
-                             now_us - MAX(Fw_Rows_Cell(rows, i, 1), 0));
+        Fw_Members_NoteRemoteLeaf(r, (uint64_t)Fw_Rows_Cell(rows, i, 0),
+                                  now_us - MAX(Fw_Rows_Cell(rows, i, 1), 0));
     }
 }
 
 /* A leaf has all that follows from its hub, and would count it twice. */
 static void
-take_sums(struct fw_relay *r, struct fw_rl_member *m, const struct digest *d,
-          int first, int64_t now_us)
+apply_common_rows(struct fw_relay *r, struct fw_rl_member *m,
+                  const struct digest *d, int is_first, int64_t now_us)
 {
     if (!r->x.is_hub) {
         return;
     }
-    Fw_Rows_Table(&m->reading, d->sums.reading);
-    Fw_Delta_TakeSpent(r, m, first, d->sums.spent, now_us);
-    Fw_Load_Replace(r, m, d->sums.load, FW_RL_SCOPE_OTHER, now_us);
-    Fw_Rows_Table(&m->strikes, d->sums.strikes);
-    take_leaves(r, d->leaves, now_us);
+    Fw_Rows_ReplaceTable(&m->reading, d->common.reading);
+    Fw_Delta_ApplySpent(r, m, is_first, d->common.spent, now_us);
+    Fw_Load_Replace(r, m, d->common.load, FW_RL_SCOPE_OTHER, now_us);
+    Fw_Rows_ReplaceTable(&m->strikes, d->common.strikes);
+    apply_leaves(r, d->leaves, now_us);
 }
 
 /*
@@ -121,26 +121,27 @@
  * together spend more of the allowances than there is.
  */
 static int
-take(struct fw_relay *r, const struct digest *d, const char *addr,
-     int64_t now_us)
+apply_digest(struct fw_relay *r, const struct digest *d, const char *addr,
+             int64_t now_us)
 {
-    struct fw_rl_member *m = Fw_Share_MemberOf(r, &d->from, now_us);
-    int first;
+    struct fw_rl_member *m = Fw_Message_FindOrAddSender(r, &d->from, now_us);
+    int is_first;
 
-    if (!m || (m->heard_us && is_old(m, d))) {
+    if (!m || (m->heard_us && is_stale(m, d))) {
         return 0;
     }
-    first = !m->digest_us || now_us - m->digest_us >= Fw_Members_Touch(r);
+    is_first =
+        !m->digest_us || now_us - m->digest_us >= Fw_Members_TimeoutUs(r);
     if (d->from.boot != m->boot && m->spent) {
         g_hash_table_remove_all(m->spent);
     }
-    m->seq = d->seq;
-    Fw_Share_TakeSender(r, m, &d->from, addr, now_us);
+    m->digest_seq = d->seq;
+    Fw_Message_ApplySender(r, m, &d->from, addr, now_us);
     m->digest_us = now_us;
-    m->report_us = 0;
-    take_sums(r, m, d, first, now_us);
-    Fw_Share_TakeWatch(r, m, d->sums.watch, now_us);
-    return first;
+    m->last_report_us = 0;
+    apply_common_rows(r, m, d, is_first, now_us);
+    Fw_Message_ApplyStoreState(r, m, d->common.watch, now_us);
+    return is_first;
 }
 
 int
@@ -150,5 +151,5 @@
     struct digest d;
     int rc = read_digest(o, &d);
 
-    return rc ? rc : take(r, &d, addr, now_us);
+    return rc ? rc : apply_digest(r, &d, addr, now_us);
 }
--- a/src/relay/exchange.c
+++ b/src/relay/exchange.c
@@ -7,41 +7,42 @@
 #include "relay/relay_internal.h"
 
 /* Between two reports, also where one is wanted soon. */
-#define FW_REPORT_GAP_US (20 * FW_MSEC)
+#define FW_REPORT_INTERVAL_MIN_US (20 * FW_MSEC)
 /* Leaves get the list of hubs so often. */
-#define FW_LIST_US (1 * FW_SEC)
+#define FW_HUB_LIST_INTERVAL_US (1 * FW_SEC)
 /* Instances that no hub has seen get it so often, first after a start. */
-#define FW_ANNOUNCE_US (3 * FW_SEC)
-#define FW_ANNOUNCE_FIRST_US (300 * FW_MSEC)
+#define FW_ANNOUNCE_INTERVAL_US (3 * FW_SEC)
+#define FW_ANNOUNCE_DELAY_US (300 * FW_MSEC)
 /* Age of its hub's reply at which a leaf still places by it. */
-#define FW_VIEW_US (30 * FW_MSEC)
+#define FW_LOAD_AGE_MAX_US (30 * FW_MSEC)
 /* Longest wait of a request for a newer reply. */
-#define FW_VIEW_WAIT_US (15 * FW_MSEC)
+#define FW_PLACEMENT_WAIT_MAX_US (15 * FW_MSEC)
 /* A hub that is unreachable is tried so often. */
-#define FW_TRY_FAILED_US (500 * FW_MSEC)
+#define FW_HUB_PROBE_INTERVAL_US (500 * FW_MSEC)
 
 static int
-is_acting(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
+is_reachable_hub(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
 {
-    return Fw_Hubs_IsActing(r, m, now_us) && !m->failed_us;
+    return Fw_Hubs_IsActing(r, m, now_us) && !m->unreachable_since_us;
 }
 
 /* Hubs; of those that are unreachable now and then one, or a cut would last.
  */
 static int
-is_tried(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
+should_send_digest(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
 {
-    if (is_acting(r, m, now_us)) {
-        if (!m->asked_us) {
-            m->asked_us = now_us;
+    if (is_reachable_hub(r, m, now_us)) {
+        if (!m->awaiting_since_us) {
+            m->awaiting_since_us = now_us;
         }
         return 1;
     }
-    if (!m->was_ranked || !m->failed_us || FW_FAULT("hub-given-up") ||
-        now_us - m->sent_us < FW_TRY_FAILED_US) {
+    if (!m->is_nominal_hub || !m->unreachable_since_us ||
+        FW_FAULT("hub-given-up") ||
+        now_us - m->last_retry_us < FW_HUB_PROBE_INTERVAL_US) {
         return 0;
     }
-    m->sent_us = now_us;
+    m->last_retry_us = now_us;
     return 1;
 }
 
@@ -52,16 +53,17 @@
 }
 
 static int
-is_unseen(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
+is_unseen_by_hubs(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
 {
-    return !m->failed_us && !Fw_Members_IsSeen(r, m, now_us);
+    return !m->unreachable_since_us && !Fw_Members_SeenRecently(r, m, now_us);
 }
 
 /* Sends @msg to each member that is @meant. Return: how many get it. */
 static int
-send_each(struct fw_relay *r,
-          int (*meant)(struct fw_relay *, struct fw_rl_member *, int64_t),
-          const GByteArray *msg, int64_t now_us, struct fw_rl_mail *out)
+send_to_matching(struct fw_relay *r,
+                 int (*matches)(struct fw_relay *, struct fw_rl_member *,
+                                int64_t),
+                 const GByteArray *msg, int64_t now_us, struct fw_rl_mail *out)
 {
     GBytes *data = g_bytes_new(msg->data, msg->len);
     struct fw_list *pos;
@@ -70,8 +72,8 @@
     FW_LIST_EACH (pos, &r->members) {
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (meant(r, m, now_us)) {
-            Fw_Mail_Share(out, m->addr, data);
+        if (matches(r, m, now_us)) {
+            Fw_Outbox_AddShared(out, m->addr, data);
             n++;
         }
     }
@@ -81,11 +83,12 @@
 
 /* A hub that owes a digest, or a reply, for too long. */
 static void
-note_failed(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
+mark_if_unresponsive(struct fw_relay *r, struct fw_rl_member *m,
+                     int64_t now_us)
 {
-    if (m->asked_us && !m->failed_us &&
-        now_us - m->asked_us >= Fw_Members_Touch(r)) {
-        m->failed_us = now_us;
+    if (m->awaiting_since_us && !m->unreachable_since_us &&
+        now_us - m->awaiting_since_us >= Fw_Members_TimeoutUs(r)) {
+        m->unreachable_since_us = now_us;
     }
 }
 
@@ -96,10 +99,11 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &r->members) {
-        note_failed(r, FW_LIST_ENTRY(pos, struct fw_rl_member, link), now_us);
+        mark_if_unresponsive(r, FW_LIST_ENTRY(pos, struct fw_rl_member, link),
+                             now_us);
     }
     Fw_Digest_Write(r, now_us, msg);
-    send_each(r, is_tried, msg, now_us, out);
+    send_to_matching(r, should_send_digest, msg, now_us, out);
     g_byte_array_unref(msg);
 }
 
@@ -110,15 +114,15 @@
     int n;
 
     Fw_Delta_Write(r, now_us, msg);
-    n = send_each(r, is_acting, msg, now_us, out);
+    n = send_to_matching(r, is_reachable_hub, msg, now_us, out);
     r->x.wants_delta = 0;
-    r->x.delta_us = now_us + n * FW_RL_DATAGRAM_US;
+    r->x.next_delta_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
     g_byte_array_unref(msg);
 }
 
 /* Each leaf's holds what was counted of it. */
 static void
-push_levels(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+push_to_leaves(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
 {
     struct fw_list *pos;
     int n = 0;
@@ -130,39 +134,41 @@
             GByteArray *msg = g_byte_array_new();
 
             Fw_Reply_Write(r, m, 0, now_us, msg);
-            Fw_Mail_Add(out, m->addr, msg);
+            Fw_Outbox_Add(out, m->addr, msg);
             g_byte_array_unref(msg);
             n++;
         }
     }
     r->x.wants_push = 0;
-    r->x.push_us = now_us + n * FW_RL_DATAGRAM_US;
+    r->x.next_push_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
 }
 
 static void
-list_hubs(struct fw_relay *r,
-          int (*meant)(struct fw_relay *, struct fw_rl_member *, int64_t),
-          int64_t now_us, struct fw_rl_mail *out)
+send_hub_list(struct fw_relay *r,
+              int (*matches)(struct fw_relay *, struct fw_rl_member *,
+                             int64_t),
+              int64_t now_us, struct fw_rl_mail *out)
 {
     GByteArray *msg = g_byte_array_new();
 
-    Fw_Hubs_Write(r, now_us, msg);
-    send_each(r, meant, msg, now_us, out);
+    Fw_HubList_Write(r, now_us, msg);
+    send_to_matching(r, matches, msg, now_us, out);
     g_byte_array_unref(msg);
 }
 
 static void
-next_due(struct fw_relay *r, int64_t now_us)
+schedule_next_send(struct fw_relay *r, int64_t now_us)
 {
     r->x.wants = 0;
-    r->x.due_us = now_us + r->opts.digest_every_us;
-    r->x.early_us = now_us + r->opts.digest_every_us / 2;
+    r->x.next_send_us = now_us + r->opts.digest_every_us;
+    r->x.earliest_send_us = now_us + r->opts.digest_every_us / 2;
 }
 
 static int
-is_due(const struct fw_relay *r, int64_t now_us)
+is_send_due(const struct fw_relay *r, int64_t now_us)
 {
-    return now_us >= r->x.due_us || (r->x.wants && now_us >= r->x.early_us);
+    return now_us >= r->x.next_send_us ||
+           (r->x.wants && now_us >= r->x.earliest_send_us);
 }
 
 static void
@@ -170,26 +176,26 @@
 {
     struct fw_rl_exchange *x = &r->x;
 
-    if (is_due(r, now_us)) {
-        next_due(r, now_us);
+    if (is_send_due(r, now_us)) {
+        schedule_next_send(r, now_us);
         send_digest(r, now_us, out);
     }
-    else if (x->wants_delta && now_us >= x->delta_us) {
+    else if (x->wants_delta && now_us >= x->next_delta_us) {
         send_delta(r, now_us, out);
     }
-    if (x->wants_push && now_us >= x->push_us) {
-        push_levels(r, now_us, out);
+    if (x->wants_push && now_us >= x->next_push_us) {
+        push_to_leaves(r, now_us, out);
     }
-    if (now_us >= x->list_us) {
-        x->list_us = now_us + FW_LIST_US;
-        list_hubs(r, is_leaf, now_us, out);
+    if (now_us >= x->next_hub_list_us) {
+        x->next_hub_list_us = now_us + FW_HUB_LIST_INTERVAL_US;
+        send_hub_list(r, is_leaf, now_us, out);
     }
-    if (!x->announce_us) {
-        x->announce_us = now_us + FW_ANNOUNCE_FIRST_US;
+    if (!x->next_announce_us) {
+        x->next_announce_us = now_us + FW_ANNOUNCE_DELAY_US;
     }
-    else if (now_us >= x->announce_us) {
-        x->announce_us = now_us + FW_ANNOUNCE_US;
-        list_hubs(r, is_unseen, now_us, out);
+    else if (now_us >= x->next_announce_us) {
+        x->next_announce_us = now_us + FW_ANNOUNCE_INTERVAL_US;
+        send_hub_list(r, is_unseen_by_hubs, now_us, out);
     }
 }
 
@@ -199,9 +205,9 @@
 {
     if (r->x.hub != hub) {
         r->x.hub = hub;
-        r->x.session++;
+        r->x.report_session++;
         if (hub) {
-            hub->asked_us = 0;
+            hub->awaiting_since_us = 0;
         }
     }
 }
@@ -210,34 +216,34 @@
 act_as_leaf(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
 {
     struct fw_rl_exchange *x = &r->x;
-    int hurry = (x->wants || x->wants_delta) &&
-                now_us - x->sent_us >= FW_REPORT_GAP_US;
+    int send_early = (x->wants || x->wants_delta) &&
+                     now_us - x->report_sent_us >= FW_REPORT_INTERVAL_MIN_US;
     GByteArray *msg;
 
-    if (now_us < x->due_us && !hurry) {
+    if (now_us < x->next_send_us && !send_early) {
         return;
     }
     if (x->hub) {
-        note_failed(r, x->hub, now_us);
-        if (x->hub->failed_us) {
-            Fw_Hubs_Rank(r, now_us);
+        mark_if_unresponsive(r, x->hub, now_us);
+        if (x->hub->unreachable_since_us) {
+            Fw_Hubs_UpdateRoles(r, now_us);
         }
     }
-    next_due(r, now_us);
+    schedule_next_send(r, now_us);
     x->wants_delta = 0;
     if (x->is_hub) {
         return;
     }
-    change_hub(r, Fw_Hubs_Choose(r));
+    change_hub(r, Fw_Hubs_ChooseHub(r));
     if (!x->hub) {
         return;
     }
-    if (!x->hub->asked_us) {
-        x->hub->asked_us = now_us;
+    if (!x->hub->awaiting_since_us) {
+        x->hub->awaiting_since_us = now_us;
     }
     msg = g_byte_array_new();
     Fw_Report_Write(r, now_us, msg);
-    Fw_Mail_Add(out, x->hub->addr, msg);
+    Fw_Outbox_Add(out, x->hub->addr, msg);
     g_byte_array_unref(msg);
 }
 
@@ -246,9 +252,9 @@
 {
     const struct fw_rl_member *hub = r->x.hub;
 
-    if (r->x.is_hub || !hub || hub->failed_us ||
-        now_us - r->x.view_us < FW_VIEW_US ||
-        now_us - since_us >= FW_VIEW_WAIT_US) {
+    if (r->x.is_hub || !hub || hub->unreachable_since_us ||
+        now_us - r->x.load_as_of_us < FW_LOAD_AGE_MAX_US ||
+        now_us - since_us >= FW_PLACEMENT_WAIT_MAX_US) {
         return 0;
     }
     r->x.wants_delta = 1;
@@ -258,8 +264,8 @@
 void
 Fw_Relay_Exchange(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
 {
-    if (is_due(r, now_us)) {
-        Fw_Hubs_Rank(r, now_us);
+    if (is_send_due(r, now_us)) {
+        Fw_Hubs_UpdateRoles(r, now_us);
     }
     if (r->x.is_hub) {
         act_as_hub(r, now_us, out);
@@ -267,71 +273,72 @@
     else {
         act_as_leaf(r, now_us, out);
     }
-    Fw_Watch_Ask(r, now_us, out);
+    Fw_StoreSync_SendQuery(r, now_us, out);
 }
 
 int64_t
 Fw_Relay_ExchangeDue(const struct fw_relay *r)
 {
-    return r->x.due_us;
+    return r->x.next_send_us;
 }
 
 /* An instance that was just met gets all, and what was learned. */
 static void
-greet(struct fw_relay *r, const char *addr, int with_digest, int64_t now_us,
-      struct fw_rl_mail *out)
+send_initial_state(struct fw_relay *r, const char *addr, int with_digest,
+                   int64_t now_us, struct fw_rl_mail *out)
 {
     GByteArray *msg = g_byte_array_new();
 
     if (with_digest && r->x.is_hub) {
         Fw_Digest_Write(r, now_us, msg);
-        Fw_Mail_Add(out, addr, msg);
+        Fw_Outbox_Add(out, addr, msg);
         g_byte_array_set_size(msg, 0);
     }
-    Fw_Hubs_Write(r, now_us, msg);
-    Fw_Mail_Add(out, addr, msg);
+    Fw_HubList_Write(r, now_us, msg);
+    Fw_Outbox_Add(out, addr, msg);
     g_byte_array_set_size(msg, 0);
     if (Fw_Learned_Write(r, msg)) {
-        Fw_Mail_Add(out, addr, msg);
+        Fw_Outbox_Add(out, addr, msg);
     }
     g_byte_array_unref(msg);
 }
 
 static int
-take_report(struct fw_relay *r, const msgpack_object *o, const char *addr,
-            int64_t now_us, struct fw_rl_mail *out)
+handle_report(struct fw_relay *r, const msgpack_object *o, const char *addr,
+              int64_t now_us, struct fw_rl_mail *out)
 {
     GByteArray *reply = g_byte_array_new();
     int rc = Fw_Report_Read(r, o, addr, now_us, reply);
 
     if (reply->len) {
-        Fw_Mail_Add(out, addr, reply);
+        Fw_Outbox_Add(out, addr, reply);
     }
     g_byte_array_unref(reply);
     return rc;
 }
 
 static int
-read_message(struct fw_relay *r, const msgpack_object *o, const char *addr,
-             int64_t now_us, struct fw_rl_mail *out)
+handle_message(struct fw_relay *r, const msgpack_object *o, const char *addr,
+               int64_t now_us, struct fw_rl_mail *out)
 {
     int rc = Fw_Digest_Read(r, o, addr, now_us);
     int is_digest = rc >= 0;
 
     if (rc == -EBADMSG) {
-        rc = take_report(r, o, addr, now_us, out);
+        rc = handle_report(r, o, addr, now_us, out);
     }
     if (rc > 0) {
-        greet(r, addr, is_digest, now_us, out);
+        send_initial_state(r, addr, is_digest, now_us, out);
     }
     if (rc >= 0) {
         return rc;
     }
     if (Fw_Reply_Read(r, o, now_us) == 0 || Fw_Delta_Read(r, o, now_us) == 0 ||
-        Fw_Hubs_Read(r, o, addr, now_us) == 0 || Fw_Learned_Read(r, o) == 0) {
+        Fw_HubList_Read(r, o, addr, now_us) == 0 ||
+        Fw_Learned_Read(r, o) == 0) {
         return 0;
     }
-    return Fw_Watch_Read(r, o, addr, now_us, out);
+    return Fw_StoreSync_Read(r, o, addr, now_us, out);
 }
 
 int
@@ -346,7 +353,7 @@
     }
     msgpack_unpacked_init(&u);
     if (msgpack_unpack_next(&u, data, len, NULL) == MSGPACK_UNPACK_SUCCESS) {
-        rc = read_message(r, &u.data, addr, now_us, out);
+        rc = handle_message(r, &u.data, addr, now_us, out);
     }
     msgpack_unpacked_destroy(&u);
     return rc;
--- a/src/relay/hub_list.c
+++ b/src/relay/hub_list.c
@@ -9,17 +9,17 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_HUBS 10
+#define FW_MSG_TYPE_HUB_LIST 10
 /* Name, address, domain and processor. */
-#define FW_HUB_WIDTH 4
+#define FW_HUB_COLUMNS 4
 #define FW_HUBS_LISTED_MAX 640
 /* Of a listed hub that was unreachable from here: until it is tried again. */
-#define FW_RETRY_FAILED_US (300 * FW_MSEC)
+#define FW_UNREACHABLE_RETRY_US (300 * FW_MSEC)
 
 static void
 pack_hub(msgpack_packer *pk, const struct fw_rl_member *m)
 {
-    msgpack_pack_array(pk, FW_HUB_WIDTH);
+    msgpack_pack_array(pk, FW_HUB_COLUMNS);
     Fw_Pack_Str(pk, m->name);
     Fw_Pack_Str(pk, m->addr);
     msgpack_pack_uint64(pk, m->domain);
@@ -27,15 +27,15 @@
 }
 
 static int
-is_listed(const struct fw_relay *r, const struct fw_rl_member *m,
-          int64_t now_us)
+is_live_hub(const struct fw_relay *r, const struct fw_rl_member *m,
+            int64_t now_us)
 {
-    return m->digest_us && now_us - m->digest_us < Fw_Members_Touch(r);
+    return m->digest_us && now_us - m->digest_us < Fw_Members_TimeoutUs(r);
 }
 
 /* Hubs that are in touch, for who may not know them. */
 void
-Fw_Hubs_Write(const struct fw_relay *r, int64_t now_us, GByteArray *out)
+Fw_HubList_Write(const struct fw_relay *r, int64_t now_us, GByteArray *out)
 {
     struct fw_list *pos;
     msgpack_packer pk;
@@ -45,11 +45,11 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        n += (size_t)is_listed(r, m, now_us);
+        n += (size_t)is_live_hub(r, m, now_us);
     }
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, 5);
-    msgpack_pack_int(&pk, FW_FORM_HUBS);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_HUB_LIST);
     Fw_Pack_Str(&pk, r->opts.name);
     msgpack_pack_uint64(&pk, Fw_Hash_Str(r->opts.domain));
     msgpack_pack_int64(&pk, r->opts.cpu_ppm);
@@ -58,14 +58,14 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (is_listed(r, m, now_us)) {
+        if (is_live_hub(r, m, now_us)) {
             pack_hub(&pk, m);
         }
     }
 }
 
 /** struct listed - a hub as a message names it. */
-struct listed {
+struct hub_entry {
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
     uint64_t domain;
@@ -73,7 +73,7 @@
 };
 
 static int
-read_listed(const msgpack_object *o, struct listed *out)
+read_entry(const msgpack_object *o, struct hub_entry *out)
 {
     return Fw_Unpack_Str(o, 0, out->name, sizeof(out->name)) ||
                    !out->name[0] ||
@@ -85,7 +85,7 @@
 }
 
 static void
-take_listed(struct fw_relay *r, const struct listed *l, int64_t now_us)
+apply_entry(struct fw_relay *r, const struct hub_entry *l, int64_t now_us)
 {
     struct fw_rl_member *m;
 
@@ -99,23 +99,24 @@
     g_strlcpy(m->addr, l->addr, sizeof(m->addr));
     m->domain = l->domain;
     m->cpu_ppm = l->cpu_ppm;
-    if (m->failed_us && now_us - m->failed_us >= FW_RETRY_FAILED_US) {
-        m->failed_us = 0;
-        m->asked_us = 0;
+    if (m->unreachable_since_us &&
+        now_us - m->unreachable_since_us >= FW_UNREACHABLE_RETRY_US) {
+        m->unreachable_since_us = 0;
+        m->awaiting_since_us = 0;
     }
 }
 
 int
-Fw_Hubs_Read(struct fw_relay *r, const msgpack_object *o, const char *addr,
-             int64_t now_us)
+Fw_HubList_Read(struct fw_relay *r, const msgpack_object *o, const char *addr,
+                int64_t now_us)
 {
     const msgpack_object *rows;
-    struct listed from;
-    struct listed l;
+    struct hub_entry from;
+    struct hub_entry l;
     uint64_t form;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 5 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_HUBS ||
+        Fw_Unpack_U64(o, 0, &form) || form != FW_MSG_TYPE_HUB_LIST ||
         Fw_Unpack_Str(o, 1, from.name, sizeof(from.name)) || !from.name[0] ||
         Fw_Unpack_U64(o, 2, &from.domain) ||
         Fw_Unpack_I64(o, 3, &from.cpu_ppm) ||
@@ -126,15 +127,15 @@
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
         const msgpack_object *row = Fw_Unpack_Array(rows, i);
 
-        if (!row || read_listed(row, &l)) {
+        if (!row || read_entry(row, &l)) {
             return -EBADMSG;
         }
     }
     g_strlcpy(from.addr, addr, sizeof(from.addr));
-    take_listed(r, &from, now_us);
+    apply_entry(r, &from, now_us);
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
-        read_listed(Fw_Unpack_Array(rows, i), &l);
-        take_listed(r, &l, now_us);
+        read_entry(Fw_Unpack_Array(rows, i), &l);
+        apply_entry(r, &l, now_us);
     }
     return 0;
 }
--- a/src/relay/hubs.c
+++ b/src/relay/hubs.c
@@ -7,20 +7,20 @@
 #include "relay/relay_internal.h"
 
 /* Hubs of the fleet; more where each domain needs its least. */
-#define FW_HUBS 10
+#define FW_HUBS_TARGET 10
 /* So that one may fail without its domain. */
-#define FW_HUBS_A_DOMAIN 2
+#define FW_HUBS_PER_DOMAIN_MIN 2
 /* A fleet that is little larger has hubs only. */
 #define FW_HUBS_SLACK 2
 #define FW_DOMAINS_MAX 64
 /* One that sent no digest for so long has become a leaf, or failed. */
-#define FW_ACTING_US (2 * FW_SEC)
+#define FW_ACTING_TIMEOUT_US (2 * FW_SEC)
 
 /** struct domain - @hubs: the @n best of one, best first; NULL is @r itself */
 struct domain {
     uint64_t hash;
     int n;
-    struct fw_rl_member *hubs[FW_HUBS];
+    struct fw_rl_member *hubs[FW_HUBS_TARGET];
 };
 
 /** struct ranking - hubs by domain; @each: of one domain. */
@@ -28,7 +28,7 @@
     const struct fw_relay *r;
     struct domain domains[FW_DOMAINS_MAX];
     int n_domains;
-    int each;
+    int hubs_per_domain;
 };
 
 static int64_t
@@ -55,7 +55,7 @@
 }
 
 static struct domain *
-domain_of(struct ranking *k, uint64_t hash)
+find_or_add_domain(struct ranking *k, uint64_t hash)
 {
     for (int i = 0; i < k->n_domains; i++) {
         if (k->domains[i].hash == hash) {
@@ -71,22 +71,22 @@
 
 /* Among the @k->each best of its domain, in their order. */
 static void
-enter(struct ranking *k, struct fw_rl_member *m, uint64_t hash)
+insert_ranked(struct ranking *k, struct fw_rl_member *m, uint64_t hash)
 {
-    struct domain *d = domain_of(k, hash);
+    struct domain *d = find_or_add_domain(k, hash);
     int at;
 
     if (!d) {
         return;
     }
     for (at = d->n; at > 0 && is_better(k->r, m, d->hubs[at - 1]); at--) {
-        if (at < k->each) {
+        if (at < k->hubs_per_domain) {
             d->hubs[at] = d->hubs[at - 1];
         }
     }
-    if (at < k->each) {
+    if (at < k->hubs_per_domain) {
         d->hubs[at] = m;
-        d->n = MIN(d->n + 1, k->each);
+        d->n = MIN(d->n + 1, k->hubs_per_domain);
     }
 }
 
@@ -101,40 +101,40 @@
  * instances count: what one can't reach must not change its roles for all.
  */
 static int
-hubs_of_each(const struct fw_relay *r)
+count_hubs_per_domain(const struct fw_relay *r)
 {
-    struct ranking k = {.r = r, .each = 1};
+    struct ranking k = {.r = r, .hubs_per_domain = 1};
     struct fw_list *pos;
     int n = 1;
 
-    domain_of(&k, own_domain(r));
+    find_or_add_domain(&k, own_domain(r));
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
         n++;
-        domain_of(&k, m->domain);
+        find_or_add_domain(&k, m->domain);
     }
-    return n <= FW_HUBS + FW_HUBS_SLACK
+    return n <= FW_HUBS_TARGET + FW_HUBS_SLACK
                ? n
-               : MAX(FW_HUBS / k.n_domains, FW_HUBS_A_DOMAIN);
+               : MAX(FW_HUBS_TARGET / k.n_domains, FW_HUBS_PER_DOMAIN_MIN);
 }
 
 /* Marks @each hubs a domain. Return: is this instance among them? */
 static int
-rank(struct fw_relay *r, int each, int with_failed)
+rank_hubs(struct fw_relay *r, int hubs_per_domain, int with_unreachable)
 {
-    struct ranking k = {.r = r, .each = each};
+    struct ranking k = {.r = r, .hubs_per_domain = hubs_per_domain};
     struct fw_list *pos;
     int is_hub = 0;
 
-    enter(&k, NULL, own_domain(r));
+    insert_ranked(&k, NULL, own_domain(r));
     FW_LIST_EACH (pos, &r->members) {
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        *(with_failed ? &m->was_ranked : &m->is_ranked) = 0;
-        if (with_failed || !m->failed_us) {
-            enter(&k, m, m->domain);
+        *(with_unreachable ? &m->is_nominal_hub : &m->is_ranked_hub) = 0;
+        if (with_unreachable || !m->unreachable_since_us) {
+            insert_ranked(&k, m, m->domain);
         }
     }
     for (int i = 0; i < k.n_domains; i++) {
@@ -145,7 +145,8 @@
                 is_hub = 1;
             }
             else {
-                *(with_failed ? &m->was_ranked : &m->is_ranked) = 1;
+                *(with_unreachable ? &m->is_nominal_hub : &m->is_ranked_hub) =
+                    1;
             }
         }
     }
@@ -156,15 +157,16 @@
 Fw_Hubs_IsLeaf(const struct fw_relay *r, const struct fw_rl_member *m,
                int64_t now_us)
 {
-    return m->report_us && now_us - m->report_us < Fw_Members_Touch(r);
+    return m->last_report_us &&
+           now_us - m->last_report_us < Fw_Members_TimeoutUs(r);
 }
 
 int
 Fw_Hubs_IsActing(const struct fw_relay *r, const struct fw_rl_member *m,
                  int64_t now_us)
 {
-    return (m->is_ranked && !Fw_Hubs_IsLeaf(r, m, now_us)) ||
-           (m->digest_us && now_us - m->digest_us < FW_ACTING_US);
+    return (m->is_ranked_hub && !Fw_Hubs_IsLeaf(r, m, now_us)) ||
+           (m->digest_us && now_us - m->digest_us < FW_ACTING_TIMEOUT_US);
 }
 
 static int
@@ -196,19 +198,19 @@
     r->x.hub = NULL;
     r->x.recount = 1;
     FW_LIST_EACH (pos, &r->members) {
-        FW_LIST_ENTRY(pos, struct fw_rl_member, link)->asked_us = 0;
+        FW_LIST_ENTRY(pos, struct fw_rl_member, link)->awaiting_since_us = 0;
     }
 }
 
 void
-Fw_Hubs_Rank(struct fw_relay *r, int64_t now_us)
+Fw_Hubs_UpdateRoles(struct fw_relay *r, int64_t now_us)
 {
     int was_hub = r->x.is_hub;
-    int each = MIN(hubs_of_each(r), FW_HUBS);
+    int hubs_per_domain = MIN(count_hubs_per_domain(r), FW_HUBS_TARGET);
 
-    rank(r, each, 1);
-    r->x.is_hub = rank(r, each, 0) || has_leaves(r, now_us);
-    if (r->draining && Fw_Hubs_Choose(r)) {
+    rank_hubs(r, hubs_per_domain, 1);
+    r->x.is_hub = rank_hubs(r, hubs_per_domain, 0) || has_leaves(r, now_us);
+    if (r->draining && Fw_Hubs_ChooseHub(r)) {
         r->x.is_hub = 0;
     }
     if (r->x.is_hub != was_hub) {
@@ -221,16 +223,17 @@
  * none of them can be reached.
  */
 static int
-may_choose(const struct fw_relay *r, const struct fw_rl_member *m, int agreed)
+is_candidate(const struct fw_relay *r, const struct fw_rl_member *m,
+             int nominal_only)
 {
-    return m->domain == own_domain(r) && m->is_ranked &&
-           (m->was_ranked || !agreed);
+    return m->domain == own_domain(r) && m->is_ranked_hub &&
+           (m->is_nominal_hub || !nominal_only);
 }
 
 static struct fw_rl_member *
-choose(const struct fw_relay *r, int agreed)
+choose_hub(const struct fw_relay *r, int nominal_only)
 {
-    struct fw_rl_member *found[FW_HUBS];
+    struct fw_rl_member *found[FW_HUBS_TARGET];
     struct fw_list *pos;
     int n = 0;
 
@@ -238,7 +241,7 @@
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
         int at = n;
 
-        if (!may_choose(r, m, agreed) || n == FW_HUBS) {
+        if (!is_candidate(r, m, nominal_only) || n == FW_HUBS_TARGET) {
             continue;
         }
         for (; at > 0 && is_better(r, m, found[at - 1]); at--) {
@@ -251,9 +254,9 @@
 }
 
 struct fw_rl_member *
-Fw_Hubs_Choose(const struct fw_relay *r)
+Fw_Hubs_ChooseHub(const struct fw_relay *r)
 {
-    struct fw_rl_member *m = choose(r, 1);
+    struct fw_rl_member *m = choose_hub(r, 1);
 
-    return m ? m : choose(r, 0);
+    return m ? m : choose_hub(r, 0);
 }
--- a/src/relay/mail.c
+++ b/src/relay/mail.c
@@ -19,7 +19,7 @@
 }
 
 void
-Fw_Mail_Share(struct fw_rl_mail *mail, const char *addr, GBytes *data)
+Fw_Outbox_AddShared(struct fw_rl_mail *mail, const char *addr, GBytes *data)
 {
     struct fw_rl_datagram *d = g_new0(struct fw_rl_datagram, 1);
 
@@ -29,10 +29,10 @@
 }
 
 void
-Fw_Mail_Add(struct fw_rl_mail *mail, const char *addr, const GByteArray *msg)
+Fw_Outbox_Add(struct fw_rl_mail *mail, const char *addr, const GByteArray *msg)
 {
     GBytes *data = g_bytes_new(msg->data, msg->len);
 
-    Fw_Mail_Share(mail, addr, data);
+    Fw_Outbox_AddShared(mail, addr, data);
     g_bytes_unref(data);
 }
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -8,11 +8,11 @@
  * One that was silent for so long has left for good. Until then its part of
  * the allowances stays unused: it may only be cut off.
  */
-#define FW_MEMBER_LIFE_US (20 * FW_SEC)
+#define FW_MEMBER_EXPIRY_US (20 * FW_SEC)
 /* The count is worked out again after so long. */
-#define FW_CENSUS_US (10 * FW_MSEC)
+#define FW_COUNT_INTERVAL_US (10 * FW_MSEC)
 /* What a member has at servers counts for so long after its last message. */
-#define FW_LOAD_LIFE_US (2 * FW_SEC)
+#define FW_LOAD_EXPIRY_US (2 * FW_SEC)
 
 /**
  * struct seen - an instance in the census.
@@ -20,49 +20,49 @@
  * @member: NULL where only others know it
  * @is_gone: silent for so long that it doesn't count
  */
-struct seen {
+struct known_instance {
     int64_t added_us;
     int64_t seen_us;
     struct fw_rl_member *member;
-    int is_gone;
+    int is_expired;
 };
 
-static struct seen *
-seen_of(struct fw_relay *r, uint64_t hash)
+static struct known_instance *
+find_or_add_instance(struct fw_relay *r, uint64_t hash)
 {
-    struct seen *s = g_hash_table_lookup(r->census, &hash);
+    struct known_instance *s = g_hash_table_lookup(r->census, &hash);
 
     if (!s) {
-        s = g_new0(struct seen, 1);
-        g_hash_table_insert(r->census, Fw_Rows_Key(hash), s);
+        s = g_new0(struct known_instance, 1);
+        g_hash_table_insert(r->census, Fw_Rows_NewKey(hash), s);
     }
     return s;
 }
 
 int64_t
-Fw_Members_Touch(const struct fw_relay *r)
+Fw_Members_TimeoutUs(const struct fw_relay *r)
 {
-    return FW_RL_TOUCH_PERIODS * r->opts.digest_every_us;
+    return FW_RL_PEER_TIMEOUT_PERIODS * r->opts.digest_every_us;
 }
 
 void
-Fw_Members_Seen(struct fw_relay *r, uint64_t hash, int64_t seen_us)
+Fw_Members_NoteSeen(struct fw_relay *r, uint64_t hash, int64_t seen_us)
 {
-    struct seen *s;
+    struct known_instance *s;
 
     if (hash == r->hash) {
         return;
     }
-    s = seen_of(r, hash);
+    s = find_or_add_instance(r, hash);
     s->seen_us = MAX(s->seen_us, seen_us);
     r->x.recount = 1;
 }
 
 /* Its hub's digest includes it from now on. */
 static void
-drop_sums(struct fw_relay *r, struct fw_rl_member *m)
+drop_reported_state(struct fw_relay *r, struct fw_rl_member *m)
 {
-    m->report_us = 0;
+    m->last_report_us = 0;
     m->digest_us = 0;
     Fw_Load_Drop(r, m);
     g_clear_pointer(&m->strikes, g_hash_table_destroy);
@@ -70,25 +70,25 @@
 }
 
 void
-Fw_Members_Elsewhere(struct fw_relay *r, uint64_t hash, int64_t seen_us)
+Fw_Members_NoteRemoteLeaf(struct fw_relay *r, uint64_t hash, int64_t seen_us)
 {
     struct fw_rl_member *m;
 
     if (hash == r->hash) {
         return;
     }
-    m = seen_of(r, hash)->member;
+    m = find_or_add_instance(r, hash)->member;
     if (m && m != r->x.hub && m->heard_us < seen_us) {
-        drop_sums(r, m);
+        drop_reported_state(r, m);
     }
-    Fw_Members_Seen(r, hash, seen_us);
+    Fw_Members_NoteSeen(r, hash, seen_us);
 }
 
 struct fw_rl_member *
 Fw_Members_Find(const struct fw_relay *r, const char *name)
 {
     uint64_t hash = Fw_Hash_Str(name);
-    const struct seen *s = g_hash_table_lookup(r->census, &hash);
+    const struct known_instance *s = g_hash_table_lookup(r->census, &hash);
 
     return s ? s->member : NULL;
 }
@@ -101,23 +101,24 @@
     g_strlcpy(m->name, name, sizeof(m->name));
     m->hash = Fw_Hash_Str(name);
     m->added_us = now_us;
-    seen_of(r, m->hash)->added_us = now_us;
-    seen_of(r, m->hash)->member = m;
+    find_or_add_instance(r, m->hash)->added_us = now_us;
+    find_or_add_instance(r, m->hash)->member = m;
     r->x.recount = 1;
     Fw_List_Append(&r->members, &m->link);
     return m;
 }
 
 void
-Fw_Members_Heard(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
+Fw_Members_NoteMessage(struct fw_relay *r, struct fw_rl_member *m,
+                       int64_t now_us)
 {
-    if (m->failed_us) {
-        r->x.list_us = 0; /* leaves may return to it */
+    if (m->unreachable_since_us) {
+        r->x.next_hub_list_us = 0; /* leaves may return to it */
     }
     m->heard_us = now_us;
-    m->asked_us = 0;
-    m->failed_us = 0;
-    Fw_Members_Seen(r, m->hash, now_us);
+    m->awaiting_since_us = 0;
+    m->unreachable_since_us = 0;
+    Fw_Members_NoteSeen(r, m->hash, now_us);
 }
 
 static void
@@ -126,7 +127,7 @@
     if (r->x.hub == m) {
         r->x.hub = NULL;
     }
-    seen_of(r, m->hash)->member = NULL;
+    find_or_add_instance(r, m->hash)->member = NULL;
     Fw_Load_Drop(r, m);
     Fw_List_Remove(&m->link);
     g_clear_pointer(&m->spent, g_hash_table_destroy);
@@ -181,34 +182,34 @@
 }
 
 int
-Fw_Members_IsSeen(struct fw_relay *r, const struct fw_rl_member *m,
-                  int64_t now_us)
+Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
+                        int64_t now_us)
 {
-    const struct seen *s = seen_of(r, m->hash);
+    const struct known_instance *s = find_or_add_instance(r, m->hash);
 
     return s->seen_us && now_us - s->seen_us < FW_RL_ISOLATED_US;
 }
 
 static void
-take_census(struct fw_relay *r, int64_t now_us)
+count_instances(struct fw_relay *r, int64_t now_us)
 {
-    int64_t touch_us = Fw_Members_Touch(r);
+    int64_t timeout_us = Fw_Members_TimeoutUs(r);
     GHashTableIter it;
     gpointer v;
 
-    r->x.census_us = now_us;
+    r->x.counted_us = now_us;
     r->x.recount = 0;
     r->x.count = 1;
     r->x.in_touch = 1;
     g_hash_table_iter_init(&it, r->census);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct seen *s = v;
+        const struct known_instance *s = v;
 
-        if (s->is_gone) {
+        if (s->is_expired) {
             continue;
         }
         r->x.count++;
-        r->x.in_touch += s->seen_us && now_us - s->seen_us < touch_us;
+        r->x.in_touch += s->seen_us && now_us - s->seen_us < timeout_us;
     }
 }
 
@@ -217,14 +218,14 @@
 Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *in_touch)
 {
     struct fw_rl_exchange *x = &r->x;
-    int reports = !x->is_hub && x->hub;
+    int has_hub = !x->is_hub && x->hub;
 
-    if (reports && now_us - x->census_us >= Fw_Members_Touch(r)) {
+    if (has_hub && now_us - x->counted_us >= Fw_Members_TimeoutUs(r)) {
         x->in_touch = 1;
     }
-    else if (!reports &&
-             (x->recount || now_us - x->census_us >= FW_CENSUS_US)) {
-        take_census(r, now_us);
+    else if (!has_hub &&
+             (x->recount || now_us - x->counted_us >= FW_COUNT_INTERVAL_US)) {
+        count_instances(r, now_us);
     }
     if (in_touch) {
         *in_touch = x->in_touch;
@@ -237,27 +238,28 @@
  * hubs know whether it is alive.
  */
 static int
-is_gone(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
+is_expired(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
 {
-    int64_t seen_us = MAX(seen_of(r, m->hash)->seen_us, m->heard_us);
+    int64_t seen_us =
+        MAX(find_or_add_instance(r, m->hash)->seen_us, m->heard_us);
 
-    return ((r->x.is_hub && m->heard_us) || m->failed_us) &&
-           now_us - MAX(seen_us, m->added_us) >= FW_MEMBER_LIFE_US;
+    return ((r->x.is_hub && m->heard_us) || m->unreachable_since_us) &&
+           now_us - MAX(seen_us, m->added_us) >= FW_MEMBER_EXPIRY_US;
 }
 
 static void
-forget_gone(struct fw_relay *r, int64_t now_us)
+expire_instances(struct fw_relay *r, int64_t now_us)
 {
     GHashTableIter it;
     gpointer v;
 
     g_hash_table_iter_init(&it, r->census);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct seen *s = v;
+        struct known_instance *s = v;
 
-        s->is_gone =
-            now_us - MAX(s->seen_us, s->added_us) >= FW_MEMBER_LIFE_US;
-        if (s->is_gone && !s->member) {
+        s->is_expired =
+            now_us - MAX(s->seen_us, s->added_us) >= FW_MEMBER_EXPIRY_US;
+        if (s->is_expired && !s->member) {
             g_hash_table_iter_remove(&it);
         }
     }
@@ -272,15 +274,15 @@
     FW_LIST_EACH_SAFE (pos, tmp, &r->members) {
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (m->rows && now_us - m->load_us >= FW_LOAD_LIFE_US) {
+        if (m->load_rows && now_us - m->load_us >= FW_LOAD_EXPIRY_US) {
             Fw_Load_Drop(r, m);
         }
-        if (is_gone(r, m, now_us)) {
+        if (is_expired(r, m, now_us)) {
             Fw_Acts_Log(out, r, LOG_NOTICE, "member_gone",
                         "\"member\":\"%s\",\"addr\":\"%s\"", m->name, m->addr);
             member_free(r, m);
         }
     }
-    forget_gone(r, now_us);
+    expire_instances(r, now_us);
     r->n.members.value = Fw_Members_Count(r, now_us, NULL);
 }
--- a/src/relay/reply.c
+++ b/src/relay/reply.c
@@ -11,7 +11,7 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_REPLY 9
+#define FW_MSG_TYPE_REPLY 9
 #define FW_REPLY_SIZE 11
 
 static void
@@ -41,7 +41,7 @@
 }
 
 void
-Fw_Reply_Write(struct fw_relay *r, struct fw_rl_member *m, uint64_t echo,
+Fw_Reply_Write(struct fw_relay *r, struct fw_rl_member *m, uint64_t report_seq,
                int64_t now_us, GByteArray *out)
 {
     int in_touch;
@@ -50,36 +50,36 @@
 
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, FW_REPLY_SIZE);
-    msgpack_pack_int(&pk, FW_FORM_REPLY);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_REPLY);
     Fw_Pack_Str(&pk, r->opts.name);
     msgpack_pack_uint64(&pk, r->opts.boot);
     msgpack_pack_uint64(&pk, m->boot);
-    msgpack_pack_uint64(&pk, m->session);
-    msgpack_pack_uint64(&pk, echo);
+    msgpack_pack_uint64(&pk, m->report_session);
+    msgpack_pack_uint64(&pk, report_seq);
     msgpack_pack_array(&pk, 1);
     msgpack_pack_array(&pk, 2);
     msgpack_pack_int(&pk, r->draining ? 0 : count);
     msgpack_pack_int(&pk, in_touch);
     pack_levels(r, m, now_us, &pk);
-    if (echo) {
-        Fw_Share_PackLoad(r, &pk, m, 0, now_us);
-        Fw_Share_PackStrikes(r, &pk, m);
+    if (report_seq) {
+        Fw_Message_PackLoad(r, &pk, m, 0, now_us);
+        Fw_Message_PackStrikes(r, &pk, m);
     }
     else {
         msgpack_pack_array(&pk, 0);
         msgpack_pack_array(&pk, 0);
     }
-    Fw_Share_PackWatch(r, &pk, now_us);
+    Fw_Message_PackStoreState(r, &pk, now_us);
 }
 
 /** struct reply - a message, checked. */
 struct reply {
     char name[FW_NAME_MAX];
     uint64_t boot;
-    uint64_t echo_boot;
+    uint64_t leaf_boot;
     uint64_t session;
-    uint64_t echo;
-    const msgpack_object_array *fleet;
+    uint64_t report_seq;
+    const msgpack_object_array *counts;
     const msgpack_object_array *levels;
     const msgpack_object_array *load;
     const msgpack_object_array *strikes;
@@ -93,28 +93,29 @@
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
         o->via.array.size != FW_REPLY_SIZE || Fw_Unpack_U64(o, 0, &form) ||
-        form != FW_FORM_REPLY ||
+        form != FW_MSG_TYPE_REPLY ||
         Fw_Unpack_Str(o, 1, p->name, sizeof(p->name)) || !p->name[0] ||
-        Fw_Unpack_U64(o, 2, &p->boot) || Fw_Unpack_U64(o, 3, &p->echo_boot) ||
-        Fw_Unpack_U64(o, 4, &p->session) || Fw_Unpack_U64(o, 5, &p->echo)) {
+        Fw_Unpack_U64(o, 2, &p->boot) || Fw_Unpack_U64(o, 3, &p->leaf_boot) ||
+        Fw_Unpack_U64(o, 4, &p->session) ||
+        Fw_Unpack_U64(o, 5, &p->report_seq)) {
         return -EBADMSG;
     }
-    p->fleet = Fw_Rows_Of(o, 6, 2);
+    p->counts = Fw_Rows_Of(o, 6, 2);
     p->levels = Fw_Rows_Of(o, 7, 3);
     p->load = Fw_Rows_Of(o, 8, 6);
     p->strikes = Fw_Rows_Of(o, 9, 2);
     p->watch = Fw_Rows_Of(o, 10, FW_RL_WATCH_WIDTH);
-    return p->fleet && p->levels && p->load && p->strikes && p->watch &&
-                   p->fleet->size == 1 && p->watch->size == 1
+    return p->counts && p->levels && p->load && p->strikes && p->watch &&
+                   p->counts->size == 1 && p->watch->size == 1
                ? 0
                : -EBADMSG;
 }
 
 /* What is full at the hub isn't named. */
 static void
-take_levels(struct fw_relay *r, const struct reply *p, int64_t now_us)
+apply_levels(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
-    if (p->echo) {
+    if (p->report_seq) {
         Fw_Allowance_Counted(r, now_us);
     }
     for (uint32_t i = 0; i < p->levels->size; i++) {
@@ -122,7 +123,7 @@
             .hash = (uint64_t)Fw_Rows_Cell(p->levels, i, 0),
             .level = Fw_Rows_Cell(p->levels, i, 1),
             .counted = Fw_Rows_Cell(p->levels, i, 2),
-            .may_rise = p->echo != 0};
+            .may_rise = p->report_seq != 0};
 
         Fw_Allowance_Hub(r, &level, now_us);
     }
@@ -130,8 +131,8 @@
 
 /* All others are in the hub's rows. */
 static void
-take_load(struct fw_relay *r, struct fw_rl_member *hub, const struct reply *p,
-          int64_t now_us)
+apply_load(struct fw_relay *r, struct fw_rl_member *hub, const struct reply *p,
+           int64_t now_us)
 {
     struct fw_list *pos;
 
@@ -143,33 +144,33 @@
             g_clear_pointer(&m->strikes, g_hash_table_destroy);
         }
     }
-    r->x.view_us = r->x.sent_us;
+    r->x.load_as_of_us = r->x.report_sent_us;
     Fw_Load_Replace(r, hub, p->load, FW_RL_SCOPE_OTHER, now_us);
-    Fw_Rows_Table(&hub->strikes, p->strikes);
+    Fw_Rows_ReplaceTable(&hub->strikes, p->strikes);
 }
 
 /* As old as what the hub knew, and as the report was when it came back. */
 static void
-take_freshness(struct fw_relay *r, const struct reply *p, int64_t now_us)
+apply_freshness(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
     int64_t age_us = MAX(Fw_Rows_Cell(p->watch, 0, 5), 0);
-    int64_t from_us = r->x.sent_us;
+    int64_t from_us = r->x.report_sent_us;
 
     if (FW_FAULT("fresh-from-arrival")) {
         from_us = now_us;
     }
     if (r->rules &&
-        (uint64_t)Fw_Rows_Cell(p->watch, 0, 2) == Fw_Watch_RulesEnd(r)) {
+        (uint64_t)Fw_Rows_Cell(p->watch, 0, 2) == Fw_StoreSync_RulesEnd(r)) {
         Fw_Relay_Fresh(r, from_us - age_us);
     }
 }
 
 /* A hub that is stopping counts no instances: another one takes its place. */
 static void
-leave(struct fw_relay *r, struct fw_rl_member *hub, int64_t now_us)
+leave_hub(struct fw_relay *r, struct fw_rl_member *hub, int64_t now_us)
 {
-    hub->failed_us = now_us;
-    Fw_Hubs_Rank(r, now_us);
+    hub->unreachable_since_us = now_us;
+    Fw_Hubs_UpdateRoles(r, now_us);
     r->x.wants = 1;
 }
 
@@ -184,25 +185,25 @@
     }
     hub = r->x.hub;
     if (!hub || r->x.is_hub || strcmp(hub->name, p.name) != 0 ||
-        p.echo_boot != r->opts.boot || p.session != r->x.session) {
+        p.leaf_boot != r->opts.boot || p.session != r->x.report_session) {
         return 0; /* of a report that was given up */
     }
-    Fw_Members_Heard(r, hub, now_us);
-    if (p.echo && p.echo != r->x.seq) {
+    Fw_Members_NoteMessage(r, hub, now_us);
+    if (p.report_seq && p.report_seq != r->x.report_seq) {
         return 0; /* another report has gone out since */
     }
-    if (Fw_Rows_Cell(p.fleet, 0, 0) <= 0) {
-        leave(r, hub, now_us);
+    if (Fw_Rows_Cell(p.counts, 0, 0) <= 0) {
+        leave_hub(r, hub, now_us);
         return 0;
     }
-    r->x.count = (int)Fw_Rows_Cell(p.fleet, 0, 0);
-    r->x.in_touch = (int)CLAMP(Fw_Rows_Cell(p.fleet, 0, 1), 1, r->x.count);
-    r->x.census_us = now_us;
-    take_levels(r, &p, now_us);
-    if (p.echo) {
-        take_load(r, hub, &p, now_us);
-        take_freshness(r, &p, now_us);
+    r->x.count = (int)Fw_Rows_Cell(p.counts, 0, 0);
+    r->x.in_touch = (int)CLAMP(Fw_Rows_Cell(p.counts, 0, 1), 1, r->x.count);
+    r->x.counted_us = now_us;
+    apply_levels(r, &p, now_us);
+    if (p.report_seq) {
+        apply_load(r, hub, &p, now_us);
+        apply_freshness(r, &p, now_us);
     }
-    Fw_Share_TakeWatch(r, hub, p.watch, now_us);
+    Fw_Message_ApplyStoreState(r, hub, p.watch, now_us);
     return 0;
 }
--- a/src/relay/report.c
+++ b/src/relay/report.c
@@ -11,7 +11,7 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_REPORT 8
+#define FW_MSG_TYPE_REPORT 8
 #define FW_REPORT_SIZE 12
 
 static void
@@ -45,18 +45,18 @@
 {
     msgpack_packer pk;
 
-    r->x.sent_us = now_us;
+    r->x.report_sent_us = now_us;
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, FW_REPORT_SIZE);
-    msgpack_pack_int(&pk, FW_FORM_REPORT);
-    Fw_Share_PackSender(r, &pk);
-    msgpack_pack_uint64(&pk, r->x.session);
-    msgpack_pack_uint64(&pk, ++r->x.seq);
-    Fw_Share_PackReading(r, &pk, now_us);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_REPORT);
+    Fw_Message_PackSender(r, &pk);
+    msgpack_pack_uint64(&pk, r->x.report_session);
+    msgpack_pack_uint64(&pk, ++r->x.report_seq);
+    Fw_Message_PackPrefillRates(r, &pk, now_us);
     pack_spent(r, &pk);
-    Fw_Share_PackLoad(r, &pk, NULL, 0, now_us);
-    Fw_Share_PackStrikes(r, &pk, NULL);
-    Fw_Share_PackWatch(r, &pk, now_us);
+    Fw_Message_PackLoad(r, &pk, NULL, 0, now_us);
+    Fw_Message_PackStrikes(r, &pk, NULL);
+    Fw_Message_PackStoreState(r, &pk, now_us);
 }
 
 /** struct report - a message, checked. */
@@ -64,7 +64,7 @@
     struct fw_rl_sender from;
     uint64_t session;
     uint64_t seq;
-    struct fw_rl_sums sums;
+    struct fw_rl_common_rows common;
 };
 
 static int
@@ -74,15 +74,15 @@
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
         o->via.array.size != FW_REPORT_SIZE || Fw_Unpack_U64(o, 0, &form) ||
-        form != FW_FORM_REPORT || Fw_Share_ReadSender(o, &p->from) ||
+        form != FW_MSG_TYPE_REPORT || Fw_Message_ReadSender(o, &p->from) ||
         Fw_Unpack_U64(o, 5, &p->session) || Fw_Unpack_U64(o, 6, &p->seq)) {
         return -EBADMSG;
     }
-    return Fw_Share_ReadSums(o, 7, &p->sums);
+    return Fw_Message_ReadCommonRows(o, 7, &p->common);
 }
 
 static void
-count_spent(struct fw_relay *r, struct fw_rl_member *m,
+apply_spent(struct fw_relay *r, struct fw_rl_member *m,
             const msgpack_object_array *rows, int64_t now_us)
 {
     for (uint32_t i = 0; i < rows->size; i++) {
@@ -90,50 +90,51 @@
         int64_t spent = Fw_Rows_Cell(rows, i, 1);
         int64_t counted =
             FW_FAULT("leaf-uncounted") ? spent : Fw_Rows_Cell(rows, i, 2);
-        int64_t *before = Fw_Rows_Slot(m->spent, hash, counted);
+        int64_t *previous = Fw_Rows_LookupOrAdd(m->spent, hash, counted);
 
-        Fw_Allowance_Leaf(r, hash, spent - *before, now_us);
-        *before = spent;
+        Fw_Allowance_Leaf(r, hash, spent - *previous, now_us);
+        *previous = spent;
     }
 }
 
 static void
 begin_session(struct fw_rl_member *m, const struct report *p)
 {
-    m->session = p->session;
+    m->report_session = p->session;
     g_clear_pointer(&m->spent, g_hash_table_destroy);
     m->spent = Fw_Rows_NewTable();
 }
 
 static int
-is_old(const struct fw_rl_member *m, const struct report *p)
+is_stale(const struct fw_rl_member *m, const struct report *p)
 {
     return p->from.boot < m->boot ||
            (p->from.boot == m->boot &&
-            (p->session < m->session ||
-             (p->session == m->session && m->report_us &&
+            (p->session < m->report_session ||
+             (p->session == m->report_session && m->last_report_us &&
               p->seq <= m->report_seq)));
 }
 
 static int
-take(struct fw_relay *r, struct fw_rl_member *m, const struct report *p,
-     const char *addr, int64_t now_us)
+apply_report(struct fw_relay *r, struct fw_rl_member *m,
+             const struct report *p, const char *addr, int64_t now_us)
 {
     int is_new = !Fw_Hubs_IsLeaf(r, m, now_us);
 
-    if (p->from.boot != m->boot || p->session != m->session || !m->spent) {
+    if (p->from.boot != m->boot || p->session != m->report_session ||
+        !m->spent) {
         begin_session(m, p);
         is_new = 1;
     }
     m->report_seq = p->seq;
-    Fw_Share_TakeSender(r, m, &p->from, addr, now_us);
-    m->report_us = now_us;
+    Fw_Message_ApplySender(r, m, &p->from, addr, now_us);
+    m->last_report_us = now_us;
     m->digest_us = 0;
-    Fw_Rows_Table(&m->reading, p->sums.reading);
-    count_spent(r, m, p->sums.spent, now_us);
-    Fw_Load_Replace(r, m, p->sums.load, FW_RL_SCOPE_LEAF, now_us);
-    Fw_Rows_Table(&m->strikes, p->sums.strikes);
-    Fw_Share_TakeWatch(r, m, p->sums.watch, now_us);
+    Fw_Rows_ReplaceTable(&m->reading, p->common.reading);
+    apply_spent(r, m, p->common.spent, now_us);
+    Fw_Load_Replace(r, m, p->common.load, FW_RL_SCOPE_LEAF, now_us);
+    Fw_Rows_ReplaceTable(&m->strikes, p->common.strikes);
+    Fw_Message_ApplyStoreState(r, m, p->common.watch, now_us);
     return is_new;
 }
 
@@ -148,13 +149,13 @@
     if (read_report(o, &p)) {
         return -EBADMSG;
     }
-    m = Fw_Share_MemberOf(r, &p.from, now_us);
-    if (!m || is_old(m, &p)) {
+    m = Fw_Message_FindOrAddSender(r, &p.from, now_us);
+    if (!m || is_stale(m, &p)) {
         return 0;
     }
-    is_new = take(r, m, &p, addr, now_us);
+    is_new = apply_report(r, m, &p, addr, now_us);
     if (!r->x.is_hub) {
-        Fw_Hubs_Rank(r, now_us);
+        Fw_Hubs_UpdateRoles(r, now_us);
     }
     Fw_Reply_Write(r, m, p.seq, now_us, reply);
     return is_new;
--- a/src/relay/rows.c
+++ b/src/relay/rows.c
@@ -3,7 +3,7 @@
 #include "relay/relay_internal.h"
 
 gint64 *
-Fw_Rows_Key(uint64_t hash)
+Fw_Rows_NewKey(uint64_t hash)
 {
     gint64 *k = g_new(gint64, 1);
 
@@ -50,20 +50,20 @@
 }
 
 int64_t *
-Fw_Rows_Slot(GHashTable *table, uint64_t hash, int64_t initial)
+Fw_Rows_LookupOrAdd(GHashTable *table, uint64_t hash, int64_t initial)
 {
     int64_t *v = g_hash_table_lookup(table, &hash);
 
     if (!v) {
         v = g_new(int64_t, 1);
         *v = initial;
-        g_hash_table_insert(table, Fw_Rows_Key(hash), v);
+        g_hash_table_insert(table, Fw_Rows_NewKey(hash), v);
     }
     return v;
 }
 
 void
-Fw_Rows_Table(GHashTable **table, const msgpack_object_array *rows)
+Fw_Rows_ReplaceTable(GHashTable **table, const msgpack_object_array *rows)
 {
     g_clear_pointer(table, g_hash_table_destroy);
     if (!rows->size) {
@@ -71,7 +71,7 @@
     }
     *table = Fw_Rows_NewTable();
     for (uint32_t i = 0; i < rows->size; i++) {
-        *Fw_Rows_Slot(*table, (uint64_t)Fw_Rows_Cell(rows, i, 0), 0) =
+        *Fw_Rows_LookupOrAdd(*table, (uint64_t)Fw_Rows_Cell(rows, i, 0), 0) =
             MAX(Fw_Rows_Cell(rows, i, 1), 0);
     }
 }
--- a/src/relay/share.c
+++ b/src/relay/share.c
@@ -7,7 +7,7 @@
 #include "relay/relay_internal.h"
 
 void
-Fw_Share_PackSender(const struct fw_relay *r, msgpack_packer *pk)
+Fw_Message_PackSender(const struct fw_relay *r, msgpack_packer *pk)
 {
     Fw_Pack_Str(pk, r->opts.name);
     msgpack_pack_uint64(pk, Fw_Hash_Str(r->opts.domain));
@@ -16,7 +16,7 @@
 }
 
 int
-Fw_Share_ReadSender(const msgpack_object *o, struct fw_rl_sender *out)
+Fw_Message_ReadSender(const msgpack_object *o, struct fw_rl_sender *out)
 {
     return Fw_Unpack_Str(o, 1, out->name, sizeof(out->name)) ||
                    !out->name[0] || Fw_Unpack_U64(o, 2, &out->domain) ||
@@ -27,8 +27,8 @@
 }
 
 struct fw_rl_member *
-Fw_Share_MemberOf(struct fw_relay *r, const struct fw_rl_sender *from,
-                  int64_t now_us)
+Fw_Message_FindOrAddSender(struct fw_relay *r, const struct fw_rl_sender *from,
+                           int64_t now_us)
 {
     struct fw_rl_member *m;
 
@@ -40,19 +40,20 @@
 }
 
 void
-Fw_Share_TakeSender(struct fw_relay *r, struct fw_rl_member *m,
-                    const struct fw_rl_sender *from, const char *addr,
-                    int64_t now_us)
+Fw_Message_ApplySender(struct fw_relay *r, struct fw_rl_member *m,
+                       const struct fw_rl_sender *from, const char *addr,
+                       int64_t now_us)
 {
     m->boot = from->boot;
     m->domain = from->domain;
     m->cpu_ppm = from->cpu_ppm;
     g_strlcpy(m->addr, addr, sizeof(m->addr));
-    Fw_Members_Heard(r, m, now_us);
+    Fw_Members_NoteMessage(r, m, now_us);
 }
 
 int
-Fw_Share_ReadSums(const msgpack_object *o, uint32_t i, struct fw_rl_sums *out)
+Fw_Message_ReadCommonRows(const msgpack_object *o, uint32_t i,
+                          struct fw_rl_common_rows *out)
 {
     out->reading = Fw_Rows_Of(o, i, 2);
     out->spent = Fw_Rows_Of(o, i + 1, 3);
@@ -67,8 +68,9 @@
 
 /* What @s bears by all but @to; of a leaf's report, by this instance alone. */
 static void
-load_for(const struct fw_relay *r, const struct fw_rl_server *s,
-         const struct fw_rl_member *to, int64_t now_us, struct fw_rl_load *out)
+compute_load(const struct fw_relay *r, const struct fw_rl_server *s,
+             const struct fw_rl_member *to, int64_t now_us,
+             struct fw_rl_load *out)
 {
     struct fw_rl_load part;
 
@@ -87,7 +89,7 @@
     if (to) {
         Fw_Load_Of(r, s->hash, FW_RL_SCOPE_OTHER, &part);
         Fw_Load_Add(out, &part, 1);
-        Fw_Load_OfMember(to, s->hash, &part);
+        Fw_Load_GetMember(to, s->hash, &part);
         Fw_Load_Add(out, &part, -1);
     }
 }
@@ -112,9 +114,9 @@
 }
 
 void
-Fw_Share_PackLoad(struct fw_relay *r, msgpack_packer *pk,
-                  const struct fw_rl_member *to, int only_changed,
-                  int64_t now_us)
+Fw_Message_PackLoad(struct fw_relay *r, msgpack_packer *pk,
+                    const struct fw_rl_member *to, int only_changed,
+                    int64_t now_us)
 {
     GArray *rows = g_array_new(FALSE, FALSE, sizeof(struct fw_rl_load_row));
     struct fw_list *pos;
@@ -125,10 +127,10 @@
         int changed = 1;
 
         if (!to) {
-            changed = Fw_Load_TakeChanged(r, s->hash) | s->unsent;
+            changed = Fw_Load_TestAndClearChanged(r, s->hash) | s->unsent;
             s->unsent = 0;
         }
-        load_for(r, s, to, now_us, &row.load);
+        compute_load(r, s, to, now_us, &row.load);
         if (only_changed ? changed : !is_empty(&row.load)) {
             g_array_append_val(rows, row);
         }
@@ -144,7 +146,7 @@
 }
 
 static void
-add_table(GHashTable *sums, GHashTable *more)
+add_counts(GHashTable *counts, GHashTable *more)
 {
     GHashTableIter it;
     gpointer k;
@@ -155,59 +157,62 @@
     }
     g_hash_table_iter_init(&it, more);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        *Fw_Rows_Slot(sums, (uint64_t) * (gint64 *)k, 0) += *(int64_t *)v;
+        *Fw_Rows_LookupOrAdd(counts, (uint64_t) * (gint64 *)k, 0) +=
+            *(int64_t *)v;
     }
 }
 
 /* Packs and frees @sums. */
 static void
-pack_sums(msgpack_packer *pk, GHashTable *sums)
+pack_counts(msgpack_packer *pk, GHashTable *counts)
 {
     GHashTableIter it;
     gpointer k;
     gpointer v;
 
-    msgpack_pack_array(pk, g_hash_table_size(sums));
-    g_hash_table_iter_init(&it, sums);
+    msgpack_pack_array(pk, g_hash_table_size(counts));
+    g_hash_table_iter_init(&it, counts);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         msgpack_pack_array(pk, 2);
         msgpack_pack_uint64(pk, (uint64_t) * (gint64 *)k);
         msgpack_pack_int64(pk, MAX(*(int64_t *)v, 0));
     }
-    g_hash_table_destroy(sums);
+    g_hash_table_destroy(counts);
 }
 
 void
-Fw_Share_PackStrikes(struct fw_relay *r, msgpack_packer *pk,
-                     const struct fw_rl_member *to)
+Fw_Message_PackStrikes(struct fw_relay *r, msgpack_packer *pk,
+                       const struct fw_rl_member *to)
 {
-    GHashTable *sums = Fw_Rows_NewTable();
+    GHashTable *counts = Fw_Rows_NewTable();
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (r->x.is_hub && (to ? m != to : m->report_us != 0)) {
-            add_table(sums, m->strikes);
+        if (r->x.is_hub && (to ? m != to : m->last_report_us != 0)) {
+            add_counts(counts, m->strikes);
         }
     }
     for (int i = 0; i < r->n_strikes; i++) {
-        *Fw_Rows_Slot(sums, r->strikes[i].digest, 0) += r->strikes[i].count;
+        *Fw_Rows_LookupOrAdd(counts, r->strikes[i].digest, 0) +=
+            r->strikes[i].count;
     }
-    pack_sums(pk, sums);
+    pack_counts(pk, counts);
 }
 
 void
-Fw_Share_PackReading(struct fw_relay *r, msgpack_packer *pk, int64_t now_us)
+Fw_Message_PackPrefillRates(struct fw_relay *r, msgpack_packer *pk,
+                            int64_t now_us)
 {
-    GHashTable *sums = Fw_Rows_NewTable();
+    GHashTable *counts = Fw_Rows_NewTable();
     struct fw_list *pos;
 
     for (guint i = 0; i < r->learned->len; i++) {
         const struct fw_learned *l = g_ptr_array_index(r->learned, i);
 
-        *Fw_Rows_Slot(sums, Fw_Hash_Str(l->service), 0) +=
+        *Fw_Rows_LookupOrAdd(counts, Fw_Hash_Str(l->service), 0) +=
             (int64_t)Fw_Reading_Rate(&l->reading, now_us);
     }
     FW_LIST_EACH (pos, &r->members) {
@@ -215,28 +220,29 @@
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
         if (r->x.is_hub && Fw_Hubs_IsLeaf(r, m, now_us)) {
-            add_table(sums, m->reading);
+            add_counts(counts, m->reading);
         }
     }
-    pack_sums(pk, sums);
+    pack_counts(pk, counts);
 }
 
 void
-Fw_Share_PackWatch(struct fw_relay *r, msgpack_packer *pk, int64_t now_us)
+Fw_Message_PackStoreState(struct fw_relay *r, msgpack_packer *pk,
+                          int64_t now_us)
 {
     msgpack_pack_array(pk, 1);
     msgpack_pack_array(pk, FW_RL_WATCH_WIDTH);
     msgpack_pack_int(pk, Fw_Relay_ReadsStore(r, now_us));
     msgpack_pack_int(pk, r->watch.store_lost);
-    msgpack_pack_uint64(pk, Fw_Watch_RulesEnd(r));
+    msgpack_pack_uint64(pk, Fw_StoreSync_RulesEnd(r));
     msgpack_pack_uint64(pk, r->watch.list_offset);
-    msgpack_pack_uint64(pk, Fw_Watch_ListHash(r));
+    msgpack_pack_uint64(pk, Fw_StoreSync_ServerListHash(r));
     msgpack_pack_int64(pk, MAX(now_us - r->fresh_us, 0));
 }
 
 void
-Fw_Share_TakeWatch(struct fw_relay *r, struct fw_rl_member *m,
-                   const msgpack_object_array *rows, int64_t now_us)
+Fw_Message_ApplyStoreState(struct fw_relay *r, struct fw_rl_member *m,
+                           const msgpack_object_array *rows, int64_t now_us)
 {
     int lost = Fw_Rows_Cell(rows, 0, 1) != 0;
 
@@ -244,9 +250,9 @@
         r->store_back_us = now_us; /* entries that lapsed may be back soon */
     }
     m->store_lost = lost;
-    m->reads = (int)Fw_Rows_Cell(rows, 0, 0);
+    m->reads_store = (int)Fw_Rows_Cell(rows, 0, 0);
     m->rules_end = (uint64_t)Fw_Rows_Cell(rows, 0, 2);
     m->list_offset = (uint64_t)Fw_Rows_Cell(rows, 0, 3);
     m->list_hash = (uint64_t)Fw_Rows_Cell(rows, 0, 4);
-    Fw_Watch_Heard(r, m);
+    Fw_StoreSync_NoteMember(r, m);
 }
--- a/src/relay/watch.c
+++ b/src/relay/watch.c
@@ -16,34 +16,34 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_QUESTION 2
-#define FW_FORM_ANSWER 3
+#define FW_MSG_TYPE_QUERY 2
+#define FW_MSG_TYPE_ANSWER 3
 
 /* Hubs that read the store; the next one takes over where one can't. */
-#define FW_READERS 2
+#define FW_STORE_READERS 2
 /* Questions come so often; one without an answer is given up by then. */
-#define FW_ASK_US (300 * FW_MSEC)
+#define FW_QUERY_INTERVAL_HUB_US (300 * FW_MSEC)
 /* A leaf asks only where its hub is stale. */
-#define FW_ASK_LEAF_US (1 * FW_SEC)
+#define FW_QUERY_INTERVAL_LEAF_US (1 * FW_SEC)
 /* With knowledge that is older a hub reads for itself. */
-#define FW_STALE_US (3 * FW_SEC)
+#define FW_STORE_STALE_US (3 * FW_SEC)
 /*
  * One that reads for itself and learnt nothing for so long asks as well: the
  * store may turn some instances away while it serves others. Their keys would
  * stop counting after 4.8 s, and callers be sent away, with a good answer one
  * hop off. Its own reads take 1.5 s when nothing goes wrong.
  */
-#define FW_ASK_TOO_US (2 * FW_SEC)
+#define FW_QUERY_WHEN_STALE_US (2 * FW_SEC)
 /* From the start until others are known, and until a hub has answered. */
-#define FW_MEMBERS_WAIT_US (300 * FW_MSEC)
+#define FW_MEMBER_LIST_WAIT_US (300 * FW_MSEC)
 #define FW_HUB_WAIT_US (1 * FW_SEC)
 /* A member whose digests come is asked. */
-#define FW_HEARD_US (2500 * FW_MSEC)
+#define FW_READER_TIMEOUT_US (2500 * FW_MSEC)
 
 static int
-in_touch(const struct fw_rl_member *m, int64_t now_us)
+is_live(const struct fw_rl_member *m, int64_t now_us)
 {
-    return m->heard_us && now_us - m->heard_us < FW_HEARD_US;
+    return m->heard_us && now_us - m->heard_us < FW_READER_TIMEOUT_US;
 }
 
 /*
@@ -53,7 +53,7 @@
 static int
 waits_for_hub(const struct fw_relay *r, int64_t now_us)
 {
-    int64_t wait_us = r->x.is_hub ? FW_MEMBERS_WAIT_US : FW_HUB_WAIT_US;
+    int64_t wait_us = r->x.is_hub ? FW_MEMBER_LIST_WAIT_US : FW_HUB_WAIT_US;
 
     return !(r->watch.members_known && r->x.is_hub) &&
            now_us - r->start_us < wait_us;
@@ -63,7 +63,7 @@
 Fw_Relay_ReadsStore(const struct fw_relay *r, int64_t now_us)
 {
     struct fw_list *pos;
-    int before = 0;
+    int readers_before = 0;
 
     if (!r->rules || !r->list_known) {
         return !waits_for_hub(r, now_us);
@@ -71,17 +71,18 @@
     if (!r->x.is_hub) {
         return Fw_Relay_IsIsolated(r, now_us);
     }
-    if (now_us - r->fresh_us > FW_STALE_US) {
+    if (now_us - r->fresh_us > FW_STORE_STALE_US) {
         return 1;
     }
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        before += m->digest_us && now_us - m->digest_us < FW_HEARD_US &&
-                  !m->store_lost && m->hash < r->hash;
+        readers_before += m->digest_us &&
+                          now_us - m->digest_us < FW_READER_TIMEOUT_US &&
+                          !m->store_lost && m->hash < r->hash;
     }
-    return before < FW_READERS;
+    return readers_before < FW_STORE_READERS;
 }
 
 /*
@@ -91,19 +92,19 @@
 int64_t
 Fw_Relay_RulesWait(struct fw_relay *r, int64_t base_us, int64_t now_us)
 {
-    return Fw_Members_Count(r, now_us, NULL) <= FW_READERS ? base_us
-                                                           : base_us / 2;
+    return Fw_Members_Count(r, now_us, NULL) <= FW_STORE_READERS ? base_us
+                                                                 : base_us / 2;
 }
 
 uint64_t
-Fw_Watch_RulesEnd(const struct fw_relay *r)
+Fw_StoreSync_RulesEnd(const struct fw_relay *r)
 {
     return r->rules ? r->rules_offset + 1 : 0;
 }
 
 /* Order doesn't matter: the sum of what each entry amounts to. */
 uint64_t
-Fw_Watch_ListHash(const struct fw_relay *r)
+Fw_StoreSync_ServerListHash(const struct fw_relay *r)
 {
     struct fw_list *pos;
     uint64_t sum = 0;
@@ -120,13 +121,13 @@
 }
 
 void
-Fw_Watch_Heard(struct fw_relay *r, const struct fw_rl_member *m)
+Fw_StoreSync_NoteMember(struct fw_relay *r, const struct fw_rl_member *m)
 {
-    if (m->rules_end > Fw_Watch_RulesEnd(r)) {
+    if (m->rules_end > Fw_StoreSync_RulesEnd(r)) {
         g_strlcpy(r->watch.rules_from, m->addr, FW_URL_MAX);
     }
     if (m->list_offset > r->watch.list_offset &&
-        m->list_hash != Fw_Watch_ListHash(r)) {
+        m->list_hash != Fw_StoreSync_ServerListHash(r)) {
         g_strlcpy(r->watch.list_from, m->addr, FW_URL_MAX);
     }
 }
@@ -140,7 +141,7 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (in_touch(m, now_us) && m->rules_end > Fw_Watch_RulesEnd(r)) {
+        if (is_live(m, now_us) && m->rules_end > Fw_StoreSync_RulesEnd(r)) {
             return 1;
         }
     }
@@ -148,7 +149,7 @@
 }
 
 static int
-take_want(char from[FW_URL_MAX], char addr[FW_URL_MAX])
+take_addr(char from[FW_URL_MAX], char addr[FW_URL_MAX])
 {
     if (!from[0]) {
         return 0;
@@ -161,20 +162,20 @@
 int
 Fw_Relay_TakeWantRules(struct fw_relay *r, char addr[FW_URL_MAX])
 {
-    return take_want(r->watch.rules_from, addr);
+    return take_addr(r->watch.rules_from, addr);
 }
 
 int
 Fw_Relay_TakeWantList(struct fw_relay *r, char addr[FW_URL_MAX])
 {
-    return take_want(r->watch.list_from, addr);
+    return take_addr(r->watch.list_from, addr);
 }
 
 void
 Fw_Relay_MembersEnd(struct fw_relay *r, int64_t now_us)
 {
     r->watch.members_known = 1;
-    Fw_Hubs_Rank(r, now_us);
+    Fw_Hubs_UpdateRoles(r, now_us);
 }
 
 void
@@ -194,7 +195,7 @@
     FW_LIST_EACH (pos, &r->members) {
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (m->reads && in_touch(m, now_us) &&
+        if (m->reads_store && is_live(m, now_us) &&
             g_rand_int_range(r->rand, 0, ++n) == 0) {
             picked = m;
         }
@@ -203,18 +204,20 @@
 }
 
 void
-Fw_Watch_Ask(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+Fw_StoreSync_SendQuery(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_mail *out)
 {
     struct fw_rl_member *m;
     GByteArray *msg;
     msgpack_packer pk;
 
-    int64_t every_us = r->x.is_hub ? FW_ASK_US : FW_ASK_LEAF_US;
+    int64_t every_us =
+        r->x.is_hub ? FW_QUERY_INTERVAL_HUB_US : FW_QUERY_INTERVAL_LEAF_US;
 
     if (now_us - r->watch.asked_us < every_us ||
-        (!r->x.is_hub && now_us - r->fresh_us < FW_ASK_TOO_US) ||
+        (!r->x.is_hub && now_us - r->fresh_us < FW_QUERY_WHEN_STALE_US) ||
         (Fw_Relay_ReadsStore(r, now_us) &&
-         now_us - r->fresh_us < FW_ASK_TOO_US)) {
+         now_us - r->fresh_us < FW_QUERY_WHEN_STALE_US)) {
         return;
     }
     m = pick_reader(r, now_us);
@@ -226,16 +229,16 @@
     msg = g_byte_array_new();
     Fw_Pack_Begin(&pk, msg);
     msgpack_pack_array(&pk, 3);
-    msgpack_pack_int(&pk, FW_FORM_QUESTION);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_QUERY);
     msgpack_pack_uint64(&pk, r->opts.boot);
     msgpack_pack_uint64(&pk, r->watch.nonce);
-    Fw_Mail_Add(out, m->addr, msg);
+    Fw_Outbox_Add(out, m->addr, msg);
     g_byte_array_unref(msg);
 }
 
 static void
-write_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
-             int64_t now_us, struct fw_rl_mail *out)
+send_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
+            int64_t now_us, struct fw_rl_mail *out)
 {
     GByteArray *reply;
     msgpack_packer pk;
@@ -246,18 +249,18 @@
     reply = g_byte_array_new();
     Fw_Pack_Begin(&pk, reply);
     msgpack_pack_array(&pk, 5);
-    msgpack_pack_int(&pk, FW_FORM_ANSWER);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_ANSWER);
     msgpack_pack_uint64(&pk, f[1].via.u64);
     msgpack_pack_uint64(&pk, f[2].via.u64);
-    msgpack_pack_uint64(&pk, Fw_Watch_RulesEnd(r));
+    msgpack_pack_uint64(&pk, Fw_StoreSync_RulesEnd(r));
     msgpack_pack_uint64(&pk, (uint64_t)MAX(now_us - r->fresh_us, 0));
-    Fw_Mail_Add(out, addr, reply);
+    Fw_Outbox_Add(out, addr, reply);
     g_byte_array_unref(reply);
 }
 
 static void
-take_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
-            int64_t now_us)
+apply_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
+             int64_t now_us)
 {
     int64_t from_us = r->watch.asked_us;
 
@@ -265,10 +268,10 @@
         return; /* to a question that was given up */
     }
     r->watch.nonce = 0;
-    if (f[3].via.u64 > Fw_Watch_RulesEnd(r)) {
+    if (f[3].via.u64 > Fw_StoreSync_RulesEnd(r)) {
         g_strlcpy(r->watch.rules_from, addr, FW_URL_MAX);
     }
-    else if (f[3].via.u64 == Fw_Watch_RulesEnd(r)) {
+    else if (f[3].via.u64 == Fw_StoreSync_RulesEnd(r)) {
         if (FW_FAULT("fresh-from-arrival")) {
             from_us = now_us;
         }
@@ -277,7 +280,7 @@
 }
 
 static int
-all_numbers(const msgpack_object_array *a)
+all_unsigned(const msgpack_object_array *a)
 {
     for (uint32_t i = 0; i < a->size; i++) {
         if (a->ptr[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
@@ -288,20 +291,20 @@
 }
 
 int
-Fw_Watch_Read(struct fw_relay *r, const msgpack_object *o, const char *addr,
-              int64_t now_us, struct fw_rl_mail *out)
+Fw_StoreSync_Read(struct fw_relay *r, const msgpack_object *o,
+                  const char *addr, int64_t now_us, struct fw_rl_mail *out)
 {
     const msgpack_object_array *a = &o->via.array;
 
-    if (o->type != MSGPACK_OBJECT_ARRAY || !all_numbers(a)) {
+    if (o->type != MSGPACK_OBJECT_ARRAY || !all_unsigned(a)) {
         return -EBADMSG;
     }
-    if (a->size == 3 && a->ptr[0].via.u64 == FW_FORM_QUESTION) {
-        write_answer(r, a->ptr, addr, now_us, out);
+    if (a->size == 3 && a->ptr[0].via.u64 == FW_MSG_TYPE_QUERY) {
+        send_answer(r, a->ptr, addr, now_us, out);
         return 0;
     }
-    if (a->size == 5 && a->ptr[0].via.u64 == FW_FORM_ANSWER) {
-        take_answer(r, a->ptr, addr, now_us);
+    if (a->size == 5 && a->ptr[0].via.u64 == FW_MSG_TYPE_ANSWER) {
+        apply_answer(r, a->ptr, addr, now_us);
         return 0;
     }
     return -EBADMSG;
--- a/tests/relay/test_digest.c
+++ b/tests/relay/test_digest.c
@@ -236,13 +236,13 @@
 
     pair_init(&p);
     Fw_Relay_Fresh(p.to, FW_NOW_US);
-    Fw_Watch_Ask(p.to, FW_NOW_US + FW_SEC, &p.mail);
+    Fw_StoreSync_SendQuery(p.to, FW_NOW_US + FW_SEC, &p.mail);
     ck_assert_uint_eq(p.mail.all->len, 0);
     Fw_Digest_Write(p.from, later_us, p.msg);
     Fw_Relay_ReadMessage(p.to, "127.0.0.9:1", p.msg->data, p.msg->len,
                          later_us, &p.mail);
     Fw_Mail_Clear(&p.mail);
-    Fw_Watch_Ask(p.to, later_us, &p.mail);
+    Fw_StoreSync_SendQuery(p.to, later_us, &p.mail);
     ck_assert_uint_eq(p.mail.all->len, 1);
     d = g_ptr_array_index(p.mail.all, 0);
     ck_assert_str_eq(d->addr, "127.0.0.9:1");
--- a/tests/relay/test_hubs.c
+++ b/tests/relay/test_hubs.c
@@ -348,7 +348,7 @@
         g_snprintf(p.addr, sizeof(p.addr), "10.0.0.%d:1", i);
         Fw_Relay_AddMember(r, &p, FW_SEC);
     }
-    Fw_Hubs_Rank(r, FW_SEC);
+    Fw_Hubs_UpdateRoles(r, FW_SEC);
     ck_assert(!r->x.is_hub);
     for (int i = 1; i < 40; i++) {
         char name[FW_NAME_MAX];
@@ -356,9 +356,9 @@
 
         g_snprintf(name, sizeof(name), "n%02d", i);
         m = Fw_Members_Find(r, name);
-        ck_assert(!m->is_ranked || m->cpu_ppm == 500000);
+        ck_assert(!m->is_ranked_hub || m->cpu_ppm == 500000);
     }
-    ck_assert_int_eq(Fw_Hubs_Choose(r)->cpu_ppm, 500000);
+    ck_assert_int_eq(Fw_Hubs_ChooseHub(r)->cpu_ppm, 500000);
     Fw_Relay_Free(r);
 }
 END_TEST
