--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -75,7 +75,7 @@
     int n = 0;
 
     for (int i = 0; i < f->n; i++) {
-        n += f->sites[i].cut || !Fw_RelayFleet_Runs(f, i);
+        n += f->sites[i].isolated || !Fw_RelayFleet_Runs(f, i);
     }
     return n;
 }
@@ -95,12 +95,12 @@
     }
     switch (what) {
     case 0:
-        f->sites[i].cut = 1;
+        f->sites[i].isolated = 1;
         Fw_Run_Trace(f->run, "%s cut off", f->sites[i].name);
         break;
     case 1:
         for (int k = 0; k < f->n; k++) {
-            f->sites[k].cut = 0;
+            f->sites[k].isolated = 0;
         }
         break;
     case 3:
@@ -128,7 +128,7 @@
 
     Fw_RelayFleet_Init(&f, run, least + g_rand_int_range(run->rand, 0, more),
                        rules);
-    f.ticks = ticks;
+    f.expires_members = ticks;
     Fw_RelayFleet_Advance(&f, 10 * FW_SEC);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         int i = Fw_RelayFleet_Below(&f, f.n);
--- a/explore/relay_fleet.c
+++ b/explore/relay_fleet.c
@@ -6,7 +6,7 @@
 #define FW_DOMAINS 3
 
 /** struct fleet_msg - a datagram; @to, @from: sites. */
-struct fleet_msg {
+struct datagram {
     int from;
     int to;
     int64_t at_us;
@@ -16,7 +16,7 @@
 static void
 msg_free(gpointer data)
 {
-    struct fleet_msg *m = data;
+    struct datagram *m = data;
 
     g_bytes_unref(m->data);
     g_free(m);
@@ -92,10 +92,10 @@
                         .n = n,
                         .rules = rules,
                         .now_us = 1000 * FW_SEC,
-                        .lose_pct = 3,
-                        .late_pct = 3,
-                        .late_max_us = 5 * FW_SEC};
-    f->late = g_ptr_array_new_with_free_func(msg_free);
+                        .loss_pct = 3,
+                        .delay_pct = 3,
+                        .delay_max_us = 5 * FW_SEC};
+    f->in_flight = g_ptr_array_new_with_free_func(msg_free);
     Fw_Mail_Init(&f->mail);
     for (int i = 0; i < n; i++) {
         struct fleet_site *s = &f->sites[i];
@@ -117,7 +117,7 @@
         Fw_Acts_Clear(&f->sites[i].acts);
         Fw_Relay_Free(f->sites[i].relay);
     }
-    g_ptr_array_unref(f->late);
+    g_ptr_array_unref(f->in_flight);
     Fw_Mail_Clear(&f->mail);
     g_ptr_array_unref(f->mail.all);
 }
@@ -133,25 +133,25 @@
 }
 
 static void
-post(struct fleet *f, int from, int to, GBytes *data)
+send_datagram(struct fleet *f, int from, int to, GBytes *data)
 {
-    struct fleet_msg *m;
+    struct datagram *m;
     int64_t delay = FW_MSEC;
 
-    if (f->sites[from].cut || f->sites[to].cut ||
-        f->sites[from].side != f->sites[to].side ||
-        Fw_RelayFleet_Below(f, 100) < f->lose_pct) {
+    if (f->sites[from].isolated || f->sites[to].isolated ||
+        f->sites[from].partition != f->sites[to].partition ||
+        Fw_RelayFleet_Below(f, 100) < f->loss_pct) {
         return;
     }
-    if (Fw_RelayFleet_Below(f, 100) < f->late_pct) {
-        delay = Fw_RelayFleet_Below(f, (int)f->late_max_us);
+    if (Fw_RelayFleet_Below(f, 100) < f->delay_pct) {
+        delay = Fw_RelayFleet_Below(f, (int)f->delay_max_us);
     }
-    m = g_new0(struct fleet_msg, 1);
+    m = g_new0(struct datagram, 1);
     m->from = from;
     m->to = to;
     m->at_us = f->now_us + delay;
     m->data = g_bytes_ref(data);
-    g_ptr_array_add(f->late, m);
+    g_ptr_array_add(f->in_flight, m);
 }
 
 static int
@@ -166,44 +166,44 @@
 }
 
 static void
-post_all(struct fleet *f, int from, struct fw_rl_mail *mail)
+send_outbox(struct fleet *f, int from, struct fw_rl_mail *mail)
 {
     for (guint i = 0; i < mail->all->len; i++) {
         const struct fw_rl_datagram *d = g_ptr_array_index(mail->all, i);
         int to = site_at(f, d->addr);
 
         if (to >= 0) {
-            post(f, from, to, d->data);
+            send_datagram(f, from, to, d->data);
         }
     }
     Fw_Mail_Clear(mail);
 }
 
 static void
-arrive(struct fleet *f, const struct fleet_msg *m)
+receive(struct fleet *f, const struct datagram *m)
 {
     gsize len;
     const void *data = g_bytes_get_data(m->data, &len);
 
-    f->crossed += m->from % FW_DOMAINS != m->to % FW_DOMAINS;
-    f->sites[m->to].got++;
+    f->n_cross_domain += m->from % FW_DOMAINS != m->to % FW_DOMAINS;
+    f->sites[m->to].n_received++;
     Fw_Relay_ReadMessage(f->sites[m->to].relay, f->sites[m->from].addr, data,
                          len, Fw_RelayFleet_Now(f, m->to), &f->mail);
-    post_all(f, m->to, &f->mail);
+    send_outbox(f, m->to, &f->mail);
 }
 
 static void
-deliver(struct fleet *f)
+deliver_due(struct fleet *f)
 {
-    for (guint i = 0; i < f->late->len;) {
-        struct fleet_msg *m = g_ptr_array_index(f->late, i);
+    for (guint i = 0; i < f->in_flight->len;) {
+        struct datagram *m = g_ptr_array_index(f->in_flight, i);
 
         if (m->at_us > f->now_us || !Fw_RelayFleet_Runs(f, m->to)) {
             i++;
             continue;
         }
-        arrive(f, m);
-        g_ptr_array_remove_index(f->late, i);
+        receive(f, m);
+        g_ptr_array_remove_index(f->in_flight, i);
     }
 }
 
@@ -211,24 +211,24 @@
 Fw_RelayFleet_Send(struct fleet *f, int i)
 {
     if (Fw_RelayFleet_Runs(f, i)) {
-        if (f->ticks) {
+        if (f->expires_members) {
             Fw_Members_Tick(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
                             &f->sites[i].acts);
             g_array_set_size(f->sites[i].acts.all, 0);
         }
         Fw_Relay_Exchange(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
                           &f->mail);
-        post_all(f, i, &f->mail);
+        send_outbox(f, i, &f->mail);
     }
 }
 
 void
-Fw_RelayFleet_Split(struct fleet *f)
+Fw_RelayFleet_Partition(struct fleet *f)
 {
     int domain = Fw_RelayFleet_Below(f, FW_DOMAINS);
 
     for (int i = domain; i < f->n; i += FW_DOMAINS) {
-        f->sites[i].side = 1;
+        f->sites[i].partition = 1;
     }
 }
 
@@ -236,8 +236,8 @@
 Fw_RelayFleet_Heal(struct fleet *f)
 {
     for (int i = 0; i < f->n; i++) {
-        f->sites[i].cut = 0;
-        f->sites[i].side = 0;
+        f->sites[i].isolated = 0;
+        f->sites[i].partition = 0;
     }
 }
 
@@ -248,7 +248,7 @@
 
     while (f->now_us < end) {
         f->now_us += MIN(FW_STEP_US, end - f->now_us);
-        deliver(f);
+        deliver_due(f);
         for (int i = 0; i < f->n; i++) {
             Fw_RelayFleet_Send(f, i);
         }
--- a/explore/relay_fleet.h
+++ b/explore/relay_fleet.h
@@ -19,14 +19,14 @@
     int64_t skew_us;
     int64_t frozen_until_us;
     uint64_t boot;
-    int cut;  /* receives from and reaches nobody */
-    int side; /* of a split; messages stay on one */
-    int got;  /* messages that arrived */
+    int isolated;   /* receives from and reaches nobody */
+    int partition;  /* of a split; messages stay on one */
+    int n_received; /* messages that arrived */
 };
 
 /**
  * struct fleet - instances, and what goes between them.
- * @late: messages under way, of struct fleet_msg
+ * @in_flight: messages under way, of struct fleet_msg
  */
 struct fleet {
     struct fw_run *run;
@@ -34,13 +34,13 @@
     struct fleet_site sites[FW_FLEET_MAX];
     struct fw_rl_rules *rules;
     int64_t now_us;
-    GPtrArray *late;
-    int lose_pct;
-    int late_pct;
-    int64_t late_max_us;
+    GPtrArray *in_flight;
+    int loss_pct;
+    int delay_pct;
+    int64_t delay_max_us;
     struct fw_rl_mail mail;
-    int ticks;   /* members that were silent for long are dropped */
-    int crossed; /* messages between domains */
+    int expires_members; /* members that were silent for long are dropped */
+    int n_cross_domain;  /* messages between domains */
 };
 
 void
@@ -64,7 +64,7 @@
 Fw_RelayFleet_Send(struct fleet *f, int i);
 /* Cuts the instances of one domain off from the others. */
 void
-Fw_RelayFleet_Split(struct fleet *f);
+Fw_RelayFleet_Partition(struct fleet *f);
 /* Ends all cuts. */
 void
 Fw_RelayFleet_Heal(struct fleet *f);
--- a/explore/relay_freshness.c
+++ b/explore/relay_freshness.c
@@ -40,7 +40,7 @@
     char addr[FW_URL_MAX];
     int wants;
 
-    if (!Fw_RelayFleet_Runs(f, i) || f->sites[i].cut || h->refused[i]) {
+    if (!Fw_RelayFleet_Runs(f, i) || f->sites[i].isolated || h->refused[i]) {
         return;
     }
     wants = Fw_Relay_ReadsStore(r, Fw_RelayFleet_Now(f, i));
@@ -80,8 +80,8 @@
     rules->version = 1;
     Fw_RelayFleet_Init(&f, run, least + g_rand_int_range(run->rand, 0, more),
                        rules);
-    f.late_pct = 20;
-    f.late_max_us = 8 * FW_SEC;
+    f.delay_pct = 20;
+    f.delay_max_us = 8 * FW_SEC;
     h.at_us[0] = f.now_us;
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         int i = Fw_RelayFleet_Below(&f, f.n);
@@ -92,7 +92,7 @@
             Fw_Run_Trace(run, "version %d", h.n);
         }
         if (Fw_RelayFleet_Below(&f, 50) == 0) {
-            f.sites[i].cut = !f.sites[i].cut;
+            f.sites[i].isolated = !f.sites[i].isolated;
         }
         if (Fw_RelayFleet_Below(&f, 30) == 0) {
             h.refused[i] = !h.refused[i];
--- a/explore/relay_hubs.c
+++ b/explore/relay_hubs.c
@@ -43,11 +43,11 @@
 
     switch (Fw_RelayFleet_Below(f, 30)) {
     case 0:
-        f->sites[i].cut = 1;
+        f->sites[i].isolated = 1;
         Fw_Run_Trace(f->run, "%s cut off", f->sites[i].name);
         break;
     case 1:
-        Fw_RelayFleet_Split(f);
+        Fw_RelayFleet_Partition(f);
         Fw_Run_Trace(f->run, "a domain cut off");
         break;
     case 2:
@@ -77,10 +77,10 @@
     for (int i = 0; i < f->n; i++) {
         f->sites[i].frozen_until_us = 0;
     }
-    f->lose_pct = 0;
-    f->late_pct = 0;
+    f->loss_pct = 0;
+    f->delay_pct = 0;
     /* The last message that is late is a fault as well. */
-    Fw_RelayFleet_Advance(f, f->late_max_us);
+    Fw_RelayFleet_Advance(f, f->delay_max_us);
     Fw_RelayFleet_Advance(f, FW_SETTLE_US);
 }
 
@@ -115,7 +115,7 @@
     Fw_RelayFleet_Init(
         &f, run, FW_LEAST + g_rand_int_range(run->rand, 0, FW_MOST - FW_LEAST),
         rules);
-    f.ticks = 1;
+    f.expires_members = 1;
     for (int i = 0; i < f.n; i++) {
         list_server(&f, i);
     }
--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -1,12 +1,11 @@
 /*
- * What a hub and its leaves have just spent of the teams' allowances and
- * taken at servers, sent to the other hubs between two digests.
+ * Deltas, sent between hubs between two digests: tokens spent and load placed
+ * since the last message by a hub and its leaves.
  *
- * Without it, instances that see the same figures take the same until the
- * next digest. The level of a team's allowance then falls far below zero, and
- * a team that keeps to its rate is refused for it; one engine gets several
- * streams more than it has memory for and preempts them, while the one beside
- * it is half empty.
+ * Until instances learn of each other's decisions they grant the same tokens
+ * and choose the same engine. A team's allowance is then overdrawn and its
+ * later requests refused, and an engine's KV cache is overcommitted, so that
+ * it preempts streams while others have room.
  */
 #include <errno.h>
 
@@ -79,9 +78,9 @@
 }
 
 /*
- * The first figure of an instance that was met anew, or was out of touch, is
- * where counting starts: what it spent meanwhile was its own part. One that
- * has started anew starts from nothing.
+ * The first total of an instance that is new or wasn't live is the base for
+ * later ones: what it spent before came out of its own share of the allowance.
+ * The base of an instance that has restarted is 0.
  */
 void
 Fw_Delta_ApplySpent(struct fw_relay *r, struct fw_rl_member *m, int is_first,
@@ -102,8 +101,8 @@
 }
 
 /*
- * Only from a hub that is in touch in this lifetime: where counting starts is
- * the business of whole digests.
+ * A delta is applied only after a digest of the same process lifetime within
+ * the timeout, as only digests set the base of the totals.
  */
 int
 Fw_Delta_Read(struct fw_relay *r, const msgpack_object *o, int64_t now_us)
--- a/src/relay/digest.c
+++ b/src/relay/digest.c
@@ -1,7 +1,7 @@
 /*
- * Digests that hubs send each other: what each has spent of the teams'
- * allowances and has at the servers, its leaves included. A digest repeats
- * the whole, so a lost one costs only time.
+ * Digests, sent between hubs: tokens spent per team and load per server of a
+ * hub and its leaves. A digest holds totals, so the next one makes up for one
+ * that is lost.
  */
 #include <errno.h>
 
@@ -17,7 +17,7 @@
     return m->last_report_us && m->last_report_us >= m->digest_us;
 }
 
-/* Each leaf, and how long it has been silent. */
+/* Packs each leaf with the time since its last message. */
 static void
 pack_leaves(const struct fw_relay *r, int64_t now_us, msgpack_packer *pk)
 {
@@ -59,7 +59,7 @@
     pack_leaves(r, now_us, &pk);
 }
 
-/** struct digest - a message, checked. */
+/** struct digest - a digest whose format is valid. */
 struct digest {
     struct fw_rl_sender from;
     uint64_t seq;
@@ -82,7 +82,7 @@
     return d->leaves ? Fw_Message_ReadCommonRows(o, 6, &d->common) : -EBADMSG;
 }
 
-/* Datagrams overtake each other: an older one says nothing new. */
+/* Datagrams may be reordered or duplicated. */
 static int
 is_stale(const struct fw_rl_member *m, const struct digest *d)
 {
@@ -100,7 +100,7 @@
     }
 }
 
-/* A leaf has all that follows from its hub, and would count it twice. */
+/* A leaf gets these values from its hub and would count them twice. */
 static void
 apply_common_rows(struct fw_relay *r, struct fw_rl_member *m,
                   const struct digest *d, int is_first, int64_t now_us)
@@ -108,7 +108,7 @@
     if (!r->x.is_hub) {
         return;
     }
-    Fw_Rows_ReplaceTable(&m->reading, d->common.reading);
+    Fw_Rows_ReplaceTable(&m->reading, d->common.prefill_rates);
     Fw_Delta_ApplySpent(r, m, is_first, d->common.spent, now_us);
     Fw_Load_Replace(r, m, d->common.load, FW_RL_SCOPE_OTHER, now_us);
     Fw_Rows_ReplaceTable(&m->strikes, d->common.strikes);
@@ -116,9 +116,9 @@
 }
 
 /*
- * Return: nonzero when @d's sender was out of touch. It gets an answer at
- * once: while one side counts the other and isn't counted by it, the two
- * together spend more of the allowances than there is.
+ * Return: nonzero if the sender wasn't a live hub before. It is then sent a
+ * digest at once: while only one of the two counts the other as live, their
+ * shares of an allowance add up to more than the whole.
  */
 static int
 apply_digest(struct fw_relay *r, const struct digest *d, const char *addr,
@@ -140,7 +140,7 @@
     m->digest_us = now_us;
     m->last_report_us = 0;
     apply_common_rows(r, m, d, is_first, now_us);
-    Fw_Message_ApplyStoreState(r, m, d->common.watch, now_us);
+    Fw_Message_ApplyStoreState(r, m, d->common.store_state, now_us);
     return is_first;
 }
 
--- a/src/relay/exchange.c
+++ b/src/relay/exchange.c
@@ -1,4 +1,4 @@
-/* When an instance sends what to whom, and what it makes of what comes. */
+/* Schedules messages to other instances and dispatches received ones. */
 #include <errno.h>
 #include <msgpack.h>
 
@@ -6,18 +6,19 @@
 #include "core/pack_scan.h"
 #include "relay/relay_internal.h"
 
-/* Between two reports, also where one is wanted soon. */
+/* Minimum interval between reports that are sent before they are due. */
 #define FW_REPORT_INTERVAL_MIN_US (20 * FW_MSEC)
-/* Leaves get the list of hubs so often. */
+/* Interval of lists of hubs to leaves. */
 #define FW_HUB_LIST_INTERVAL_US (1 * FW_SEC)
-/* Instances that no hub has seen get it so often, first after a start. */
+/* Interval of lists of hubs to instances that no hub has seen. */
 #define FW_ANNOUNCE_INTERVAL_US (3 * FW_SEC)
+/* Delay of the first of these after an instance first acts as a hub. */
 #define FW_ANNOUNCE_DELAY_US (300 * FW_MSEC)
-/* Age of its hub's reply at which a leaf still places by it. */
+/* Maximum age of other instances' load at which a leaf places requests. */
 #define FW_LOAD_AGE_MAX_US (30 * FW_MSEC)
-/* Longest wait of a request for a newer reply. */
+/* Maximum time that a request waits for newer load. */
 #define FW_PLACEMENT_WAIT_MAX_US (15 * FW_MSEC)
-/* A hub that is unreachable is tried so often. */
+/* Interval of digests to an unreachable hub. */
 #define FW_HUB_PROBE_INTERVAL_US (500 * FW_MSEC)
 
 static int
@@ -26,7 +27,9 @@
     return Fw_Hubs_IsActing(r, m, now_us) && !m->unreachable_since_us;
 }
 
-/* Hubs; of those that are unreachable now and then one, or a cut would last.
+/*
+ * Unreachable hubs are probed at intervals, so that both sides of a partition
+ * find each other after it ends. Starts the wait for an answer.
  */
 static int
 should_send_digest(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
@@ -58,7 +61,7 @@
     return !m->unreachable_since_us && !Fw_Members_SeenRecently(r, m, now_us);
 }
 
-/* Sends @msg to each member that is @meant. Return: how many get it. */
+/* Sends @msg to each member that @matches. Return: their number. */
 static int
 send_to_matching(struct fw_relay *r,
                  int (*matches)(struct fw_relay *, struct fw_rl_member *,
@@ -81,7 +84,7 @@
     return n;
 }
 
-/* A hub that owes a digest, or a reply, for too long. */
+/* Marks @m as unreachable if it hasn't answered within the timeout. */
 static void
 mark_if_unresponsive(struct fw_relay *r, struct fw_rl_member *m,
                      int64_t now_us)
@@ -120,7 +123,7 @@
     g_byte_array_unref(msg);
 }
 
-/* Each leaf's holds what was counted of it. */
+/* A reply is written for each leaf, as it holds what was counted of it. */
 static void
 push_to_leaves(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
 {
@@ -199,7 +202,10 @@
     }
 }
 
-/* A new hub counts from what the last one has confirmed. */
+/*
+ * A new session makes the hub start counting from the spending that the last
+ * hub has acknowledged.
+ */
 static void
 change_hub(struct fw_relay *r, struct fw_rl_member *hub)
 {
@@ -282,7 +288,10 @@
     return r->x.next_send_us;
 }
 
-/* An instance that was just met gets all, and what was learned. */
+/*
+ * Sends a new peer the hubs, what was learned of the services' engines and,
+ * if it is a hub as well, a digest.
+ */
 static void
 send_initial_state(struct fw_relay *r, const char *addr, int with_digest,
                    int64_t now_us, struct fw_rl_mail *out)
--- a/src/relay/hub_list.c
+++ b/src/relay/hub_list.c
@@ -1,6 +1,6 @@
 /*
- * Lists of hubs, for leaves and for instances that no hub has seen: those that
- * started first know none of those that started later.
+ * Lists of hubs, sent to leaves and to instances that no hub has seen: an
+ * instance doesn't learn by itself of those that start after it.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,10 +10,10 @@
 #include "relay/relay_internal.h"
 
 #define FW_MSG_TYPE_HUB_LIST 10
-/* Name, address, domain and processor. */
+/* Name, address, hash of the domain, CPU. */
 #define FW_HUB_COLUMNS 4
 #define FW_HUBS_LISTED_MAX 640
-/* Of a listed hub that was unreachable from here: until it is tried again. */
+/* Time until a listed hub that was unreachable is taken as reachable. */
 #define FW_UNREACHABLE_RETRY_US (300 * FW_MSEC)
 
 static void
@@ -33,7 +33,6 @@
     return m->digest_us && now_us - m->digest_us < Fw_Members_TimeoutUs(r);
 }
 
-/* Hubs that are in touch, for who may not know them. */
 void
 Fw_HubList_Write(const struct fw_relay *r, int64_t now_us, GByteArray *out)
 {
@@ -64,7 +63,7 @@
     }
 }
 
-/** struct listed - a hub as a message names it. */
+/** struct hub_entry - a hub in a list; @domain: hash of its domain. */
 struct hub_entry {
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
--- a/src/relay/hubs.c
+++ b/src/relay/hubs.c
@@ -1,29 +1,34 @@
 /*
- * Which instances are hubs. Each ranks those that it knows by what they can
- * bear, so all agree but for those that one can't reach; an instance that
- * others report to is one all the same.
+ * Selects the hubs. Each instance ranks all that it knows by CPU and takes the
+ * first of each failure domain, so that instances agree without exchanging
+ * votes, except on hubs that only some of them can reach. An instance that has
+ * leaves acts as a hub whatever its rank.
  */
 #include "base/hash.h"
 #include "relay/relay_internal.h"
 
-/* Hubs of the fleet; more where each domain needs its least. */
+/* Hubs in the fleet, unless the minimum per domain requires more. */
 #define FW_HUBS_TARGET 10
-/* So that one may fail without its domain. */
+/* Minimum in each domain, so that one can fail. */
 #define FW_HUBS_PER_DOMAIN_MIN 2
-/* A fleet that is little larger has hubs only. */
+/* In a fleet of up to this many more instances all are hubs. */
 #define FW_HUBS_SLACK 2
 #define FW_DOMAINS_MAX 64
-/* One that sent no digest for so long has become a leaf, or failed. */
+/* An instance whose last digest is older is no hub unless it is by rank. */
 #define FW_ACTING_TIMEOUT_US (2 * FW_SEC)
 
-/** struct domain - @hubs: the @n best of one, best first; NULL is @r itself */
+/**
+ * struct domain - the hubs of one failure domain.
+ * @hash: of its name
+ * @hubs: the @n first by rank; NULL is this instance
+ */
 struct domain {
     uint64_t hash;
     int n;
     struct fw_rl_member *hubs[FW_HUBS_TARGET];
 };
 
-/** struct ranking - hubs by domain; @each: of one domain. */
+/** struct ranking - hubs by domain, at most @hubs_per_domain in each. */
 struct ranking {
     const struct fw_relay *r;
     struct domain domains[FW_DOMAINS_MAX];
@@ -43,7 +48,7 @@
     return m ? m->hash : r->hash;
 }
 
-/* Is @a the better hub? */
+/* Does @a rank before @b? More CPU does, and at equal CPU the lower hash. */
 static int
 is_better(const struct fw_relay *r, const struct fw_rl_member *a,
           const struct fw_rl_member *b)
@@ -69,7 +74,7 @@
     return &k->domains[k->n_domains++];
 }
 
-/* Among the @k->each best of its domain, in their order. */
+/* Inserts @m if it is among the first @k->hubs_per_domain of its domain. */
 static void
 insert_ranked(struct ranking *k, struct fw_rl_member *m, uint64_t hash)
 {
@@ -97,8 +102,9 @@
 }
 
 /*
- * Hubs of one domain; so many that all are where few are known. Unreachable
- * instances count: what one can't reach must not change its roles for all.
+ * Number of hubs in each domain; the size of the fleet if that is small.
+ * Unreachable members are included, so that an instance that can't reach some
+ * members computes the same number as the others.
  */
 static int
 count_hubs_per_domain(const struct fw_relay *r)
@@ -120,7 +126,7 @@
                : MAX(FW_HUBS_TARGET / k.n_domains, FW_HUBS_PER_DOMAIN_MIN);
 }
 
-/* Marks @each hubs a domain. Return: is this instance among them? */
+/* Marks the hubs of each domain. Return: is this instance among them? */
 static int
 rank_hubs(struct fw_relay *r, int hubs_per_domain, int with_unreachable)
 {
@@ -184,8 +190,9 @@
 }
 
 /*
- * The load in a hub's reply would be counted beside that in the digests of
- * others. Answers that are due to the other role are not awaited any more.
+ * The load in the hub's last reply is dropped: digests contain it too, and it
+ * would be counted twice. Answers to messages of the former role are no longer
+ * awaited.
  */
 static void
 change_role(struct fw_relay *r)
@@ -219,8 +226,8 @@
 }
 
 /*
- * Of the hubs that all agree on; of those that take their places only where
- * none of them can be reached.
+ * Reachable hubs of the own domain. With @nominal_only, without those that are
+ * hubs only because a nominal hub is unreachable from here.
  */
 static int
 is_candidate(const struct fw_relay *r, const struct fw_rl_member *m,
--- a/src/relay/load.c
+++ b/src/relay/load.c
@@ -1,17 +1,22 @@
 /*
- * What peers have at the servers, summed up as their messages come, so that
- * a placement costs one look-up a server however many peers there are.
+ * Load that peers have placed on the servers. Totals are updated as messages
+ * are received, so that the cost of a placement doesn't depend on the number
+ * of peers.
  */
 #include "relay/relay_internal.h"
 
-/** struct sum - of one server, by scope; @changed: that of leaves did. */
+/**
+ * struct load_total - total load of one server.
+ * @by_scope: by the instances that the rows cover
+ * @changed: the load of leaves changed since it was last sent
+ */
 struct load_total {
     struct {
-        int to[FW_RL_STAGE_DECODE + 1]; /* peers that name each stage */
-        int unreachable;
+        int to_stage[FW_RL_STAGE_DECODE + 1]; /* peers, by stage */
+        int n_unreachable;
         int running;
-        int64_t reserved;
-        int64_t reading;
+        int64_t reserved_tokens;
+        int64_t prefill_tokens;
     } by_scope[FW_RL_SCOPES];
     int changed;
 };
@@ -34,11 +39,11 @@
 {
     struct load_total *s = find_or_add_total(r, row->hash);
 
-    s->by_scope[scope].to[row->load.to_stage] += sign;
-    s->by_scope[scope].unreachable += sign * row->load.unreachable;
+    s->by_scope[scope].to_stage[row->load.to_stage] += sign;
+    s->by_scope[scope].n_unreachable += sign * row->load.unreachable;
     s->by_scope[scope].running += sign * row->load.running;
-    s->by_scope[scope].reserved += sign * row->load.reserved;
-    s->by_scope[scope].reading += sign * row->load.reading;
+    s->by_scope[scope].reserved_tokens += sign * row->load.reserved;
+    s->by_scope[scope].prefill_tokens += sign * row->load.reading;
     s->changed |= scope == FW_RL_SCOPE_LEAF;
 }
 
@@ -69,37 +74,39 @@
                  .unreachable = (int)Fw_Rows_Cell(rows, i, 5)}};
 }
 
-/* Requests and prompts of @m, at all servers. */
+/* Requests and prefill tokens of @m on all servers. */
 static void
-sum_load(const struct fw_rl_member *m, int64_t *running, int64_t *reading)
+sum_load(const struct fw_rl_member *m, int64_t *running,
+         int64_t *prefill_tokens)
 {
     *running = 0;
-    *reading = 0;
+    *prefill_tokens = 0;
     for (guint i = 0; m->load_rows && i < m->load_rows->len; i++) {
         const struct fw_rl_load_row *row =
             &g_array_index(m->load_rows, struct fw_rl_load_row, i);
 
         *running += row->load.running;
-        *reading += row->load.reading;
+        *prefill_tokens += row->load.reading;
     }
 }
 
-/* What a leaf has placed the other hubs should know at once, too. */
+/* New load of a leaf is sent to other hubs without waiting for a digest. */
 void
 Fw_Load_Replace(struct fw_relay *r, struct fw_rl_member *m,
                 const msgpack_object_array *rows, enum fw_rl_scope scope,
                 int64_t now_us)
 {
     int64_t running[2];
-    int64_t reading[2];
+    int64_t prefill_tokens[2];
 
-    sum_load(m, &running[0], &reading[0]);
+    sum_load(m, &running[0], &prefill_tokens[0]);
     Fw_Load_Drop(r, m);
     m->load_scope = scope;
     Fw_Load_Merge(r, m, rows, now_us);
-    sum_load(m, &running[1], &reading[1]);
-    r->x.wants_delta |= scope == FW_RL_SCOPE_LEAF &&
-                        (running[1] > running[0] || reading[1] > reading[0]);
+    sum_load(m, &running[1], &prefill_tokens[1]);
+    r->x.wants_delta |=
+        scope == FW_RL_SCOPE_LEAF &&
+        (running[1] > running[0] || prefill_tokens[1] > prefill_tokens[0]);
 }
 
 static struct fw_rl_load_row *
@@ -150,12 +157,12 @@
     if (!s) {
         return;
     }
-    out->unreachable = s->by_scope[scope].unreachable;
+    out->unreachable = s->by_scope[scope].n_unreachable;
     out->running = s->by_scope[scope].running;
-    out->reserved = s->by_scope[scope].reserved;
-    out->reading = s->by_scope[scope].reading;
+    out->reserved = s->by_scope[scope].reserved_tokens;
+    out->reading = s->by_scope[scope].prefill_tokens;
     for (int k = FW_RL_STAGE_PREFILL; k <= FW_RL_STAGE_DECODE; k++) {
-        if (s->by_scope[scope].to[k] > 0) {
+        if (s->by_scope[scope].to_stage[k] > 0) {
             out->to_stage = (enum fw_rl_stage)k;
         }
     }
--- a/src/relay/mail.c
+++ b/src/relay/mail.c
@@ -1,4 +1,4 @@
-/* Messages that are to go out. */
+/* Messages queued for sending. */
 #include "relay/relay_internal.h"
 
 void
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -1,24 +1,24 @@
-/* Other instances that this one knows, and how many count. */
+/* Other instances known to this one, and the size of the fleet. */
 #include <string.h>
 
 #include "base/hash.h"
 #include "relay/relay_internal.h"
 
 /*
- * One that was silent for so long has left for good. Until then its part of
- * the allowances stays unused: it may only be cut off.
+ * An instance that isn't seen for this long is removed. Until then its share
+ * of the allowances stays reserved, as it may be running in another partition.
  */
 #define FW_MEMBER_EXPIRY_US (20 * FW_SEC)
-/* The count is worked out again after so long. */
+/* Interval after which the live instances are counted again. */
 #define FW_COUNT_INTERVAL_US (10 * FW_MSEC)
-/* What a member has at servers counts for so long after its last message. */
+/* Load that a member has sent is dropped after this time without an update. */
 #define FW_LOAD_EXPIRY_US (2 * FW_SEC)
 
 /**
- * struct seen - an instance in the census.
- * @seen_us: when it was in touch with this instance or a hub, 0 for not yet
- * @member: NULL where only others know it
- * @is_gone: silent for so long that it doesn't count
+ * struct known_instance - an instance that this one or a hub has heard of.
+ * @seen_us: when this instance or a hub last heard from it, 0 for never
+ * @member: NULL if only hubs know its name and address
+ * @is_expired: excluded from the size of the fleet
  */
 struct known_instance {
     int64_t added_us;
@@ -58,7 +58,7 @@
     r->x.recount = 1;
 }
 
-/* Its hub's digest includes it from now on. */
+/* The digests of the hub that @m now reports to include its values. */
 static void
 drop_reported_state(struct fw_relay *r, struct fw_rl_member *m)
 {
@@ -213,9 +213,12 @@
     }
 }
 
-/* A leaf uses its hub's counts for as long as that is in touch. */
+/*
+ * A leaf uses the counts in its hub's last reply. Once that is older than the
+ * timeout it takes itself for the only live instance.
+ */
 int
-Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *in_touch)
+Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *n_live)
 {
     struct fw_rl_exchange *x = &r->x;
     int has_hub = !x->is_hub && x->hub;
@@ -227,15 +230,15 @@
              (x->recount || now_us - x->counted_us >= FW_COUNT_INTERVAL_US)) {
         count_instances(r, now_us);
     }
-    if (in_touch) {
-        *in_touch = x->in_touch;
+    if (n_live) {
+        *n_live = x->in_touch;
     }
     return x->count;
 }
 
 /*
- * One that was never contacted stays: it may have to replace a hub, and only
- * hubs know whether it is alive.
+ * A leaf keeps members that it hasn't found unreachable, a hub also those that
+ * it never heard from: they may be live and may have to replace a hub.
  */
 static int
 is_expired(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -1,12 +1,16 @@
 /*
- * Other instances: who they are, what is known of them, and what is exchanged
- * with them.
+ * The other instances of the fleet and the messages exchanged with them.
  *
- * A few instances of each failure domain are hubs. Each other one, a leaf,
- * reports to one hub and gets what the rest of the fleet does in the reply;
- * hubs send digests of themselves and their leaves to each other. In a small
- * fleet all are hubs. Messages per instance thus stay the same however many
- * there are, and those between hubs grow with the square of a small number.
+ * In each failure domain a few instances are hubs. Every other instance, a
+ * leaf, sends reports to one hub, whose replies describe the rest of the
+ * fleet. Hubs send each other digests that cover themselves and their leaves.
+ * In a small fleet all instances are hubs. A leaf's message rate thus doesn't
+ * depend on the size of the fleet, and the messages between hubs grow with
+ * the square of the number of hubs only.
+ *
+ * An instance is live while it was seen, by this instance or by a hub, within
+ * the timeout of FW_RL_PEER_TIMEOUT_PERIODS. It is unreachable while it leaves
+ * the messages of this instance unanswered.
  */
 #ifndef FW_RELAY_PEERS_H
 #define FW_RELAY_PEERS_H
@@ -15,17 +19,23 @@
 
 #include "relay/relay.h"
 
-/* Periods without a message after which a peer is out of touch. */
+/* Digest periods without a message after which a peer isn't live. */
 #define FW_RL_PEER_TIMEOUT_PERIODS 4
-/* Between two messages to the same peers, per peer. */
+/*
+ * Limits the rate of messages between digests: after one to n peers, the next
+ * is delayed by n times this.
+ */
 #define FW_RL_SEND_INTERVAL_PER_PEER_US 2500
 
 struct fw_rl_server;
 
 /**
- * struct fw_rl_load - what other instances have at a server.
- * @to_stage: the stage that it is being changed to, or NONE
- * @unreachable: instances that could not reach it lately
+ * struct fw_rl_load - load that instances have placed on a server.
+ * @to_stage: stage that the server is switching to, or FW_RL_STAGE_NONE
+ * @n_unreachable: number of instances that recently failed to connect to it
+ * @running: requests
+ * @reserved_tokens: KV cache that these are expected to need
+ * @prefill_tokens: prompts that it is processing or has queued
  */
 struct fw_rl_load {
     enum fw_rl_stage to_stage;
@@ -35,41 +45,49 @@
     int64_t reading;
 };
 
-/** struct fw_rl_load_row - load at the server with the id's @hash. */
+/** struct fw_rl_load_row - load of one server; @hash: of its id. */
 struct fw_rl_load_row {
     uint64_t hash;
     struct fw_rl_load load;
 };
 
-/** enum fw_rl_scope - whose load a peer's rows are. */
+/** enum fw_rl_scope - which instances a peer's load rows cover. */
 enum fw_rl_scope {
-    FW_RL_SCOPE_LEAF,  /* the peer's own; it reports to this instance */
-    FW_RL_SCOPE_OTHER, /* a hub's with its leaves, or all others' */
+    FW_RL_SCOPE_LEAF,  /* a leaf of this hub */
+    FW_RL_SCOPE_OTHER, /* another hub and its leaves; in a reply, all others */
     FW_RL_SCOPES,
 };
 
 /**
  * struct fw_rl_member - another instance.
  * @hash: of its name
- * @domain: hash of its failure domain, 0 when not known yet
- * @cpu_ppm: part of a core that it has
- * @heard_us: when its last message came, 0 for never
- * @digest_us, @last_report_us: the same of its last digest and its last report
- * @awaiting_since_us: since when it owes an answer, 0 for not
- * @unreachable_since_us: since when it is taken as unreachable, 0 for not
- * @last_retry_us: when it was last sent something although unreachable
- * @is_ranked_hub, @is_nominal_hub: is it a hub by its rank; the second also
- * where it is unreachable
+ * @domain: hash of its failure domain, 0 while unknown
+ * @cpu_ppm: CPU it may use, in millionths of a core
+ * @boot: number of its process lifetime; a restart raises it
+ * @digest_seq: sequence number of its last digest or delta
+ * @last_message_us, @last_digest_us, @last_report_us: when the last message of
+ *     any kind, digest and report was received, 0 for never; of a digest and a
+ *     report, the time of the kind that it no longer sends is cleared
+ * @awaiting_since_us: when the oldest unanswered message was sent to it, 0 for
+ *     none
+ * @unreachable_since_us: when it was found unreachable, 0 while reachable
+ * @last_retry_us: when a message was last sent to it while unreachable
+ * @is_ranked_hub: is a hub by rank among reachable instances
+ * @is_nominal_hub: is a hub by rank among all known instances
  * @report_session, @report_seq: of its last report
- * @spent: team's hash to its tokens since the start there; NULL for none
- * @load_rows: its load, of struct fw_rl_load_row; NULL for none
- * @load_us: when they came
- * @strikes: request's digest to servers lost with it; NULL for none
- * @reading: service's hash to its prompts there, tokens a second; or NULL
- * @reads_store: it reads the platform's store itself
- * @store_lost: it can't reach the store
- * @rules_end, @list_offset, @list_hash: how far it has read, and what it
- *     knows of the servers
+ * @spent: hash of a team to the tokens that it has spent there, by its last
+ *     message; NULL for none
+ * @load_rows: load of servers in its last message, of struct fw_rl_load_row;
+ *     NULL for none
+ * @load_us: when @load_rows was last updated
+ * @strikes: digest of a request to the number of servers that failed while
+ *     they ran it; NULL for none
+ * @prefill_rates: hash of a service to prompt tokens a second; NULL for none
+ * @reads_store: reads the platform's store itself
+ * @store_unreachable: it gets no answer from the store
+ * @rules_end: offset after the configuration that it uses, 0 for none
+ * @list_offset: offset up to which it has read the list of servers
+ * @list_hash: hash of the servers that it knows
  */
 struct fw_rl_member {
     struct fw_list link;
@@ -98,29 +116,32 @@
     GHashTable *strikes;
     GHashTable *reading;
     int reads_store;
-    int store_lost;
+    int store_unreachable;
     uint64_t rules_end;
     uint64_t list_offset;
     uint64_t list_hash;
 };
 
 /**
- * struct fw_rl_exchange - this instance's part in the exchange.
- * @is_hub: others report to it, or it is one by its rank
- * @hub: the one that it reports to otherwise; NULL for none yet
- * @report_session: number of the row of reports to @hub
- * @digest_seq, @last_retry_us: of the last report
- * @next_send_us: when the next digest or report goes out
- * @earliest_send_us: when one that is wanted soon may
- * @next_delta_us, @next_push_us: the same of messages between digests, to hubs
- * and to leaves
- * @next_hub_list_us, @next_announce_us: when hubs are listed to leaves, and to
- * instances that no hub has seen
- * @wants: a digest or report should go out soon
- * @wants_delta, @wants_push: what was taken should be known at once
- * @count, @in_touch: instances, as of @counted_us; from @hub for a leaf
- * @recount: they have changed since
- * @load_as_of_us: as of when a leaf knows the others' load
+ * struct fw_rl_exchange - state of this instance's exchange with its peers.
+ * @is_hub: acts as a hub, by rank or because it has leaves
+ * @hub: the hub that a leaf reports to, NULL while it has none
+ * @report_session: incremented when @hub changes
+ * @report_seq, @report_sent_us: of the last report sent
+ * @next_send_us: when the next digest or report is due
+ * @earliest_send_us: when it may be sent if @send_soon is set
+ * @next_delta_us, @next_push_us: when the next delta to hubs, or reply to
+ *     leaves that no report asked for, may be sent
+ * @next_hub_list_us: when leaves are sent the next list of hubs
+ * @next_announce_us: when instances that no hub has seen are sent one
+ * @send_soon: send the next digest or report before it is due
+ * @delta_pending: send a delta, or a report if this is a leaf
+ * @push_pending: send leaves the levels of allowances before they report
+ * @n_instances, @n_live: size of the fleet and live instances, both including
+ *     this one, as of @counted_us; a leaf takes them from @hub
+ * @recount: a hub's counts are out of date
+ * @load_as_of_us: when the report was sent whose reply gave a leaf the load of
+ *     other instances
  */
 struct fw_rl_exchange {
     int is_hub;
@@ -149,39 +170,43 @@
 Fw_Members_Find(const struct fw_relay *r, const char *name);
 struct fw_rl_member *
 Fw_Members_Add(struct fw_relay *r, const char *name, int64_t now_us);
-/* A message came from @m. */
+/* Records a message from @m, which makes it live and reachable. */
 void
 Fw_Members_NoteMessage(struct fw_relay *r, struct fw_rl_member *m,
                        int64_t now_us);
-/* An instance with the name's @hash was in touch with some hub. */
+/* Records that the instance whose name has @hash was live at @seen_us. */
 void
 Fw_Members_NoteSeen(struct fw_relay *r, uint64_t hash, int64_t seen_us);
-/* The same of one that reported to another hub. */
+/*
+ * Records that the instance whose name has @hash reported to another hub at
+ * @seen_us. What it sent here before that is dropped.
+ */
 void
 Fw_Members_NoteRemoteLeaf(struct fw_relay *r, uint64_t hash, int64_t seen_us);
-/* How long a peer that is silent still counts as in touch. */
+/* Time without a message after which a peer isn't live. */
 int64_t
 Fw_Members_TimeoutUs(const struct fw_relay *r);
-/* Was @m in touch with this instance or some hub lately? */
+/* Has this instance or a hub seen @m within FW_RL_ISOLATED_US? */
 int
 Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
                         int64_t now_us);
-/* Instances that count, this one included; @in_touch: those in touch now. */
+/* Size of the fleet; @n_live may be NULL. Both include this instance. */
 int
-Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *in_touch);
+Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *n_live);
+/* Drops load that is out of date and members that have expired. */
 void
 Fw_Members_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 void
 Fw_Members_Clear(struct fw_relay *r);
 
 /* hubs.c */
-/* Decides anew which members are hubs, and whether this instance is. */
+/* Updates which members are hubs, and whether this instance is one. */
 void
 Fw_Hubs_UpdateRoles(struct fw_relay *r, int64_t now_us);
-/* The hub that this leaf should report to, or NULL. */
+/* The hub that this instance reports to as a leaf, or NULL for none. */
 struct fw_rl_member *
 Fw_Hubs_ChooseHub(const struct fw_relay *r);
-/* Does @m act as a hub? */
+/* Is @m a hub by its rank, or has it recently sent a digest? */
 int
 Fw_Hubs_IsActing(const struct fw_relay *r, const struct fw_rl_member *m,
                  int64_t now_us);
@@ -191,67 +216,80 @@
                int64_t now_us);
 
 /* hub_list.c */
+/* Appends a message with the live hubs to @out. */
 void
 Fw_HubList_Write(const struct fw_relay *r, int64_t now_us, GByteArray *out);
-/* -EBADMSG for another message. */
+/* Return: 0, or -EBADMSG if @o isn't a valid list of hubs. */
 int
 Fw_HubList_Read(struct fw_relay *r, const msgpack_object *o, const char *addr,
                 int64_t now_us);
 
 /* load.c */
-/* Replaces all that is known of @m's load by @load_rows. */
+/* Replaces the load rows of @m; @scope: which instances @rows cover. */
 void
 Fw_Load_Replace(struct fw_relay *r, struct fw_rl_member *m,
                 const msgpack_object_array *rows, enum fw_rl_scope scope,
                 int64_t now_us);
-/* Replaces what is known of the servers in @load_rows. */
+/* Replaces the load rows of @m for the servers in @rows only. */
 void
 Fw_Load_Merge(struct fw_relay *r, struct fw_rl_member *m,
               const msgpack_object_array *rows, int64_t now_us);
+/* Removes the load rows of @m. */
 void
 Fw_Load_Drop(struct fw_relay *r, struct fw_rl_member *m);
-/* What peers have at the server with the id's @hash, in one scope. */
+/* Sum of the peers' load in @scope of the server whose id has @hash. */
 void
 Fw_Load_Of(const struct fw_relay *r, uint64_t hash, enum fw_rl_scope scope,
            struct fw_rl_load *out);
-/* What @m has there by its rows. */
+/* Load in the rows of @m of the server whose id has @hash. */
 void
 Fw_Load_GetMember(const struct fw_rl_member *m, uint64_t hash,
                   struct fw_rl_load *out);
-/* Adds @more to @to, or takes it off with @sign -1. */
+/* Adds @more to @to, or subtracts it if @sign is -1. */
 void
 Fw_Load_Add(struct fw_rl_load *to, const struct fw_rl_load *more, int sign);
-/* Servers whose load of leaves changed since this was last asked. */
+/*
+ * Has the leaves' load of the server whose id has @hash changed since the last
+ * call?
+ */
 int
 Fw_Load_TestAndClearChanged(struct fw_relay *r, uint64_t hash);
 
 /* rows.c */
-/* Rows of one kind in a message that are taken in. */
+/* Most rows of one kind in a valid message. */
 #define FW_RL_ROWS_MAX 20000
-/* A key of a hash table of hashes, to be freed by the table. */
+/* Allocates a key for a hash table that owns its keys. */
 gint64 *
 Fw_Rows_NewKey(uint64_t hash);
-/* Element @i: rows of @width whole numbers; NULL if it is not that. */
+/*
+ * Element @i of @o if it is an array of rows of @width integers each, or NULL.
+ */
 const msgpack_object_array *
 Fw_Rows_Of(const msgpack_object *o, uint32_t i, uint32_t width);
+/* Column @k of row @i; @rows was checked by Fw_Rows_Unpack. */
 int64_t
 Fw_Rows_Cell(const msgpack_object_array *rows, uint32_t i, int k);
-/* A table of hash to int64_t. */
+/* A hash table of uint64_t to int64_t; the caller owns it. */
 GHashTable *
 Fw_Rows_NewTable(void);
-/* The number at @hash of such a table, made with @initial where missing. */
+/* The value at @hash, inserted as @initial if missing. */
 int64_t *
 Fw_Rows_LookupOrAdd(GHashTable *table, uint64_t hash, int64_t initial);
-/* Replaces @table, hash to int64_t, by the first two columns of @load_rows. */
+/*
+ * Replaces *@table by a table of the first column of @rows to the second, or
+ * by NULL if there are no rows. Negative values become 0.
+ */
 void
 Fw_Rows_ReplaceTable(GHashTable **table, const msgpack_object_array *rows);
-/* The number at @hash in such a table, or 0. */
+/* The value at @hash, or 0 if it is missing or @table is NULL. */
 int64_t
 Fw_Rows_Lookup(GHashTable *table, uint64_t hash);
 
 /**
- * struct fw_rl_sender - who sent a message.
+ * struct fw_rl_sender - sender of a message.
  * @domain: hash of its failure domain
+ * @cpu_ppm: CPU it may use, in millionths of a core
+ * @boot: number of its process lifetime; a restart raises it
  */
 struct fw_rl_sender {
     char name[FW_NAME_MAX];
@@ -261,56 +299,74 @@
 };
 
 /**
- * struct fw_rl_common_rows - the rows that digests and reports have in common.
- * @spent: rows of three columns, of which the last differs
+ * struct fw_rl_common_rows - rows that digests and reports have in common.
+ * @prefill_rates: service and its prompt tokens a second
+ * @spent: team, tokens spent, and in a digest the level of its allowance or in
+ *     a report the tokens that hubs have counted
+ * @load: server and its load
+ * @strikes: request and the number of servers that failed while they ran it
+ * @store_state: one row of how far the sender has read the store
  */
 struct fw_rl_common_rows {
-    const msgpack_object_array *reading;
+    const msgpack_object_array *prefill_rates;
     const msgpack_object_array *spent;
     const msgpack_object_array *load;
     const msgpack_object_array *strikes;
-    const msgpack_object_array *watch;
+    const msgpack_object_array *store_state;
 };
 
-/* share.c: parts of messages that digests, deltas, reports, replies share */
-/* Four elements; they are read from element 1 on. */
+/* message.c: parts that digests, deltas, reports and replies share */
+/* Packs four elements, which must begin at element 1 of the message. */
 void
 Fw_Message_PackSender(const struct fw_relay *r, msgpack_packer *pk);
-/* Return: 0 or -EBADMSG. */
+/* Return: 0, or -EBADMSG if elements 1 to 4 aren't a valid sender. */
 int
 Fw_Message_ReadSender(const msgpack_object *o, struct fw_rl_sender *out);
-/* The member that @from is, added where it is new; NULL for this instance. */
+/* The member named by @from, added if new; NULL for this instance. */
 struct fw_rl_member *
 Fw_Message_FindOrAddSender(struct fw_relay *r, const struct fw_rl_sender *from,
                            int64_t now_us);
-/* @m has sent a message that is not old, from @addr. */
+/* Updates @m from a message that isn't stale and came from @addr. */
 void
 Fw_Message_ApplySender(struct fw_relay *r, struct fw_rl_member *m,
                        const struct fw_rl_sender *from, const char *addr,
                        int64_t now_us);
-/* Reads them from element @i on. Return: 0 or -EBADMSG. */
+/* Return: 0, or -EBADMSG if the rows from element @i on aren't valid. */
 int
 Fw_Message_ReadCommonRows(const msgpack_object *o, uint32_t i,
                           struct fw_rl_common_rows *out);
-/* Rows of a server and its load; none for a load of nothing. */
+/*
+ * Packs a row for each server with its load: of this instance and, if it is a
+ * hub, of its leaves. With @to, all other instances' load is included but that
+ * of the leaf @to. With @only_changed, only servers are packed whose load has
+ * changed since the last call without @to; otherwise those without load are
+ * left out.
+ */
 void
 Fw_Message_PackLoad(struct fw_relay *r, msgpack_packer *pk,
                     const struct fw_rl_member *to, int only_changed,
                     int64_t now_us);
-/* Rows of a request's digest and the servers lost with it. */
+/*
+ * Packs a row for each request during which servers failed, with their number,
+ * counted over the same instances as in Fw_Message_PackLoad.
+ */
 void
 Fw_Message_PackStrikes(struct fw_relay *r, msgpack_packer *pk,
                        const struct fw_rl_member *to);
-/* Rows of a service's hash and prompts a second, of leaves too. */
+/*
+ * Packs a row for each service with the prompt tokens a second of this
+ * instance and, if it is a hub, of its leaves.
+ */
 void
 Fw_Message_PackPrefillRates(struct fw_relay *r, msgpack_packer *pk,
                             int64_t now_us);
-/* One row of how far the store was read here. */
+/* Packs one row of how far this instance has read the store. */
 void
 Fw_Message_PackStoreState(struct fw_relay *r, msgpack_packer *pk,
                           int64_t now_us);
-/* Columns of that row. */
+/* Columns of the row that Fw_Message_PackStoreState packs. */
 #define FW_RL_WATCH_WIDTH 6
+/* Updates how far @m has read the store. */
 void
 Fw_Message_ApplyStoreState(struct fw_relay *r, struct fw_rl_member *m,
                            const msgpack_object_array *rows, int64_t now_us);
@@ -318,7 +374,10 @@
 /* digest.c */
 void
 Fw_Digest_Write(struct fw_relay *r, int64_t now_us, GByteArray *out);
-/* Return: 1 when its sender was out of touch until now, 0, or -EBADMSG. */
+/*
+ * Return: 1 if no digest of its sender was received within the timeout before,
+ * 0 if one was or the digest is stale, or -EBADMSG if @o isn't a valid digest.
+ */
 int
 Fw_Digest_Read(struct fw_relay *r, const msgpack_object *o, const char *addr,
                int64_t now_us);
@@ -326,16 +385,24 @@
 /* delta.c */
 void
 Fw_Delta_Write(struct fw_relay *r, int64_t now_us, GByteArray *out);
-/* -EBADMSG for another message. */
+/* Return: 0, or -EBADMSG if @o isn't a valid delta. */
 int
 Fw_Delta_Read(struct fw_relay *r, const msgpack_object *o, int64_t now_us);
-/* Rows of team, tokens and level, all or those not sent yet. */
+/*
+ * Packs a row for each team with the tokens spent here and by leaves, and the
+ * level of its allowance. With @only_unsent, only teams that have spent tokens
+ * since the last call are packed.
+ */
 void
 Fw_Delta_PackSpent(struct fw_relay *r, msgpack_packer *pk, int only_unsent);
+/*
+ * Deducts from the allowances what @m has spent since its last message. With
+ * @is_first its totals are only recorded, as a base for later messages.
+ */
 void
-Fw_Delta_ApplySpent(struct fw_relay *r, struct fw_rl_member *m, int first,
+Fw_Delta_ApplySpent(struct fw_relay *r, struct fw_rl_member *m, int is_first,
                     const msgpack_object_array *rows, int64_t now_us);
-/* More of @s was just taken here: the others should know. */
+/* Records that work was placed on @s, to be sent in the next delta. */
 void
 Fw_Delta_Placed(struct fw_relay *r, struct fw_rl_server *s);
 
@@ -343,57 +410,61 @@
 void
 Fw_Report_Write(struct fw_relay *r, int64_t now_us, GByteArray *out);
 /*
- * A leaf's report; @reply is what goes back. Return: 1 when the leaf is new
- * here, 0, or -EBADMSG for another message.
+ * Applies a leaf's report and appends the answer to @reply, nothing if the
+ * report is stale. Return: 1 if the leaf or its session is new to this hub, 0
+ * if not, or -EBADMSG if @o isn't a valid report.
  */
 int
 Fw_Report_Read(struct fw_relay *r, const msgpack_object *o, const char *addr,
                int64_t now_us, GByteArray *reply);
 
 /* reply.c */
-/* For the leaf @m; @echo: number of the report that is answered, 0 for none.
+/*
+ * Writes a reply for the leaf @m; @report_seq: number of the report that it
+ * answers, or 0 if it is sent without one and holds no load.
  */
 void
-Fw_Reply_Write(struct fw_relay *r, struct fw_rl_member *m, uint64_t echo,
+Fw_Reply_Write(struct fw_relay *r, struct fw_rl_member *m, uint64_t report_seq,
                int64_t now_us, GByteArray *out);
-/* -EBADMSG for another message. */
+/* Return: 0, or -EBADMSG if @o isn't a valid reply. */
 int
 Fw_Reply_Read(struct fw_relay *r, const msgpack_object *o, int64_t now_us);
 
-/* mail.c */
-/* A message that several get. */
+/* outbox.c */
+/* Adds a message whose @data several recipients share. */
 void
 Fw_Outbox_AddShared(struct fw_rl_mail *mail, const char *addr, GBytes *data);
+/* Adds a copy of @msg. */
 void
 Fw_Outbox_Add(struct fw_rl_mail *mail, const char *addr,
               const GByteArray *msg);
 
 /* exchange.c */
 /*
- * Should a placement wait for the reply to a report that is under way, or
- * goes out now? What waits began to at @since_us.
+ * Should the placement of a request that arrived at @since_us wait until the
+ * hub has sent newer load? Requests a report if so.
  */
 int
 Fw_Exchange_Awaits(struct fw_relay *r, int64_t since_us, int64_t now_us);
 
-/* watch.c */
-/* A member has sent how far it has read. */
+/* store_sync.c */
+/* Records @m as a source if its configuration or server list is newer. */
 void
 Fw_StoreSync_NoteMember(struct fw_relay *r, const struct fw_rl_member *m);
-/* Offset behind the configuration in force, 0 for none. */
+/* Offset after the configuration in use, 0 for none. */
 uint64_t
 Fw_StoreSync_RulesEnd(const struct fw_relay *r);
-/* What this instance knows of the servers, in one figure. */
+/* Hash of the servers known here, independent of their order. */
 uint64_t
 Fw_StoreSync_ServerListHash(const struct fw_relay *r);
-/* Does an instance in touch know a newer configuration? */
+/* Has a recently heard instance a newer configuration than this one? */
 int
 Fw_Watch_IsBehind(const struct fw_relay *r, int64_t now_us);
-/* A question to one that reads the store, when one is due. */
+/* Sends a query to an instance that reads the store, if one is due. */
 void
 Fw_StoreSync_SendQuery(struct fw_relay *r, int64_t now_us,
                        struct fw_rl_mail *out);
-/* A question or an answer; -EBADMSG for neither. */
+/* Return: 0, or -EBADMSG if @o is neither a valid query nor an answer. */
 int
 Fw_StoreSync_Read(struct fw_relay *r, const msgpack_object *o,
                   const char *addr, int64_t now_us, struct fw_rl_mail *out);
--- a/src/relay/reply.c
+++ b/src/relay/reply.c
@@ -1,7 +1,7 @@
 /*
- * What a hub replies to a leaf's report: the levels of the teams' allowances,
- * what all others have at the servers, and how far the store was read. Between
- * reports the same goes out when an allowance has run out.
+ * Replies of a hub to a leaf's reports: levels of the teams' allowances, all
+ * other instances' load per server, and how far the store was read. When an
+ * allowance is nearly empty, replies without load are sent between reports.
  */
 #include <errno.h>
 #include <string.h>
@@ -72,7 +72,13 @@
     Fw_Message_PackStoreState(r, &pk, now_us);
 }
 
-/** struct reply - a message, checked. */
+/**
+ * struct reply - a reply whose format is valid.
+ * @leaf_boot, @session, @report_seq: of the report that it answers;
+ *     @report_seq 0 for none
+ * @counts: one row with the size of the fleet, 0 if the hub is draining, and
+ *     the number of live instances
+ */
 struct reply {
     char name[FW_NAME_MAX];
     uint64_t boot;
@@ -111,7 +117,10 @@
                : -EBADMSG;
 }
 
-/* What is full at the hub isn't named. */
+/*
+ * The hub leaves out allowances that are full, so those not in an answer to a
+ * report are full.
+ */
 static void
 apply_levels(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
@@ -129,7 +138,7 @@
     }
 }
 
-/* All others are in the hub's rows. */
+/* The hub's rows include the load of all other members. */
 static void
 apply_load(struct fw_relay *r, struct fw_rl_member *hub, const struct reply *p,
            int64_t now_us)
@@ -149,7 +158,11 @@
     Fw_Rows_ReplaceTable(&hub->strikes, p->strikes);
 }
 
-/* As old as what the hub knew, and as the report was when it came back. */
+/*
+ * With the same configuration as the hub, this instance is as up to date as
+ * the hub. The hub's age counts from when the report was sent, as the time of
+ * the reply in transit is unknown.
+ */
 static void
 apply_freshness(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
@@ -165,7 +178,7 @@
     }
 }
 
-/* A hub that is stopping counts no instances: another one takes its place. */
+/* The hub is draining: reports go to another one from now on. */
 static void
 leave_hub(struct fw_relay *r, struct fw_rl_member *hub, int64_t now_us)
 {
@@ -186,11 +199,11 @@
     hub = r->x.hub;
     if (!hub || r->x.is_hub || strcmp(hub->name, p.name) != 0 ||
         p.leaf_boot != r->opts.boot || p.session != r->x.report_session) {
-        return 0; /* of a report that was given up */
+        return 0; /* to a report of an earlier session or to another hub */
     }
     Fw_Members_NoteMessage(r, hub, now_us);
     if (p.report_seq && p.report_seq != r->x.report_seq) {
-        return 0; /* another report has gone out since */
+        return 0; /* not to the last report */
     }
     if (Fw_Rows_Cell(p.counts, 0, 0) <= 0) {
         leave_hub(r, hub, now_us);
--- a/src/relay/report.c
+++ b/src/relay/report.c
@@ -1,9 +1,10 @@
 /*
- * A leaf's report to its hub: what it has spent and what it has at servers.
+ * Reports, sent by a leaf to its hub: tokens spent per team and load per
+ * server.
  *
- * Spending is a running total, with the part of it that some hub is known to
- * have counted: a hub that is new to the leaf counts the rest, so that nothing
- * goes uncounted when a leaf changes its hub.
+ * A report holds the total spent and the part of it that hubs are known to
+ * have counted. A new hub counts the difference, so that tokens are counted
+ * once when a leaf changes its hub.
  */
 #include <errno.h>
 
@@ -59,7 +60,7 @@
     Fw_Message_PackStoreState(r, &pk, now_us);
 }
 
-/** struct report - a message, checked. */
+/** struct report - a report whose format is valid. */
 struct report {
     struct fw_rl_sender from;
     uint64_t session;
@@ -130,11 +131,11 @@
     Fw_Message_ApplySender(r, m, &p->from, addr, now_us);
     m->last_report_us = now_us;
     m->digest_us = 0;
-    Fw_Rows_ReplaceTable(&m->reading, p->common.reading);
+    Fw_Rows_ReplaceTable(&m->reading, p->common.prefill_rates);
     apply_spent(r, m, p->common.spent, now_us);
     Fw_Load_Replace(r, m, p->common.load, FW_RL_SCOPE_LEAF, now_us);
     Fw_Rows_ReplaceTable(&m->strikes, p->common.strikes);
-    Fw_Message_ApplyStoreState(r, m, p->common.watch, now_us);
+    Fw_Message_ApplyStoreState(r, m, p->common.store_state, now_us);
     return is_new;
 }
 
--- a/src/relay/rows.c
+++ b/src/relay/rows.c
@@ -1,4 +1,4 @@
-/* Rows of whole numbers in messages between instances. */
+/* Rows of integers in messages between instances, and tables of them. */
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
--- a/src/relay/share.c
+++ b/src/relay/share.c
@@ -1,4 +1,4 @@
-/* Parts that messages between instances have in common. */
+/* Parts that several kinds of messages between instances contain. */
 #include <errno.h>
 #include <string.h>
 
@@ -55,18 +55,21 @@
 Fw_Message_ReadCommonRows(const msgpack_object *o, uint32_t i,
                           struct fw_rl_common_rows *out)
 {
-    out->reading = Fw_Rows_Of(o, i, 2);
+    out->prefill_rates = Fw_Rows_Of(o, i, 2);
     out->spent = Fw_Rows_Of(o, i + 1, 3);
     out->load = Fw_Rows_Of(o, i + 2, 6);
     out->strikes = Fw_Rows_Of(o, i + 3, 2);
-    out->watch = Fw_Rows_Of(o, i + 4, FW_RL_WATCH_WIDTH);
-    return out->reading && out->spent && out->load && out->strikes &&
-                   out->watch && out->watch->size == 1
+    out->store_state = Fw_Rows_Of(o, i + 4, FW_RL_WATCH_WIDTH);
+    return out->prefill_rates && out->spent && out->load && out->strikes &&
+                   out->store_state && out->store_state->size == 1
                ? 0
                : -EBADMSG;
 }
 
-/* What @s bears by all but @to; of a leaf's report, by this instance alone. */
+/*
+ * Load of @s that this instance has placed and, if it is a hub, its leaves;
+ * with @to, also that of all other instances but the leaf @to.
+ */
 static void
 compute_load(const struct fw_relay *r, const struct fw_rl_server *s,
              const struct fw_rl_member *to, int64_t now_us,
@@ -246,10 +249,10 @@
 {
     int lost = Fw_Rows_Cell(rows, 0, 1) != 0;
 
-    if (m->store_lost && !lost) {
-        r->store_back_us = now_us; /* entries that lapsed may be back soon */
+    if (m->store_unreachable && !lost) {
+        r->store_back_us = now_us; /* expired entries may return soon */
     }
-    m->store_lost = lost;
+    m->store_unreachable = lost;
     m->reads_store = (int)Fw_Rows_Cell(rows, 0, 0);
     m->rules_end = (uint64_t)Fw_Rows_Cell(rows, 0, 2);
     m->list_offset = (uint64_t)Fw_Rows_Cell(rows, 0, 3);
--- a/src/relay/watch.c
+++ b/src/relay/watch.c
@@ -1,11 +1,12 @@
 /*
- * Keeping up with the platform's store. Its rates are shared by all instances,
- * so two hubs read it; the other hubs ask those how far they are, leaves learn
- * it from their hub, and who is behind reads once.
+ * Synchronization with the platform's store. The store limits the request rate
+ * of all instances together, so only two hubs poll it. The other hubs query
+ * these for their offsets, leaves get them in their hub's replies, and an
+ * instance that is behind reads the store once.
  *
- * How old one's knowledge is must not depend on how long a message was under
- * way: what an answer says counts from when the question was sent. An
- * instance that gets no answers reads the store itself.
+ * An age in an answer counts from when the query was sent, so that time in
+ * transit can't make data seem newer than it is. An instance that gets no
+ * answers polls the store itself.
  */
 #include <errno.h>
 #include <msgpack.h>
@@ -19,25 +20,25 @@
 #define FW_MSG_TYPE_QUERY 2
 #define FW_MSG_TYPE_ANSWER 3
 
-/* Hubs that read the store; the next one takes over where one can't. */
+/* Hubs that poll the store; one that can't reach it is replaced. */
 #define FW_STORE_READERS 2
-/* Questions come so often; one without an answer is given up by then. */
+/* Interval of a hub's queries; the next one replaces an unanswered one. */
 #define FW_QUERY_INTERVAL_HUB_US (300 * FW_MSEC)
-/* A leaf asks only where its hub is stale. */
+/* Interval of a leaf's queries, sent only while its data is stale. */
 #define FW_QUERY_INTERVAL_LEAF_US (1 * FW_SEC)
-/* With knowledge that is older a hub reads for itself. */
+/* Age of its data at which a hub polls the store. */
 #define FW_STORE_STALE_US (3 * FW_SEC)
 /*
- * One that reads for itself and learnt nothing for so long asks as well: the
- * store may turn some instances away while it serves others. Their keys would
- * stop counting after 4.8 s, and callers be sent away, with a good answer one
- * hop off. Its own reads take 1.5 s when nothing goes wrong.
+ * Age of its data at which a leaf, or an instance that polls the store, sends
+ * queries as well: the store may reject some instances while it serves others,
+ * and an instance must have newer data before callers' keys expire. A poll
+ * without errors is faster than this.
  */
 #define FW_QUERY_WHEN_STALE_US (2 * FW_SEC)
-/* From the start until others are known, and until a hub has answered. */
+/* Time after the start to wait for the list of members, and for a hub. */
 #define FW_MEMBER_LIST_WAIT_US (300 * FW_MSEC)
 #define FW_HUB_WAIT_US (1 * FW_SEC)
-/* A member whose digests come is asked. */
+/* A member is live for queries if it sent a message within this time. */
 #define FW_READER_TIMEOUT_US (2500 * FW_MSEC)
 
 static int
@@ -47,8 +48,8 @@
 }
 
 /*
- * An instance that has just started and finds others gets from a hub what it
- * would read: when many start at once, each of them would read it all.
+ * An instance that has just started first waits for a hub to tell it what to
+ * read, as many that start together would otherwise all poll the store.
  */
 static int
 waits_for_hub(const struct fw_relay *r, int64_t now_us)
@@ -80,14 +81,15 @@
 
         readers_before += m->digest_us &&
                           now_us - m->digest_us < FW_READER_TIMEOUT_US &&
-                          !m->store_lost && m->hash < r->hash;
+                          !m->store_unreachable && m->hash < r->hash;
     }
     return readers_before < FW_STORE_READERS;
 }
 
 /*
- * What a reader knows is up to two waits old when it is asked about it; the
- * others' knowledge is older still by a question.
+ * In a fleet with instances that don't poll the store, polls wait half as
+ * long: the data of a reader may be up to two waits old, and that of the
+ * instances that query it is older by the time of a query.
  */
 int64_t
 Fw_Relay_RulesWait(struct fw_relay *r, int64_t base_us, int64_t now_us)
@@ -102,7 +104,7 @@
     return r->rules ? r->rules_offset + 1 : 0;
 }
 
-/* Order doesn't matter: the sum of what each entry amounts to. */
+/* Adds the hashes of the entries, so that their order doesn't matter. */
 uint64_t
 Fw_StoreSync_ServerListHash(const struct fw_relay *r)
 {
@@ -184,7 +186,7 @@
     r->watch.list_offset = offset;
 }
 
-/* One that reads the store itself, drawn at random, or NULL. */
+/* A random live member that polls the store, or NULL. */
 static struct fw_rl_member *
 pick_reader(struct fw_relay *r, int64_t now_us)
 {
@@ -265,7 +267,7 @@
     int64_t from_us = r->watch.asked_us;
 
     if (f[1].via.u64 != r->opts.boot || f[2].via.u64 != r->watch.nonce) {
-        return; /* to a question that was given up */
+        return; /* not to the last query */
     }
     r->watch.nonce = 0;
     if (f[3].via.u64 > Fw_StoreSync_RulesEnd(r)) {
--- a/tests/relay/test_hubs.c
+++ b/tests/relay/test_hubs.c
@@ -33,9 +33,9 @@
     t->priority = -1;
     g->team = t;
     Fw_RelayFleet_Init(&g->f, &g->run, n, g->rules);
-    g->f.lose_pct = 0;
-    g->f.late_pct = 0;
-    g->f.ticks = 1;
+    g->f.loss_pct = 0;
+    g->f.delay_pct = 0;
+    g->f.expires_members = 1;
     for (int i = 0; i < n; i++) {
         struct fw_rl_server_entry e = {
             .id = FW_SERVER, .service = "llm", .slots = 8, .born_ms = 1};
@@ -85,9 +85,9 @@
 static void
 start_counting(struct rig *g)
 {
-    g->f.crossed = 0;
+    g->f.n_cross_domain = 0;
     for (int i = 0; i < g->f.n; i++) {
-        g->f.sites[i].got = 0;
+        g->f.sites[i].n_received = 0;
     }
 }
 
@@ -107,7 +107,7 @@
         Fw_RelayFleet_Advance(&g.f, FW_SEC);
     }
     for (int i = 0; i < FW_LARGE; i++) {
-        int got = g.f.sites[i].got;
+        int got = g.f.sites[i].n_received;
 
         hubs += at(&g, i)->x.is_hub;
         all += got;
@@ -121,7 +121,7 @@
      * second for each instance, where all to all would be 800. */
     ck_assert_int_le(all, 3 * 20 * FW_LARGE);
     /* Only hubs send to other domains. */
-    ck_assert_int_le(g.f.crossed, 3 * 10 * hubs * hubs);
+    ck_assert_int_le(g.f.n_cross_domain, 3 * 10 * hubs * hubs);
     rig_clear(&g);
 }
 END_TEST
@@ -190,7 +190,7 @@
     Fw_RelayFleet_Advance(&g.f, 400 * FW_MSEC);
     other = find(&g, 1, hub == find(&g, 1, 0) ? hub + 1 : 0);
     Fw_Allowance_Explain(at(&g, other), "t", &before, &part);
-    g.f.sites[hub].cut = 1;
+    g.f.sites[hub].isolated = 1;
     ck_assert(Fw_Allowance_Take(at(&g, leaf), g.team, FW_COST,
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 1500 * FW_MSEC);
@@ -211,14 +211,14 @@
 
     rig_init(&g, 60);
     hub = find(&g, 1, 0);
-    g.f.sites[hub].cut = 1;
+    g.f.sites[hub].isolated = 1;
     Fw_RelayFleet_Advance(&g.f, 2 * FW_SEC);
     for (int i = 0; i < 60; i++) {
         if (i != hub) {
             ck_assert_int_eq(in_touch(&g, i), 59);
         }
     }
-    g.f.sites[hub].cut = 0;
+    g.f.sites[hub].isolated = 0;
     Fw_RelayFleet_Advance(&g.f, 3 * FW_SEC);
     for (int i = 0; i < 60; i++) {
         ck_assert_int_eq(in_touch(&g, i), 60);
@@ -300,7 +300,7 @@
 
     rig_init(&g, 40);
     leaf = find(&g, 0, 0);
-    g.f.sites[leaf].cut = 1;
+    g.f.sites[leaf].isolated = 1;
     Fw_RelayFleet_Advance(&g.f, 100 * FW_MSEC);
     since = Fw_RelayFleet_Now(&g.f, leaf);
     ck_assert(!places(&g, leaf, since));
@@ -316,11 +316,11 @@
     struct rig g;
 
     rig_init(&g, 45);
-    Fw_RelayFleet_Split(&g.f);
+    Fw_RelayFleet_Partition(&g.f);
     Fw_RelayFleet_Advance(&g.f, 5 * FW_SEC);
     for (int i = 0; i < 45; i++) {
-        ck_assert_int_eq(in_touch(&g, i), g.f.sites[i].side ? 15 : 30);
-        if (g.f.sites[i].side) {
+        ck_assert_int_eq(in_touch(&g, i), g.f.sites[i].partition ? 15 : 30);
+        if (g.f.sites[i].partition) {
             Fw_RelayFleet_Restart(&g.f, i);
         }
     }
