--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -1,29 +1,28 @@
 /*
- * shared-allowance: in any window all instances together let a team have no
- * more than its rate and burst allow, with the operator's overage and
- * tolerance, while up to two of them at a time are cut off, frozen or started
- * anew, one every four seconds, and messages are lost or late. Each such
- * event can cost up to 0.6 s of the rate beyond the limit, until it is
- * noticed: a dozen in one window would pass the tolerance.
+ * shared-allowance: in any window all instances together grant a team no more
+ * than its rate and burst allow, plus the operator's overage and tolerance,
+ * while messages are lost or delayed, instances restart, and up to two at a
+ * time are isolated or frozen. Until it is detected, each of these faults can
+ * cost 0.6 s of the rate beyond the limit, so they are kept four seconds
+ * apart.
  */
 #include "explore/p_relay.h"
 #include "explore/relay_fleet.h"
 
-#define FW_RATE 50000
+#define FW_RATE_PER_S 50000
 #define FW_BURST 50000
-#define FW_COST 12000
-/* Part of the requests that are small, and what they cost. */
+#define FW_LARGE_COST 12000
+/* Percentage of small requests, and their cost in tokens. */
 #define FW_SMALL_PCT 30
-#define FW_SMALL 1000
-#define FW_AT_ONCE 2
-#define FW_GAP_US (4 * FW_SEC)
-/* Six times the rate is asked for. */
-#define FW_BETWEEN_MS 80
+#define FW_SMALL_COST 1000
+#define FW_FAULTY_MAX 2
+#define FW_FAULT_INTERVAL_US (4 * FW_SEC)
+#define FW_STEP_MAX_MS 80
 #define FW_WINDOW_US (8 * FW_SEC)
 #define FW_TOLERANCE 72000
-#define FW_OVERAGE 1.1
+#define FW_OVERAGE_FACTOR 1.1
 
-/** struct grant - tokens let through. */
+/** struct grant - tokens granted to a request at @at_us. */
 struct grant {
     int64_t at_us;
     int64_t tokens;
@@ -37,7 +36,7 @@
 
     r->version = 1;
     g_strlcpy(t->name, "t", sizeof(t->name));
-    t->rate = FW_RATE;
+    t->rate = FW_RATE_PER_S;
     t->burst = FW_BURST;
     t->priority = -1;
     return r;
@@ -48,9 +47,9 @@
 {
     const struct grant *last =
         &g_array_index(grants, struct grant, grants->len - 1);
-    double most =
-        (FW_RATE * (double)FW_WINDOW_US / FW_SEC + FW_BURST) * FW_OVERAGE +
-        FW_TOLERANCE;
+    double most = (FW_RATE_PER_S * (double)FW_WINDOW_US / FW_SEC + FW_BURST) *
+                      FW_OVERAGE_FACTOR +
+                  FW_TOLERANCE;
     int64_t sum = 0;
 
     for (guint i = grants->len; i > 0; i--) {
@@ -70,7 +69,7 @@
 }
 
 static int
-disturbed(const struct fleet *f)
+count_faulty(const struct fleet *f)
 {
     int n = 0;
 
@@ -81,22 +80,22 @@
 }
 
 static void
-disturb(struct fleet *f, int64_t *last_us)
+inject_fault(struct fleet *f, int64_t *last_us)
 {
     int i = Fw_RelayFleet_Below(f, f->n);
-    int what = Fw_RelayFleet_Below(f, 100);
+    int event = Fw_RelayFleet_Below(f, 100);
 
-    if (what != 1 &&
-        (disturbed(f) >= FW_AT_ONCE || f->now_us - *last_us < FW_GAP_US)) {
+    if (event != 1 && (count_faulty(f) >= FW_FAULTY_MAX ||
+                       f->now_us - *last_us < FW_FAULT_INTERVAL_US)) {
         return;
     }
-    if (what == 0 || what == 3 || what == 4) {
+    if (event == 0 || event == 3 || event == 4) {
         *last_us = f->now_us;
     }
-    switch (what) {
+    switch (event) {
     case 0:
         f->sites[i].isolated = 1;
-        Fw_Run_Trace(f->run, "%s cut off", f->sites[i].name);
+        Fw_Run_Trace(f->run, "%s isolated", f->sites[i].name);
         break;
     case 1:
         for (int k = 0; k < f->n; k++) {
@@ -110,7 +109,7 @@
         break;
     case 4:
         Fw_RelayFleet_Restart(f, i);
-        Fw_Run_Trace(f->run, "%s started anew", f->sites[i].name);
+        Fw_Run_Trace(f->run, "%s restarted", f->sites[i].name);
         break;
     default:
         break;
@@ -118,7 +117,7 @@
 }
 
 static void
-explore(struct fw_run *run, int least, int more, int ticks)
+explore(struct fw_run *run, int n_min, int n_extra, int expires_members)
 {
     struct fw_rl_rules *rules = make_rules();
     GArray *grants = g_array_new(FALSE, FALSE, sizeof(struct grant));
@@ -126,19 +125,20 @@
     struct fleet f;
     int64_t last_us = 0;
 
-    Fw_RelayFleet_Init(&f, run, least + g_rand_int_range(run->rand, 0, more),
-                       rules);
-    f.expires_members = ticks;
+    Fw_RelayFleet_Init(&f, run,
+                       n_min + g_rand_int_range(run->rand, 0, n_extra), rules);
+    f.expires_members = expires_members;
     Fw_RelayFleet_Advance(&f, 10 * FW_SEC);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         int i = Fw_RelayFleet_Below(&f, f.n);
-        int64_t cost =
-            Fw_RelayFleet_Below(&f, 100) < FW_SMALL_PCT ? FW_SMALL : FW_COST;
+        int64_t cost = Fw_RelayFleet_Below(&f, 100) < FW_SMALL_PCT
+                           ? FW_SMALL_COST
+                           : FW_LARGE_COST;
         int64_t retry_us;
 
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, FW_BETWEEN_MS) *
+        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, FW_STEP_MAX_MS) *
                                       FW_MSEC);
-        disturb(&f, &last_us);
+        inject_fault(&f, &last_us);
         if (!Fw_RelayFleet_Runs(&f, i) ||
             !Fw_Allowance_Take(f.sites[i].relay, t, cost,
                                Fw_RelayFleet_Now(&f, i), &retry_us)) {
@@ -161,14 +161,14 @@
     explore(run, 3, 7, 0);
 }
 
-/* Cuts may last longer than a silent member counts. */
+/* Isolation may last until members have expired. */
 void
 Fw_Explore_RelayAllowanceLapse(struct fw_run *run)
 {
     explore(run, 3, 7, 1);
 }
 
-/* Of a fleet in which most instances are leaves. */
+/* A fleet in which most instances are leaves. */
 void
 Fw_Explore_RelayAllowanceHubs(struct fw_run *run)
 {
--- a/explore/relay_fleet.c
+++ b/explore/relay_fleet.c
@@ -5,11 +5,11 @@
 #define FW_STEP_US (20 * FW_MSEC)
 #define FW_DOMAINS 3
 
-/** struct fleet_msg - a datagram; @to, @from: sites. */
+/** struct datagram - a message in flight between two sites. */
 struct datagram {
     int from;
     int to;
-    int64_t at_us;
+    int64_t due_us;
     GBytes *data;
 };
 
@@ -96,7 +96,7 @@
                         .delay_pct = 3,
                         .delay_max_us = 5 * FW_SEC};
     f->in_flight = g_ptr_array_new_with_free_func(msg_free);
-    Fw_Mail_Init(&f->mail);
+    Fw_Mail_Init(&f->outbox);
     for (int i = 0; i < n; i++) {
         struct fleet_site *s = &f->sites[i];
 
@@ -118,8 +118,8 @@
         Fw_Relay_Free(f->sites[i].relay);
     }
     g_ptr_array_unref(f->in_flight);
-    Fw_Mail_Clear(&f->mail);
-    g_ptr_array_unref(f->mail.all);
+    Fw_Mail_Clear(&f->outbox);
+    g_ptr_array_unref(f->outbox.all);
 }
 
 void
@@ -149,7 +149,7 @@
     m = g_new0(struct datagram, 1);
     m->from = from;
     m->to = to;
-    m->at_us = f->now_us + delay;
+    m->due_us = f->now_us + delay;
     m->data = g_bytes_ref(data);
     g_ptr_array_add(f->in_flight, m);
 }
@@ -188,8 +188,8 @@
     f->n_cross_domain += m->from % FW_DOMAINS != m->to % FW_DOMAINS;
     f->sites[m->to].n_received++;
     Fw_Relay_ReadMessage(f->sites[m->to].relay, f->sites[m->from].addr, data,
-                         len, Fw_RelayFleet_Now(f, m->to), &f->mail);
-    send_outbox(f, m->to, &f->mail);
+                         len, Fw_RelayFleet_Now(f, m->to), &f->outbox);
+    send_outbox(f, m->to, &f->outbox);
 }
 
 static void
@@ -198,7 +198,7 @@
     for (guint i = 0; i < f->in_flight->len;) {
         struct datagram *m = g_ptr_array_index(f->in_flight, i);
 
-        if (m->at_us > f->now_us || !Fw_RelayFleet_Runs(f, m->to)) {
+        if (m->due_us > f->now_us || !Fw_RelayFleet_Runs(f, m->to)) {
             i++;
             continue;
         }
@@ -217,8 +217,8 @@
             g_array_set_size(f->sites[i].acts.all, 0);
         }
         Fw_Relay_Exchange(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
-                          &f->mail);
-        send_outbox(f, i, &f->mail);
+                          &f->outbox);
+        send_outbox(f, i, &f->outbox);
     }
 }
 
--- a/explore/relay_fleet.h
+++ b/explore/relay_fleet.h
@@ -1,6 +1,6 @@
 /*
- * Several relay cores side by side, with clocks of their own and messages
- * that are lost, late or cut off, for the seeded runs.
+ * A simulated fleet for seeded exploration: relay cores with separate clocks,
+ * whose messages are lost, delayed or blocked by partitions.
  */
 #ifndef FW_EXPLORE_RELAY_FLEET_H
 #define FW_EXPLORE_RELAY_FLEET_H
@@ -10,7 +10,15 @@
 
 #define FW_FLEET_MAX 128
 
-/** struct fleet_site - one instance; @skew_us: its clock beside the run's. */
+/**
+ * struct fleet_site - one instance.
+ * @skew_us: offset of its clock from the run's
+ * @frozen_until_us: it runs from this time of the run on
+ * @boot: number of its process lifetime
+ * @isolated: sends and receives no messages
+ * @partition: messages pass only between instances of the same partition
+ * @n_received: messages received
+ */
 struct fleet_site {
     struct fw_relay *relay;
     struct fw_rl_acts acts;
@@ -19,14 +27,21 @@
     int64_t skew_us;
     int64_t frozen_until_us;
     uint64_t boot;
-    int isolated;   /* receives from and reaches nobody */
-    int partition;  /* of a split; messages stay on one */
-    int n_received; /* messages that arrived */
+    int isolated;
+    int partition;
+    int n_received;
 };
 
 /**
- * struct fleet - instances, and what goes between them.
- * @in_flight: messages under way, of struct fleet_msg
+ * struct fleet - the instances and the messages between them.
+ * @n: number of @sites in use
+ * @now_us: time of the run
+ * @in_flight: messages sent and not received, of struct datagram
+ * @loss_pct, @delay_pct: percentage of messages that are lost, or delayed by
+ *     up to @delay_max_us
+ * @outbox: messages of the instance that is sending
+ * @expires_members: instances remove members that have expired
+ * @n_cross_domain: messages received from another failure domain
  */
 struct fleet {
     struct fw_run *run;
@@ -38,9 +53,9 @@
     int loss_pct;
     int delay_pct;
     int64_t delay_max_us;
-    struct fw_rl_mail mail;
-    int expires_members; /* members that were silent for long are dropped */
-    int n_cross_domain;  /* messages between domains */
+    struct fw_rl_mail outbox;
+    int expires_members;
+    int n_cross_domain;
 };
 
 void
@@ -48,26 +63,28 @@
                    struct fw_rl_rules *rules);
 void
 Fw_RelayFleet_Clear(struct fleet *f);
-/* A number below @n from the run's source. */
+/* A random number from 0 to @n - 1, from the run's generator. */
 int
 Fw_RelayFleet_Below(struct fleet *f, int n);
-/* The process is killed and starts again, knowing nothing. */
+/* Kills the instance and starts it without state. */
 void
 Fw_RelayFleet_Restart(struct fleet *f, int i);
+/* The time by the clock of instance @i. */
 int64_t
 Fw_RelayFleet_Now(const struct fleet *f, int i);
-/* Time goes on by @us in small steps: messages arrive, digests go out. */
+/* Advances time by @us in small steps, delivering and sending messages. */
 void
 Fw_RelayFleet_Advance(struct fleet *f, int64_t us);
-/* Instance @i sends what is due, or wanted at once. */
+/* Lets instance @i send the messages that are due, unless it is frozen. */
 void
 Fw_RelayFleet_Send(struct fleet *f, int i);
-/* Cuts the instances of one domain off from the others. */
+/* Partitions a random failure domain from the others. */
 void
 Fw_RelayFleet_Partition(struct fleet *f);
-/* Ends all cuts. */
+/* Ends all partitions and isolation. */
 void
 Fw_RelayFleet_Heal(struct fleet *f);
+/* Is instance @i not frozen? */
 int
 Fw_RelayFleet_Runs(const struct fleet *f, int i);
 
--- a/explore/relay_freshness.c
+++ b/explore/relay_freshness.c
@@ -1,22 +1,24 @@
 /*
- * freshness-is-true: an instance that trusts callers' keys knows all that
- * the store held so long ago as it says, however late or lost the answers of
- * other instances are.
+ * freshness-is-true: an instance that accepts callers' keys doesn't use a
+ * configuration that was replaced longer ago than keys may be stale, however
+ * delayed or lost the answers of other instances are.
  */
 #include "explore/p_relay.h"
 #include "explore/relay_fleet.h"
 
-/* What the store's newest configuration has been, by time. */
+/* Maximum number of configuration versions in a run. */
 #define FW_VERSIONS_MAX 4000
 
 /**
- * struct history - when each version was written.
- * @refused: instances that the store turns away; they reach the others
+ * struct history - versions of the configuration in the store.
+ * @at_us: when each version was replaced, by version
+ * @n: the current version
+ * @store_rejects: instances that the store rejects; other instances reach them
  */
 struct history {
     int64_t at_us[FW_VERSIONS_MAX];
     int n;
-    int refused[FW_FLEET_MAX];
+    int store_rejects[FW_FLEET_MAX];
 };
 
 static void
@@ -34,35 +36,36 @@
 }
 
 static void
-follow(struct fleet *f, int i, const struct history *h)
+update_config(struct fleet *f, int i, const struct history *h)
 {
     struct fw_relay *r = f->sites[i].relay;
     char addr[FW_URL_MAX];
-    int wants;
+    int must_read;
 
-    if (!Fw_RelayFleet_Runs(f, i) || f->sites[i].isolated || h->refused[i]) {
+    if (!Fw_RelayFleet_Runs(f, i) || f->sites[i].isolated ||
+        h->store_rejects[i]) {
         return;
     }
-    wants = Fw_Relay_ReadsStore(r, Fw_RelayFleet_Now(f, i));
-    wants |= Fw_Relay_TakeWantRules(r, addr);
-    if (wants && Fw_RelayFleet_Below(f, 100) < 30) {
+    must_read = Fw_Relay_ReadsStore(r, Fw_RelayFleet_Now(f, i));
+    must_read |= Fw_Relay_TakeWantRules(r, addr);
+    if (must_read && Fw_RelayFleet_Below(f, 100) < 30) {
         read_store(f, i, h);
     }
 }
 
-/* Keys that count here must be those of at most the stale time ago. */
+/* Checks the age of the keys if instance @i accepts them. */
 static void
-check(struct fleet *f, int i, const struct history *h)
+check_keys(struct fleet *f, int i, const struct history *h)
 {
     struct fw_relay *r = f->sites[i].relay;
     int64_t version = r->rules->version;
-    int64_t stale = r->opts.key_stale_us;
+    int64_t stale_us = r->opts.key_stale_us;
 
     if (!Fw_RelayFleet_Runs(f, i) ||
         !Fw_Relay_KeysFresh(r, Fw_RelayFleet_Now(f, i)) || version >= h->n) {
         return;
     }
-    if (f->now_us - h->at_us[version] > stale) {
+    if (f->now_us - h->at_us[version] > stale_us) {
         Fw_Run_Breach(f->run,
                       "%s trusts keys of version %d, replaced %d ms ago",
                       f->sites[i].name, (int)version,
@@ -71,15 +74,15 @@
 }
 
 static void
-explore(struct fw_run *run, int least, int more)
+explore(struct fw_run *run, int n_min, int n_extra)
 {
     struct fw_rl_rules *rules = Fw_Rules_New();
     struct history h = {.n = 1};
     struct fleet f;
 
     rules->version = 1;
-    Fw_RelayFleet_Init(&f, run, least + g_rand_int_range(run->rand, 0, more),
-                       rules);
+    Fw_RelayFleet_Init(&f, run,
+                       n_min + g_rand_int_range(run->rand, 0, n_extra), rules);
     f.delay_pct = 20;
     f.delay_max_us = 8 * FW_SEC;
     h.at_us[0] = f.now_us;
@@ -88,22 +91,22 @@
 
         Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, 100) * FW_MSEC);
         if (Fw_RelayFleet_Below(&f, 40) == 0 && h.n < FW_VERSIONS_MAX) {
-            h.at_us[h.n++] = f.now_us; /* that one's successor */
+            h.at_us[h.n++] = f.now_us; /* replaces the current version */
             Fw_Run_Trace(run, "version %d", h.n);
         }
         if (Fw_RelayFleet_Below(&f, 50) == 0) {
             f.sites[i].isolated = !f.sites[i].isolated;
         }
         if (Fw_RelayFleet_Below(&f, 30) == 0) {
-            h.refused[i] = !h.refused[i];
+            h.store_rejects[i] = !h.store_rejects[i];
         }
         if (Fw_RelayFleet_Below(&f, 80) == 0) {
             f.sites[i].frozen_until_us =
                 f.now_us + Fw_RelayFleet_Below(&f, 9 * FW_SEC);
         }
         for (int k = 0; k < f.n; k++) {
-            follow(&f, k, &h);
-            check(&f, k, &h);
+            update_config(&f, k, &h);
+            check_keys(&f, k, &h);
         }
     }
     Fw_RelayFleet_Clear(&f);
@@ -116,7 +119,7 @@
     explore(run, 5, 15);
 }
 
-/* Of a fleet in which most instances are leaves. */
+/* A fleet in which most instances are leaves. */
 void
 Fw_Explore_RelayFreshnessHubs(struct fw_run *run)
 {
--- a/explore/relay_hubs.c
+++ b/explore/relay_hubs.c
@@ -1,15 +1,14 @@
 /*
- * fleet-view-converges: five seconds after the last fault each instance knows
- * how many there are, counts all of them as in touch, and sees at a server
- * the sum of what all have there, whatever was cut, frozen or started anew
- * before, and whichever instances were hubs meanwhile.
+ * fleet-view-converges: five seconds after the last isolation, freeze, restart
+ * or delayed message, each instance knows the size of the fleet, counts all
+ * instances as live, and computes a server's load as the sum over all of them.
  */
 #include "explore/p_relay.h"
 #include "explore/relay_fleet.h"
 
-#define FW_LEAST 14
-#define FW_MOST 40
-#define FW_BETWEEN_MS 60
+#define FW_INSTANCES_MIN 14
+#define FW_INSTANCES_MAX 40
+#define FW_STEP_MAX_MS 60
 #define FW_SETTLE_US (5 * FW_SEC)
 #define FW_SERVER "e0"
 
@@ -24,9 +23,9 @@
     g_array_set_size(s->acts.all, 0);
 }
 
-/* Instance @i has another number of requests there. */
+/* Sets a random number of requests of instance @i on the server. */
 static void
-place(struct fleet *f, int i)
+set_load(struct fleet *f, int i)
 {
     struct fw_relay *r = f->sites[i].relay;
     struct fw_rl_server *s = Fw_Servers_Find(r, FW_SERVER);
@@ -37,18 +36,18 @@
 }
 
 static void
-disturb(struct fleet *f)
+inject_fault(struct fleet *f)
 {
     int i = Fw_RelayFleet_Below(f, f->n);
 
     switch (Fw_RelayFleet_Below(f, 30)) {
     case 0:
         f->sites[i].isolated = 1;
-        Fw_Run_Trace(f->run, "%s cut off", f->sites[i].name);
+        Fw_Run_Trace(f->run, "%s isolated", f->sites[i].name);
         break;
     case 1:
         Fw_RelayFleet_Partition(f);
-        Fw_Run_Trace(f->run, "a domain cut off");
+        Fw_Run_Trace(f->run, "a domain partitioned");
         break;
     case 2:
         f->sites[i].frozen_until_us =
@@ -59,11 +58,11 @@
     case 4:
         Fw_RelayFleet_Restart(f, i);
         list_server(f, i);
-        Fw_Run_Trace(f->run, "%s started anew", f->sites[i].name);
+        Fw_Run_Trace(f->run, "%s restarted", f->sites[i].name);
         break;
     case 5:
         Fw_RelayFleet_Heal(f);
-        Fw_Run_Trace(f->run, "healed");
+        Fw_Run_Trace(f->run, "partitions and isolation ended");
         break;
     default:
         break;
@@ -71,7 +70,7 @@
 }
 
 static void
-settle(struct fleet *f)
+end_faults(struct fleet *f)
 {
     Fw_RelayFleet_Heal(f);
     for (int i = 0; i < f->n; i++) {
@@ -79,13 +78,13 @@
     }
     f->loss_pct = 0;
     f->delay_pct = 0;
-    /* The last message that is late is a fault as well. */
+    /* Delayed messages count as faults until the last one has arrived. */
     Fw_RelayFleet_Advance(f, f->delay_max_us);
     Fw_RelayFleet_Advance(f, FW_SETTLE_US);
 }
 
 static void
-check(struct fleet *f, int i, int running)
+check_view(struct fleet *f, int i, int running)
 {
     struct fw_relay *r = f->sites[i].relay;
     int64_t now = Fw_RelayFleet_Now(f, i);
@@ -94,13 +93,13 @@
     int count = Fw_Members_Count(r, now, &in_touch);
 
     if (count != f->n || in_touch != f->n) {
-        Fw_Run_Breach(f->run, "%s counts %d and %d in touch of %d",
+        Fw_Run_Breach(f->run, "%s counts %d instances, %d live, of %d",
                       f->sites[i].name, count, in_touch, f->n);
     }
     Fw_Place_Load(r, Fw_Servers_Find(r, FW_SERVER), now, &load);
     if (load.running != running || load.reserved != running * 1000) {
-        Fw_Run_Breach(f->run, "%s sees %d requests of %d", f->sites[i].name,
-                      load.running, running);
+        Fw_Run_Breach(f->run, "%s computes a load of %d requests, expected %d",
+                      f->sites[i].name, load.running, running);
     }
 }
 
@@ -113,24 +112,27 @@
 
     rules->version = 1;
     Fw_RelayFleet_Init(
-        &f, run, FW_LEAST + g_rand_int_range(run->rand, 0, FW_MOST - FW_LEAST),
+        &f, run,
+        FW_INSTANCES_MIN +
+            g_rand_int_range(run->rand, 0,
+                             FW_INSTANCES_MAX - FW_INSTANCES_MIN),
         rules);
     f.expires_members = 1;
     for (int i = 0; i < f.n; i++) {
         list_server(&f, i);
     }
     for (int s = 0; s < run->steps; s++) {
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, FW_BETWEEN_MS) *
+        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, FW_STEP_MAX_MS) *
                                       FW_MSEC);
-        disturb(&f);
-        place(&f, Fw_RelayFleet_Below(&f, f.n));
+        inject_fault(&f);
+        set_load(&f, Fw_RelayFleet_Below(&f, f.n));
     }
-    settle(&f);
+    end_faults(&f);
     for (int i = 0; i < f.n; i++) {
         running += Fw_Servers_Find(f.sites[i].relay, FW_SERVER)->running;
     }
     for (int i = 0; i < f.n && !run->breach[0]; i++) {
-        check(&f, i, running);
+        check_view(&f, i, running);
     }
     Fw_RelayFleet_Clear(&f);
     Fw_Rules_Unref(rules);
--- a/tests/relay/test_digest.c
+++ b/tests/relay/test_digest.c
@@ -1,7 +1,4 @@
-/*
- * Messages between instances: those that break the form, which anyone who
- * reaches the port can send, and what a hub learns between digests.
- */
+/* Messages between instances: invalid ones, deltas, and store queries. */
 #include <check.h>
 #include <errno.h>
 
@@ -9,46 +6,46 @@
 #include "tests/base/suite.h"
 
 /*
- * A peer of another version, or something that isn't one, sends bytes that
- * claim more than they hold. The library would allocate what they claim: the
- * operator sees an instance killed for its memory.
+ * Guards against memory allocated for the length that a message claims, and
+ * against invalid messages of any sender that are applied in part.
  */
 static const struct {
     const char *name;
     const char *bytes;
     size_t len;
-} broken[] = {
-    {"nothing", "", 0},
+} invalid_messages[] = {
+    {"an empty message", "", 0},
     {"an array that claims gigabytes", "\xdd\xff\xff\xff\xff", 5},
     {"a map that claims gigabytes", "\xdf\xff\xff\xff\xff", 5},
-    {"such an array within a digest", "\x99\x01\xdd\xff\xff\xff\xff", 7},
-    {"a text longer than the datagram", "\x99\x01\xdb\xff\xff\xff\xff", 7},
-    {"an array that is cut off", "\x99\x01", 2},
-    {"no array", "\x01", 1},
-    {"a digest of another form", "\x99\x09\xa1n\x01\x01\x00\x90\x90\x90\x90",
+    {"a digest with an array that claims gigabytes",
+     "\x99\x01\xdd\xff\xff\xff\xff", 7},
+    {"a string longer than the datagram", "\x99\x01\xdb\xff\xff\xff\xff", 7},
+    {"a truncated array", "\x99\x01", 2},
+    {"an integer instead of an array", "\x01", 1},
+    {"a digest of another type", "\x99\x09\xa1n\x01\x01\x00\x90\x90\x90\x90",
      11},
     {"a digest without a name", "\x99\x01\xa0\x01\x01\x00\x90\x90\x90\x90",
      10},
     {"a digest whose rows are too short",
      "\x99\x01\xa1n\x01\x01\x00\x91\x91\x01\x90\x90\x91\x94\x01\x00\x00\x00",
      18},
-    {"a delta of another form", "\x96\x09\xa1n\x01\x01\x90\x90", 8},
+    {"a delta of another type", "\x96\x09\xa1n\x01\x01\x90\x90", 8},
     {"a delta whose rows are too short",
      "\x96\x04\xa1n\x01\x01\x91\x91\x01\x90", 10},
     {"a report whose rows are too short",
      "\x9c\x08\xa1n\x01\x01\x01\x01\x01\x90\x91\x91\x01\x90\x90\x90", 16},
     {"a report without a name",
      "\x9c\x08\xa0\x01\x01\x01\x01\x01\x90\x90\x90\x90\x90", 13},
-    {"a reply without its counts",
+    {"a reply without the fleet's counts",
      "\x9b\x09\xa1n\x01\x01\x01\x01\x90\x90\x90\x90\x90", 13},
     {"a list of hubs with a short row", "\x95\x0a\xa1n\x01\x01\x91\x91\xa1m",
      9},
-    {"a list of hubs from nobody", "\x95\x0a\xa0\x01\x01\x90", 6},
-    {"a question without its number", "\x92\x02\x01", 3},
-    {"an answer with a text in it", "\x95\x03\x01\x01\xa1n\x00", 7},
+    {"a list of hubs without a sender", "\x95\x0a\xa0\x01\x01\x90", 6},
+    {"a query without its nonce", "\x92\x02\x01", 3},
+    {"an answer with a string in it", "\x95\x03\x01\x01\xa1n\x00", 7},
 };
 
-START_TEST(a_broken_datagram_costs_nothing)
+START_TEST(an_invalid_message_is_rejected)
 {
     struct fw_relay_opts opts = {
         .name = "n1", .boot = 1, .retry_window_us = 1};
@@ -56,10 +53,10 @@
     struct fw_rl_mail mail;
 
     Fw_Mail_Init(&mail);
-    ck_assert_msg(Fw_Relay_ReadMessage(r, "127.0.0.9:1", broken[_i].bytes,
-                                       broken[_i].len, FW_SEC,
-                                       &mail) == -EBADMSG,
-                  "%s is taken", broken[_i].name);
+    ck_assert_msg(Fw_Relay_ReadMessage(
+                      r, "127.0.0.9:1", invalid_messages[_i].bytes,
+                      invalid_messages[_i].len, FW_SEC, &mail) == -EBADMSG,
+                  "%s is accepted", invalid_messages[_i].name);
     ck_assert(Fw_List_Empty(&r->members));
     ck_assert_uint_eq(mail.all->len, 0);
     g_ptr_array_unref(mail.all);
@@ -67,8 +64,8 @@
 }
 END_TEST
 
-/** struct pair - two instances that know each other, and a tight team. */
-struct pair {
+/** struct instance_pair - two instances and a team with a low limit. */
+struct instance_pair {
     struct fw_relay *from;
     struct fw_relay *to;
     struct fw_rl_rules *rules;
@@ -81,7 +78,7 @@
 #define FW_COST 6000
 
 static struct fw_relay *
-instance(const char *name, struct fw_rl_rules *rules)
+make_relay(const char *name, struct fw_rl_rules *rules)
 {
     struct fw_relay_opts opts = {
         .boot = 1, .retry_window_us = 1, .key_stale_us = 4 * FW_SEC};
@@ -97,7 +94,7 @@
 }
 
 static void
-tell(struct pair *p)
+deliver(struct instance_pair *p)
 {
     ck_assert_int_ge(Fw_Relay_ReadMessage(p->to, "127.0.0.9:1", p->msg->data,
                                           p->msg->len, FW_NOW_US, &p->mail),
@@ -106,7 +103,7 @@
 }
 
 static int
-takes(struct fw_relay *r, const struct pair *p)
+try_spend(struct fw_relay *r, const struct instance_pair *p)
 {
     int64_t retry_us;
 
@@ -114,7 +111,7 @@
 }
 
 static void
-pair_init(struct pair *p)
+pair_init(struct instance_pair *p)
 {
     struct fw_rl_team_rule *t;
 
@@ -125,17 +122,17 @@
     t->rate = 1000;
     t->burst = 10000;
     p->team = t;
-    p->from = instance("n1", p->rules);
-    p->to = instance("n2", p->rules);
+    p->from = make_relay("n1", p->rules);
+    p->to = make_relay("n2", p->rules);
     p->msg = g_byte_array_new();
     Fw_Mail_Init(&p->mail);
     Fw_Digest_Write(p->from, FW_NOW_US, p->msg);
-    tell(p);
+    deliver(p);
     g_byte_array_set_size(p->msg, 0);
 }
 
 static void
-pair_clear(struct pair *p)
+pair_clear(struct instance_pair *p)
 {
     g_byte_array_unref(p->msg);
     Fw_Mail_Clear(&p->mail);
@@ -145,53 +142,42 @@
     Fw_Rules_Unref(p->rules);
 }
 
-/*
- * A team sends large requests through two instances within the time between
- * two digests. The second would let through what the first has let through
- * already, and the team would get more than its rate, or be refused later for
- * what it got too much.
- */
-START_TEST(what_a_tight_team_spends_is_known_before_the_next_digest)
+/* Guards against two instances that grant the same tokens between digests. */
+START_TEST(large_spending_is_sent_before_the_next_digest)
 {
-    struct pair p;
+    struct instance_pair p;
 
     pair_init(&p);
-    ck_assert(takes(p.from, &p));
+    ck_assert(try_spend(p.from, &p));
     ck_assert(p.from->x.wants_delta);
     Fw_Delta_Write(p.from, FW_NOW_US, p.msg);
-    tell(&p);
-    ck_assert(!takes(p.to, &p));
+    deliver(&p);
+    ck_assert(!try_spend(p.to, &p));
     pair_clear(&p);
 }
 END_TEST
 
-/*
- * Datagrams overtake each other and come twice. Counted twice, a team would
- * be refused for what it has not spent.
- */
-START_TEST(a_delta_that_comes_twice_counts_once)
+/* Guards against tokens counted twice when a datagram is duplicated. */
+START_TEST(a_duplicate_delta_is_counted_once)
 {
-    struct pair p;
+    struct instance_pair p;
     GByteArray *first = g_byte_array_new();
 
     pair_init(&p);
-    ck_assert(takes(p.from, &p));
+    ck_assert(try_spend(p.from, &p));
     Fw_Delta_Write(p.from, FW_NOW_US, first);
     g_byte_array_append(p.msg, first->data, first->len);
-    tell(&p);
-    tell(&p);
+    deliver(&p);
+    deliver(&p);
     Fw_Allowance_Return(p.to, "t", 2000);
-    ck_assert(takes(p.to, &p));
+    ck_assert(try_spend(p.to, &p));
     g_byte_array_unref(first);
     pair_clear(&p);
 }
 END_TEST
 
-/*
- * Two instances choose an engine within the time between two digests. Each
- * sees its memory free, both send a stream there, and the engine preempts.
- */
-START_TEST(a_placement_is_known_before_the_next_digest)
+/* Guards against two instances that overcommit an engine between digests. */
+START_TEST(a_placement_is_sent_before_the_next_digest)
 {
     struct fw_rl_server_entry e = {.id = "e1",
                                    .service = "llm",
@@ -200,7 +186,7 @@
     struct fw_rl_server *s;
     struct fw_rl_acts acts;
     struct fw_rl_load load;
-    struct pair p;
+    struct instance_pair p;
 
     pair_init(&p);
     Fw_Acts_Init(&acts);
@@ -212,7 +198,7 @@
     Fw_Delta_Placed(p.from, s);
     ck_assert(p.from->x.wants_delta);
     Fw_Delta_Write(p.from, FW_NOW_US, p.msg);
-    tell(&p);
+    deliver(&p);
     Fw_Place_Load(p.to, Fw_Servers_Find(p.to, "e1"), FW_NOW_US, &load);
     ck_assert_int_eq(load.running, 1);
     ck_assert_int_eq(load.reserved, 7000);
@@ -222,17 +208,16 @@
 END_TEST
 
 /*
- * The store turns one instance away and serves the others, as it does at
- * times for many seconds. That instance refused each request with a key
- * though the one beside it knew that nothing had changed.
+ * Guards against keys that expire on an instance that the store rejects while
+ * another instance could confirm them.
  */
-START_TEST(an_instance_that_the_store_turns_away_asks_another)
+START_TEST(an_instance_without_store_access_queries_another)
 {
     int64_t later_us = FW_NOW_US + 4500 * FW_MSEC;
     const struct fw_rl_datagram *d;
     gsize len;
     const void *data;
-    struct pair p;
+    struct instance_pair p;
 
     pair_init(&p);
     Fw_Relay_Fresh(p.to, FW_NOW_US);
@@ -265,12 +250,11 @@
 {
     TCase *tc = Fw_Suite_New("relay digests");
 
-    tcase_add_loop_test(tc, a_broken_datagram_costs_nothing, 0,
-                        G_N_ELEMENTS(broken));
-    tcase_add_test(tc,
-                   what_a_tight_team_spends_is_known_before_the_next_digest);
-    tcase_add_test(tc, a_delta_that_comes_twice_counts_once);
-    tcase_add_test(tc, an_instance_that_the_store_turns_away_asks_another);
-    tcase_add_test(tc, a_placement_is_known_before_the_next_digest);
+    tcase_add_loop_test(tc, an_invalid_message_is_rejected, 0,
+                        G_N_ELEMENTS(invalid_messages));
+    tcase_add_test(tc, large_spending_is_sent_before_the_next_digest);
+    tcase_add_test(tc, a_duplicate_delta_is_counted_once);
+    tcase_add_test(tc, an_instance_without_store_access_queries_another);
+    tcase_add_test(tc, a_placement_is_sent_before_the_next_digest);
     return Fw_Suite_Run(tc);
 }
--- a/tests/relay/test_hubs.c
+++ b/tests/relay/test_hubs.c
@@ -1,4 +1,4 @@
-/* Hubs and leaves: what reaches whom, at what cost, and who takes over. */
+/* Hubs and leaves: state that reaches all, message rates, failover. */
 #include <check.h>
 #include <string.h>
 
@@ -10,8 +10,8 @@
 #define FW_SERVER "e0"
 #define FW_COST 6000
 
-/** struct rig - a fleet without chance, and its team. */
-struct rig {
+/** struct fleet_fixture - a fleet that loses no messages, and a team. */
+struct fleet_fixture {
     struct fw_run run;
     struct fleet f;
     struct fw_rl_rules *rules;
@@ -19,11 +19,11 @@
 };
 
 static void
-rig_init(struct rig *g, int n)
+fixture_init(struct fleet_fixture *g, int n)
 {
     struct fw_rl_team_rule *t;
 
-    *g = (struct rig){.run = {.rand = g_rand_new_with_seed(1)}};
+    *g = (struct fleet_fixture){.run = {.rand = g_rand_new_with_seed(1)}};
     g->rules = Fw_Rules_New();
     g->rules->version = 1;
     t = Fw_Rules_AddTeam(g->rules);
@@ -47,7 +47,7 @@
 }
 
 static void
-rig_clear(struct rig *g)
+fixture_clear(struct fleet_fixture *g)
 {
     Fw_RelayFleet_Clear(&g->f);
     Fw_Rules_Unref(g->rules);
@@ -55,17 +55,17 @@
 }
 
 static struct fw_relay *
-at(struct rig *g, int i)
+relay_at(struct fleet_fixture *g, int i)
 {
     return g->f.sites[i].relay;
 }
 
 /* The first leaf, or the first hub, from @from on. */
 static int
-find(struct rig *g, int is_hub, int from)
+find_by_role(struct fleet_fixture *g, int is_hub, int from)
 {
     for (int i = from; i < g->f.n; i++) {
-        if (at(g, i)->x.is_hub == is_hub) {
+        if (relay_at(g, i)->x.is_hub == is_hub) {
             return i;
         }
     }
@@ -74,16 +74,16 @@
 }
 
 static int
-in_touch(struct rig *g, int i)
+count_live(struct fleet_fixture *g, int i)
 {
     int n;
 
-    Fw_Members_Count(at(g, i), Fw_RelayFleet_Now(&g->f, i), &n);
+    Fw_Members_Count(relay_at(g, i), Fw_RelayFleet_Now(&g->f, i), &n);
     return n;
 }
 
 static void
-start_counting(struct rig *g)
+reset_counters(struct fleet_fixture *g)
 {
     g->f.n_cross_domain = 0;
     for (int i = 0; i < g->f.n; i++) {
@@ -91,235 +91,237 @@
     }
 }
 
-/* Guards against messages that grow with the square of the fleet. */
-START_TEST(an_instance_of_a_large_fleet_gets_few_messages)
+/* Guards against a message rate that grows with the square of the fleet. */
+START_TEST(message_rate_is_bounded_in_a_large_fleet)
 {
-    struct rig g;
+    struct fleet_fixture g;
     int hubs = 0;
     int all = 0;
 
-    rig_init(&g, FW_LARGE);
-    start_counting(&g);
+    fixture_init(&g, FW_LARGE);
+    reset_counters(&g);
     for (int s = 0; s < 3; s++) {
         for (int i = 0; i < FW_LARGE; i++) {
-            Fw_Relay_Fresh(at(&g, i), Fw_RelayFleet_Now(&g.f, i));
+            Fw_Relay_Fresh(relay_at(&g, i), Fw_RelayFleet_Now(&g.f, i));
         }
         Fw_RelayFleet_Advance(&g.f, FW_SEC);
     }
     for (int i = 0; i < FW_LARGE; i++) {
         int got = g.f.sites[i].n_received;
 
-        hubs += at(&g, i)->x.is_hub;
+        hubs += relay_at(&g, i)->x.is_hub;
         all += got;
         /* A reply each period, and a list of hubs each second. */
-        ck_assert(at(&g, i)->x.is_hub || got <= 3 * 9);
-        ck_assert_int_eq(in_touch(&g, i), FW_LARGE);
+        ck_assert(relay_at(&g, i)->x.is_hub || got <= 3 * 9);
+        ck_assert_int_eq(count_live(&g, i), FW_LARGE);
     }
     ck_assert_int_ge(hubs, 2 * FW_DOMAINS);
     ck_assert_int_le(hubs, 12);
-    /* Two messages a leaf and period, and the hubs' own: no more than 20 a
-     * second for each instance, where all to all would be 800. */
+    /* Two messages per leaf and period, and those between hubs: at most 20 a
+     * second per instance. */
     ck_assert_int_le(all, 3 * 20 * FW_LARGE);
     /* Only hubs send to other domains. */
     ck_assert_int_le(g.f.n_cross_domain, 3 * 10 * hubs * hubs);
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against a fleet of nine that has instances without a say. */
-START_TEST(all_of_a_small_fleet_are_hubs)
+/* Guards against leaves in a fleet small enough for hubs only. */
+START_TEST(all_instances_of_a_small_fleet_are_hubs)
 {
-    struct rig g;
+    struct fleet_fixture g;
 
-    rig_init(&g, 9);
+    fixture_init(&g, 9);
     for (int i = 0; i < 9; i++) {
-        ck_assert(at(&g, i)->x.is_hub);
-        ck_assert_int_eq(in_touch(&g, i), 9);
+        ck_assert(relay_at(&g, i)->x.is_hub);
+        ck_assert_int_eq(count_live(&g, i), 9);
     }
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against a leaf that spends what leaves elsewhere have spent. */
-START_TEST(what_one_leaf_spends_all_others_know)
+/* Guards against instances that don't learn what a leaf has spent. */
+START_TEST(spending_of_a_leaf_reaches_all_instances)
 {
-    struct rig g;
+    struct fleet_fixture g;
     int64_t level;
     int64_t retry_us;
-    int part;
+    int part_permille;
     int leaf;
 
-    rig_init(&g, 40);
-    leaf = find(&g, 0, 0);
+    fixture_init(&g, 40);
+    leaf = find_by_role(&g, 0, 0);
     Fw_RelayFleet_Advance(&g.f, 10 * FW_SEC);
     for (int k = 0; k < 15; k++) {
-        ck_assert(Fw_Allowance_Take(at(&g, leaf), g.team, FW_COST,
+        ck_assert(Fw_Allowance_Take(relay_at(&g, leaf), g.team, FW_COST,
                                     Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     }
     Fw_RelayFleet_Advance(&g.f, 400 * FW_MSEC);
     for (int i = 0; i < 40; i++) {
-        Fw_Allowance_Explain(at(&g, i), "t", &level, &part);
-        ck_assert_int_eq(part, 1000);
+        Fw_Allowance_Explain(relay_at(&g, i), "t", &level, &part_permille);
+        ck_assert_int_eq(part_permille, 1000);
         ck_assert_int_le(level, 100000 + 14400 + 5000 - 15 * FW_COST);
     }
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against spending that goes uncounted, or twice, with a lost hub. */
+/* Guards against tokens counted twice or never when a hub is lost. */
 START_TEST(a_leaf_that_changes_its_hub_is_counted_once)
 {
-    struct rig g;
+    struct fleet_fixture g;
     int64_t before;
     int64_t after;
     int64_t retry_us;
-    int part;
+    int part_permille;
     int leaf;
     int hub;
     int other;
 
-    rig_init(&g, 40);
-    leaf = find(&g, 0, 0);
+    fixture_init(&g, 40);
+    leaf = find_by_role(&g, 0, 0);
     Fw_RelayFleet_Advance(&g.f, 10 * FW_SEC);
     hub = 0;
-    while (strcmp(g.f.sites[hub].name, at(&g, leaf)->x.hub->name) != 0) {
+    while (strcmp(g.f.sites[hub].name, relay_at(&g, leaf)->x.hub->name) != 0) {
         hub++;
     }
-    ck_assert(Fw_Allowance_Take(at(&g, leaf), g.team, 10 * FW_COST,
+    ck_assert(Fw_Allowance_Take(relay_at(&g, leaf), g.team, 10 * FW_COST,
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 400 * FW_MSEC);
-    other = find(&g, 1, hub == find(&g, 1, 0) ? hub + 1 : 0);
-    Fw_Allowance_Explain(at(&g, other), "t", &before, &part);
+    other = find_by_role(&g, 1, hub == find_by_role(&g, 1, 0) ? hub + 1 : 0);
+    Fw_Allowance_Explain(relay_at(&g, other), "t", &before, &part_permille);
     g.f.sites[hub].isolated = 1;
-    ck_assert(Fw_Allowance_Take(at(&g, leaf), g.team, FW_COST,
+    ck_assert(Fw_Allowance_Take(relay_at(&g, leaf), g.team, FW_COST,
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 1500 * FW_MSEC);
-    Fw_Allowance_Explain(at(&g, other), "t", &after, &part);
-    ck_assert_str_ne(at(&g, leaf)->x.hub->name, g.f.sites[hub].name);
-    /* Refilled for up to two seconds, and the one request taken off. */
+    Fw_Allowance_Explain(relay_at(&g, other), "t", &after, &part_permille);
+    ck_assert_str_ne(relay_at(&g, leaf)->x.hub->name, g.f.sites[hub].name);
+    /* Refilled for up to two seconds, less the one request. */
     ck_assert_int_le(after, before - FW_COST + 2 * 10500);
     ck_assert_int_ge(after, before - FW_COST);
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against leaves that nobody answers once their hub has died. */
-START_TEST(leaves_of_a_dead_hub_find_another)
+/* Guards against leaves that stay with a hub that is unreachable. */
+START_TEST(leaves_of_an_unreachable_hub_change_to_another)
 {
-    struct rig g;
+    struct fleet_fixture g;
     int hub;
 
-    rig_init(&g, 60);
-    hub = find(&g, 1, 0);
+    fixture_init(&g, 60);
+    hub = find_by_role(&g, 1, 0);
     g.f.sites[hub].isolated = 1;
     Fw_RelayFleet_Advance(&g.f, 2 * FW_SEC);
     for (int i = 0; i < 60; i++) {
         if (i != hub) {
-            ck_assert_int_eq(in_touch(&g, i), 59);
+            ck_assert_int_eq(count_live(&g, i), 59);
         }
     }
     g.f.sites[hub].isolated = 0;
     Fw_RelayFleet_Advance(&g.f, 3 * FW_SEC);
     for (int i = 0; i < 60; i++) {
-        ck_assert_int_eq(in_touch(&g, i), 60);
+        ck_assert_int_eq(count_live(&g, i), 60);
     }
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against leaves that wait 0.6 s for a hub that has stopped. */
-START_TEST(a_hub_that_stops_sends_its_leaves_away)
+/* Guards against leaves that wait for the timeout of a draining hub. */
+START_TEST(leaves_of_a_draining_hub_change_to_another)
 {
-    struct rig g;
+    struct fleet_fixture g;
     int hub;
 
-    rig_init(&g, 60);
-    hub = find(&g, 1, 0);
-    Fw_Relay_Drain(at(&g, hub), Fw_RelayFleet_Now(&g.f, hub),
+    fixture_init(&g, 60);
+    hub = find_by_role(&g, 1, 0);
+    Fw_Relay_Drain(relay_at(&g, hub), Fw_RelayFleet_Now(&g.f, hub),
                    &g.f.sites[hub].acts);
     Fw_RelayFleet_Advance(&g.f, 300 * FW_MSEC);
     for (int i = 0; i < 60; i++) {
-        struct fw_rl_member *of = at(&g, i)->x.hub;
+        struct fw_rl_member *of = relay_at(&g, i)->x.hub;
 
         ck_assert(!of || strcmp(of->name, g.f.sites[hub].name) != 0);
     }
     Fw_RelayFleet_Advance(&g.f, FW_SEC);
     for (int i = 0; i < 60; i++) {
-        ck_assert_int_eq(in_touch(&g, i), 60);
+        ck_assert_int_eq(count_live(&g, i), 60);
     }
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
 static int
-places(struct rig *g, int i, int64_t since_us)
+may_place(struct fleet_fixture *g, int i, int64_t since_us)
 {
-    return !Fw_Exchange_Awaits(at(g, i), since_us,
+    return !Fw_Exchange_Awaits(relay_at(g, i), since_us,
                                Fw_RelayFleet_Now(&g->f, i));
 }
 
-/* Guards against streams that leaves send to one engine by an old picture. */
-START_TEST(a_leaf_places_by_a_fresh_picture)
+/* Guards against leaves that overload an engine because of stale load. */
+START_TEST(a_leaf_places_by_recent_load)
 {
-    struct rig g;
+    struct fleet_fixture g;
     struct fw_rl_load load;
     int leaf;
     int other;
     int64_t since;
 
-    rig_init(&g, 40);
-    leaf = find(&g, 0, 0);
-    other = find(&g, 0, leaf + 1);
+    fixture_init(&g, 40);
+    leaf = find_by_role(&g, 0, 0);
+    other = find_by_role(&g, 0, leaf + 1);
     Fw_RelayFleet_Advance(&g.f, 100 * FW_MSEC);
-    while (places(&g, leaf, Fw_RelayFleet_Now(&g.f, leaf))) {
+    while (may_place(&g, leaf, Fw_RelayFleet_Now(&g.f, leaf))) {
         Fw_RelayFleet_Advance(&g.f, 20 * FW_MSEC);
     }
-    Fw_Servers_Find(at(&g, other), FW_SERVER)->running = 5;
-    Fw_Delta_Placed(at(&g, other), Fw_Servers_Find(at(&g, other), FW_SERVER));
+    Fw_Servers_Find(relay_at(&g, other), FW_SERVER)->running = 5;
+    Fw_Delta_Placed(relay_at(&g, other),
+                    Fw_Servers_Find(relay_at(&g, other), FW_SERVER));
     Fw_RelayFleet_Send(&g.f, other);
     Fw_RelayFleet_Advance(&g.f, 80 * FW_MSEC);
     since = Fw_RelayFleet_Now(&g.f, leaf);
-    places(&g, leaf, since);
+    may_place(&g, leaf, since);
     Fw_RelayFleet_Send(&g.f, leaf);
     Fw_RelayFleet_Advance(&g.f, 5 * FW_MSEC);
     Fw_RelayFleet_Advance(&g.f, 5 * FW_MSEC);
-    ck_assert(places(&g, leaf, since));
-    Fw_Place_Load(at(&g, leaf), Fw_Servers_Find(at(&g, leaf), FW_SERVER),
+    ck_assert(may_place(&g, leaf, since));
+    Fw_Place_Load(relay_at(&g, leaf),
+                  Fw_Servers_Find(relay_at(&g, leaf), FW_SERVER),
                   Fw_RelayFleet_Now(&g.f, leaf), &load);
     ck_assert_int_eq(load.running, 5);
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against requests that wait for a hub that doesn't answer. */
-START_TEST(a_placement_waits_for_a_silent_hub_only_shortly)
+/* Guards against requests that wait for a hub until they time out. */
+START_TEST(a_placement_stops_waiting_for_an_unreachable_hub)
 {
-    struct rig g;
+    struct fleet_fixture g;
     int leaf;
     int64_t since;
 
-    rig_init(&g, 40);
-    leaf = find(&g, 0, 0);
+    fixture_init(&g, 40);
+    leaf = find_by_role(&g, 0, 0);
     g.f.sites[leaf].isolated = 1;
     Fw_RelayFleet_Advance(&g.f, 100 * FW_MSEC);
     since = Fw_RelayFleet_Now(&g.f, leaf);
-    ck_assert(!places(&g, leaf, since));
+    ck_assert(!may_place(&g, leaf, since));
     Fw_RelayFleet_Advance(&g.f, 20 * FW_MSEC);
-    ck_assert(places(&g, leaf, since));
-    rig_clear(&g);
+    ck_assert(may_place(&g, leaf, since));
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against a domain that stays alone after its power is back. */
-START_TEST(a_domain_that_lost_power_is_met_again)
+/* Guards against a domain that stays isolated after all of it restarted. */
+START_TEST(a_restarted_domain_rejoins_the_fleet)
 {
-    struct rig g;
+    struct fleet_fixture g;
 
-    rig_init(&g, 45);
+    fixture_init(&g, 45);
     Fw_RelayFleet_Partition(&g.f);
     Fw_RelayFleet_Advance(&g.f, 5 * FW_SEC);
     for (int i = 0; i < 45; i++) {
-        ck_assert_int_eq(in_touch(&g, i), g.f.sites[i].partition ? 15 : 30);
+        ck_assert_int_eq(count_live(&g, i), g.f.sites[i].partition ? 15 : 30);
         if (g.f.sites[i].partition) {
             Fw_RelayFleet_Restart(&g.f, i);
         }
@@ -327,14 +329,14 @@
     Fw_RelayFleet_Heal(&g.f);
     Fw_RelayFleet_Advance(&g.f, 2 * FW_SEC);
     for (int i = 0; i < 45; i++) {
-        ck_assert_int_eq(in_touch(&g, i), 45);
+        ck_assert_int_eq(count_live(&g, i), 45);
     }
-    rig_clear(&g);
+    fixture_clear(&g);
 }
 END_TEST
 
-/* Guards against small machines that serve others while large ones don't. */
-START_TEST(large_instances_are_hubs_first)
+/* Guards against hubs with less CPU than leaves of the same domain. */
+START_TEST(instances_with_more_cpu_are_hubs_first)
 {
     struct fw_relay_opts o = {
         .name = "n00", .domain = "d", .cpu_ppm = 120000, .retry_window_us = 1};
@@ -364,7 +366,7 @@
 END_TEST
 
 static struct fw_relay *
-with_model(const char *name)
+make_relay(const char *name)
 {
     struct fw_relay_opts o = {.retry_window_us = 1};
     struct fw_rl_rules *rules = Fw_Rules_New();
@@ -384,11 +386,11 @@
     return r;
 }
 
-/* Guards against engines that a new instance fills by a blind guess. */
-START_TEST(a_new_instance_gets_what_was_learned)
+/* Guards against a new instance that places streams by default estimates. */
+START_TEST(a_new_instance_receives_learned_values)
 {
-    struct fw_relay *old = with_model("n1");
-    struct fw_relay *fresh = with_model("n2");
+    struct fw_relay *old = make_relay("n1");
+    struct fw_relay *fresh = make_relay("n2");
     GByteArray *msg = g_byte_array_new();
     struct fw_length_guess a;
     struct fw_length_guess b;
@@ -421,16 +423,16 @@
 {
     TCase *tc = Fw_Suite_New("relay hubs");
 
-    tcase_add_test(tc, an_instance_of_a_large_fleet_gets_few_messages);
-    tcase_add_test(tc, all_of_a_small_fleet_are_hubs);
-    tcase_add_test(tc, what_one_leaf_spends_all_others_know);
+    tcase_add_test(tc, message_rate_is_bounded_in_a_large_fleet);
+    tcase_add_test(tc, all_instances_of_a_small_fleet_are_hubs);
+    tcase_add_test(tc, spending_of_a_leaf_reaches_all_instances);
     tcase_add_test(tc, a_leaf_that_changes_its_hub_is_counted_once);
-    tcase_add_test(tc, leaves_of_a_dead_hub_find_another);
-    tcase_add_test(tc, a_hub_that_stops_sends_its_leaves_away);
-    tcase_add_test(tc, a_domain_that_lost_power_is_met_again);
-    tcase_add_test(tc, a_leaf_places_by_a_fresh_picture);
-    tcase_add_test(tc, a_placement_waits_for_a_silent_hub_only_shortly);
-    tcase_add_test(tc, large_instances_are_hubs_first);
-    tcase_add_test(tc, a_new_instance_gets_what_was_learned);
+    tcase_add_test(tc, leaves_of_an_unreachable_hub_change_to_another);
+    tcase_add_test(tc, leaves_of_a_draining_hub_change_to_another);
+    tcase_add_test(tc, a_restarted_domain_rejoins_the_fleet);
+    tcase_add_test(tc, a_leaf_places_by_recent_load);
+    tcase_add_test(tc, a_placement_stops_waiting_for_an_unreachable_hub);
+    tcase_add_test(tc, instances_with_more_cpu_are_hubs_first);
+    tcase_add_test(tc, a_new_instance_receives_learned_values);
     return Fw_Suite_Run(tc);
 }
