--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -43,13 +43,13 @@
 }
 
 static void
-check(struct fw_run *run, const GArray *grants)
+check_window(struct fw_run *run, const GArray *grants)
 {
     const struct grant *last =
         &g_array_index(grants, struct grant, grants->len - 1);
-    double most = (FW_RATE_PER_S * (double)FW_WINDOW_US / FW_SEC + FW_BURST) *
-                      FW_OVERAGE_FACTOR +
-                  FW_TOLERANCE;
+    double limit = (FW_RATE_PER_S * (double)FW_WINDOW_US / FW_SEC + FW_BURST) *
+                       FW_OVERAGE_FACTOR +
+                   FW_TOLERANCE;
     int64_t sum = 0;
 
     for (guint i = grants->len; i > 0; i--) {
@@ -60,11 +60,11 @@
         }
         sum += g->tokens;
     }
-    if ((double)sum > most) {
+    if ((double)sum > limit) {
         Fw_Run_Breach(run,
                       "%" G_GINT64_FORMAT " tokens in a window, %.0f "
                       "allowed",
-                      sum, most);
+                      sum, limit);
     }
 }
 
@@ -147,7 +147,7 @@
         Fw_RelayFleet_Send(&f, i);
         g_array_append_vals(
             grants, &(struct grant){.at_us = f.now_us, .tokens = cost}, 1);
-        check(run, grants);
+        check_window(run, grants);
     }
     Fw_Run_Trace(run, "%u grants", grants->len);
     g_array_unref(grants);
--- a/explore/relay_fleet.c
+++ b/explore/relay_fleet.c
@@ -166,17 +166,17 @@
 }
 
 static void
-send_outbox(struct fleet *f, int from, struct fw_rl_mail *mail)
+send_outbox(struct fleet *f, int from, struct fw_rl_mail *outbox)
 {
-    for (guint i = 0; i < mail->all->len; i++) {
-        const struct fw_rl_datagram *d = g_ptr_array_index(mail->all, i);
+    for (guint i = 0; i < outbox->all->len; i++) {
+        const struct fw_rl_datagram *d = g_ptr_array_index(outbox->all, i);
         int to = site_at(f, d->addr);
 
         if (to >= 0) {
             send_datagram(f, from, to, d->data);
         }
     }
-    Fw_Mail_Clear(mail);
+    Fw_Mail_Clear(outbox);
 }
 
 static void
--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -1,6 +1,6 @@
 /*
- * Deltas, sent between hubs between two digests: tokens spent and load placed
- * since the last message by a hub and its leaves.
+ * Deltas, sent between hubs between two digests: the totals of tokens spent
+ * and of load that have changed since the last message.
  *
  * Until instances learn of each other's decisions they grant the same tokens
  * and choose the same engine. A team's allowance is then overdrawn and its
@@ -111,12 +111,12 @@
     const msgpack_object_array *load;
     struct fw_rl_member *m;
     char name[FW_NAME_MAX];
-    uint64_t form;
+    uint64_t type;
     uint64_t boot;
     uint64_t seq;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 6 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_MSG_TYPE_DELTA ||
+        Fw_Unpack_U64(o, 0, &type) || type != FW_MSG_TYPE_DELTA ||
         Fw_Unpack_Str(o, 1, name, sizeof(name)) ||
         Fw_Unpack_U64(o, 2, &boot) || Fw_Unpack_U64(o, 3, &seq)) {
         return -EBADMSG;
--- a/src/relay/digest.c
+++ b/src/relay/digest.c
@@ -70,11 +70,11 @@
 static int
 read_digest(const msgpack_object *o, struct digest *d)
 {
-    uint64_t form;
+    uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_DIGEST_SIZE || Fw_Unpack_U64(o, 0, &form) ||
-        form != FW_MSG_TYPE_DIGEST || Fw_Message_ReadSender(o, &d->from) ||
+        o->via.array.size != FW_DIGEST_SIZE || Fw_Unpack_U64(o, 0, &type) ||
+        type != FW_MSG_TYPE_DIGEST || Fw_Message_ReadSender(o, &d->from) ||
         Fw_Unpack_U64(o, 5, &d->seq)) {
         return -EBADMSG;
     }
--- a/src/relay/exchange.c
+++ b/src/relay/exchange.c
@@ -29,7 +29,7 @@
 
 /*
  * Unreachable hubs are probed at intervals, so that both sides of a partition
- * find each other after it ends. Starts the wait for an answer.
+ * find each other after it ends. Also starts the wait for an answer.
  */
 static int
 should_send_digest(struct fw_relay *r, struct fw_rl_member *m, int64_t now_us)
@@ -203,8 +203,8 @@
 }
 
 /*
- * A new session makes the hub start counting from the spending that the last
- * hub has acknowledged.
+ * A new session makes @hub count the tokens that earlier hubs haven't
+ * acknowledged.
  */
 static void
 change_hub(struct fw_relay *r, struct fw_rl_member *hub)
@@ -289,8 +289,8 @@
 }
 
 /*
- * Sends a new peer the hubs, what was learned of the services' engines and,
- * if it is a hub as well, a digest.
+ * Sends a new peer the list of hubs, what was learned of each service and, if
+ * both are hubs, a digest.
  */
 static void
 send_initial_state(struct fw_relay *r, const char *addr, int with_digest,
--- a/src/relay/hub_list.c
+++ b/src/relay/hub_list.c
@@ -13,7 +13,7 @@
 /* Name, address, hash of the domain, CPU. */
 #define FW_HUB_COLUMNS 4
 #define FW_HUBS_LISTED_MAX 640
-/* Time until a listed hub that was unreachable is taken as reachable. */
+/* Time after which an unreachable hub that is listed is tried again. */
 #define FW_UNREACHABLE_RETRY_US (300 * FW_MSEC)
 
 static void
@@ -112,10 +112,10 @@
     const msgpack_object *rows;
     struct hub_entry from;
     struct hub_entry l;
-    uint64_t form;
+    uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 5 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_MSG_TYPE_HUB_LIST ||
+        Fw_Unpack_U64(o, 0, &type) || type != FW_MSG_TYPE_HUB_LIST ||
         Fw_Unpack_Str(o, 1, from.name, sizeof(from.name)) || !from.name[0] ||
         Fw_Unpack_U64(o, 2, &from.domain) ||
         Fw_Unpack_I64(o, 3, &from.cpu_ppm) ||
--- a/src/relay/hubs.c
+++ b/src/relay/hubs.c
@@ -11,10 +11,13 @@
 #define FW_HUBS_TARGET 10
 /* Minimum in each domain, so that one can fail. */
 #define FW_HUBS_PER_DOMAIN_MIN 2
-/* In a fleet of up to this many more instances all are hubs. */
+/*
+ * In a fleet larger than the target by up to this, each domain may have as
+ * many hubs as the whole fleet.
+ */
 #define FW_HUBS_SLACK 2
 #define FW_DOMAINS_MAX 64
-/* An instance whose last digest is older is no hub unless it is by rank. */
+/* Time after a digest for which its sender acts as a hub whatever its rank. */
 #define FW_ACTING_TIMEOUT_US (2 * FW_SEC)
 
 /**
@@ -50,8 +53,8 @@
 
 /* Does @a rank before @b? More CPU does, and at equal CPU the lower hash. */
 static int
-is_better(const struct fw_relay *r, const struct fw_rl_member *a,
-          const struct fw_rl_member *b)
+ranks_before(const struct fw_relay *r, const struct fw_rl_member *a,
+             const struct fw_rl_member *b)
 {
     if (cpu_of(r, a) != cpu_of(r, b)) {
         return cpu_of(r, a) > cpu_of(r, b);
@@ -84,7 +87,7 @@
     if (!d) {
         return;
     }
-    for (at = d->n; at > 0 && is_better(k->r, m, d->hubs[at - 1]); at--) {
+    for (at = d->n; at > 0 && ranks_before(k->r, m, d->hubs[at - 1]); at--) {
         if (at < k->hubs_per_domain) {
             d->hubs[at] = d->hubs[at - 1];
         }
@@ -240,7 +243,7 @@
 static struct fw_rl_member *
 choose_hub(const struct fw_relay *r, int nominal_only)
 {
-    struct fw_rl_member *found[FW_HUBS_TARGET];
+    struct fw_rl_member *candidates[FW_HUBS_TARGET];
     struct fw_list *pos;
     int n = 0;
 
@@ -251,13 +254,13 @@
         if (!is_candidate(r, m, nominal_only) || n == FW_HUBS_TARGET) {
             continue;
         }
-        for (; at > 0 && is_better(r, m, found[at - 1]); at--) {
-            found[at] = found[at - 1];
+        for (; at > 0 && ranks_before(r, m, candidates[at - 1]); at--) {
+            candidates[at] = candidates[at - 1];
         }
-        found[at] = m;
+        candidates[at] = m;
         n++;
     }
-    return n ? found[r->hash % (uint64_t)n] : NULL;
+    return n ? candidates[r->hash % (uint64_t)n] : NULL;
 }
 
 struct fw_rl_member *
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -9,8 +9,8 @@
  * of the allowances stays reserved, as it may be running in another partition.
  */
 #define FW_MEMBER_EXPIRY_US (20 * FW_SEC)
-/* Interval after which the live instances are counted again. */
-#define FW_COUNT_INTERVAL_US (10 * FW_MSEC)
+/* Maximum age of a hub's counts of instances. */
+#define FW_COUNT_AGE_MAX_US (10 * FW_MSEC)
 /* Load that a member has sent is dropped after this time without an update. */
 #define FW_LOAD_EXPIRY_US (2 * FW_SEC)
 
@@ -58,7 +58,7 @@
     r->x.recount = 1;
 }
 
-/* The digests of the hub that @m now reports to include its values. */
+/* The values of @m are in the digests of the hub that it reports to now. */
 static void
 drop_reported_state(struct fw_relay *r, struct fw_rl_member *m)
 {
@@ -227,7 +227,7 @@
         x->in_touch = 1;
     }
     else if (!has_hub &&
-             (x->recount || now_us - x->counted_us >= FW_COUNT_INTERVAL_US)) {
+             (x->recount || now_us - x->counted_us >= FW_COUNT_AGE_MAX_US)) {
         count_instances(r, now_us);
     }
     if (n_live) {
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -433,10 +433,10 @@
 /* outbox.c */
 /* Adds a message whose @data several recipients share. */
 void
-Fw_Outbox_AddShared(struct fw_rl_mail *mail, const char *addr, GBytes *data);
+Fw_Outbox_AddShared(struct fw_rl_mail *outbox, const char *addr, GBytes *data);
 /* Adds a copy of @msg. */
 void
-Fw_Outbox_Add(struct fw_rl_mail *mail, const char *addr,
+Fw_Outbox_Add(struct fw_rl_mail *outbox, const char *addr,
               const GByteArray *msg);
 
 /* exchange.c */
--- a/src/relay/reply.c
+++ b/src/relay/reply.c
@@ -44,8 +44,8 @@
 Fw_Reply_Write(struct fw_relay *r, struct fw_rl_member *m, uint64_t report_seq,
                int64_t now_us, GByteArray *out)
 {
-    int in_touch;
-    int count = Fw_Members_Count(r, now_us, &in_touch);
+    int n_live;
+    int n_instances = Fw_Members_Count(r, now_us, &n_live);
     msgpack_packer pk;
 
     Fw_Pack_Begin(&pk, out);
@@ -58,8 +58,8 @@
     msgpack_pack_uint64(&pk, report_seq);
     msgpack_pack_array(&pk, 1);
     msgpack_pack_array(&pk, 2);
-    msgpack_pack_int(&pk, r->draining ? 0 : count);
-    msgpack_pack_int(&pk, in_touch);
+    msgpack_pack_int(&pk, r->draining ? 0 : n_instances);
+    msgpack_pack_int(&pk, n_live);
     pack_levels(r, m, now_us, &pk);
     if (report_seq) {
         Fw_Message_PackLoad(r, &pk, m, 0, now_us);
@@ -89,17 +89,17 @@
     const msgpack_object_array *levels;
     const msgpack_object_array *load;
     const msgpack_object_array *strikes;
-    const msgpack_object_array *watch;
+    const msgpack_object_array *store_state;
 };
 
 static int
 read_reply(const msgpack_object *o, struct reply *p)
 {
-    uint64_t form;
+    uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_REPLY_SIZE || Fw_Unpack_U64(o, 0, &form) ||
-        form != FW_MSG_TYPE_REPLY ||
+        o->via.array.size != FW_REPLY_SIZE || Fw_Unpack_U64(o, 0, &type) ||
+        type != FW_MSG_TYPE_REPLY ||
         Fw_Unpack_Str(o, 1, p->name, sizeof(p->name)) || !p->name[0] ||
         Fw_Unpack_U64(o, 2, &p->boot) || Fw_Unpack_U64(o, 3, &p->leaf_boot) ||
         Fw_Unpack_U64(o, 4, &p->session) ||
@@ -110,9 +110,9 @@
     p->levels = Fw_Rows_Of(o, 7, 3);
     p->load = Fw_Rows_Of(o, 8, 6);
     p->strikes = Fw_Rows_Of(o, 9, 2);
-    p->watch = Fw_Rows_Of(o, 10, FW_RL_WATCH_WIDTH);
-    return p->counts && p->levels && p->load && p->strikes && p->watch &&
-                   p->counts->size == 1 && p->watch->size == 1
+    p->store_state = Fw_Rows_Of(o, 10, FW_RL_WATCH_WIDTH);
+    return p->counts && p->levels && p->load && p->strikes && p->store_state &&
+                   p->counts->size == 1 && p->store_state->size == 1
                ? 0
                : -EBADMSG;
 }
@@ -166,14 +166,14 @@
 static void
 apply_freshness(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
-    int64_t age_us = MAX(Fw_Rows_Cell(p->watch, 0, 5), 0);
+    int64_t age_us = MAX(Fw_Rows_Cell(p->store_state, 0, 5), 0);
     int64_t from_us = r->x.report_sent_us;
 
     if (FW_FAULT("fresh-from-arrival")) {
         from_us = now_us;
     }
-    if (r->rules &&
-        (uint64_t)Fw_Rows_Cell(p->watch, 0, 2) == Fw_StoreSync_RulesEnd(r)) {
+    if (r->rules && (uint64_t)Fw_Rows_Cell(p->store_state, 0, 2) ==
+                        Fw_StoreSync_RulesEnd(r)) {
         Fw_Relay_Fresh(r, from_us - age_us);
     }
 }
@@ -217,6 +217,6 @@
         apply_load(r, hub, &p, now_us);
         apply_freshness(r, &p, now_us);
     }
-    Fw_Message_ApplyStoreState(r, hub, p.watch, now_us);
+    Fw_Message_ApplyStoreState(r, hub, p.store_state, now_us);
     return 0;
 }
--- a/src/relay/report.c
+++ b/src/relay/report.c
@@ -71,11 +71,11 @@
 static int
 read_report(const msgpack_object *o, struct report *p)
 {
-    uint64_t form;
+    uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_REPORT_SIZE || Fw_Unpack_U64(o, 0, &form) ||
-        form != FW_MSG_TYPE_REPORT || Fw_Message_ReadSender(o, &p->from) ||
+        o->via.array.size != FW_REPORT_SIZE || Fw_Unpack_U64(o, 0, &type) ||
+        type != FW_MSG_TYPE_REPORT || Fw_Message_ReadSender(o, &p->from) ||
         Fw_Unpack_U64(o, 5, &p->session) || Fw_Unpack_U64(o, 6, &p->seq)) {
         return -EBADMSG;
     }
--- a/src/relay/share.c
+++ b/src/relay/share.c
@@ -165,7 +165,7 @@
     }
 }
 
-/* Packs and frees @sums. */
+/* Packs a row for each entry of @counts, and frees it. */
 static void
 pack_counts(msgpack_packer *pk, GHashTable *counts)
 {
@@ -209,13 +209,13 @@
 Fw_Message_PackPrefillRates(struct fw_relay *r, msgpack_packer *pk,
                             int64_t now_us)
 {
-    GHashTable *counts = Fw_Rows_NewTable();
+    GHashTable *rates = Fw_Rows_NewTable();
     struct fw_list *pos;
 
     for (guint i = 0; i < r->learned->len; i++) {
         const struct fw_learned *l = g_ptr_array_index(r->learned, i);
 
-        *Fw_Rows_LookupOrAdd(counts, Fw_Hash_Str(l->service), 0) +=
+        *Fw_Rows_LookupOrAdd(rates, Fw_Hash_Str(l->service), 0) +=
             (int64_t)Fw_Reading_Rate(&l->reading, now_us);
     }
     FW_LIST_EACH (pos, &r->members) {
@@ -223,10 +223,10 @@
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
         if (r->x.is_hub && Fw_Hubs_IsLeaf(r, m, now_us)) {
-            add_counts(counts, m->reading);
+            add_counts(rates, m->reading);
         }
     }
-    pack_counts(pk, counts);
+    pack_counts(pk, rates);
 }
 
 void
@@ -247,12 +247,12 @@
 Fw_Message_ApplyStoreState(struct fw_relay *r, struct fw_rl_member *m,
                            const msgpack_object_array *rows, int64_t now_us)
 {
-    int lost = Fw_Rows_Cell(rows, 0, 1) != 0;
+    int unreachable = Fw_Rows_Cell(rows, 0, 1) != 0;
 
-    if (m->store_unreachable && !lost) {
+    if (m->store_unreachable && !unreachable) {
         r->store_back_us = now_us; /* expired entries may return soon */
     }
-    m->store_unreachable = lost;
+    m->store_unreachable = unreachable;
     m->reads_store = (int)Fw_Rows_Cell(rows, 0, 0);
     m->rules_end = (uint64_t)Fw_Rows_Cell(rows, 0, 2);
     m->list_offset = (uint64_t)Fw_Rows_Cell(rows, 0, 3);
--- a/src/relay/watch.c
+++ b/src/relay/watch.c
@@ -20,7 +20,7 @@
 #define FW_MSG_TYPE_QUERY 2
 #define FW_MSG_TYPE_ANSWER 3
 
-/* Hubs that poll the store; one that can't reach it is replaced. */
+/* Hubs that poll the store: the first by hash of name that can reach it. */
 #define FW_STORE_READERS 2
 /* Interval of a hub's queries; the next one replaces an unanswered one. */
 #define FW_QUERY_INTERVAL_HUB_US (300 * FW_MSEC)
@@ -48,11 +48,12 @@
 }
 
 /*
- * An instance that has just started first waits for a hub to tell it what to
- * read, as many that start together would otherwise all poll the store.
+ * After its start a hub waits for the list of members, and a leaf for its hub,
+ * before it polls the store. Otherwise all of many instances that start at
+ * once would poll it.
  */
 static int
-waits_for_hub(const struct fw_relay *r, int64_t now_us)
+waits_after_start(const struct fw_relay *r, int64_t now_us)
 {
     int64_t wait_us = r->x.is_hub ? FW_MEMBER_LIST_WAIT_US : FW_HUB_WAIT_US;
 
@@ -67,7 +68,7 @@
     int readers_before = 0;
 
     if (!r->rules || !r->list_known) {
-        return !waits_for_hub(r, now_us);
+        return !waits_after_start(r, now_us);
     }
     if (!r->x.is_hub) {
         return Fw_Relay_IsIsolated(r, now_us);
@@ -213,10 +214,10 @@
     GByteArray *msg;
     msgpack_packer pk;
 
-    int64_t every_us =
+    int64_t interval_us =
         r->x.is_hub ? FW_QUERY_INTERVAL_HUB_US : FW_QUERY_INTERVAL_LEAF_US;
 
-    if (now_us - r->watch.asked_us < every_us ||
+    if (now_us - r->watch.asked_us < interval_us ||
         (!r->x.is_hub && now_us - r->fresh_us < FW_QUERY_WHEN_STALE_US) ||
         (Fw_Relay_ReadsStore(r, now_us) &&
          now_us - r->fresh_us < FW_QUERY_WHEN_STALE_US)) {
