--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -59,7 +59,7 @@
         Fw_Member_Add(f, self->name, self->addr, self->domain, self->region);
     f->me->m.boot = self->boot;
     f->me->m.state = FW_MEMBER_ALIVE;
-    Fw_Member_Changed(f);
+    Fw_Member_RebuildCandidates(f);
     return f;
 }
 
@@ -73,17 +73,17 @@
     g_free(f);
 }
 
-struct fw_entry *
+struct fw_member_entry *
 Fw_Member_Find(const struct fw_fleet *f, const char *name)
 {
     return g_hash_table_lookup(f->entries, name);
 }
 
-struct fw_entry *
+struct fw_member_entry *
 Fw_Member_Add(struct fw_fleet *f, const char *name, const char *addr,
               const char *domain, const char *region)
 {
-    struct fw_entry *e = g_new0(struct fw_entry, 1);
+    struct fw_member_entry *e = g_new0(struct fw_member_entry, 1);
 
     g_strlcpy(e->m.name, name, sizeof(e->m.name));
     g_strlcpy(e->m.addr, addr, sizeof(e->m.addr));
@@ -106,7 +106,7 @@
 }
 
 void
-Fw_Member_Changed(struct fw_fleet *f)
+Fw_Member_RebuildCandidates(struct fw_fleet *f)
 {
     GHashTableIter it;
     gpointer value;
@@ -114,7 +114,7 @@
     g_ptr_array_set_size(f->pick, 0);
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         if (e->m.state <= FW_MEMBER_SUSPECT &&
             strcmp(e->m.region, f->self.region) == 0) {
             g_ptr_array_add(f->pick, &e->m);
@@ -133,7 +133,7 @@
 }
 
 void
-Fw_Member_SetState(struct fw_fleet *f, struct fw_entry *e,
+Fw_Member_SetState(struct fw_fleet *f, struct fw_member_entry *e,
                    enum fw_member_state state, int64_t now_us,
                    struct fw_actions *out)
 {
@@ -146,7 +146,7 @@
     e->m.state = state;
     e->suspect_until_us = 0;
     if (state == FW_MEMBER_SUSPECT) {
-        e->suspect_until_us = now_us + FW_SUSPECT_US;
+        e->suspect_until_us = now_us + FW_SUSPECT_TIMEOUT_US;
         f->suspicions.value++;
     }
     if (state == FW_MEMBER_DEAD) {
@@ -154,5 +154,5 @@
         e->probe_us = now_us + e->backoff_us;
         f->deaths.value++;
     }
-    Fw_Member_Changed(f);
+    Fw_Member_RebuildCandidates(f);
 }
--- a/src/fleet/fleet_cmd.c
+++ b/src/fleet/fleet_cmd.c
@@ -20,14 +20,14 @@
                  strcmp(o->region, le->region) == 0 &&
                  Fw_Hash_Weight(key, o->name) > w;
     }
-    return above < FW_FOREIGN_MEMBERS;
+    return above < FW_REMOTE_MEMBERS_MAX;
 }
 
 static void
 see_listed(struct fw_fleet *f, const struct fw_listed *listed,
            const struct fw_list_entry *le, int64_t now_us)
 {
-    struct fw_entry *e = Fw_Member_Find(f, le->name);
+    struct fw_member_entry *e = Fw_Member_Find(f, le->name);
 
     if (!e && !le->leaving &&
         (strcmp(le->region, f->self.region) == 0 ||
@@ -58,7 +58,7 @@
     }
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        ((struct fw_entry *)value)->listed = 0;
+        ((struct fw_member_entry *)value)->listed = 0;
     }
     for (int i = 0; i < listed->n; i++) {
         if (listed->entries[i].kind == FW_LIST_INSTANCE) {
--- a/src/fleet/member.h
+++ b/src/fleet/member.h
@@ -1,25 +1,25 @@
 /* Inside of the fleet: the table of members and the state of the probes. */
-#ifndef FW_FLEET_MEMBER_H
-#define FW_FLEET_MEMBER_H
+#ifndef FW_FLEET_INTERNAL_H
+#define FW_FLEET_INTERNAL_H
 
 #include "fleet/fleet.h"
 
-/* Others are asked to ping after FW_PROBE_DIRECT_US of silence. */
+/* Others are asked to ping after FW_PROBE_DIRECT_TIMEOUT_US of silence. */
 #define FW_PROBE_PERIOD_US (1 * FW_SEC)
-#define FW_PROBE_DIRECT_US (300 * FW_MSEC)
-#define FW_PROBE_HELPERS 3
+#define FW_PROBE_DIRECT_TIMEOUT_US (300 * FW_MSEC)
+#define FW_PROBE_INDIRECT_MAX 3
 /* Silence after a suspicion until death. */
-#define FW_SUSPECT_US (5 * FW_SEC)
-#define FW_DEAD_PROBE_US (10 * FW_SEC)
-#define FW_DEAD_KEEP_US (600 * FW_SEC)
+#define FW_SUSPECT_TIMEOUT_US (5 * FW_SEC)
+#define FW_DEAD_PROBE_INTERVAL_MAX_US (10 * FW_SEC)
+#define FW_DEAD_RETENTION_US (600 * FW_SEC)
 /* A tick later than this: this process was paused. */
-#define FW_PAUSE_US (2 * FW_SEC)
+#define FW_PAUSE_THRESHOLD_US (2 * FW_SEC)
 /* Known of each other region. */
-#define FW_FOREIGN_MEMBERS 3
-#define FW_RELAYS 16
+#define FW_REMOTE_MEMBERS_MAX 3
+#define FW_PING_RELAYS_MAX 16
 
 /**
- * struct fw_entry - one known instance.
+ * struct fw_member_entry - one known instance.
  * @tell: messages that shall still carry its rumour
  * @suspect_until_us: when a suspicion, or the silence of a leaving one,
  *                    becomes a death; 0 for none
@@ -27,7 +27,7 @@
  * @backoff_us: pause before the ping after that
  * @listed: named by the platform's last list
  */
-struct fw_entry {
+struct fw_member_entry {
     struct fw_member m;
     int tell;
     int64_t suspect_until_us;
@@ -36,8 +36,8 @@
     int listed;
 };
 
-/** struct fw_relay - a ping sent on behalf of another instance. */
-struct fw_relay {
+/** struct fw_ping_relay - a ping sent on behalf of another instance. */
+struct fw_ping_relay {
     uint64_t seq;
     uint64_t origin_seq;
     char origin[FW_NAME_MAX];
@@ -55,12 +55,12 @@
 struct fw_fleet {
     struct fw_self self;
     GRand *rand;
-    struct fw_entry *me;
-    GHashTable *entries; /* name to struct fw_entry, @me included */
+    struct fw_member_entry *me;
+    GHashTable *entries; /* name to struct fw_member_entry, @me included */
     GPtrArray *pick;     /* of this region, alive or suspect */
     GPtrArray *order;    /* names to probe, shuffled, taken from the end */
     struct fw_probe probe;
-    struct fw_relay relays[FW_RELAYS];
+    struct fw_ping_relay relays[FW_PING_RELAYS_MAX];
     int next_relay;
     uint64_t seq;
     int64_t next_probe_us;
@@ -72,35 +72,35 @@
     struct fw_metric sent;
 };
 
-struct fw_entry *
+struct fw_member_entry *
 Fw_Member_Find(const struct fw_fleet *f, const char *name);
-struct fw_entry *
+struct fw_member_entry *
 Fw_Member_Add(struct fw_fleet *f, const char *name, const char *addr,
               const char *domain, const char *region);
 /* After any change of a state: rebuilds what Fw_Fleet_Pick looks at. */
 void
-Fw_Member_Changed(struct fw_fleet *f);
+Fw_Member_RebuildCandidates(struct fw_fleet *f);
 void
-Fw_Member_SetState(struct fw_fleet *f, struct fw_entry *e,
+Fw_Member_SetState(struct fw_fleet *f, struct fw_member_entry *e,
                    enum fw_member_state state, int64_t now_us,
                    struct fw_actions *out);
 
 /* Rumours: takes those of a message in, and adds ours to one. */
 void
-Fw_Rumour_Merge(struct fw_fleet *f, const char *from,
+Fw_Gossip_Merge(struct fw_fleet *f, const char *from,
                 const struct fw_fleet_update *u, int64_t now_us,
                 struct fw_actions *out);
 /* Puts the state of @e on the messages to come. */
 void
-Fw_Rumour_Spread(struct fw_fleet *f, struct fw_entry *e);
+Fw_Gossip_Queue(struct fw_fleet *f, struct fw_member_entry *e);
 void
-Fw_Rumour_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
+Fw_Gossip_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
                  int state);
 void
-Fw_Rumour_Attach(struct fw_fleet *f, struct fw_fleet_msg *msg, int self);
+Fw_Gossip_Attach(struct fw_fleet *f, struct fw_fleet_msg *msg, int self);
 
 void
-Fw_Probe_Ping(struct fw_fleet *f, const struct fw_entry *e, uint64_t seq,
-              struct fw_actions *out);
+Fw_Probe_Ping(struct fw_fleet *f, const struct fw_member_entry *e,
+              uint64_t seq, struct fw_actions *out);
 
 #endif
--- a/src/fleet/member_query.c
+++ b/src/fleet/member_query.c
@@ -33,7 +33,7 @@
 const struct fw_member *
 Fw_Fleet_Find(const struct fw_fleet *f, const char *name)
 {
-    const struct fw_entry *e = Fw_Member_Find(f, name);
+    const struct fw_member_entry *e = Fw_Member_Find(f, name);
 
     return e ? &e->m : NULL;
 }
@@ -53,7 +53,7 @@
 
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         if (e->m.state != FW_MEMBER_DEAD) {
             g_ptr_array_add(all, &e->m);
         }
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -2,7 +2,7 @@
  * Sampled probes. Each period one member is pinged, in shuffled order; when
  * it stays silent others are asked to ping it, so that one bad path between
  * two instances condemns nobody; only then it is suspected, and only when it
- * does not refute that within FW_SUSPECT_US it is taken for dead.
+ * does not refute that within FW_SUSPECT_TIMEOUT_US it is taken for dead.
  */
 #include <string.h>
 #include <syslog.h>
@@ -23,8 +23,8 @@
 }
 
 void
-Fw_Probe_Ping(struct fw_fleet *f, const struct fw_entry *e, uint64_t seq,
-              struct fw_actions *out)
+Fw_Probe_Ping(struct fw_fleet *f, const struct fw_member_entry *e,
+              uint64_t seq, struct fw_actions *out)
 {
     struct fw_fleet_msg msg = {
         .kind = FW_FLEET_PING,
@@ -34,19 +34,19 @@
         .state = (int)e->m.state,
     };
 
-    Fw_Rumour_Attach(f, &msg, 1);
+    Fw_Gossip_Attach(f, &msg, 1);
     post(f, e->m.name, e->m.addr, &msg, out);
 }
 
 static void
-ask_helpers(struct fw_fleet *f, const struct fw_entry *e,
+ask_helpers(struct fw_fleet *f, const struct fw_member_entry *e,
             struct fw_actions *out)
 {
     guint n = f->pick->len;
     guint start = n ? (guint)g_rand_int_range(f->rand, 0, (gint32)n) : 0;
     int asked = 0;
 
-    for (guint i = 0; i < n && asked < FW_PROBE_HELPERS; i++) {
+    for (guint i = 0; i < n && asked < FW_PROBE_INDIRECT_MAX; i++) {
         const struct fw_member *m =
             g_ptr_array_index(f->pick, (start + i) % n);
         struct fw_fleet_msg msg = {
@@ -58,7 +58,7 @@
         }
         g_strlcpy(msg.target, e->m.name, sizeof(msg.target));
         g_strlcpy(msg.target_addr, e->m.addr, sizeof(msg.target_addr));
-        Fw_Rumour_Attach(f, &msg, 0);
+        Fw_Gossip_Attach(f, &msg, 0);
         post(f, m->name, m->addr, &msg, out);
         asked++;
     }
@@ -66,23 +66,23 @@
 
 /* The probe under way went unanswered, also through others. */
 static void
-probe_failed(struct fw_fleet *f, struct fw_entry *e, int64_t now_us,
+probe_failed(struct fw_fleet *f, struct fw_member_entry *e, int64_t now_us,
              struct fw_actions *out)
 {
     if (e->m.state == FW_MEMBER_ALIVE) {
         Fw_Member_SetState(f, e, FW_MEMBER_SUSPECT, now_us, out);
-        Fw_Rumour_Spread(f, e);
+        Fw_Gossip_Queue(f, e);
     }
     else if (e->m.state == FW_MEMBER_LEAVING && !e->suspect_until_us) {
         /* Kept as leaving, so that nobody begins to choose it again. */
-        e->suspect_until_us = now_us + FW_SUSPECT_US;
+        e->suspect_until_us = now_us + FW_SUSPECT_TIMEOUT_US;
     }
 }
 
 static void
 advance_probe(struct fw_fleet *f, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_entry *e;
+    struct fw_member_entry *e;
 
     if (!f->probe.target[0]) {
         return;
@@ -97,7 +97,7 @@
         f->probe.target[0] = '\0';
     }
     else if (!f->probe.helped &&
-             now_us >= f->probe.sent_us + FW_PROBE_DIRECT_US) {
+             now_us >= f->probe.sent_us + FW_PROBE_DIRECT_TIMEOUT_US) {
         f->probe.helped = 1;
         ask_helpers(f, e, out);
     }
@@ -117,7 +117,7 @@
 
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         if (e != f->me && e->m.state != FW_MEMBER_DEAD) {
             g_ptr_array_add(f->order, g_strdup(e->m.name));
         }
@@ -134,7 +134,7 @@
 static void
 next_probe(struct fw_fleet *f, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_entry *e = NULL;
+    struct fw_member_entry *e = NULL;
 
     if (f->order->len == 0) {
         fill_order(f);
@@ -168,26 +168,27 @@
 
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         if (e == f->me) {
             continue;
         }
         if (e->m.state != FW_MEMBER_DEAD && e->suspect_until_us &&
             now_us >= e->suspect_until_us) {
             Fw_Member_SetState(f, e, FW_MEMBER_DEAD, now_us, out);
-            Fw_Rumour_Spread(f, e);
+            Fw_Gossip_Queue(f, e);
         }
         if (e->m.state != FW_MEMBER_DEAD) {
             continue;
         }
-        if (!e->listed && now_us > e->m.changed_us + FW_DEAD_KEEP_US) {
+        if (!e->listed && now_us > e->m.changed_us + FW_DEAD_RETENTION_US) {
             g_hash_table_iter_remove(&it);
         }
         else if (now_us >= e->probe_us && pings < DEAD_PINGS_PER_TICK) {
             pings++;
             e->probe_us = now_us + e->backoff_us +
                           g_rand_int_range(f->rand, 0, 500) * FW_MSEC;
-            e->backoff_us = MIN(2 * e->backoff_us, FW_DEAD_PROBE_US);
+            e->backoff_us =
+                MIN(2 * e->backoff_us, FW_DEAD_PROBE_INTERVAL_MAX_US);
             Fw_Probe_Ping(f, e, ++f->seq, out);
         }
     }
@@ -201,13 +202,13 @@
     gpointer value;
     int64_t late = f->wake_us ? now_us - f->wake_us : 0;
 
-    if (late < FW_PAUSE_US) {
+    if (late < FW_PAUSE_THRESHOLD_US) {
         return;
     }
     f->probe.target[0] = '\0';
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         e->suspect_until_us += e->suspect_until_us ? late : 0;
     }
 }
@@ -225,7 +226,7 @@
     }
     wake = f->next_probe_us;
     if (f->probe.target[0] && !f->probe.helped) {
-        wake = MIN(wake, f->probe.sent_us + FW_PROBE_DIRECT_US);
+        wake = MIN(wake, f->probe.sent_us + FW_PROBE_DIRECT_TIMEOUT_US);
     }
     f->wake_us = wake;
     Fw_Actions_Wake(out, wake);
@@ -237,7 +238,7 @@
 {
     struct fw_fleet_msg msg = {.kind = FW_FLEET_ACK, .seq = seq};
 
-    Fw_Rumour_Attach(f, &msg, self);
+    Fw_Gossip_Attach(f, &msg, self);
     post(f, to, addr, &msg, out);
 }
 
@@ -245,7 +246,7 @@
 on_ping(struct fw_fleet *f, const char *from, const struct fw_fleet_msg *msg,
         struct fw_actions *out)
 {
-    const struct fw_entry *e = Fw_Member_Find(f, from);
+    const struct fw_member_entry *e = Fw_Member_Find(f, from);
     const char *addr = e ? e->m.addr : NULL;
     int differs;
 
@@ -257,7 +258,7 @@
     if (!addr || !addr[0]) {
         return;
     }
-    Fw_Rumour_Refute(f, msg->boot, msg->incarnation, msg->state);
+    Fw_Gossip_Refute(f, msg->boot, msg->incarnation, msg->state);
     differs = msg->boot != f->me->m.boot ||
               msg->incarnation != f->me->m.incarnation ||
               msg->state != (int)f->me->m.state;
@@ -269,13 +270,13 @@
             const struct fw_fleet_msg *msg, int64_t now_us,
             struct fw_actions *out)
 {
-    const struct fw_entry *e = Fw_Member_Find(f, msg->target);
-    struct fw_relay *r = &f->relays[f->next_relay];
+    const struct fw_member_entry *e = Fw_Member_Find(f, msg->target);
+    struct fw_ping_relay *r = &f->relays[f->next_relay];
 
     if (!e || e == f->me) {
         return;
     }
-    f->next_relay = (f->next_relay + 1) % FW_RELAYS;
+    f->next_relay = (f->next_relay + 1) % FW_PING_RELAYS_MAX;
     r->seq = ++f->seq;
     r->origin_seq = msg->seq;
     r->until_us = now_us + FW_PROBE_PERIOD_US;
@@ -288,16 +289,16 @@
        struct fw_actions *out)
 {
     if (f->probe.target[0] && msg->seq == f->probe.seq) {
-        struct fw_entry *e = Fw_Member_Find(f, f->probe.target);
+        struct fw_member_entry *e = Fw_Member_Find(f, f->probe.target);
         if (e && e->m.state == FW_MEMBER_LEAVING) {
             e->suspect_until_us = 0;
         }
         f->probe.target[0] = '\0';
         return;
     }
-    for (int i = 0; i < FW_RELAYS; i++) {
-        struct fw_relay *r = &f->relays[i];
-        const struct fw_entry *e;
+    for (int i = 0; i < FW_PING_RELAYS_MAX; i++) {
+        struct fw_ping_relay *r = &f->relays[i];
+        const struct fw_member_entry *e;
         if (r->seq != msg->seq || now_us > r->until_us) {
             continue;
         }
@@ -316,7 +317,7 @@
                struct fw_actions *out)
 {
     for (int i = 0; i < msg->n; i++) {
-        Fw_Rumour_Merge(f, from, &msg->updates[i], now_us, out);
+        Fw_Gossip_Merge(f, from, &msg->updates[i], now_us, out);
     }
     switch (msg->kind) {
     case FW_FLEET_PING:
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -60,14 +60,16 @@
     r->read_ticket = Fw_Owner_Number(FW_OWNER_ROLES, ++r->ticket);
     r->read_sent_us = now_us;
     /* The first answer must come at once: it may be that nobody writes. */
-    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next, FW_ROLE_READ_MAX,
-                    r->has_read ? FW_ROLE_POLL_US : 0);
+    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next,
+                    FW_ROLE_READ_RECORDS_MAX,
+                    r->has_read ? FW_ROLE_LONG_POLL_US : 0);
 }
 
 static void
 tick_read(struct fw_roles *r, int64_t now_us, struct fw_actions *out)
 {
-    if (r->read_ticket && now_us >= r->read_sent_us + FW_ROLE_READ_ANSWER_US) {
+    if (r->read_ticket &&
+        now_us >= r->read_sent_us + FW_ROLE_READ_TIMEOUT_US) {
         r->read_ticket = 0;
     }
     if (!r->read_ticket && now_us >= r->read_at_us) {
@@ -116,7 +118,7 @@
                             r->stream, "record", rec->records[i], NULL);
             continue;
         }
-        Fw_Role_Fold(r, &one, offset, now_us, out);
+        Fw_Role_Apply(r, &one, offset, now_us, out);
     }
 }
 
@@ -142,7 +144,8 @@
     }
     /* A log that doesn't hold answers back must not be asked in a spin. */
     r->read_at_us =
-        rec->n > 0 ? now_us : MAX(now_us, r->read_sent_us + FW_ROLE_ROUND_US);
+        rec->n > 0 ? now_us
+                   : MAX(now_us, r->read_sent_us + FW_ROLE_CHECK_INTERVAL_US);
     tick_read(r, now_us, out);
     r->round_us = 0;
     Fw_Actions_Wake(out, now_us);
@@ -176,7 +179,7 @@
     const struct fw_member *m;
 
     if (!s->known) {
-        return FW_ROLE_LONG_SETTLE_US;
+        return FW_ROLE_UNSURE_DELAY_US;
     }
     if (s->offset == 0) {
         return 0;
@@ -186,12 +189,12 @@
     }
     m = Fw_Fleet_Find(fleet, s->holder);
     if (!m) {
-        return FW_ROLE_LONG_SETTLE_US;
+        return FW_ROLE_UNSURE_DELAY_US;
     }
     if (m->boot > s->boot || m->state == FW_MEMBER_DEAD) {
-        return FW_ROLE_DEAD_SETTLE_US;
+        return FW_ROLE_DEAD_DELAY_US;
     }
-    return m->state == FW_MEMBER_LEAVING ? FW_ROLE_LONG_SETTLE_US : -1;
+    return m->state == FW_MEMBER_LEAVING ? FW_ROLE_UNSURE_DELAY_US : -1;
 }
 
 /* Whether the slot wants a record now; fills it. */
@@ -202,14 +205,14 @@
     int64_t settle = settle_time(r, fleet, s);
     const struct fw_member *m;
 
-    rec->was = s->known ? (int64_t)s->offset : FW_ROLE_ANY;
+    rec->was = s->known ? (int64_t)s->offset : FW_ROLE_REPLACES_ANY;
     if (settle < 0) {
         s->lacking_us = 0;
         /* Holding needs no append, but the log forgets: without a new record
          * now and then a restarted instance could not tell who holds it. */
-        rec->was = FW_ROLE_ANY;
-        return Fw_Role_Mine(r, s) && !s->stopped &&
-               now_us >= s->folded_us + FW_ROLE_REFRESH_US;
+        rec->was = FW_ROLE_REPLACES_ANY;
+        return Fw_Role_IsHeldHere(r, s) && !s->stopped &&
+               now_us >= s->folded_us + FW_ROLE_REFRESH_INTERVAL_US;
     }
     if (s->lacking_us == 0) {
         s->lacking_us = now_us;
@@ -228,7 +231,7 @@
 {
     const struct fw_member *m;
 
-    if (!Fw_Role_Mine(r, s)) {
+    if (!Fw_Role_IsHeldHere(r, s)) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
@@ -269,7 +272,7 @@
         if (r->draining ? wants_handover(r, fleet, s, now_us, &rec)
                         : wants_take(r, fleet, s, now_us, &rec)) {
             s->asked_us = now_us;
-            g_ptr_array_add(texts, Fw_Role_Print(&rec));
+            g_ptr_array_add(texts, Fw_Role_Format(&rec));
         }
     }
     if (texts->len > 0) {
@@ -290,18 +293,18 @@
     }
     tick_read(r, now_us, out);
     if (r->append_ticket &&
-        now_us >= r->append_sent_us + FW_ROLE_APPEND_ANSWER_US) {
+        now_us >= r->append_sent_us + FW_ROLE_APPEND_TIMEOUT_US) {
         r->append_ticket = 0;
     }
     if (now_us < r->round_us) {
         Fw_Actions_Wake(out, r->round_us);
         return;
     }
-    r->round_us = now_us + FW_ROLE_ROUND_US;
+    r->round_us = now_us + FW_ROLE_CHECK_INTERVAL_US;
     Fw_Actions_Wake(out, r->round_us);
     /* On an old view of the log a take would mostly be void. */
     if (r->append_ticket || now_us < r->append_at_us ||
-        now_us < r->start_us + FW_ROLE_START_US ||
+        now_us < r->start_us + FW_ROLE_START_DELAY_US ||
         now_us - r->fresh_us >= FW_ROLE_FRESH_US) {
         return;
     }
@@ -315,7 +318,7 @@
     r->draining = 1;
     /* Stopped before the append: the successor's shorter wait counts on it. */
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-        if (Fw_Role_Mine(r, &r->slots[i])) {
+        if (Fw_Role_IsHeldHere(r, &r->slots[i])) {
             r->slots[i].stopped = 1;
         }
     }
--- a/src/fleet/role.h
+++ b/src/fleet/role.h
@@ -70,24 +70,24 @@
 Fw_Roles_Tenure(const struct fw_roles *r, enum fw_role_kind kind,
                 int partition);
 /**
- * Fw_Roles_HandedFrom - of a role that its last holder stopped and gave to
- * this instance: that holder's tenure; else 0.
+ * Fw_Roles_PredecessorTenure - of a role that its last holder stopped and gave
+ * to this instance: that holder's tenure; else 0.
  */
 uint64_t
-Fw_Roles_HandedFrom(const struct fw_roles *r, enum fw_role_kind kind,
-                    int partition);
+Fw_Roles_PredecessorTenure(const struct fw_roles *r, enum fw_role_kind kind,
+                           int partition);
 /* Nonzero when this instance holds it and nobody ever did before. */
 int
 Fw_Roles_IsFirst(const struct fw_roles *r, enum fw_role_kind kind,
                  int partition);
 /* Number of roles of which the log says that this instance holds them. */
 int
-Fw_Roles_Held(const struct fw_roles *r);
+Fw_Roles_CountHeld(const struct fw_roles *r);
 /* What a new holder waits for grants of the old one to lapse. */
 int64_t
-Fw_Roles_WaitUs(const struct fw_roles *r, enum fw_role_kind kind);
+Fw_Roles_TakeoverWaitUs(const struct fw_roles *r, enum fw_role_kind kind);
 int
-Fw_Roles_Partitions(const struct fw_roles *r);
+Fw_Roles_PartitionCount(const struct fw_roles *r);
 /* The key by which Fw_Fleet_Pick names who shall hold it. */
 uint64_t
 Fw_Roles_Key(enum fw_role_kind kind, int partition);
--- a/src/fleet/role_query.c
+++ b/src/fleet/role_query.c
@@ -13,7 +13,7 @@
 }
 
 int
-Fw_Role_Mine(const struct fw_roles *r, const struct fw_role_slot *s)
+Fw_Role_IsHeldHere(const struct fw_roles *r, const struct fw_role_slot *s)
 {
     return s->known && s->offset > 0 && s->boot == r->self.boot &&
            strcmp(s->holder, r->self.name) == 0;
@@ -40,7 +40,7 @@
 {
     const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
 
-    if (!Fw_Role_Mine(r, s) || s->stopped) {
+    if (!Fw_Role_IsHeldHere(r, s) || s->stopped) {
         return -EPERM;
     }
     /* A holder that was paused or cut off doesn't know that it was replaced.
@@ -64,16 +64,16 @@
 {
     const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_Mine(r, s) ? s->tenure : 0;
+    return Fw_Role_IsHeldHere(r, s) ? s->tenure : 0;
 }
 
 uint64_t
-Fw_Roles_HandedFrom(const struct fw_roles *r, enum fw_role_kind kind,
-                    int partition)
+Fw_Roles_PredecessorTenure(const struct fw_roles *r, enum fw_role_kind kind,
+                           int partition)
 {
     const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_Mine(r, s) ? s->handed_from : 0;
+    return Fw_Role_IsHeldHere(r, s) ? s->handed_from : 0;
 }
 
 int
@@ -82,28 +82,28 @@
 {
     const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_Mine(r, s) && s->first;
+    return Fw_Role_IsHeldHere(r, s) && s->first;
 }
 
 int
-Fw_Roles_Held(const struct fw_roles *r)
+Fw_Roles_CountHeld(const struct fw_roles *r)
 {
     int n = 0;
 
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-        n += Fw_Role_Mine(r, &r->slots[i]);
+        n += Fw_Role_IsHeldHere(r, &r->slots[i]);
     }
     return n;
 }
 
 int64_t
-Fw_Roles_WaitUs(const struct fw_roles *r, enum fw_role_kind kind)
+Fw_Roles_TakeoverWaitUs(const struct fw_roles *r, enum fw_role_kind kind)
 {
     return r->wait_us[kind];
 }
 
 int
-Fw_Roles_Partitions(const struct fw_roles *r)
+Fw_Roles_PartitionCount(const struct fw_roles *r)
 {
     return r->partitions;
 }
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -9,7 +9,7 @@
 #include "fleet/role_slot.h"
 
 char *
-Fw_Role_Print(const struct fw_role_record *rec)
+Fw_Role_Format(const struct fw_role_record *rec)
 {
     JsonObject *o = json_object_new();
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
@@ -53,7 +53,7 @@
     if (get_int(o, "k", 0, &kind) || kind >= FW_ROLE_KINDS ||
         get_int(o, "p", 0, &partition) || partition >= partitions ||
         get_int(o, "b", 0, &boot) ||
-        get_int(o, "was", FW_ROLE_ANY, &rec->was) || !holder ||
+        get_int(o, "was", FW_ROLE_REPLACES_ANY, &rec->was) || !holder ||
         !JSON_NODE_HOLDS_VALUE(holder) ||
         json_node_get_value_type(holder) != G_TYPE_STRING) {
         return -EBADMSG;
@@ -103,7 +103,7 @@
     if (rec->was == 0) {
         return now_us; /* nobody held it before */
     }
-    if (Fw_Role_Mine(r, s)) {
+    if (Fw_Role_IsHeldHere(r, s)) {
         return s->from_us;
     }
     if (rec->wait_us >= 0) {
@@ -114,15 +114,15 @@
 }
 
 void
-Fw_Role_Fold(struct fw_roles *r, const struct fw_role_record *rec,
-             uint64_t offset, int64_t now_us, struct fw_actions *out)
+Fw_Role_Apply(struct fw_roles *r, const struct fw_role_record *rec,
+              uint64_t offset, int64_t now_us, struct fw_actions *out)
 {
     struct fw_role_slot *s = Fw_Role_Slot(r, rec->kind, rec->partition);
-    int was_mine = Fw_Role_Mine(r, s);
+    int was_mine = Fw_Role_IsHeldHere(r, s);
     int same;
     char number[24];
 
-    if (rec->was != FW_ROLE_ANY &&
+    if (rec->was != FW_ROLE_REPLACES_ANY &&
         (!s->known || rec->was != (int64_t)s->offset)) {
         return;
     }
@@ -139,8 +139,8 @@
     s->boot = rec->boot;
     s->folded_us = now_us;
     s->lacking_us = 0;
-    s->stopped = r->draining && Fw_Role_Mine(r, s);
-    if (was_mine != Fw_Role_Mine(r, s)) {
+    s->stopped = r->draining && Fw_Role_IsHeldHere(r, s);
+    if (was_mine != Fw_Role_IsHeldHere(r, s)) {
         g_snprintf(number, sizeof(number), "%d/%d", (int)rec->kind,
                    rec->partition);
         Fw_Actions_Note(out, LOG_INFO, was_mine ? "role_lost" : "role_taken",
--- a/src/fleet/role_slot.h
+++ b/src/fleet/role_slot.h
@@ -1,29 +1,29 @@
 /* Inside of the roles: what was read of the log, and what is asked of it. */
-#ifndef FW_FLEET_ROLE_SLOT_H
-#define FW_FLEET_ROLE_SLOT_H
+#ifndef FW_FLEET_ROLE_INTERNAL_H
+#define FW_FLEET_ROLE_INTERNAL_H
 
 #include "fleet/role.h"
 
 /* Start until the first take, so that the peers are known by then. */
-#define FW_ROLE_START_US (1500 * FW_MSEC)
-#define FW_ROLE_DEAD_SETTLE_US (2 * FW_SEC)
-#define FW_ROLE_LONG_SETTLE_US (10 * FW_SEC)
-#define FW_ROLE_ROUND_US (500 * FW_MSEC)
-#define FW_ROLE_REFRESH_US (600 * FW_SEC)
-#define FW_ROLE_POLL_US (2 * FW_SEC)
-#define FW_ROLE_READ_MAX 1000
+#define FW_ROLE_START_DELAY_US (1500 * FW_MSEC)
+#define FW_ROLE_DEAD_DELAY_US (2 * FW_SEC)
+#define FW_ROLE_UNSURE_DELAY_US (10 * FW_SEC)
+#define FW_ROLE_CHECK_INTERVAL_US (500 * FW_MSEC)
+#define FW_ROLE_REFRESH_INTERVAL_US (600 * FW_SEC)
+#define FW_ROLE_LONG_POLL_US (2 * FW_SEC)
+#define FW_ROLE_READ_RECORDS_MAX 1000
 #define FW_ROLE_BACKOFF_MIN_US (200 * FW_MSEC)
 #define FW_ROLE_BACKOFF_MAX_US (2 * FW_SEC)
 /* An answer later than this counts as lost. */
-#define FW_ROLE_READ_ANSWER_US (4 * FW_SEC)
-#define FW_ROLE_APPEND_ANSWER_US (10 * FW_SEC)
+#define FW_ROLE_READ_TIMEOUT_US (4 * FW_SEC)
+#define FW_ROLE_APPEND_TIMEOUT_US (10 * FW_SEC)
 
 /* A record that replaces whatever is in force. */
-#define FW_ROLE_ANY (-1)
+#define FW_ROLE_REPLACES_ANY (-1)
 
 /**
  * struct fw_role_record - one record of the stream.
- * @was: offset of the record it replaces, 0 for none, or FW_ROLE_ANY
+ * @was: offset of the record it replaces, 0 for none, or FW_ROLE_REPLACES_ANY
  * @wait_us: of a handover, what its receiver still has to wait; else -1
  */
 struct fw_role_record {
@@ -90,17 +90,17 @@
 Fw_Role_Slot(const struct fw_roles *r, enum fw_role_kind kind, int partition);
 /* Nonzero when the record in force names this process. */
 int
-Fw_Role_Mine(const struct fw_roles *r, const struct fw_role_slot *s);
+Fw_Role_IsHeldHere(const struct fw_roles *r, const struct fw_role_slot *s);
 int64_t
 Fw_Role_WithDrift(int64_t us);
 
 /* Record as text, to be freed; and back, 0 or -EBADMSG. */
 char *
-Fw_Role_Print(const struct fw_role_record *rec);
+Fw_Role_Format(const struct fw_role_record *rec);
 int
 Fw_Role_Parse(const char *text, int partitions, struct fw_role_record *rec);
 void
-Fw_Role_Fold(struct fw_roles *r, const struct fw_role_record *rec,
-             uint64_t offset, int64_t now_us, struct fw_actions *out);
+Fw_Role_Apply(struct fw_roles *r, const struct fw_role_record *rec,
+              uint64_t offset, int64_t now_us, struct fw_actions *out);
 
 #endif
--- a/src/fleet/rumour.c
+++ b/src/fleet/rumour.c
@@ -15,7 +15,7 @@
 
 /* Often enough for each member to hear it with high probability. */
 void
-Fw_Rumour_Spread(struct fw_fleet *f, struct fw_entry *e)
+Fw_Gossip_Queue(struct fw_fleet *f, struct fw_member_entry *e)
 {
     if (strcmp(e->m.region, f->self.region) == 0) {
         e->tell = TELL_FACTOR * (int)g_bit_storage(f->pick->len + 1);
@@ -23,13 +23,13 @@
 }
 
 void
-Fw_Rumour_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
+Fw_Gossip_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
                  int state)
 {
-    struct fw_entry *me = f->me;
+    struct fw_member_entry *me = f->me;
 
     if (boot < me->m.boot) {
-        Fw_Rumour_Spread(f, me); /* an earlier run is believed in */
+        Fw_Gossip_Queue(f, me); /* an earlier run is believed in */
         return;
     }
     if (boot > me->m.boot || incarnation < me->m.incarnation) {
@@ -44,7 +44,7 @@
     /* Someone believes us suspect or dead. Unrefuted, we would be passed over
      * for ever; a larger incarnation overrides every copy of the rumour. */
     me->m.incarnation = incarnation + 1;
-    Fw_Rumour_Spread(f, me);
+    Fw_Gossip_Queue(f, me);
     f->refutations.value++;
 }
 
@@ -69,18 +69,18 @@
 }
 
 void
-Fw_Rumour_Merge(struct fw_fleet *f, const char *from,
+Fw_Gossip_Merge(struct fw_fleet *f, const char *from,
                 const struct fw_fleet_update *u, int64_t now_us,
                 struct fw_actions *out)
 {
-    struct fw_entry *e = Fw_Member_Find(f, u->name);
+    struct fw_member_entry *e = Fw_Member_Find(f, u->name);
 
     if (e == f->me) {
         if (u->boot > f->self.boot) {
             Fw_Actions_Note(out, LOG_ERR, "name_taken", "member", u->name,
                             "addr", u->addr, "told_by", from, NULL);
         }
-        Fw_Rumour_Refute(f, u->boot, u->incarnation, u->state);
+        Fw_Gossip_Refute(f, u->boot, u->incarnation, u->state);
         return;
     }
     if (!e && is_wanted(f, u)) {
@@ -95,7 +95,7 @@
     }
     e->m.boot = u->boot;
     e->m.incarnation = u->incarnation;
-    Fw_Rumour_Spread(f, e);
+    Fw_Gossip_Queue(f, e);
     Fw_Member_SetState(f, e, (enum fw_member_state)u->state, now_us, out);
 }
 
@@ -111,16 +111,16 @@
     u->state = (int)m->state;
 }
 
-static struct fw_entry *
+static struct fw_member_entry *
 most_to_tell(struct fw_fleet *f, const struct fw_fleet_msg *msg)
 {
-    struct fw_entry *best = NULL;
+    struct fw_member_entry *best = NULL;
     GHashTableIter it;
     gpointer value;
 
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         int told = 0;
         for (int i = 0; i < msg->n; i++) {
             told |= strcmp(msg->updates[i].name, e->m.name) == 0;
@@ -135,9 +135,9 @@
 }
 
 void
-Fw_Rumour_Attach(struct fw_fleet *f, struct fw_fleet_msg *msg, int self)
+Fw_Gossip_Attach(struct fw_fleet *f, struct fw_fleet_msg *msg, int self)
 {
-    struct fw_entry *e;
+    struct fw_member_entry *e;
 
     msg->updates = g_new0(struct fw_fleet_update, FW_FLEET_UPDATES_MAX);
     if (self) {
--- a/src/limit/ask.c
+++ b/src/limit/ask.c
@@ -1,7 +1,7 @@
 /*
  * Questions of this instance's own requests: from what is held here, else
  * from the team's leader, else from those who stand next to it, each within
- * FW_HOP_US. Parts are put together; what does not suffice goes back.
+ * FW_PEER_TIMEOUT_US. Parts are put together; what does not suffice goes back.
  */
 #include <string.h>
 
@@ -10,27 +10,27 @@
 /* All is spent now. Who gave much of the burst is told, since it keeps the
  * place of the tokens empty until it knows. */
 static void
-land(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
+land(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
      struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
-    if (s && now_us < a->first_us + FW_FLIGHT_US) {
-        Fw_Bucket_Land(&s->leased, a->leased, now_us);
-        Fw_Bucket_Land(&s->own, a->own, now_us);
+    if (s && now_us < a->first_us + FW_RESERVATION_US) {
+        Fw_Bucket_Commit(&s->leased, a->leased, now_us);
+        Fw_Bucket_Commit(&s->own, a->own, now_us);
     }
     for (int i = 0; i < a->n_hops; i++) {
-        struct fw_hop *hop = &a->hops[i];
-        if (s && hop->got > s->burst / FW_TELL_PART) {
-            Fw_Serve_Return(l, hop->peer, a->team, 0, hop->seq, out);
+        struct fw_peer_request *hop = &a->hops[i];
+        if (s && hop->got > s->burst / FW_LARGE_GRANT_DIVISOR) {
+            Fw_PeerGrant_SendReturn(l, hop->peer, a->team, 0, hop->seq, out);
         }
         hop->got = 0; /* not to be returned */
     }
 }
 
 static void
-answer(struct fw_limit *l, struct fw_ask *a, int granted, int64_t retry_us,
-       int64_t now_us, struct fw_actions *out)
+answer(struct fw_limit *l, struct fw_token_request *a, int granted,
+       int64_t retry_us, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer *ans = g_new0(struct fw_limit_answer, 1);
 
@@ -39,7 +39,7 @@
     ans->retry_after_us = retry_us;
     g_queue_push_tail(&l->answers, ans);
     a->done = 1;
-    a->drop_us = now_us + FW_LATE_US;
+    a->drop_us = now_us + FW_LATE_GRANT_US;
     if (granted) {
         l->n_granted.value++;
         land(l, a, now_us, out);
@@ -55,31 +55,31 @@
  * that come back would be more than the team's.
  */
 static void
-give_back(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
+give_back(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
           struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
-    if (s && now_us < a->first_us + FW_FLIGHT_US) {
-        Fw_Bucket_Unfly(&s->leased, a->leased, now_us);
-        Fw_Bucket_Unfly(&s->own, a->own, now_us);
+    if (s && now_us < a->first_us + FW_RESERVATION_US) {
+        Fw_Bucket_Cancel(&s->leased, a->leased, now_us);
+        Fw_Bucket_Cancel(&s->own, a->own, now_us);
     }
     a->leased = 0;
     a->own = 0;
     for (int i = 0; i < a->n_hops; i++) {
         if (a->hops[i].got > 0) {
-            Fw_Serve_Return(l, a->hops[i].peer, a->team, a->hops[i].got,
-                            a->hops[i].seq, out);
+            Fw_PeerGrant_SendReturn(l, a->hops[i].peer, a->team,
+                                    a->hops[i].got, a->hops[i].seq, out);
         }
         a->hops[i].got = 0;
     }
 }
 
 static void
-refuse(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
+refuse(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
        struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
     int64_t missing = a->tokens - a->collected;
     int64_t retry = FW_SEC;
     int silent = 0;
@@ -94,7 +94,7 @@
         retry = (int64_t)CLAMP(wait, (double)FW_MSEC, 3600.0 * FW_SEC);
     }
     if (s && !silent && a->n_hops > 0) {
-        s->empty_until_us = now_us + MIN(retry, FW_EMPTY_US);
+        s->empty_until_us = now_us + MIN(retry, FW_EXHAUSTED_MAX_US);
         s->empty_tokens = a->tokens;
     }
     give_back(l, a, now_us, out);
@@ -102,7 +102,7 @@
 }
 
 static int
-was_asked(const struct fw_ask *a, const char *name)
+was_asked(const struct fw_token_request *a, const char *name)
 {
     for (int i = 0; i < a->n_hops; i++) {
         if (strcmp(a->hops[i].peer, name) == 0) {
@@ -115,11 +115,12 @@
 /* Those that hold the team's tokens, from another one on each time, so that
  * all are used alike; NULL when nobody is left to ask. */
 static const struct fw_member *
-next_peer(const struct fw_limit *l, const struct fw_ask *a, int partition)
+next_peer(const struct fw_limit *l, const struct fw_token_request *a,
+          int partition)
 {
-    for (int i = 0; i <= FW_FOLLOWERS; i++) {
-        int place = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS + 1));
-        const struct fw_member *m = Fw_Limit_Place(l, partition, place);
+    for (int i = 0; i <= FW_FOLLOWERS_MAX; i++) {
+        int place = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
+        const struct fw_member *m = Fw_Limit_Replica(l, partition, place);
         if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_asked(a, m->name)) {
             return m;
         }
@@ -134,16 +135,17 @@
 }
 
 static void
-next_hop(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
+next_hop(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
          struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
-    const struct fw_member *m =
-        s && a->n_hops < FW_HOPS_MAX ? next_peer(l, a, s->partition) : NULL;
-    struct fw_limit_msg msg = {.kind = FW_LIMIT_ASK};
-    struct fw_hop *hop;
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
+    const struct fw_member *m = s && a->n_hops < FW_PEER_REQUESTS_MAX
+                                    ? next_peer(l, a, s->partition)
+                                    : NULL;
+    struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_REQUEST};
+    struct fw_peer_request *hop;
 
-    if (!m || (a->first_us && now_us >= a->first_us + FW_SPEND_US)) {
+    if (!m || (a->first_us && now_us >= a->first_us + FW_REQUEST_TIMEOUT_US)) {
         refuse(l, a, now_us, out);
         return;
     }
@@ -155,34 +157,34 @@
     msg.seq = hop->seq;
     msg.tokens = a->tokens - a->collected;
     g_strlcpy(msg.team, a->team, sizeof(msg.team));
-    Fw_Limit_Post(l, m->name, &msg, out);
-    Fw_Actions_Wake(out, now_us + FW_HOP_US);
+    Fw_Limit_Send(l, m->name, &msg, out);
+    Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
 }
 
 /* From here, if that makes it whole. */
 static int
-try_here(struct fw_limit *l, struct fw_share *s, struct fw_ask *a,
-         int64_t now_us, struct fw_actions *out)
+try_here(struct fw_limit *l, struct fw_team_share *s,
+         struct fw_token_request *a, int64_t now_us, struct fw_actions *out)
 {
     int64_t need = a->tokens - a->collected;
-    struct fw_taken got = Fw_Share_Take(l, s, need, 0, now_us);
+    struct fw_token_split got = Fw_TeamShare_Take(l, s, need, 0, now_us);
 
     if (got.leased + got.own >= need) {
         answer(l, a, 1, 0, now_us, out);
         return 1;
     }
-    Fw_Bucket_Put(&s->leased, got.leased * FW_MICRO, now_us);
-    Fw_Bucket_Put(&s->own, got.own * FW_MICRO, now_us);
+    Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS, now_us);
+    Fw_Bucket_Put(&s->own, got.own * FW_MICROTOKENS, now_us);
     return 0;
 }
 
 /* What there is here, kept as in flight until others have answered. */
 static void
-take_part(struct fw_limit *l, struct fw_share *s, struct fw_ask *a,
-          int64_t now_us)
+take_part(struct fw_limit *l, struct fw_team_share *s,
+          struct fw_token_request *a, int64_t now_us)
 {
-    struct fw_taken got =
-        Fw_Share_Take(l, s, a->tokens - a->collected, 1, now_us);
+    struct fw_token_split got =
+        Fw_TeamShare_Take(l, s, a->tokens - a->collected, 1, now_us);
 
     a->leased += got.leased;
     a->own += got.own;
@@ -190,10 +192,10 @@
 }
 
 static void
-advance(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
+advance(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
         struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
     if (!s) {
         refuse(l, a, now_us, out);
@@ -201,23 +203,23 @@
     }
     if (a->n_hops == 0) {
         Fw_Ledger_Refresh(l, s->partition, now_us);
-        Fw_Ledger_OnTeam(l, s, now_us);
+        Fw_Ledger_AddTeam(l, s, now_us);
         if (try_here(l, s, a, now_us, out)) {
             return;
         }
         if (!has_leader(l, s->partition) &&
-            now_us < a->start_us + FW_START_WAIT_US) {
-            Fw_Actions_Wake(out, now_us + FW_HOP_US);
+            now_us < a->start_us + FW_LEADER_WAIT_US) {
+            Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
             return; /* a fleet that has just started */
         }
         take_part(l, s, a, now_us);
         next_hop(l, a, now_us, out);
     }
-    else if (now_us >= a->hop_us + FW_HOP_US) {
+    else if (now_us >= a->hop_us + FW_PEER_TIMEOUT_US) {
         next_hop(l, a, now_us, out);
     }
     else {
-        Fw_Actions_Wake(out, a->hop_us + FW_HOP_US);
+        Fw_Actions_Wake(out, a->hop_us + FW_PEER_TIMEOUT_US);
     }
 }
 
@@ -225,8 +227,8 @@
 Fw_Limit_Ask(struct fw_limit *l, const struct fw_team *team, uint64_t ticket,
              int64_t tokens, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Get(l, team, now_us);
-    struct fw_ask *a = g_new0(struct fw_ask, 1);
+    struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
+    struct fw_token_request *a = g_new0(struct fw_token_request, 1);
 
     l->n_asks.value++;
     s->asks++;
@@ -251,16 +253,18 @@
 }
 
 void
-Fw_Ask_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
+Fw_TokenRequest_Tick(struct fw_limit *l, int64_t now_us,
+                     struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &l->asks) {
-        struct fw_ask *a = FW_LIST_ENTRY(pos, struct fw_ask, link);
+        struct fw_token_request *a =
+            FW_LIST_ENTRY(pos, struct fw_token_request, link);
         if (a->forgotten) {
             a->forgotten = 0;
-            a->drop_us = now_us + FW_LATE_US;
+            a->drop_us = now_us + FW_LATE_GRANT_US;
             give_back(l, a, now_us, out);
         }
         else if (!a->done) {
@@ -274,13 +278,14 @@
     }
 }
 
-static struct fw_ask *
-ask_of(struct fw_limit *l, uint64_t seq, struct fw_hop **hop)
+static struct fw_token_request *
+ask_of(struct fw_limit *l, uint64_t seq, struct fw_peer_request **hop)
 {
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &l->asks) {
-        struct fw_ask *a = FW_LIST_ENTRY(pos, struct fw_ask, link);
+        struct fw_token_request *a =
+            FW_LIST_ENTRY(pos, struct fw_token_request, link);
         for (int i = 0; i < a->n_hops; i++) {
             if (a->hops[i].seq == seq) {
                 *hop = &a->hops[i];
@@ -292,28 +297,29 @@
 }
 
 void
-Fw_Ask_OnTokens(struct fw_limit *l, const char *from,
-                const struct fw_limit_msg *msg, int64_t now_us,
-                struct fw_actions *out)
+Fw_TokenRequest_OnGrant(struct fw_limit *l, const char *from,
+                        const struct fw_limit_msg *msg, int64_t now_us,
+                        struct fw_actions *out)
 {
-    struct fw_hop *hop = NULL;
-    struct fw_ask *a = ask_of(l, msg->seq, &hop);
-    struct fw_share *s;
+    struct fw_peer_request *hop = NULL;
+    struct fw_token_request *a = ask_of(l, msg->seq, &hop);
+    struct fw_team_share *s;
 
     if (!a || hop->answered || strcmp(hop->peer, from) != 0) {
         return; /* a double, or so late that the tokens are given up */
     }
     hop->answered = 1;
-    if (a->done || now_us >= a->first_us + FW_SPEND_US) {
+    if (a->done || now_us >= a->first_us + FW_REQUEST_TIMEOUT_US) {
         /* Too late to be spent: the grantor refills their place by now. */
         if (msg->tokens > 0) {
-            Fw_Serve_Return(l, from, a->team, msg->tokens, hop->seq, out);
+            Fw_PeerGrant_SendReturn(l, from, a->team, msg->tokens, hop->seq,
+                                    out);
         }
         return;
     }
     hop->got = MIN(msg->tokens, a->tokens - a->collected);
     a->collected += hop->got;
-    s = Fw_Share_Find(l, a->team);
+    s = Fw_TeamShare_Find(l, a->team);
     if (s && try_here(l, s, a, now_us, out)) {
         return;
     }
@@ -326,7 +332,8 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &l->asks) {
-        struct fw_ask *a = FW_LIST_ENTRY(pos, struct fw_ask, link);
+        struct fw_token_request *a =
+            FW_LIST_ENTRY(pos, struct fw_token_request, link);
         if (!a->done && a->ticket == ticket) {
             a->done = 1;
             a->forgotten = 1;
--- a/src/limit/bucket.h
+++ b/src/limit/bucket.h
@@ -6,21 +6,21 @@
 
 #include "base/limits.h"
 
-#define FW_MICRO 1000000LL
+#define FW_MICROTOKENS 1000000LL
 
 /*
- * Tokens granted to a peer are spent there within FW_FLIGHT_US or not at all;
- * meanwhile the bucket must not refill their place, or the team could have
- * them and a full bucket at once.
+ * Tokens granted to a peer are spent there within FW_RESERVATION_US or not at
+ * all; meanwhile the bucket must not refill their place, or the team could
+ * have them and a full bucket at once.
  */
-#define FW_FLIGHT_US (600 * FW_MSEC)
+#define FW_RESERVATION_US (600 * FW_MSEC)
 
 /**
  * struct fw_bucket - part of a team's rate and burst, spent here.
  * @rate: tokens a second
  * @burst: tokens
  * @level: micro-tokens, as of @at_us
- * @flight: tokens granted to peers in this and the last FW_FLIGHT_US
+ * @flight: tokens granted to peers in this and the last FW_RESERVATION_US
  */
 struct fw_bucket {
     int64_t rate;
@@ -33,7 +33,7 @@
 
 /* Brings the level up to date. */
 void
-Fw_Bucket_Settle(struct fw_bucket *b, int64_t now_us);
+Fw_Bucket_Refill(struct fw_bucket *b, int64_t now_us);
 /* Changes the size; the level is cut to it. */
 void
 Fw_Bucket_Resize(struct fw_bucket *b, int64_t rate, int64_t burst,
@@ -48,9 +48,9 @@
 
 /* Up to @tokens have landed: spent, so that their place may refill. */
 void
-Fw_Bucket_Land(struct fw_bucket *b, int64_t tokens, int64_t now_us);
+Fw_Bucket_Commit(struct fw_bucket *b, int64_t tokens, int64_t now_us);
 /* Takes up to @tokens out of flight and puts them back. */
 void
-Fw_Bucket_Unfly(struct fw_bucket *b, int64_t tokens, int64_t now_us);
+Fw_Bucket_Cancel(struct fw_bucket *b, int64_t tokens, int64_t now_us);
 
 #endif
--- a/src/limit/handover.c
+++ b/src/limit/handover.c
@@ -14,10 +14,11 @@
 {
     const struct fw_member *m =
         Fw_Fleet_Pick(l->fleet, Fw_Roles_Key(FW_ROLE_BUDGET, partition), 0);
-    struct fw_limit_msg msg = {.kind = FW_LIMIT_OFFER, .partition = partition};
+    struct fw_limit_msg msg = {.kind = FW_LIMIT_HANDOVER_OFFER,
+                               .partition = partition};
 
     if (m) {
-        Fw_Limit_Post(l, m->name, &msg, out);
+        Fw_Limit_Send(l, m->name, &msg, out);
     }
 }
 
@@ -25,7 +26,7 @@
 Fw_Handover_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
 {
     for (int i = 0; i < l->n_parts; i++) {
-        struct fw_part *p = &l->parts[i];
+        struct fw_limit_partition *p = &l->parts[i];
         if (!p->leaving || p->pulled[0]) {
             continue;
         }
@@ -42,9 +43,10 @@
                     const struct fw_limit_msg *msg, int64_t now_us,
                     struct fw_actions *out)
 {
-    struct fw_part *p = &l->parts[msg->partition];
-    struct fw_limit_msg pull = {
-        .kind = FW_LIMIT_PULL, .partition = msg->partition, .seq = ++l->seq};
+    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_msg pull = {.kind = FW_LIMIT_HANDOVER_REQUEST,
+                                .partition = msg->partition,
+                                .seq = ++l->seq};
 
     Fw_Ledger_Refresh(l, msg->partition, now_us);
     if (p->ledger || l->draining) {
@@ -53,11 +55,11 @@
     p->pull_seq = pull.seq;
     p->pull_us = now_us;
     g_strlcpy(p->heir_from, from, sizeof(p->heir_from));
-    Fw_Limit_Post(l, from, &pull, out);
+    Fw_Limit_Send(l, from, &pull, out);
 }
 
 static void
-fill_entry(const struct fw_share *s, struct fw_limit_entry *e)
+fill_entry(const struct fw_team_share *s, struct fw_limit_entry *e)
 {
     g_strlcpy(e->team, s->name, sizeof(e->team));
     e->rate = s->own.rate;
@@ -80,7 +82,8 @@
 }
 
 static void
-fill_holders(const struct fw_part *p, struct fw_limit_msg *msg, int64_t now_us)
+fill_holders(const struct fw_limit_partition *p, struct fw_limit_msg *msg,
+             int64_t now_us)
 {
     msg->holders = g_new0(struct fw_limit_holder, p->holders->len);
     msg->n_holders = (int)p->holders->len;
@@ -102,7 +105,7 @@
                    const struct fw_limit_msg *msg, int64_t now_us,
                    struct fw_actions *out)
 {
-    struct fw_part *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->parts[msg->partition];
     struct fw_limit_msg back = {.kind = FW_LIMIT_HANDOVER, .seq = msg->seq};
 
     if (!p->leaving || !p->ledger ||
@@ -123,18 +126,19 @@
     back.left_us = MAX(p->handed_until - now_us, 0);
     back.entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         if (s->led == p->ledger) {
-            Fw_Bucket_Settle(&s->own, now_us);
+            Fw_Bucket_Refill(&s->own, now_us);
             fill_entry(s, &back.entries[back.n++]);
         }
     }
     fill_holders(p, &back, now_us);
-    Fw_Limit_Post(l, from, &back, out);
+    Fw_Limit_Send(l, from, &back, out);
 }
 
 static void
-take_holders(struct fw_part *p, const struct fw_limit_msg *msg, int64_t now_us)
+take_holders(struct fw_limit_partition *p, const struct fw_limit_msg *msg,
+             int64_t now_us)
 {
     g_array_set_size(p->holders, 0);
     for (int i = 0; i < msg->n_holders; i++) {
@@ -154,7 +158,7 @@
 }
 
 static void
-take_entry(struct fw_limit *l, struct fw_share *s, uint64_t ledger,
+take_entry(struct fw_limit *l, struct fw_team_share *s, uint64_t ledger,
            const struct fw_limit_entry *e, int64_t now_us)
 {
     g_array_set_size(s->grants, 0);
@@ -171,15 +175,15 @@
     }
     s->led = ledger;
     s->fit_version = s->version;
-    Fw_Bucket_Settle(&s->own, now_us);
+    Fw_Bucket_Refill(&s->own, now_us);
     s->own.level = 0;
-    Fw_Ledger_Fit(l, s, now_us);
+    Fw_Ledger_ResizeUnleased(l, s, now_us);
     Fw_Bucket_Put(&s->own, e->level, now_us);
 }
 
 /* What this instance itself held of the ledger goes into its own buckets. */
 static void
-merge_self(struct fw_limit *l, struct fw_part *p, int64_t now_us)
+merge_self(struct fw_limit *l, struct fw_limit_partition *p, int64_t now_us)
 {
     int usable = p->have && now_us < p->until_us && p->fence == p->ledger;
 
@@ -189,9 +193,9 @@
             continue;
         }
         for (guint k = 0; k < p->shares->len; k++) {
-            struct fw_share *s = g_ptr_array_index(p->shares, k);
+            struct fw_team_share *s = g_ptr_array_index(p->shares, k);
             int64_t level;
-            Fw_Bucket_Settle(&s->leased, now_us);
+            Fw_Bucket_Refill(&s->leased, now_us);
             level = usable ? s->leased.level : 0;
             Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
             for (guint g = s->grants->len; g > 0; g--) {
@@ -201,7 +205,7 @@
                 }
             }
             if (s->led == p->ledger) {
-                Fw_Ledger_Fit(l, s, now_us);
+                Fw_Ledger_ResizeUnleased(l, s, now_us);
                 Fw_Bucket_Put(&s->own, level, now_us);
             }
         }
@@ -215,7 +219,7 @@
 Fw_Handover_OnHandover(struct fw_limit *l, const char *from,
                        const struct fw_limit_msg *msg, int64_t now_us)
 {
-    struct fw_part *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->parts[msg->partition];
 
     Fw_Ledger_Refresh(l, msg->partition, now_us);
     if (!p->pull_seq || msg->seq != p->pull_seq || p->ledger || l->draining ||
@@ -233,7 +237,8 @@
     for (int i = 0; i < msg->n; i++) {
         /* Also a team that is not known here yet: what is given out of it
          * must count when the configuration arrives. */
-        struct fw_share *s = Fw_Share_Make(l, msg->entries[i].team, now_us);
+        struct fw_team_share *s =
+            Fw_TeamShare_FindOrAdd(l, msg->entries[i].team, now_us);
         if (s->partition == msg->partition) {
             take_entry(l, s, p->ledger, &msg->entries[i], now_us);
         }
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -18,12 +18,13 @@
 
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_share *s = value;
-        int64_t rate = s->asked * FW_SEC / FW_RENEW_US;
+        struct fw_team_share *s = value;
+        int64_t rate = s->asked * FW_SEC / FW_RENEW_INTERVAL_US;
         s->want /= 2;
-        if (s->asks >= FW_BUSY_ASKS && s->rate > 0 &&
+        if (s->asks >= FW_LEASE_REQUESTS_MIN && s->rate > 0 &&
             (double)s->burst * (double)rate / (double)s->rate >=
-                (double)FW_BUSY_ROOM * (double)s->asked / s->asks) {
+                (double)FW_LEASE_BURST_REQUESTS_MIN * (double)s->asked /
+                    s->asks) {
             s->want = MAX(s->want, rate + rate / 2);
         }
         s->asked = 0;
@@ -32,7 +33,7 @@
 }
 
 const struct fw_member *
-Fw_Limit_Place(const struct fw_limit *l, int partition, int place)
+Fw_Limit_Replica(const struct fw_limit *l, int partition, int place)
 {
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
     uint64_t key = Fw_Roles_Key(FW_ROLE_BUDGET, partition);
@@ -57,8 +58,8 @@
 static int
 is_follower(const struct fw_limit *l, int partition)
 {
-    for (int place = 1; place <= FW_FOLLOWERS; place++) {
-        const struct fw_member *m = Fw_Limit_Place(l, partition, place);
+    for (int place = 1; place <= FW_FOLLOWERS_MAX; place++) {
+        const struct fw_member *m = Fw_Limit_Replica(l, partition, place);
         if (m && Fw_Fleet_IsSelf(l->fleet, m)) {
             return 1;
         }
@@ -67,27 +68,27 @@
 }
 
 static void
-drop_lapsed(struct fw_part *p, int64_t now_us)
+drop_lapsed(struct fw_limit_partition *p, int64_t now_us)
 {
     if (!p->have || now_us < p->until_us || FW_FAULT("limit-lease-forever")) {
         return;
     }
     p->have = 0;
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
     }
 }
 
 /* Fills the question. Return: nonzero when there is anything to ask. */
 static int
-fill_renew(const struct fw_limit *l, const struct fw_part *p, int follows,
-           struct fw_limit_msg *msg)
+fill_renew(const struct fw_limit *l, const struct fw_limit_partition *p,
+           int follows, struct fw_limit_msg *msg)
 {
     msg->entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0; i < p->shares->len && msg->n < FW_LIMIT_ENTRIES_MAX;
          i++) {
-        const struct fw_share *s = g_ptr_array_index(p->shares, i);
+        const struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_limit_entry *e = &msg->entries[msg->n];
         if ((s->want > 0 || s->scaled || s->cut > 0) && !s->gone) {
             g_strlcpy(e->team, s->name, sizeof(e->team));
@@ -108,12 +109,13 @@
 renew(struct fw_limit *l, int partition, int64_t now_us,
       struct fw_actions *out)
 {
-    struct fw_part *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->parts[partition];
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
-    struct fw_limit_msg msg = {.kind = FW_LIMIT_RENEW, .partition = partition};
+    struct fw_limit_msg msg = {.kind = FW_LIMIT_LEASE_RENEW,
+                               .partition = partition};
 
     drop_lapsed(p, now_us);
-    if (p->waiting && now_us >= p->sent_us + FW_RENEW_ANSWER_US) {
+    if (p->waiting && now_us >= p->sent_us + FW_RENEW_TIMEOUT_US) {
         p->waiting = 0;
         p->next_us = now_us + g_rand_int_range(l->rand, 0, RETRY_US);
     }
@@ -121,8 +123,8 @@
         strcmp(leader, l->self.name) == 0) {
         return;
     }
-    p->next_us =
-        now_us + FW_RENEW_US - g_rand_int_range(l->rand, 0, FW_RENEW_US / 10);
+    p->next_us = now_us + FW_RENEW_INTERVAL_US -
+                 g_rand_int_range(l->rand, 0, FW_RENEW_INTERVAL_US / 10);
     if (!fill_renew(l, p, is_follower(l, partition), &msg)) {
         p->next_us = now_us + FW_SEC;
         Fw_Limit_ClearMsg(&msg);
@@ -134,24 +136,25 @@
     p->follows = msg.flag;
     g_strlcpy(p->asked, leader, sizeof(p->asked));
     msg.seq = p->seq;
-    Fw_Limit_Post(l, leader, &msg, out);
+    Fw_Limit_Send(l, leader, &msg, out);
 }
 
 /* Unused tokens that found no room here go to the places, by turns; many at
  * once to all of them, as each has room for its part only. */
 static void
-return_owed(struct fw_limit *l, struct fw_share *s, struct fw_actions *out)
+return_owed(struct fw_limit *l, struct fw_team_share *s,
+            struct fw_actions *out)
 {
-    int many = s->owed > s->burst / FW_TELL_PART;
-    int places = FW_FOLLOWERS + 1;
+    int many = s->owed > s->burst / FW_LARGE_GRANT_DIVISOR;
+    int places = FW_FOLLOWERS_MAX + 1;
     uint64_t first = l->seq;
 
     for (int i = 0; i < places && s->owed > 0; i++) {
         int64_t part = many ? s->owed / (places - i) : s->owed;
-        const struct fw_member *m = Fw_Limit_Place(
+        const struct fw_member *m = Fw_Limit_Replica(
             l, s->partition, (int)((first + (uint64_t)i) % (uint64_t)places));
         if (m && !Fw_Fleet_IsSelf(l->fleet, m)) {
-            Fw_Serve_Return(l, m->name, s->name, part, 0, out);
+            Fw_PeerGrant_SendReturn(l, m->name, s->name, part, 0, out);
             s->owed -= part;
         }
     }
@@ -165,11 +168,11 @@
 
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_share *s = value;
+        struct fw_team_share *s = value;
         if (s->owed == 0) {
             continue;
         }
-        s->owed -= Fw_Share_Put(l, s, s->owed, now_us);
+        s->owed -= Fw_TeamShare_Put(l, s, s->owed, now_us);
         return_owed(l, s, out);
         s->owed = 0;
     }
@@ -180,7 +183,7 @@
 note_places(struct fw_limit *l, int64_t now_us)
 {
     for (int i = 0; i < l->n_parts; i++) {
-        struct fw_part *p = &l->parts[i];
+        struct fw_limit_partition *p = &l->parts[i];
         if (is_follower(l, i) != p->follows) {
             p->next_us = MIN(p->next_us, now_us);
         }
@@ -191,11 +194,11 @@
 Fw_Lease_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
 {
     if (now_us >= l->renew_us) {
-        l->renew_us = now_us + FW_RENEW_US;
+        l->renew_us = now_us + FW_RENEW_INTERVAL_US;
         measure_demand(l);
     }
     if (now_us >= l->flush_us) {
-        l->flush_us = now_us + FW_FLUSH_US;
+        l->flush_us = now_us + FW_RETURN_INTERVAL_US;
         flush_owed(l, now_us, out);
         note_places(l, now_us);
     }
@@ -207,10 +210,10 @@
 
 /* Nonzero when a follower has much less than its part of some team. */
 static int
-is_short(const struct fw_part *p)
+is_short(const struct fw_limit_partition *p)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        const struct fw_share *s = g_ptr_array_index(p->shares, i);
+        const struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         if (!s->gone && s->leased.rate * 8 < s->rate) {
             return 1;
         }
@@ -223,7 +226,7 @@
                  const struct fw_config *cfg, const struct fw_limit_msg *msg,
                  int64_t now_us)
 {
-    struct fw_part *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->parts[msg->partition];
     int smaller = 0;
 
     if (!p->waiting || msg->seq != p->seq || strcmp(from, p->asked) != 0) {
@@ -236,16 +239,17 @@
     /* From when it was asked: the answer may have been held up. */
     p->until_us = p->sent_us + l->term_us;
     for (guint i = 0; i < p->shares->len; i++) {
-        ((struct fw_share *)g_ptr_array_index(p->shares, i))->cut = 0;
+        ((struct fw_team_share *)g_ptr_array_index(p->shares, i))->cut = 0;
     }
     for (int i = 0; i < msg->n; i++) {
         const struct fw_limit_entry *e = &msg->entries[i];
         const struct fw_team *team = Fw_Config_Team(cfg, e->team);
-        struct fw_share *s = team ? Fw_Share_Get(l, team, now_us) : NULL;
+        struct fw_team_share *s =
+            team ? Fw_TeamShare_Get(l, team, now_us) : NULL;
         if (!s || s->partition != msg->partition) {
             continue;
         }
-        Fw_Bucket_Settle(&s->leased, now_us);
+        Fw_Bucket_Refill(&s->leased, now_us);
         s->cut = s->leased.level;
         Fw_Bucket_Resize(&s->leased, e->rate, e->burst, now_us);
         s->cut -= s->leased.level;
@@ -265,8 +269,9 @@
 Fw_Lease_Release(struct fw_limit *l, int partition, int64_t now_us,
                  struct fw_actions *out)
 {
-    struct fw_part *p = &l->parts[partition];
-    struct fw_limit_msg msg = {.kind = FW_LIMIT_RENEW, .partition = partition};
+    struct fw_limit_partition *p = &l->parts[partition];
+    struct fw_limit_msg msg = {.kind = FW_LIMIT_LEASE_RENEW,
+                               .partition = partition};
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
 
     drop_lapsed(p, now_us);
@@ -282,9 +287,9 @@
     /* With the levels: the leader keeps their place until it has this. */
     for (guint i = 0; i < p->shares->len && msg.n < FW_LIMIT_ENTRIES_MAX;
          i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_limit_entry *e = &msg.entries[msg.n];
-        Fw_Bucket_Settle(&s->leased, now_us);
+        Fw_Bucket_Refill(&s->leased, now_us);
         if (s->leased.level > 0) {
             g_strlcpy(e->team, s->name, sizeof(e->team));
             e->burst = s->leased.level;
@@ -292,5 +297,5 @@
         }
         Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
     }
-    Fw_Limit_Post(l, leader, &msg, out);
+    Fw_Limit_Send(l, leader, &msg, out);
 }
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -14,16 +14,16 @@
 #include "limit/share.h"
 
 int64_t
-Fw_Ledger_Longest(const struct fw_limit *l)
+Fw_Ledger_MaxLeaseUs(const struct fw_limit *l)
 {
     return l->term_us + l->term_us / 1000000 * FW_ROLE_DRIFT_PPM +
-           FW_FLIGHT_US;
+           FW_RESERVATION_US;
 }
 
 int
 Fw_Ledger_MayGrant(struct fw_limit *l, int partition, int64_t now_us)
 {
-    const struct fw_part *p = &l->parts[partition];
+    const struct fw_limit_partition *p = &l->parts[partition];
     int rc = Fw_Roles_MayAct(l->roles, FW_ROLE_BUDGET, partition, now_us, 0);
 
     if (l->draining || p->pulled[0]) {
@@ -32,14 +32,15 @@
     if (rc == -EAGAIN && p->ledger && p->heir_of) {
         /* The last leader stopped before it handed its ledger over, so
          * there is nothing unknown to wait for. */
-        return Fw_Roles_HandedFrom(l->roles, FW_ROLE_BUDGET, partition) ==
-               p->heir_of;
+        return Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET,
+                                          partition) == p->heir_of;
     }
     return rc == 0;
 }
 
 void
-Fw_Ledger_Fit(struct fw_limit *l, struct fw_share *s, int64_t now_us)
+Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
+                         int64_t now_us)
 {
     int64_t rate = s->rate;
     int64_t burst = s->burst;
@@ -55,11 +56,11 @@
 }
 
 void
-Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_part *p, int holder,
-                      int64_t now_us)
+Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_limit_partition *p,
+                      int holder, int64_t now_us)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         guint before = s->grants->len;
         for (guint g = s->grants->len; g > 0; g--) {
             if (g_array_index(s->grants, struct fw_lease_grant, g - 1)
@@ -68,16 +69,16 @@
             }
         }
         if (s->grants->len != before && s->led == p->ledger) {
-            Fw_Ledger_Fit(l, s, now_us);
+            Fw_Ledger_ResizeUnleased(l, s, now_us);
         }
     }
 }
 
 static void
-clear_ledger(struct fw_part *p)
+clear_ledger(struct fw_limit_partition *p)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         g_array_set_size(s->grants, 0);
         s->led = 0;
     }
@@ -91,7 +92,7 @@
 begin(struct fw_limit *l, int partition, uint64_t tenure, int first,
       int64_t now_us)
 {
-    struct fw_part *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->parts[partition];
     int usable = now_us < p->own_until;
 
     clear_ledger(p);
@@ -100,8 +101,8 @@
     p->loaded = 0;
     p->first = first;
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
-        Fw_Bucket_Settle(&s->own, now_us);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
+        Fw_Bucket_Refill(&s->own, now_us);
         if (!usable) {
             s->own.level = 0;
         }
@@ -111,16 +112,17 @@
 /* An old leader's own buckets end with the term of its last leases: by then
  * a new leader may have given the same rate to others. */
 static void
-end_if_over(const struct fw_limit *l, struct fw_part *p, int64_t now_us)
+end_if_over(const struct fw_limit *l, struct fw_limit_partition *p,
+            int64_t now_us)
 {
     if (p->ledger &&
-        now_us >= p->own_until + Fw_Ledger_Longest(l) - l->term_us) {
+        now_us >= p->own_until + Fw_Ledger_MaxLeaseUs(l) - l->term_us) {
         clear_ledger(p);
     }
 }
 
 static void
-lapse_holders(struct fw_limit *l, struct fw_part *p, int64_t now_us)
+lapse_holders(struct fw_limit *l, struct fw_limit_partition *p, int64_t now_us)
 {
     for (guint i = 0; i < p->holders->len; i++) {
         struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, i);
@@ -134,7 +136,7 @@
 void
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us)
 {
-    struct fw_part *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->parts[partition];
     uint64_t tenure = Fw_Roles_Tenure(l->roles, FW_ROLE_BUDGET, partition);
 
     if (!Fw_Ledger_MayGrant(l, partition, now_us)) {
@@ -143,7 +145,8 @@
         return;
     }
     if (p->tenure != tenure) {
-        int heir = p->heir_of && Fw_Roles_HandedFrom(l->roles, FW_ROLE_BUDGET,
+        int heir =
+            p->heir_of && Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET,
                                                      partition) == p->heir_of;
         p->tenure = tenure;
         if (!heir) {
@@ -161,9 +164,9 @@
 }
 
 void
-Fw_Ledger_OnTeam(struct fw_limit *l, struct fw_share *s, int64_t now_us)
+Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us)
 {
-    const struct fw_part *p = &l->parts[s->partition];
+    const struct fw_limit_partition *p = &l->parts[s->partition];
 
     if (!p->ledger || p->pulled[0]) {
         return;
@@ -171,16 +174,17 @@
     if (s->led == p->ledger) {
         if (s->scaled || s->fit_version != s->version) {
             s->fit_version = s->version;
-            Fw_Ledger_Fit(l, s, now_us);
+            Fw_Ledger_ResizeUnleased(l, s, now_us);
         }
         return;
     }
     s->led = p->ledger;
     s->fit_version = s->version;
-    Fw_Ledger_Fit(l, s, now_us);
+    Fw_Ledger_ResizeUnleased(l, s, now_us);
     /* Whole at once when nobody can have spent of it: no leader was ever
      * before, or the team came while this one led with the log readable. */
-    if (p->first || (p->loaded && now_us >= p->led_us + FW_NEW_TEAM_US)) {
-        Fw_Bucket_Put(&s->own, s->own.burst * FW_MICRO, now_us);
+    if (p->first ||
+        (p->loaded && now_us >= p->led_us + FW_NEW_TEAM_DELAY_US)) {
+        Fw_Bucket_Put(&s->own, s->own.burst * FW_MICROTOKENS, now_us);
     }
 }
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -39,9 +39,9 @@
 }
 
 void
-Fw_Share_Free(gpointer share)
+Fw_TeamShare_Free(gpointer share)
 {
-    struct fw_share *s = share;
+    struct fw_team_share *s = share;
 
     g_array_unref(s->grants);
     g_free(s);
@@ -58,13 +58,13 @@
     l->fleet = fleet;
     l->roles = roles;
     l->rand = g_rand_new_with_seed(seed);
-    l->shares =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, Fw_Share_Free);
+    l->shares = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+                                      Fw_TeamShare_Free);
     l->senders =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    l->term_us = Fw_Roles_WaitUs(roles, FW_ROLE_BUDGET);
-    l->n_parts = Fw_Roles_Partitions(roles);
-    l->parts = g_new0(struct fw_part, (gsize)l->n_parts);
+    l->term_us = Fw_Roles_TakeoverWaitUs(roles, FW_ROLE_BUDGET);
+    l->n_parts = Fw_Roles_PartitionCount(roles);
+    l->parts = g_new0(struct fw_limit_partition, (gsize)l->n_parts);
     for (int i = 0; i < l->n_parts; i++) {
         l->parts[i].holders =
             g_array_new(FALSE, TRUE, sizeof(struct fw_holder));
@@ -84,7 +84,7 @@
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &l->asks) {
-        g_free(FW_LIST_ENTRY(pos, struct fw_ask, link));
+        g_free(FW_LIST_ENTRY(pos, struct fw_token_request, link));
     }
     g_queue_clear_full(&l->answers, g_free);
     g_queue_clear_full(&l->granted, g_free);
@@ -102,7 +102,8 @@
 /* A lowered rate cuts what is held here at once, in proportion; the leader
  * cuts its ledger when the lease is next renewed. */
 static void
-scale_down(struct fw_share *s, int64_t rate, int64_t burst, int64_t now_us)
+scale_down(struct fw_team_share *s, int64_t rate, int64_t burst,
+           int64_t now_us)
 {
     double r = s->rate > 0 ? (double)rate / (double)s->rate : 1;
     double b = s->burst > 0 ? (double)burst / (double)s->burst : 1;
@@ -119,8 +120,8 @@
 }
 
 static void
-take_team(struct fw_limit *l, struct fw_share *s, const struct fw_team *team,
-          int64_t now_us)
+take_team(struct fw_limit *l, struct fw_team_share *s,
+          const struct fw_team *team, int64_t now_us)
 {
     int regions = MAX(l->self.regions, 1);
     int64_t rate = team->rate / regions;
@@ -132,22 +133,22 @@
         s->rate = rate;
         s->burst = burst;
     }
-    Fw_Ledger_OnTeam(l, s, now_us);
+    Fw_Ledger_AddTeam(l, s, now_us);
 }
 
-struct fw_share *
-Fw_Share_Find(const struct fw_limit *l, const char *team)
+struct fw_team_share *
+Fw_TeamShare_Find(const struct fw_limit *l, const char *team)
 {
     return g_hash_table_lookup(l->shares, team);
 }
 
-struct fw_share *
-Fw_Share_Make(struct fw_limit *l, const char *team, int64_t now_us)
+struct fw_team_share *
+Fw_TeamShare_FindOrAdd(struct fw_limit *l, const char *team, int64_t now_us)
 {
-    struct fw_share *s = Fw_Share_Find(l, team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, team);
 
     if (!s) {
-        s = g_new0(struct fw_share, 1);
+        s = g_new0(struct fw_team_share, 1);
         g_strlcpy(s->name, team, sizeof(s->name));
         s->partition = Fw_Roles_Partition(l->roles, team);
         s->gone = 1;
@@ -160,10 +161,11 @@
     return s;
 }
 
-struct fw_share *
-Fw_Share_Get(struct fw_limit *l, const struct fw_team *team, int64_t now_us)
+struct fw_team_share *
+Fw_TeamShare_Get(struct fw_limit *l, const struct fw_team *team,
+                 int64_t now_us)
 {
-    struct fw_share *s = Fw_Share_Make(l, team->name, now_us);
+    struct fw_team_share *s = Fw_TeamShare_FindOrAdd(l, team->name, now_us);
 
     if (s->gone || s->version != team->version || !s->version) {
         s->gone = 0;
@@ -173,17 +175,19 @@
 }
 
 int
-Fw_Share_OwnUsable(const struct fw_limit *l, const struct fw_share *s,
-                   int64_t margin_us, int64_t now_us)
+Fw_TeamShare_UnleasedUsable(const struct fw_limit *l,
+                            const struct fw_team_share *s, int64_t margin_us,
+                            int64_t now_us)
 {
     return now_us + margin_us < l->parts[s->partition].own_until;
 }
 
 int
-Fw_Share_LeaseUsable(const struct fw_limit *l, const struct fw_share *s,
-                     int64_t margin_us, int64_t now_us)
+Fw_TeamShare_LeaseUsable(const struct fw_limit *l,
+                         const struct fw_team_share *s, int64_t margin_us,
+                         int64_t now_us)
 {
-    const struct fw_part *p = &l->parts[s->partition];
+    const struct fw_limit_partition *p = &l->parts[s->partition];
 
     /* Checked at each use: the holder may have been paused since it got the
      * lease, and the leader has given it to others by then. */
@@ -191,39 +195,39 @@
            (p->have != 0 && FW_FAULT("limit-lease-forever"));
 }
 
-struct fw_taken
-Fw_Share_Take(struct fw_limit *l, struct fw_share *s, int64_t tokens,
-              int flight, int64_t now_us)
+struct fw_token_split
+Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
+                  int flight, int64_t now_us)
 {
-    int64_t margin = flight ? FW_FLIGHT_US : 0;
-    struct fw_taken got = {0, 0};
+    int64_t margin = flight ? FW_RESERVATION_US : 0;
+    struct fw_token_split got = {0, 0};
 
-    if (Fw_Share_LeaseUsable(l, s, margin, now_us)) {
+    if (Fw_TeamShare_LeaseUsable(l, s, margin, now_us)) {
         got.leased = Fw_Bucket_Take(&s->leased, tokens, flight, now_us);
     }
-    if (Fw_Share_OwnUsable(l, s, margin, now_us)) {
+    if (Fw_TeamShare_UnleasedUsable(l, s, margin, now_us)) {
         got.own = Fw_Bucket_Take(&s->own, tokens - got.leased, flight, now_us);
     }
     return got;
 }
 
 int64_t
-Fw_Share_Put(struct fw_limit *l, struct fw_share *s, int64_t tokens,
-             int64_t now_us)
+Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
+                 int64_t now_us)
 {
-    int64_t left = tokens * FW_MICRO;
+    int64_t left = tokens * FW_MICROTOKENS;
 
-    if (Fw_Share_OwnUsable(l, s, 0, now_us)) {
+    if (Fw_TeamShare_UnleasedUsable(l, s, 0, now_us)) {
         left -= Fw_Bucket_Put(&s->own, left, now_us);
     }
-    if (Fw_Share_LeaseUsable(l, s, 0, now_us)) {
+    if (Fw_TeamShare_LeaseUsable(l, s, 0, now_us)) {
         left -= Fw_Bucket_Put(&s->leased, left, now_us);
     }
-    return tokens - left / FW_MICRO;
+    return tokens - left / FW_MICROTOKENS;
 }
 
 void
-Fw_Limit_Post(struct fw_limit *l, const char *to, struct fw_limit_msg *msg,
+Fw_Limit_Send(struct fw_limit *l, const char *to, struct fw_limit_msg *msg,
               struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Find(l->fleet, to);
@@ -252,8 +256,8 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_team *team = value;
         int p = Fw_Roles_Partition(l->roles, team->name);
-        if (l->parts[p].ledger || Fw_Share_Find(l, team->name)) {
-            Fw_Ledger_OnTeam(l, Fw_Share_Get(l, team, now_us), now_us);
+        if (l->parts[p].ledger || Fw_TeamShare_Find(l, team->name)) {
+            Fw_Ledger_AddTeam(l, Fw_TeamShare_Get(l, team, now_us), now_us);
         }
     }
     for (int i = 0; i < l->n_parts; i++) {
@@ -261,7 +265,7 @@
     }
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_share *s = value;
+        struct fw_team_share *s = value;
         if (!s->gone && !g_hash_table_contains(cfg->teams, s->name)) {
             const struct fw_team none = {.version = 0};
             s->gone = 1;
@@ -294,7 +298,7 @@
 {
     refresh_parts(l, now_us);
     take_config(l, cfg, now_us);
-    Fw_Ask_Tick(l, now_us, out);
+    Fw_TokenRequest_Tick(l, now_us, out);
     Fw_Handover_Tick(l, now_us, out);
     Fw_Lease_Tick(l, now_us, out);
 }
@@ -310,28 +314,28 @@
         return; /* a peer with other settings */
     }
     if (team) {
-        Fw_Share_Get(l, team, now_us);
+        Fw_TeamShare_Get(l, team, now_us);
     }
     switch (msg->kind) {
-    case FW_LIMIT_ASK:
-        Fw_Serve_OnAsk(l, from, msg, now_us, out);
+    case FW_LIMIT_TOKEN_REQUEST:
+        Fw_PeerGrant_OnRequest(l, from, msg, now_us, out);
         break;
-    case FW_LIMIT_TOKENS:
-        Fw_Ask_OnTokens(l, from, msg, now_us, out);
+    case FW_LIMIT_TOKEN_GRANT:
+        Fw_TokenRequest_OnGrant(l, from, msg, now_us, out);
         break;
-    case FW_LIMIT_RETURN:
-        Fw_Serve_OnReturn(l, from, msg, now_us);
+    case FW_LIMIT_TOKEN_RETURN:
+        Fw_PeerGrant_OnReturn(l, from, msg, now_us);
         break;
-    case FW_LIMIT_RENEW:
+    case FW_LIMIT_LEASE_RENEW:
         Fw_Ledger_OnRenew(l, from, msg, now_us, out);
         break;
-    case FW_LIMIT_LEASE:
+    case FW_LIMIT_LEASE_UPDATE:
         Fw_Lease_OnLease(l, from, cfg, msg, now_us);
         break;
-    case FW_LIMIT_OFFER:
+    case FW_LIMIT_HANDOVER_OFFER:
         Fw_Handover_OnOffer(l, from, msg, now_us, out);
         break;
-    case FW_LIMIT_PULL:
+    case FW_LIMIT_HANDOVER_REQUEST:
         Fw_Handover_OnPull(l, from, msg, now_us, out);
         break;
     case FW_LIMIT_HANDOVER:
--- a/src/limit/limit_msg.c
+++ b/src/limit/limit_msg.c
@@ -49,7 +49,7 @@
 static int
 is_short(enum fw_limit_msg_kind kind)
 {
-    return kind == FW_LIMIT_ASK || kind == FW_LIMIT_TOKENS;
+    return kind == FW_LIMIT_TOKEN_REQUEST || kind == FW_LIMIT_TOKEN_GRANT;
 }
 
 static void
--- a/src/limit/limit_msg.h
+++ b/src/limit/limit_msg.h
@@ -12,24 +12,24 @@
 
 /**
  * enum fw_limit_msg_kind - a wire value.
- * @FW_LIMIT_ASK: tokens of one team, wanted now
- * @FW_LIMIT_TOKENS: the answer, of the same @seq: all, some or none
- * @FW_LIMIT_RETURN: tokens that were granted and not used
- * @FW_LIMIT_RENEW: a holder's question for its leases of one partition
- * @FW_LIMIT_LEASE: the answer, of the same @seq: what changes
- * @FW_LIMIT_OFFER: a leaving leader bids its successor to pull
- * @FW_LIMIT_PULL: the successor's question
+ * @FW_LIMIT_TOKEN_REQUEST: tokens of one team, wanted now
+ * @FW_LIMIT_TOKEN_GRANT: the answer, of the same @seq: all, some or none
+ * @FW_LIMIT_TOKEN_RETURN: tokens that were granted and not used
+ * @FW_LIMIT_LEASE_RENEW: a holder's question for its leases of one partition
+ * @FW_LIMIT_LEASE_UPDATE: the answer, of the same @seq: what changes
+ * @FW_LIMIT_HANDOVER_OFFER: a leaving leader bids its successor to pull
+ * @FW_LIMIT_HANDOVER_REQUEST: the successor's question
  * @FW_LIMIT_HANDOVER: the answer: what the leader had left, and its ledger
  */
 enum fw_limit_msg_kind {
     FW_LIMIT_NONE,
-    FW_LIMIT_ASK,
-    FW_LIMIT_TOKENS,
-    FW_LIMIT_RETURN,
-    FW_LIMIT_RENEW,
-    FW_LIMIT_LEASE,
-    FW_LIMIT_OFFER,
-    FW_LIMIT_PULL,
+    FW_LIMIT_TOKEN_REQUEST,
+    FW_LIMIT_TOKEN_GRANT,
+    FW_LIMIT_TOKEN_RETURN,
+    FW_LIMIT_LEASE_RENEW,
+    FW_LIMIT_LEASE_UPDATE,
+    FW_LIMIT_HANDOVER_OFFER,
+    FW_LIMIT_HANDOVER_REQUEST,
     FW_LIMIT_HANDOVER,
 };
 
--- a/src/limit/renew.c
+++ b/src/limit/renew.c
@@ -10,7 +10,7 @@
 #define BUSY_PART 0.75 /* the rest stays with the leader */
 
 static int
-find_holder(struct fw_part *p, const char *name, uint64_t boot)
+find_holder(struct fw_limit_partition *p, const char *name, uint64_t boot)
 {
     for (guint i = 0; i < p->holders->len; i++) {
         struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, i);
@@ -22,7 +22,7 @@
 }
 
 static int
-add_holder(struct fw_part *p, const char *name, uint64_t boot)
+add_holder(struct fw_limit_partition *p, const char *name, uint64_t boot)
 {
     struct fw_holder h = {.boot = boot};
 
@@ -38,7 +38,7 @@
 }
 
 static struct fw_lease_grant *
-find_grant(struct fw_share *s, int holder)
+find_grant(struct fw_team_share *s, int holder)
 {
     for (guint i = 0; i < s->grants->len; i++) {
         struct fw_lease_grant *g =
@@ -66,21 +66,20 @@
  * surely never will be: then what was taken for it from the own level is put
  * back. */
 static void
-settle_offers(struct fw_limit *l, struct fw_part *p, int holder,
+settle_offers(struct fw_limit *l, struct fw_limit_partition *p, int holder,
               const struct fw_limit_msg *taken, int64_t now_us)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
         int64_t back;
         if (!g) {
             continue;
         }
-        back =
-            taken
-                ? MIN(level_of(taken, s->name),
-                      (g->burst - MIN(g->burst, g->offered_burst)) * FW_MICRO)
-                : g->offered_level;
+        back = taken ? MIN(level_of(taken, s->name),
+                           (g->burst - MIN(g->burst, g->offered_burst)) *
+                               FW_MICROTOKENS)
+                     : g->offered_level;
         if (taken) {
             g->rate = g->offered_rate;
             g->burst = g->offered_burst;
@@ -88,7 +87,7 @@
         g->offered_rate = g->rate;
         g->offered_burst = g->burst;
         g->offered_level = 0;
-        Fw_Ledger_Fit(l, s, now_us);
+        Fw_Ledger_ResizeUnleased(l, s, now_us);
         Fw_Bucket_Put(&s->own, back, now_us);
     }
 }
@@ -96,19 +95,20 @@
 /* It holds nothing any more; levels that it gives back come in as the place
  * that was kept for them becomes free. */
 static void
-give_levels(struct fw_limit *l, struct fw_part *p, int holder,
+give_levels(struct fw_limit *l, struct fw_limit_partition *p, int holder,
             const struct fw_limit_msg *msg, int64_t now_us)
 {
     int64_t *back = g_new0(int64_t, p->shares->len + 1);
 
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         const struct fw_lease_grant *g = find_grant(s, holder);
-        back[i] = g ? MIN(level_of(msg, s->name), g->burst * FW_MICRO) : 0;
+        back[i] =
+            g ? MIN(level_of(msg, s->name), g->burst * FW_MICROTOKENS) : 0;
     }
     Fw_Ledger_ClearGrants(l, p, holder, now_us);
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         if (s->led == p->ledger) {
             Fw_Bucket_Put(&s->own, back[i], now_us);
         }
@@ -119,7 +119,7 @@
 /* What the holder's question shows that it has. Return: 0, or -ESTALE when
  * it has something of another leader's, which must lapse first. */
 static int
-settle_holder(struct fw_limit *l, struct fw_part *p, int holder,
+settle_holder(struct fw_limit *l, struct fw_limit_partition *p, int holder,
               const struct fw_limit_msg *msg, int64_t now_us)
 {
     struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, holder);
@@ -146,10 +146,11 @@
 }
 
 static void
-note_wants(struct fw_part *p, int holder, const struct fw_limit_msg *msg)
+note_wants(struct fw_limit_partition *p, int holder,
+           const struct fw_limit_msg *msg)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
         int64_t want = 0;
         int again = 0;
@@ -173,7 +174,7 @@
 /* The rate that the holder should have: by its part of the demand, or an even
  * part of the whole for those that stand ready to follow. */
 static int64_t
-target_rate(const struct fw_share *s, const struct fw_lease_grant *mine,
+target_rate(const struct fw_team_share *s, const struct fw_lease_grant *mine,
             int followers)
 {
     int64_t wanted = 0;
@@ -197,7 +198,7 @@
 
 /* Offers the new size. Return: nonzero when it differs from the old. */
 static int
-offer(struct fw_limit *l, struct fw_share *s, struct fw_lease_grant *g,
+offer(struct fw_limit *l, struct fw_team_share *s, struct fw_lease_grant *g,
       int followers, struct fw_limit_entry *e, int64_t now_us)
 {
     int64_t rate = target_rate(s, g, followers);
@@ -222,7 +223,7 @@
     g->offered_burst = burst;
     g->offered_level = level;
     s->own.level -= level;
-    Fw_Ledger_Fit(l, s, now_us);
+    Fw_Ledger_ResizeUnleased(l, s, now_us);
     g_strlcpy(e->team, s->name, sizeof(e->team));
     e->rate = rate;
     e->burst = burst;
@@ -231,7 +232,7 @@
 }
 
 static int
-count_followers(const struct fw_part *p)
+count_followers(const struct fw_limit_partition *p)
 {
     int n = 0;
 
@@ -242,7 +243,7 @@
 }
 
 static void
-answer_renew(struct fw_limit *l, struct fw_part *p, int holder,
+answer_renew(struct fw_limit *l, struct fw_limit_partition *p, int holder,
              const struct fw_limit_msg *msg, int64_t now_us,
              struct fw_limit_msg *back)
 {
@@ -251,7 +252,7 @@
     back->entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0; i < p->shares->len && back->n < FW_LIMIT_ENTRIES_MAX;
          i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
         if (s->led != p->ledger) {
             continue;
@@ -261,7 +262,7 @@
             g_array_append_val(s->grants, fresh);
             g = find_grant(s, holder);
         }
-        Fw_Bucket_Settle(&s->own, now_us);
+        Fw_Bucket_Refill(&s->own, now_us);
         if (g && offer(l, s, g, followers, &back->entries[back->n], now_us)) {
             back->n++;
         }
@@ -273,8 +274,8 @@
                   const struct fw_limit_msg *msg, int64_t now_us,
                   struct fw_actions *out)
 {
-    struct fw_part *p = &l->parts[msg->partition];
-    struct fw_limit_msg back = {.kind = FW_LIMIT_LEASE};
+    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_msg back = {.kind = FW_LIMIT_LEASE_UPDATE};
     struct fw_holder *h;
     int holder;
 
@@ -302,9 +303,9 @@
     note_wants(p, holder, msg);
     answer_renew(l, p, holder, msg, now_us, &back);
     h->offered_seq = msg->seq;
-    h->until_us = MAX(h->until_us, now_us + Fw_Ledger_Longest(l));
+    h->until_us = MAX(h->until_us, now_us + Fw_Ledger_MaxLeaseUs(l));
     back.seq = msg->seq;
     back.partition = msg->partition;
     back.fence = p->ledger;
-    Fw_Limit_Post(l, from, &back, out);
+    Fw_Limit_Send(l, from, &back, out);
 }
--- a/src/limit/serve.c
+++ b/src/limit/serve.c
@@ -6,10 +6,10 @@
 static void
 drop_old(struct fw_limit *l, int64_t now_us)
 {
-    struct fw_granted *g;
+    struct fw_peer_grant *g;
 
     while ((g = g_queue_peek_head(&l->granted)) &&
-           now_us >= g->at_us + FW_FLIGHT_US) {
+           now_us >= g->at_us + FW_RESERVATION_US) {
         g_free(g_queue_pop_head(&l->granted));
     }
 }
@@ -18,7 +18,7 @@
 find_granted(struct fw_limit *l, const char *peer, uint64_t seq)
 {
     for (GList *e = l->granted.head; e; e = e->next) {
-        const struct fw_granted *g = e->data;
+        const struct fw_peer_grant *g = e->data;
         if (g->seq == seq && strcmp(g->peer, peer) == 0) {
             return e;
         }
@@ -28,16 +28,16 @@
 
 static void
 note_granted(struct fw_limit *l, const char *from,
-             const struct fw_limit_msg *msg, const struct fw_taken *taken,
-             int64_t now_us)
+             const struct fw_limit_msg *msg,
+             const struct fw_token_split *taken, int64_t now_us)
 {
-    struct fw_granted *g;
+    struct fw_peer_grant *g;
 
     drop_old(l, now_us);
     if (taken->leased + taken->own == 0) {
         return;
     }
-    g = g_new0(struct fw_granted, 1);
+    g = g_new0(struct fw_peer_grant, 1);
     g_strlcpy(g->peer, from, sizeof(g->peer));
     g_strlcpy(g->team, msg->team, sizeof(g->team));
     g->seq = msg->seq;
@@ -49,10 +49,10 @@
 /* Tokens of a question that failed: back while their place is kept, else
  * lost, since the bucket refills it. None: they were spent. */
 static void
-take_back(struct fw_limit *l, struct fw_share *s, const char *from,
+take_back(struct fw_limit *l, struct fw_team_share *s, const char *from,
           const struct fw_limit_msg *msg, int64_t now_us)
 {
-    struct fw_granted *g;
+    struct fw_peer_grant *g;
     GList *e;
 
     drop_old(l, now_us);
@@ -62,25 +62,26 @@
     }
     g = e->data;
     if (strcmp(g->team, s->name) == 0 && msg->tokens == 0) {
-        Fw_Bucket_Land(&s->leased, g->taken.leased, now_us);
-        Fw_Bucket_Land(&s->own, g->taken.own, now_us);
+        Fw_Bucket_Commit(&s->leased, g->taken.leased, now_us);
+        Fw_Bucket_Commit(&s->own, g->taken.own, now_us);
     }
     else if (strcmp(g->team, s->name) == 0 &&
              msg->tokens == g->taken.leased + g->taken.own) {
-        Fw_Bucket_Unfly(&s->leased, g->taken.leased, now_us);
-        Fw_Bucket_Unfly(&s->own, g->taken.own, now_us);
+        Fw_Bucket_Cancel(&s->leased, g->taken.leased, now_us);
+        Fw_Bucket_Cancel(&s->own, g->taken.own, now_us);
     }
-    g->taken = (struct fw_taken){0, 0}; /* kept: a double may still come */
+    g->taken =
+        (struct fw_token_split){0, 0}; /* kept: a double may still come */
 }
 
 void
-Fw_Serve_OnAsk(struct fw_limit *l, const char *from,
-               const struct fw_limit_msg *msg, int64_t now_us,
-               struct fw_actions *out)
+Fw_PeerGrant_OnRequest(struct fw_limit *l, const char *from,
+                       const struct fw_limit_msg *msg, int64_t now_us,
+                       struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, msg->team);
-    struct fw_limit_msg back = {.kind = FW_LIMIT_TOKENS, .seq = msg->seq};
-    struct fw_taken got;
+    struct fw_team_share *s = Fw_TeamShare_Find(l, msg->team);
+    struct fw_limit_msg back = {.kind = FW_LIMIT_TOKEN_GRANT, .seq = msg->seq};
+    struct fw_token_split got;
 
     drop_old(l, now_us);
     if (find_granted(l, from, msg->seq)) {
@@ -88,20 +89,20 @@
     }
     if (s && !s->gone) {
         Fw_Ledger_Refresh(l, s->partition, now_us);
-        Fw_Ledger_OnTeam(l, s, now_us);
-        got = Fw_Share_Take(l, s, msg->tokens, 1, now_us);
+        Fw_Ledger_AddTeam(l, s, now_us);
+        got = Fw_TeamShare_Take(l, s, msg->tokens, 1, now_us);
         back.tokens = got.leased + got.own;
         note_granted(l, from, msg, &got, now_us);
     }
-    Fw_Limit_Post(l, from, &back, out);
+    Fw_Limit_Send(l, from, &back, out);
 }
 
 void
-Fw_Serve_Return(struct fw_limit *l, const char *to, const char *team,
-                int64_t tokens, uint64_t asked, struct fw_actions *out)
+Fw_PeerGrant_SendReturn(struct fw_limit *l, const char *to, const char *team,
+                        int64_t tokens, uint64_t asked, struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Find(l->fleet, to);
-    struct fw_limit_msg msg = {.kind = FW_LIMIT_RETURN,
+    struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_RETURN,
                                .seq = ++l->seq,
                                .have = l->self.boot,
                                .fence = asked,
@@ -113,7 +114,7 @@
     /* To that process only: one started since has other buckets. */
     msg.boot = m->boot;
     g_strlcpy(msg.team, team, sizeof(msg.team));
-    Fw_Limit_Post(l, to, &msg, out);
+    Fw_Limit_Send(l, to, &msg, out);
 }
 
 /* Each return counts once: taken in twice it would be tokens that nobody
@@ -121,10 +122,10 @@
 static int
 is_new(struct fw_limit *l, const char *from, const struct fw_limit_msg *msg)
 {
-    struct fw_sender *known = g_hash_table_lookup(l->senders, from);
+    struct fw_return_sender *known = g_hash_table_lookup(l->senders, from);
 
     if (!known) {
-        known = g_new0(struct fw_sender, 1);
+        known = g_new0(struct fw_return_sender, 1);
         g_hash_table_insert(l->senders, g_strdup(from), known);
     }
     if (msg->have < known->boot ||
@@ -137,10 +138,10 @@
 }
 
 void
-Fw_Serve_OnReturn(struct fw_limit *l, const char *from,
-                  const struct fw_limit_msg *msg, int64_t now_us)
+Fw_PeerGrant_OnReturn(struct fw_limit *l, const char *from,
+                      const struct fw_limit_msg *msg, int64_t now_us)
 {
-    struct fw_share *s = Fw_Share_Find(l, msg->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, msg->team);
 
     if (!s || msg->boot != l->self.boot || msg->tokens > s->burst ||
         !is_new(l, from, msg)) {
@@ -151,20 +152,20 @@
         return;
     }
     l->n_returned.value += msg->tokens;
-    Fw_Share_Put(l, s, msg->tokens, now_us);
+    Fw_TeamShare_Put(l, s, msg->tokens, now_us);
 }
 
 void
 Fw_Limit_Refund(struct fw_limit *l, const struct fw_team *team, int64_t tokens,
                 int64_t now_us, struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Get(l, team, now_us);
+    struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
     int64_t left = MAX(tokens, 0);
 
     l->n_returned.value += left;
-    left -= Fw_Share_Put(l, s, left, now_us);
+    left -= Fw_TeamShare_Put(l, s, left, now_us);
     if (left > 0) {
         s->owed = MIN(s->owed + left, s->burst);
-        Fw_Actions_Wake(out, now_us + FW_FLUSH_US);
+        Fw_Actions_Wake(out, now_us + FW_RETURN_INTERVAL_US);
     }
 }
--- a/src/limit/share.h
+++ b/src/limit/share.h
@@ -2,8 +2,8 @@
  * Inside of the budgets: what is held here of each team, what was asked of
  * others, and, as a leader, what was given out.
  */
-#ifndef FW_LIMIT_SHARE_H
-#define FW_LIMIT_SHARE_H
+#ifndef FW_LIMIT_INTERNAL_H
+#define FW_LIMIT_INTERNAL_H
 
 #include "limit/bucket.h"
 #include "limit/limit.h"
@@ -11,32 +11,33 @@
 /* For the answer of one peer; from the first question to the use; for the
  * first leader ever; late answers are given back; after a refusal nobody is
  * asked for a while. */
-#define FW_HOP_US (150 * FW_MSEC)
-#define FW_SPEND_US (450 * FW_MSEC)
-#define FW_HOPS_MAX 4
+#define FW_PEER_TIMEOUT_US (150 * FW_MSEC)
+#define FW_REQUEST_TIMEOUT_US (450 * FW_MSEC)
+#define FW_PEER_REQUESTS_MAX 4
 /* Grants of more than this part of the burst are confirmed when spent; more
  * returned tokens than this are spread over the places. */
-#define FW_TELL_PART 8
-#define FW_START_WAIT_US (3 * FW_SEC)
-#define FW_LATE_US (5 * FW_SEC)
-#define FW_EMPTY_US (100 * FW_MSEC)
+#define FW_LARGE_GRANT_DIVISOR 8
+#define FW_LEADER_WAIT_US (3 * FW_SEC)
+#define FW_LATE_GRANT_US (5 * FW_SEC)
+#define FW_EXHAUSTED_MAX_US (100 * FW_MSEC)
 
-#define FW_RENEW_US (10 * FW_SEC)
-#define FW_RENEW_ANSWER_US (2 * FW_SEC)
-#define FW_FLUSH_US (1 * FW_SEC)
-#define FW_NEW_TEAM_US (30 * FW_SEC)
-/* A lease of its own is worth while for as many requests in FW_RENEW_US, and
- * only when its burst holds as many: small leases strand tokens. */
-#define FW_BUSY_ASKS 50
-#define FW_BUSY_ROOM 8
+#define FW_RENEW_INTERVAL_US (10 * FW_SEC)
+#define FW_RENEW_TIMEOUT_US (2 * FW_SEC)
+#define FW_RETURN_INTERVAL_US (1 * FW_SEC)
+#define FW_NEW_TEAM_DELAY_US (30 * FW_SEC)
+/* A lease of its own is worth while for as many requests in
+ * FW_RENEW_INTERVAL_US, and only when its burst holds as many: small leases
+ * strand tokens. */
+#define FW_LEASE_REQUESTS_MIN 50
+#define FW_LEASE_BURST_REQUESTS_MIN 8
 /* A team's tokens are kept at its leader and as many followers, so that the
  * loss of one instance leaves three quarters of its rate. */
-#define FW_FOLLOWERS 3
+#define FW_FOLLOWERS_MAX 3
 
 /**
  * struct fw_lease_grant - what a holder has of a team. The larger of what it
  * confirmed and what it was offered counts as given.
- * @holder: index into fw_part.holders
+ * @holder: index into fw_limit_partition.holders
  * @want: rate that it would use
  * @again: it was cut there, and must be told its size again
  */
@@ -52,19 +53,20 @@
 };
 
 /**
- * struct fw_share - one team as seen here.
+ * struct fw_team_share - one team as seen here.
  * @rate, @burst: of this region, by the configuration
- * @own: what is left of the team at its leader; usable as fw_part.own_until
- * @leased: given by the leader; usable as fw_part.until
+ * @own: what is left of the team at its leader; usable as
+ * fw_limit_partition.own_until
+ * @leased: given by the leader; usable as fw_limit_partition.until
  * @owed: unused tokens to be returned to the leader
  * @asked, @asks: tokens and requests since the last renewal round
  * @want: rate for which a lease of its own is asked
- * @led: the ledger that it stands in, see fw_part.ledger
+ * @led: the ledger that it stands in, see fw_limit_partition.ledger
  * @fit_version: of the configuration that the own bucket was fitted to
  * @cut: micro-tokens that a smaller lease had no room for, for its leader
  * @grants: of the leader
  */
-struct fw_share {
+struct fw_team_share {
     char name[FW_NAME_MAX];
     int partition;
     uint64_t version;
@@ -104,7 +106,7 @@
 };
 
 /**
- * struct fw_part - one partition of the teams.
+ * struct fw_limit_partition - one partition of the teams.
  * As a holder: @seq of the last question, sent at @sent_us to @asked and
  * @waiting for its answer; @have is the last answer taken in, of ledger
  * @fence; leases are usable until @until_us. As a leader: @ledger names the
@@ -117,7 +119,7 @@
  * Leaving: @leaving; @pulled by whom it was handed over; @handed_until as
  * own_until was.
  */
-struct fw_part {
+struct fw_limit_partition {
     uint64_t seq;
     int waiting;
     int64_t sent_us;
@@ -145,8 +147,9 @@
     int64_t handed_until;
 };
 
-/** struct fw_hop - one peer asked; @answered: its tokens are counted. */
-struct fw_hop {
+/** struct fw_peer_request - one peer asked; @answered: its tokens are counted.
+ */
+struct fw_peer_request {
     char peer[FW_NAME_MAX];
     uint64_t seq;
     int64_t got;
@@ -154,13 +157,13 @@
 };
 
 /**
- * struct fw_ask - a question of this instance's own requests.
+ * struct fw_token_request - a question of this instance's own requests.
  * @collected: tokens put together so far, those from here included
  * @leased, @own: of them, taken from the buckets here
  * @done: answered; kept for a while to return what comes late
 
  */
-struct fw_ask {
+struct fw_token_request {
     uint64_t ticket;
     char team[FW_NAME_MAX];
     int64_t tokens;
@@ -171,7 +174,7 @@
     int64_t first_us;
     int64_t hop_us;
     int n_hops;
-    struct fw_hop hops[FW_HOPS_MAX];
+    struct fw_peer_request hops[FW_PEER_REQUESTS_MAX];
     int done;
     int forgotten;
 
@@ -179,23 +182,24 @@
     struct fw_list link;
 };
 
-/** struct fw_taken - tokens from each bucket. */
-struct fw_taken {
+/** struct fw_token_split - tokens from each bucket. */
+struct fw_token_split {
     int64_t leased;
     int64_t own;
 };
 
-/** struct fw_granted - tokens granted to a peer within FW_FLIGHT_US. */
-struct fw_granted {
+/** struct fw_peer_grant - tokens granted to a peer within FW_RESERVATION_US.
+ */
+struct fw_peer_grant {
     char peer[FW_NAME_MAX];
     uint64_t seq;
     char team[FW_NAME_MAX];
-    struct fw_taken taken;
+    struct fw_token_split taken;
     int64_t at_us;
 };
 
-/** struct fw_sender - returns of one peer process seen so far. */
-struct fw_sender {
+/** struct fw_return_sender - returns of one peer process seen so far. */
+struct fw_return_sender {
     uint64_t boot;
     uint64_t seq;
 };
@@ -205,13 +209,13 @@
     const struct fw_fleet *fleet;
     const struct fw_roles *roles;
     GRand *rand;
-    GHashTable *shares; /* team to struct fw_share */
+    GHashTable *shares; /* team to struct fw_team_share */
     int n_parts;
-    struct fw_part *parts;
+    struct fw_limit_partition *parts;
     struct fw_list asks;
     GQueue answers;
-    GQueue granted;      /* struct fw_granted, the oldest first */
-    GHashTable *senders; /* peer to struct fw_sender */
+    GQueue granted;      /* struct fw_peer_grant, the oldest first */
+    GHashTable *senders; /* peer to struct fw_return_sender */
     uint64_t seq;
     uint64_t cfg_offset;
     int has_cfg;
@@ -231,28 +235,31 @@
 
 /* The team's share here, made when missing; of no rate until a
  * configuration names the team. */
-struct fw_share *
-Fw_Share_Make(struct fw_limit *l, const char *team, int64_t now_us);
-struct fw_share *
-Fw_Share_Get(struct fw_limit *l, const struct fw_team *team, int64_t now_us);
-struct fw_share *
-Fw_Share_Find(const struct fw_limit *l, const char *team);
+struct fw_team_share *
+Fw_TeamShare_FindOrAdd(struct fw_limit *l, const char *team, int64_t now_us);
+struct fw_team_share *
+Fw_TeamShare_Get(struct fw_limit *l, const struct fw_team *team,
+                 int64_t now_us);
+struct fw_team_share *
+Fw_TeamShare_Find(const struct fw_limit *l, const char *team);
 /* Which of its buckets may be used; @margin_us before their end not. */
 int
-Fw_Share_OwnUsable(const struct fw_limit *l, const struct fw_share *s,
-                   int64_t margin_us, int64_t now_us);
+Fw_TeamShare_UnleasedUsable(const struct fw_limit *l,
+                            const struct fw_team_share *s, int64_t margin_us,
+                            int64_t now_us);
 int
-Fw_Share_LeaseUsable(const struct fw_limit *l, const struct fw_share *s,
-                     int64_t margin_us, int64_t now_us);
+Fw_TeamShare_LeaseUsable(const struct fw_limit *l,
+                         const struct fw_team_share *s, int64_t margin_us,
+                         int64_t now_us);
 /* Takes and puts over both buckets; tokens. */
-struct fw_taken
-Fw_Share_Take(struct fw_limit *l, struct fw_share *s, int64_t tokens,
-              int flight, int64_t now_us);
+struct fw_token_split
+Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
+                  int flight, int64_t now_us);
 int64_t
-Fw_Share_Put(struct fw_limit *l, struct fw_share *s, int64_t tokens,
-             int64_t now_us);
+Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
+                 int64_t now_us);
 void
-Fw_Share_Free(gpointer share);
+Fw_TeamShare_Free(gpointer share);
 
 static inline int64_t
 Fw_Lease_GivenRate(const struct fw_lease_grant *g)
@@ -268,11 +275,11 @@
 
 /* What a lease given now may last at most by the clock here. */
 int64_t
-Fw_Ledger_Longest(const struct fw_limit *l);
+Fw_Ledger_MaxLeaseUs(const struct fw_limit *l);
 /* The holder of this index has nothing any more. */
 void
-Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_part *p, int holder,
-                      int64_t now_us);
+Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_limit_partition *p,
+                      int holder, int64_t now_us);
 /* Nonzero while this instance may grant leases of @partition. */
 int
 Fw_Ledger_MayGrant(struct fw_limit *l, int partition, int64_t now_us);
@@ -281,18 +288,19 @@
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us);
 /* Fits the own bucket to what is not given out. */
 void
-Fw_Ledger_Fit(struct fw_limit *l, struct fw_share *s, int64_t now_us);
+Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
+                         int64_t now_us);
 void
 Fw_Ledger_OnRenew(struct fw_limit *l, const char *from,
                   const struct fw_limit_msg *msg, int64_t now_us,
                   struct fw_actions *out);
 void
-Fw_Ledger_OnTeam(struct fw_limit *l, struct fw_share *s, int64_t now_us);
+Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us);
 
 /* The leader of @partition by the log (@place 0), or one of its followers (up
- * to FW_FOLLOWERS); NULL when there is none. */
+ * to FW_FOLLOWERS_MAX); NULL when there is none. */
 const struct fw_member *
-Fw_Limit_Place(const struct fw_limit *l, int partition, int place);
+Fw_Limit_Replica(const struct fw_limit *l, int partition, int place);
 
 /* The holder's side of leases. */
 void
@@ -324,25 +332,27 @@
 /* Questions for tokens and returns; @asked: of a question that failed, its
  * number, 0 for a request that ended. */
 void
-Fw_Ask_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out);
+Fw_TokenRequest_Tick(struct fw_limit *l, int64_t now_us,
+                     struct fw_actions *out);
 void
-Fw_Ask_OnTokens(struct fw_limit *l, const char *from,
-                const struct fw_limit_msg *msg, int64_t now_us,
-                struct fw_actions *out);
+Fw_TokenRequest_OnGrant(struct fw_limit *l, const char *from,
+                        const struct fw_limit_msg *msg, int64_t now_us,
+                        struct fw_actions *out);
 void
-Fw_Serve_OnAsk(struct fw_limit *l, const char *from,
-               const struct fw_limit_msg *msg, int64_t now_us,
-               struct fw_actions *out);
+Fw_PeerGrant_OnRequest(struct fw_limit *l, const char *from,
+                       const struct fw_limit_msg *msg, int64_t now_us,
+                       struct fw_actions *out);
 void
-Fw_Serve_OnReturn(struct fw_limit *l, const char *from,
-                  const struct fw_limit_msg *msg, int64_t now_us);
+Fw_PeerGrant_OnReturn(struct fw_limit *l, const char *from,
+                      const struct fw_limit_msg *msg, int64_t now_us);
 void
-Fw_Serve_Return(struct fw_limit *l, const char *to, const char *team,
-                int64_t tokens, uint64_t asked, struct fw_actions *out);
+Fw_PeerGrant_SendReturn(struct fw_limit *l, const char *to, const char *team,
+                        int64_t tokens, uint64_t asked,
+                        struct fw_actions *out);
 
 /* Sends @msg, which is moved, to @to; nothing when it is not known. */
 void
-Fw_Limit_Post(struct fw_limit *l, const char *to, struct fw_limit_msg *msg,
+Fw_Limit_Send(struct fw_limit *l, const char *to, struct fw_limit_msg *msg,
               struct fw_actions *out);
 
 #endif
--- a/tests/fleet/play.c
+++ b/tests/fleet/play.c
@@ -1,4 +1,4 @@
-#include "play.h"
+#include "tests/fleet/play.h"
 
 #include <check.h>
 #include <errno.h>
@@ -214,7 +214,7 @@
 }
 
 void
-Fw_Play_Check(const struct play *p)
+Fw_FleetScript_Check(const struct fleet_script *p)
 {
     struct route_env s = {
         .run = {.rand = g_rand_new_with_seed(7), .trace = g_string_new(NULL)},
--- a/tests/fleet/test_fleet.c
+++ b/tests/fleet/test_fleet.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 #include "core/msg.h"
-#include "play.h"
 #include "tests/base/suite.h"
+#include "tests/fleet/play.h"
 
 #define TRIO "start 1\nstart 2\nstart 3\nrun 5000\n"
 
-static const struct play members[] = {
+static const struct fleet_script members[] = {
     /* A process dies. Requests would go on being sent to it; the others
      * suspect it first and hold it dead some seconds later. Its next run
      * under the same name is taken for a new one. */
@@ -59,7 +59,7 @@
      "n1: n1 alive n2 alive n3 alive\n"},
 };
 
-static const struct play roles[] = {
+static const struct fleet_script roles[] = {
     /* A new fleet has no old holder to wait for: the first record acts. */
     {"fresh fleet", 3, TRIO "role\n", "role: n2 acts\n"},
     {"alone", 1, "start 1\nrun 4000\nrole\n", "role: n1 acts\n"},
@@ -95,13 +95,13 @@
 
 START_TEST(members_follow_the_script)
 {
-    Fw_Play_Check(&members[_i]);
+    Fw_FleetScript_Check(&members[_i]);
 }
 END_TEST
 
 START_TEST(roles_follow_the_script)
 {
-    Fw_Play_Check(&roles[_i]);
+    Fw_FleetScript_Check(&roles[_i]);
 }
 END_TEST
 
@@ -142,7 +142,7 @@
         {.area = FW_AREA_FLEET,
          .u.fleet = {.kind = FW_FLEET_PING, .n = 1, .updates = &up}},
         {.area = FW_AREA_LIMIT,
-         .u.limit = {.kind = FW_LIMIT_RENEW, .n = 1, .entries = &entry}},
+         .u.limit = {.kind = FW_LIMIT_LEASE_RENEW, .n = 1, .entries = &entry}},
     };
 
     for (int m = 0; m < 2; m++) {
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -9,7 +9,7 @@
 
 #define ALL "start 1\nstart 2\nstart 3\nstart 4\nstart 5\nstart 6\nrun 15000\n"
 
-static const struct play plays[] = {
+static const struct fleet_script plays[] = {
     /* The first request comes before the fleet has a leader. It waits for
      * one instead of being refused. */
     {"fresh fleet", 6, "start 1\nstart 2\nrun 50\nask 1 large 300\n",
@@ -106,7 +106,7 @@
 
 START_TEST(budgets_follow_the_script)
 {
-    Fw_Play_Check(&plays[_i]);
+    Fw_FleetScript_Check(&plays[_i]);
 }
 END_TEST
 
@@ -116,12 +116,12 @@
 {
     struct fw_bucket b = {.rate = 1000, .burst = 1000};
 
-    Fw_Bucket_Put(&b, 1000 * FW_MICRO, 0);
+    Fw_Bucket_Put(&b, 1000 * FW_MICROTOKENS, 0);
     ck_assert_int_eq(Fw_Bucket_Take(&b, 400, 1, 0), 400);
-    Fw_Bucket_Settle(&b, FW_FLIGHT_US - 1);
-    ck_assert_int_eq(b.level / FW_MICRO, 600);
-    Fw_Bucket_Settle(&b, 3 * FW_FLIGHT_US);
-    ck_assert_int_eq(b.level / FW_MICRO, 1000);
+    Fw_Bucket_Refill(&b, FW_RESERVATION_US - 1);
+    ck_assert_int_eq(b.level / FW_MICROTOKENS, 600);
+    Fw_Bucket_Refill(&b, 3 * FW_RESERVATION_US);
+    ck_assert_int_eq(b.level / FW_MICROTOKENS, 1000);
 }
 END_TEST
 
@@ -129,11 +129,11 @@
 {
     struct fw_bucket b = {.rate = 0, .burst = 100};
 
-    Fw_Bucket_Put(&b, 100 * FW_MICRO, 0);
+    Fw_Bucket_Put(&b, 100 * FW_MICROTOKENS, 0);
     ck_assert_int_eq(Fw_Bucket_Take(&b, 70, 1, 0), 70);
-    Fw_Bucket_Unfly(&b, 70, 1);
-    ck_assert_int_eq(b.level / FW_MICRO, 100);
-    ck_assert_int_eq(Fw_Bucket_Put(&b, FW_MICRO, 2), 0);
+    Fw_Bucket_Cancel(&b, 70, 1);
+    ck_assert_int_eq(b.level / FW_MICROTOKENS, 100);
+    ck_assert_int_eq(Fw_Bucket_Put(&b, FW_MICROTOKENS, 2), 0);
 }
 END_TEST
 
