--- a/tests/fleet/play.c
+++ b/tests/fleet/play.c
@@ -13,7 +13,7 @@
 #define TERM_US (20 * FW_SEC)
 #define ANSWER_US (5 * FW_SEC)
 
-struct route_env {
+struct script_run {
     struct fw_run run;
     struct fw_fleet_env w;
     struct fw_limit_check c;
@@ -23,14 +23,14 @@
 };
 
 static int
-number(const struct route_env *s, int i)
+number(const struct script_run *s, int i)
 {
     ck_assert_msg(i < s->n, "%s lacks a word", s->word[0]);
     return (int)strtol(s->word[i], NULL, 10);
 }
 
 static int
-site(const struct route_env *s, int i)
+site(const struct script_run *s, int i)
 {
     int k = number(s, i) - 1;
 
@@ -40,13 +40,13 @@
 }
 
 static int
-team(const struct route_env *s, int i)
+team(const struct script_run *s, int i)
 {
     return strcmp(s->word[i], s->c.accounts[0].team.name) == 0 ? 0 : 1;
 }
 
 static void
-print_view(struct route_env *s)
+print_view(struct script_run *s)
 {
     static const char *const names[] = {"alive", "suspect", "leaving", "dead"};
     int i = site(s, 1);
@@ -66,7 +66,7 @@
 }
 
 static void
-print_role(struct route_env *s)
+print_role(struct script_run *s)
 {
     g_string_append(s->out, "role:");
     for (int i = 0; i < s->w.n; i++) {
@@ -87,7 +87,7 @@
 }
 
 static void
-ask(struct route_env *s)
+ask(struct script_run *s)
 {
     struct fw_account *a = &s->c.accounts[team(s, 2)];
     int granted = a->granted;
@@ -114,7 +114,7 @@
 }
 
 static void
-change_rate(struct route_env *s)
+change_rate(struct script_run *s)
 {
     struct fw_team *t = &s->c.accounts[team(s, 1)].team;
     struct fw_config *cfg = (struct fw_config *)s->w.cfg;
@@ -126,7 +126,7 @@
 }
 
 static int
-life_command(struct route_env *s)
+life_command(struct script_run *s)
 {
     const char *c = s->word[0];
 
@@ -152,7 +152,7 @@
 }
 
 static int
-world_command(struct route_env *s)
+world_command(struct script_run *s)
 {
     const char *c = s->word[0];
 
@@ -178,7 +178,7 @@
 }
 
 static void
-run_line(struct route_env *s, char *line)
+run_line(struct script_run *s, char *line)
 {
     char *save = NULL;
     const char *c;
@@ -216,7 +216,7 @@
 void
 Fw_FleetScript_Check(const struct fleet_script *p)
 {
-    struct route_env s = {
+    struct script_run s = {
         .run = {.rand = g_rand_new_with_seed(7), .trace = g_string_new(NULL)},
         .out = g_string_new(NULL),
     };
