--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -52,13 +52,13 @@
     f->self = *self;
     f->rand = g_rand_new_with_seed(seed);
     f->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    f->pick = g_ptr_array_new();
-    f->order = g_ptr_array_new_with_free_func(g_free);
+    f->candidates = g_ptr_array_new();
+    f->probe_order = g_ptr_array_new_with_free_func(g_free);
     add_metrics(f, metrics);
-    f->me =
+    f->self_entry =
         Fw_Member_Add(f, self->name, self->addr, self->domain, self->region);
-    f->me->m.boot = self->boot;
-    f->me->m.state = FW_MEMBER_ALIVE;
+    f->self_entry->m.boot = self->boot;
+    f->self_entry->m.state = FW_MEMBER_ALIVE;
     Fw_Member_RebuildCandidates(f);
     return f;
 }
@@ -67,8 +67,8 @@
 Fw_Fleet_Free(struct fw_fleet *f)
 {
     g_rand_free(f->rand);
-    g_ptr_array_unref(f->pick);
-    g_ptr_array_unref(f->order);
+    g_ptr_array_unref(f->candidates);
+    g_ptr_array_unref(f->probe_order);
     g_hash_table_unref(f->entries);
     g_free(f);
 }
@@ -97,7 +97,7 @@
 
 /* By name, so that the same view gives the same order of all loops. */
 static gint
-by_name(gconstpointer a, gconstpointer b)
+compare_names(gconstpointer a, gconstpointer b)
 {
     const struct fw_member *const *x = a;
     const struct fw_member *const *y = b;
@@ -111,17 +111,17 @@
     GHashTableIter it;
     gpointer value;
 
-    g_ptr_array_set_size(f->pick, 0);
+    g_ptr_array_set_size(f->candidates, 0);
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_member_entry *e = value;
         if (e->m.state <= FW_MEMBER_SUSPECT &&
             strcmp(e->m.region, f->self.region) == 0) {
-            g_ptr_array_add(f->pick, &e->m);
+            g_ptr_array_add(f->candidates, &e->m);
         }
     }
-    g_ptr_array_sort(f->pick, by_name);
-    f->alive.value = f->pick->len;
+    g_ptr_array_sort(f->candidates, compare_names);
+    f->alive.value = f->candidates->len;
 }
 
 static const char *
--- a/src/fleet/fleet_cmd.c
+++ b/src/fleet/fleet_cmd.c
@@ -24,8 +24,8 @@
 }
 
 static void
-see_listed(struct fw_fleet *f, const struct fw_listed *listed,
-           const struct fw_list_entry *le, int64_t now_us)
+apply_listed(struct fw_fleet *f, const struct fw_listed *listed,
+             const struct fw_list_entry *le, int64_t now_us)
 {
     struct fw_member_entry *e = Fw_Member_Find(f, le->name);
 
@@ -35,7 +35,7 @@
         e = Fw_Member_Add(f, le->name, le->addr, le->domain, le->region);
         e->probe_us = now_us;
     }
-    if (!e || e == f->me) {
+    if (!e || e == f->self_entry) {
         return;
     }
     e->listed = 1;
@@ -62,7 +62,7 @@
     }
     for (int i = 0; i < listed->n; i++) {
         if (listed->entries[i].kind == FW_LIST_INSTANCE) {
-            see_listed(f, listed, &listed->entries[i], now_us);
+            apply_listed(f, listed, &listed->entries[i], now_us);
         }
     }
     Fw_Actions_Wake(out, now_us);
@@ -73,16 +73,16 @@
 {
     GPtrArray *all;
 
-    if (f->me->m.state == FW_MEMBER_LEAVING) {
+    if (f->self_entry->m.state == FW_MEMBER_LEAVING) {
         return;
     }
-    f->me->m.incarnation++;
-    Fw_Member_SetState(f, f->me, FW_MEMBER_LEAVING, now_us, out);
+    f->self_entry->m.incarnation++;
+    Fw_Member_SetState(f, f->self_entry, FW_MEMBER_LEAVING, now_us, out);
     /* Told to each at once: until they know, they still ask us things. */
     all = Fw_Fleet_Members(f);
     for (guint i = 0; i < all->len; i++) {
         const struct fw_member *m = g_ptr_array_index(all, i);
-        if (m != &f->me->m) {
+        if (m != &f->self_entry->m) {
             Fw_Probe_Ping(f, Fw_Member_Find(f, m->name), ++f->seq, out);
         }
     }
--- a/src/fleet/fleet_msg.c
+++ b/src/fleet/fleet_msg.c
@@ -34,8 +34,8 @@
     msgpack_pack_uint64(pk, msg->boot);
     msgpack_pack_uint32(pk, msg->incarnation);
     msgpack_pack_int(pk, msg->state);
-    msgpack_pack_array(pk, (size_t)msg->n);
-    for (int i = 0; i < msg->n; i++) {
+    msgpack_pack_array(pk, (size_t)msg->n_updates);
+    for (int i = 0; i < msg->n_updates; i++) {
         pack_update(pk, &msg->updates[i]);
     }
 }
@@ -104,7 +104,7 @@
             Fw_Fleet_ClearMsg(msg);
             return -EBADMSG;
         }
-        msg->n++;
+        msg->n_updates++;
     }
     return 0;
 }
@@ -113,5 +113,5 @@
 Fw_Fleet_ClearMsg(struct fw_fleet_msg *msg)
 {
     g_clear_pointer(&msg->updates, g_free);
-    msg->n = 0;
+    msg->n_updates = 0;
 }
--- a/src/fleet/fleet_msg.h
+++ b/src/fleet/fleet_msg.h
@@ -33,7 +33,7 @@
  * @seq: of the sender of the ping; an ack repeats it
  * @target, @target_addr: of a PING_REQ, whom to ping
  * @boot, @incarnation, @state: of a PING, what is believed of the receiver
- * @updates: owned, @n of them
+ * @updates: owned, @n_updates of them
  */
 struct fw_fleet_msg {
     enum fw_fleet_msg_kind kind;
@@ -43,7 +43,7 @@
     uint64_t boot;
     uint32_t incarnation;
     int state;
-    int n;
+    int n_updates;
     struct fw_fleet_update *updates;
 };
 
--- a/src/fleet/member.h
+++ b/src/fleet/member.h
@@ -20,7 +20,7 @@
 
 /**
  * struct fw_member_entry - one known instance.
- * @tell: messages that shall still carry its rumour
+ * @retransmits: messages that shall still carry its rumour
  * @suspect_until_us: when a suspicion, or the silence of a leaving one,
  *                    becomes a death; 0 for none
  * @probe_us: when a dead or only listed one is pinged next
@@ -29,7 +29,7 @@
  */
 struct fw_member_entry {
     struct fw_member m;
-    int tell;
+    int retransmits;
     int64_t suspect_until_us;
     int64_t probe_us;
     int64_t backoff_us;
@@ -41,7 +41,7 @@
     uint64_t seq;
     uint64_t origin_seq;
     char origin[FW_NAME_MAX];
-    int64_t until_us;
+    int64_t expires_us;
 };
 
 /** struct fw_probe - the ping under way; @target is empty for none. */
@@ -49,16 +49,17 @@
     char target[FW_NAME_MAX];
     uint64_t seq;
     int64_t sent_us;
-    int helped;
+    int indirect_sent;
 };
 
 struct fw_fleet {
     struct fw_self self;
     GRand *rand;
-    struct fw_member_entry *me;
-    GHashTable *entries; /* name to struct fw_member_entry, @me included */
-    GPtrArray *pick;     /* of this region, alive or suspect */
-    GPtrArray *order;    /* names to probe, shuffled, taken from the end */
+    struct fw_member_entry *self_entry;
+    GHashTable
+        *entries; /* name to struct fw_member_entry, @self_entry included */
+    GPtrArray *candidates;  /* of this region, alive or suspect */
+    GPtrArray *probe_order; /* names to probe, shuffled, taken from the end */
     struct fw_probe probe;
     struct fw_ping_relay relays[FW_PING_RELAYS_MAX];
     int next_relay;
--- a/src/fleet/member_query.c
+++ b/src/fleet/member_query.c
@@ -14,8 +14,8 @@
     for (int r = 0; r <= rank; r++) {
         uint64_t top = 0;
         best = NULL;
-        for (guint i = 0; i < f->pick->len; i++) {
-            const struct fw_member *m = g_ptr_array_index(f->pick, i);
+        for (guint i = 0; i < f->candidates->len; i++) {
+            const struct fw_member *m = g_ptr_array_index(f->candidates, i);
             uint64_t w = Fw_Hash_Weight(key, m->name);
             if (w < below && w >= top) {
                 top = w;
@@ -41,7 +41,7 @@
 int
 Fw_Fleet_IsSelf(const struct fw_fleet *f, const struct fw_member *m)
 {
-    return m == &f->me->m;
+    return m == &f->self_entry->m;
 }
 
 GPtrArray *
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -13,8 +13,8 @@
 #define DEAD_PINGS_PER_TICK 16
 
 static void
-post(struct fw_fleet *f, const char *to, const char *addr,
-     struct fw_fleet_msg *msg, struct fw_actions *out)
+send_msg(struct fw_fleet *f, const char *to, const char *addr,
+         struct fw_fleet_msg *msg, struct fw_actions *out)
 {
     struct fw_msg m = {.area = FW_AREA_FLEET, .u.fleet = *msg};
 
@@ -35,31 +35,32 @@
     };
 
     Fw_Gossip_Attach(f, &msg, 1);
-    post(f, e->m.name, e->m.addr, &msg, out);
+    send_msg(f, e->m.name, e->m.addr, &msg, out);
 }
 
 static void
-ask_helpers(struct fw_fleet *f, const struct fw_member_entry *e,
-            struct fw_actions *out)
+send_indirect_probes(struct fw_fleet *f, const struct fw_member_entry *e,
+                     struct fw_actions *out)
 {
-    guint n = f->pick->len;
+    guint n = f->candidates->len;
     guint start = n ? (guint)g_rand_int_range(f->rand, 0, (gint32)n) : 0;
     int asked = 0;
 
     for (guint i = 0; i < n && asked < FW_PROBE_INDIRECT_MAX; i++) {
         const struct fw_member *m =
-            g_ptr_array_index(f->pick, (start + i) % n);
+            g_ptr_array_index(f->candidates, (start + i) % n);
         struct fw_fleet_msg msg = {
             .kind = FW_FLEET_PING_REQ,
             .seq = f->probe.seq,
         };
-        if (m == &f->me->m || m == &e->m || m->state != FW_MEMBER_ALIVE) {
+        if (m == &f->self_entry->m || m == &e->m ||
+            m->state != FW_MEMBER_ALIVE) {
             continue;
         }
         g_strlcpy(msg.target, e->m.name, sizeof(msg.target));
         g_strlcpy(msg.target_addr, e->m.addr, sizeof(msg.target_addr));
         Fw_Gossip_Attach(f, &msg, 0);
-        post(f, m->name, m->addr, &msg, out);
+        send_msg(f, m->name, m->addr, &msg, out);
         asked++;
     }
 }
@@ -96,21 +97,21 @@
         probe_failed(f, e, now_us, out);
         f->probe.target[0] = '\0';
     }
-    else if (!f->probe.helped &&
+    else if (!f->probe.indirect_sent &&
              now_us >= f->probe.sent_us + FW_PROBE_DIRECT_TIMEOUT_US) {
-        f->probe.helped = 1;
-        ask_helpers(f, e, out);
+        f->probe.indirect_sent = 1;
+        send_indirect_probes(f, e, out);
     }
 }
 
 static gint
-by_text(gconstpointer a, gconstpointer b)
+compare_strings(gconstpointer a, gconstpointer b)
 {
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
 static void
-fill_order(struct fw_fleet *f)
+shuffle_probe_order(struct fw_fleet *f)
 {
     GHashTableIter it;
     gpointer value;
@@ -118,29 +119,30 @@
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_member_entry *e = value;
-        if (e != f->me && e->m.state != FW_MEMBER_DEAD) {
-            g_ptr_array_add(f->order, g_strdup(e->m.name));
+        if (e != f->self_entry && e->m.state != FW_MEMBER_DEAD) {
+            g_ptr_array_add(f->probe_order, g_strdup(e->m.name));
         }
     }
-    g_ptr_array_sort(f->order, by_text);
-    for (guint i = f->order->len; i > 1; i--) {
+    g_ptr_array_sort(f->probe_order, compare_strings);
+    for (guint i = f->probe_order->len; i > 1; i--) {
         guint j = (guint)g_rand_int_range(f->rand, 0, (gint32)i);
-        gpointer t = f->order->pdata[i - 1];
-        f->order->pdata[i - 1] = f->order->pdata[j];
-        f->order->pdata[j] = t;
+        gpointer t = f->probe_order->pdata[i - 1];
+        f->probe_order->pdata[i - 1] = f->probe_order->pdata[j];
+        f->probe_order->pdata[j] = t;
     }
 }
 
 static void
-next_probe(struct fw_fleet *f, int64_t now_us, struct fw_actions *out)
+start_next_probe(struct fw_fleet *f, int64_t now_us, struct fw_actions *out)
 {
     struct fw_member_entry *e = NULL;
 
-    if (f->order->len == 0) {
-        fill_order(f);
+    if (f->probe_order->len == 0) {
+        shuffle_probe_order(f);
     }
-    while (!e && f->order->len > 0) {
-        char *name = g_ptr_array_steal_index(f->order, f->order->len - 1);
+    while (!e && f->probe_order->len > 0) {
+        char *name =
+            g_ptr_array_steal_index(f->probe_order, f->probe_order->len - 1);
         e = Fw_Member_Find(f, name);
         if (e && e->m.state == FW_MEMBER_DEAD) {
             e = NULL;
@@ -169,7 +171,7 @@
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_member_entry *e = value;
-        if (e == f->me) {
+        if (e == f->self_entry) {
             continue;
         }
         if (e->m.state != FW_MEMBER_DEAD && e->suspect_until_us &&
@@ -196,7 +198,7 @@
 
 /* After a pause of this process its timers say nothing about the others. */
 static void
-excuse_pause(struct fw_fleet *f, int64_t now_us)
+compensate_for_pause(struct fw_fleet *f, int64_t now_us)
 {
     GHashTableIter it;
     gpointer value;
@@ -218,14 +220,14 @@
 {
     int64_t wake;
 
-    excuse_pause(f, now_us);
+    compensate_for_pause(f, now_us);
     advance_probe(f, now_us, out);
     tick_entries(f, now_us, out);
     if (now_us >= f->next_probe_us) {
-        next_probe(f, now_us, out);
+        start_next_probe(f, now_us, out);
     }
     wake = f->next_probe_us;
-    if (f->probe.target[0] && !f->probe.helped) {
+    if (f->probe.target[0] && !f->probe.indirect_sent) {
         wake = MIN(wake, f->probe.sent_us + FW_PROBE_DIRECT_TIMEOUT_US);
     }
     f->wake_us = wake;
@@ -239,7 +241,7 @@
     struct fw_fleet_msg msg = {.kind = FW_FLEET_ACK, .seq = seq};
 
     Fw_Gossip_Attach(f, &msg, self);
-    post(f, to, addr, &msg, out);
+    send_msg(f, to, addr, &msg, out);
 }
 
 static void
@@ -250,7 +252,7 @@
     const char *addr = e ? e->m.addr : NULL;
     int differs;
 
-    for (int i = 0; i < msg->n && !addr; i++) {
+    for (int i = 0; i < msg->n_updates && !addr; i++) {
         if (strcmp(msg->updates[i].name, from) == 0) {
             addr = msg->updates[i].addr; /* of another region */
         }
@@ -259,9 +261,9 @@
         return;
     }
     Fw_Gossip_Refute(f, msg->boot, msg->incarnation, msg->state);
-    differs = msg->boot != f->me->m.boot ||
-              msg->incarnation != f->me->m.incarnation ||
-              msg->state != (int)f->me->m.state;
+    differs = msg->boot != f->self_entry->m.boot ||
+              msg->incarnation != f->self_entry->m.incarnation ||
+              msg->state != (int)f->self_entry->m.state;
     send_ack(f, from, addr, msg->seq, differs, out);
 }
 
@@ -273,13 +275,13 @@
     const struct fw_member_entry *e = Fw_Member_Find(f, msg->target);
     struct fw_ping_relay *r = &f->relays[f->next_relay];
 
-    if (!e || e == f->me) {
+    if (!e || e == f->self_entry) {
         return;
     }
     f->next_relay = (f->next_relay + 1) % FW_PING_RELAYS_MAX;
     r->seq = ++f->seq;
     r->origin_seq = msg->seq;
-    r->until_us = now_us + FW_PROBE_PERIOD_US;
+    r->expires_us = now_us + FW_PROBE_PERIOD_US;
     g_strlcpy(r->origin, from, sizeof(r->origin));
     Fw_Probe_Ping(f, e, r->seq, out);
 }
@@ -299,14 +301,14 @@
     for (int i = 0; i < FW_PING_RELAYS_MAX; i++) {
         struct fw_ping_relay *r = &f->relays[i];
         const struct fw_member_entry *e;
-        if (r->seq != msg->seq || now_us > r->until_us) {
+        if (r->seq != msg->seq || now_us > r->expires_us) {
             continue;
         }
         e = Fw_Member_Find(f, r->origin);
         if (e) {
             send_ack(f, r->origin, e->m.addr, r->origin_seq, 0, out);
         }
-        r->until_us = 0;
+        r->expires_us = 0;
         return;
     }
 }
@@ -316,7 +318,7 @@
                const struct fw_fleet_msg *msg, int64_t now_us,
                struct fw_actions *out)
 {
-    for (int i = 0; i < msg->n; i++) {
+    for (int i = 0; i < msg->n_updates; i++) {
         Fw_Gossip_Merge(f, from, &msg->updates[i], now_us, out);
     }
     switch (msg->kind) {
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -34,9 +34,9 @@
     else {
         g_strlcpy(r->stream, FW_STREAM_ROLES, sizeof(r->stream));
     }
-    r->next = 1;
+    r->next_offset = 1;
     r->read_backoff_us = FW_ROLE_BACKOFF_MIN_US;
-    r->fresh_us = INT64_MIN / 2;
+    r->view_us = INT64_MIN / 2;
     return r;
 }
 
@@ -60,7 +60,7 @@
     r->read_ticket = Fw_Owner_Number(FW_OWNER_ROLES, ++r->ticket);
     r->read_sent_us = now_us;
     /* The first answer must come at once: it may be that nobody writes. */
-    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next,
+    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next_offset,
                     FW_ROLE_READ_RECORDS_MAX,
                     r->has_read ? FW_ROLE_LONG_POLL_US : 0);
 }
@@ -72,47 +72,47 @@
         now_us >= r->read_sent_us + FW_ROLE_READ_TIMEOUT_US) {
         r->read_ticket = 0;
     }
-    if (!r->read_ticket && now_us >= r->read_at_us) {
+    if (!r->read_ticket && now_us >= r->next_read_us) {
         send_read(r, now_us, out);
     }
     if (!r->read_ticket) {
-        Fw_Actions_Wake(out, r->read_at_us);
+        Fw_Actions_Wake(out, r->next_read_us);
     }
 }
 
 /* Records that were never seen may have changed any role. */
 static void
-forget_all(struct fw_roles *r)
+reset_slots(struct fw_roles *r)
 {
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
         struct fw_role_slot *s = &r->slots[i];
-        *s = (struct fw_role_slot){.lacking_us = 0};
+        *s = (struct fw_role_slot){.vacant_since_us = 0};
     }
 }
 
 static void
-fold_records(struct fw_roles *r, const struct fw_log_records *rec,
-             int64_t now_us, struct fw_actions *out)
+apply_records(struct fw_roles *r, const struct fw_log_records *rec,
+              int64_t now_us, struct fw_actions *out)
 {
-    uint64_t from = rec->n > 0 ? rec->first : MAX(rec->oldest, r->next);
+    uint64_t from = rec->n > 0 ? rec->first : MAX(rec->oldest, r->next_offset);
 
     if (!r->has_read && rec->oldest <= 1 && from <= 1) {
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
             r->slots[i].known = 1; /* nothing aged out: none means none */
         }
     }
-    if (from > r->next || rec->end < r->next) {
-        forget_all(r);
-        r->next = from;
+    if (from > r->next_offset || rec->end < r->next_offset) {
+        reset_slots(r);
+        r->next_offset = from;
     }
     r->has_read = 1;
     for (int i = 0; i < rec->n; i++) {
         struct fw_role_record one;
         uint64_t offset = rec->first + (uint64_t)i;
-        if (offset < r->next) {
+        if (offset < r->next_offset) {
             continue;
         }
-        r->next = offset + 1;
+        r->next_offset = offset + 1;
         if (Fw_Role_Parse(rec->records[i], r->partitions, &one)) {
             Fw_Actions_Note(out, LOG_ERR, "role_record_bad", "stream",
                             r->stream, "record", rec->records[i], NULL);
@@ -131,23 +131,23 @@
     }
     r->read_ticket = 0;
     if (rec->err) {
-        r->read_at_us = now_us + jitter(r, r->read_backoff_us);
+        r->next_read_us = now_us + jitter(r, r->read_backoff_us);
         r->read_backoff_us =
             MIN(2 * r->read_backoff_us, FW_ROLE_BACKOFF_MAX_US);
-        Fw_Actions_Wake(out, r->read_at_us);
+        Fw_Actions_Wake(out, r->next_read_us);
         return;
     }
     r->read_backoff_us = FW_ROLE_BACKOFF_MIN_US;
-    fold_records(r, rec, now_us, out);
-    if (r->next >= rec->end) {
-        r->fresh_us = r->read_sent_us;
+    apply_records(r, rec, now_us, out);
+    if (r->next_offset >= rec->end) {
+        r->view_us = r->read_sent_us;
     }
     /* A log that doesn't hold answers back must not be asked in a spin. */
-    r->read_at_us =
+    r->next_read_us =
         rec->n > 0 ? now_us
                    : MAX(now_us, r->read_sent_us + FW_ROLE_CHECK_INTERVAL_US);
     tick_read(r, now_us, out);
-    r->round_us = 0;
+    r->next_check_us = 0;
     Fw_Actions_Wake(out, now_us);
 }
 
@@ -162,19 +162,19 @@
     if (a->err) {
         /* Whether it took effect the next read tells; taking again is
          * harmless, since a record that replaces an old one is void. */
-        r->append_at_us = now_us + jitter(r, FW_SEC);
+        r->next_append_us = now_us + jitter(r, FW_SEC);
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-            r->slots[i].asked_us = 0;
+            r->slots[i].claimed_us = 0;
         }
-        Fw_Actions_Wake(out, r->append_at_us);
+        Fw_Actions_Wake(out, r->next_append_us);
     }
 }
 
 /* How long a role must have lacked a holder before it is taken; -1: it has
  * one. A living holder is not replaced, however the choice falls. */
 static int64_t
-settle_time(const struct fw_roles *r, const struct fw_fleet *fleet,
-            const struct fw_role_slot *s)
+takeover_delay(const struct fw_roles *r, const struct fw_fleet *fleet,
+               const struct fw_role_slot *s)
 {
     const struct fw_member *m;
 
@@ -199,25 +199,25 @@
 
 /* Whether the slot wants a record now; fills it. */
 static int
-wants_take(struct fw_roles *r, const struct fw_fleet *fleet,
-           struct fw_role_slot *s, int64_t now_us, struct fw_role_record *rec)
+needs_claim(struct fw_roles *r, const struct fw_fleet *fleet,
+            struct fw_role_slot *s, int64_t now_us, struct fw_role_record *rec)
 {
-    int64_t settle = settle_time(r, fleet, s);
+    int64_t settle = takeover_delay(r, fleet, s);
     const struct fw_member *m;
 
-    rec->was = s->known ? (int64_t)s->offset : FW_ROLE_REPLACES_ANY;
+    rec->replaces = s->known ? (int64_t)s->offset : FW_ROLE_REPLACES_ANY;
     if (settle < 0) {
-        s->lacking_us = 0;
+        s->vacant_since_us = 0;
         /* Holding needs no append, but the log forgets: without a new record
          * now and then a restarted instance could not tell who holds it. */
-        rec->was = FW_ROLE_REPLACES_ANY;
+        rec->replaces = FW_ROLE_REPLACES_ANY;
         return Fw_Role_IsHeldHere(r, s) && !s->stopped &&
-               now_us >= s->folded_us + FW_ROLE_REFRESH_INTERVAL_US;
+               now_us >= s->applied_us + FW_ROLE_REFRESH_INTERVAL_US;
     }
-    if (s->lacking_us == 0) {
-        s->lacking_us = now_us;
+    if (s->vacant_since_us == 0) {
+        s->vacant_since_us = now_us;
     }
-    if (now_us < s->lacking_us + settle) {
+    if (now_us < s->vacant_since_us + settle) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
@@ -225,7 +225,7 @@
 }
 
 static int
-wants_handover(struct fw_roles *r, const struct fw_fleet *fleet,
+needs_handover(struct fw_roles *r, const struct fw_fleet *fleet,
                struct fw_role_slot *s, int64_t now_us,
                struct fw_role_record *rec)
 {
@@ -239,11 +239,11 @@
     if (!m || Fw_Fleet_IsSelf(fleet, m)) {
         return 0;
     }
-    rec->was = (int64_t)s->offset;
+    rec->replaces = (int64_t)s->offset;
     /* One that surely never acted leaves nothing behind but what is older.
      * One that was handed the role may have acted before from_us. */
-    rec->wait_us = now_us < s->from_us && !s->handed_from
-                       ? s->from_us - now_us
+    rec->wait_us = now_us < s->acts_from_us && !s->predecessor_tenure
+                       ? s->acts_from_us - now_us
                        : r->wait_us[rec->kind];
     g_strlcpy(rec->holder, m->name, sizeof(rec->holder));
     rec->boot = m->boot;
@@ -252,8 +252,8 @@
 
 /* One append carries all records of a round. */
 static void
-append_round(struct fw_roles *r, const struct fw_fleet *fleet, int64_t now_us,
-             struct fw_actions *out)
+append_claims(struct fw_roles *r, const struct fw_fleet *fleet, int64_t now_us,
+              struct fw_actions *out)
 {
     GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
 
@@ -266,12 +266,12 @@
             .wait_us = -1,
         };
         g_strlcpy(rec.holder, r->self.name, sizeof(rec.holder));
-        if (s->asked_us && now_us < s->asked_us + FW_ROLE_FRESH_US) {
+        if (s->claimed_us && now_us < s->claimed_us + FW_ROLE_FRESH_US) {
             continue;
         }
-        if (r->draining ? wants_handover(r, fleet, s, now_us, &rec)
-                        : wants_take(r, fleet, s, now_us, &rec)) {
-            s->asked_us = now_us;
+        if (r->draining ? needs_handover(r, fleet, s, now_us, &rec)
+                        : needs_claim(r, fleet, s, now_us, &rec)) {
+            s->claimed_us = now_us;
             g_ptr_array_add(texts, Fw_Role_Format(&rec));
         }
     }
@@ -296,19 +296,19 @@
         now_us >= r->append_sent_us + FW_ROLE_APPEND_TIMEOUT_US) {
         r->append_ticket = 0;
     }
-    if (now_us < r->round_us) {
-        Fw_Actions_Wake(out, r->round_us);
+    if (now_us < r->next_check_us) {
+        Fw_Actions_Wake(out, r->next_check_us);
         return;
     }
-    r->round_us = now_us + FW_ROLE_CHECK_INTERVAL_US;
-    Fw_Actions_Wake(out, r->round_us);
+    r->next_check_us = now_us + FW_ROLE_CHECK_INTERVAL_US;
+    Fw_Actions_Wake(out, r->next_check_us);
     /* On an old view of the log a take would mostly be void. */
-    if (r->append_ticket || now_us < r->append_at_us ||
+    if (r->append_ticket || now_us < r->next_append_us ||
         now_us < r->start_us + FW_ROLE_START_DELAY_US ||
-        now_us - r->fresh_us >= FW_ROLE_FRESH_US) {
+        now_us - r->view_us >= FW_ROLE_FRESH_US) {
         return;
     }
-    append_round(r, fleet, now_us, out);
+    append_claims(r, fleet, now_us, out);
 }
 
 void
@@ -322,6 +322,6 @@
             r->slots[i].stopped = 1;
         }
     }
-    r->round_us = 0;
+    r->next_check_us = 0;
     Fw_Roles_Tick(r, fleet, now_us, out);
 }
--- a/src/fleet/role_query.c
+++ b/src/fleet/role_query.c
@@ -45,11 +45,11 @@
     }
     /* A holder that was paused or cut off doesn't know that it was replaced.
      * Its successor counts on this check to have stopped it. */
-    if (now_us - r->fresh_us >= FW_ROLE_FRESH_US &&
+    if (now_us - r->view_us >= FW_ROLE_FRESH_US &&
         !FW_FAULT("role-stale-read")) {
         return -ESTALE;
     }
-    if (now_us < s->from_us) {
+    if (now_us < s->acts_from_us) {
         return -EAGAIN;
     }
     if (fence) {
@@ -73,7 +73,7 @@
 {
     const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_IsHeldHere(r, s) ? s->handed_from : 0;
+    return Fw_Role_IsHeldHere(r, s) ? s->predecessor_tenure : 0;
 }
 
 int
@@ -82,7 +82,7 @@
 {
     const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_IsHeldHere(r, s) && s->first;
+    return Fw_Role_IsHeldHere(r, s) && s->is_first;
 }
 
 int
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -19,7 +19,7 @@
     json_object_set_int_member(o, "p", rec->partition);
     json_object_set_string_member(o, "i", rec->holder);
     json_object_set_int_member(o, "b", (gint64)rec->boot);
-    json_object_set_int_member(o, "was", rec->was);
+    json_object_set_int_member(o, "was", rec->replaces);
     if (rec->wait_us >= 0) {
         json_object_set_int_member(o, "wait_us", rec->wait_us);
     }
@@ -53,7 +53,7 @@
     if (get_int(o, "k", 0, &kind) || kind >= FW_ROLE_KINDS ||
         get_int(o, "p", 0, &partition) || partition >= partitions ||
         get_int(o, "b", 0, &boot) ||
-        get_int(o, "was", FW_ROLE_REPLACES_ANY, &rec->was) || !holder ||
+        get_int(o, "was", FW_ROLE_REPLACES_ANY, &rec->replaces) || !holder ||
         !JSON_NODE_HOLDS_VALUE(holder) ||
         json_node_get_value_type(holder) != G_TYPE_STRING) {
         return -EBADMSG;
@@ -100,11 +100,11 @@
     if (FW_FAULT("role-no-wait")) {
         return now_us;
     }
-    if (rec->was == 0) {
+    if (rec->replaces == 0) {
         return now_us; /* nobody held it before */
     }
     if (Fw_Role_IsHeldHere(r, s)) {
-        return s->from_us;
+        return s->acts_from_us;
     }
     if (rec->wait_us >= 0) {
         return now_us + Fw_Role_WithDrift(rec->wait_us);
@@ -122,23 +122,23 @@
     int same;
     char number[24];
 
-    if (rec->was != FW_ROLE_REPLACES_ANY &&
-        (!s->known || rec->was != (int64_t)s->offset)) {
+    if (rec->replaces != FW_ROLE_REPLACES_ANY &&
+        (!s->known || rec->replaces != (int64_t)s->offset)) {
         return;
     }
-    s->from_us = acts_from(r, s, rec, now_us);
+    s->acts_from_us = acts_from(r, s, rec, now_us);
     same = s->boot == rec->boot && strcmp(s->holder, rec->holder) == 0;
     if (!same || !s->tenure) {
-        s->handed_from = rec->wait_us >= 0 ? s->tenure : 0;
+        s->predecessor_tenure = rec->wait_us >= 0 ? s->tenure : 0;
         s->tenure = offset;
     }
     s->known = 1;
-    s->first = rec->was == 0;
+    s->is_first = rec->replaces == 0;
     s->offset = offset;
     g_strlcpy(s->holder, rec->holder, sizeof(s->holder));
     s->boot = rec->boot;
-    s->folded_us = now_us;
-    s->lacking_us = 0;
+    s->applied_us = now_us;
+    s->vacant_since_us = 0;
     s->stopped = r->draining && Fw_Role_IsHeldHere(r, s);
     if (was_mine != Fw_Role_IsHeldHere(r, s)) {
         g_snprintf(number, sizeof(number), "%d/%d", (int)rec->kind,
--- a/src/fleet/role_slot.h
+++ b/src/fleet/role_slot.h
@@ -23,7 +23,8 @@
 
 /**
  * struct fw_role_record - one record of the stream.
- * @was: offset of the record it replaces, 0 for none, or FW_ROLE_REPLACES_ANY
+ * @replaces: offset of the record it replaces, 0 for none, or
+ * FW_ROLE_REPLACES_ANY
  * @wait_us: of a handover, what its receiver still has to wait; else -1
  */
 struct fw_role_record {
@@ -31,7 +32,7 @@
     int partition;
     char holder[FW_NAME_MAX];
     uint64_t boot;
-    int64_t was;
+    int64_t replaces;
     int64_t wait_us;
 };
 
@@ -39,13 +40,13 @@
  * struct fw_role_slot - one role.
  * @known: the record in force is certain; not so when older ones aged out
  * @offset: of the record in force, 0 for none yet
- * @from_us: when held here, acts begin no earlier
- * @folded_us: when the record was read
- * @lacking_us: since when it has had no living holder, 0 when it has one
- * @asked_us: when it was last taken or handed over by an append from here
+ * @acts_from_us: when held here, acts begin no earlier
+ * @applied_us: when the record was read
+ * @vacant_since_us: since when it has had no living holder, 0 when it has one
+ * @claimed_us: when it was last taken or handed over by an append from here
  * @tenure: offset by which its holder came to hold it
- * @handed_from: of a handover, the tenure of the last holder
- * @first: its record replaced none
+ * @predecessor_tenure: of a handover, the tenure of the last holder
+ * @is_first: its record replaced none
  * @stopped: handed over, so never acted on again under this record
  */
 struct fw_role_slot {
@@ -53,13 +54,13 @@
     uint64_t offset;
     char holder[FW_NAME_MAX];
     uint64_t boot;
-    uint64_t handed_from;
+    uint64_t predecessor_tenure;
     uint64_t tenure;
-    int64_t from_us;
-    int64_t folded_us;
-    int64_t lacking_us;
-    int64_t asked_us;
-    int first;
+    int64_t acts_from_us;
+    int64_t applied_us;
+    int64_t vacant_since_us;
+    int64_t claimed_us;
+    int is_first;
     int stopped;
 };
 
@@ -70,19 +71,19 @@
     int64_t wait_us[FW_ROLE_KINDS];
     struct fw_role_slot *slots; /* kind times partitions */
     char stream[FW_NAME_MAX];
-    uint64_t next; /* offset to read from */
+    uint64_t next_offset; /* offset to read from */
     uint64_t ticket;
     uint64_t read_ticket; /* 0: no read under way */
     int64_t read_sent_us;
-    int64_t read_at_us;
+    int64_t next_read_us;
     int64_t read_backoff_us;
-    int64_t fresh_us; /* when the last whole read was sent */
+    int64_t view_us; /* when the last whole read was sent */
     int has_read;
     uint64_t append_ticket;
     int64_t append_sent_us;
-    int64_t append_at_us;
+    int64_t next_append_us;
     int64_t start_us;
-    int64_t round_us;
+    int64_t next_check_us;
     int draining;
 };
 
--- a/src/fleet/rumour.c
+++ b/src/fleet/rumour.c
@@ -18,7 +18,8 @@
 Fw_Gossip_Queue(struct fw_fleet *f, struct fw_member_entry *e)
 {
     if (strcmp(e->m.region, f->self.region) == 0) {
-        e->tell = TELL_FACTOR * (int)g_bit_storage(f->pick->len + 1);
+        e->retransmits =
+            TELL_FACTOR * (int)g_bit_storage(f->candidates->len + 1);
     }
 }
 
@@ -26,7 +27,7 @@
 Fw_Gossip_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
                  int state)
 {
-    struct fw_member_entry *me = f->me;
+    struct fw_member_entry *me = f->self_entry;
 
     if (boot < me->m.boot) {
         Fw_Gossip_Queue(f, me); /* an earlier run is believed in */
@@ -75,7 +76,7 @@
 {
     struct fw_member_entry *e = Fw_Member_Find(f, u->name);
 
-    if (e == f->me) {
+    if (e == f->self_entry) {
         if (u->boot > f->self.boot) {
             Fw_Actions_Note(out, LOG_ERR, "name_taken", "member", u->name,
                             "addr", u->addr, "told_by", from, NULL);
@@ -112,7 +113,7 @@
 }
 
 static struct fw_member_entry *
-most_to_tell(struct fw_fleet *f, const struct fw_fleet_msg *msg)
+next_to_send(struct fw_fleet *f, const struct fw_fleet_msg *msg)
 {
     struct fw_member_entry *best = NULL;
     GHashTableIter it;
@@ -122,12 +123,13 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_member_entry *e = value;
         int told = 0;
-        for (int i = 0; i < msg->n; i++) {
+        for (int i = 0; i < msg->n_updates; i++) {
             told |= strcmp(msg->updates[i].name, e->m.name) == 0;
         }
-        if (e->tell > 0 && !told &&
-            (!best || e->tell > best->tell ||
-             (e->tell == best->tell && strcmp(e->m.name, best->m.name) < 0))) {
+        if (e->retransmits > 0 && !told &&
+            (!best || e->retransmits > best->retransmits ||
+             (e->retransmits == best->retransmits &&
+              strcmp(e->m.name, best->m.name) < 0))) {
             best = e;
         }
     }
@@ -141,10 +143,11 @@
 
     msg->updates = g_new0(struct fw_fleet_update, FW_FLEET_UPDATES_MAX);
     if (self) {
-        fill_update(&msg->updates[msg->n++], &f->me->m);
+        fill_update(&msg->updates[msg->n_updates++], &f->self_entry->m);
     }
-    while (msg->n < FW_FLEET_UPDATES_MAX && (e = most_to_tell(f, msg))) {
-        fill_update(&msg->updates[msg->n++], &e->m);
-        e->tell--;
+    while (msg->n_updates < FW_FLEET_UPDATES_MAX &&
+           (e = next_to_send(f, msg))) {
+        fill_update(&msg->updates[msg->n_updates++], &e->m);
+        e->retransmits--;
     }
 }
--- a/src/limit/ask.c
+++ b/src/limit/ask.c
@@ -10,26 +10,26 @@
 /* All is spent now. Who gave much of the burst is told, since it keeps the
  * place of the tokens empty until it knows. */
 static void
-land(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-     struct fw_actions *out)
+commit(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+       struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
-    if (s && now_us < a->first_us + FW_RESERVATION_US) {
+    if (s && now_us < a->first_sent_us + FW_RESERVATION_US) {
         Fw_Bucket_Commit(&s->leased, a->leased, now_us);
-        Fw_Bucket_Commit(&s->own, a->own, now_us);
+        Fw_Bucket_Commit(&s->unleased, a->unleased, now_us);
     }
-    for (int i = 0; i < a->n_hops; i++) {
-        struct fw_peer_request *hop = &a->hops[i];
-        if (s && hop->got > s->burst / FW_LARGE_GRANT_DIVISOR) {
+    for (int i = 0; i < a->n_peers; i++) {
+        struct fw_peer_request *hop = &a->peers[i];
+        if (s && hop->tokens > s->burst / FW_LARGE_GRANT_DIVISOR) {
             Fw_PeerGrant_SendReturn(l, hop->peer, a->team, 0, hop->seq, out);
         }
-        hop->got = 0; /* not to be returned */
+        hop->tokens = 0; /* not to be returned */
     }
 }
 
 static void
-answer(struct fw_limit *l, struct fw_token_request *a, int granted,
+finish(struct fw_limit *l, struct fw_token_request *a, int granted,
        int64_t retry_us, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer *ans = g_new0(struct fw_limit_answer, 1);
@@ -37,12 +37,12 @@
     ans->ticket = a->ticket;
     ans->granted = granted;
     ans->retry_after_us = retry_us;
-    g_queue_push_tail(&l->answers, ans);
+    g_queue_push_tail(&l->results, ans);
     a->done = 1;
-    a->drop_us = now_us + FW_LATE_GRANT_US;
+    a->free_us = now_us + FW_LATE_GRANT_US;
     if (granted) {
         l->n_granted.value++;
-        land(l, a, now_us, out);
+        commit(l, a, now_us, out);
     }
     else {
         l->n_refused.value++;
@@ -55,28 +55,28 @@
  * that come back would be more than the team's.
  */
 static void
-give_back(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-          struct fw_actions *out)
+return_collected(struct fw_limit *l, struct fw_token_request *a,
+                 int64_t now_us, struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
-    if (s && now_us < a->first_us + FW_RESERVATION_US) {
+    if (s && now_us < a->first_sent_us + FW_RESERVATION_US) {
         Fw_Bucket_Cancel(&s->leased, a->leased, now_us);
-        Fw_Bucket_Cancel(&s->own, a->own, now_us);
+        Fw_Bucket_Cancel(&s->unleased, a->unleased, now_us);
     }
     a->leased = 0;
-    a->own = 0;
-    for (int i = 0; i < a->n_hops; i++) {
-        if (a->hops[i].got > 0) {
-            Fw_PeerGrant_SendReturn(l, a->hops[i].peer, a->team,
-                                    a->hops[i].got, a->hops[i].seq, out);
+    a->unleased = 0;
+    for (int i = 0; i < a->n_peers; i++) {
+        if (a->peers[i].tokens > 0) {
+            Fw_PeerGrant_SendReturn(l, a->peers[i].peer, a->team,
+                                    a->peers[i].tokens, a->peers[i].seq, out);
         }
-        a->hops[i].got = 0;
+        a->peers[i].tokens = 0;
     }
 }
 
 static void
-refuse(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+reject(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
        struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
@@ -84,8 +84,8 @@
     int64_t retry = FW_SEC;
     int silent = 0;
 
-    for (int i = 0; i < a->n_hops; i++) {
-        silent |= !a->hops[i].answered;
+    for (int i = 0; i < a->n_peers; i++) {
+        silent |= !a->peers[i].answered;
     }
     l->n_unreachable.value += silent;
     if (s && s->rate > 0) {
@@ -93,19 +93,19 @@
         double wait = (double)missing / (double)s->rate * (double)FW_SEC;
         retry = (int64_t)CLAMP(wait, (double)FW_MSEC, 3600.0 * FW_SEC);
     }
-    if (s && !silent && a->n_hops > 0) {
-        s->empty_until_us = now_us + MIN(retry, FW_EXHAUSTED_MAX_US);
-        s->empty_tokens = a->tokens;
+    if (s && !silent && a->n_peers > 0) {
+        s->exhausted_until_us = now_us + MIN(retry, FW_EXHAUSTED_MAX_US);
+        s->exhausted_tokens = a->tokens;
     }
-    give_back(l, a, now_us, out);
-    answer(l, a, 0, retry, now_us, out);
+    return_collected(l, a, now_us, out);
+    finish(l, a, 0, retry, now_us, out);
 }
 
 static int
-was_asked(const struct fw_token_request *a, const char *name)
+was_contacted(const struct fw_token_request *a, const char *name)
 {
-    for (int i = 0; i < a->n_hops; i++) {
-        if (strcmp(a->hops[i].peer, name) == 0) {
+    for (int i = 0; i < a->n_peers; i++) {
+        if (strcmp(a->peers[i].peer, name) == 0) {
             return 1;
         }
     }
@@ -121,7 +121,7 @@
     for (int i = 0; i <= FW_FOLLOWERS_MAX; i++) {
         int place = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
         const struct fw_member *m = Fw_Limit_Replica(l, partition, place);
-        if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_asked(a, m->name)) {
+        if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_contacted(a, m->name)) {
             return m;
         }
     }
@@ -135,25 +135,26 @@
 }
 
 static void
-next_hop(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-         struct fw_actions *out)
+request_next_peer(struct fw_limit *l, struct fw_token_request *a,
+                  int64_t now_us, struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
-    const struct fw_member *m = s && a->n_hops < FW_PEER_REQUESTS_MAX
+    const struct fw_member *m = s && a->n_peers < FW_PEER_REQUESTS_MAX
                                     ? next_peer(l, a, s->partition)
                                     : NULL;
     struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_REQUEST};
     struct fw_peer_request *hop;
 
-    if (!m || (a->first_us && now_us >= a->first_us + FW_REQUEST_TIMEOUT_US)) {
-        refuse(l, a, now_us, out);
+    if (!m || (a->first_sent_us &&
+               now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US)) {
+        reject(l, a, now_us, out);
         return;
     }
-    hop = &a->hops[a->n_hops++];
+    hop = &a->peers[a->n_peers++];
     g_strlcpy(hop->peer, m->name, sizeof(hop->peer));
     hop->seq = ++l->seq;
-    a->first_us = a->first_us ? a->first_us : now_us;
-    a->hop_us = now_us;
+    a->first_sent_us = a->first_sent_us ? a->first_sent_us : now_us;
+    a->last_sent_us = now_us;
     msg.seq = hop->seq;
     msg.tokens = a->tokens - a->collected;
     g_strlcpy(msg.team, a->team, sizeof(msg.team));
@@ -163,32 +164,32 @@
 
 /* From here, if that makes it whole. */
 static int
-try_here(struct fw_limit *l, struct fw_team_share *s,
-         struct fw_token_request *a, int64_t now_us, struct fw_actions *out)
+try_local(struct fw_limit *l, struct fw_team_share *s,
+          struct fw_token_request *a, int64_t now_us, struct fw_actions *out)
 {
     int64_t need = a->tokens - a->collected;
     struct fw_token_split got = Fw_TeamShare_Take(l, s, need, 0, now_us);
 
-    if (got.leased + got.own >= need) {
-        answer(l, a, 1, 0, now_us, out);
+    if (got.leased + got.unleased >= need) {
+        finish(l, a, 1, 0, now_us, out);
         return 1;
     }
     Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS, now_us);
-    Fw_Bucket_Put(&s->own, got.own * FW_MICROTOKENS, now_us);
+    Fw_Bucket_Put(&s->unleased, got.unleased * FW_MICROTOKENS, now_us);
     return 0;
 }
 
 /* What there is here, kept as in flight until others have answered. */
 static void
-take_part(struct fw_limit *l, struct fw_team_share *s,
-          struct fw_token_request *a, int64_t now_us)
+reserve_local(struct fw_limit *l, struct fw_team_share *s,
+              struct fw_token_request *a, int64_t now_us)
 {
     struct fw_token_split got =
         Fw_TeamShare_Take(l, s, a->tokens - a->collected, 1, now_us);
 
     a->leased += got.leased;
-    a->own += got.own;
-    a->collected += got.leased + got.own;
+    a->unleased += got.unleased;
+    a->collected += got.leased + got.unleased;
 }
 
 static void
@@ -198,28 +199,28 @@
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
     if (!s) {
-        refuse(l, a, now_us, out);
+        reject(l, a, now_us, out);
         return;
     }
-    if (a->n_hops == 0) {
+    if (a->n_peers == 0) {
         Fw_Ledger_Refresh(l, s->partition, now_us);
         Fw_Ledger_AddTeam(l, s, now_us);
-        if (try_here(l, s, a, now_us, out)) {
+        if (try_local(l, s, a, now_us, out)) {
             return;
         }
         if (!has_leader(l, s->partition) &&
-            now_us < a->start_us + FW_LEADER_WAIT_US) {
+            now_us < a->started_us + FW_LEADER_WAIT_US) {
             Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
             return; /* a fleet that has just started */
         }
-        take_part(l, s, a, now_us);
-        next_hop(l, a, now_us, out);
+        reserve_local(l, s, a, now_us);
+        request_next_peer(l, a, now_us, out);
     }
-    else if (now_us >= a->hop_us + FW_PEER_TIMEOUT_US) {
-        next_hop(l, a, now_us, out);
+    else if (now_us >= a->last_sent_us + FW_PEER_TIMEOUT_US) {
+        request_next_peer(l, a, now_us, out);
     }
     else {
-        Fw_Actions_Wake(out, a->hop_us + FW_PEER_TIMEOUT_US);
+        Fw_Actions_Wake(out, a->last_sent_us + FW_PEER_TIMEOUT_US);
     }
 }
 
@@ -230,22 +231,22 @@
     struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
     struct fw_token_request *a = g_new0(struct fw_token_request, 1);
 
-    l->n_asks.value++;
-    s->asks++;
-    s->asked += MAX(tokens, 0);
+    l->n_requests.value++;
+    s->demand_requests++;
+    s->demand_tokens += MAX(tokens, 0);
     a->ticket = ticket;
     a->tokens = MAX(tokens, 0);
-    a->start_us = now_us;
+    a->started_us = now_us;
     g_strlcpy(a->team, team->name, sizeof(a->team));
-    Fw_List_Append(&l->asks, &a->link);
+    Fw_List_Append(&l->requests, &a->link);
     if (a->tokens > s->burst) {
-        answer(l, a, 0, 0, now_us, out); /* can never pass: no use to wait */
+        finish(l, a, 0, 0, now_us, out); /* can never pass: no use to wait */
         return;
     }
-    if (now_us < s->empty_until_us && a->tokens >= s->empty_tokens) {
+    if (now_us < s->exhausted_until_us && a->tokens >= s->exhausted_tokens) {
         /* The fleet was just found empty; only what is here can help. */
-        if (!try_here(l, s, a, now_us, out)) {
-            refuse(l, a, now_us, out);
+        if (!try_local(l, s, a, now_us, out)) {
+            reject(l, a, now_us, out);
         }
         return;
     }
@@ -259,19 +260,19 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &l->asks) {
+    FW_LIST_EACH_SAFE (pos, tmp, &l->requests) {
         struct fw_token_request *a =
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
-        if (a->forgotten) {
-            a->forgotten = 0;
-            a->drop_us = now_us + FW_LATE_GRANT_US;
-            give_back(l, a, now_us, out);
+        if (a->cancelled) {
+            a->cancelled = 0;
+            a->free_us = now_us + FW_LATE_GRANT_US;
+            return_collected(l, a, now_us, out);
         }
         else if (!a->done) {
             advance(l, a, now_us, out);
         }
 
-        else if (now_us >= a->drop_us) {
+        else if (now_us >= a->free_us) {
             Fw_List_Remove(&a->link);
             g_free(a);
         }
@@ -279,16 +280,16 @@
 }
 
 static struct fw_token_request *
-ask_of(struct fw_limit *l, uint64_t seq, struct fw_peer_request **hop)
+find_request(struct fw_limit *l, uint64_t seq, struct fw_peer_request **hop)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &l->asks) {
+    FW_LIST_EACH (pos, &l->requests) {
         struct fw_token_request *a =
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
-        for (int i = 0; i < a->n_hops; i++) {
-            if (a->hops[i].seq == seq) {
-                *hop = &a->hops[i];
+        for (int i = 0; i < a->n_peers; i++) {
+            if (a->peers[i].seq == seq) {
+                *hop = &a->peers[i];
                 return a;
             }
         }
@@ -302,14 +303,14 @@
                         struct fw_actions *out)
 {
     struct fw_peer_request *hop = NULL;
-    struct fw_token_request *a = ask_of(l, msg->seq, &hop);
+    struct fw_token_request *a = find_request(l, msg->seq, &hop);
     struct fw_team_share *s;
 
     if (!a || hop->answered || strcmp(hop->peer, from) != 0) {
         return; /* a double, or so late that the tokens are given up */
     }
     hop->answered = 1;
-    if (a->done || now_us >= a->first_us + FW_REQUEST_TIMEOUT_US) {
+    if (a->done || now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US) {
         /* Too late to be spent: the grantor refills their place by now. */
         if (msg->tokens > 0) {
             Fw_PeerGrant_SendReturn(l, from, a->team, msg->tokens, hop->seq,
@@ -317,13 +318,13 @@
         }
         return;
     }
-    hop->got = MIN(msg->tokens, a->tokens - a->collected);
-    a->collected += hop->got;
+    hop->tokens = MIN(msg->tokens, a->tokens - a->collected);
+    a->collected += hop->tokens;
     s = Fw_TeamShare_Find(l, a->team);
-    if (s && try_here(l, s, a, now_us, out)) {
+    if (s && try_local(l, s, a, now_us, out)) {
         return;
     }
-    next_hop(l, a, now_us, out);
+    request_next_peer(l, a, now_us, out);
 }
 
 void
@@ -331,12 +332,12 @@
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &l->asks) {
+    FW_LIST_EACH (pos, &l->requests) {
         struct fw_token_request *a =
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
         if (!a->done && a->ticket == ticket) {
             a->done = 1;
-            a->forgotten = 1;
+            a->cancelled = 1;
         }
     }
 }
--- a/src/limit/bucket.h
+++ b/src/limit/bucket.h
@@ -20,15 +20,15 @@
  * @rate: tokens a second
  * @burst: tokens
  * @level: micro-tokens, as of @at_us
- * @flight: tokens granted to peers in this and the last FW_RESERVATION_US
+ * @reserved: tokens granted to peers in this and the last FW_RESERVATION_US
  */
 struct fw_bucket {
     int64_t rate;
     int64_t burst;
     int64_t level;
     int64_t at_us;
-    int64_t flight[2];
-    int64_t flight_us;
+    int64_t reserved[2];
+    int64_t window_us;
 };
 
 /* Brings the level up to date. */
@@ -38,7 +38,7 @@
 void
 Fw_Bucket_Resize(struct fw_bucket *b, int64_t rate, int64_t burst,
                  int64_t now_us);
-/* Takes up to @tokens; @flight: for a peer. Return: tokens taken. */
+/* Takes up to @tokens; @reserved: for a peer. Return: tokens taken. */
 int64_t
 Fw_Bucket_Take(struct fw_bucket *b, int64_t tokens, int flight,
                int64_t now_us);
--- a/src/limit/handover.c
+++ b/src/limit/handover.c
@@ -25,16 +25,16 @@
 void
 Fw_Handover_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
 {
-    for (int i = 0; i < l->n_parts; i++) {
-        struct fw_limit_partition *p = &l->parts[i];
-        if (!p->leaving || p->pulled[0]) {
+    for (int i = 0; i < l->n_partitions; i++) {
+        struct fw_limit_partition *p = &l->partitions[i];
+        if (!p->leaving || p->successor[0]) {
             continue;
         }
-        if (now_us >= p->offer_us) {
-            p->offer_us = now_us + OFFER_US;
+        if (now_us >= p->next_offer_us) {
+            p->next_offer_us = now_us + OFFER_US;
             send_offer(l, i, out);
         }
-        Fw_Actions_Wake(out, p->offer_us);
+        Fw_Actions_Wake(out, p->next_offer_us);
     }
 }
 
@@ -43,7 +43,7 @@
                     const struct fw_limit_msg *msg, int64_t now_us,
                     struct fw_actions *out)
 {
-    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->partitions[msg->partition];
     struct fw_limit_msg pull = {.kind = FW_LIMIT_HANDOVER_REQUEST,
                                 .partition = msg->partition,
                                 .seq = ++l->seq};
@@ -52,9 +52,9 @@
     if (p->ledger || l->draining) {
         return;
     }
-    p->pull_seq = pull.seq;
-    p->pull_us = now_us;
-    g_strlcpy(p->heir_from, from, sizeof(p->heir_from));
+    p->handover_seq = pull.seq;
+    p->handover_sent_us = now_us;
+    g_strlcpy(p->predecessor, from, sizeof(p->predecessor));
     Fw_Limit_Send(l, from, &pull, out);
 }
 
@@ -62,9 +62,9 @@
 fill_entry(const struct fw_team_share *s, struct fw_limit_entry *e)
 {
     g_strlcpy(e->team, s->name, sizeof(e->team));
-    e->rate = s->own.rate;
-    e->burst = s->own.burst;
-    e->level = s->own.level;
+    e->rate = s->unleased.rate;
+    e->burst = s->unleased.burst;
+    e->level = s->unleased.level;
     e->n_grants = (int)s->grants->len;
     e->grants = g_new0(struct fw_limit_grant, s->grants->len);
     for (guint i = 0; i < s->grants->len; i++) {
@@ -96,7 +96,7 @@
         m->last_seq = h->last_seq;
         m->confirmed_seq = h->confirmed_seq;
         m->offered_seq = h->offered_seq;
-        m->left_us = MAX(h->until_us - now_us, 0);
+        m->expires_in_us = MAX(h->expires_us - now_us, 0);
     }
 }
 
@@ -105,31 +105,31 @@
                    const struct fw_limit_msg *msg, int64_t now_us,
                    struct fw_actions *out)
 {
-    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->partitions[msg->partition];
     struct fw_limit_msg back = {.kind = FW_LIMIT_HANDOVER, .seq = msg->seq};
 
     if (!p->leaving || !p->ledger ||
-        (p->pulled[0] && strcmp(p->pulled, from) != 0) ||
+        (p->successor[0] && strcmp(p->successor, from) != 0) ||
         p->holders->len > FW_LIMIT_HOLDERS_MAX ||
         p->shares->len > FW_LIMIT_ENTRIES_MAX) {
         return;
     }
-    if (!p->pulled[0]) {
+    if (!p->successor[0]) {
         /* From here on nothing of it is used here, nor renewed. */
-        g_strlcpy(p->pulled, from, sizeof(p->pulled));
-        p->handed_until = p->own_until;
-        p->own_until = 0;
+        g_strlcpy(p->successor, from, sizeof(p->successor));
+        p->handed_until_us = p->unleased_until_us;
+        p->unleased_until_us = 0;
     }
     back.partition = msg->partition;
     back.fence = p->ledger;
-    back.have = p->tenure;
-    back.left_us = MAX(p->handed_until - now_us, 0);
+    back.acked_seq = p->tenure;
+    back.expires_in_us = MAX(p->handed_until_us - now_us, 0);
     back.entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        if (s->led == p->ledger) {
-            Fw_Bucket_Refill(&s->own, now_us);
-            fill_entry(s, &back.entries[back.n++]);
+        if (s->ledger == p->ledger) {
+            Fw_Bucket_Refill(&s->unleased, now_us);
+            fill_entry(s, &back.entries[back.n_entries++]);
         }
     }
     fill_holders(p, &back, now_us);
@@ -137,7 +137,7 @@
 }
 
 static void
-take_holders(struct fw_limit_partition *p, const struct fw_limit_msg *msg,
+load_holders(struct fw_limit_partition *p, const struct fw_limit_msg *msg,
              int64_t now_us)
 {
     g_array_set_size(p->holders, 0);
@@ -148,9 +148,9 @@
             .last_seq = m->last_seq,
             .confirmed_seq = m->confirmed_seq,
             .offered_seq = m->offered_seq,
-            .until_us = now_us + m->left_us +
-                        m->left_us / 1000000 * FW_ROLE_DRIFT_PPM +
-                        FW_ROLE_DRIFT_PPM,
+            .expires_us = now_us + m->expires_in_us +
+                          m->expires_in_us / 1000000 * FW_ROLE_DRIFT_PPM +
+                          FW_ROLE_DRIFT_PPM,
         };
         g_strlcpy(h.name, m->name, sizeof(h.name));
         g_array_append_val(p->holders, h);
@@ -158,7 +158,7 @@
 }
 
 static void
-take_entry(struct fw_limit *l, struct fw_team_share *s, uint64_t ledger,
+load_entry(struct fw_limit *l, struct fw_team_share *s, uint64_t ledger,
            const struct fw_limit_entry *e, int64_t now_us)
 {
     g_array_set_size(s->grants, 0);
@@ -173,19 +173,21 @@
         };
         g_array_append_val(s->grants, g);
     }
-    s->led = ledger;
-    s->fit_version = s->version;
-    Fw_Bucket_Refill(&s->own, now_us);
-    s->own.level = 0;
+    s->ledger = ledger;
+    s->fitted_version = s->version;
+    Fw_Bucket_Refill(&s->unleased, now_us);
+    s->unleased.level = 0;
     Fw_Ledger_ResizeUnleased(l, s, now_us);
-    Fw_Bucket_Put(&s->own, e->level, now_us);
+    Fw_Bucket_Put(&s->unleased, e->level, now_us);
 }
 
 /* What this instance itself held of the ledger goes into its own buckets. */
 static void
-merge_self(struct fw_limit *l, struct fw_limit_partition *p, int64_t now_us)
+absorb_own_lease(struct fw_limit *l, struct fw_limit_partition *p,
+                 int64_t now_us)
 {
-    int usable = p->have && now_us < p->until_us && p->fence == p->ledger;
+    int usable = p->lease_seq && now_us < p->lease_until_us &&
+                 p->lease_ledger == p->ledger;
 
     for (guint i = 0; i < p->holders->len; i++) {
         struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, i);
@@ -204,14 +206,14 @@
                     g_array_remove_index_fast(s->grants, g - 1);
                 }
             }
-            if (s->led == p->ledger) {
+            if (s->ledger == p->ledger) {
                 Fw_Ledger_ResizeUnleased(l, s, now_us);
-                Fw_Bucket_Put(&s->own, level, now_us);
+                Fw_Bucket_Put(&s->unleased, level, now_us);
             }
         }
         memset(h, 0, sizeof(*h));
-        p->have = 0;
-        p->waiting = 0;
+        p->lease_seq = 0;
+        p->renew_pending = 0;
     }
 }
 
@@ -219,29 +221,29 @@
 Fw_Handover_OnHandover(struct fw_limit *l, const char *from,
                        const struct fw_limit_msg *msg, int64_t now_us)
 {
-    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->partitions[msg->partition];
 
     Fw_Ledger_Refresh(l, msg->partition, now_us);
-    if (!p->pull_seq || msg->seq != p->pull_seq || p->ledger || l->draining ||
-        !msg->fence || strcmp(from, p->heir_from) != 0) {
+    if (!p->handover_seq || msg->seq != p->handover_seq || p->ledger ||
+        l->draining || !msg->fence || strcmp(from, p->predecessor) != 0) {
         return;
     }
-    p->pull_seq = 0;
+    p->handover_seq = 0;
     p->ledger = msg->fence;
-    p->heir_of = msg->have;
-    p->first = 0;
-    p->loaded = 0;
-    p->led_us = now_us;
-    p->own_until = p->pull_us + msg->left_us;
-    take_holders(p, msg, now_us);
-    for (int i = 0; i < msg->n; i++) {
+    p->predecessor_tenure = msg->acked_seq;
+    p->is_first = 0;
+    p->teams_loaded = 0;
+    p->ledger_since_us = now_us;
+    p->unleased_until_us = p->handover_sent_us + msg->expires_in_us;
+    load_holders(p, msg, now_us);
+    for (int i = 0; i < msg->n_entries; i++) {
         /* Also a team that is not known here yet: what is given out of it
          * must count when the configuration arrives. */
         struct fw_team_share *s =
             Fw_TeamShare_FindOrAdd(l, msg->entries[i].team, now_us);
         if (s->partition == msg->partition) {
-            take_entry(l, s, p->ledger, &msg->entries[i], now_us);
+            load_entry(l, s, p->ledger, &msg->entries[i], now_us);
         }
     }
-    merge_self(l, p, now_us);
+    absorb_own_lease(l, p, now_us);
 }
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -19,16 +19,16 @@
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_team_share *s = value;
-        int64_t rate = s->asked * FW_SEC / FW_RENEW_INTERVAL_US;
-        s->want /= 2;
-        if (s->asks >= FW_LEASE_REQUESTS_MIN && s->rate > 0 &&
+        int64_t rate = s->demand_tokens * FW_SEC / FW_RENEW_INTERVAL_US;
+        s->wanted_rate /= 2;
+        if (s->demand_requests >= FW_LEASE_REQUESTS_MIN && s->rate > 0 &&
             (double)s->burst * (double)rate / (double)s->rate >=
-                (double)FW_LEASE_BURST_REQUESTS_MIN * (double)s->asked /
-                    s->asks) {
-            s->want = MAX(s->want, rate + rate / 2);
+                (double)FW_LEASE_BURST_REQUESTS_MIN *
+                    (double)s->demand_tokens / s->demand_requests) {
+            s->wanted_rate = MAX(s->wanted_rate, rate + rate / 2);
         }
-        s->asked = 0;
-        s->asks = 0;
+        s->demand_tokens = 0;
+        s->demand_requests = 0;
     }
 }
 
@@ -68,12 +68,13 @@
 }
 
 static void
-drop_lapsed(struct fw_limit_partition *p, int64_t now_us)
+drop_expired_lease(struct fw_limit_partition *p, int64_t now_us)
 {
-    if (!p->have || now_us < p->until_us || FW_FAULT("limit-lease-forever")) {
+    if (!p->lease_seq || now_us < p->lease_until_us ||
+        FW_FAULT("limit-lease-forever")) {
         return;
     }
-    p->have = 0;
+    p->lease_seq = 0;
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
@@ -86,82 +87,83 @@
            int follows, struct fw_limit_msg *msg)
 {
     msg->entries = g_new0(struct fw_limit_entry, p->shares->len);
-    for (guint i = 0; i < p->shares->len && msg->n < FW_LIMIT_ENTRIES_MAX;
-         i++) {
+    for (guint i = 0;
+         i < p->shares->len && msg->n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
         const struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        struct fw_limit_entry *e = &msg->entries[msg->n];
-        if ((s->want > 0 || s->scaled || s->cut > 0) && !s->gone) {
+        struct fw_limit_entry *e = &msg->entries[msg->n_entries];
+        if ((s->wanted_rate > 0 || s->scaled_down || s->excess > 0) &&
+            !s->removed) {
             g_strlcpy(e->team, s->name, sizeof(e->team));
-            e->rate = s->want;
-            e->level = s->scaled;
-            e->burst = s->cut;
-            msg->n++;
+            e->rate = s->wanted_rate;
+            e->level = s->scaled_down;
+            e->burst = s->excess;
+            msg->n_entries++;
         }
     }
-    msg->have = p->have;
-    msg->fence = p->have ? p->fence : 0;
+    msg->acked_seq = p->lease_seq;
+    msg->fence = p->lease_seq ? p->lease_ledger : 0;
     msg->boot = l->self.boot;
-    msg->flag = follows;
-    return msg->n > 0 || follows || p->have;
+    msg->is_follower = follows;
+    return msg->n_entries > 0 || follows || p->lease_seq;
 }
 
 static void
-renew(struct fw_limit *l, int partition, int64_t now_us,
-      struct fw_actions *out)
+send_renew(struct fw_limit *l, int partition, int64_t now_us,
+           struct fw_actions *out)
 {
-    struct fw_limit_partition *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->partitions[partition];
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
     struct fw_limit_msg msg = {.kind = FW_LIMIT_LEASE_RENEW,
                                .partition = partition};
 
-    drop_lapsed(p, now_us);
-    if (p->waiting && now_us >= p->sent_us + FW_RENEW_TIMEOUT_US) {
-        p->waiting = 0;
-        p->next_us = now_us + g_rand_int_range(l->rand, 0, RETRY_US);
+    drop_expired_lease(p, now_us);
+    if (p->renew_pending && now_us >= p->renew_sent_us + FW_RENEW_TIMEOUT_US) {
+        p->renew_pending = 0;
+        p->next_renew_us = now_us + g_rand_int_range(l->rand, 0, RETRY_US);
     }
-    if (p->waiting || now_us < p->next_us || l->draining || !leader ||
-        strcmp(leader, l->self.name) == 0) {
+    if (p->renew_pending || now_us < p->next_renew_us || l->draining ||
+        !leader || strcmp(leader, l->self.name) == 0) {
         return;
     }
-    p->next_us = now_us + FW_RENEW_INTERVAL_US -
-                 g_rand_int_range(l->rand, 0, FW_RENEW_INTERVAL_US / 10);
+    p->next_renew_us = now_us + FW_RENEW_INTERVAL_US -
+                       g_rand_int_range(l->rand, 0, FW_RENEW_INTERVAL_US / 10);
     if (!fill_renew(l, p, is_follower(l, partition), &msg)) {
-        p->next_us = now_us + FW_SEC;
+        p->next_renew_us = now_us + FW_SEC;
         Fw_Limit_ClearMsg(&msg);
         return;
     }
-    p->seq = ++l->seq;
-    p->sent_us = now_us;
-    p->waiting = 1;
-    p->follows = msg.flag;
-    g_strlcpy(p->asked, leader, sizeof(p->asked));
-    msg.seq = p->seq;
+    p->renew_seq = ++l->seq;
+    p->renew_sent_us = now_us;
+    p->renew_pending = 1;
+    p->reported_follower = msg.is_follower;
+    g_strlcpy(p->renew_leader, leader, sizeof(p->renew_leader));
+    msg.seq = p->renew_seq;
     Fw_Limit_Send(l, leader, &msg, out);
 }
 
 /* Unused tokens that found no room here go to the places, by turns; many at
  * once to all of them, as each has room for its part only. */
 static void
-return_owed(struct fw_limit *l, struct fw_team_share *s,
-            struct fw_actions *out)
+send_returns(struct fw_limit *l, struct fw_team_share *s,
+             struct fw_actions *out)
 {
-    int many = s->owed > s->burst / FW_LARGE_GRANT_DIVISOR;
+    int many = s->unreturned > s->burst / FW_LARGE_GRANT_DIVISOR;
     int places = FW_FOLLOWERS_MAX + 1;
     uint64_t first = l->seq;
 
-    for (int i = 0; i < places && s->owed > 0; i++) {
-        int64_t part = many ? s->owed / (places - i) : s->owed;
+    for (int i = 0; i < places && s->unreturned > 0; i++) {
+        int64_t part = many ? s->unreturned / (places - i) : s->unreturned;
         const struct fw_member *m = Fw_Limit_Replica(
             l, s->partition, (int)((first + (uint64_t)i) % (uint64_t)places));
         if (m && !Fw_Fleet_IsSelf(l->fleet, m)) {
             Fw_PeerGrant_SendReturn(l, m->name, s->name, part, 0, out);
-            s->owed -= part;
+            s->unreturned -= part;
         }
     }
 }
 
 static void
-flush_owed(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
+return_unused(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
 {
     GHashTableIter it;
     gpointer value;
@@ -169,23 +171,23 @@
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_team_share *s = value;
-        if (s->owed == 0) {
+        if (s->unreturned == 0) {
             continue;
         }
-        s->owed -= Fw_TeamShare_Put(l, s, s->owed, now_us);
-        return_owed(l, s, out);
-        s->owed = 0;
+        s->unreturned -= Fw_TeamShare_Put(l, s, s->unreturned, now_us);
+        send_returns(l, s, out);
+        s->unreturned = 0;
     }
 }
 
 /* One that became a follower, or ceased to be, says so at once. */
 static void
-note_places(struct fw_limit *l, int64_t now_us)
+expedite_role_change(struct fw_limit *l, int64_t now_us)
 {
-    for (int i = 0; i < l->n_parts; i++) {
-        struct fw_limit_partition *p = &l->parts[i];
-        if (is_follower(l, i) != p->follows) {
-            p->next_us = MIN(p->next_us, now_us);
+    for (int i = 0; i < l->n_partitions; i++) {
+        struct fw_limit_partition *p = &l->partitions[i];
+        if (is_follower(l, i) != p->reported_follower) {
+            p->next_renew_us = MIN(p->next_renew_us, now_us);
         }
     }
 }
@@ -193,28 +195,28 @@
 void
 Fw_Lease_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
 {
-    if (now_us >= l->renew_us) {
-        l->renew_us = now_us + FW_RENEW_INTERVAL_US;
+    if (now_us >= l->next_demand_us) {
+        l->next_demand_us = now_us + FW_RENEW_INTERVAL_US;
         measure_demand(l);
     }
-    if (now_us >= l->flush_us) {
-        l->flush_us = now_us + FW_RETURN_INTERVAL_US;
-        flush_owed(l, now_us, out);
-        note_places(l, now_us);
+    if (now_us >= l->next_return_us) {
+        l->next_return_us = now_us + FW_RETURN_INTERVAL_US;
+        return_unused(l, now_us, out);
+        expedite_role_change(l, now_us);
     }
-    Fw_Actions_Wake(out, l->flush_us);
-    for (int i = 0; i < l->n_parts; i++) {
-        renew(l, i, now_us, out);
+    Fw_Actions_Wake(out, l->next_return_us);
+    for (int i = 0; i < l->n_partitions; i++) {
+        send_renew(l, i, now_us, out);
     }
 }
 
 /* Nonzero when a follower has much less than its part of some team. */
 static int
-is_short(const struct fw_limit_partition *p)
+is_below_share(const struct fw_limit_partition *p)
 {
     for (guint i = 0; i < p->shares->len; i++) {
         const struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        if (!s->gone && s->leased.rate * 8 < s->rate) {
+        if (!s->removed && s->leased.rate * 8 < s->rate) {
             return 1;
         }
     }
@@ -226,22 +228,23 @@
                  const struct fw_config *cfg, const struct fw_limit_msg *msg,
                  int64_t now_us)
 {
-    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->partitions[msg->partition];
     int smaller = 0;
 
-    if (!p->waiting || msg->seq != p->seq || strcmp(from, p->asked) != 0) {
+    if (!p->renew_pending || msg->seq != p->renew_seq ||
+        strcmp(from, p->renew_leader) != 0) {
         return; /* a double, or the answer to a question given up */
     }
-    drop_lapsed(p, now_us);
-    p->waiting = 0;
-    p->have = msg->seq;
-    p->fence = msg->fence;
+    drop_expired_lease(p, now_us);
+    p->renew_pending = 0;
+    p->lease_seq = msg->seq;
+    p->lease_ledger = msg->fence;
     /* From when it was asked: the answer may have been held up. */
-    p->until_us = p->sent_us + l->term_us;
+    p->lease_until_us = p->renew_sent_us + l->lease_us;
     for (guint i = 0; i < p->shares->len; i++) {
-        ((struct fw_team_share *)g_ptr_array_index(p->shares, i))->cut = 0;
+        ((struct fw_team_share *)g_ptr_array_index(p->shares, i))->excess = 0;
     }
-    for (int i = 0; i < msg->n; i++) {
+    for (int i = 0; i < msg->n_entries; i++) {
         const struct fw_limit_entry *e = &msg->entries[i];
         const struct fw_team *team = Fw_Config_Team(cfg, e->team);
         struct fw_team_share *s =
@@ -250,18 +253,19 @@
             continue;
         }
         Fw_Bucket_Refill(&s->leased, now_us);
-        s->cut = s->leased.level;
+        s->excess = s->leased.level;
         Fw_Bucket_Resize(&s->leased, e->rate, e->burst, now_us);
-        s->cut -= s->leased.level;
-        smaller |= s->cut > 0;
+        s->excess -= s->leased.level;
+        smaller |= s->excess > 0;
         Fw_Bucket_Put(&s->leased, e->level, now_us);
-        s->scaled = 0;
+        s->scaled_down = 0;
     }
     if (smaller) {
-        p->next_us = now_us; /* the leader can use it once that is known */
+        p->next_renew_us =
+            now_us; /* the leader can use it once that is known */
     }
-    else if (p->follows && is_short(p)) {
-        p->next_us = now_us + FW_SEC; /* others have yet to give it up */
+    else if (p->reported_follower && is_below_share(p)) {
+        p->next_renew_us = now_us + FW_SEC; /* others have yet to give it up */
     }
 }
 
@@ -269,31 +273,31 @@
 Fw_Lease_Release(struct fw_limit *l, int partition, int64_t now_us,
                  struct fw_actions *out)
 {
-    struct fw_limit_partition *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->partitions[partition];
     struct fw_limit_msg msg = {.kind = FW_LIMIT_LEASE_RENEW,
                                .partition = partition};
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
 
-    drop_lapsed(p, now_us);
-    if (!p->have || !leader) {
+    drop_expired_lease(p, now_us);
+    if (!p->lease_seq || !leader) {
         return;
     }
-    p->have = 0;
-    p->waiting = 0;
-    p->seq = ++l->seq;
-    msg.seq = p->seq;
+    p->lease_seq = 0;
+    p->renew_pending = 0;
+    p->renew_seq = ++l->seq;
+    msg.seq = p->renew_seq;
     msg.boot = l->self.boot;
     msg.entries = g_new0(struct fw_limit_entry, p->shares->len);
     /* With the levels: the leader keeps their place until it has this. */
-    for (guint i = 0; i < p->shares->len && msg.n < FW_LIMIT_ENTRIES_MAX;
-         i++) {
+    for (guint i = 0;
+         i < p->shares->len && msg.n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        struct fw_limit_entry *e = &msg.entries[msg.n];
+        struct fw_limit_entry *e = &msg.entries[msg.n_entries];
         Fw_Bucket_Refill(&s->leased, now_us);
         if (s->leased.level > 0) {
             g_strlcpy(e->team, s->name, sizeof(e->team));
             e->burst = s->leased.level;
-            msg.n++;
+            msg.n_entries++;
         }
         Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
     }
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -16,24 +16,24 @@
 int64_t
 Fw_Ledger_MaxLeaseUs(const struct fw_limit *l)
 {
-    return l->term_us + l->term_us / 1000000 * FW_ROLE_DRIFT_PPM +
+    return l->lease_us + l->lease_us / 1000000 * FW_ROLE_DRIFT_PPM +
            FW_RESERVATION_US;
 }
 
 int
 Fw_Ledger_MayGrant(struct fw_limit *l, int partition, int64_t now_us)
 {
-    const struct fw_limit_partition *p = &l->parts[partition];
+    const struct fw_limit_partition *p = &l->partitions[partition];
     int rc = Fw_Roles_MayAct(l->roles, FW_ROLE_BUDGET, partition, now_us, 0);
 
-    if (l->draining || p->pulled[0]) {
+    if (l->draining || p->successor[0]) {
         return 0;
     }
-    if (rc == -EAGAIN && p->ledger && p->heir_of) {
+    if (rc == -EAGAIN && p->ledger && p->predecessor_tenure) {
         /* The last leader stopped before it handed its ledger over, so
          * there is nothing unknown to wait for. */
         return Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET,
-                                          partition) == p->heir_of;
+                                          partition) == p->predecessor_tenure;
     }
     return rc == 0;
 }
@@ -52,7 +52,7 @@
         rate -= Fw_Lease_GivenRate(g);
         burst -= Fw_Lease_GivenBurst(g);
     }
-    Fw_Bucket_Resize(&s->own, rate, burst, now_us);
+    Fw_Bucket_Resize(&s->unleased, rate, burst, now_us);
 }
 
 void
@@ -68,7 +68,7 @@
                 g_array_remove_index_fast(s->grants, g - 1);
             }
         }
-        if (s->grants->len != before && s->led == p->ledger) {
+        if (s->grants->len != before && s->ledger == p->ledger) {
             Fw_Ledger_ResizeUnleased(l, s, now_us);
         }
     }
@@ -80,11 +80,11 @@
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         g_array_set_size(s->grants, 0);
-        s->led = 0;
+        s->ledger = 0;
     }
     g_array_set_size(p->holders, 0);
     p->ledger = 0;
-    p->heir_of = 0;
+    p->predecessor_tenure = 0;
 }
 
 /* A new ledger: nothing that anyone gave out before is still alive. */
@@ -92,19 +92,19 @@
 begin(struct fw_limit *l, int partition, uint64_t tenure, int first,
       int64_t now_us)
 {
-    struct fw_limit_partition *p = &l->parts[partition];
-    int usable = now_us < p->own_until;
+    struct fw_limit_partition *p = &l->partitions[partition];
+    int usable = now_us < p->unleased_until_us;
 
     clear_ledger(p);
     p->ledger = tenure;
-    p->led_us = now_us;
-    p->loaded = 0;
-    p->first = first;
+    p->ledger_since_us = now_us;
+    p->teams_loaded = 0;
+    p->is_first = first;
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        Fw_Bucket_Refill(&s->own, now_us);
+        Fw_Bucket_Refill(&s->unleased, now_us);
         if (!usable) {
-            s->own.level = 0;
+            s->unleased.level = 0;
         }
     }
 }
@@ -112,21 +112,22 @@
 /* An old leader's own buckets end with the term of its last leases: by then
  * a new leader may have given the same rate to others. */
 static void
-end_if_over(const struct fw_limit *l, struct fw_limit_partition *p,
-            int64_t now_us)
+end_expired_ledger(const struct fw_limit *l, struct fw_limit_partition *p,
+                   int64_t now_us)
 {
-    if (p->ledger &&
-        now_us >= p->own_until + Fw_Ledger_MaxLeaseUs(l) - l->term_us) {
+    if (p->ledger && now_us >= p->unleased_until_us + Fw_Ledger_MaxLeaseUs(l) -
+                                   l->lease_us) {
         clear_ledger(p);
     }
 }
 
 static void
-lapse_holders(struct fw_limit *l, struct fw_limit_partition *p, int64_t now_us)
+expire_holders(struct fw_limit *l, struct fw_limit_partition *p,
+               int64_t now_us)
 {
     for (guint i = 0; i < p->holders->len; i++) {
         struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, i);
-        if (h->name[0] && now_us >= h->until_us) {
+        if (h->name[0] && now_us >= h->expires_us) {
             Fw_Ledger_ClearGrants(l, p, (int)i, now_us);
             memset(h, 0, sizeof(*h));
         }
@@ -136,18 +137,19 @@
 void
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us)
 {
-    struct fw_limit_partition *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->partitions[partition];
     uint64_t tenure = Fw_Roles_Tenure(l->roles, FW_ROLE_BUDGET, partition);
 
     if (!Fw_Ledger_MayGrant(l, partition, now_us)) {
-        end_if_over(l, p, now_us);
-        lapse_holders(l, p, now_us);
+        end_expired_ledger(l, p, now_us);
+        expire_holders(l, p, now_us);
         return;
     }
     if (p->tenure != tenure) {
         int heir =
-            p->heir_of && Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET,
-                                                     partition) == p->heir_of;
+            p->predecessor_tenure &&
+            Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET, partition) ==
+                p->predecessor_tenure;
         p->tenure = tenure;
         if (!heir) {
             begin(l, partition, tenure,
@@ -159,32 +161,33 @@
         /* It ended in a long outage of the log: the teams have spent. */
         begin(l, partition, tenure, 0, now_us);
     }
-    lapse_holders(l, p, now_us);
-    p->own_until = now_us + l->term_us;
+    expire_holders(l, p, now_us);
+    p->unleased_until_us = now_us + l->lease_us;
 }
 
 void
 Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us)
 {
-    const struct fw_limit_partition *p = &l->parts[s->partition];
+    const struct fw_limit_partition *p = &l->partitions[s->partition];
 
-    if (!p->ledger || p->pulled[0]) {
+    if (!p->ledger || p->successor[0]) {
         return;
     }
-    if (s->led == p->ledger) {
-        if (s->scaled || s->fit_version != s->version) {
-            s->fit_version = s->version;
+    if (s->ledger == p->ledger) {
+        if (s->scaled_down || s->fitted_version != s->version) {
+            s->fitted_version = s->version;
             Fw_Ledger_ResizeUnleased(l, s, now_us);
         }
         return;
     }
-    s->led = p->ledger;
-    s->fit_version = s->version;
+    s->ledger = p->ledger;
+    s->fitted_version = s->version;
     Fw_Ledger_ResizeUnleased(l, s, now_us);
     /* Whole at once when nobody can have spent of it: no leader was ever
      * before, or the team came while this one led with the log readable. */
-    if (p->first ||
-        (p->loaded && now_us >= p->led_us + FW_NEW_TEAM_DELAY_US)) {
-        Fw_Bucket_Put(&s->own, s->own.burst * FW_MICROTOKENS, now_us);
+    if (p->is_first || (p->teams_loaded &&
+                        now_us >= p->ledger_since_us + FW_NEW_TEAM_DELAY_US)) {
+        Fw_Bucket_Put(&s->unleased, s->unleased.burst * FW_MICROTOKENS,
+                      now_us);
     }
 }
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -20,7 +20,7 @@
 static void
 add_metrics(struct fw_limit *l, struct fw_metrics *m)
 {
-    add_metric(m, &l->n_asks, "fw_budget_asks_total",
+    add_metric(m, &l->n_requests, "fw_budget_asks_total",
                "requests for which a budget was asked", 0);
     add_metric(m, &l->n_granted, "fw_budget_granted_total",
                "requests whose tokens were granted", 0);
@@ -28,9 +28,9 @@
                "requests refused for want of tokens", 0);
     add_metric(m, &l->n_unreachable, "fw_budget_refused_unreachable_total",
                "of these, with a peer that did not answer in time", 0);
-    add_metric(m, &l->n_leases, "fw_budget_partitions_leased",
+    add_metric(m, &l->n_leased, "fw_budget_partitions_leased",
                "partitions of which leases are held here", 1);
-    add_metric(m, &l->n_stale, "fw_budget_partitions_unled",
+    add_metric(m, &l->n_unled, "fw_budget_partitions_unled",
                "partitions led here by the log that may not grant now", 1);
     add_metric(m, &l->n_sent, "fw_budget_messages_total",
                "budget messages sent", 0);
@@ -62,17 +62,17 @@
                                       Fw_TeamShare_Free);
     l->senders =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    l->term_us = Fw_Roles_TakeoverWaitUs(roles, FW_ROLE_BUDGET);
-    l->n_parts = Fw_Roles_PartitionCount(roles);
-    l->parts = g_new0(struct fw_limit_partition, (gsize)l->n_parts);
-    for (int i = 0; i < l->n_parts; i++) {
-        l->parts[i].holders =
+    l->lease_us = Fw_Roles_TakeoverWaitUs(roles, FW_ROLE_BUDGET);
+    l->n_partitions = Fw_Roles_PartitionCount(roles);
+    l->partitions = g_new0(struct fw_limit_partition, (gsize)l->n_partitions);
+    for (int i = 0; i < l->n_partitions; i++) {
+        l->partitions[i].holders =
             g_array_new(FALSE, TRUE, sizeof(struct fw_holder));
-        l->parts[i].shares = g_ptr_array_new();
+        l->partitions[i].shares = g_ptr_array_new();
     }
-    Fw_List_Init(&l->asks);
-    g_queue_init(&l->answers);
-    g_queue_init(&l->granted);
+    Fw_List_Init(&l->requests);
+    g_queue_init(&l->results);
+    g_queue_init(&l->peer_grants);
     add_metrics(l, metrics);
     return l;
 }
@@ -83,16 +83,16 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &l->asks) {
+    FW_LIST_EACH_SAFE (pos, tmp, &l->requests) {
         g_free(FW_LIST_ENTRY(pos, struct fw_token_request, link));
     }
-    g_queue_clear_full(&l->answers, g_free);
-    g_queue_clear_full(&l->granted, g_free);
-    for (int i = 0; i < l->n_parts; i++) {
-        g_array_unref(l->parts[i].holders);
-        g_ptr_array_unref(l->parts[i].shares);
+    g_queue_clear_full(&l->results, g_free);
+    g_queue_clear_full(&l->peer_grants, g_free);
+    for (int i = 0; i < l->n_partitions; i++) {
+        g_array_unref(l->partitions[i].holders);
+        g_ptr_array_unref(l->partitions[i].shares);
     }
-    g_free(l->parts);
+    g_free(l->partitions);
     g_hash_table_unref(l->shares);
     g_hash_table_unref(l->senders);
     g_rand_free(l->rand);
@@ -111,17 +111,17 @@
     r = MIN(r, 1.0);
     b = MIN(b, 1.0);
     if (r < 1.0 || b < 1.0) {
-        s->scaled = 1;
+        s->scaled_down = 1;
         Fw_Bucket_Resize(&s->leased, (int64_t)((double)s->leased.rate * r),
                          (int64_t)((double)s->leased.burst * b), now_us);
-        Fw_Bucket_Resize(&s->own, (int64_t)((double)s->own.rate * r),
-                         (int64_t)((double)s->own.burst * b), now_us);
+        Fw_Bucket_Resize(&s->unleased, (int64_t)((double)s->unleased.rate * r),
+                         (int64_t)((double)s->unleased.burst * b), now_us);
     }
 }
 
 static void
-take_team(struct fw_limit *l, struct fw_team_share *s,
-          const struct fw_team *team, int64_t now_us)
+apply_team(struct fw_limit *l, struct fw_team_share *s,
+           const struct fw_team *team, int64_t now_us)
 {
     int regions = MAX(l->self.regions, 1);
     int64_t rate = team->rate / regions;
@@ -151,12 +151,12 @@
         s = g_new0(struct fw_team_share, 1);
         g_strlcpy(s->name, team, sizeof(s->name));
         s->partition = Fw_Roles_Partition(l->roles, team);
-        s->gone = 1;
+        s->removed = 1;
         s->grants = g_array_new(FALSE, TRUE, sizeof(struct fw_lease_grant));
-        s->own.at_us = now_us;
+        s->unleased.at_us = now_us;
         s->leased.at_us = now_us;
         g_hash_table_insert(l->shares, s->name, s);
-        g_ptr_array_add(l->parts[s->partition].shares, s);
+        g_ptr_array_add(l->partitions[s->partition].shares, s);
     }
     return s;
 }
@@ -167,9 +167,9 @@
 {
     struct fw_team_share *s = Fw_TeamShare_FindOrAdd(l, team->name, now_us);
 
-    if (s->gone || s->version != team->version || !s->version) {
-        s->gone = 0;
-        take_team(l, s, team, now_us);
+    if (s->removed || s->version != team->version || !s->version) {
+        s->removed = 0;
+        apply_team(l, s, team, now_us);
     }
     return s;
 }
@@ -179,7 +179,7 @@
                             const struct fw_team_share *s, int64_t margin_us,
                             int64_t now_us)
 {
-    return now_us + margin_us < l->parts[s->partition].own_until;
+    return now_us + margin_us < l->partitions[s->partition].unleased_until_us;
 }
 
 int
@@ -187,12 +187,12 @@
                          const struct fw_team_share *s, int64_t margin_us,
                          int64_t now_us)
 {
-    const struct fw_limit_partition *p = &l->parts[s->partition];
+    const struct fw_limit_partition *p = &l->partitions[s->partition];
 
     /* Checked at each use: the holder may have been paused since it got the
      * lease, and the leader has given it to others by then. */
-    return (p->have != 0 && now_us + margin_us < p->until_us) ||
-           (p->have != 0 && FW_FAULT("limit-lease-forever"));
+    return (p->lease_seq != 0 && now_us + margin_us < p->lease_until_us) ||
+           (p->lease_seq != 0 && FW_FAULT("limit-lease-forever"));
 }
 
 struct fw_token_split
@@ -206,7 +206,8 @@
         got.leased = Fw_Bucket_Take(&s->leased, tokens, flight, now_us);
     }
     if (Fw_TeamShare_UnleasedUsable(l, s, margin, now_us)) {
-        got.own = Fw_Bucket_Take(&s->own, tokens - got.leased, flight, now_us);
+        got.unleased =
+            Fw_Bucket_Take(&s->unleased, tokens - got.leased, flight, now_us);
     }
     return got;
 }
@@ -218,7 +219,7 @@
     int64_t left = tokens * FW_MICROTOKENS;
 
     if (Fw_TeamShare_UnleasedUsable(l, s, 0, now_us)) {
-        left -= Fw_Bucket_Put(&s->own, left, now_us);
+        left -= Fw_Bucket_Put(&s->unleased, left, now_us);
     }
     if (Fw_TeamShare_LeaseUsable(l, s, 0, now_us)) {
         left -= Fw_Bucket_Put(&s->leased, left, now_us);
@@ -242,52 +243,53 @@
 }
 
 static void
-take_config(struct fw_limit *l, const struct fw_config *cfg, int64_t now_us)
+apply_config(struct fw_limit *l, const struct fw_config *cfg, int64_t now_us)
 {
     GHashTableIter it;
     gpointer value;
 
-    if (l->has_cfg && cfg->offset == l->cfg_offset) {
+    if (l->cfg_applied && cfg->offset == l->cfg_offset) {
         return;
     }
-    l->has_cfg = 1;
+    l->cfg_applied = 1;
     l->cfg_offset = cfg->offset;
     g_hash_table_iter_init(&it, cfg->teams);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_team *team = value;
         int p = Fw_Roles_Partition(l->roles, team->name);
-        if (l->parts[p].ledger || Fw_TeamShare_Find(l, team->name)) {
+        if (l->partitions[p].ledger || Fw_TeamShare_Find(l, team->name)) {
             Fw_Ledger_AddTeam(l, Fw_TeamShare_Get(l, team, now_us), now_us);
         }
     }
-    for (int i = 0; i < l->n_parts; i++) {
-        l->parts[i].loaded = l->parts[i].ledger != 0;
+    for (int i = 0; i < l->n_partitions; i++) {
+        l->partitions[i].teams_loaded = l->partitions[i].ledger != 0;
     }
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_team_share *s = value;
-        if (!s->gone && !g_hash_table_contains(cfg->teams, s->name)) {
+        if (!s->removed && !g_hash_table_contains(cfg->teams, s->name)) {
             const struct fw_team none = {.version = 0};
-            s->gone = 1;
-            take_team(l, s, &none, now_us);
+            s->removed = 1;
+            apply_team(l, s, &none, now_us);
         }
     }
 }
 
 /* A new leader looks at all teams once more, to begin with those of its. */
 static void
-refresh_parts(struct fw_limit *l, int64_t now_us)
+refresh_partitions(struct fw_limit *l, int64_t now_us)
 {
-    l->n_leases.value = 0;
-    l->n_stale.value = 0;
-    for (int i = 0; i < l->n_parts; i++) {
+    l->n_leased.value = 0;
+    l->n_unled.value = 0;
+    for (int i = 0; i < l->n_partitions; i++) {
         const char *holder = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, i);
         Fw_Ledger_Refresh(l, i, now_us);
-        if (l->parts[i].ledger && !l->parts[i].loaded) {
-            l->has_cfg = 0;
+        if (l->partitions[i].ledger && !l->partitions[i].teams_loaded) {
+            l->cfg_applied = 0;
         }
-        l->n_leases.value += l->parts[i].have && now_us < l->parts[i].until_us;
-        l->n_stale.value += holder && strcmp(holder, l->self.name) == 0 &&
+        l->n_leased.value += l->partitions[i].lease_seq &&
+                             now_us < l->partitions[i].lease_until_us;
+        l->n_unled.value += holder && strcmp(holder, l->self.name) == 0 &&
                             !Fw_Ledger_MayGrant(l, i, now_us);
     }
 }
@@ -296,8 +298,8 @@
 Fw_Limit_Tick(struct fw_limit *l, const struct fw_config *cfg, int64_t now_us,
               struct fw_actions *out)
 {
-    refresh_parts(l, now_us);
-    take_config(l, cfg, now_us);
+    refresh_partitions(l, now_us);
+    apply_config(l, cfg, now_us);
     Fw_TokenRequest_Tick(l, now_us, out);
     Fw_Handover_Tick(l, now_us, out);
     Fw_Lease_Tick(l, now_us, out);
@@ -310,7 +312,7 @@
 {
     const struct fw_team *team = Fw_Config_Team(cfg, msg->team);
 
-    if (msg->partition >= l->n_parts) {
+    if (msg->partition >= l->n_partitions) {
         return; /* a peer with other settings */
     }
     if (team) {
@@ -349,7 +351,7 @@
 int
 Fw_Limit_TakeAnswer(struct fw_limit *l, struct fw_limit_answer *ans)
 {
-    struct fw_limit_answer *a = g_queue_pop_head(&l->answers);
+    struct fw_limit_answer *a = g_queue_pop_head(&l->results);
 
     if (!a) {
         return 0;
@@ -363,8 +365,8 @@
 Fw_Limit_Drain(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
 {
     l->draining = 1;
-    for (int i = 0; i < l->n_parts; i++) {
-        l->parts[i].leaving = l->parts[i].ledger != 0;
+    for (int i = 0; i < l->n_partitions; i++) {
+        l->partitions[i].leaving = l->partitions[i].ledger != 0;
         Fw_Lease_Release(l, i, now_us, out);
     }
     Fw_Handover_Tick(l, now_us, out);
--- a/src/limit/limit_msg.c
+++ b/src/limit/limit_msg.c
@@ -42,18 +42,18 @@
     msgpack_pack_uint64(pk, h->last_seq);
     msgpack_pack_uint64(pk, h->confirmed_seq);
     msgpack_pack_uint64(pk, h->offered_seq);
-    msgpack_pack_int64(pk, h->left_us);
+    msgpack_pack_int64(pk, h->expires_in_us);
 }
 
 /* Questions for tokens are sent for each request, so they are kept small. */
 static int
-is_short(enum fw_limit_msg_kind kind)
+is_compact(enum fw_limit_msg_kind kind)
 {
     return kind == FW_LIMIT_TOKEN_REQUEST || kind == FW_LIMIT_TOKEN_GRANT;
 }
 
 static void
-pack_short(msgpack_packer *pk, const struct fw_limit_msg *msg)
+pack_compact(msgpack_packer *pk, const struct fw_limit_msg *msg)
 {
     msgpack_pack_array(pk, SHORT_FIELDS);
     msgpack_pack_int(pk, (int)msg->kind);
@@ -65,8 +65,8 @@
 void
 Fw_Limit_PackMsg(msgpack_packer *pk, const struct fw_limit_msg *msg)
 {
-    if (is_short(msg->kind)) {
-        pack_short(pk, msg);
+    if (is_compact(msg->kind)) {
+        pack_compact(pk, msg);
         return;
     }
     msgpack_pack_array(pk, FIELDS);
@@ -74,14 +74,14 @@
     msgpack_pack_uint64(pk, msg->seq);
     msgpack_pack_int(pk, msg->partition);
     msgpack_pack_uint64(pk, msg->boot);
-    msgpack_pack_uint64(pk, msg->have);
+    msgpack_pack_uint64(pk, msg->acked_seq);
     msgpack_pack_uint64(pk, msg->fence);
     msgpack_pack_int64(pk, msg->tokens);
-    msgpack_pack_int(pk, msg->flag);
-    msgpack_pack_int64(pk, msg->left_us);
+    msgpack_pack_int(pk, msg->is_follower);
+    msgpack_pack_int64(pk, msg->expires_in_us);
     Fw_Pack_Str(pk, msg->team);
-    msgpack_pack_array(pk, (size_t)msg->n);
-    for (int i = 0; i < msg->n; i++) {
+    msgpack_pack_array(pk, (size_t)msg->n_entries);
+    for (int i = 0; i < msg->n_entries; i++) {
         pack_entry(pk, &msg->entries[i]);
     }
     msgpack_pack_array(pk, (size_t)msg->n_holders);
@@ -92,7 +92,7 @@
 
 /* A count or amount: never negative, so that none can be taken away. */
 static int
-amount(const msgpack_object *o, uint32_t i, int64_t *out)
+unpack_nonnegative(const msgpack_object *o, uint32_t i, int64_t *out)
 {
     return Fw_Unpack_I64(o, i, out) || *out < 0 ? -EBADMSG : 0;
 }
@@ -102,10 +102,12 @@
 {
     int64_t holder;
 
-    if (amount(o, 0, &holder) || holder >= FW_LIMIT_HOLDERS_MAX ||
-        amount(o, 1, &g->rate) || amount(o, 2, &g->burst) ||
-        amount(o, 3, &g->offered_rate) || amount(o, 4, &g->offered_burst) ||
-        amount(o, 5, &g->offered_level)) {
+    if (unpack_nonnegative(o, 0, &holder) || holder >= FW_LIMIT_HOLDERS_MAX ||
+        unpack_nonnegative(o, 1, &g->rate) ||
+        unpack_nonnegative(o, 2, &g->burst) ||
+        unpack_nonnegative(o, 3, &g->offered_rate) ||
+        unpack_nonnegative(o, 4, &g->offered_burst) ||
+        unpack_nonnegative(o, 5, &g->offered_level)) {
         return -EBADMSG;
     }
     g->holder = (int)holder;
@@ -118,8 +120,9 @@
     const msgpack_object *list = Fw_Unpack_Array(o, 4);
 
     if (Fw_Unpack_Str(o, 0, e->team, sizeof(e->team)) ||
-        amount(o, 1, &e->rate) || amount(o, 2, &e->burst) ||
-        amount(o, 3, &e->level) || !list ||
+        unpack_nonnegative(o, 1, &e->rate) ||
+        unpack_nonnegative(o, 2, &e->burst) ||
+        unpack_nonnegative(o, 3, &e->level) || !list ||
         list->via.array.size > FW_LIMIT_HOLDERS_MAX) {
         return -EBADMSG;
     }
@@ -139,7 +142,8 @@
     if (Fw_Unpack_Str(o, 0, h->name, sizeof(h->name)) ||
         Fw_Unpack_U64(o, 1, &h->boot) || Fw_Unpack_U64(o, 2, &h->last_seq) ||
         Fw_Unpack_U64(o, 3, &h->confirmed_seq) ||
-        Fw_Unpack_U64(o, 4, &h->offered_seq) || amount(o, 5, &h->left_us)) {
+        Fw_Unpack_U64(o, 4, &h->offered_seq) ||
+        unpack_nonnegative(o, 5, &h->expires_in_us)) {
         return -EBADMSG;
     }
     return 0;
@@ -162,9 +166,9 @@
             return -EBADMSG;
         }
     }
-    msg->n = (int)entries->via.array.size;
+    msg->n_entries = (int)entries->via.array.size;
     msg->entries = g_new0(struct fw_limit_entry, entries->via.array.size);
-    for (int i = 0; i < msg->n; i++) {
+    for (int i = 0; i < msg->n_entries; i++) {
         struct fw_limit_entry *e = &msg->entries[i];
         if (unpack_entry(&entries->via.array.ptr[i], e)) {
             return -EBADMSG;
@@ -179,9 +183,10 @@
 }
 
 static int
-unpack_short(const msgpack_object *obj, struct fw_limit_msg *msg)
+unpack_compact(const msgpack_object *obj, struct fw_limit_msg *msg)
 {
-    return Fw_Unpack_U64(obj, 1, &msg->seq) || amount(obj, 2, &msg->tokens) ||
+    return Fw_Unpack_U64(obj, 1, &msg->seq) ||
+                   unpack_nonnegative(obj, 2, &msg->tokens) ||
                    Fw_Unpack_Str(obj, 3, msg->team, sizeof(msg->team))
                ? -EBADMSG
                : 0;
@@ -195,25 +200,28 @@
     int64_t flag;
 
     memset(msg, 0, sizeof(*msg));
-    if (amount(obj, 0, &kind)) {
+    if (unpack_nonnegative(obj, 0, &kind)) {
         return -EBADMSG;
     }
-    if (is_short((enum fw_limit_msg_kind)kind)) {
+    if (is_compact((enum fw_limit_msg_kind)kind)) {
         msg->kind = (enum fw_limit_msg_kind)kind;
-        return unpack_short(obj, msg);
+        return unpack_compact(obj, msg);
     }
     if (kind <= FW_LIMIT_NONE || kind > FW_LIMIT_HANDOVER ||
-        Fw_Unpack_U64(obj, 1, &msg->seq) || amount(obj, 2, &partition) ||
-        partition > INT32_MAX || Fw_Unpack_U64(obj, 3, &msg->boot) ||
-        Fw_Unpack_U64(obj, 4, &msg->have) ||
-        Fw_Unpack_U64(obj, 5, &msg->fence) || amount(obj, 6, &msg->tokens) ||
-        amount(obj, 7, &flag) || flag > 1 || amount(obj, 8, &msg->left_us) ||
+        Fw_Unpack_U64(obj, 1, &msg->seq) ||
+        unpack_nonnegative(obj, 2, &partition) || partition > INT32_MAX ||
+        Fw_Unpack_U64(obj, 3, &msg->boot) ||
+        Fw_Unpack_U64(obj, 4, &msg->acked_seq) ||
+        Fw_Unpack_U64(obj, 5, &msg->fence) ||
+        unpack_nonnegative(obj, 6, &msg->tokens) ||
+        unpack_nonnegative(obj, 7, &flag) || flag > 1 ||
+        unpack_nonnegative(obj, 8, &msg->expires_in_us) ||
         Fw_Unpack_Str(obj, 9, msg->team, sizeof(msg->team))) {
         return -EBADMSG;
     }
     msg->kind = (enum fw_limit_msg_kind)kind;
     msg->partition = (int)partition;
-    msg->flag = (int)flag;
+    msg->is_follower = (int)flag;
     if (unpack_lists(obj, msg)) {
         Fw_Limit_ClearMsg(msg);
         return -EBADMSG;
@@ -224,11 +232,11 @@
 void
 Fw_Limit_ClearMsg(struct fw_limit_msg *msg)
 {
-    for (int i = 0; i < msg->n && msg->entries; i++) {
+    for (int i = 0; i < msg->n_entries && msg->entries; i++) {
         g_free(msg->entries[i].grants);
     }
     g_clear_pointer(&msg->entries, g_free);
     g_clear_pointer(&msg->holders, g_free);
-    msg->n = 0;
+    msg->n_entries = 0;
     msg->n_holders = 0;
 }
--- a/src/limit/limit_msg.h
+++ b/src/limit/limit_msg.h
@@ -67,18 +67,18 @@
     uint64_t last_seq;
     uint64_t confirmed_seq;
     uint64_t offered_seq;
-    int64_t left_us; /* until its leases are surely gone */
+    int64_t expires_in_us; /* until its leases are surely gone */
 };
 
 /**
  * struct fw_limit_msg - tagged by @kind.
  * @seq: of the sender's questions, rising over its life
  * @boot: of the receiver in RETURN, of the sender in RENEW
- * @have: of a RENEW, the last answer that the holder took in, 0 for none
+ * @acked_seq: of a RENEW, the last answer that the holder took in, 0 for none
  * @fence: fencing number of the leader that gave it, or of the ledger
  * @tokens: of ASK, TOKENS and RETURN
- * @flag: of a RENEW, the holder stands ready to follow the leader
- * @left_us: of a HANDOVER, how long what is handed over stays usable
+ * @is_follower: of a RENEW, the holder stands ready to follow the leader
+ * @expires_in_us: of a HANDOVER, how long what is handed over stays usable
  * @entries, @holders: owned
  */
 struct fw_limit_msg {
@@ -86,13 +86,13 @@
     uint64_t seq;
     int partition;
     uint64_t boot;
-    uint64_t have;
+    uint64_t acked_seq;
     uint64_t fence;
     int64_t tokens;
-    int flag;
-    int64_t left_us;
+    int is_follower;
+    int64_t expires_in_us;
     char team[FW_NAME_MAX];
-    int n;
+    int n_entries;
     struct fw_limit_entry *entries;
     int n_holders;
     struct fw_limit_holder *holders;
--- a/src/limit/renew.c
+++ b/src/limit/renew.c
@@ -52,9 +52,9 @@
 
 /* Micro-tokens of @team that the holder's question brings back. */
 static int64_t
-level_of(const struct fw_limit_msg *msg, const char *team)
+returned_level(const struct fw_limit_msg *msg, const char *team)
 {
-    for (int e = 0; e < msg->n; e++) {
+    for (int e = 0; e < msg->n_entries; e++) {
         if (strcmp(msg->entries[e].team, team) == 0) {
             return msg->entries[e].burst;
         }
@@ -76,7 +76,7 @@
         if (!g) {
             continue;
         }
-        back = taken ? MIN(level_of(taken, s->name),
+        back = taken ? MIN(returned_level(taken, s->name),
                            (g->burst - MIN(g->burst, g->offered_burst)) *
                                FW_MICROTOKENS)
                      : g->offered_level;
@@ -88,15 +88,15 @@
         g->offered_burst = g->burst;
         g->offered_level = 0;
         Fw_Ledger_ResizeUnleased(l, s, now_us);
-        Fw_Bucket_Put(&s->own, back, now_us);
+        Fw_Bucket_Put(&s->unleased, back, now_us);
     }
 }
 
 /* It holds nothing any more; levels that it gives back come in as the place
  * that was kept for them becomes free. */
 static void
-give_levels(struct fw_limit *l, struct fw_limit_partition *p, int holder,
-            const struct fw_limit_msg *msg, int64_t now_us)
+release_grants(struct fw_limit *l, struct fw_limit_partition *p, int holder,
+               const struct fw_limit_msg *msg, int64_t now_us)
 {
     int64_t *back = g_new0(int64_t, p->shares->len + 1);
 
@@ -104,13 +104,14 @@
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         const struct fw_lease_grant *g = find_grant(s, holder);
         back[i] =
-            g ? MIN(level_of(msg, s->name), g->burst * FW_MICROTOKENS) : 0;
+            g ? MIN(returned_level(msg, s->name), g->burst * FW_MICROTOKENS)
+              : 0;
     }
     Fw_Ledger_ClearGrants(l, p, holder, now_us);
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        if (s->led == p->ledger) {
-            Fw_Bucket_Put(&s->own, back[i], now_us);
+        if (s->ledger == p->ledger) {
+            Fw_Bucket_Put(&s->unleased, back[i], now_us);
         }
     }
     g_free(back);
@@ -124,8 +125,8 @@
 {
     struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, holder);
 
-    if (msg->have == 0) {
-        give_levels(l, p, holder, msg, now_us);
+    if (msg->acked_seq == 0) {
+        release_grants(l, p, holder, msg, now_us);
         h->confirmed_seq = 0;
         h->offered_seq = 0;
         return 0;
@@ -133,12 +134,12 @@
     if (msg->fence != p->ledger) {
         return -ESTALE;
     }
-    if (msg->have == h->offered_seq) {
+    if (msg->acked_seq == h->offered_seq) {
         settle_offers(l, p, holder, msg, now_us);
         h->confirmed_seq = h->offered_seq;
         return 0;
     }
-    if (msg->have == h->confirmed_seq) {
+    if (msg->acked_seq == h->confirmed_seq) {
         settle_offers(l, p, holder, NULL, now_us);
         return 0;
     }
@@ -146,26 +147,27 @@
 }
 
 static void
-note_wants(struct fw_limit_partition *p, int holder,
-           const struct fw_limit_msg *msg)
+update_wanted_rates(struct fw_limit_partition *p, int holder,
+                    const struct fw_limit_msg *msg)
 {
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
         int64_t want = 0;
         int again = 0;
-        for (int e = 0; e < msg->n; e++) {
+        for (int e = 0; e < msg->n_entries; e++) {
             if (strcmp(msg->entries[e].team, s->name) == 0) {
                 want = msg->entries[e].rate;
                 again = msg->entries[e].level > 0;
             }
         }
         if (g) {
-            g->want = want;
-            g->again = again;
+            g->wanted_rate = want;
+            g->resend = again;
         }
         else if (want > 0) {
-            struct fw_lease_grant fresh = {.holder = holder, .want = want};
+            struct fw_lease_grant fresh = {.holder = holder,
+                                           .wanted_rate = want};
             g_array_append_val(s->grants, fresh);
         }
     }
@@ -179,50 +181,51 @@
 {
     int64_t wanted = 0;
 
-    int64_t rate = mine->want;
+    int64_t rate = mine->wanted_rate;
 
     for (guint i = 0; i < s->grants->len; i++) {
         const struct fw_lease_grant *g =
             &g_array_index(s->grants, struct fw_lease_grant, i);
-        wanted += g->want;
+        wanted += g->wanted_rate;
     }
     if ((double)wanted > BUSY_PART * (double)s->rate) {
-        rate = (int64_t)((double)mine->want / (double)wanted * BUSY_PART *
-                         (double)s->rate);
+        rate = (int64_t)((double)mine->wanted_rate / (double)wanted *
+                         BUSY_PART * (double)s->rate);
     }
     if (followers > 0) {
         rate = MAX(rate, s->rate / (followers + 1));
     }
-    return MIN(rate, mine->rate + MAX(s->own.rate, 0));
+    return MIN(rate, mine->rate + MAX(s->unleased.rate, 0));
 }
 
 /* Offers the new size. Return: nonzero when it differs from the old. */
 static int
-offer(struct fw_limit *l, struct fw_team_share *s, struct fw_lease_grant *g,
-      int followers, struct fw_limit_entry *e, int64_t now_us)
+offer_lease(struct fw_limit *l, struct fw_team_share *s,
+            struct fw_lease_grant *g, int followers, struct fw_limit_entry *e,
+            int64_t now_us)
 {
     int64_t rate = target_rate(s, g, followers);
     int64_t burst =
         s->rate > 0
             ? (int64_t)((double)s->burst * (double)rate / (double)s->rate)
             : 0;
-    int64_t room = s->own.burst;
+    int64_t room = s->unleased.burst;
     int64_t level;
 
     burst = MIN(burst, g->burst + room);
-    if (!g->again && ABS(rate - g->rate) <= g->rate / 8 &&
+    if (!g->resend && ABS(rate - g->rate) <= g->rate / 8 &&
         ABS(burst - g->burst) <= g->burst / 8 && (rate > 0 || g->rate == 0)) {
         return 0;
     }
     level = room > 0 && burst > g->burst
-                ? (int64_t)((double)s->own.level * (double)(burst - g->burst) /
-                            (double)room)
+                ? (int64_t)((double)s->unleased.level *
+                            (double)(burst - g->burst) / (double)room)
                 : 0;
-    g->again = 0;
+    g->resend = 0;
     g->offered_rate = rate;
     g->offered_burst = burst;
     g->offered_level = level;
-    s->own.level -= level;
+    s->unleased.level -= level;
     Fw_Ledger_ResizeUnleased(l, s, now_us);
     g_strlcpy(e->team, s->name, sizeof(e->team));
     e->rate = rate;
@@ -237,7 +240,7 @@
     int n = 0;
 
     for (guint i = 0; i < p->holders->len; i++) {
-        n += g_array_index(p->holders, struct fw_holder, i).follows;
+        n += g_array_index(p->holders, struct fw_holder, i).is_follower;
     }
     return MAX(n, 1);
 }
@@ -247,24 +250,25 @@
              const struct fw_limit_msg *msg, int64_t now_us,
              struct fw_limit_msg *back)
 {
-    int followers = msg->flag ? count_followers(p) : 0;
+    int followers = msg->is_follower ? count_followers(p) : 0;
 
     back->entries = g_new0(struct fw_limit_entry, p->shares->len);
-    for (guint i = 0; i < p->shares->len && back->n < FW_LIMIT_ENTRIES_MAX;
-         i++) {
+    for (guint i = 0;
+         i < p->shares->len && back->n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
-        if (s->led != p->ledger) {
+        if (s->ledger != p->ledger) {
             continue;
         }
-        if (!g && msg->flag) {
+        if (!g && msg->is_follower) {
             struct fw_lease_grant fresh = {.holder = holder};
             g_array_append_val(s->grants, fresh);
             g = find_grant(s, holder);
         }
-        Fw_Bucket_Refill(&s->own, now_us);
-        if (g && offer(l, s, g, followers, &back->entries[back->n], now_us)) {
-            back->n++;
+        Fw_Bucket_Refill(&s->unleased, now_us);
+        if (g && offer_lease(l, s, g, followers,
+                             &back->entries[back->n_entries], now_us)) {
+            back->n_entries++;
         }
     }
 }
@@ -274,18 +278,18 @@
                   const struct fw_limit_msg *msg, int64_t now_us,
                   struct fw_actions *out)
 {
-    struct fw_limit_partition *p = &l->parts[msg->partition];
+    struct fw_limit_partition *p = &l->partitions[msg->partition];
     struct fw_limit_msg back = {.kind = FW_LIMIT_LEASE_UPDATE};
     struct fw_holder *h;
     int holder;
 
     Fw_Ledger_Refresh(l, msg->partition, now_us);
-    if (!p->ledger || p->pulled[0]) {
+    if (!p->ledger || p->successor[0]) {
         return;
     }
     holder = find_holder(p, from, msg->boot);
     if (holder < 0) {
-        if (!Fw_Ledger_MayGrant(l, msg->partition, now_us) || msg->have) {
+        if (!Fw_Ledger_MayGrant(l, msg->partition, now_us) || msg->acked_seq) {
             return;
         }
         holder = add_holder(p, from, msg->boot);
@@ -299,11 +303,11 @@
         !Fw_Ledger_MayGrant(l, msg->partition, now_us)) {
         return;
     }
-    h->follows = msg->flag;
-    note_wants(p, holder, msg);
+    h->is_follower = msg->is_follower;
+    update_wanted_rates(p, holder, msg);
     answer_renew(l, p, holder, msg, now_us, &back);
     h->offered_seq = msg->seq;
-    h->until_us = MAX(h->until_us, now_us + Fw_Ledger_MaxLeaseUs(l));
+    h->expires_us = MAX(h->expires_us, now_us + Fw_Ledger_MaxLeaseUs(l));
     back.seq = msg->seq;
     back.partition = msg->partition;
     back.fence = p->ledger;
--- a/src/limit/serve.c
+++ b/src/limit/serve.c
@@ -4,20 +4,20 @@
 #include "limit/share.h"
 
 static void
-drop_old(struct fw_limit *l, int64_t now_us)
+expire_grants(struct fw_limit *l, int64_t now_us)
 {
     struct fw_peer_grant *g;
 
-    while ((g = g_queue_peek_head(&l->granted)) &&
-           now_us >= g->at_us + FW_RESERVATION_US) {
-        g_free(g_queue_pop_head(&l->granted));
+    while ((g = g_queue_peek_head(&l->peer_grants)) &&
+           now_us >= g->granted_us + FW_RESERVATION_US) {
+        g_free(g_queue_pop_head(&l->peer_grants));
     }
 }
 
 static GList *
-find_granted(struct fw_limit *l, const char *peer, uint64_t seq)
+find_peer_grant(struct fw_limit *l, const char *peer, uint64_t seq)
 {
-    for (GList *e = l->granted.head; e; e = e->next) {
+    for (GList *e = l->peer_grants.head; e; e = e->next) {
         const struct fw_peer_grant *g = e->data;
         if (g->seq == seq && strcmp(g->peer, peer) == 0) {
             return e;
@@ -27,50 +27,50 @@
 }
 
 static void
-note_granted(struct fw_limit *l, const char *from,
+record_grant(struct fw_limit *l, const char *from,
              const struct fw_limit_msg *msg,
              const struct fw_token_split *taken, int64_t now_us)
 {
     struct fw_peer_grant *g;
 
-    drop_old(l, now_us);
-    if (taken->leased + taken->own == 0) {
+    expire_grants(l, now_us);
+    if (taken->leased + taken->unleased == 0) {
         return;
     }
     g = g_new0(struct fw_peer_grant, 1);
     g_strlcpy(g->peer, from, sizeof(g->peer));
     g_strlcpy(g->team, msg->team, sizeof(g->team));
     g->seq = msg->seq;
-    g->taken = *taken;
-    g->at_us = now_us;
-    g_queue_push_tail(&l->granted, g);
+    g->split = *taken;
+    g->granted_us = now_us;
+    g_queue_push_tail(&l->peer_grants, g);
 }
 
 /* Tokens of a question that failed: back while their place is kept, else
  * lost, since the bucket refills it. None: they were spent. */
 static void
-take_back(struct fw_limit *l, struct fw_team_share *s, const char *from,
-          const struct fw_limit_msg *msg, int64_t now_us)
+settle_grant(struct fw_limit *l, struct fw_team_share *s, const char *from,
+             const struct fw_limit_msg *msg, int64_t now_us)
 {
     struct fw_peer_grant *g;
     GList *e;
 
-    drop_old(l, now_us);
-    e = find_granted(l, from, msg->fence);
+    expire_grants(l, now_us);
+    e = find_peer_grant(l, from, msg->fence);
     if (!e) {
         return;
     }
     g = e->data;
     if (strcmp(g->team, s->name) == 0 && msg->tokens == 0) {
-        Fw_Bucket_Commit(&s->leased, g->taken.leased, now_us);
-        Fw_Bucket_Commit(&s->own, g->taken.own, now_us);
+        Fw_Bucket_Commit(&s->leased, g->split.leased, now_us);
+        Fw_Bucket_Commit(&s->unleased, g->split.unleased, now_us);
     }
     else if (strcmp(g->team, s->name) == 0 &&
-             msg->tokens == g->taken.leased + g->taken.own) {
-        Fw_Bucket_Cancel(&s->leased, g->taken.leased, now_us);
-        Fw_Bucket_Cancel(&s->own, g->taken.own, now_us);
+             msg->tokens == g->split.leased + g->split.unleased) {
+        Fw_Bucket_Cancel(&s->leased, g->split.leased, now_us);
+        Fw_Bucket_Cancel(&s->unleased, g->split.unleased, now_us);
     }
-    g->taken =
+    g->split =
         (struct fw_token_split){0, 0}; /* kept: a double may still come */
 }
 
@@ -83,16 +83,16 @@
     struct fw_limit_msg back = {.kind = FW_LIMIT_TOKEN_GRANT, .seq = msg->seq};
     struct fw_token_split got;
 
-    drop_old(l, now_us);
-    if (find_granted(l, from, msg->seq)) {
+    expire_grants(l, now_us);
+    if (find_peer_grant(l, from, msg->seq)) {
         return; /* a double: tokens granted to it would be lost */
     }
-    if (s && !s->gone) {
+    if (s && !s->removed) {
         Fw_Ledger_Refresh(l, s->partition, now_us);
         Fw_Ledger_AddTeam(l, s, now_us);
         got = Fw_TeamShare_Take(l, s, msg->tokens, 1, now_us);
-        back.tokens = got.leased + got.own;
-        note_granted(l, from, msg, &got, now_us);
+        back.tokens = got.leased + got.unleased;
+        record_grant(l, from, msg, &got, now_us);
     }
     Fw_Limit_Send(l, from, &back, out);
 }
@@ -104,7 +104,7 @@
     const struct fw_member *m = Fw_Fleet_Find(l->fleet, to);
     struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_RETURN,
                                .seq = ++l->seq,
-                               .have = l->self.boot,
+                               .acked_seq = l->self.boot,
                                .fence = asked,
                                .tokens = tokens};
 
@@ -120,7 +120,8 @@
 /* Each return counts once: taken in twice it would be tokens that nobody
  * gave, and the team would spend more than its rate. */
 static int
-is_new(struct fw_limit *l, const char *from, const struct fw_limit_msg *msg)
+is_new_return(struct fw_limit *l, const char *from,
+              const struct fw_limit_msg *msg)
 {
     struct fw_return_sender *known = g_hash_table_lookup(l->senders, from);
 
@@ -128,11 +129,11 @@
         known = g_new0(struct fw_return_sender, 1);
         g_hash_table_insert(l->senders, g_strdup(from), known);
     }
-    if (msg->have < known->boot ||
-        (msg->have == known->boot && msg->seq <= known->seq)) {
+    if (msg->acked_seq < known->boot ||
+        (msg->acked_seq == known->boot && msg->seq <= known->seq)) {
         return 0;
     }
-    known->boot = msg->have;
+    known->boot = msg->acked_seq;
     known->seq = msg->seq;
     return 1;
 }
@@ -144,11 +145,11 @@
     struct fw_team_share *s = Fw_TeamShare_Find(l, msg->team);
 
     if (!s || msg->boot != l->self.boot || msg->tokens > s->burst ||
-        !is_new(l, from, msg)) {
+        !is_new_return(l, from, msg)) {
         return;
     }
     if (msg->fence) {
-        take_back(l, s, from, msg, now_us);
+        settle_grant(l, s, from, msg, now_us);
         return;
     }
     l->n_returned.value += msg->tokens;
@@ -165,7 +166,7 @@
     l->n_returned.value += left;
     left -= Fw_TeamShare_Put(l, s, left, now_us);
     if (left > 0) {
-        s->owed = MIN(s->owed + left, s->burst);
+        s->unreturned = MIN(s->unreturned + left, s->burst);
         Fw_Actions_Wake(out, now_us + FW_RETURN_INTERVAL_US);
     }
 }
--- a/src/limit/share.h
+++ b/src/limit/share.h
@@ -38,8 +38,8 @@
  * struct fw_lease_grant - what a holder has of a team. The larger of what it
  * confirmed and what it was offered counts as given.
  * @holder: index into fw_limit_partition.holders
- * @want: rate that it would use
- * @again: it was cut there, and must be told its size again
+ * @wanted_rate: rate that it would use
+ * @resend: it was cut there, and must be told its size again
  */
 struct fw_lease_grant {
     int holder;
@@ -48,22 +48,23 @@
     int64_t offered_rate;
     int64_t offered_burst;
     int64_t offered_level; /* micro-tokens */
-    int64_t want;
-    int again;
+    int64_t wanted_rate;
+    int resend;
 };
 
 /**
  * struct fw_team_share - one team as seen here.
  * @rate, @burst: of this region, by the configuration
- * @own: what is left of the team at its leader; usable as
- * fw_limit_partition.own_until
+ * @unleased: what is left of the team at its leader; usable as
+ * fw_limit_partition.unleased_until_us
  * @leased: given by the leader; usable as fw_limit_partition.until
- * @owed: unused tokens to be returned to the leader
- * @asked, @asks: tokens and requests since the last renewal round
- * @want: rate for which a lease of its own is asked
- * @led: the ledger that it stands in, see fw_limit_partition.ledger
- * @fit_version: of the configuration that the own bucket was fitted to
- * @cut: micro-tokens that a smaller lease had no room for, for its leader
+ * @unreturned: unused tokens to be returned to the leader
+ * @demand_tokens, @demand_requests: tokens and requests since the last renewal
+ * round
+ * @wanted_rate: rate for which a lease of its own is asked
+ * @ledger: the ledger that it stands in, see fw_limit_partition.ledger
+ * @fitted_version: of the configuration that the own bucket was fitted to
+ * @excess: micro-tokens that a smaller lease had no room for, for its leader
  * @grants: of the leader
  */
 struct fw_team_share {
@@ -72,19 +73,19 @@
     uint64_t version;
     int64_t rate;
     int64_t burst;
-    int gone;
-    struct fw_bucket own;
+    int removed;
+    struct fw_bucket unleased;
     struct fw_bucket leased;
-    int64_t owed;
-    int64_t asked;
-    int asks;
-    int64_t want;
-    int64_t cut;
-    int scaled; /* cut here after the team's rate was lowered */
-    int64_t empty_until_us;
-    int64_t empty_tokens;
-    uint64_t led;
-    uint64_t fit_version;
+    int64_t unreturned;
+    int64_t demand_tokens;
+    int demand_requests;
+    int64_t wanted_rate;
+    int64_t excess;
+    int scaled_down; /* cut here after the team's rate was lowered */
+    int64_t exhausted_until_us;
+    int64_t exhausted_tokens;
+    uint64_t ledger;
+    uint64_t fitted_version;
     GArray *grants; /* struct fw_lease_grant */
 };
 
@@ -93,7 +94,7 @@
  * @last_seq: older questions are void, also when they arrive late
  * @confirmed_seq: the last answer that it surely took in
  * @offered_seq: the last answer sent, taken in or not
- * @until_us: by then all it holds has lapsed, whatever its clock
+ * @expires_us: by then all it holds has lapsed, whatever its clock
  */
 struct fw_holder {
     char name[FW_NAME_MAX];
@@ -101,50 +102,53 @@
     uint64_t last_seq;
     uint64_t confirmed_seq;
     uint64_t offered_seq;
-    int64_t until_us;
-    int follows;
+    int64_t expires_us;
+    int is_follower;
 };
 
 /**
  * struct fw_limit_partition - one partition of the teams.
- * As a holder: @seq of the last question, sent at @sent_us to @asked and
- * @waiting for its answer; @have is the last answer taken in, of ledger
- * @fence; leases are usable until @until_us. As a leader: @ledger names the
- * ledger, which goes over to a successor; 0 for none; @led_us since when;
- * @loaded when all its teams were seen;
+ * As a holder: @renew_seq of the last question, sent at @renew_sent_us to
+ * @demand_tokens and
+ * @renew_pending for its answer; @lease_seq is the last answer taken in, of
+ * ledger
+ * @lease_ledger; leases are usable until @expires_us. As a leader: @ledger
+ * names the ledger, which goes over to a successor; 0 for none;
+ * @ledger_since_us since when;
+ * @teams_loaded when all its teams were seen;
  * @tenure of the role, see Fw_Roles_Tenure;
- * @own_until: own buckets are usable until then.
- * Taking over: @pull_seq is the question to the last leader @heir_from;
- * @heir_of its tenure once its ledger was received.
- * Leaving: @leaving; @pulled by whom it was handed over; @handed_until as
- * own_until was.
+ * @unleased_until_us: own buckets are usable until then.
+ * Taking over: @handover_seq is the question to the last leader @predecessor;
+ * @predecessor_tenure its tenure once its ledger was received.
+ * Leaving: @leaving; @successor by whom it was handed over; @handed_until_us
+ * as unleased_until_us was.
  */
 struct fw_limit_partition {
-    uint64_t seq;
-    int waiting;
-    int64_t sent_us;
-    int64_t next_us;
-    int follows; /* as last said */
-    uint64_t have;
-    uint64_t fence;
-    int64_t until_us;
-    char asked[FW_NAME_MAX];
+    uint64_t renew_seq;
+    int renew_pending;
+    int64_t renew_sent_us;
+    int64_t next_renew_us;
+    int reported_follower; /* as last said */
+    uint64_t lease_seq;
+    uint64_t lease_ledger;
+    int64_t lease_until_us;
+    char renew_leader[FW_NAME_MAX];
     GPtrArray *shares; /* of its teams, borrowed */
     uint64_t ledger;
     uint64_t tenure;
-    int first;
-    int loaded;
-    int64_t led_us;
-    int64_t own_until;
+    int is_first;
+    int teams_loaded;
+    int64_t ledger_since_us;
+    int64_t unleased_until_us;
     GArray *holders; /* struct fw_holder */
-    uint64_t pull_seq;
-    int64_t pull_us;
-    char heir_from[FW_NAME_MAX];
-    uint64_t heir_of;
+    uint64_t handover_seq;
+    int64_t handover_sent_us;
+    char predecessor[FW_NAME_MAX];
+    uint64_t predecessor_tenure;
     int leaving;
-    int64_t offer_us;
-    char pulled[FW_NAME_MAX];
-    int64_t handed_until;
+    int64_t next_offer_us;
+    char successor[FW_NAME_MAX];
+    int64_t handed_until_us;
 };
 
 /** struct fw_peer_request - one peer asked; @answered: its tokens are counted.
@@ -152,14 +156,14 @@
 struct fw_peer_request {
     char peer[FW_NAME_MAX];
     uint64_t seq;
-    int64_t got;
+    int64_t tokens;
     int answered;
 };
 
 /**
  * struct fw_token_request - a question of this instance's own requests.
  * @collected: tokens put together so far, those from here included
- * @leased, @own: of them, taken from the buckets here
+ * @leased, @unleased: of them, taken from the buckets here
  * @done: answered; kept for a while to return what comes late
 
  */
@@ -169,23 +173,23 @@
     int64_t tokens;
     int64_t collected;
     int64_t leased;
-    int64_t own;
-    int64_t start_us;
-    int64_t first_us;
-    int64_t hop_us;
-    int n_hops;
-    struct fw_peer_request hops[FW_PEER_REQUESTS_MAX];
+    int64_t unleased;
+    int64_t started_us;
+    int64_t first_sent_us;
+    int64_t last_sent_us;
+    int n_peers;
+    struct fw_peer_request peers[FW_PEER_REQUESTS_MAX];
     int done;
-    int forgotten;
+    int cancelled;
 
-    int64_t drop_us;
+    int64_t free_us;
     struct fw_list link;
 };
 
 /** struct fw_token_split - tokens from each bucket. */
 struct fw_token_split {
     int64_t leased;
-    int64_t own;
+    int64_t unleased;
 };
 
 /** struct fw_peer_grant - tokens granted to a peer within FW_RESERVATION_US.
@@ -194,8 +198,8 @@
     char peer[FW_NAME_MAX];
     uint64_t seq;
     char team[FW_NAME_MAX];
-    struct fw_token_split taken;
-    int64_t at_us;
+    struct fw_token_split split;
+    int64_t granted_us;
 };
 
 /** struct fw_return_sender - returns of one peer process seen so far. */
@@ -210,25 +214,25 @@
     const struct fw_roles *roles;
     GRand *rand;
     GHashTable *shares; /* team to struct fw_team_share */
-    int n_parts;
-    struct fw_limit_partition *parts;
-    struct fw_list asks;
-    GQueue answers;
-    GQueue granted;      /* struct fw_peer_grant, the oldest first */
+    int n_partitions;
+    struct fw_limit_partition *partitions;
+    struct fw_list requests;
+    GQueue results;
+    GQueue peer_grants;  /* struct fw_peer_grant, the oldest first */
     GHashTable *senders; /* peer to struct fw_return_sender */
     uint64_t seq;
     uint64_t cfg_offset;
-    int has_cfg;
-    int64_t renew_us;
-    int64_t flush_us;
-    int64_t term_us; /* life of a lease */
+    int cfg_applied;
+    int64_t next_demand_us;
+    int64_t next_return_us;
+    int64_t lease_us; /* life of a lease */
     int draining;
-    struct fw_metric n_asks;
+    struct fw_metric n_requests;
     struct fw_metric n_granted;
     struct fw_metric n_refused;
     struct fw_metric n_unreachable;
-    struct fw_metric n_leases;
-    struct fw_metric n_stale;
+    struct fw_metric n_leased;
+    struct fw_metric n_unled;
     struct fw_metric n_sent;
     struct fw_metric n_returned;
 };
@@ -329,8 +333,8 @@
 Fw_Handover_OnHandover(struct fw_limit *l, const char *from,
                        const struct fw_limit_msg *msg, int64_t now_us);
 
-/* Questions for tokens and returns; @asked: of a question that failed, its
- * number, 0 for a request that ended. */
+/* Questions for tokens and returns; @demand_tokens: of a question that failed,
+ * its number, 0 for a request that ended. */
 void
 Fw_TokenRequest_Tick(struct fw_limit *l, int64_t now_us,
                      struct fw_actions *out);
--- a/tests/fleet/play.c
+++ b/tests/fleet/play.c
@@ -15,17 +15,17 @@
 
 struct script_run {
     struct fw_run run;
-    struct fw_fleet_env w;
-    struct fw_limit_check c;
+    struct fw_fleet_env env;
+    struct fw_limit_check checker;
     GString *out;
     const char *word[WORDS];
-    int n;
+    int n_words;
 };
 
 static int
 number(const struct script_run *s, int i)
 {
-    ck_assert_msg(i < s->n, "%s lacks a word", s->word[0]);
+    ck_assert_msg(i < s->n_words, "%s lacks a word", s->word[0]);
     return (int)strtol(s->word[i], NULL, 10);
 }
 
@@ -35,14 +35,14 @@
     int k = number(s, i) - 1;
 
     ck_assert_int_ge(k, 0);
-    ck_assert_int_lt(k, s->w.n);
+    ck_assert_int_lt(k, s->env.n);
     return k;
 }
 
 static int
 team(const struct script_run *s, int i)
 {
-    return strcmp(s->word[i], s->c.accounts[0].team.name) == 0 ? 0 : 1;
+    return strcmp(s->word[i], s->checker.accounts[0].team.name) == 0 ? 0 : 1;
 }
 
 static void
@@ -52,10 +52,10 @@
     int i = site(s, 1);
 
     g_string_append_printf(s->out, "n%d:", i + 1);
-    for (int j = 0; j < s->w.n; j++) {
-        const struct fw_self *self = &s->w.sites[j].self;
+    for (int j = 0; j < s->env.n; j++) {
+        const struct fw_self *self = &s->env.sites[j].self;
         const struct fw_member *m =
-            Fw_Fleet_Find(s->w.sites[i].fleet, self->name);
+            Fw_Fleet_Find(s->env.sites[i].fleet, self->name);
         g_string_append_printf(s->out, " %s %s", self->name,
                                m ? names[m->state] : "unknown");
         if (m && m->state != FW_MEMBER_DEAD && m->boot != self->boot) {
@@ -69,13 +69,13 @@
 print_role(struct script_run *s)
 {
     g_string_append(s->out, "role:");
-    for (int i = 0; i < s->w.n; i++) {
+    for (int i = 0; i < s->env.n; i++) {
         int rc;
-        if (!Fw_FleetEnv_Runs(&s->w, i)) {
+        if (!Fw_FleetEnv_Runs(&s->env, i)) {
             continue;
         }
-        rc = Fw_Roles_MayAct(s->w.sites[i].roles, FW_ROLE_BUDGET, 0,
-                             Fw_FleetEnv_Local(&s->w, i), NULL);
+        rc = Fw_Roles_MayAct(s->env.sites[i].roles, FW_ROLE_BUDGET, 0,
+                             Fw_FleetEnv_Local(&s->env, i), NULL);
         if (rc == 0 || rc == -EAGAIN || rc == -ESTALE) {
             g_string_append_printf(s->out, " n%d %s", i + 1,
                                    rc == 0         ? "acts"
@@ -89,15 +89,16 @@
 static void
 ask(struct script_run *s)
 {
-    struct fw_account *a = &s->c.accounts[team(s, 2)];
+    struct fw_account *a = &s->checker.accounts[team(s, 2)];
     int granted = a->granted;
     int refused = a->refused;
-    int64_t begun = s->w.real_us;
+    int64_t begun = s->env.real_us;
 
-    Fw_LimitCheck_Ask(&s->c, &s->w, site(s, 1), team(s, 2), number(s, 3));
+    Fw_LimitCheck_Ask(&s->checker, &s->env, site(s, 1), team(s, 2),
+                      number(s, 3));
     while (a->granted == granted && a->refused == refused &&
-           s->w.real_us < begun + ANSWER_US) {
-        Fw_FleetEnv_Advance(&s->w, FW_MSEC);
+           s->env.real_us < begun + ANSWER_US) {
+        Fw_FleetEnv_Advance(&s->env, FW_MSEC);
     }
     g_string_append_printf(s->out, "%s %s %s", s->word[1], s->word[2],
                            s->word[3]);
@@ -106,7 +107,7 @@
     }
     else if (a->refused > refused) {
         g_string_append_printf(s->out, " refused, retry after %.1f s\n",
-                               (double)s->c.retry_us / FW_SEC);
+                               (double)s->checker.retry_us / FW_SEC);
     }
     else {
         g_string_append(s->out, " unanswered\n");
@@ -116,8 +117,8 @@
 static void
 change_rate(struct script_run *s)
 {
-    struct fw_team *t = &s->c.accounts[team(s, 1)].team;
-    struct fw_config *cfg = (struct fw_config *)s->w.cfg;
+    struct fw_team *t = &s->checker.accounts[team(s, 1)].team;
+    struct fw_config *cfg = (struct fw_config *)s->env.cfg;
 
     t->rate = number(s, 2);
     t->burst = number(s, 3);
@@ -131,19 +132,19 @@
     const char *c = s->word[0];
 
     if (strcmp(c, "start") == 0) {
-        Fw_FleetEnv_Start(&s->w, site(s, 1));
+        Fw_FleetEnv_Start(&s->env, site(s, 1));
     }
     else if (strcmp(c, "kill") == 0) {
-        Fw_FleetEnv_Kill(&s->w, site(s, 1));
+        Fw_FleetEnv_Kill(&s->env, site(s, 1));
     }
     else if (strcmp(c, "drain") == 0) {
-        Fw_FleetEnv_Drain(&s->w, site(s, 1));
+        Fw_FleetEnv_Drain(&s->env, site(s, 1));
     }
     else if (strcmp(c, "pause") == 0) {
-        Fw_FleetEnv_Pause(&s->w, site(s, 1), number(s, 2) * FW_MSEC);
+        Fw_FleetEnv_Pause(&s->env, site(s, 1), number(s, 2) * FW_MSEC);
     }
     else if (strcmp(c, "cut") == 0 || strcmp(c, "join") == 0) {
-        Fw_FleetEnv_Cut(&s->w, site(s, 1), site(s, 2), c[0] == 'c');
+        Fw_FleetEnv_Cut(&s->env, site(s, 1), site(s, 2), c[0] == 'c');
     }
     else {
         return 0;
@@ -157,19 +158,19 @@
     const char *c = s->word[0];
 
     if (strcmp(c, "log") == 0) {
-        s->w.log_down = strcmp(s->word[1], "down") == 0;
+        s->env.log_down = strcmp(s->word[1], "down") == 0;
     }
     else if (strcmp(c, "lose") == 0) {
-        s->w.lose_pct = number(s, 1);
+        s->env.lose_pct = number(s, 1);
     }
     else if (strcmp(c, "double") == 0) {
-        s->w.double_pct = number(s, 1);
+        s->env.double_pct = number(s, 1);
     }
     else if (strcmp(c, "record") == 0) {
-        g_ptr_array_add(s->w.records, g_strdup(s->word[1]));
+        g_ptr_array_add(s->env.records, g_strdup(s->word[1]));
     }
     else if (strcmp(c, "run") == 0) {
-        Fw_FleetEnv_Advance(&s->w, number(s, 1) * FW_MSEC);
+        Fw_FleetEnv_Advance(&s->env, number(s, 1) * FW_MSEC);
     }
     else {
         return 0;
@@ -183,12 +184,12 @@
     char *save = NULL;
     const char *c;
 
-    s->n = 0;
-    for (char *w = strtok_r(line, " ", &save); w && s->n < WORDS;
+    s->n_words = 0;
+    for (char *w = strtok_r(line, " ", &save); w && s->n_words < WORDS;
          w = strtok_r(NULL, " ", &save)) {
-        s->word[s->n++] = w;
+        s->word[s->n_words++] = w;
     }
-    if (s->n == 0 || life_command(s) || world_command(s)) {
+    if (s->n_words == 0 || life_command(s) || world_command(s)) {
         return;
     }
     c = s->word[0];
@@ -202,7 +203,7 @@
         ask(s);
     }
     else if (strcmp(c, "refund") == 0) {
-        Fw_LimitCheck_RefundNow(&s->c, &s->w, site(s, 1), team(s, 2),
+        Fw_LimitCheck_RefundNow(&s->checker, &s->env, site(s, 1), team(s, 2),
                                 number(s, 3));
     }
     else if (strcmp(c, "rate") == 0) {
@@ -223,9 +224,9 @@
     char *script = g_strdup(p->script);
     char *save = NULL;
 
-    Fw_FleetEnv_Init(&s.w, &s.run, p->sites);
-    Fw_LimitCheck_Init(&s.c, &s.w, TERM_US);
-    s.c.strict = 1;
+    Fw_FleetEnv_Init(&s.env, &s.run, p->sites);
+    Fw_LimitCheck_Init(&s.checker, &s.env, TERM_US);
+    s.checker.strict = 1;
     for (char *line = strtok_r(script, "\n", &save); line;
          line = strtok_r(NULL, "\n", &save)) {
         run_line(&s, line);
@@ -237,7 +238,7 @@
                                           ? s.run.trace->len - TRACE_MAX
                                           : 0));
     ck_assert_msg(!s.run.breach[0], "%s: %s", p->name, s.run.breach);
-    Fw_LimitCheck_Clear(&s.c, &s.w);
+    Fw_LimitCheck_Clear(&s.checker, &s.env);
     g_free(script);
     g_string_free(s.out, TRUE);
     g_string_free(s.run.trace, TRUE);
--- a/tests/fleet/test_fleet.c
+++ b/tests/fleet/test_fleet.c
@@ -140,9 +140,11 @@
     struct fw_limit_entry entry = {.team = "t", .rate = 3, .burst = 4};
     struct fw_msg msgs[2] = {
         {.area = FW_AREA_FLEET,
-         .u.fleet = {.kind = FW_FLEET_PING, .n = 1, .updates = &up}},
+         .u.fleet = {.kind = FW_FLEET_PING, .n_updates = 1, .updates = &up}},
         {.area = FW_AREA_LIMIT,
-         .u.limit = {.kind = FW_LIMIT_LEASE_RENEW, .n = 1, .entries = &entry}},
+         .u.limit = {.kind = FW_LIMIT_LEASE_RENEW,
+                     .n_entries = 1,
+                     .entries = &entry}},
     };
 
     for (int m = 0; m < 2; m++) {
