--- a/src/limit/ask.c
+++ b/src/limit/ask.c
@@ -1,14 +1,14 @@
 /*
- * Questions of this instance's own requests: from what is held here, else
- * from the team's leader, else from those who stand next to it, each within
- * FW_PEER_TIMEOUT_US. Parts are put together; what does not suffice goes back.
+ * Token requests of this instance: from the local buckets, else from replicas
+ * of the team's partition, one after the other, each for FW_PEER_TIMEOUT_US.
+ * Partial grants are added up; if they don't suffice they are returned.
  */
 #include <string.h>
 
 #include "limit/share.h"
 
-/* All is spent now. Who gave much of the burst is told, since it keeps the
- * place of the tokens empty until it knows. */
+/* Ends the reservations, since all tokens are spent now. Peers are told of
+ * large grants only; small ones expire there. */
 static void
 commit(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
        struct fw_actions *out)
@@ -20,11 +20,11 @@
         Fw_Bucket_Commit(&s->unleased, a->unleased, now_us);
     }
     for (int i = 0; i < a->n_peers; i++) {
-        struct fw_peer_request *hop = &a->peers[i];
-        if (s && hop->tokens > s->burst / FW_LARGE_GRANT_DIVISOR) {
-            Fw_PeerGrant_SendReturn(l, hop->peer, a->team, 0, hop->seq, out);
+        struct fw_peer_request *peer = &a->peers[i];
+        if (s && peer->tokens > s->burst / FW_LARGE_GRANT_DIVISOR) {
+            Fw_PeerGrant_SendReturn(l, peer->name, a->team, 0, peer->seq, out);
         }
-        hop->tokens = 0; /* not to be returned */
+        peer->tokens = 0; /* not to be returned */
     }
 }
 
@@ -50,9 +50,9 @@
 }
 
 /*
- * Puts back what was collected, to where it came from. Only as long as its
- * place is surely still kept there: once the bucket has refilled it, tokens
- * that come back would be more than the team's.
+ * Returns the collected tokens to where they came from. Local buckets take
+ * them back only until the reservation may have expired: their capacity is
+ * refilled then, and the team would have the tokens twice.
  */
 static void
 return_collected(struct fw_limit *l, struct fw_token_request *a,
@@ -68,7 +68,7 @@
     a->unleased = 0;
     for (int i = 0; i < a->n_peers; i++) {
         if (a->peers[i].tokens > 0) {
-            Fw_PeerGrant_SendReturn(l, a->peers[i].peer, a->team,
+            Fw_PeerGrant_SendReturn(l, a->peers[i].name, a->team,
                                     a->peers[i].tokens, a->peers[i].seq, out);
         }
         a->peers[i].tokens = 0;
@@ -89,7 +89,7 @@
     }
     l->n_unreachable.value += silent;
     if (s && s->rate > 0) {
-        /* When the whole fleet will have refilled what is missing. */
+        /* Time in which the region refills the missing tokens. */
         double wait = (double)missing / (double)s->rate * (double)FW_SEC;
         retry = (int64_t)CLAMP(wait, (double)FW_MSEC, 3600.0 * FW_SEC);
     }
@@ -105,22 +105,22 @@
 was_contacted(const struct fw_token_request *a, const char *name)
 {
     for (int i = 0; i < a->n_peers; i++) {
-        if (strcmp(a->peers[i].peer, name) == 0) {
+        if (strcmp(a->peers[i].name, name) == 0) {
             return 1;
         }
     }
     return 0;
 }
 
-/* Those that hold the team's tokens, from another one on each time, so that
- * all are used alike; NULL when nobody is left to ask. */
+/* Return: a replica not asked yet, NULL when there is none. The ticket decides
+ * the first one, which spreads the load over the replicas. */
 static const struct fw_member *
 next_peer(const struct fw_limit *l, const struct fw_token_request *a,
           int partition)
 {
     for (int i = 0; i <= FW_FOLLOWERS_MAX; i++) {
-        int place = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
-        const struct fw_member *m = Fw_Limit_Replica(l, partition, place);
+        int index = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
+        const struct fw_member *m = Fw_Limit_Replica(l, partition, index);
         if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_contacted(a, m->name)) {
             return m;
         }
@@ -143,26 +143,26 @@
                                     ? next_peer(l, a, s->partition)
                                     : NULL;
     struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_REQUEST};
-    struct fw_peer_request *hop;
+    struct fw_peer_request *peer;
 
     if (!m || (a->first_sent_us &&
                now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US)) {
         reject(l, a, now_us, out);
         return;
     }
-    hop = &a->peers[a->n_peers++];
-    g_strlcpy(hop->peer, m->name, sizeof(hop->peer));
-    hop->seq = ++l->seq;
+    peer = &a->peers[a->n_peers++];
+    g_strlcpy(peer->name, m->name, sizeof(peer->name));
+    peer->seq = ++l->seq;
     a->first_sent_us = a->first_sent_us ? a->first_sent_us : now_us;
     a->last_sent_us = now_us;
-    msg.seq = hop->seq;
+    msg.seq = peer->seq;
     msg.tokens = a->tokens - a->collected;
     g_strlcpy(msg.team, a->team, sizeof(msg.team));
     Fw_Limit_Send(l, m->name, &msg, out);
     Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
 }
 
-/* From here, if that makes it whole. */
+/* Grants the request if local tokens make up what is missing. */
 static int
 try_local(struct fw_limit *l, struct fw_team_share *s,
           struct fw_token_request *a, int64_t now_us, struct fw_actions *out)
@@ -179,7 +179,7 @@
     return 0;
 }
 
-/* What there is here, kept as in flight until others have answered. */
+/* Reserves the local tokens while peers are asked for the rest. */
 static void
 reserve_local(struct fw_limit *l, struct fw_team_share *s,
               struct fw_token_request *a, int64_t now_us)
@@ -211,7 +211,7 @@
         if (!has_leader(l, s->partition) &&
             now_us < a->started_us + FW_LEADER_WAIT_US) {
             Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
-            return; /* a fleet that has just started */
+            return; /* no leader yet after a start of the fleet */
         }
         reserve_local(l, s, a, now_us);
         request_next_peer(l, a, now_us, out);
@@ -240,11 +240,11 @@
     g_strlcpy(a->team, team->name, sizeof(a->team));
     Fw_List_Append(&l->requests, &a->link);
     if (a->tokens > s->burst) {
-        finish(l, a, 0, 0, now_us, out); /* can never pass: no use to wait */
+        finish(l, a, 0, 0, now_us, out); /* can never be granted */
         return;
     }
     if (now_us < s->exhausted_until_us && a->tokens >= s->exhausted_tokens) {
-        /* The fleet was just found empty; only what is here can help. */
+        /* Peers had too few tokens just now; only local ones can suffice. */
         if (!try_local(l, s, a, now_us, out)) {
             reject(l, a, now_us, out);
         }
@@ -271,7 +271,6 @@
         else if (!a->done) {
             advance(l, a, now_us, out);
         }
-
         else if (now_us >= a->free_us) {
             Fw_List_Remove(&a->link);
             g_free(a);
@@ -280,7 +279,7 @@
 }
 
 static struct fw_token_request *
-find_request(struct fw_limit *l, uint64_t seq, struct fw_peer_request **hop)
+find_request(struct fw_limit *l, uint64_t seq, struct fw_peer_request **peer)
 {
     struct fw_list *pos;
 
@@ -289,7 +288,7 @@
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
         for (int i = 0; i < a->n_peers; i++) {
             if (a->peers[i].seq == seq) {
-                *hop = &a->peers[i];
+                *peer = &a->peers[i];
                 return a;
             }
         }
@@ -302,24 +301,24 @@
                         const struct fw_limit_msg *msg, int64_t now_us,
                         struct fw_actions *out)
 {
-    struct fw_peer_request *hop = NULL;
-    struct fw_token_request *a = find_request(l, msg->seq, &hop);
+    struct fw_peer_request *peer = NULL;
+    struct fw_token_request *a = find_request(l, msg->seq, &peer);
     struct fw_team_share *s;
 
-    if (!a || hop->answered || strcmp(hop->peer, from) != 0) {
-        return; /* a double, or so late that the tokens are given up */
+    if (!a || peer->answered || strcmp(peer->name, from) != 0) {
+        return; /* duplicate, or later than FW_LATE_GRANT_US */
     }
-    hop->answered = 1;
+    peer->answered = 1;
     if (a->done || now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US) {
-        /* Too late to be spent: the grantor refills their place by now. */
+        /* Too late to be spent before the peer's reservation expires. */
         if (msg->tokens > 0) {
-            Fw_PeerGrant_SendReturn(l, from, a->team, msg->tokens, hop->seq,
+            Fw_PeerGrant_SendReturn(l, from, a->team, msg->tokens, peer->seq,
                                     out);
         }
         return;
     }
-    hop->tokens = MIN(msg->tokens, a->tokens - a->collected);
-    a->collected += hop->tokens;
+    peer->tokens = MIN(msg->tokens, a->tokens - a->collected);
+    a->collected += peer->tokens;
     s = Fw_TeamShare_Find(l, a->team);
     if (s && try_local(l, s, a, now_us, out)) {
         return;
--- a/src/limit/bucket.c
+++ b/src/limit/bucket.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-#define LONGEST_US (3600 * FW_SEC) /* keeps rate times time within range */
+#define REFILL_MAX_US (3600 * FW_SEC) /* bounds rate * time within int64 */
 
 static int64_t
 max_level(const struct fw_bucket *b)
@@ -13,13 +13,14 @@
 static void
 add_tokens(struct fw_bucket *b, int64_t to_us)
 {
-    int64_t dt = CLAMP(to_us - b->at_us, 0, LONGEST_US);
+    int64_t dt = CLAMP(to_us - b->at_us, 0, REFILL_MAX_US);
 
     b->at_us = MAX(b->at_us, to_us);
     b->level = MIN(b->level + b->rate * dt, max_level(b));
 }
 
-/* In pieces: until tokens in flight have landed, their place stays empty. */
+/* Refills window by window, as the capacity grows when a window's
+ * reservations expire. */
 void
 Fw_Bucket_Refill(struct fw_bucket *b, int64_t now_us)
 {
@@ -47,14 +48,15 @@
 }
 
 int64_t
-Fw_Bucket_Take(struct fw_bucket *b, int64_t tokens, int flight, int64_t now_us)
+Fw_Bucket_Take(struct fw_bucket *b, int64_t tokens, int reserve,
+               int64_t now_us)
 {
     int64_t n;
 
     Fw_Bucket_Refill(b, now_us);
     n = CLAMP(tokens, 0, b->level / FW_MICROTOKENS);
     b->level -= n * FW_MICROTOKENS;
-    if (flight) {
+    if (reserve) {
         b->reserved[0] += n;
     }
     return n;
--- a/src/limit/bucket.h
+++ b/src/limit/bucket.h
@@ -1,4 +1,5 @@
-/* Token buckets that can be parted; tokens in flight keep their place. */
+/* Token buckets in which tokens granted to a peer stay reserved for a while.
+ */
 #ifndef FW_LIMIT_BUCKET_H
 #define FW_LIMIT_BUCKET_H
 
@@ -6,21 +7,23 @@
 
 #include "base/limits.h"
 
-#define FW_MICROTOKENS 1000000LL
+#define FW_MICROTOKENS 1000000LL /* in one token */
 
 /*
- * Tokens granted to a peer are spent there within FW_RESERVATION_US or not at
- * all; meanwhile the bucket must not refill their place, or the team could
- * have them and a full bucket at once.
+ * A peer spends the tokens granted to it within FW_RESERVATION_US or not at
+ * all. The bucket doesn't refill their capacity meanwhile, else the team could
+ * spend them on top of a full bucket.
  */
 #define FW_RESERVATION_US (600 * FW_MSEC)
 
 /**
- * struct fw_bucket - part of a team's rate and burst, spent here.
- * @rate: tokens a second
+ * struct fw_bucket - token bucket for part of a team's rate and burst.
+ * @rate: tokens per second
  * @burst: tokens
- * @level: micro-tokens, as of @at_us
- * @reserved: tokens granted to peers in this and the last FW_RESERVATION_US
+ * @level: micro-tokens at @at_us
+ * @reserved: tokens reserved in the current and the previous window of
+ *            FW_RESERVATION_US; neither available nor refilled
+ * @window_us: start of the current window
  */
 struct fw_bucket {
     int64_t rate;
@@ -31,25 +34,27 @@
     int64_t window_us;
 };
 
-/* Brings the level up to date. */
+/* Refills the bucket up to @now_us and ends reservations that expired. */
 void
 Fw_Bucket_Refill(struct fw_bucket *b, int64_t now_us);
-/* Changes the size; the level is cut to it. */
+/* Sets rate and burst; a level above the new burst is cut. */
 void
 Fw_Bucket_Resize(struct fw_bucket *b, int64_t rate, int64_t burst,
                  int64_t now_us);
-/* Takes up to @tokens; @reserved: for a peer. Return: tokens taken. */
+/* Takes up to @tokens, kept reserved if @reserve is nonzero. Return: tokens
+ * taken. */
 int64_t
-Fw_Bucket_Take(struct fw_bucket *b, int64_t tokens, int flight,
+Fw_Bucket_Take(struct fw_bucket *b, int64_t tokens, int reserve,
                int64_t now_us);
-/* Puts up to @micro back or in. Return: what found room. */
+/* Adds up to @micro micro-tokens. Return: micro-tokens that fitted. */
 int64_t
 Fw_Bucket_Put(struct fw_bucket *b, int64_t micro, int64_t now_us);
 
-/* Up to @tokens have landed: spent, so that their place may refill. */
+/* Ends the reservation of up to @tokens that were spent; their capacity
+ * refills from now on. */
 void
 Fw_Bucket_Commit(struct fw_bucket *b, int64_t tokens, int64_t now_us);
-/* Takes up to @tokens out of flight and puts them back. */
+/* Ends the reservation of @tokens that were not spent and puts them back. */
 void
 Fw_Bucket_Cancel(struct fw_bucket *b, int64_t tokens, int64_t now_us);
 
--- a/src/limit/handover.c
+++ b/src/limit/handover.c
@@ -1,13 +1,14 @@
 /*
- * A leaving leader's handover. It bids its successor to ask, and answers
- * once: the life of what is handed over counts from that question, so that
- * an answer held up in the network is not alive for longer than its ledger.
+ * Handover of the ledger from a draining leader to its successor. The leader
+ * offers it, the successor requests it, and the leader answers. The remaining
+ * time in the answer counts from the request, so that a delayed answer doesn't
+ * prolong the use of the unleased tokens.
  */
 #include <string.h>
 
 #include "limit/share.h"
 
-#define OFFER_US (150 * FW_MSEC)
+#define OFFER_INTERVAL_US (150 * FW_MSEC)
 
 static void
 send_offer(struct fw_limit *l, int partition, struct fw_actions *out)
@@ -31,7 +32,7 @@
             continue;
         }
         if (now_us >= p->next_offer_us) {
-            p->next_offer_us = now_us + OFFER_US;
+            p->next_offer_us = now_us + OFFER_INTERVAL_US;
             send_offer(l, i, out);
         }
         Fw_Actions_Wake(out, p->next_offer_us);
@@ -44,18 +45,18 @@
                     struct fw_actions *out)
 {
     struct fw_limit_partition *p = &l->partitions[msg->partition];
-    struct fw_limit_msg pull = {.kind = FW_LIMIT_HANDOVER_REQUEST,
-                                .partition = msg->partition,
-                                .seq = ++l->seq};
+    struct fw_limit_msg request = {.kind = FW_LIMIT_HANDOVER_REQUEST,
+                                   .partition = msg->partition,
+                                   .seq = ++l->seq};
 
     Fw_Ledger_Refresh(l, msg->partition, now_us);
     if (p->ledger || l->draining) {
         return;
     }
-    p->handover_seq = pull.seq;
+    p->handover_seq = request.seq;
     p->handover_sent_us = now_us;
     g_strlcpy(p->predecessor, from, sizeof(p->predecessor));
-    Fw_Limit_Send(l, from, &pull, out);
+    Fw_Limit_Send(l, from, &request, out);
 }
 
 static void
@@ -101,12 +102,12 @@
 }
 
 void
-Fw_Handover_OnPull(struct fw_limit *l, const char *from,
-                   const struct fw_limit_msg *msg, int64_t now_us,
-                   struct fw_actions *out)
+Fw_Handover_OnRequest(struct fw_limit *l, const char *from,
+                      const struct fw_limit_msg *msg, int64_t now_us,
+                      struct fw_actions *out)
 {
     struct fw_limit_partition *p = &l->partitions[msg->partition];
-    struct fw_limit_msg back = {.kind = FW_LIMIT_HANDOVER, .seq = msg->seq};
+    struct fw_limit_msg answer = {.kind = FW_LIMIT_HANDOVER, .seq = msg->seq};
 
     if (!p->leaving || !p->ledger ||
         (p->successor[0] && strcmp(p->successor, from) != 0) ||
@@ -115,25 +116,26 @@
         return;
     }
     if (!p->successor[0]) {
-        /* From here on nothing of it is used here, nor renewed. */
+        /* From now on this instance neither spends unleased tokens nor grants
+         * leases. */
         g_strlcpy(p->successor, from, sizeof(p->successor));
         p->handed_until_us = p->unleased_until_us;
         p->unleased_until_us = 0;
     }
-    back.partition = msg->partition;
-    back.fence = p->ledger;
-    back.acked_seq = p->tenure;
-    back.expires_in_us = MAX(p->handed_until_us - now_us, 0);
-    back.entries = g_new0(struct fw_limit_entry, p->shares->len);
+    answer.partition = msg->partition;
+    answer.fence = p->ledger;
+    answer.acked_seq = p->tenure;
+    answer.expires_in_us = MAX(p->handed_until_us - now_us, 0);
+    answer.entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         if (s->ledger == p->ledger) {
             Fw_Bucket_Refill(&s->unleased, now_us);
-            fill_entry(s, &back.entries[back.n_entries++]);
+            fill_entry(s, &answer.entries[answer.n_entries++]);
         }
     }
-    fill_holders(p, &back, now_us);
-    Fw_Limit_Send(l, from, &back, out);
+    fill_holders(p, &answer, now_us);
+    Fw_Limit_Send(l, from, &answer, out);
 }
 
 static void
@@ -181,7 +183,7 @@
     Fw_Bucket_Put(&s->unleased, e->level, now_us);
 }
 
-/* What this instance itself held of the ledger goes into its own buckets. */
+/* Moves this instance's own leases of the ledger to the unleased buckets. */
 static void
 absorb_own_lease(struct fw_limit *l, struct fw_limit_partition *p,
                  int64_t now_us)
@@ -237,8 +239,8 @@
     p->unleased_until_us = p->handover_sent_us + msg->expires_in_us;
     load_holders(p, msg, now_us);
     for (int i = 0; i < msg->n_entries; i++) {
-        /* Also a team that is not known here yet: what is given out of it
-         * must count when the configuration arrives. */
+        /* Teams that aren't configured here yet are added too, since their
+         * leases must count once the configuration arrives. */
         struct fw_team_share *s =
             Fw_TeamShare_FindOrAdd(l, msg->entries[i].team, now_us);
         if (s->partition == msg->partition) {
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -1,15 +1,15 @@
 /*
- * The holder's side: asks the leader of a partition for leases where this
- * instance has enough to do, or would be the one to follow the leader.
+ * Leases, on the holder. An instance renews its leases of a partition with the
+ * leader if its own demand is high enough or if it is a follower.
  */
 #include <string.h>
 
 #include "base/fault.h"
 #include "limit/share.h"
 
-#define RETRY_US (3 * FW_SEC)
+#define RETRY_DELAY_MAX_US (3 * FW_SEC)
 
-/* The rate that a lease should have, from what was asked of late. */
+/* Sets the wanted rates from the demand of the last renewal interval. */
 static void
 measure_demand(struct fw_limit *l)
 {
@@ -33,12 +33,12 @@
 }
 
 const struct fw_member *
-Fw_Limit_Replica(const struct fw_limit *l, int partition, int place)
+Fw_Limit_Replica(const struct fw_limit *l, int partition, int index)
 {
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
     uint64_t key = Fw_Roles_Key(FW_ROLE_BUDGET, partition);
 
-    if (place == 0) {
+    if (index == 0) {
         const struct fw_member *m =
             leader ? Fw_Fleet_Find(l->fleet, leader) : NULL;
         return m && m->state != FW_MEMBER_DEAD ? m : NULL;
@@ -49,7 +49,7 @@
             return NULL;
         }
         seen += !leader || strcmp(m->name, leader) != 0;
-        if (seen == place) {
+        if (seen == index) {
             return m;
         }
     }
@@ -58,8 +58,8 @@
 static int
 is_follower(const struct fw_limit *l, int partition)
 {
-    for (int place = 1; place <= FW_FOLLOWERS_MAX; place++) {
-        const struct fw_member *m = Fw_Limit_Replica(l, partition, place);
+    for (int i = 1; i <= FW_FOLLOWERS_MAX; i++) {
+        const struct fw_member *m = Fw_Limit_Replica(l, partition, i);
         if (m && Fw_Fleet_IsSelf(l->fleet, m)) {
             return 1;
         }
@@ -81,7 +81,7 @@
     }
 }
 
-/* Fills the question. Return: nonzero when there is anything to ask. */
+/* Return: nonzero when there is a lease to renew, request or give back. */
 static int
 fill_renew(const struct fw_limit *l, const struct fw_limit_partition *p,
            int follows, struct fw_limit_msg *msg)
@@ -119,7 +119,8 @@
     drop_expired_lease(p, now_us);
     if (p->renew_pending && now_us >= p->renew_sent_us + FW_RENEW_TIMEOUT_US) {
         p->renew_pending = 0;
-        p->next_renew_us = now_us + g_rand_int_range(l->rand, 0, RETRY_US);
+        p->next_renew_us =
+            now_us + g_rand_int_range(l->rand, 0, RETRY_DELAY_MAX_US);
     }
     if (p->renew_pending || now_us < p->next_renew_us || l->draining ||
         !leader || strcmp(leader, l->self.name) == 0) {
@@ -141,20 +142,22 @@
     Fw_Limit_Send(l, leader, &msg, out);
 }
 
-/* Unused tokens that found no room here go to the places, by turns; many at
- * once to all of them, as each has room for its part only. */
+/* Returns unused tokens to the replicas in rotation; a large amount is spread
+ * over all of them, as each has capacity for its part only. */
 static void
 send_returns(struct fw_limit *l, struct fw_team_share *s,
              struct fw_actions *out)
 {
-    int many = s->unreturned > s->burst / FW_LARGE_GRANT_DIVISOR;
-    int places = FW_FOLLOWERS_MAX + 1;
+    int is_large = s->unreturned > s->burst / FW_LARGE_GRANT_DIVISOR;
+    int n_replicas = FW_FOLLOWERS_MAX + 1;
     uint64_t first = l->seq;
 
-    for (int i = 0; i < places && s->unreturned > 0; i++) {
-        int64_t part = many ? s->unreturned / (places - i) : s->unreturned;
+    for (int i = 0; i < n_replicas && s->unreturned > 0; i++) {
+        int64_t part =
+            is_large ? s->unreturned / (n_replicas - i) : s->unreturned;
         const struct fw_member *m = Fw_Limit_Replica(
-            l, s->partition, (int)((first + (uint64_t)i) % (uint64_t)places));
+            l, s->partition,
+            (int)((first + (uint64_t)i) % (uint64_t)n_replicas));
         if (m && !Fw_Fleet_IsSelf(l->fleet, m)) {
             Fw_PeerGrant_SendReturn(l, m->name, s->name, part, 0, out);
             s->unreturned -= part;
@@ -180,7 +183,7 @@
     }
 }
 
-/* One that became a follower, or ceased to be, says so at once. */
+/* Renews at once when this instance became or ceased to be a follower. */
 static void
 expedite_role_change(struct fw_limit *l, int64_t now_us)
 {
@@ -210,7 +213,7 @@
     }
 }
 
-/* Nonzero when a follower has much less than its part of some team. */
+/* Nonzero when the lease of some team has less than an eighth of its rate. */
 static int
 is_below_share(const struct fw_limit_partition *p)
 {
@@ -224,22 +227,22 @@
 }
 
 void
-Fw_Lease_OnLease(struct fw_limit *l, const char *from,
-                 const struct fw_config *cfg, const struct fw_limit_msg *msg,
-                 int64_t now_us)
+Fw_Lease_OnUpdate(struct fw_limit *l, const char *from,
+                  const struct fw_config *cfg, const struct fw_limit_msg *msg,
+                  int64_t now_us)
 {
     struct fw_limit_partition *p = &l->partitions[msg->partition];
-    int smaller = 0;
+    int reduced = 0;
 
     if (!p->renew_pending || msg->seq != p->renew_seq ||
         strcmp(from, p->renew_leader) != 0) {
-        return; /* a double, or the answer to a question given up */
+        return; /* duplicate, or answer to a renewal that timed out */
     }
     drop_expired_lease(p, now_us);
     p->renew_pending = 0;
     p->lease_seq = msg->seq;
     p->lease_ledger = msg->fence;
-    /* From when it was asked: the answer may have been held up. */
+    /* From the time of the renewal, as the answer may have been delayed. */
     p->lease_until_us = p->renew_sent_us + l->lease_us;
     for (guint i = 0; i < p->shares->len; i++) {
         ((struct fw_team_share *)g_ptr_array_index(p->shares, i))->excess = 0;
@@ -256,16 +259,15 @@
         s->excess = s->leased.level;
         Fw_Bucket_Resize(&s->leased, e->rate, e->burst, now_us);
         s->excess -= s->leased.level;
-        smaller |= s->excess > 0;
+        reduced |= s->excess > 0;
         Fw_Bucket_Put(&s->leased, e->level, now_us);
         s->scaled_down = 0;
     }
-    if (smaller) {
-        p->next_renew_us =
-            now_us; /* the leader can use it once that is known */
+    if (reduced) {
+        p->next_renew_us = now_us; /* gives the excess back */
     }
     else if (p->reported_follower && is_below_share(p)) {
-        p->next_renew_us = now_us + FW_SEC; /* others have yet to give it up */
+        p->next_renew_us = now_us + FW_SEC; /* others reduce theirs first */
     }
 }
 
@@ -288,7 +290,7 @@
     msg.seq = p->renew_seq;
     msg.boot = l->self.boot;
     msg.entries = g_new0(struct fw_limit_entry, p->shares->len);
-    /* With the levels: the leader keeps their place until it has this. */
+    /* Gives the remaining tokens back with the lease. */
     for (guint i = 0;
          i < p->shares->len && msg.n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -1,11 +1,11 @@
 /*
- * The leader's side: what is given out, to whom, and what is left.
+ * The leader's ledger of leases.
  *
- * A lease is only ever granted as the answer to a question, and the holder
- * counts its life from when it sent that, so an answer that the network held
- * for minutes is void by itself. Here it counts until the same term has run
- * from the answer on, and the clocks' drift. What a holder was offered counts
- * as given until a later question shows that it was not taken in.
+ * A lease is only granted in answer to a renewal, and the holder counts its
+ * term from when it sent that, so an answer delayed in the network yields an
+ * expired lease. The leader counts the same term from its answer, plus clock
+ * drift. An offered lease counts as granted until a later renewal shows that
+ * the holder did not apply it.
  */
 #include <errno.h>
 #include <string.h>
@@ -30,8 +30,8 @@
         return 0;
     }
     if (rc == -EAGAIN && p->ledger && p->predecessor_tenure) {
-        /* The last leader stopped before it handed its ledger over, so
-         * there is nothing unknown to wait for. */
+        /* The predecessor stopped granting before it handed over its
+         * ledger, which thus lists all leases that may be in use. */
         return Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET,
                                           partition) == p->predecessor_tenure;
     }
@@ -49,8 +49,8 @@
     for (guint i = 0; i < s->grants->len; i++) {
         const struct fw_lease_grant *g =
             &g_array_index(s->grants, struct fw_lease_grant, i);
-        rate -= Fw_Lease_GivenRate(g);
-        burst -= Fw_Lease_GivenBurst(g);
+        rate -= Fw_Lease_GrantedRate(g);
+        burst -= Fw_Lease_GrantedBurst(g);
     }
     Fw_Bucket_Resize(&s->unleased, rate, burst, now_us);
 }
@@ -87,9 +87,10 @@
     p->predecessor_tenure = 0;
 }
 
-/* A new ledger: nothing that anyone gave out before is still alive. */
+/* Starts an empty ledger: all leases granted by former leaders have expired.
+ */
 static void
-begin(struct fw_limit *l, int partition, uint64_t tenure, int first,
+begin(struct fw_limit *l, int partition, uint64_t tenure, int is_first,
       int64_t now_us)
 {
     struct fw_limit_partition *p = &l->partitions[partition];
@@ -99,7 +100,7 @@
     p->ledger = tenure;
     p->ledger_since_us = now_us;
     p->teams_loaded = 0;
-    p->is_first = first;
+    p->is_first = is_first;
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         Fw_Bucket_Refill(&s->unleased, now_us);
@@ -109,8 +110,8 @@
     }
 }
 
-/* An old leader's own buckets end with the term of its last leases: by then
- * a new leader may have given the same rate to others. */
+/* Drops the ledger of a former leader once its last leases have expired. Its
+ * unleased buckets ended before, as a new leader may grant the same rate. */
 static void
 end_expired_ledger(const struct fw_limit *l, struct fw_limit_partition *p,
                    int64_t now_us)
@@ -146,19 +147,19 @@
         return;
     }
     if (p->tenure != tenure) {
-        int heir =
+        int inherited =
             p->predecessor_tenure &&
             Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET, partition) ==
                 p->predecessor_tenure;
         p->tenure = tenure;
-        if (!heir) {
+        if (!inherited) {
             begin(l, partition, tenure,
                   Fw_Roles_IsFirst(l->roles, FW_ROLE_BUDGET, partition),
                   now_us);
         }
     }
     else if (!p->ledger) {
-        /* It ended in a long outage of the log: the teams have spent. */
+        /* The ledger expired while the log was unavailable. */
         begin(l, partition, tenure, 0, now_us);
     }
     expire_holders(l, p, now_us);
@@ -183,8 +184,8 @@
     s->ledger = p->ledger;
     s->fitted_version = s->version;
     Fw_Ledger_ResizeUnleased(l, s, now_us);
-    /* Whole at once when nobody can have spent of it: no leader was ever
-     * before, or the team came while this one led with the log readable. */
+    /* Full at once only if no tokens of it can have been spent: no leader came
+     * before, or the team was added well after this ledger was started. */
     if (p->is_first || (p->teams_loaded &&
                         now_us >= p->ledger_since_us + FW_NEW_TEAM_DELAY_US)) {
         Fw_Bucket_Put(&s->unleased, s->unleased.burst * FW_MICROTOKENS,
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -1,4 +1,4 @@
-/* The table of the teams' shares, and the way in for all that happens. */
+/* Table of the teams' shares; dispatch of ticks and messages. */
 #include "limit/limit.h"
 
 #include <errno.h>
@@ -99,8 +99,8 @@
     g_free(l);
 }
 
-/* A lowered rate cuts what is held here at once, in proportion; the leader
- * cuts its ledger when the lease is next renewed. */
+/* Reduces the local buckets in proportion as soon as a team's rate or burst is
+ * lowered; the leader adjusts its ledger at the next renewal. */
 static void
 scale_down(struct fw_team_share *s, int64_t rate, int64_t burst,
            int64_t now_us)
@@ -189,25 +189,25 @@
 {
     const struct fw_limit_partition *p = &l->partitions[s->partition];
 
-    /* Checked at each use: the holder may have been paused since it got the
-     * lease, and the leader has given it to others by then. */
+    /* Checked at each use: the lease may have expired during a pause of this
+     * process and been granted to others. */
     return (p->lease_seq != 0 && now_us + margin_us < p->lease_until_us) ||
            (p->lease_seq != 0 && FW_FAULT("limit-lease-forever"));
 }
 
 struct fw_token_split
 Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                  int flight, int64_t now_us)
+                  int reserve, int64_t now_us)
 {
-    int64_t margin = flight ? FW_RESERVATION_US : 0;
+    int64_t margin = reserve ? FW_RESERVATION_US : 0;
     struct fw_token_split got = {0, 0};
 
     if (Fw_TeamShare_LeaseUsable(l, s, margin, now_us)) {
-        got.leased = Fw_Bucket_Take(&s->leased, tokens, flight, now_us);
+        got.leased = Fw_Bucket_Take(&s->leased, tokens, reserve, now_us);
     }
     if (Fw_TeamShare_UnleasedUsable(l, s, margin, now_us)) {
         got.unleased =
-            Fw_Bucket_Take(&s->unleased, tokens - got.leased, flight, now_us);
+            Fw_Bucket_Take(&s->unleased, tokens - got.leased, reserve, now_us);
     }
     return got;
 }
@@ -275,7 +275,7 @@
     }
 }
 
-/* A new leader looks at all teams once more, to begin with those of its. */
+/* A new ledger has the configuration applied again, which adds its teams. */
 static void
 refresh_partitions(struct fw_limit *l, int64_t now_us)
 {
@@ -313,7 +313,7 @@
     const struct fw_team *team = Fw_Config_Team(cfg, msg->team);
 
     if (msg->partition >= l->n_partitions) {
-        return; /* a peer with other settings */
+        return; /* the peer is configured with more partitions */
     }
     if (team) {
         Fw_TeamShare_Get(l, team, now_us);
@@ -332,13 +332,13 @@
         Fw_Ledger_OnRenew(l, from, msg, now_us, out);
         break;
     case FW_LIMIT_LEASE_UPDATE:
-        Fw_Lease_OnLease(l, from, cfg, msg, now_us);
+        Fw_Lease_OnUpdate(l, from, cfg, msg, now_us);
         break;
     case FW_LIMIT_HANDOVER_OFFER:
         Fw_Handover_OnOffer(l, from, msg, now_us, out);
         break;
     case FW_LIMIT_HANDOVER_REQUEST:
-        Fw_Handover_OnPull(l, from, msg, now_us, out);
+        Fw_Handover_OnRequest(l, from, msg, now_us, out);
         break;
     case FW_LIMIT_HANDOVER:
         Fw_Handover_OnHandover(l, from, msg, now_us);
--- a/src/limit/limit.h
+++ b/src/limit/limit.h
@@ -1,7 +1,6 @@
 /*
- * Rate and burst of the teams over the whole fleet, in tokens.
- *
- * See docs/design/budgets.md for the scheme and what was weighed.
+ * Limits each team to its rate and burst, in tokens, over the instances of a
+ * region. See docs/design/budgets.md for the design.
  */
 #ifndef FW_LIMIT_LIMIT_H
 #define FW_LIMIT_LIMIT_H
@@ -13,17 +12,24 @@
 #include "fleet/fleet.h"
 #include "fleet/role.h"
 
-/** struct fw_limit_answer - @granted or refused, with an honest wait. */
+/**
+ * struct fw_limit_result - outcome of a request for tokens.
+ * @ticket: as passed to Fw_Limit_Request
+ * @retry_after_us: of a refusal, when the region will have refilled the
+ *                  missing tokens; 0 when the request exceeds the burst and
+ *                  can never be granted
+ */
 struct fw_limit_answer {
     uint64_t ticket;
     int granted;
     int64_t retry_after_us;
 };
 
-/** struct fw_limit - the budgets as held here; see limit.c. */
+/** struct fw_limit - rate limiter of one instance. */
 struct fw_limit;
 
-/* The life of a lease is what @roles has a new leader wait. */
+/* Leases last as long as @roles makes a new leader wait, see
+ * Fw_Roles_TakeoverWaitUs. @fleet and @roles must outlive the limiter. */
 struct fw_limit *
 Fw_Limit_New(const struct fw_self *self, const struct fw_fleet *fleet,
              const struct fw_roles *roles, uint32_t seed,
@@ -32,27 +38,28 @@
 Fw_Limit_Free(struct fw_limit *l);
 
 /**
- * Fw_Limit_Ask - may @team spend @tokens now?
- * @ticket: names the question in the answer, unique here
+ * Fw_Limit_Request - requests @tokens for @team.
+ * @ticket: identifies the request in its result, unique on this instance
  *
- * The answer comes from Fw_Limit_TakeAnswer, at once when a share held here
- * covers it, else after a peer has been asked, within a bounded time.
+ * The result is available from Fw_Limit_PopResult: at once if local tokens
+ * suffice, else after peers were asked in turn, within a bounded time.
  */
 void
 Fw_Limit_Ask(struct fw_limit *l, const struct fw_team *team, uint64_t ticket,
              int64_t tokens, int64_t now_us, struct fw_actions *out);
-/* Nonzero when @ans was filled. */
+/* Return: nonzero when a result was stored in @ans, 0 when none is left. */
 int
 Fw_Limit_TakeAnswer(struct fw_limit *l, struct fw_limit_answer *ans);
-/* The caller is gone: no answer is wanted, and a late grant is kept here. */
+/* Cancels a request without a result; tokens collected for it, or granted
+ * later, are returned. */
 void
 Fw_Limit_Forget(struct fw_limit *l, uint64_t ticket);
-/* Gives back what a finished request was granted and did not use. */
+/* Returns @tokens that a finished request was granted but did not use. */
 void
 Fw_Limit_Refund(struct fw_limit *l, const struct fw_team *team, int64_t tokens,
                 int64_t now_us, struct fw_actions *out);
 
-/* @cfg is what is in force; rates may have changed since the last call. */
+/* @cfg is the configuration in force; may differ from the last call's. */
 void
 Fw_Limit_Tick(struct fw_limit *l, const struct fw_config *cfg, int64_t now_us,
               struct fw_actions *out);
@@ -60,7 +67,7 @@
 Fw_Limit_OnMsg(struct fw_limit *l, const struct fw_config *cfg,
                const char *from, const struct fw_limit_msg *msg,
                int64_t now_us, struct fw_actions *out);
-/* Hands what is held here to the next leader. */
+/* Releases all leases and hands ledgers led here over to the next leader. */
 void
 Fw_Limit_Drain(struct fw_limit *l, int64_t now_us, struct fw_actions *out);
 
--- a/src/limit/limit_msg.c
+++ b/src/limit/limit_msg.c
@@ -7,7 +7,7 @@
 #include "core/pack.h"
 
 #define FIELDS 12
-#define SHORT_FIELDS 4
+#define COMPACT_FIELDS 4
 #define ENTRY_FIELDS 5
 #define GRANT_FIELDS 6
 #define HOLDER_FIELDS 6
@@ -45,7 +45,7 @@
     msgpack_pack_int64(pk, h->expires_in_us);
 }
 
-/* Questions for tokens are sent for each request, so they are kept small. */
+/* Token requests and grants are frequent, so they omit unused fields. */
 static int
 is_compact(enum fw_limit_msg_kind kind)
 {
@@ -55,7 +55,7 @@
 static void
 pack_compact(msgpack_packer *pk, const struct fw_limit_msg *msg)
 {
-    msgpack_pack_array(pk, SHORT_FIELDS);
+    msgpack_pack_array(pk, COMPACT_FIELDS);
     msgpack_pack_int(pk, (int)msg->kind);
     msgpack_pack_uint64(pk, msg->seq);
     msgpack_pack_int64(pk, msg->tokens);
@@ -90,7 +90,7 @@
     }
 }
 
-/* A count or amount: never negative, so that none can be taken away. */
+/* Negative amounts are rejected, else they would be subtracted. */
 static int
 unpack_nonnegative(const msgpack_object *o, uint32_t i, int64_t *out)
 {
--- a/src/limit/renew.c
+++ b/src/limit/renew.c
@@ -1,13 +1,14 @@
 /*
- * A holder's question for its leases, at the leader: what the holder has is
- * settled by what the question shows, then its new size is offered.
+ * Renewals, on the leader: first what the renewal shows to be held is
+ * confirmed, then the holder's new size is offered.
  */
 #include <errno.h>
 #include <string.h>
 
 #include "limit/share.h"
 
-#define BUSY_PART 0.75 /* the rest stays with the leader */
+/* Part of a team's rate leased out by demand; the rest stays unleased. */
+#define LEASED_PART_MAX 0.75
 
 static int
 find_holder(struct fw_limit_partition *p, const char *name, uint64_t boot)
@@ -50,7 +51,7 @@
     return NULL;
 }
 
-/* Micro-tokens of @team that the holder's question brings back. */
+/* Micro-tokens of @team that the renewal gives back. */
 static int64_t
 returned_level(const struct fw_limit_msg *msg, const char *team)
 {
@@ -62,12 +63,11 @@
     return 0;
 }
 
-/* The last offer was taken in, with @taken the question that shows it, or it
- * surely never will be: then what was taken for it from the own level is put
- * back. */
+/* Closes the holder's open offers: applied as @renewal shows, or, if that is
+ * NULL, never to be applied, so that their tokens are put back. */
 static void
 settle_offers(struct fw_limit *l, struct fw_limit_partition *p, int holder,
-              const struct fw_limit_msg *taken, int64_t now_us)
+              const struct fw_limit_msg *renewal, int64_t now_us)
 {
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
@@ -76,11 +76,11 @@
         if (!g) {
             continue;
         }
-        back = taken ? MIN(returned_level(taken, s->name),
-                           (g->burst - MIN(g->burst, g->offered_burst)) *
-                               FW_MICROTOKENS)
-                     : g->offered_level;
-        if (taken) {
+        back = renewal ? MIN(returned_level(renewal, s->name),
+                             (g->burst - MIN(g->burst, g->offered_burst)) *
+                                 FW_MICROTOKENS)
+                       : g->offered_level;
+        if (renewal) {
             g->rate = g->offered_rate;
             g->burst = g->offered_burst;
         }
@@ -92,8 +92,8 @@
     }
 }
 
-/* It holds nothing any more; levels that it gives back come in as the place
- * that was kept for them becomes free. */
+/* Removes the grants of a holder that has no lease any more, and puts the
+ * tokens that it gives back into the unleased buckets. */
 static void
 release_grants(struct fw_limit *l, struct fw_limit_partition *p, int holder,
                const struct fw_limit_msg *msg, int64_t now_us)
@@ -117,8 +117,8 @@
     g_free(back);
 }
 
-/* What the holder's question shows that it has. Return: 0, or -ESTALE when
- * it has something of another leader's, which must lapse first. */
+/* Confirms what the renewal shows the holder to have. Return: 0, or -ESTALE if
+ * that is not of this ledger or unknown, and has to expire first. */
 static int
 settle_holder(struct fw_limit *l, struct fw_limit_partition *p, int holder,
               const struct fw_limit_msg *msg, int64_t now_us)
@@ -173,14 +173,13 @@
     }
 }
 
-/* The rate that the holder should have: by its part of the demand, or an even
- * part of the whole for those that stand ready to follow. */
+/* Rate for the holder: by its demand, and for followers (@followers nonzero)
+ * at least an equal part of the team's rate. */
 static int64_t
 target_rate(const struct fw_team_share *s, const struct fw_lease_grant *mine,
             int followers)
 {
     int64_t wanted = 0;
-
     int64_t rate = mine->wanted_rate;
 
     for (guint i = 0; i < s->grants->len; i++) {
@@ -188,9 +187,9 @@
             &g_array_index(s->grants, struct fw_lease_grant, i);
         wanted += g->wanted_rate;
     }
-    if ((double)wanted > BUSY_PART * (double)s->rate) {
+    if ((double)wanted > LEASED_PART_MAX * (double)s->rate) {
         rate = (int64_t)((double)mine->wanted_rate / (double)wanted *
-                         BUSY_PART * (double)s->rate);
+                         LEASED_PART_MAX * (double)s->rate);
     }
     if (followers > 0) {
         rate = MAX(rate, s->rate / (followers + 1));
@@ -198,7 +197,8 @@
     return MIN(rate, mine->rate + MAX(s->unleased.rate, 0));
 }
 
-/* Offers the new size. Return: nonzero when it differs from the old. */
+/* Offers the lease's new size in @e, unless it differs by at most an eighth.
+ * Return: nonzero when it was offered. */
 static int
 offer_lease(struct fw_limit *l, struct fw_team_share *s,
             struct fw_lease_grant *g, int followers, struct fw_limit_entry *e,
@@ -248,13 +248,13 @@
 static void
 answer_renew(struct fw_limit *l, struct fw_limit_partition *p, int holder,
              const struct fw_limit_msg *msg, int64_t now_us,
-             struct fw_limit_msg *back)
+             struct fw_limit_msg *answer)
 {
     int followers = msg->is_follower ? count_followers(p) : 0;
 
-    back->entries = g_new0(struct fw_limit_entry, p->shares->len);
+    answer->entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0;
-         i < p->shares->len && back->n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
+         i < p->shares->len && answer->n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
         if (s->ledger != p->ledger) {
@@ -267,8 +267,8 @@
         }
         Fw_Bucket_Refill(&s->unleased, now_us);
         if (g && offer_lease(l, s, g, followers,
-                             &back->entries[back->n_entries], now_us)) {
-            back->n_entries++;
+                             &answer->entries[answer->n_entries], now_us)) {
+            answer->n_entries++;
         }
     }
 }
@@ -279,7 +279,7 @@
                   struct fw_actions *out)
 {
     struct fw_limit_partition *p = &l->partitions[msg->partition];
-    struct fw_limit_msg back = {.kind = FW_LIMIT_LEASE_UPDATE};
+    struct fw_limit_msg answer = {.kind = FW_LIMIT_LEASE_UPDATE};
     struct fw_holder *h;
     int holder;
 
@@ -296,7 +296,7 @@
     }
     h = &g_array_index(p->holders, struct fw_holder, holder);
     if (msg->seq <= h->last_seq) {
-        return; /* an older question, late or doubled */
+        return; /* duplicate or reordered */
     }
     h->last_seq = msg->seq;
     if (settle_holder(l, p, holder, msg, now_us) ||
@@ -305,11 +305,11 @@
     }
     h->is_follower = msg->is_follower;
     update_wanted_rates(p, holder, msg);
-    answer_renew(l, p, holder, msg, now_us, &back);
+    answer_renew(l, p, holder, msg, now_us, &answer);
     h->offered_seq = msg->seq;
     h->expires_us = MAX(h->expires_us, now_us + Fw_Ledger_MaxLeaseUs(l));
-    back.seq = msg->seq;
-    back.partition = msg->partition;
-    back.fence = p->ledger;
-    Fw_Limit_Send(l, from, &back, out);
+    answer.seq = msg->seq;
+    answer.partition = msg->partition;
+    answer.fence = p->ledger;
+    Fw_Limit_Send(l, from, &answer, out);
 }
--- a/src/limit/serve.c
+++ b/src/limit/serve.c
@@ -1,4 +1,4 @@
-/* Questions of peers, and tokens that come back unused. */
+/* Grants to peers, and returns of tokens. */
 #include <string.h>
 
 #include "limit/share.h"
@@ -46,8 +46,9 @@
     g_queue_push_tail(&l->peer_grants, g);
 }
 
-/* Tokens of a question that failed: back while their place is kept, else
- * lost, since the bucket refills it. None: they were spent. */
+/* Ends the reservation of a grant: @msg returns all its tokens, as the request
+ * failed, or none, as they were spent. A grant whose reservation expired is
+ * not put back, since the bucket has refilled its capacity. */
 static void
 settle_grant(struct fw_limit *l, struct fw_team_share *s, const char *from,
              const struct fw_limit_msg *msg, int64_t now_us)
@@ -70,8 +71,8 @@
         Fw_Bucket_Cancel(&s->leased, g->split.leased, now_us);
         Fw_Bucket_Cancel(&s->unleased, g->split.unleased, now_us);
     }
-    g->split =
-        (struct fw_token_split){0, 0}; /* kept: a double may still come */
+    /* The entry stays, so that a duplicate doesn't count. */
+    g->split = (struct fw_token_split){0, 0};
 }
 
 void
@@ -80,45 +81,47 @@
                        struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, msg->team);
-    struct fw_limit_msg back = {.kind = FW_LIMIT_TOKEN_GRANT, .seq = msg->seq};
+    struct fw_limit_msg answer = {.kind = FW_LIMIT_TOKEN_GRANT,
+                                  .seq = msg->seq};
     struct fw_token_split got;
 
     expire_grants(l, now_us);
     if (find_peer_grant(l, from, msg->seq)) {
-        return; /* a double: tokens granted to it would be lost */
+        return; /* duplicate: the requester would ignore a second grant */
     }
     if (s && !s->removed) {
         Fw_Ledger_Refresh(l, s->partition, now_us);
         Fw_Ledger_AddTeam(l, s, now_us);
         got = Fw_TeamShare_Take(l, s, msg->tokens, 1, now_us);
-        back.tokens = got.leased + got.unleased;
+        answer.tokens = got.leased + got.unleased;
         record_grant(l, from, msg, &got, now_us);
     }
-    Fw_Limit_Send(l, from, &back, out);
+    Fw_Limit_Send(l, from, &answer, out);
 }
 
 void
 Fw_PeerGrant_SendReturn(struct fw_limit *l, const char *to, const char *team,
-                        int64_t tokens, uint64_t asked, struct fw_actions *out)
+                        int64_t tokens, uint64_t request_seq,
+                        struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Find(l->fleet, to);
     struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_RETURN,
                                .seq = ++l->seq,
                                .acked_seq = l->self.boot,
-                               .fence = asked,
+                               .fence = request_seq,
                                .tokens = tokens};
 
     if (!m) {
         return;
     }
-    /* To that process only: one started since has other buckets. */
+    /* For that process only: after a restart the buckets are new. */
     msg.boot = m->boot;
     g_strlcpy(msg.team, team, sizeof(msg.team));
     Fw_Limit_Send(l, to, &msg, out);
 }
 
-/* Each return counts once: taken in twice it would be tokens that nobody
- * gave, and the team would spend more than its rate. */
+/* A duplicated return must not count twice, or the team would exceed its
+ * rate. */
 static int
 is_new_return(struct fw_limit *l, const char *from,
               const struct fw_limit_msg *msg)
--- a/src/limit/share.h
+++ b/src/limit/share.h
@@ -1,6 +1,10 @@
 /*
- * Inside of the budgets: what is held here of each team, what was asked of
- * others, and, as a leader, what was given out.
+ * Internal declarations of the limiter.
+ *
+ * Teams are hashed to partitions. The leader of a partition, the holder of its
+ * FW_ROLE_BUDGET role, leases parts of the teams' rates and bursts to other
+ * instances, the lease holders, and keeps a ledger of the leases. The rest,
+ * unleased, it spends itself.
  */
 #ifndef FW_LIMIT_INTERNAL_H
 #define FW_LIMIT_INTERNAL_H
@@ -8,38 +12,47 @@
 #include "limit/bucket.h"
 #include "limit/limit.h"
 
-/* For the answer of one peer; from the first question to the use; for the
- * first leader ever; late answers are given back; after a refusal nobody is
- * asked for a while. */
+/* Wait for one peer's grant, and from the first peer asked to the spending. */
 #define FW_PEER_TIMEOUT_US (150 * FW_MSEC)
 #define FW_REQUEST_TIMEOUT_US (450 * FW_MSEC)
 #define FW_PEER_REQUESTS_MAX 4
-/* Grants of more than this part of the burst are confirmed when spent; more
- * returned tokens than this are spread over the places. */
+/* A grant above this part of the burst is confirmed when spent; unused tokens
+ * above it are returned to all replicas instead of one. */
 #define FW_LARGE_GRANT_DIVISOR 8
+/* Requests wait this long for a partition that has no leader. */
 #define FW_LEADER_WAIT_US (3 * FW_SEC)
+/* Finished requests are kept this long to return grants that arrive late. */
 #define FW_LATE_GRANT_US (5 * FW_SEC)
+/* After a refusal, peers aren't asked for as many tokens for at most this
+ * long. */
 #define FW_EXHAUSTED_MAX_US (100 * FW_MSEC)
 
 #define FW_RENEW_INTERVAL_US (10 * FW_SEC)
 #define FW_RENEW_TIMEOUT_US (2 * FW_SEC)
+/* Period of returning unused tokens. */
 #define FW_RETURN_INTERVAL_US (1 * FW_SEC)
+/* A team added to a ledger this long after its start gets a full bucket. */
 #define FW_NEW_TEAM_DELAY_US (30 * FW_SEC)
-/* A lease of its own is worth while for as many requests in
- * FW_RENEW_INTERVAL_US, and only when its burst holds as many: small leases
- * strand tokens. */
+/* An instance wants a lease of a team with at least this many requests per
+ * FW_RENEW_INTERVAL_US, if the lease's burst would hold this many requests:
+ * tokens of small leases are stranded. */
 #define FW_LEASE_REQUESTS_MIN 50
 #define FW_LEASE_BURST_REQUESTS_MIN 8
-/* A team's tokens are kept at its leader and as many followers, so that the
- * loss of one instance leaves three quarters of its rate. */
+/* The leader and its followers hold equal parts of a team's tokens, so that
+ * losing one instance leaves three quarters of the rate. */
 #define FW_FOLLOWERS_MAX 3
 
 /**
- * struct fw_lease_grant - what a holder has of a team. The larger of what it
- * confirmed and what it was offered counts as given.
+ * struct fw_lease_grant - in the ledger, one holder's lease of a team.
  * @holder: index into fw_limit_partition.holders
- * @wanted_rate: rate that it would use
- * @resend: it was cut there, and must be told its size again
+ * @rate, @burst: size confirmed by the holder
+ * @offered_rate, @offered_burst: size offered to it last; equal to the
+ *                                confirmed one when no offer is open
+ * @offered_level: micro-tokens taken from the unleased bucket for the offer
+ * @wanted_rate: rate that the holder would use
+ * @resend: the holder scaled its lease down and needs the size sent again
+ *
+ * Until an offer is confirmed, the larger of both sizes counts as granted.
  */
 struct fw_lease_grant {
     int holder;
@@ -47,25 +60,32 @@
     int64_t burst;
     int64_t offered_rate;
     int64_t offered_burst;
-    int64_t offered_level; /* micro-tokens */
+    int64_t offered_level;
     int64_t wanted_rate;
     int resend;
 };
 
 /**
- * struct fw_team_share - one team as seen here.
- * @rate, @burst: of this region, by the configuration
- * @unleased: what is left of the team at its leader; usable as
- * fw_limit_partition.unleased_until_us
- * @leased: given by the leader; usable as fw_limit_partition.until
- * @unreturned: unused tokens to be returned to the leader
- * @demand_tokens, @demand_requests: tokens and requests since the last renewal
- * round
- * @wanted_rate: rate for which a lease of its own is asked
- * @ledger: the ledger that it stands in, see fw_limit_partition.ledger
- * @fitted_version: of the configuration that the own bucket was fitted to
- * @excess: micro-tokens that a smaller lease had no room for, for its leader
- * @grants: of the leader
+ * struct fw_team_share - one team's tokens on this instance.
+ * @version: of the team's configuration that was applied
+ * @rate, @burst: of the team in this region; tokens per second and tokens
+ * @removed: not in the configuration
+ * @unleased: on the leader, what is not leased out; usable until
+ *            fw_limit_partition.unleased_until_us
+ * @leased: leased from the leader; usable until
+ *          fw_limit_partition.lease_until_us
+ * @unreturned: unused tokens still to be returned to other instances
+ * @demand_tokens, @demand_requests: requested in the current renewal interval
+ * @wanted_rate: rate of the lease to ask for, 0 for none
+ * @excess: micro-tokens above the burst of a reduced lease, to be given back
+ *          to the leader
+ * @scaled_down: reduced here since the team's rate or burst was lowered, and
+ *               not confirmed by the leader yet
+ * @exhausted_until_us: until then requests of @exhausted_tokens or more are
+ *                      refused without asking peers
+ * @ledger: ledger that the share is part of, see fw_limit_partition
+ * @fitted_version: @version for which @unleased was last resized
+ * @grants: on the leader, the leases of the team
  */
 struct fw_team_share {
     char name[FW_NAME_MAX];
@@ -81,7 +101,7 @@
     int demand_requests;
     int64_t wanted_rate;
     int64_t excess;
-    int scaled_down; /* cut here after the team's rate was lowered */
+    int scaled_down;
     int64_t exhausted_until_us;
     int64_t exhausted_tokens;
     uint64_t ledger;
@@ -90,11 +110,11 @@
 };
 
 /**
- * struct fw_holder - of the leader: one process that holds leases.
- * @last_seq: older questions are void, also when they arrive late
- * @confirmed_seq: the last answer that it surely took in
- * @offered_seq: the last answer sent, taken in or not
- * @expires_us: by then all it holds has lapsed, whatever its clock
+ * struct fw_holder - in the ledger, a process that holds leases.
+ * @last_seq: of its last renewal; renewals up to it are ignored as duplicates
+ * @confirmed_seq: of the last lease update that it confirmed
+ * @offered_seq: of the last lease update sent to it, confirmed or not
+ * @expires_us: when all its leases have expired by any clock within drift
  */
 struct fw_holder {
     char name[FW_NAME_MAX];
@@ -108,32 +128,49 @@
 
 /**
  * struct fw_limit_partition - one partition of the teams.
- * As a holder: @renew_seq of the last question, sent at @renew_sent_us to
- * @demand_tokens and
- * @renew_pending for its answer; @lease_seq is the last answer taken in, of
- * ledger
- * @lease_ledger; leases are usable until @expires_us. As a leader: @ledger
- * names the ledger, which goes over to a successor; 0 for none;
- * @ledger_since_us since when;
- * @teams_loaded when all its teams were seen;
- * @tenure of the role, see Fw_Roles_Tenure;
- * @unleased_until_us: own buckets are usable until then.
- * Taking over: @handover_seq is the question to the last leader @predecessor;
- * @predecessor_tenure its tenure once its ledger was received.
- * Leaving: @leaving; @successor by whom it was handed over; @handed_until_us
- * as unleased_until_us was.
+ * @shares: of its teams, borrowed
+ *
+ * As lease holder:
+ * @renew_seq: of the last renewal, sent at @renew_sent_us to @renew_leader
+ * @renew_pending: its answer is awaited
+ * @next_renew_us: when the next renewal is sent
+ * @reported_follower: nonzero if that renewal was sent as a follower
+ * @lease_seq: of the last lease update applied, 0 when no lease is held
+ * @lease_ledger: ledger of these leases
+ * @lease_until_us: when these leases expire
+ *
+ * As leader:
+ * @ledger: tenure of the leader that started the ledger, kept through
+ *          handovers; 0 when there is none
+ * @tenure: of this instance's leadership, see Fw_Roles_Tenure
+ * @is_first: nobody led the partition before
+ * @teams_loaded: all teams of the configuration were added to the ledger
+ * @ledger_since_us: when the ledger was started or received
+ * @unleased_until_us: unleased buckets are usable until then
+ *
+ * Taking over:
+ * @handover_seq: of the handover request sent at @handover_sent_us to
+ *                @predecessor, 0 when none is open
+ * @predecessor_tenure: tenure of the leader that the ledger came from, 0 for a
+ *                      ledger started here
+ *
+ * Handing over:
+ * @leaving: this instance drains and hands its ledger over
+ * @next_offer_us: when the next offer is sent
+ * @successor: instance that the ledger was handed to, empty for none
+ * @handed_until_us: unleased_until_us at that time
  */
 struct fw_limit_partition {
     uint64_t renew_seq;
     int renew_pending;
     int64_t renew_sent_us;
     int64_t next_renew_us;
-    int reported_follower; /* as last said */
+    int reported_follower;
     uint64_t lease_seq;
     uint64_t lease_ledger;
     int64_t lease_until_us;
     char renew_leader[FW_NAME_MAX];
-    GPtrArray *shares; /* of its teams, borrowed */
+    GPtrArray *shares;
     uint64_t ledger;
     uint64_t tenure;
     int is_first;
@@ -151,21 +188,25 @@
     int64_t handed_until_us;
 };
 
-/** struct fw_peer_request - one peer asked; @answered: its tokens are counted.
+/**
+ * struct fw_peer_request - tokens requested from one peer.
+ * @tokens: granted and to be returned if the whole request fails
+ * @answered: the peer's grant has arrived
  */
 struct fw_peer_request {
-    char peer[FW_NAME_MAX];
+    char name[FW_NAME_MAX];
     uint64_t seq;
     int64_t tokens;
     int answered;
 };
 
 /**
- * struct fw_token_request - a question of this instance's own requests.
- * @collected: tokens put together so far, those from here included
- * @leased, @unleased: of them, taken from the buckets here
- * @done: answered; kept for a while to return what comes late
-
+ * struct fw_token_request - a request of this instance for tokens.
+ * @collected: tokens obtained so far, from peers and local buckets
+ * @leased, @unleased: tokens reserved in the local buckets
+ * @first_sent_us, @last_sent_us: when the first and the last peer was asked
+ * @done: its result is decided; kept until @free_us to return late grants
+ * @cancelled: collected tokens are returned in the next tick
  */
 struct fw_token_request {
     uint64_t ticket;
@@ -181,18 +222,20 @@
     struct fw_peer_request peers[FW_PEER_REQUESTS_MAX];
     int done;
     int cancelled;
-
     int64_t free_us;
     struct fw_list link;
 };
 
-/** struct fw_token_split - tokens from each bucket. */
+/** struct fw_token_split - tokens taken from each bucket of a share. */
 struct fw_token_split {
     int64_t leased;
     int64_t unleased;
 };
 
-/** struct fw_peer_grant - tokens granted to a peer within FW_RESERVATION_US.
+/**
+ * struct fw_peer_grant - a grant to a peer, kept for FW_RESERVATION_US.
+ * @seq: of the peer's request
+ * @split: buckets it was taken from; zero once returned or confirmed
  */
 struct fw_peer_grant {
     char peer[FW_NAME_MAX];
@@ -202,7 +245,11 @@
     int64_t granted_us;
 };
 
-/** struct fw_return_sender - returns of one peer process seen so far. */
+/**
+ * struct fw_return_sender - last return received from a peer.
+ * @boot: of the sending process
+ * @seq: of the return; later ones have a larger one
+ */
 struct fw_return_sender {
     uint64_t boot;
     uint64_t seq;
@@ -225,7 +272,7 @@
     int cfg_applied;
     int64_t next_demand_us;
     int64_t next_return_us;
-    int64_t lease_us; /* life of a lease */
+    int64_t lease_us; /* duration of a lease */
     int draining;
     struct fw_metric n_requests;
     struct fw_metric n_granted;
@@ -237,16 +284,18 @@
     struct fw_metric n_returned;
 };
 
-/* The team's share here, made when missing; of no rate until a
- * configuration names the team. */
+/* Return: the team's share, added with a rate of 0 when there is none. */
 struct fw_team_share *
 Fw_TeamShare_FindOrAdd(struct fw_limit *l, const char *team, int64_t now_us);
+/* As Fw_TeamShare_FindOrAdd, with the configuration of @team applied. */
 struct fw_team_share *
 Fw_TeamShare_Get(struct fw_limit *l, const struct fw_team *team,
                  int64_t now_us);
+/* Return: the team's share or NULL. */
 struct fw_team_share *
 Fw_TeamShare_Find(const struct fw_limit *l, const char *team);
-/* Which of its buckets may be used; @margin_us before their end not. */
+/* Whether the share's unleased or leased bucket is usable for @margin_us more.
+ */
 int
 Fw_TeamShare_UnleasedUsable(const struct fw_limit *l,
                             const struct fw_team_share *s, int64_t margin_us,
@@ -255,10 +304,12 @@
 Fw_TeamShare_LeaseUsable(const struct fw_limit *l,
                          const struct fw_team_share *s, int64_t margin_us,
                          int64_t now_us);
-/* Takes and puts over both buckets; tokens. */
+/* Takes up to @tokens from the usable buckets, kept reserved if @reserve is
+ * nonzero. */
 struct fw_token_split
 Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                  int flight, int64_t now_us);
+                  int reserve, int64_t now_us);
+/* Puts up to @tokens into the usable buckets. Return: tokens that fitted. */
 int64_t
 Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
                  int64_t now_us);
@@ -266,31 +317,33 @@
 Fw_TeamShare_Free(gpointer share);
 
 static inline int64_t
-Fw_Lease_GivenRate(const struct fw_lease_grant *g)
+Fw_Lease_GrantedRate(const struct fw_lease_grant *g)
 {
     return MAX(g->rate, g->offered_rate);
 }
 
 static inline int64_t
-Fw_Lease_GivenBurst(const struct fw_lease_grant *g)
+Fw_Lease_GrantedBurst(const struct fw_lease_grant *g)
 {
     return MAX(g->burst, g->offered_burst);
 }
 
-/* What a lease given now may last at most by the clock here. */
+/* Longest time, by the local clock, in which tokens of a lease granted now may
+ * be spent. */
 int64_t
 Fw_Ledger_MaxLeaseUs(const struct fw_limit *l);
-/* The holder of this index has nothing any more. */
+/* Removes all lease grants of the holder with this index. */
 void
 Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_limit_partition *p,
                       int holder, int64_t now_us);
 /* Nonzero while this instance may grant leases of @partition. */
 int
 Fw_Ledger_MayGrant(struct fw_limit *l, int partition, int64_t now_us);
-/* Begins, extends or ends leading, and forgets what has lapsed. */
+/* Starts a ledger, extends the use of unleased buckets or ends the ledger, as
+ * the role says, and removes holders whose leases expired. */
 void
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us);
-/* Fits the own bucket to what is not given out. */
+/* Resizes the unleased bucket to the part of the team that isn't granted. */
 void
 Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
                          int64_t now_us);
@@ -298,27 +351,29 @@
 Fw_Ledger_OnRenew(struct fw_limit *l, const char *from,
                   const struct fw_limit_msg *msg, int64_t now_us,
                   struct fw_actions *out);
+/* Adds the team to its partition's ledger or applies its new configuration.
+ */
 void
 Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us);
 
-/* The leader of @partition by the log (@place 0), or one of its followers (up
- * to FW_FOLLOWERS_MAX); NULL when there is none. */
+/* Return: the leader of @partition (@index 0) or a follower (@index from 1 to
+ * FW_FOLLOWERS_MAX), NULL when there is none. */
 const struct fw_member *
-Fw_Limit_Replica(const struct fw_limit *l, int partition, int place);
+Fw_Limit_Replica(const struct fw_limit *l, int partition, int index);
 
-/* The holder's side of leases. */
+/* Leases, on the holder. */
 void
 Fw_Lease_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out);
 void
-Fw_Lease_OnLease(struct fw_limit *l, const char *from,
-                 const struct fw_config *cfg, const struct fw_limit_msg *msg,
-                 int64_t now_us);
-/* Gives all leases of @partition back to its leader. */
+Fw_Lease_OnUpdate(struct fw_limit *l, const char *from,
+                  const struct fw_config *cfg, const struct fw_limit_msg *msg,
+                  int64_t now_us);
+/* Returns all leases of @partition to its leader. */
 void
 Fw_Lease_Release(struct fw_limit *l, int partition, int64_t now_us,
                  struct fw_actions *out);
 
-/* Handover from a leaving leader to its successor. */
+/* Handover of the ledger from a draining leader to its successor. */
 void
 Fw_Handover_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out);
 void
@@ -326,15 +381,14 @@
                     const struct fw_limit_msg *msg, int64_t now_us,
                     struct fw_actions *out);
 void
-Fw_Handover_OnPull(struct fw_limit *l, const char *from,
-                   const struct fw_limit_msg *msg, int64_t now_us,
-                   struct fw_actions *out);
+Fw_Handover_OnRequest(struct fw_limit *l, const char *from,
+                      const struct fw_limit_msg *msg, int64_t now_us,
+                      struct fw_actions *out);
 void
 Fw_Handover_OnHandover(struct fw_limit *l, const char *from,
                        const struct fw_limit_msg *msg, int64_t now_us);
 
-/* Questions for tokens and returns; @demand_tokens: of a question that failed,
- * its number, 0 for a request that ended. */
+/* Requests of this instance, and grants to peers. */
 void
 Fw_TokenRequest_Tick(struct fw_limit *l, int64_t now_us,
                      struct fw_actions *out);
@@ -349,12 +403,16 @@
 void
 Fw_PeerGrant_OnReturn(struct fw_limit *l, const char *from,
                       const struct fw_limit_msg *msg, int64_t now_us);
+/* Returns @tokens to @to. @request_seq: of the request that they were granted
+ * for, 0 for tokens of a finished request; with 0 @tokens, confirms the grant
+ * as spent. */
 void
 Fw_PeerGrant_SendReturn(struct fw_limit *l, const char *to, const char *team,
-                        int64_t tokens, uint64_t asked,
+                        int64_t tokens, uint64_t request_seq,
                         struct fw_actions *out);
 
-/* Sends @msg, which is moved, to @to; nothing when it is not known. */
+/* Sends @msg to @to and takes ownership of it. Dropped when @to is unknown or
+ * this instance. */
 void
 Fw_Limit_Send(struct fw_limit *l, const char *to, struct fw_limit_msg *msg,
               struct fw_actions *out);
