--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -1,7 +1,6 @@
 /*
- * The table of members. Changing what is believed of one goes through
- * Fw_Member_SetState, so that the metrics, the log lines and the array that
- * Fw_Fleet_Pick looks at always agree with it.
+ * Member table. States are changed by Fw_Member_SetState only, which keeps
+ * metrics, log and the candidates of Fw_Fleet_Pick consistent with them.
  */
 #include "fleet/fleet.h"
 
@@ -95,7 +94,7 @@
     return e;
 }
 
-/* By name, so that the same view gives the same order of all loops. */
+/* Makes the order of the candidates independent of that of the hash table. */
 static gint
 compare_names(gconstpointer a, gconstpointer b)
 {
@@ -151,7 +150,7 @@
     }
     if (state == FW_MEMBER_DEAD) {
         e->backoff_us = FW_PROBE_PERIOD_US;
-        e->probe_us = now_us + e->backoff_us;
+        e->next_ping_us = now_us + e->backoff_us;
         f->deaths.value++;
     }
     Fw_Member_RebuildCandidates(f);
--- a/src/fleet/fleet_cmd.c
+++ b/src/fleet/fleet_cmd.c
@@ -1,11 +1,11 @@
-/* The platform's list as a seed, and the graceful stop. */
+/* Discovery of members by the platform's list, and the graceful stop. */
 #include <string.h>
 
 #include "base/hash.h"
 #include "fleet/member.h"
 
-/* Nonzero when @le is among the few that this instance knows of its region:
- * each instance knows others, so that no one is known to all. */
+/* Nonzero when @le is among the members of its region that this instance keeps
+ * track of. The choice differs by instance, which spreads the load. */
 static int
 is_sampled(const struct fw_fleet *f, const struct fw_listed *listed,
            const struct fw_list_entry *le)
@@ -33,16 +33,16 @@
         (strcmp(le->region, f->self.region) == 0 ||
          is_sampled(f, listed, le))) {
         e = Fw_Member_Add(f, le->name, le->addr, le->domain, le->region);
-        e->probe_us = now_us;
+        e->next_ping_us = now_us;
     }
     if (!e || e == f->self_entry) {
         return;
     }
     e->listed = 1;
-    /* A restart may have moved it while we took it for dead. */
+    /* A dead instance may have been restarted at another address. */
     if (e->m.state == FW_MEMBER_DEAD && strcmp(e->m.addr, le->addr) != 0) {
         g_strlcpy(e->m.addr, le->addr, sizeof(e->m.addr));
-        e->probe_us = now_us;
+        e->next_ping_us = now_us;
     }
 }
 
@@ -78,7 +78,7 @@
     }
     f->self_entry->m.incarnation++;
     Fw_Member_SetState(f, f->self_entry, FW_MEMBER_LEAVING, now_us, out);
-    /* Told to each at once: until they know, they still ask us things. */
+    /* Pings all members, as they send requests here until they know. */
     all = Fw_Fleet_Members(f);
     for (guint i = 0; i < all->len; i++) {
         const struct fw_member *m = g_ptr_array_index(all, i);
--- a/src/fleet/fleet_msg.h
+++ b/src/fleet/fleet_msg.h
@@ -7,9 +7,14 @@
 
 #include "base/limits.h"
 
-#define FW_FLEET_UPDATES_MAX 8 /* rumours in one message */
+#define FW_FLEET_UPDATES_MAX 8 /* in one message */
 
-/** enum fw_fleet_msg_kind - a wire value. */
+/**
+ * enum fw_fleet_msg_kind - a wire value.
+ * @FW_FLEET_PING: a probe
+ * @FW_FLEET_ACK: answer to a ping or a ping request
+ * @FW_FLEET_PING_REQ: asks the receiver to ping another member
+ */
 enum fw_fleet_msg_kind {
     FW_FLEET_NONE,
     FW_FLEET_PING,
@@ -17,7 +22,7 @@
     FW_FLEET_PING_REQ,
 };
 
-/** struct fw_fleet_update - a rumour about one instance. */
+/** struct fw_fleet_update - the gossiped state of one instance. */
 struct fw_fleet_update {
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
@@ -30,9 +35,9 @@
 
 /**
  * struct fw_fleet_msg - tagged by @kind.
- * @seq: of the sender of the ping; an ack repeats it
- * @target, @target_addr: of a PING_REQ, whom to ping
- * @boot, @incarnation, @state: of a PING, what is believed of the receiver
+ * @seq: number given by the sender of a PING or PING_REQ; its ACK repeats it
+ * @target, @target_addr: in a PING_REQ, the member to ping
+ * @boot, @incarnation, @state: in a PING, the receiver as seen by the sender
  * @updates: owned, @n_updates of them
  */
 struct fw_fleet_msg {
@@ -49,7 +54,7 @@
 
 void
 Fw_Fleet_PackMsg(msgpack_packer *pk, const struct fw_fleet_msg *msg);
-/* Return: 0 or -EBADMSG; then nothing needs clearing. */
+/* Return: 0, or -EBADMSG, after which @msg needs no clearing. */
 int
 Fw_Fleet_UnpackMsg(const msgpack_object *obj, struct fw_fleet_msg *msg);
 void
--- a/src/fleet/member_query.c
+++ b/src/fleet/member_query.c
@@ -1,4 +1,4 @@
-/* What other subsystems ask of the view. */
+/* Queries of the member table by other subsystems. */
 #include <string.h>
 
 #include "base/hash.h"
@@ -10,7 +10,7 @@
     const struct fw_member *best = NULL;
     uint64_t below = UINT64_MAX;
 
-    /* One pass a rank; ranks above 2 are not asked for. */
+    /* One pass for each rank: ranks are small. */
     for (int r = 0; r <= rank; r++) {
         uint64_t top = 0;
         best = NULL;
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -1,8 +1,8 @@
 /*
- * Sampled probes. Each period one member is pinged, in shuffled order; when
- * it stays silent others are asked to ping it, so that one bad path between
- * two instances condemns nobody; only then it is suspected, and only when it
- * does not refute that within FW_SUSPECT_TIMEOUT_US it is taken for dead.
+ * Failure detection as in SWIM. Each period one member, in shuffled order, is
+ * pinged. If it doesn't answer, others are asked to ping it, since only the
+ * path to it may be bad. If that fails it becomes suspect, and dead unless it
+ * refutes the suspicion within FW_SUSPECT_TIMEOUT_US.
  */
 #include <string.h>
 #include <syslog.h>
@@ -65,7 +65,7 @@
     }
 }
 
-/* The probe under way went unanswered, also through others. */
+/* The open probe wasn't answered, neither directly nor through others. */
 static void
 probe_failed(struct fw_fleet *f, struct fw_member_entry *e, int64_t now_us,
              struct fw_actions *out)
@@ -75,7 +75,7 @@
         Fw_Gossip_Queue(f, e);
     }
     else if (e->m.state == FW_MEMBER_LEAVING && !e->suspect_until_us) {
-        /* Kept as leaving, so that nobody begins to choose it again. */
+        /* Stays leaving: suspect members are candidates for new requests. */
         e->suspect_until_us = now_us + FW_SUSPECT_TIMEOUT_US;
     }
 }
@@ -159,8 +159,8 @@
     Fw_Probe_Ping(f, e, f->probe.seq, out);
 }
 
-/* Suspicions that ran out, and pings to the dead and the only listed, so that
- * both halves of a healed partition find each other again. */
+/* Ends suspicions, and pings dead members and those known only from the list,
+ * so that both sides of a healed network partition rediscover each other. */
 static void
 tick_entries(struct fw_fleet *f, int64_t now_us, struct fw_actions *out)
 {
@@ -185,10 +185,10 @@
         if (!e->listed && now_us > e->m.changed_us + FW_DEAD_RETENTION_US) {
             g_hash_table_iter_remove(&it);
         }
-        else if (now_us >= e->probe_us && pings < DEAD_PINGS_PER_TICK) {
+        else if (now_us >= e->next_ping_us && pings < DEAD_PINGS_PER_TICK) {
             pings++;
-            e->probe_us = now_us + e->backoff_us +
-                          g_rand_int_range(f->rand, 0, 500) * FW_MSEC;
+            e->next_ping_us = now_us + e->backoff_us +
+                              g_rand_int_range(f->rand, 0, 500) * FW_MSEC;
             e->backoff_us =
                 MIN(2 * e->backoff_us, FW_DEAD_PROBE_INTERVAL_MAX_US);
             Fw_Probe_Ping(f, e, ++f->seq, out);
@@ -196,7 +196,7 @@
     }
 }
 
-/* After a pause of this process its timers say nothing about the others. */
+/* A pause of this process must not count as silence of the others. */
 static void
 compensate_for_pause(struct fw_fleet *f, int64_t now_us)
 {
@@ -254,7 +254,7 @@
 
     for (int i = 0; i < msg->n_updates && !addr; i++) {
         if (strcmp(msg->updates[i].name, from) == 0) {
-            addr = msg->updates[i].addr; /* of another region */
+            addr = msg->updates[i].addr; /* unknown: of another region */
         }
     }
     if (!addr || !addr[0]) {
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -1,9 +1,9 @@
 /*
- * Reading the stream, taking roles and giving them up.
+ * Reads the stream, claims roles and hands them over.
  *
- * One read is under way at any time, held back by the log until a record
- * comes, so that the view stays younger than FW_ROLE_FRESH_US at the cost of
- * one exchange in two seconds.
+ * There is always one open read, which the log holds until a record arrives or
+ * FW_ROLE_LONG_POLL_US have passed. That keeps the view younger than
+ * FW_ROLE_VIEW_MAX_AGE_US at the cost of one exchange per poll.
  */
 #include "fleet/role.h"
 
@@ -26,7 +26,7 @@
     memcpy(r->wait_us, wait_us, sizeof(r->wait_us));
     r->slots = g_new0(struct fw_role_slot,
                       (gsize)FW_ROLE_KINDS * (gsize)r->partitions);
-    /* One stream a region: an instance reads the roles of its own only. */
+    /* Each region has its own stream. */
     if (self->region[0]) {
         g_snprintf(r->stream, sizeof(r->stream), "%s-%s", FW_STREAM_ROLES,
                    self->region);
@@ -59,7 +59,7 @@
 {
     r->read_ticket = Fw_Owner_Number(FW_OWNER_ROLES, ++r->ticket);
     r->read_sent_us = now_us;
-    /* The first answer must come at once: it may be that nobody writes. */
+    /* The first read doesn't wait for records: the stream may be idle. */
     Fw_Actions_Read(out, r->read_ticket, r->stream, r->next_offset,
                     FW_ROLE_READ_RECORDS_MAX,
                     r->has_read ? FW_ROLE_LONG_POLL_US : 0);
@@ -80,7 +80,7 @@
     }
 }
 
-/* Records that were never seen may have changed any role. */
+/* Records were missed, which may have changed any role. */
 static void
 reset_slots(struct fw_roles *r)
 {
@@ -98,7 +98,7 @@
 
     if (!r->has_read && rec->oldest <= 1 && from <= 1) {
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-            r->slots[i].known = 1; /* nothing aged out: none means none */
+            r->slots[i].known = 1; /* read from the first record on */
         }
     }
     if (from > r->next_offset || rec->end < r->next_offset) {
@@ -142,7 +142,7 @@
     if (r->next_offset >= rec->end) {
         r->view_us = r->read_sent_us;
     }
-    /* A log that doesn't hold answers back must not be asked in a spin. */
+    /* Limits the rate of reads in case the log answers them at once. */
     r->next_read_us =
         rec->n > 0 ? now_us
                    : MAX(now_us, r->read_sent_us + FW_ROLE_CHECK_INTERVAL_US);
@@ -160,8 +160,8 @@
     }
     r->append_ticket = 0;
     if (a->err) {
-        /* Whether it took effect the next read tells; taking again is
-         * harmless, since a record that replaces an old one is void. */
+        /* It may have been appended nevertheless. Claiming again is safe: if
+         * it was, the new record is void. */
         r->next_append_us = now_us + jitter(r, FW_SEC);
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
             r->slots[i].claimed_us = 0;
@@ -170,8 +170,8 @@
     }
 }
 
-/* How long a role must have lacked a holder before it is taken; -1: it has
- * one. A living holder is not replaced, however the choice falls. */
+/* Return: how long the role must be vacant before it is claimed, -1 if it has
+ * a live holder. That is kept even if it isn't the first choice any more. */
 static int64_t
 takeover_delay(const struct fw_roles *r, const struct fw_fleet *fleet,
                const struct fw_role_slot *s)
@@ -197,19 +197,21 @@
     return m->state == FW_MEMBER_LEAVING ? FW_ROLE_UNSURE_DELAY_US : -1;
 }
 
-/* Whether the slot wants a record now; fills it. */
+/* Return: nonzero when a claim or a refresh, stored in @rec, is to be
+ * appended.
+ */
 static int
 needs_claim(struct fw_roles *r, const struct fw_fleet *fleet,
             struct fw_role_slot *s, int64_t now_us, struct fw_role_record *rec)
 {
-    int64_t settle = takeover_delay(r, fleet, s);
+    int64_t delay = takeover_delay(r, fleet, s);
     const struct fw_member *m;
 
     rec->replaces = s->known ? (int64_t)s->offset : FW_ROLE_REPLACES_ANY;
-    if (settle < 0) {
+    if (delay < 0) {
         s->vacant_since_us = 0;
-        /* Holding needs no append, but the log forgets: without a new record
-         * now and then a restarted instance could not tell who holds it. */
+        /* The log drops old records: without a refresh, an instance that
+         * starts later couldn't tell who holds the role. */
         rec->replaces = FW_ROLE_REPLACES_ANY;
         return Fw_Role_IsHeldHere(r, s) && !s->stopped &&
                now_us >= s->applied_us + FW_ROLE_REFRESH_INTERVAL_US;
@@ -217,7 +219,7 @@
     if (s->vacant_since_us == 0) {
         s->vacant_since_us = now_us;
     }
-    if (now_us < s->vacant_since_us + settle) {
+    if (now_us < s->vacant_since_us + delay) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
@@ -240,8 +242,9 @@
         return 0;
     }
     rec->replaces = (int64_t)s->offset;
-    /* One that surely never acted leaves nothing behind but what is older.
-     * One that was handed the role may have acted before from_us. */
+    /* A holder that never acted has granted nothing, so the remaining wait for
+     * older grants suffices. After a handover it may have acted before
+     * acts_from_us. */
     rec->wait_us = now_us < s->acts_from_us && !s->predecessor_tenure
                        ? s->acts_from_us - now_us
                        : r->wait_us[rec->kind];
@@ -250,7 +253,7 @@
     return 1;
 }
 
-/* One append carries all records of a round. */
+/* Appends all due records at once. */
 static void
 append_claims(struct fw_roles *r, const struct fw_fleet *fleet, int64_t now_us,
               struct fw_actions *out)
@@ -302,7 +305,7 @@
     }
     r->next_check_us = now_us + FW_ROLE_CHECK_INTERVAL_US;
     Fw_Actions_Wake(out, r->next_check_us);
-    /* On an old view of the log a take would mostly be void. */
+    /* A claim based on an old view would likely be void. */
     if (r->append_ticket || now_us < r->next_append_us ||
         now_us < r->start_us + FW_ROLE_START_DELAY_US ||
         now_us - r->view_us >= FW_ROLE_FRESH_US) {
@@ -316,7 +319,7 @@
                int64_t now_us, struct fw_actions *out)
 {
     r->draining = 1;
-    /* Stopped before the append: the successor's shorter wait counts on it. */
+    /* Stops before the append, as the successor's shorter wait requires. */
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
         if (Fw_Role_IsHeldHere(r, &r->slots[i])) {
             r->slots[i].stopped = 1;
--- a/src/fleet/role_query.c
+++ b/src/fleet/role_query.c
@@ -1,4 +1,4 @@
-/* Who holds a role, and whether this instance may act on it right now. */
+/* Queries of who holds a role and whether this instance may act on it. */
 #include <errno.h>
 #include <string.h>
 
@@ -43,8 +43,8 @@
     if (!Fw_Role_IsHeldHere(r, s) || s->stopped) {
         return -EPERM;
     }
-    /* A holder that was paused or cut off doesn't know that it was replaced.
-     * Its successor counts on this check to have stopped it. */
+    /* Stops a holder that was paused or cut off and may have been replaced.
+     * The wait of a new holder relies on this. */
     if (now_us - r->view_us >= FW_ROLE_FRESH_US &&
         !FW_FAULT("role-stale-read")) {
         return -ESTALE;
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -1,4 +1,4 @@
-/* The records of the stream and their fold. */
+/* Format of the role records, and their effect on the roles. */
 #include <errno.h>
 #include <inttypes.h>
 #include <json-glib/json-glib.h>
@@ -89,9 +89,9 @@
 }
 
 /*
- * When acts may begin under a record that names this process. The last
- * holder acts for up to FW_ROLE_FRESH_US after this record took effect, and
- * what it handed out then lives for wait_us more; both by its own clock.
+ * Earliest time to act under a record. The last holder may act for up to
+ * FW_ROLE_VIEW_MAX_AGE_US after the record took effect, and what it grants
+ * lives for wait_us more, both by its own clock.
  */
 static int64_t
 acts_from(const struct fw_roles *r, const struct fw_role_slot *s,
@@ -101,7 +101,7 @@
         return now_us;
     }
     if (rec->replaces == 0) {
-        return now_us; /* nobody held it before */
+        return now_us; /* there is no last holder */
     }
     if (Fw_Role_IsHeldHere(r, s)) {
         return s->acts_from_us;
@@ -118,17 +118,17 @@
               uint64_t offset, int64_t now_us, struct fw_actions *out)
 {
     struct fw_role_slot *s = Fw_Role_Slot(r, rec->kind, rec->partition);
-    int was_mine = Fw_Role_IsHeldHere(r, s);
-    int same;
-    char number[24];
+    int was_held = Fw_Role_IsHeldHere(r, s);
+    int same_holder;
+    char role[24];
 
     if (rec->replaces != FW_ROLE_REPLACES_ANY &&
         (!s->known || rec->replaces != (int64_t)s->offset)) {
         return;
     }
     s->acts_from_us = acts_from(r, s, rec, now_us);
-    same = s->boot == rec->boot && strcmp(s->holder, rec->holder) == 0;
-    if (!same || !s->tenure) {
+    same_holder = s->boot == rec->boot && strcmp(s->holder, rec->holder) == 0;
+    if (!same_holder || !s->tenure) {
         s->predecessor_tenure = rec->wait_us >= 0 ? s->tenure : 0;
         s->tenure = offset;
     }
@@ -140,10 +140,10 @@
     s->applied_us = now_us;
     s->vacant_since_us = 0;
     s->stopped = r->draining && Fw_Role_IsHeldHere(r, s);
-    if (was_mine != Fw_Role_IsHeldHere(r, s)) {
-        g_snprintf(number, sizeof(number), "%d/%d", (int)rec->kind,
+    if (was_held != Fw_Role_IsHeldHere(r, s)) {
+        g_snprintf(role, sizeof(role), "%d/%d", (int)rec->kind,
                    rec->partition);
-        Fw_Actions_Note(out, LOG_INFO, was_mine ? "role_lost" : "role_taken",
-                        "role", number, "holder", rec->holder, NULL);
+        Fw_Actions_Note(out, LOG_INFO, was_held ? "role_lost" : "role_taken",
+                        "role", role, "holder", rec->holder, NULL);
     }
 }
--- a/src/fleet/rumour.c
+++ b/src/fleet/rumour.c
@@ -1,9 +1,9 @@
 /*
- * Rumours: what is newer wins, by boot, then incarnation, then state.
+ * Dissemination of member states by gossip. Of two updates the newer one wins,
+ * by boot, then incarnation, then state.
  *
- * An instance alone raises its own incarnation, so it alone can take back a
- * suspicion: a slow peer can't keep a living instance out, and an old
- * message can't bring a dead one back.
+ * Only the instance itself raises its incarnation, so it can always refute a
+ * suspicion, and a delayed message can't revive a dead member.
  */
 #include <string.h>
 #include <syslog.h>
@@ -11,15 +11,16 @@
 #include "base/fault.h"
 #include "fleet/member.h"
 
-#define TELL_FACTOR 3
+#define RETRANSMIT_FACTOR 3
 
-/* Often enough for each member to hear it with high probability. */
+/* Proportional to the logarithm of the fleet's size, so that each member gets
+ * the update with high probability. */
 void
 Fw_Gossip_Queue(struct fw_fleet *f, struct fw_member_entry *e)
 {
     if (strcmp(e->m.region, f->self.region) == 0) {
         e->retransmits =
-            TELL_FACTOR * (int)g_bit_storage(f->candidates->len + 1);
+            RETRANSMIT_FACTOR * (int)g_bit_storage(f->candidates->len + 1);
     }
 }
 
@@ -30,7 +31,7 @@
     struct fw_member_entry *me = f->self_entry;
 
     if (boot < me->m.boot) {
-        Fw_Gossip_Queue(f, me); /* an earlier run is believed in */
+        Fw_Gossip_Queue(f, me); /* the peer knows an earlier process only */
         return;
     }
     if (boot > me->m.boot || incarnation < me->m.incarnation) {
@@ -42,8 +43,8 @@
     if (FW_FAULT("fleet-no-refutation")) {
         return;
     }
-    /* Someone believes us suspect or dead. Unrefuted, we would be passed over
-     * for ever; a larger incarnation overrides every copy of the rumour. */
+    /* A peer sees this instance as suspect or dead. A larger incarnation
+     * overrides that in all copies. */
     me->m.incarnation = incarnation + 1;
     Fw_Gossip_Queue(f, me);
     f->refutations.value++;
@@ -61,7 +62,7 @@
     return u->state > (int)m->state;
 }
 
-/* Whether a rumour about an unknown instance is worth an entry. */
+/* Whether an update about an unknown instance adds it to the table. */
 static int
 is_wanted(const struct fw_fleet *f, const struct fw_fleet_update *u)
 {
@@ -122,11 +123,11 @@
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         struct fw_member_entry *e = value;
-        int told = 0;
+        int included = 0;
         for (int i = 0; i < msg->n_updates; i++) {
-            told |= strcmp(msg->updates[i].name, e->m.name) == 0;
+            included |= strcmp(msg->updates[i].name, e->m.name) == 0;
         }
-        if (e->retransmits > 0 && !told &&
+        if (e->retransmits > 0 && !included &&
             (!best || e->retransmits > best->retransmits ||
              (e->retransmits == best->retransmits &&
               strcmp(e->m.name, best->m.name) < 0))) {
