--- a/tests/fleet/play.c
+++ b/tests/fleet/play.c
@@ -8,31 +8,31 @@
 
 #include "explore/p_limit.h"
 
-#define WORDS 4
-#define TRACE_MAX 1500
-#define TERM_US (20 * FW_SEC)
-#define ANSWER_US (5 * FW_SEC)
+#define WORDS_MAX 4
+#define TRACE_PRINTED_MAX 1500
+#define LEASE_US (20 * FW_SEC)
+#define RESULT_TIMEOUT_US (5 * FW_SEC)
 
 struct script_run {
     struct fw_run run;
     struct fw_fleet_env env;
     struct fw_limit_check checker;
     GString *out;
-    const char *word[WORDS];
+    const char *words[WORDS_MAX];
     int n_words;
 };
 
 static int
-number(const struct script_run *s, int i)
+int_arg(const struct script_run *s, int i)
 {
-    ck_assert_msg(i < s->n_words, "%s lacks a word", s->word[0]);
-    return (int)strtol(s->word[i], NULL, 10);
+    ck_assert_msg(i < s->n_words, "%s: missing argument", s->words[0]);
+    return (int)strtol(s->words[i], NULL, 10);
 }
 
 static int
-site(const struct script_run *s, int i)
+site_arg(const struct script_run *s, int i)
 {
-    int k = number(s, i) - 1;
+    int k = int_arg(s, i) - 1;
 
     ck_assert_int_ge(k, 0);
     ck_assert_int_lt(k, s->env.n);
@@ -40,16 +40,16 @@
 }
 
 static int
-team(const struct script_run *s, int i)
+team_arg(const struct script_run *s, int i)
 {
-    return strcmp(s->word[i], s->checker.accounts[0].team.name) == 0 ? 0 : 1;
+    return strcmp(s->words[i], s->checker.accounts[0].team.name) == 0 ? 0 : 1;
 }
 
 static void
 print_view(struct script_run *s)
 {
     static const char *const names[] = {"alive", "suspect", "leaving", "dead"};
-    int i = site(s, 1);
+    int i = site_arg(s, 1);
 
     g_string_append_printf(s->out, "n%d:", i + 1);
     for (int j = 0; j < s->env.n; j++) {
@@ -87,21 +87,21 @@
 }
 
 static void
-ask(struct script_run *s)
+run_ask(struct script_run *s)
 {
-    struct fw_account *a = &s->checker.accounts[team(s, 2)];
+    struct fw_account *a = &s->checker.accounts[team_arg(s, 2)];
     int granted = a->granted;
     int refused = a->refused;
-    int64_t begun = s->env.real_us;
+    int64_t started_us = s->env.real_us;
 
-    Fw_LimitCheck_Ask(&s->checker, &s->env, site(s, 1), team(s, 2),
-                      number(s, 3));
+    Fw_LimitCheck_Ask(&s->checker, &s->env, site_arg(s, 1), team_arg(s, 2),
+                      int_arg(s, 3));
     while (a->granted == granted && a->refused == refused &&
-           s->env.real_us < begun + ANSWER_US) {
+           s->env.real_us < started_us + RESULT_TIMEOUT_US) {
         Fw_FleetEnv_Advance(&s->env, FW_MSEC);
     }
-    g_string_append_printf(s->out, "%s %s %s", s->word[1], s->word[2],
-                           s->word[3]);
+    g_string_append_printf(s->out, "%s %s %s", s->words[1], s->words[2],
+                           s->words[3]);
     if (a->granted > granted) {
         g_string_append(s->out, " granted\n");
     }
@@ -117,34 +117,34 @@
 static void
 change_rate(struct script_run *s)
 {
-    struct fw_team *t = &s->checker.accounts[team(s, 1)].team;
+    struct fw_team *t = &s->checker.accounts[team_arg(s, 1)].team;
     struct fw_config *cfg = (struct fw_config *)s->env.cfg;
 
-    t->rate = number(s, 2);
-    t->burst = number(s, 3);
+    t->rate = int_arg(s, 2);
+    t->burst = int_arg(s, 3);
     t->version++;
     cfg->offset++;
 }
 
 static int
-life_command(struct script_run *s)
+run_instance_command(struct script_run *s)
 {
-    const char *c = s->word[0];
+    const char *c = s->words[0];
 
     if (strcmp(c, "start") == 0) {
-        Fw_FleetEnv_Start(&s->env, site(s, 1));
+        Fw_FleetEnv_Start(&s->env, site_arg(s, 1));
     }
     else if (strcmp(c, "kill") == 0) {
-        Fw_FleetEnv_Kill(&s->env, site(s, 1));
+        Fw_FleetEnv_Kill(&s->env, site_arg(s, 1));
     }
     else if (strcmp(c, "drain") == 0) {
-        Fw_FleetEnv_Drain(&s->env, site(s, 1));
+        Fw_FleetEnv_Drain(&s->env, site_arg(s, 1));
     }
     else if (strcmp(c, "pause") == 0) {
-        Fw_FleetEnv_Pause(&s->env, site(s, 1), number(s, 2) * FW_MSEC);
+        Fw_FleetEnv_Pause(&s->env, site_arg(s, 1), int_arg(s, 2) * FW_MSEC);
     }
     else if (strcmp(c, "cut") == 0 || strcmp(c, "join") == 0) {
-        Fw_FleetEnv_Cut(&s->env, site(s, 1), site(s, 2), c[0] == 'c');
+        Fw_FleetEnv_Cut(&s->env, site_arg(s, 1), site_arg(s, 2), c[0] == 'c');
     }
     else {
         return 0;
@@ -153,24 +153,24 @@
 }
 
 static int
-world_command(struct script_run *s)
+run_environment_command(struct script_run *s)
 {
-    const char *c = s->word[0];
+    const char *c = s->words[0];
 
     if (strcmp(c, "log") == 0) {
-        s->env.log_down = strcmp(s->word[1], "down") == 0;
+        s->env.log_down = strcmp(s->words[1], "down") == 0;
     }
     else if (strcmp(c, "lose") == 0) {
-        s->env.lose_pct = number(s, 1);
+        s->env.lose_pct = int_arg(s, 1);
     }
     else if (strcmp(c, "double") == 0) {
-        s->env.double_pct = number(s, 1);
+        s->env.double_pct = int_arg(s, 1);
     }
     else if (strcmp(c, "record") == 0) {
-        g_ptr_array_add(s->env.records, g_strdup(s->word[1]));
+        g_ptr_array_add(s->env.records, g_strdup(s->words[1]));
     }
     else if (strcmp(c, "run") == 0) {
-        Fw_FleetEnv_Advance(&s->env, number(s, 1) * FW_MSEC);
+        Fw_FleetEnv_Advance(&s->env, int_arg(s, 1) * FW_MSEC);
     }
     else {
         return 0;
@@ -185,14 +185,15 @@
     const char *c;
 
     s->n_words = 0;
-    for (char *w = strtok_r(line, " ", &save); w && s->n_words < WORDS;
+    for (char *w = strtok_r(line, " ", &save); w && s->n_words < WORDS_MAX;
          w = strtok_r(NULL, " ", &save)) {
-        s->word[s->n_words++] = w;
+        s->words[s->n_words++] = w;
     }
-    if (s->n_words == 0 || life_command(s) || world_command(s)) {
+    if (s->n_words == 0 || run_instance_command(s) ||
+        run_environment_command(s)) {
         return;
     }
-    c = s->word[0];
+    c = s->words[0];
     if (strcmp(c, "view") == 0) {
         print_view(s);
     }
@@ -200,11 +201,11 @@
         print_role(s);
     }
     else if (strcmp(c, "ask") == 0) {
-        ask(s);
+        run_ask(s);
     }
     else if (strcmp(c, "refund") == 0) {
-        Fw_LimitCheck_RefundNow(&s->checker, &s->env, site(s, 1), team(s, 2),
-                                number(s, 3));
+        Fw_LimitCheck_RefundNow(&s->checker, &s->env, site_arg(s, 1),
+                                team_arg(s, 2), int_arg(s, 3));
     }
     else if (strcmp(c, "rate") == 0) {
         change_rate(s);
@@ -225,7 +226,7 @@
     char *save = NULL;
 
     Fw_FleetEnv_Init(&s.env, &s.run, p->sites);
-    Fw_LimitCheck_Init(&s.checker, &s.env, TERM_US);
+    Fw_LimitCheck_Init(&s.checker, &s.env, LEASE_US);
     s.checker.strict = 1;
     for (char *line = strtok_r(script, "\n", &save); line;
          line = strtok_r(NULL, "\n", &save)) {
@@ -234,9 +235,10 @@
     ck_assert_msg(strcmp(s.out->str, p->expected) == 0,
                   "%s\n-- seen:\n%s-- expected:\n%s-- trace:\n%s", p->name,
                   s.out->str, p->expected,
-                  s.run.trace->str + (s.run.trace->len > TRACE_MAX
-                                          ? s.run.trace->len - TRACE_MAX
-                                          : 0));
+                  s.run.trace->str +
+                      (s.run.trace->len > TRACE_PRINTED_MAX
+                           ? s.run.trace->len - TRACE_PRINTED_MAX
+                           : 0));
     ck_assert_msg(!s.run.breach[0], "%s: %s", p->name, s.run.breach);
     Fw_LimitCheck_Clear(&s.checker, &s.env);
     g_free(script);
--- a/tests/fleet/play.h
+++ b/tests/fleet/play.h
@@ -1,14 +1,20 @@
-/* Scripts over a few instances on fakes, with expected output. */
+/* Scripts that run simulated instances, with their expected output. */
 #ifndef FW_TESTS_FLEET_SCRIPT_H
 #define FW_TESTS_FLEET_SCRIPT_H
 
 /**
- * struct fleet_script - a script, one command a line, and what it must print.
+ * struct fleet_script - a script with one command per line.
+ * @sites: number of instances, n1 to nN
+ * @expected: output of the script
  *
- * start|kill|drain N, pause N MS, cut|join N M, log down|up, lose PCT,
- * double PCT, list, run MS; view N prints what N believes, role what the
- * budget role's holders may do, ask N TEAM TOKENS the answer, refund N TEAM
- * TOKENS, rate TEAM RATE BURST changes the configuration.
+ * Instances: start N, kill N, drain N, pause N MS.
+ * Network: cut N M, join N M, lose PCT, double PCT (duplicates messages).
+ * Log: log down, log up, record TEXT (a record in the role stream).
+ * Time: run MS.
+ * Limits: rate TEAM RATE BURST sets the configuration; refund N TEAM TOKENS;
+ * ask N TEAM TOKENS prints the result of the request.
+ * Output: view N prints the member states as seen by N; role prints who holds
+ * the budget role and whether it may act.
  */
 struct fleet_script {
     const char *name;
@@ -17,7 +23,7 @@
     const char *expected;
 };
 
-/* Leases live 20 s in these runs. */
+/* Runs the script and checks its output and the limits. Leases last 20 s. */
 void
 Fw_FleetScript_Check(const struct fleet_script *p);
 
--- a/tests/fleet/test_promises.c
+++ b/tests/fleet/test_promises.c
@@ -1,4 +1,4 @@
-/* The check of each promise fails when its protection is taken away. */
+/* Each promise's check must find the fault planted for it. */
 #include <check.h>
 
 #include "base/fault.h"
