--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -1,7 +1,7 @@
 /*
  * Reads the stream, claims roles and hands them over.
  *
- * There is always one open read, which the log holds until a record arrives or
+ * One read is open at a time; the log holds it until a record arrives or
  * FW_ROLE_LONG_POLL_US have passed. That keeps the view younger than
  * FW_ROLE_VIEW_MAX_AGE_US at the cost of one exchange per poll.
  */
@@ -160,8 +160,8 @@
     }
     r->append_ticket = 0;
     if (a->err) {
-        /* It may have been appended nevertheless. Claiming again is safe: if
-         * it was, the new record is void. */
+        /* It may have been appended nevertheless. Claiming again is safe, as a
+         * record that replaces an old one is void. */
         r->next_append_us = now_us + jitter(r, FW_SEC);
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
             r->slots[i].claimed_us = 0;
--- a/src/limit/ask.c
+++ b/src/limit/ask.c
@@ -1,7 +1,8 @@
 /*
- * Token requests of this instance: from the local buckets, else from replicas
- * of the team's partition, one after the other, each for FW_PEER_TIMEOUT_US.
- * Partial grants are added up; if they don't suffice they are returned.
+ * Token requests of this instance. Tokens come from the local buckets, else
+ * from the leader and the followers of the team's partition, which are asked
+ * one after the other and have FW_PEER_TIMEOUT_US each. Partial grants are
+ * added up; if they don't suffice they are returned.
  */
 #include <string.h>
 
@@ -10,8 +11,8 @@
 /* Ends the reservations, since all tokens are spent now. Peers are told of
  * large grants only; small ones expire there. */
 static void
-commit(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-       struct fw_actions *out)
+commit_grants(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+              struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
@@ -29,8 +30,8 @@
 }
 
 static void
-finish(struct fw_limit *l, struct fw_token_request *a, int granted,
-       int64_t retry_us, int64_t now_us, struct fw_actions *out)
+finish_request(struct fw_limit *l, struct fw_token_request *a, int granted,
+               int64_t retry_us, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer *ans = g_new0(struct fw_limit_answer, 1);
 
@@ -42,7 +43,7 @@
     a->free_us = now_us + FW_LATE_GRANT_US;
     if (granted) {
         l->n_granted.value++;
-        commit(l, a, now_us, out);
+        commit_grants(l, a, now_us, out);
     }
     else {
         l->n_refused.value++;
@@ -76,8 +77,8 @@
 }
 
 static void
-reject(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-       struct fw_actions *out)
+refuse_request(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+               struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
     int64_t missing = a->tokens - a->collected;
@@ -98,7 +99,7 @@
         s->exhausted_tokens = a->tokens;
     }
     return_collected(l, a, now_us, out);
-    finish(l, a, 0, retry, now_us, out);
+    finish_request(l, a, 0, retry, now_us, out);
 }
 
 static int
@@ -112,15 +113,16 @@
     return 0;
 }
 
-/* Return: a replica not asked yet, NULL when there is none. The ticket decides
- * the first one, which spreads the load over the replicas. */
+/* Return: the leader or a follower not asked yet, NULL when there is none. The
+ * ticket decides which one is asked first, to spread the load. */
 static const struct fw_member *
 next_peer(const struct fw_limit *l, const struct fw_token_request *a,
           int partition)
 {
     for (int i = 0; i <= FW_FOLLOWERS_MAX; i++) {
         int index = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
-        const struct fw_member *m = Fw_Limit_Replica(l, partition, index);
+        const struct fw_member *m =
+            Fw_Limit_LeaderOrFollower(l, partition, index);
         if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_contacted(a, m->name)) {
             return m;
         }
@@ -147,7 +149,7 @@
 
     if (!m || (a->first_sent_us &&
                now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US)) {
-        reject(l, a, now_us, out);
+        refuse_request(l, a, now_us, out);
         return;
     }
     peer = &a->peers[a->n_peers++];
@@ -171,7 +173,7 @@
     struct fw_token_split got = Fw_TeamShare_Take(l, s, need, 0, now_us);
 
     if (got.leased + got.unleased >= need) {
-        finish(l, a, 1, 0, now_us, out);
+        finish_request(l, a, 1, 0, now_us, out);
         return 1;
     }
     Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS, now_us);
@@ -193,13 +195,13 @@
 }
 
 static void
-advance(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-        struct fw_actions *out)
+advance_request(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+                struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
     if (!s) {
-        reject(l, a, now_us, out);
+        refuse_request(l, a, now_us, out);
         return;
     }
     if (a->n_peers == 0) {
@@ -240,17 +242,17 @@
     g_strlcpy(a->team, team->name, sizeof(a->team));
     Fw_List_Append(&l->requests, &a->link);
     if (a->tokens > s->burst) {
-        finish(l, a, 0, 0, now_us, out); /* can never be granted */
+        finish_request(l, a, 0, 0, now_us, out); /* can never be granted */
         return;
     }
     if (now_us < s->exhausted_until_us && a->tokens >= s->exhausted_tokens) {
         /* Peers had too few tokens just now; only local ones can suffice. */
         if (!try_local(l, s, a, now_us, out)) {
-            reject(l, a, now_us, out);
+            refuse_request(l, a, now_us, out);
         }
         return;
     }
-    advance(l, a, now_us, out);
+    advance_request(l, a, now_us, out);
 }
 
 void
@@ -269,7 +271,7 @@
             return_collected(l, a, now_us, out);
         }
         else if (!a->done) {
-            advance(l, a, now_us, out);
+            advance_request(l, a, now_us, out);
         }
         else if (now_us >= a->free_us) {
             Fw_List_Remove(&a->link);
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -33,7 +33,7 @@
 }
 
 const struct fw_member *
-Fw_Limit_Replica(const struct fw_limit *l, int partition, int index)
+Fw_Limit_LeaderOrFollower(const struct fw_limit *l, int partition, int index)
 {
     const char *leader = Fw_Roles_Holder(l->roles, FW_ROLE_BUDGET, partition);
     uint64_t key = Fw_Roles_Key(FW_ROLE_BUDGET, partition);
@@ -59,7 +59,7 @@
 is_follower(const struct fw_limit *l, int partition)
 {
     for (int i = 1; i <= FW_FOLLOWERS_MAX; i++) {
-        const struct fw_member *m = Fw_Limit_Replica(l, partition, i);
+        const struct fw_member *m = Fw_Limit_LeaderOrFollower(l, partition, i);
         if (m && Fw_Fleet_IsSelf(l->fleet, m)) {
             return 1;
         }
@@ -142,22 +142,21 @@
     Fw_Limit_Send(l, leader, &msg, out);
 }
 
-/* Returns unused tokens to the replicas in rotation; a large amount is spread
- * over all of them, as each has capacity for its part only. */
+/* Returns unused tokens to the leader and the followers in rotation; a large
+ * amount is spread over all, as each has capacity for its part only. */
 static void
 send_returns(struct fw_limit *l, struct fw_team_share *s,
              struct fw_actions *out)
 {
     int is_large = s->unreturned > s->burst / FW_LARGE_GRANT_DIVISOR;
-    int n_replicas = FW_FOLLOWERS_MAX + 1;
+    int n_peers = FW_FOLLOWERS_MAX + 1;
     uint64_t first = l->seq;
 
-    for (int i = 0; i < n_replicas && s->unreturned > 0; i++) {
+    for (int i = 0; i < n_peers && s->unreturned > 0; i++) {
         int64_t part =
-            is_large ? s->unreturned / (n_replicas - i) : s->unreturned;
-        const struct fw_member *m = Fw_Limit_Replica(
-            l, s->partition,
-            (int)((first + (uint64_t)i) % (uint64_t)n_replicas));
+            is_large ? s->unreturned / (n_peers - i) : s->unreturned;
+        const struct fw_member *m = Fw_Limit_LeaderOrFollower(
+            l, s->partition, (int)((first + (uint64_t)i) % (uint64_t)n_peers));
         if (m && !Fw_Fleet_IsSelf(l->fleet, m)) {
             Fw_PeerGrant_SendReturn(l, m->name, s->name, part, 0, out);
             s->unreturned -= part;
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -111,7 +111,7 @@
 }
 
 /* Drops the ledger of a former leader once its last leases have expired. Its
- * unleased buckets ended before, as a new leader may grant the same rate. */
+ * unleased buckets became unusable earlier, as a new leader may grant them. */
 static void
 end_expired_ledger(const struct fw_limit *l, struct fw_limit_partition *p,
                    int64_t now_us)
--- a/src/limit/share.h
+++ b/src/limit/share.h
@@ -4,7 +4,9 @@
  * Teams are hashed to partitions. The leader of a partition, the holder of its
  * FW_ROLE_BUDGET role, leases parts of the teams' rates and bursts to other
  * instances, the lease holders, and keeps a ledger of the leases. The rest,
- * unleased, it spends itself.
+ * unleased, it grants itself. The partition's followers, the next instances by
+ * rendezvous hash, hold leases even without demand; instances that lack tokens
+ * request them from the leader and the followers.
  */
 #ifndef FW_LIMIT_INTERNAL_H
 #define FW_LIMIT_INTERNAL_H
@@ -12,12 +14,13 @@
 #include "limit/bucket.h"
 #include "limit/limit.h"
 
-/* Wait for one peer's grant, and from the first peer asked to the spending. */
+/* Longest wait for the grant of one peer, and longest time from the first
+ * request to a peer until the tokens are spent. */
 #define FW_PEER_TIMEOUT_US (150 * FW_MSEC)
 #define FW_REQUEST_TIMEOUT_US (450 * FW_MSEC)
 #define FW_PEER_REQUESTS_MAX 4
 /* A grant above this part of the burst is confirmed when spent; unused tokens
- * above it are returned to all replicas instead of one. */
+ * above it are returned to the leader and all followers instead of one. */
 #define FW_LARGE_GRANT_DIVISOR 8
 /* Requests wait this long for a partition that has no leader. */
 #define FW_LEADER_WAIT_US (3 * FW_SEC)
@@ -359,7 +362,7 @@
 /* Return: the leader of @partition (@index 0) or a follower (@index from 1 to
  * FW_FOLLOWERS_MAX), NULL when there is none. */
 const struct fw_member *
-Fw_Limit_Replica(const struct fw_limit *l, int partition, int index);
+Fw_Limit_LeaderOrFollower(const struct fw_limit *l, int partition, int index);
 
 /* Leases, on the holder. */
 void
