--- a/src/limit/limit.h
+++ b/src/limit/limit.h
@@ -15,9 +15,9 @@
 /**
  * struct fw_limit_result - outcome of a request for tokens.
  * @ticket: as passed to Fw_Limit_Request
- * @retry_after_us: of a refusal, when the region will have refilled the
- *                  missing tokens; 0 when the request exceeds the burst and
- *                  can never be granted
+ * @retry_after_us: of a refusal, time in which the region refills the missing
+ *                  tokens; 0 when the request exceeds the burst and can never
+ *                  be granted
  */
 struct fw_limit_answer {
     uint64_t ticket;
@@ -67,7 +67,7 @@
 Fw_Limit_OnMsg(struct fw_limit *l, const struct fw_config *cfg,
                const char *from, const struct fw_limit_msg *msg,
                int64_t now_us, struct fw_actions *out);
-/* Releases all leases and hands ledgers led here over to the next leader. */
+/* Releases all leases and hands the ledgers over to the next leaders. */
 void
 Fw_Limit_Drain(struct fw_limit *l, int64_t now_us, struct fw_actions *out);
 
--- a/src/limit/share.h
+++ b/src/limit/share.h
@@ -266,16 +266,16 @@
     GHashTable *shares; /* team to struct fw_team_share */
     int n_partitions;
     struct fw_limit_partition *partitions;
-    struct fw_list requests;
-    GQueue results;
-    GQueue peer_grants;  /* struct fw_peer_grant, the oldest first */
-    GHashTable *senders; /* peer to struct fw_return_sender */
+    struct fw_list requests; /* struct fw_token_request */
+    GQueue results;          /* struct fw_limit_result */
+    GQueue peer_grants;      /* struct fw_peer_grant, the oldest first */
+    GHashTable *senders;     /* peer to struct fw_return_sender */
     uint64_t seq;
-    uint64_t cfg_offset;
+    uint64_t cfg_offset; /* of the configuration applied last */
     int cfg_applied;
-    int64_t next_demand_us;
-    int64_t next_return_us;
-    int64_t lease_us; /* duration of a lease */
+    int64_t next_demand_us; /* when demand is evaluated next */
+    int64_t next_return_us; /* when unused tokens are returned next */
+    int64_t lease_us;       /* duration of a lease */
     int draining;
     struct fw_metric n_requests;
     struct fw_metric n_granted;
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -11,15 +11,13 @@
     "start 1\nstart 2\nstart 3\nstart 4\nstart 5\nstart 6\nrun 15000\n"
 
 static const struct fleet_script scripts[] = {
-    /* A request before there is a leader must wait instead of being refused.
-     */
+    /* A request must wait for the first leader instead of being refused. */
     {"fresh fleet", 6, "start 1\nstart 2\nrun 50\nask 1 large 300\n",
      "1 large 300 granted\n"},
     {"alone", 1, "start 1\nask 1 large 5000\nrun 1000\nask 1 large 900\n",
      "1 large 5000 granted\n1 large 900 granted\n"},
-    /* A request above the burst gets no retry time; one of the whole burst
-     * collects the tokens of all replicas; after it the retry time is exact.
-     */
+    /* A request above the burst must get no retry time, one of the whole burst
+     * must be granted, and after it the retry time must be exact. */
     {"burst and wait", 6,
      START_SIX
      "ask 5 large 5001\nask 5 large 5000\nask 6 large 1000\nrun 1000\n"
