--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -1,9 +1,9 @@
 /*
- * Reading the stream, taking roles and giving them up.
+ * Reads the stream, claims roles and hands them over.
  *
- * One read is under way at any time, held back by the log until a record
- * comes, so that the view stays younger than FW_ROLE_FRESH_US at the cost of
- * one exchange in two seconds.
+ * One read is open at a time; the log holds it until a record arrives or
+ * FW_ROLE_LONG_POLL_US have passed. That keeps the view younger than
+ * FW_ROLE_VIEW_MAX_AGE_US at the cost of one exchange per poll.
  */
 #include "fleet/role.h"
 
@@ -26,7 +26,7 @@
     memcpy(r->wait_us, wait_us, sizeof(r->wait_us));
     r->slots = g_new0(struct fw_role_slot,
                       (gsize)FW_ROLE_KINDS * (gsize)r->partitions);
-    /* One stream a region: an instance reads the roles of its own only. */
+    /* Each region has its own stream. */
     if (self->region[0]) {
         g_snprintf(r->stream, sizeof(r->stream), "%s-%s", FW_STREAM_ROLES,
                    self->region);
@@ -34,9 +34,9 @@
     else {
         g_strlcpy(r->stream, FW_STREAM_ROLES, sizeof(r->stream));
     }
-    r->next = 1;
+    r->next_offset = 1;
     r->read_backoff_us = FW_ROLE_BACKOFF_MIN_US;
-    r->fresh_us = INT64_MIN / 2;
+    r->view_us = INT64_MIN / 2;
     return r;
 }
 
@@ -59,64 +59,66 @@
 {
     r->read_ticket = Fw_Owner_Number(FW_OWNER_ROLES, ++r->ticket);
     r->read_sent_us = now_us;
-    /* The first answer must come at once: it may be that nobody writes. */
-    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next, FW_ROLE_READ_MAX,
-                    r->has_read ? FW_ROLE_POLL_US : 0);
+    /* The first read doesn't wait for records: the stream may be idle. */
+    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next_offset,
+                    FW_ROLE_READ_RECORDS_MAX,
+                    r->has_read ? FW_ROLE_LONG_POLL_US : 0);
 }
 
 static void
 tick_read(struct fw_roles *r, int64_t now_us, struct fw_actions *out)
 {
-    if (r->read_ticket && now_us >= r->read_sent_us + FW_ROLE_READ_ANSWER_US) {
+    if (r->read_ticket &&
+        now_us >= r->read_sent_us + FW_ROLE_READ_TIMEOUT_US) {
         r->read_ticket = 0;
     }
-    if (!r->read_ticket && now_us >= r->read_at_us) {
+    if (!r->read_ticket && now_us >= r->next_read_us) {
         send_read(r, now_us, out);
     }
     if (!r->read_ticket) {
-        Fw_Actions_Wake(out, r->read_at_us);
+        Fw_Actions_Wake(out, r->next_read_us);
     }
 }
 
-/* Records that were never seen may have changed any role. */
+/* Records were missed, which may have changed any role. */
 static void
-forget_all(struct fw_roles *r)
+reset_slots(struct fw_roles *r)
 {
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
         struct fw_role_slot *s = &r->slots[i];
-        *s = (struct fw_role_slot){.lacking_us = 0};
+        *s = (struct fw_role_slot){.vacant_since_us = 0};
     }
 }
 
 static void
-fold_records(struct fw_roles *r, const struct fw_log_records *rec,
-             int64_t now_us, struct fw_actions *out)
+apply_records(struct fw_roles *r, const struct fw_log_records *rec,
+              int64_t now_us, struct fw_actions *out)
 {
-    uint64_t from = rec->n > 0 ? rec->first : MAX(rec->oldest, r->next);
+    uint64_t from = rec->n > 0 ? rec->first : MAX(rec->oldest, r->next_offset);
 
     if (!r->has_read && rec->oldest <= 1 && from <= 1) {
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-            r->slots[i].known = 1; /* nothing aged out: none means none */
+            r->slots[i].known = 1; /* read from the first record on */
         }
     }
-    if (from > r->next || rec->end < r->next) {
-        forget_all(r);
-        r->next = from;
+    if (from > r->next_offset || rec->end < r->next_offset) {
+        reset_slots(r);
+        r->next_offset = from;
     }
     r->has_read = 1;
     for (int i = 0; i < rec->n; i++) {
         struct fw_role_record one;
         uint64_t offset = rec->first + (uint64_t)i;
-        if (offset < r->next) {
+        if (offset < r->next_offset) {
             continue;
         }
-        r->next = offset + 1;
+        r->next_offset = offset + 1;
         if (Fw_Role_Parse(rec->records[i], r->partitions, &one)) {
             Fw_Actions_Note(out, LOG_ERR, "role_record_bad", "stream",
                             r->stream, "record", rec->records[i], NULL);
             continue;
         }
-        Fw_Role_Fold(r, &one, offset, now_us, out);
+        Fw_Role_Apply(r, &one, offset, now_us, out);
     }
 }
 
@@ -129,22 +131,23 @@
     }
     r->read_ticket = 0;
     if (rec->err) {
-        r->read_at_us = now_us + jitter(r, r->read_backoff_us);
+        r->next_read_us = now_us + jitter(r, r->read_backoff_us);
         r->read_backoff_us =
             MIN(2 * r->read_backoff_us, FW_ROLE_BACKOFF_MAX_US);
-        Fw_Actions_Wake(out, r->read_at_us);
+        Fw_Actions_Wake(out, r->next_read_us);
         return;
     }
     r->read_backoff_us = FW_ROLE_BACKOFF_MIN_US;
-    fold_records(r, rec, now_us, out);
-    if (r->next >= rec->end) {
-        r->fresh_us = r->read_sent_us;
+    apply_records(r, rec, now_us, out);
+    if (r->next_offset >= rec->end) {
+        r->view_us = r->read_sent_us;
     }
-    /* A log that doesn't hold answers back must not be asked in a spin. */
-    r->read_at_us =
-        rec->n > 0 ? now_us : MAX(now_us, r->read_sent_us + FW_ROLE_ROUND_US);
+    /* Limits the rate of reads in case the log answers them at once. */
+    r->next_read_us =
+        rec->n > 0 ? now_us
+                   : MAX(now_us, r->read_sent_us + FW_ROLE_CHECK_INTERVAL_US);
     tick_read(r, now_us, out);
-    r->round_us = 0;
+    r->next_check_us = 0;
     Fw_Actions_Wake(out, now_us);
 }
 
@@ -157,26 +160,26 @@
     }
     r->append_ticket = 0;
     if (a->err) {
-        /* Whether it took effect the next read tells; taking again is
-         * harmless, since a record that replaces an old one is void. */
-        r->append_at_us = now_us + jitter(r, FW_SEC);
+        /* It may have been appended nevertheless. Claiming again is safe, as a
+         * record that replaces an old one is void. */
+        r->next_append_us = now_us + jitter(r, FW_SEC);
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-            r->slots[i].asked_us = 0;
+            r->slots[i].claimed_us = 0;
         }
-        Fw_Actions_Wake(out, r->append_at_us);
+        Fw_Actions_Wake(out, r->next_append_us);
     }
 }
 
-/* How long a role must have lacked a holder before it is taken; -1: it has
- * one. A living holder is not replaced, however the choice falls. */
+/* Return: how long the role must be vacant before it is claimed, -1 if it has
+ * a live holder. That is kept even if it isn't the first choice any more. */
 static int64_t
-settle_time(const struct fw_roles *r, const struct fw_fleet *fleet,
-            const struct fw_role_slot *s)
+takeover_delay(const struct fw_roles *r, const struct fw_fleet *fleet,
+               const struct fw_role_slot *s)
 {
     const struct fw_member *m;
 
     if (!s->known) {
-        return FW_ROLE_LONG_SETTLE_US;
+        return FW_ROLE_UNSURE_DELAY_US;
     }
     if (s->offset == 0) {
         return 0;
@@ -186,35 +189,37 @@
     }
     m = Fw_Fleet_Find(fleet, s->holder);
     if (!m) {
-        return FW_ROLE_LONG_SETTLE_US;
+        return FW_ROLE_UNSURE_DELAY_US;
     }
     if (m->boot > s->boot || m->state == FW_MEMBER_DEAD) {
-        return FW_ROLE_DEAD_SETTLE_US;
+        return FW_ROLE_DEAD_DELAY_US;
     }
-    return m->state == FW_MEMBER_LEAVING ? FW_ROLE_LONG_SETTLE_US : -1;
+    return m->state == FW_MEMBER_LEAVING ? FW_ROLE_UNSURE_DELAY_US : -1;
 }
 
-/* Whether the slot wants a record now; fills it. */
+/* Return: nonzero when a claim or a refresh, stored in @rec, is to be
+ * appended.
+ */
 static int
-wants_take(struct fw_roles *r, const struct fw_fleet *fleet,
-           struct fw_role_slot *s, int64_t now_us, struct fw_role_record *rec)
+needs_claim(struct fw_roles *r, const struct fw_fleet *fleet,
+            struct fw_role_slot *s, int64_t now_us, struct fw_role_record *rec)
 {
-    int64_t settle = settle_time(r, fleet, s);
+    int64_t delay = takeover_delay(r, fleet, s);
     const struct fw_member *m;
 
-    rec->was = s->known ? (int64_t)s->offset : FW_ROLE_ANY;
-    if (settle < 0) {
-        s->lacking_us = 0;
-        /* Holding needs no append, but the log forgets: without a new record
-         * now and then a restarted instance could not tell who holds it. */
-        rec->was = FW_ROLE_ANY;
-        return Fw_Role_Mine(r, s) && !s->stopped &&
-               now_us >= s->folded_us + FW_ROLE_REFRESH_US;
+    rec->replaces = s->known ? (int64_t)s->offset : FW_ROLE_REPLACES_ANY;
+    if (delay < 0) {
+        s->vacant_since_us = 0;
+        /* The log drops old records: without a refresh, an instance that
+         * starts later couldn't tell who holds the role. */
+        rec->replaces = FW_ROLE_REPLACES_ANY;
+        return Fw_Role_IsHeldHere(r, s) && !s->stopped &&
+               now_us >= s->applied_us + FW_ROLE_REFRESH_INTERVAL_US;
     }
-    if (s->lacking_us == 0) {
-        s->lacking_us = now_us;
+    if (s->vacant_since_us == 0) {
+        s->vacant_since_us = now_us;
     }
-    if (now_us < s->lacking_us + settle) {
+    if (now_us < s->vacant_since_us + delay) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
@@ -222,13 +227,13 @@
 }
 
 static int
-wants_handover(struct fw_roles *r, const struct fw_fleet *fleet,
+needs_handover(struct fw_roles *r, const struct fw_fleet *fleet,
                struct fw_role_slot *s, int64_t now_us,
                struct fw_role_record *rec)
 {
     const struct fw_member *m;
 
-    if (!Fw_Role_Mine(r, s)) {
+    if (!Fw_Role_IsHeldHere(r, s)) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
@@ -236,21 +241,22 @@
     if (!m || Fw_Fleet_IsSelf(fleet, m)) {
         return 0;
     }
-    rec->was = (int64_t)s->offset;
-    /* One that surely never acted leaves nothing behind but what is older.
-     * One that was handed the role may have acted before from_us. */
-    rec->wait_us = now_us < s->from_us && !s->handed_from
-                       ? s->from_us - now_us
+    rec->replaces = (int64_t)s->offset;
+    /* A holder that never acted has granted nothing, so the remaining wait for
+     * older grants suffices. After a handover it may have acted before
+     * acts_from_us. */
+    rec->wait_us = now_us < s->acts_from_us && !s->predecessor_tenure
+                       ? s->acts_from_us - now_us
                        : r->wait_us[rec->kind];
     g_strlcpy(rec->holder, m->name, sizeof(rec->holder));
     rec->boot = m->boot;
     return 1;
 }
 
-/* One append carries all records of a round. */
+/* Appends all due records at once. */
 static void
-append_round(struct fw_roles *r, const struct fw_fleet *fleet, int64_t now_us,
-             struct fw_actions *out)
+append_claims(struct fw_roles *r, const struct fw_fleet *fleet, int64_t now_us,
+              struct fw_actions *out)
 {
     GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
 
@@ -263,13 +269,13 @@
             .wait_us = -1,
         };
         g_strlcpy(rec.holder, r->self.name, sizeof(rec.holder));
-        if (s->asked_us && now_us < s->asked_us + FW_ROLE_FRESH_US) {
+        if (s->claimed_us && now_us < s->claimed_us + FW_ROLE_FRESH_US) {
             continue;
         }
-        if (r->draining ? wants_handover(r, fleet, s, now_us, &rec)
-                        : wants_take(r, fleet, s, now_us, &rec)) {
-            s->asked_us = now_us;
-            g_ptr_array_add(texts, Fw_Role_Print(&rec));
+        if (r->draining ? needs_handover(r, fleet, s, now_us, &rec)
+                        : needs_claim(r, fleet, s, now_us, &rec)) {
+            s->claimed_us = now_us;
+            g_ptr_array_add(texts, Fw_Role_Format(&rec));
         }
     }
     if (texts->len > 0) {
@@ -290,22 +296,22 @@
     }
     tick_read(r, now_us, out);
     if (r->append_ticket &&
-        now_us >= r->append_sent_us + FW_ROLE_APPEND_ANSWER_US) {
+        now_us >= r->append_sent_us + FW_ROLE_APPEND_TIMEOUT_US) {
         r->append_ticket = 0;
     }
-    if (now_us < r->round_us) {
-        Fw_Actions_Wake(out, r->round_us);
+    if (now_us < r->next_check_us) {
+        Fw_Actions_Wake(out, r->next_check_us);
         return;
     }
-    r->round_us = now_us + FW_ROLE_ROUND_US;
-    Fw_Actions_Wake(out, r->round_us);
-    /* On an old view of the log a take would mostly be void. */
-    if (r->append_ticket || now_us < r->append_at_us ||
-        now_us < r->start_us + FW_ROLE_START_US ||
-        now_us - r->fresh_us >= FW_ROLE_FRESH_US) {
+    r->next_check_us = now_us + FW_ROLE_CHECK_INTERVAL_US;
+    Fw_Actions_Wake(out, r->next_check_us);
+    /* A claim based on an old view would likely be void. */
+    if (r->append_ticket || now_us < r->next_append_us ||
+        now_us < r->start_us + FW_ROLE_START_DELAY_US ||
+        now_us - r->view_us >= FW_ROLE_FRESH_US) {
         return;
     }
-    append_round(r, fleet, now_us, out);
+    append_claims(r, fleet, now_us, out);
 }
 
 void
@@ -313,12 +319,12 @@
                int64_t now_us, struct fw_actions *out)
 {
     r->draining = 1;
-    /* Stopped before the append: the successor's shorter wait counts on it. */
+    /* Stops before the append, as the successor's shorter wait requires. */
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-        if (Fw_Role_Mine(r, &r->slots[i])) {
+        if (Fw_Role_IsHeldHere(r, &r->slots[i])) {
             r->slots[i].stopped = 1;
         }
     }
-    r->round_us = 0;
+    r->next_check_us = 0;
     Fw_Roles_Tick(r, fleet, now_us, out);
 }
--- a/src/fleet/rumour.c
+++ b/src/fleet/rumour.c
@@ -1,9 +1,9 @@
 /*
- * Rumours: what is newer wins, by boot, then incarnation, then state.
+ * Dissemination of member states by gossip. Of two updates the newer one wins,
+ * by boot, then incarnation, then state.
  *
- * An instance alone raises its own incarnation, so it alone can take back a
- * suspicion: a slow peer can't keep a living instance out, and an old
- * message can't bring a dead one back.
+ * Only the instance itself raises its incarnation, so it can always refute a
+ * suspicion, and a delayed message can't revive a dead member.
  */
 #include <string.h>
 #include <syslog.h>
@@ -11,25 +11,27 @@
 #include "base/fault.h"
 #include "fleet/member.h"
 
-#define TELL_FACTOR 3
+#define RETRANSMIT_FACTOR 3
 
-/* Often enough for each member to hear it with high probability. */
+/* Proportional to the logarithm of the fleet's size, so that each member gets
+ * the update with high probability. */
 void
-Fw_Rumour_Spread(struct fw_fleet *f, struct fw_entry *e)
+Fw_Gossip_Queue(struct fw_fleet *f, struct fw_member_entry *e)
 {
     if (strcmp(e->m.region, f->self.region) == 0) {
-        e->tell = TELL_FACTOR * (int)g_bit_storage(f->pick->len + 1);
+        e->retransmits =
+            RETRANSMIT_FACTOR * (int)g_bit_storage(f->candidates->len + 1);
     }
 }
 
 void
-Fw_Rumour_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
+Fw_Gossip_Refute(struct fw_fleet *f, uint64_t boot, uint32_t incarnation,
                  int state)
 {
-    struct fw_entry *me = f->me;
+    struct fw_member_entry *me = f->self_entry;
 
     if (boot < me->m.boot) {
-        Fw_Rumour_Spread(f, me); /* an earlier run is believed in */
+        Fw_Gossip_Queue(f, me); /* the peer knows an earlier process only */
         return;
     }
     if (boot > me->m.boot || incarnation < me->m.incarnation) {
@@ -41,10 +43,10 @@
     if (FW_FAULT("fleet-no-refutation")) {
         return;
     }
-    /* Someone believes us suspect or dead. Unrefuted, we would be passed over
-     * for ever; a larger incarnation overrides every copy of the rumour. */
+    /* A peer sees this instance as suspect or dead. A larger incarnation
+     * overrides that in all copies. */
     me->m.incarnation = incarnation + 1;
-    Fw_Rumour_Spread(f, me);
+    Fw_Gossip_Queue(f, me);
     f->refutations.value++;
 }
 
@@ -60,7 +62,7 @@
     return u->state > (int)m->state;
 }
 
-/* Whether a rumour about an unknown instance is worth an entry. */
+/* Whether an update about an unknown instance adds it to the table. */
 static int
 is_wanted(const struct fw_fleet *f, const struct fw_fleet_update *u)
 {
@@ -69,18 +71,18 @@
 }
 
 void
-Fw_Rumour_Merge(struct fw_fleet *f, const char *from,
+Fw_Gossip_Merge(struct fw_fleet *f, const char *from,
                 const struct fw_fleet_update *u, int64_t now_us,
                 struct fw_actions *out)
 {
-    struct fw_entry *e = Fw_Member_Find(f, u->name);
+    struct fw_member_entry *e = Fw_Member_Find(f, u->name);
 
-    if (e == f->me) {
+    if (e == f->self_entry) {
         if (u->boot > f->self.boot) {
             Fw_Actions_Note(out, LOG_ERR, "name_taken", "member", u->name,
                             "addr", u->addr, "told_by", from, NULL);
         }
-        Fw_Rumour_Refute(f, u->boot, u->incarnation, u->state);
+        Fw_Gossip_Refute(f, u->boot, u->incarnation, u->state);
         return;
     }
     if (!e && is_wanted(f, u)) {
@@ -95,7 +97,7 @@
     }
     e->m.boot = u->boot;
     e->m.incarnation = u->incarnation;
-    Fw_Rumour_Spread(f, e);
+    Fw_Gossip_Queue(f, e);
     Fw_Member_SetState(f, e, (enum fw_member_state)u->state, now_us, out);
 }
 
@@ -111,23 +113,24 @@
     u->state = (int)m->state;
 }
 
-static struct fw_entry *
-most_to_tell(struct fw_fleet *f, const struct fw_fleet_msg *msg)
+static struct fw_member_entry *
+next_to_send(struct fw_fleet *f, const struct fw_fleet_msg *msg)
 {
-    struct fw_entry *best = NULL;
+    struct fw_member_entry *best = NULL;
     GHashTableIter it;
     gpointer value;
 
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
-        int told = 0;
-        for (int i = 0; i < msg->n; i++) {
-            told |= strcmp(msg->updates[i].name, e->m.name) == 0;
+        struct fw_member_entry *e = value;
+        int included = 0;
+        for (int i = 0; i < msg->n_updates; i++) {
+            included |= strcmp(msg->updates[i].name, e->m.name) == 0;
         }
-        if (e->tell > 0 && !told &&
-            (!best || e->tell > best->tell ||
-             (e->tell == best->tell && strcmp(e->m.name, best->m.name) < 0))) {
+        if (e->retransmits > 0 && !included &&
+            (!best || e->retransmits > best->retransmits ||
+             (e->retransmits == best->retransmits &&
+              strcmp(e->m.name, best->m.name) < 0))) {
             best = e;
         }
     }
@@ -135,16 +138,17 @@
 }
 
 void
-Fw_Rumour_Attach(struct fw_fleet *f, struct fw_fleet_msg *msg, int self)
+Fw_Gossip_Attach(struct fw_fleet *f, struct fw_fleet_msg *msg, int self)
 {
-    struct fw_entry *e;
+    struct fw_member_entry *e;
 
     msg->updates = g_new0(struct fw_fleet_update, FW_FLEET_UPDATES_MAX);
     if (self) {
-        fill_update(&msg->updates[msg->n++], &f->me->m);
+        fill_update(&msg->updates[msg->n_updates++], &f->self_entry->m);
     }
-    while (msg->n < FW_FLEET_UPDATES_MAX && (e = most_to_tell(f, msg))) {
-        fill_update(&msg->updates[msg->n++], &e->m);
-        e->tell--;
+    while (msg->n_updates < FW_FLEET_UPDATES_MAX &&
+           (e = next_to_send(f, msg))) {
+        fill_update(&msg->updates[msg->n_updates++], &e->m);
+        e->retransmits--;
     }
 }
--- a/src/limit/ask.c
+++ b/src/limit/ask.c
@@ -1,48 +1,49 @@
 /*
- * Questions of this instance's own requests: from what is held here, else
- * from the team's leader, else from those who stand next to it, each within
- * FW_HOP_US. Parts are put together; what does not suffice goes back.
+ * Token requests of this instance. Tokens come from the local buckets, else
+ * from the leader and the followers of the team's partition, which are asked
+ * one after the other and have FW_PEER_TIMEOUT_US each. Partial grants are
+ * added up; if they don't suffice they are returned.
  */
 #include <string.h>
 
 #include "limit/share.h"
 
-/* All is spent now. Who gave much of the burst is told, since it keeps the
- * place of the tokens empty until it knows. */
+/* Ends the reservations, since all tokens are spent now. Peers are told of
+ * large grants only; small ones expire there. */
 static void
-land(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
-     struct fw_actions *out)
+commit_grants(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+              struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
-    if (s && now_us < a->first_us + FW_FLIGHT_US) {
-        Fw_Bucket_Land(&s->leased, a->leased, now_us);
-        Fw_Bucket_Land(&s->own, a->own, now_us);
+    if (s && now_us < a->first_sent_us + FW_RESERVATION_US) {
+        Fw_Bucket_Commit(&s->leased, a->leased, now_us);
+        Fw_Bucket_Commit(&s->unleased, a->unleased, now_us);
     }
-    for (int i = 0; i < a->n_hops; i++) {
-        struct fw_hop *hop = &a->hops[i];
-        if (s && hop->got > s->burst / FW_TELL_PART) {
-            Fw_Serve_Return(l, hop->peer, a->team, 0, hop->seq, out);
+    for (int i = 0; i < a->n_peers; i++) {
+        struct fw_peer_request *peer = &a->peers[i];
+        if (s && peer->tokens > s->burst / FW_LARGE_GRANT_DIVISOR) {
+            Fw_PeerGrant_SendReturn(l, peer->name, a->team, 0, peer->seq, out);
         }
-        hop->got = 0; /* not to be returned */
+        peer->tokens = 0; /* not to be returned */
     }
 }
 
 static void
-answer(struct fw_limit *l, struct fw_ask *a, int granted, int64_t retry_us,
-       int64_t now_us, struct fw_actions *out)
+finish_request(struct fw_limit *l, struct fw_token_request *a, int granted,
+               int64_t retry_us, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer *ans = g_new0(struct fw_limit_answer, 1);
 
     ans->ticket = a->ticket;
     ans->granted = granted;
     ans->retry_after_us = retry_us;
-    g_queue_push_tail(&l->answers, ans);
+    g_queue_push_tail(&l->results, ans);
     a->done = 1;
-    a->drop_us = now_us + FW_LATE_US;
+    a->free_us = now_us + FW_LATE_GRANT_US;
     if (granted) {
         l->n_granted.value++;
-        land(l, a, now_us, out);
+        commit_grants(l, a, now_us, out);
     }
     else {
         l->n_refused.value++;
@@ -50,77 +51,79 @@
 }
 
 /*
- * Puts back what was collected, to where it came from. Only as long as its
- * place is surely still kept there: once the bucket has refilled it, tokens
- * that come back would be more than the team's.
+ * Returns the collected tokens to where they came from. Local buckets take
+ * them back only until the reservation may have expired: their capacity is
+ * refilled then, and the team would have the tokens twice.
  */
 static void
-give_back(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
-          struct fw_actions *out)
+return_collected(struct fw_limit *l, struct fw_token_request *a,
+                 int64_t now_us, struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
-    if (s && now_us < a->first_us + FW_FLIGHT_US) {
-        Fw_Bucket_Unfly(&s->leased, a->leased, now_us);
-        Fw_Bucket_Unfly(&s->own, a->own, now_us);
+    if (s && now_us < a->first_sent_us + FW_RESERVATION_US) {
+        Fw_Bucket_Cancel(&s->leased, a->leased, now_us);
+        Fw_Bucket_Cancel(&s->unleased, a->unleased, now_us);
     }
     a->leased = 0;
-    a->own = 0;
-    for (int i = 0; i < a->n_hops; i++) {
-        if (a->hops[i].got > 0) {
-            Fw_Serve_Return(l, a->hops[i].peer, a->team, a->hops[i].got,
-                            a->hops[i].seq, out);
+    a->unleased = 0;
+    for (int i = 0; i < a->n_peers; i++) {
+        if (a->peers[i].tokens > 0) {
+            Fw_PeerGrant_SendReturn(l, a->peers[i].name, a->team,
+                                    a->peers[i].tokens, a->peers[i].seq, out);
         }
-        a->hops[i].got = 0;
+        a->peers[i].tokens = 0;
     }
 }
 
 static void
-refuse(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
-       struct fw_actions *out)
+refuse_request(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+               struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
     int64_t missing = a->tokens - a->collected;
     int64_t retry = FW_SEC;
     int silent = 0;
 
-    for (int i = 0; i < a->n_hops; i++) {
-        silent |= !a->hops[i].answered;
+    for (int i = 0; i < a->n_peers; i++) {
+        silent |= !a->peers[i].answered;
     }
     l->n_unreachable.value += silent;
     if (s && s->rate > 0) {
-        /* When the whole fleet will have refilled what is missing. */
+        /* Time in which the region refills the missing tokens. */
         double wait = (double)missing / (double)s->rate * (double)FW_SEC;
         retry = (int64_t)CLAMP(wait, (double)FW_MSEC, 3600.0 * FW_SEC);
     }
-    if (s && !silent && a->n_hops > 0) {
-        s->empty_until_us = now_us + MIN(retry, FW_EMPTY_US);
-        s->empty_tokens = a->tokens;
+    if (s && !silent && a->n_peers > 0) {
+        s->exhausted_until_us = now_us + MIN(retry, FW_EXHAUSTED_MAX_US);
+        s->exhausted_tokens = a->tokens;
     }
-    give_back(l, a, now_us, out);
-    answer(l, a, 0, retry, now_us, out);
+    return_collected(l, a, now_us, out);
+    finish_request(l, a, 0, retry, now_us, out);
 }
 
 static int
-was_asked(const struct fw_ask *a, const char *name)
+was_contacted(const struct fw_token_request *a, const char *name)
 {
-    for (int i = 0; i < a->n_hops; i++) {
-        if (strcmp(a->hops[i].peer, name) == 0) {
+    for (int i = 0; i < a->n_peers; i++) {
+        if (strcmp(a->peers[i].name, name) == 0) {
             return 1;
         }
     }
     return 0;
 }
 
-/* Those that hold the team's tokens, from another one on each time, so that
- * all are used alike; NULL when nobody is left to ask. */
+/* Return: the leader or a follower not asked yet, NULL when there is none. The
+ * ticket decides which one is asked first, to spread the load. */
 static const struct fw_member *
-next_peer(const struct fw_limit *l, const struct fw_ask *a, int partition)
+next_peer(const struct fw_limit *l, const struct fw_token_request *a,
+          int partition)
 {
-    for (int i = 0; i <= FW_FOLLOWERS; i++) {
-        int place = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS + 1));
-        const struct fw_member *m = Fw_Limit_Place(l, partition, place);
-        if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_asked(a, m->name)) {
+    for (int i = 0; i <= FW_FOLLOWERS_MAX; i++) {
+        int index = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
+        const struct fw_member *m =
+            Fw_Limit_LeaderOrFollower(l, partition, index);
+        if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_contacted(a, m->name)) {
             return m;
         }
     }
@@ -134,90 +137,92 @@
 }
 
 static void
-next_hop(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
-         struct fw_actions *out)
+request_next_peer(struct fw_limit *l, struct fw_token_request *a,
+                  int64_t now_us, struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
-    const struct fw_member *m =
-        s && a->n_hops < FW_HOPS_MAX ? next_peer(l, a, s->partition) : NULL;
-    struct fw_limit_msg msg = {.kind = FW_LIMIT_ASK};
-    struct fw_hop *hop;
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
+    const struct fw_member *m = s && a->n_peers < FW_PEER_REQUESTS_MAX
+                                    ? next_peer(l, a, s->partition)
+                                    : NULL;
+    struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_REQUEST};
+    struct fw_peer_request *peer;
 
-    if (!m || (a->first_us && now_us >= a->first_us + FW_SPEND_US)) {
-        refuse(l, a, now_us, out);
+    if (!m || (a->first_sent_us &&
+               now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US)) {
+        refuse_request(l, a, now_us, out);
         return;
     }
-    hop = &a->hops[a->n_hops++];
-    g_strlcpy(hop->peer, m->name, sizeof(hop->peer));
-    hop->seq = ++l->seq;
-    a->first_us = a->first_us ? a->first_us : now_us;
-    a->hop_us = now_us;
-    msg.seq = hop->seq;
+    peer = &a->peers[a->n_peers++];
+    g_strlcpy(peer->name, m->name, sizeof(peer->name));
+    peer->seq = ++l->seq;
+    a->first_sent_us = a->first_sent_us ? a->first_sent_us : now_us;
+    a->last_sent_us = now_us;
+    msg.seq = peer->seq;
     msg.tokens = a->tokens - a->collected;
     g_strlcpy(msg.team, a->team, sizeof(msg.team));
-    Fw_Limit_Post(l, m->name, &msg, out);
-    Fw_Actions_Wake(out, now_us + FW_HOP_US);
+    Fw_Limit_Send(l, m->name, &msg, out);
+    Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
 }
 
-/* From here, if that makes it whole. */
+/* Grants the request if local tokens make up what is missing. */
 static int
-try_here(struct fw_limit *l, struct fw_share *s, struct fw_ask *a,
-         int64_t now_us, struct fw_actions *out)
+try_local(struct fw_limit *l, struct fw_team_share *s,
+          struct fw_token_request *a, int64_t now_us, struct fw_actions *out)
 {
     int64_t need = a->tokens - a->collected;
-    struct fw_taken got = Fw_Share_Take(l, s, need, 0, now_us);
+    struct fw_token_split got = Fw_TeamShare_Take(l, s, need, 0, now_us);
 
-    if (got.leased + got.own >= need) {
-        answer(l, a, 1, 0, now_us, out);
+    if (got.leased + got.unleased >= need) {
+        finish_request(l, a, 1, 0, now_us, out);
         return 1;
     }
-    Fw_Bucket_Put(&s->leased, got.leased * FW_MICRO, now_us);
-    Fw_Bucket_Put(&s->own, got.own * FW_MICRO, now_us);
+    Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS, now_us);
+    Fw_Bucket_Put(&s->unleased, got.unleased * FW_MICROTOKENS, now_us);
     return 0;
 }
 
-/* What there is here, kept as in flight until others have answered. */
+/* Reserves the local tokens while peers are asked for the rest. */
 static void
-take_part(struct fw_limit *l, struct fw_share *s, struct fw_ask *a,
-          int64_t now_us)
+reserve_local(struct fw_limit *l, struct fw_team_share *s,
+              struct fw_token_request *a, int64_t now_us)
 {
-    struct fw_taken got =
-        Fw_Share_Take(l, s, a->tokens - a->collected, 1, now_us);
+    struct fw_token_split got =
+        Fw_TeamShare_Take(l, s, a->tokens - a->collected, 1, now_us);
 
     a->leased += got.leased;
-    a->own += got.own;
-    a->collected += got.leased + got.own;
+    a->unleased += got.unleased;
+    a->collected += got.leased + got.unleased;
 }
 
 static void
-advance(struct fw_limit *l, struct fw_ask *a, int64_t now_us,
-        struct fw_actions *out)
+advance_request(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+                struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Find(l, a->team);
+    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
 
     if (!s) {
-        refuse(l, a, now_us, out);
+        refuse_request(l, a, now_us, out);
         return;
     }
-    if (a->n_hops == 0) {
+    if (a->n_peers == 0) {
         Fw_Ledger_Refresh(l, s->partition, now_us);
-        Fw_Ledger_OnTeam(l, s, now_us);
-        if (try_here(l, s, a, now_us, out)) {
+        Fw_Ledger_AddTeam(l, s, now_us);
+        if (try_local(l, s, a, now_us, out)) {
             return;
         }
         if (!has_leader(l, s->partition) &&
-            now_us < a->start_us + FW_START_WAIT_US) {
-            Fw_Actions_Wake(out, now_us + FW_HOP_US);
-            return; /* a fleet that has just started */
+            now_us < a->started_us + FW_LEADER_WAIT_US) {
+            Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
+            return; /* no leader yet after a start of the fleet */
         }
-        take_part(l, s, a, now_us);
-        next_hop(l, a, now_us, out);
+        reserve_local(l, s, a, now_us);
+        request_next_peer(l, a, now_us, out);
     }
-    else if (now_us >= a->hop_us + FW_HOP_US) {
-        next_hop(l, a, now_us, out);
+    else if (now_us >= a->last_sent_us + FW_PEER_TIMEOUT_US) {
+        request_next_peer(l, a, now_us, out);
     }
     else {
-        Fw_Actions_Wake(out, a->hop_us + FW_HOP_US);
+        Fw_Actions_Wake(out, a->last_sent_us + FW_PEER_TIMEOUT_US);
     }
 }
 
@@ -225,65 +230,67 @@
 Fw_Limit_Ask(struct fw_limit *l, const struct fw_team *team, uint64_t ticket,
              int64_t tokens, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_share *s = Fw_Share_Get(l, team, now_us);
-    struct fw_ask *a = g_new0(struct fw_ask, 1);
+    struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
+    struct fw_token_request *a = g_new0(struct fw_token_request, 1);
 
-    l->n_asks.value++;
-    s->asks++;
-    s->asked += MAX(tokens, 0);
+    l->n_requests.value++;
+    s->demand_requests++;
+    s->demand_tokens += MAX(tokens, 0);
     a->ticket = ticket;
     a->tokens = MAX(tokens, 0);
-    a->start_us = now_us;
+    a->started_us = now_us;
     g_strlcpy(a->team, team->name, sizeof(a->team));
-    Fw_List_Append(&l->asks, &a->link);
+    Fw_List_Append(&l->requests, &a->link);
     if (a->tokens > s->burst) {
-        answer(l, a, 0, 0, now_us, out); /* can never pass: no use to wait */
+        finish_request(l, a, 0, 0, now_us, out); /* can never be granted */
         return;
     }
-    if (now_us < s->empty_until_us && a->tokens >= s->empty_tokens) {
-        /* The fleet was just found empty; only what is here can help. */
-        if (!try_here(l, s, a, now_us, out)) {
-            refuse(l, a, now_us, out);
+    if (now_us < s->exhausted_until_us && a->tokens >= s->exhausted_tokens) {
+        /* Peers had too few tokens just now; only local ones can suffice. */
+        if (!try_local(l, s, a, now_us, out)) {
+            refuse_request(l, a, now_us, out);
         }
         return;
     }
-    advance(l, a, now_us, out);
+    advance_request(l, a, now_us, out);
 }
 
 void
-Fw_Ask_Tick(struct fw_limit *l, int64_t now_us, struct fw_actions *out)
+Fw_TokenRequest_Tick(struct fw_limit *l, int64_t now_us,
+                     struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &l->asks) {
-        struct fw_ask *a = FW_LIST_ENTRY(pos, struct fw_ask, link);
-        if (a->forgotten) {
-            a->forgotten = 0;
-            a->drop_us = now_us + FW_LATE_US;
-            give_back(l, a, now_us, out);
+    FW_LIST_EACH_SAFE (pos, tmp, &l->requests) {
+        struct fw_token_request *a =
+            FW_LIST_ENTRY(pos, struct fw_token_request, link);
+        if (a->cancelled) {
+            a->cancelled = 0;
+            a->free_us = now_us + FW_LATE_GRANT_US;
+            return_collected(l, a, now_us, out);
         }
         else if (!a->done) {
-            advance(l, a, now_us, out);
+            advance_request(l, a, now_us, out);
         }
-
-        else if (now_us >= a->drop_us) {
+        else if (now_us >= a->free_us) {
             Fw_List_Remove(&a->link);
             g_free(a);
         }
     }
 }
 
-static struct fw_ask *
-ask_of(struct fw_limit *l, uint64_t seq, struct fw_hop **hop)
+static struct fw_token_request *
+find_request(struct fw_limit *l, uint64_t seq, struct fw_peer_request **peer)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &l->asks) {
-        struct fw_ask *a = FW_LIST_ENTRY(pos, struct fw_ask, link);
-        for (int i = 0; i < a->n_hops; i++) {
-            if (a->hops[i].seq == seq) {
-                *hop = &a->hops[i];
+    FW_LIST_EACH (pos, &l->requests) {
+        struct fw_token_request *a =
+            FW_LIST_ENTRY(pos, struct fw_token_request, link);
+        for (int i = 0; i < a->n_peers; i++) {
+            if (a->peers[i].seq == seq) {
+                *peer = &a->peers[i];
                 return a;
             }
         }
@@ -292,32 +299,33 @@
 }
 
 void
-Fw_Ask_OnTokens(struct fw_limit *l, const char *from,
-                const struct fw_limit_msg *msg, int64_t now_us,
-                struct fw_actions *out)
+Fw_TokenRequest_OnGrant(struct fw_limit *l, const char *from,
+                        const struct fw_limit_msg *msg, int64_t now_us,
+                        struct fw_actions *out)
 {
-    struct fw_hop *hop = NULL;
-    struct fw_ask *a = ask_of(l, msg->seq, &hop);
-    struct fw_share *s;
+    struct fw_peer_request *peer = NULL;
+    struct fw_token_request *a = find_request(l, msg->seq, &peer);
+    struct fw_team_share *s;
 
-    if (!a || hop->answered || strcmp(hop->peer, from) != 0) {
-        return; /* a double, or so late that the tokens are given up */
+    if (!a || peer->answered || strcmp(peer->name, from) != 0) {
+        return; /* duplicate, or later than FW_LATE_GRANT_US */
     }
-    hop->answered = 1;
-    if (a->done || now_us >= a->first_us + FW_SPEND_US) {
-        /* Too late to be spent: the grantor refills their place by now. */
+    peer->answered = 1;
+    if (a->done || now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US) {
+        /* Too late to be spent before the peer's reservation expires. */
         if (msg->tokens > 0) {
-            Fw_Serve_Return(l, from, a->team, msg->tokens, hop->seq, out);
+            Fw_PeerGrant_SendReturn(l, from, a->team, msg->tokens, peer->seq,
+                                    out);
         }
         return;
     }
-    hop->got = MIN(msg->tokens, a->tokens - a->collected);
-    a->collected += hop->got;
-    s = Fw_Share_Find(l, a->team);
-    if (s && try_here(l, s, a, now_us, out)) {
+    peer->tokens = MIN(msg->tokens, a->tokens - a->collected);
+    a->collected += peer->tokens;
+    s = Fw_TeamShare_Find(l, a->team);
+    if (s && try_local(l, s, a, now_us, out)) {
         return;
     }
-    next_hop(l, a, now_us, out);
+    request_next_peer(l, a, now_us, out);
 }
 
 void
@@ -325,11 +333,12 @@
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &l->asks) {
-        struct fw_ask *a = FW_LIST_ENTRY(pos, struct fw_ask, link);
+    FW_LIST_EACH (pos, &l->requests) {
+        struct fw_token_request *a =
+            FW_LIST_ENTRY(pos, struct fw_token_request, link);
         if (!a->done && a->ticket == ticket) {
             a->done = 1;
-            a->forgotten = 1;
+            a->cancelled = 1;
         }
     }
 }
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -1,11 +1,11 @@
 /*
- * The leader's side: what is given out, to whom, and what is left.
+ * The leader's ledger of leases.
  *
- * A lease is only ever granted as the answer to a question, and the holder
- * counts its life from when it sent that, so an answer that the network held
- * for minutes is void by itself. Here it counts until the same term has run
- * from the answer on, and the clocks' drift. What a holder was offered counts
- * as given until a later question shows that it was not taken in.
+ * A lease is only granted in answer to a renewal, and the holder counts its
+ * term from when it sent that, so an answer delayed in the network yields an
+ * expired lease. The leader counts the same term from its answer, plus clock
+ * drift. An offered lease counts as granted until a later renewal shows that
+ * the holder did not apply it.
  */
 #include <errno.h>
 #include <string.h>
@@ -14,32 +14,33 @@
 #include "limit/share.h"
 
 int64_t
-Fw_Ledger_Longest(const struct fw_limit *l)
+Fw_Ledger_MaxLeaseUs(const struct fw_limit *l)
 {
-    return l->term_us + l->term_us / 1000000 * FW_ROLE_DRIFT_PPM +
-           FW_FLIGHT_US;
+    return l->lease_us + l->lease_us / 1000000 * FW_ROLE_DRIFT_PPM +
+           FW_RESERVATION_US;
 }
 
 int
 Fw_Ledger_MayGrant(struct fw_limit *l, int partition, int64_t now_us)
 {
-    const struct fw_part *p = &l->parts[partition];
+    const struct fw_limit_partition *p = &l->partitions[partition];
     int rc = Fw_Roles_MayAct(l->roles, FW_ROLE_BUDGET, partition, now_us, 0);
 
-    if (l->draining || p->pulled[0]) {
+    if (l->draining || p->successor[0]) {
         return 0;
     }
-    if (rc == -EAGAIN && p->ledger && p->heir_of) {
-        /* The last leader stopped before it handed its ledger over, so
-         * there is nothing unknown to wait for. */
-        return Fw_Roles_HandedFrom(l->roles, FW_ROLE_BUDGET, partition) ==
-               p->heir_of;
+    if (rc == -EAGAIN && p->ledger && p->predecessor_tenure) {
+        /* The predecessor stopped granting before it handed over its
+         * ledger, which thus lists all leases that may be in use. */
+        return Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET,
+                                          partition) == p->predecessor_tenure;
     }
     return rc == 0;
 }
 
 void
-Fw_Ledger_Fit(struct fw_limit *l, struct fw_share *s, int64_t now_us)
+Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
+                         int64_t now_us)
 {
     int64_t rate = s->rate;
     int64_t burst = s->burst;
@@ -48,18 +49,18 @@
     for (guint i = 0; i < s->grants->len; i++) {
         const struct fw_lease_grant *g =
             &g_array_index(s->grants, struct fw_lease_grant, i);
-        rate -= Fw_Lease_GivenRate(g);
-        burst -= Fw_Lease_GivenBurst(g);
+        rate -= Fw_Lease_GrantedRate(g);
+        burst -= Fw_Lease_GrantedBurst(g);
     }
-    Fw_Bucket_Resize(&s->own, rate, burst, now_us);
+    Fw_Bucket_Resize(&s->unleased, rate, burst, now_us);
 }
 
 void
-Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_part *p, int holder,
-                      int64_t now_us)
+Fw_Ledger_ClearGrants(struct fw_limit *l, struct fw_limit_partition *p,
+                      int holder, int64_t now_us)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         guint before = s->grants->len;
         for (guint g = s->grants->len; g > 0; g--) {
             if (g_array_index(s->grants, struct fw_lease_grant, g - 1)
@@ -67,64 +68,67 @@
                 g_array_remove_index_fast(s->grants, g - 1);
             }
         }
-        if (s->grants->len != before && s->led == p->ledger) {
-            Fw_Ledger_Fit(l, s, now_us);
+        if (s->grants->len != before && s->ledger == p->ledger) {
+            Fw_Ledger_ResizeUnleased(l, s, now_us);
         }
     }
 }
 
 static void
-clear_ledger(struct fw_part *p)
+clear_ledger(struct fw_limit_partition *p)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         g_array_set_size(s->grants, 0);
-        s->led = 0;
+        s->ledger = 0;
     }
     g_array_set_size(p->holders, 0);
     p->ledger = 0;
-    p->heir_of = 0;
+    p->predecessor_tenure = 0;
 }
 
-/* A new ledger: nothing that anyone gave out before is still alive. */
+/* Starts an empty ledger: all leases granted by former leaders have expired.
+ */
 static void
-begin(struct fw_limit *l, int partition, uint64_t tenure, int first,
+begin(struct fw_limit *l, int partition, uint64_t tenure, int is_first,
       int64_t now_us)
 {
-    struct fw_part *p = &l->parts[partition];
-    int usable = now_us < p->own_until;
+    struct fw_limit_partition *p = &l->partitions[partition];
+    int usable = now_us < p->unleased_until_us;
 
     clear_ledger(p);
     p->ledger = tenure;
-    p->led_us = now_us;
-    p->loaded = 0;
-    p->first = first;
+    p->ledger_since_us = now_us;
+    p->teams_loaded = 0;
+    p->is_first = is_first;
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_share *s = g_ptr_array_index(p->shares, i);
-        Fw_Bucket_Settle(&s->own, now_us);
+        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
+        Fw_Bucket_Refill(&s->unleased, now_us);
         if (!usable) {
-            s->own.level = 0;
+            s->unleased.level = 0;
         }
     }
 }
 
-/* An old leader's own buckets end with the term of its last leases: by then
- * a new leader may have given the same rate to others. */
+/* Drops the ledger of a former leader once its last leases have expired. Its
+ * unleased buckets became unusable earlier, as a new leader may grant them. */
 static void
-end_if_over(const struct fw_limit *l, struct fw_part *p, int64_t now_us)
+end_expired_ledger(const struct fw_limit *l, struct fw_limit_partition *p,
+                   int64_t now_us)
 {
-    if (p->ledger &&
-        now_us >= p->own_until + Fw_Ledger_Longest(l) - l->term_us) {
+    if (p->ledger && now_us >= p->unleased_until_us + Fw_Ledger_MaxLeaseUs(l) -
+                                   l->lease_us) {
         clear_ledger(p);
     }
 }
 
 static void
-lapse_holders(struct fw_limit *l, struct fw_part *p, int64_t now_us)
+expire_holders(struct fw_limit *l, struct fw_limit_partition *p,
+               int64_t now_us)
 {
     for (guint i = 0; i < p->holders->len; i++) {
         struct fw_holder *h = &g_array_index(p->holders, struct fw_holder, i);
-        if (h->name[0] && now_us >= h->until_us) {
+        if (h->name[0] && now_us >= h->expires_us) {
             Fw_Ledger_ClearGrants(l, p, (int)i, now_us);
             memset(h, 0, sizeof(*h));
         }
@@ -134,53 +138,57 @@
 void
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us)
 {
-    struct fw_part *p = &l->parts[partition];
+    struct fw_limit_partition *p = &l->partitions[partition];
     uint64_t tenure = Fw_Roles_Tenure(l->roles, FW_ROLE_BUDGET, partition);
 
     if (!Fw_Ledger_MayGrant(l, partition, now_us)) {
-        end_if_over(l, p, now_us);
-        lapse_holders(l, p, now_us);
+        end_expired_ledger(l, p, now_us);
+        expire_holders(l, p, now_us);
         return;
     }
     if (p->tenure != tenure) {
-        int heir = p->heir_of && Fw_Roles_HandedFrom(l->roles, FW_ROLE_BUDGET,
-                                                     partition) == p->heir_of;
+        int inherited =
+            p->predecessor_tenure &&
+            Fw_Roles_PredecessorTenure(l->roles, FW_ROLE_BUDGET, partition) ==
+                p->predecessor_tenure;
         p->tenure = tenure;
-        if (!heir) {
+        if (!inherited) {
             begin(l, partition, tenure,
                   Fw_Roles_IsFirst(l->roles, FW_ROLE_BUDGET, partition),
                   now_us);
         }
     }
     else if (!p->ledger) {
-        /* It ended in a long outage of the log: the teams have spent. */
+        /* The ledger expired while the log was unavailable. */
         begin(l, partition, tenure, 0, now_us);
     }
-    lapse_holders(l, p, now_us);
-    p->own_until = now_us + l->term_us;
+    expire_holders(l, p, now_us);
+    p->unleased_until_us = now_us + l->lease_us;
 }
 
 void
-Fw_Ledger_OnTeam(struct fw_limit *l, struct fw_share *s, int64_t now_us)
+Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us)
 {
-    const struct fw_part *p = &l->parts[s->partition];
+    const struct fw_limit_partition *p = &l->partitions[s->partition];
 
-    if (!p->ledger || p->pulled[0]) {
+    if (!p->ledger || p->successor[0]) {
         return;
     }
-    if (s->led == p->ledger) {
-        if (s->scaled || s->fit_version != s->version) {
-            s->fit_version = s->version;
-            Fw_Ledger_Fit(l, s, now_us);
+    if (s->ledger == p->ledger) {
+        if (s->scaled_down || s->fitted_version != s->version) {
+            s->fitted_version = s->version;
+            Fw_Ledger_ResizeUnleased(l, s, now_us);
         }
         return;
     }
-    s->led = p->ledger;
-    s->fit_version = s->version;
-    Fw_Ledger_Fit(l, s, now_us);
-    /* Whole at once when nobody can have spent of it: no leader was ever
-     * before, or the team came while this one led with the log readable. */
-    if (p->first || (p->loaded && now_us >= p->led_us + FW_NEW_TEAM_US)) {
-        Fw_Bucket_Put(&s->own, s->own.burst * FW_MICRO, now_us);
+    s->ledger = p->ledger;
+    s->fitted_version = s->version;
+    Fw_Ledger_ResizeUnleased(l, s, now_us);
+    /* Full at once only if no tokens of it can have been spent: no leader came
+     * before, or the team was added well after this ledger was started. */
+    if (p->is_first || (p->teams_loaded &&
+                        now_us >= p->ledger_since_us + FW_NEW_TEAM_DELAY_US)) {
+        Fw_Bucket_Put(&s->unleased, s->unleased.burst * FW_MICROTOKENS,
+                      now_us);
     }
 }
