--- a/src/node/step.c
+++ b/src/node/step.c
@@ -194,7 +194,7 @@
         open_call(node, &ev->u.open, now_us, out);
         break;
     case FW_EV_CALL_CLOSED:
-        Fw_Requests_Closed(node->requests, ev->u.closed, now_us, out);
+        Fw_Requests_OnCallClosed(node->requests, ev->u.closed, now_us, out);
         break;
     case FW_EV_UP:
         on_up(node, &ev->u.up, now_us, out);
--- a/src/request/directory.c
+++ b/src/request/directory.c
@@ -25,12 +25,11 @@
 {
     struct entry *e;
 
-    /* A flood of named requests must not take the instance's memory; what
-     * is not kept can only cost a second run. */
-    if (g_hash_table_size(d->entries) >= FW_DIRECTORY_MAX) {
+    /* Bounds memory; a request without an entry may run twice. */
+    if (g_hash_table_size(d->entries) >= FW_DIRECTORY_ENTRIES_MAX) {
         Fw_Directory_Expire(d, now_us);
     }
-    if (g_hash_table_size(d->entries) >= FW_DIRECTORY_MAX) {
+    if (g_hash_table_size(d->entries) >= FW_DIRECTORY_ENTRIES_MAX) {
         return;
     }
     e = g_new0(struct entry, 1);
@@ -41,7 +40,7 @@
 }
 
 const char *
-Fw_Directory_Owner(struct fw_directory *d, uint64_t key, const char *asker,
+Fw_Directory_Claim(struct fw_directory *d, uint64_t key, const char *asker,
                    int64_t now_us)
 {
     struct entry *e = g_hash_table_lookup(d->entries, &key);
--- a/src/request/events.c
+++ b/src/request/events.c
@@ -1,4 +1,5 @@
-/* What happens to requests: callers, upstreams, peers, time, changes. */
+/* Dispatch of events to requests: callers, upstreams, peers, timeouts and
+ * configuration changes. */
 #include "base/fault.h"
 #include "request/request_internal.h"
 
@@ -6,15 +7,15 @@
 cancel(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
        struct fw_actions *out)
 {
-    rs->n.cancelled.value++;
-    Fw_Request_Trace(rs, rq, now_us, "caller gone in %s",
+    rs->counters.cancelled.value++;
+    Fw_Request_Trace(rs, rq, now_us, "caller disconnected in %s",
                      Fw_Request_StageName(rq->stage));
     Fw_Request_Release(rs, rq, now_us, out);
-    Fw_Request_Drop(rs, rq);
+    Fw_Request_Free(rs, rq);
 }
 
-/* A call that may not be repeated runs to its end, so that its outcome is
- * known when the caller asks again. */
+/* A service call that is not idempotent runs to completion, so that its
+ * outcome is recorded for a caller that asks again with the same key. */
 static int
 must_finish(const struct fw_request *rq)
 {
@@ -22,34 +23,34 @@
 }
 
 static void
-without_reader(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-               struct fw_actions *out)
+on_no_subscribers(struct fw_requests *rs, struct fw_request *rq,
+                  int64_t now_us, struct fw_actions *out)
 {
     if (rq->stage == FW_STAGE_DONE || must_finish(rq)) {
         return;
     }
-    if (rq->key && rq->ends->len > 0 && rq->stage == FW_STAGE_DECODE) {
-        rq->at_us = now_us + FW_REJOIN_US;
-        Fw_Actions_Wake(out, rq->at_us);
+    if (rq->key && rq->piece_ends->len > 0 && rq->stage == FW_STAGE_DECODE) {
+        rq->stage_deadline_us = now_us + FW_REJOIN_GRACE_US;
+        Fw_Actions_Wake(out, rq->stage_deadline_us);
         return;
     }
     cancel(rs, rq, now_us, out);
 }
 
 void
-Fw_Requests_Closed(struct fw_requests *rs, uint64_t call, int64_t now_us,
-                   struct fw_actions *out)
+Fw_Requests_OnCallClosed(struct fw_requests *rs, uint64_t call, int64_t now_us,
+                         struct fw_actions *out)
 {
-    struct fw_reader *rd = Fw_Reader_OfCall(rs, call);
+    struct fw_subscriber *sub = Fw_Subscriber_FindCall(rs, call);
     struct fw_request *rq;
 
-    if (!rd) {
+    if (!sub) {
         return;
     }
-    rq = rd->rq;
-    Fw_Reader_Drop(rs, rd);
-    if (Fw_List_Empty(&rq->readers)) {
-        without_reader(rs, rq, now_us, out);
+    rq = sub->rq;
+    Fw_Subscriber_Remove(rs, sub);
+    if (Fw_List_Empty(&rq->subscribers)) {
+        on_no_subscribers(rs, rq, now_us, out);
     }
 }
 
@@ -64,7 +65,7 @@
         return;
     }
     if (!rq) {
-        return; /* an answer that came after the call was given up */
+        return; /* late event of a cancelled call */
     }
     switch (ev->kind) {
     case FW_UP_PREFILL:
@@ -110,7 +111,7 @@
         Fw_Orphans_OnMsg(rs, from, msg, now_us, out);
         break;
     case FW_REQUEST_STRIKE:
-    case FW_REQUEST_STRUCK:
+    case FW_REQUEST_STRIKE_RESULT:
     case FW_REQUEST_QUARANTINE:
         Fw_Poison_OnMsg(rs, from, msg, now_us, out);
         break;
@@ -118,25 +119,25 @@
 }
 
 static void
-timeout(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-        struct fw_actions *out)
+on_timeout(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
+           struct fw_actions *out)
 {
-    rq->at_us = 0;
+    rq->stage_deadline_us = 0;
     switch (rq->stage) {
     case FW_STAGE_LOOKUP:
-        Fw_Request_AskBudget(rs, rq, now_us, out);
+        Fw_Request_AcquireBudget(rs, rq, now_us, out);
         break;
     case FW_STAGE_REMOTE:
-        Fw_Join_Silent(rs, rq, now_us, out);
+        Fw_Join_OnOwnerTimeout(rs, rq, now_us, out);
         break;
     case FW_STAGE_STRIKE:
-        Fw_Poison_Alone(rs, rq, now_us, out);
+        Fw_Poison_OnStrikeTimeout(rs, rq, now_us, out);
         break;
     case FW_STAGE_DONE:
-        Fw_Request_Drop(rs, rq);
+        Fw_Request_Free(rs, rq);
         break;
     case FW_STAGE_DECODE:
-        cancel(rs, rq, now_us, out); /* nobody came back for it */
+        cancel(rs, rq, now_us, out); /* FW_REJOIN_GRACE_US is over */
         break;
     case FW_STAGE_BUDGET:
     case FW_STAGE_QUEUE:
@@ -158,15 +159,15 @@
 
     FW_LIST_EACH_SAFE (pos, tmp, &rs->all) {
         struct fw_request *rq = FW_LIST_ENTRY(pos, struct fw_request, link);
-        if (rq->at_us && rq->at_us <= now_us) {
-            timeout(rs, rq, now_us, out);
+        if (rq->stage_deadline_us && rq->stage_deadline_us <= now_us) {
+            on_timeout(rs, rq, now_us, out);
         }
     }
-    /* A second pass: a timeout may have set another one. */
+    /* A second pass, since a timeout may have set a new deadline. */
     FW_LIST_EACH (pos, &rs->all) {
         struct fw_request *rq = FW_LIST_ENTRY(pos, struct fw_request, link);
-        if (rq->at_us) {
-            Fw_Actions_Wake(out, rq->at_us);
+        if (rq->stage_deadline_us) {
+            Fw_Actions_Wake(out, rq->stage_deadline_us);
         }
     }
     Fw_Poison_Expire(&rs->poison, now_us);
@@ -174,7 +175,7 @@
 }
 
 static int
-withdrawn(const struct fw_config *cfg, const struct fw_request *rq)
+key_withdrawn(const struct fw_config *cfg, const struct fw_request *rq)
 {
     const struct fw_key *key = g_hash_table_lookup(cfg->keys, rq->digest);
 
@@ -191,9 +192,9 @@
 
     FW_LIST_EACH_SAFE (pos, tmp, &rs->all) {
         struct fw_request *rq = FW_LIST_ENTRY(pos, struct fw_request, link);
-        /* Joined peers check their own callers' keys. */
+        /* Joined instances check the keys of their own callers. */
         if (!rq->digest[0] || rq->stage == FW_STAGE_DONE || must_finish(rq) ||
-            !withdrawn(cfg, rq) || FW_FAULT("withdrawn-runs-on")) {
+            !key_withdrawn(cfg, rq) || FW_FAULT("withdrawn-runs-on")) {
             continue;
         }
         if (rq->ran != FW_RAN_NO && cfg->on_withdraw == FW_WITHDRAW_FINISH) {
--- a/src/request/fail.c
+++ b/src/request/fail.c
@@ -1,4 +1,4 @@
-/* Refusals, failures, and freeing what a request holds. */
+/* Refuses and fails requests and releases the resources they hold. */
 #include <string.h>
 #include <syslog.h>
 
@@ -20,21 +20,21 @@
     g_strlcpy(f->message, message, sizeof(f->message));
 }
 
-/* A call under way may have begun by the time it is given up; "no" would
- * tempt the caller to send the request again. */
+/* An upstream may have begun a running call by the time it is cancelled, so
+ * the verdict can't be "no", which tells the caller that a resend is safe. */
 static void
-count_call_under_way(struct fw_request *rq)
+mark_running_call(struct fw_request *rq)
 {
     if (rq->op) {
         rq->ran = MAX(rq->ran, FW_RAN_MAYBE);
     }
 }
 
-/* Tokens that the engines really worked for. */
+/* Tokens charged to the team: none unless an engine may have begun. */
 static int64_t
-used_tokens(const struct fw_request *rq)
+charged_tokens(const struct fw_request *rq)
 {
-    return rq->ran == FW_RAN_NO ? 0 : rq->prompt_tokens + rq->ends->len;
+    return rq->ran == FW_RAN_NO ? 0 : rq->prompt_tokens + rq->piece_ends->len;
 }
 
 static void
@@ -43,11 +43,11 @@
 {
     const struct fw_team *team =
         Fw_Config_Team(Fw_Fold_Config(rs->deps.fold), rq->team);
-    int64_t back = rq->granted - used_tokens(rq);
+    int64_t unused = rq->granted_tokens - charged_tokens(rq);
 
-    rq->granted = 0;
-    if (team && back > 0) {
-        Fw_Limit_Refund(rs->deps.limit, team, back, now_us, out);
+    rq->granted_tokens = 0;
+    if (team && unused > 0) {
+        Fw_Limit_Refund(rs->deps.limit, team, unused, now_us, out);
     }
 }
 
@@ -61,8 +61,8 @@
 }
 
 static void
-free_engines(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-             struct fw_actions *out)
+cancel_attempt(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
+               struct fw_actions *out)
 {
     uint64_t seq = rq->seq;
 
@@ -71,11 +71,11 @@
         return;
     }
     if (rq->stage == FW_STAGE_PREFILL || rq->stage == FW_STAGE_IMPORT) {
-        rs->n.wasted.value += rq->prompt_tokens;
-        Fw_Request_CancelOn(rs, rq->prefill, seq, out);
+        rs->counters.wasted.value += rq->prompt_tokens;
+        Fw_Request_SendCancel(rs, rq->prefill, seq, out);
     }
     if (rq->stage == FW_STAGE_IMPORT || rq->stage == FW_STAGE_DECODE) {
-        Fw_Request_CancelOn(rs, rq->decode, seq, out);
+        Fw_Request_SendCancel(rs, rq->decode, seq, out);
     }
     Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_CANCELLED, NULL, now_us,
                   out);
@@ -87,7 +87,7 @@
 Fw_Request_Release(struct fw_requests *rs, struct fw_request *rq,
                    int64_t now_us, struct fw_actions *out)
 {
-    count_call_under_way(rq);
+    mark_running_call(rq);
     switch (rq->stage) {
     case FW_STAGE_BUDGET:
         Fw_Limit_Forget(rs->deps.limit, rq->ticket);
@@ -99,7 +99,7 @@
     case FW_STAGE_PREFILL:
     case FW_STAGE_IMPORT:
     case FW_STAGE_DECODE:
-        free_engines(rs, rq, now_us, out);
+        cancel_attempt(rs, rq, now_us, out);
         break;
     case FW_STAGE_REMOTE:
         Fw_Join_Leave(rs, rq, out);
@@ -127,16 +127,16 @@
         .retry_after_us = retry_after_us,
     };
 
-    count_call_under_way(rq);
+    mark_running_call(rq);
     fail.ran = rq->ran;
     g_strlcpy(fail.request_id, rq->id, sizeof(fail.request_id));
     g_strlcpy(fail.code, code, sizeof(fail.code));
     g_strlcpy(fail.message, message, sizeof(fail.message));
     if (rq->ran == FW_RAN_NO) {
-        rs->n.refused.value++;
+        rs->counters.refused.value++;
     }
     else {
-        rs->n.failed.value++;
+        rs->counters.failed.value++;
     }
     Fw_Actions_Note(out, rq->ran == FW_RAN_NO ? LOG_INFO : LOG_WARNING,
                     "request_failed", "request", rq->id, "team", rq->team,
@@ -145,6 +145,6 @@
     Fw_Request_Trace(rs, rq, now_us, "answer %d %s, ran %s", status, code,
                      Fw_Ran_Name(rq->ran));
     Fw_Request_Release(rs, rq, now_us, out);
-    Fw_Reader_Fail(rs, rq, &fail, out);
-    Fw_Request_Drop(rs, rq);
+    Fw_Subscriber_FailAll(rs, rq, &fail, out);
+    Fw_Request_Free(rs, rq);
 }
--- a/src/request/join.c
+++ b/src/request/join.c
@@ -1,7 +1,8 @@
 /*
- * Callers who come back with the id of their own request. The directory says
- * which instance runs it; that one sends the answer from its start, and this
- * one passes it on. So a caller whose connection broke pays no second run.
+ * Joining a running request. A caller that sends the id of an earlier request
+ * again is subscribed to it instead of causing a second run: the directory
+ * names the instance that runs it (the owner), and the owner forwards the
+ * answer from its first piece.
  */
 #include <string.h>
 #include <syslog.h>
@@ -12,8 +13,8 @@
 uint64_t
 Fw_Join_Key(const char *team, const char *id)
 {
-    /* A cryptographic hash: nobody can find an id that collides with that of
-     * another team's request and so be joined to its answer. */
+    /* A cryptographic hash, so that a team can't choose an id that collides
+     * with another team's request and receive its answer. */
     GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
     guint8 digest[32];
     gsize size = sizeof(digest);
@@ -28,15 +29,15 @@
 }
 
 static void
-wait_for_owner(struct fw_request *rq, int64_t until_us, struct fw_actions *out)
+set_deadline(struct fw_request *rq, int64_t until_us, struct fw_actions *out)
 {
-    rq->at_us = until_us;
+    rq->stage_deadline_us = until_us;
     Fw_Actions_Wake(out, until_us);
 }
 
 void
-Fw_Join_Lookup(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-               struct fw_actions *out)
+Fw_Join_LookUpOwner(struct fw_requests *rs, struct fw_request *rq,
+                    int64_t now_us, struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Pick(rs->deps.fleet, rq->key, 0);
     struct fw_request_msg msg = {
@@ -49,13 +50,13 @@
         struct fw_request_msg own = {.kind = FW_REQUEST_OWNER};
         own.u.owner.ticket = rq->ticket;
         g_strlcpy(own.u.owner.owner,
-                  Fw_Directory_Owner(&rs->directory, rq->key,
+                  Fw_Directory_Claim(&rs->directory, rq->key,
                                      rs->deps.self->name, now_us),
                   FW_NAME_MAX);
         Fw_Join_OnMsg(rs, rs->deps.self->name, &own, now_us, out);
         return;
     }
-    wait_for_owner(rq, now_us + FW_LOOKUP_US, out);
+    set_deadline(rq, now_us + FW_LOOKUP_TIMEOUT_US, out);
     Fw_Request_Send(rs, m->name, &msg, out);
 }
 
@@ -88,18 +89,18 @@
           struct fw_actions *out)
 {
     Fw_Directory_Set(&rs->directory, rq->key, rs->deps.self->name, now_us);
-    /* The other instance may have begun it, and the wait for it must not
-     * count as a wait for engines. */
+    /* The owner may have begun the request; the time spent waiting for it
+     * doesn't count as queueing time. */
     rq->ran = MAX(rq->ran, FW_RAN_MAYBE);
     rq->arrived_us = now_us;
-    Fw_Request_Trace(rs, rq, now_us, "%s does not answer, run here",
+    Fw_Request_Trace(rs, rq, now_us, "owner %s does not answer, running here",
                      rq->owner);
-    Fw_Request_AskBudget(rs, rq, now_us, out);
+    Fw_Request_AcquireBudget(rs, rq, now_us, out);
 }
 
 void
-Fw_Join_Silent(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-               struct fw_actions *out)
+Fw_Join_OnOwnerTimeout(struct fw_requests *rs, struct fw_request *rq,
+                       int64_t now_us, struct fw_actions *out)
 {
     if (rq->probing) {
         take_over(rs, rq, now_us, out);
@@ -107,7 +108,7 @@
     }
     rq->probing = 1;
     send_join(rs, rq, out);
-    wait_for_owner(rq, now_us + FW_JOIN_US, out);
+    set_deadline(rq, now_us + FW_JOIN_TIMEOUT_US, out);
 }
 
 static void
@@ -122,15 +123,15 @@
     }
     if (!m || m->state == FW_MEMBER_DEAD ||
         Fw_Fleet_IsSelf(rs->deps.fleet, m)) {
-        Fw_Request_AskBudget(rs, rq, now_us, out);
+        Fw_Request_AcquireBudget(rs, rq, now_us, out);
         return;
     }
-    rs->n.joined.value++;
+    rs->counters.joined.value++;
     g_strlcpy(rq->owner, own->owner, sizeof(rq->owner));
     rq->stage = FW_STAGE_REMOTE;
     rq->probing = 1;
     send_join(rs, rq, out);
-    wait_for_owner(rq, now_us + FW_JOIN_US, out);
+    set_deadline(rq, now_us + FW_JOIN_TIMEOUT_US, out);
 }
 
 static void
@@ -146,26 +147,26 @@
         .kind = FW_REQUEST_JOINED,
         .u.join = *join,
     };
-    struct fw_reader *rd;
+    struct fw_subscriber *sub;
 
-    /* A request that is itself only joined is not passed on: two instances
+    /* A request that waits for its own owner can't be joined: two instances
      * could otherwise wait for each other. */
     if (!rq || rq->stage == FW_STAGE_REMOTE || rq->stage == FW_STAGE_LOOKUP) {
         Fw_Request_Send(rs, from, &unknown, out);
         return;
     }
     Fw_Request_Send(rs, from, &joined, out);
-    rd = Fw_Reader_OfPeer(rq, from, join->ticket);
-    if (rd) {
-        rd->next = 0; /* it asks again because a message was lost */
+    sub = Fw_Subscriber_FindPeer(rq, from, join->ticket);
+    if (sub) {
+        sub->next_index = 0; /* a message was lost; send all again */
     }
     else {
-        if (Fw_List_Empty(&rq->readers) && rq->stage != FW_STAGE_DONE) {
-            rq->at_us = 0;
+        if (Fw_List_Empty(&rq->subscribers) && rq->stage != FW_STAGE_DONE) {
+            rq->stage_deadline_us = 0;
         }
-        Fw_Reader_AddPeer(rq, from, join->ticket);
+        Fw_Subscriber_AddPeer(rq, from, join->ticket);
     }
-    Fw_Reader_Flush(rs, rq, out);
+    Fw_Subscriber_Flush(rs, rq, out);
 }
 
 static void
@@ -174,21 +175,21 @@
          struct fw_actions *out)
 {
     struct fw_request *rq = g_hash_table_lookup(rs->by_key, &join->key);
-    struct fw_reader *rd =
-        rq ? Fw_Reader_OfPeer(rq, from, join->ticket) : NULL;
+    struct fw_subscriber *sub =
+        rq ? Fw_Subscriber_FindPeer(rq, from, join->ticket) : NULL;
 
-    if (!rd) {
+    if (!sub) {
         return;
     }
-    Fw_Reader_Drop(rs, rd);
-    if (Fw_List_Empty(&rq->readers) && rq->stage != FW_STAGE_DONE) {
-        rq->at_us = now_us + FW_REJOIN_US;
-        Fw_Actions_Wake(out, rq->at_us);
+    Fw_Subscriber_Remove(rs, sub);
+    if (Fw_List_Empty(&rq->subscribers) && rq->stage != FW_STAGE_DONE) {
+        rq->stage_deadline_us = now_us + FW_REJOIN_GRACE_US;
+        Fw_Actions_Wake(out, rq->stage_deadline_us);
     }
 }
 
 static struct fw_request *
-remote(struct fw_requests *rs, const char *from, uint64_t ticket)
+find_remote(struct fw_requests *rs, const char *from, uint64_t ticket)
 {
     struct fw_request *rq = Fw_Request_ByTicket(rs, ticket);
 
@@ -202,11 +203,11 @@
           const struct fw_request_join *join, int64_t now_us,
           struct fw_actions *out)
 {
-    struct fw_request *rq = remote(rs, from, join->ticket);
+    struct fw_request *rq = find_remote(rs, from, join->ticket);
 
     if (rq) {
         rq->probing = 0;
-        wait_for_owner(rq, now_us + FW_REMOTE_US, out);
+        set_deadline(rq, now_us + FW_OWNER_TIMEOUT_US, out);
     }
 }
 
@@ -215,15 +216,15 @@
          const struct fw_request_piece *piece, int64_t now_us,
          struct fw_actions *out)
 {
-    struct fw_request *rq = remote(rs, from, piece->ticket);
+    struct fw_request *rq = find_remote(rs, from, piece->ticket);
 
     if (!rq) {
         return;
     }
     rq->probing = 0;
-    wait_for_owner(rq, now_us + FW_REMOTE_US, out);
-    Fw_Request_Piece(rq, piece->index, piece->text);
-    Fw_Reader_Flush(rs, rq, out);
+    set_deadline(rq, now_us + FW_OWNER_TIMEOUT_US, out);
+    Fw_Request_AddPiece(rq, piece->index, piece->text);
+    Fw_Subscriber_Flush(rs, rq, out);
 }
 
 static void
@@ -231,21 +232,21 @@
        const struct fw_request_end *end, int64_t now_us,
        struct fw_actions *out)
 {
-    struct fw_request *rq = remote(rs, from, end->ticket);
+    struct fw_request *rq = find_remote(rs, from, end->ticket);
 
     if (!rq) {
         return;
     }
-    if ((int64_t)rq->ends->len < end->output_tokens) {
-        /* A message was lost: ask again from the start, doubles are
-         * dropped by index. */
+    if ((int64_t)rq->piece_ends->len < end->output_tokens) {
+        /* A message was lost: join again, which sends all pieces from the
+         * first; Fw_Request_AddPiece drops duplicates. */
         send_join(rs, rq, out);
         return;
     }
-    g_strlcpy(rq->reason, end->reason, sizeof(rq->reason));
+    g_strlcpy(rq->finish_reason, end->reason, sizeof(rq->finish_reason));
     rq->prompt_tokens = end->prompt_tokens;
     rq->stage = FW_STAGE_IDLE;
-    rq->granted = 0;
+    rq->granted_tokens = 0;
     Fw_Request_Finish(rs, rq, now_us, out);
 }
 
@@ -254,7 +255,7 @@
         const struct fw_request_fail *fail, int64_t now_us,
         struct fw_actions *out)
 {
-    struct fw_request *rq = remote(rs, from, fail->ticket);
+    struct fw_request *rq = find_remote(rs, from, fail->ticket);
 
     if (!rq) {
         return;
@@ -276,7 +277,7 @@
           struct fw_actions *out)
 {
     const char *owner =
-        Fw_Directory_Owner(&rs->directory, lookup->key, from, now_us);
+        Fw_Directory_Claim(&rs->directory, lookup->key, from, now_us);
     const struct fw_member *m = Fw_Fleet_Find(rs->deps.fleet, owner);
     struct fw_request_msg msg = {
         .kind = FW_REQUEST_OWNER,
@@ -324,7 +325,7 @@
     case FW_REQUEST_HELD:
     case FW_REQUEST_DISOWN:
     case FW_REQUEST_STRIKE:
-    case FW_REQUEST_STRUCK:
+    case FW_REQUEST_STRIKE_RESULT:
     case FW_REQUEST_QUARANTINE:
         break;
     }
--- a/src/request/open.c
+++ b/src/request/open.c
@@ -1,4 +1,4 @@
-/* Admission of a caller's request, up to the question for its tokens. */
+/* Admission of callers' requests, up to the team's token budget. */
 #include <inttypes.h>
 #include <json-glib/json-glib.h>
 #include <string.h>
@@ -34,7 +34,7 @@
     json_builder_end_object(b);
 }
 
-/* JSON list of the models that some pool serves and @team may use. */
+/* JSON list of the models that are served and that @team may use. */
 static char *
 model_list(const struct fw_config *cfg, const struct fw_team *team)
 {
@@ -96,14 +96,14 @@
 }
 
 static struct fw_request *
-take(struct fw_requests *rs, const struct fw_call *call,
-     const struct fw_team *team, int64_t now_us)
+new_completion(struct fw_requests *rs, const struct fw_call *call,
+               const struct fw_team *team, int64_t now_us)
 {
     struct fw_request *rq = Fw_Request_FromCall(rs, call, team, now_us);
 
     g_strlcpy(rq->model, call->model, sizeof(rq->model));
     rq->body = g_bytes_ref(call->prompt);
-    rq->print = fingerprint(call);
+    rq->fingerprint = fingerprint(call);
     rq->prompt_tokens = call->prompt_tokens;
     rq->max_tokens =
         call->max_tokens > 0 ? call->max_tokens : rs->deps.max_tokens_default;
@@ -114,7 +114,8 @@
     return rq;
 }
 
-/* Nonzero when the caller's own request is known here and was joined. */
+/* Subscribes the caller to the request of its team with the same id, if that
+ * is known to this instance. Return: nonzero when it was. */
 static int
 join_local(struct fw_requests *rs, const struct fw_call *call,
            const struct fw_team *team, struct fw_actions *out)
@@ -131,12 +132,12 @@
         strcmp(rq->id, call->request_id) != 0) {
         return 0;
     }
-    rs->n.joined.value++;
-    if (rq->stage != FW_STAGE_DONE && Fw_List_Empty(&rq->readers)) {
-        rq->at_us = 0; /* it was about to be cancelled */
+    rs->counters.joined.value++;
+    if (rq->stage != FW_STAGE_DONE && Fw_List_Empty(&rq->subscribers)) {
+        rq->stage_deadline_us = 0; /* it was waiting out FW_REJOIN_GRACE_US */
     }
-    Fw_Reader_AddCall(rs, rq, call->call);
-    Fw_Reader_Flush(rs, rq, out);
+    Fw_Subscriber_AddCall(rs, rq, call->call);
+    Fw_Subscriber_Flush(rs, rq, out);
     return 1;
 }
 
@@ -145,7 +146,7 @@
                 const struct fw_team *team, int64_t now_us,
                 struct fw_actions *out)
 {
-    int64_t left;
+    int64_t quarantine_us;
     struct fw_request *rq;
 
     if (!Fw_Config_TeamMay(team, call->model) ||
@@ -156,27 +157,29 @@
     }
     if (call->prompt_tokens > rs->deps.prompt_tokens_max) {
         Fw_Request_Refuse(out, call, 413, "prompt_too_long",
-                          "the prompt is longer than is served", 0);
+                          "the prompt exceeds the maximum number of tokens",
+                          0);
         return;
     }
     if (join_local(rs, call, team, out)) {
         return;
     }
-    rq = take(rs, call, team, now_us);
-    left = Fw_Poison_Left(&rs->poison, rq->print, now_us);
-    if (left > 0) {
-        rs->n.quarantined.value++;
+    rq = new_completion(rs, call, team, now_us);
+    quarantine_us =
+        Fw_Poison_RemainingUs(&rs->poison, rq->fingerprint, now_us);
+    if (quarantine_us > 0) {
+        rs->counters.quarantined.value++;
         Fw_Request_Fail(rs, rq, 422, "quarantined",
-                        "engines were lost while running this request", left,
-                        now_us, out);
+                        "engines were lost while running this request",
+                        quarantine_us, now_us, out);
         return;
     }
     if (rq->key) {
         g_hash_table_replace(rs->by_key, &rq->key, rq);
-        Fw_Join_Lookup(rs, rq, now_us, out);
+        Fw_Join_LookUpOwner(rs, rq, now_us, out);
         return;
     }
-    Fw_Request_AskBudget(rs, rq, now_us, out);
+    Fw_Request_AcquireBudget(rs, rq, now_us, out);
 }
 
 void
@@ -188,7 +191,7 @@
 
     if (!team) {
         Fw_Request_Refuse(out, call, 401, "unauthorized",
-                          "no valid key came with the request", 0);
+                          "the bearer key is missing or not valid", 0);
         return;
     }
     switch (call->kind) {
@@ -205,20 +208,21 @@
 }
 
 void
-Fw_Request_AskBudget(struct fw_requests *rs, struct fw_request *rq,
-                     int64_t now_us, struct fw_actions *out)
+Fw_Request_AcquireBudget(struct fw_requests *rs, struct fw_request *rq,
+                         int64_t now_us, struct fw_actions *out)
 {
     const struct fw_team *team = Fw_Config_Team(config_of(rs), rq->team);
 
-    rq->at_us = 0;
+    rq->stage_deadline_us = 0;
     if (!team) {
-        Fw_Request_Fail(rs, rq, 401, "unauthorized", "the team is gone", 0,
-                        now_us, out);
+        Fw_Request_Fail(rs, rq, 401, "unauthorized",
+                        "the team is no longer configured", 0, now_us, out);
         return;
     }
     rq->stage = FW_STAGE_BUDGET;
-    rq->granted = rq->prompt_tokens + rq->max_tokens;
-    Fw_Limit_Ask(rs->deps.limit, team, rq->ticket, rq->granted, now_us, out);
+    rq->granted_tokens = rq->prompt_tokens + rq->max_tokens;
+    Fw_Limit_Ask(rs->deps.limit, team, rq->ticket, rq->granted_tokens, now_us,
+                 out);
 }
 
 void
@@ -231,13 +235,13 @@
         return;
     }
     if (!ans->granted) {
-        rq->granted = 0;
+        rq->granted_tokens = 0;
         Fw_Request_Fail(rs, rq, 429, "rate_limited",
                         "the team's rate and burst are used up",
                         ans->retry_after_us, now_us, out);
         return;
     }
     Fw_Request_Trace(rs, rq, now_us, "granted %" PRId64 " tokens",
-                     rq->granted);
+                     rq->granted_tokens);
     Fw_Request_Enqueue(rs, rq, now_us, out);
 }
--- a/src/request/orphan.c
+++ b/src/request/orphan.c
@@ -1,12 +1,15 @@
 /*
- * Orphans: requests that an engine holds for an instance that is gone. They
- * would keep its memory and slots for good. The coordinator of an engine
- * lists what the engine holds, asks each owner for what it no longer knows,
- * and cancels that. An owner that is silent is not proof: the view of the
- * members may be wrong and the owner alive, so its requests are cancelled
- * only when no connection of it is open for FW_ORPHAN_US, or after the long
- * FW_ORPHAN_ATTACHED_US, when its machine must have vanished. An owner that
- * lives all the same takes the request up on another engine.
+ * Orphans: requests held by an engine whose owner, the instance that started
+ * them, no longer runs them. They occupy KV memory and slots until cancelled.
+ *
+ * The coordinator of an engine, chosen by rendezvous hash, polls it for the
+ * requests it holds, asks each live owner which of its requests it no
+ * longer runs, and cancels those. Since a member can be declared dead while it
+ * is alive, requests of an owner that is dead, restarted or unknown are
+ * cancelled only after they were listed for FW_ORPHAN_GRACE_US, or for
+ * FW_ORPHAN_ATTACHED_GRACE_US while the engine still has a connection of the
+ * owner. An owner that is alive after all retries the request on another
+ * engine.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -17,15 +20,15 @@
 #include "base/hash.h"
 #include "request/request_internal.h"
 
-#define FW_ORPHAN_POLL_US (10 * FW_SEC) /* for each engine coordinated */
-#define FW_ORPHAN_URGENT_POLL_US FW_SEC
-#define FW_ORPHAN_URGENT_US (15 * FW_SEC) /* after a member was lost */
-#define FW_ORPHAN_FORGET_US (120 * FW_SEC)
-#define FW_ORPHAN_US (2 * FW_SEC)
-#define FW_ORPHAN_ATTACHED_US (30 * FW_SEC)
-#define FW_ORPHAN_TIMEOUT_US (3 * FW_SEC)
+#define FW_ORPHAN_POLL_US (10 * FW_SEC) /* per engine coordinated */
+#define FW_ORPHAN_FAST_POLL_US FW_SEC
+#define FW_ORPHAN_FAST_POLL_FOR_US (15 * FW_SEC) /* after a member failed */
+#define FW_ORPHAN_CANDIDATE_TTL_US (120 * FW_SEC)
+#define FW_ORPHAN_GRACE_US (2 * FW_SEC)
+#define FW_ORPHAN_ATTACHED_GRACE_US (30 * FW_SEC)
+#define FW_ORPHAN_CALL_TIMEOUT_US (3 * FW_SEC)
 
-/** struct engine_id - the parts of an engine-side id. */
+/** struct engine_id - parsed engine-side id, see Fw_Request_EngineId. */
 struct engine_id {
     char owner[FW_NAME_MAX];
     uint64_t boot;
@@ -33,7 +36,7 @@
 };
 
 static int
-parse(const char *id, struct engine_id *out)
+parse_engine_id(const char *id, struct engine_id *out)
 {
     const char *seq = strrchr(id, '.');
     const char *boot = seq ? g_strrstr_len(id, seq - id, ".") : NULL;
@@ -59,13 +62,14 @@
     struct fw_up_start *s;
     guint64 *op = g_new(guint64, 1);
 
-    s = Fw_Request_StartUp(out, Fw_Owner_Number(FW_OWNER_REAP, ++rs->next_op),
-                           FW_UP_HELD, up, FW_ORPHAN_TIMEOUT_US);
+    s = Fw_Request_StartUpstreamCall(
+        out, Fw_Owner_Number(FW_OWNER_REAP, ++rs->next_op), FW_UP_HELD, up,
+        FW_ORPHAN_CALL_TIMEOUT_US);
     *op = s->op;
-    g_hash_table_replace(rs->orphans.polls, op, g_strdup(up->name));
+    g_hash_table_replace(rs->orphans.pending_polls, op, g_strdup(up->name));
 }
 
-/* Return: how many engines were asked. */
+/* Polls the engines coordinated here. Return: their number. */
 static int
 poll_all(struct fw_requests *rs, struct fw_actions *out)
 {
@@ -92,12 +96,12 @@
 }
 
 static gboolean
-stale(gpointer key, gpointer value, gpointer now)
+expired(gpointer key, gpointer value, gpointer now)
 {
-    const struct fw_suspect *s = value;
+    const struct fw_orphan_candidate *s = value;
 
     (void)key;
-    return *(int64_t *)now - s->last_us > FW_ORPHAN_FORGET_US;
+    return *(int64_t *)now - s->last_seen_us > FW_ORPHAN_CANDIDATE_TTL_US;
 }
 
 static guint
@@ -114,20 +118,18 @@
     return n;
 }
 
-/* A silence is noticed here by the living becoming fewer; for a while the
- * engines are then asked often, so that a dead owner's requests are freed in
- * seconds while a quiet fleet asks seldom. Its requests are watched from the
- * suspicion on, and cancelled once it is held dead. */
+/* Polls at once, and more often for a while, when the number of alive members
+ * has fallen, so that a failed owner's requests are freed within seconds. */
 static void
-watch_members(struct fw_requests *rs, int64_t now_us)
+check_members(struct fw_requests *rs, int64_t now_us)
 {
     guint alive = count_alive(rs);
 
-    if (alive < rs->orphans.alive) {
-        rs->orphans.urgent_until_us = now_us + FW_ORPHAN_URGENT_US;
-        rs->orphans.next_us = now_us;
+    if (alive < rs->orphans.alive_members) {
+        rs->orphans.fast_poll_until_us = now_us + FW_ORPHAN_FAST_POLL_FOR_US;
+        rs->orphans.next_poll_us = now_us;
     }
-    rs->orphans.alive = alive;
+    rs->orphans.alive_members = alive;
 }
 
 void
@@ -136,21 +138,21 @@
     struct fw_orphans *o = &rs->orphans;
     int n;
 
-    watch_members(rs, now_us);
-    if (now_us >= o->next_us) {
-        g_hash_table_foreach_remove(o->suspects, stale, &now_us);
+    check_members(rs, now_us);
+    if (now_us >= o->next_poll_us) {
+        g_hash_table_foreach_remove(o->candidates, expired, &now_us);
         Fw_Directory_Expire(&rs->directory, now_us);
         n = poll_all(rs, out);
-        o->next_us = now_us + (now_us < o->urgent_until_us
-                                   ? FW_ORPHAN_URGENT_POLL_US
-                                   : FW_ORPHAN_POLL_US * MAX(n, 1));
+        o->next_poll_us = now_us + (now_us < o->fast_poll_until_us
+                                        ? FW_ORPHAN_FAST_POLL_US
+                                        : FW_ORPHAN_POLL_US * MAX(n, 1));
     }
-    Fw_Actions_Wake(out, o->next_us);
+    Fw_Actions_Wake(out, o->next_poll_us);
 }
 
 static void
-cancel(struct fw_requests *rs, const char *engine, const char *id,
-       struct fw_actions *out)
+cancel_orphan(struct fw_requests *rs, const char *engine, const char *id,
+              struct fw_actions *out)
 {
     const struct fw_upstream *up =
         Fw_Config_Upstream(Fw_Fold_Config(rs->deps.fold), engine);
@@ -159,41 +161,48 @@
     if (!up) {
         return;
     }
-    rs->n.orphans.value++;
-    s = Fw_Request_StartUp(out, Fw_Owner_Number(FW_OWNER_REAP, ++rs->next_op),
-                           FW_UP_CANCEL, up, FW_ORPHAN_TIMEOUT_US);
+    rs->counters.orphans.value++;
+    s = Fw_Request_StartUpstreamCall(
+        out, Fw_Owner_Number(FW_OWNER_REAP, ++rs->next_op), FW_UP_CANCEL, up,
+        FW_ORPHAN_CALL_TIMEOUT_US);
     g_strlcpy(s->u.cancel.request, id, sizeof(s->u.cancel.request));
     Fw_Actions_Note(out, LOG_NOTICE, "orphan_cancelled", "upstream", engine,
                     "request", id, NULL);
 }
 
+/* Records a request without a live owner. Cancels it after the grace period,
+ * unless the owner is only suspected dead (@dead is 0). */
 static void
-suspect(struct fw_requests *rs, const char *engine, const char *id,
-        int attached, int dead, int64_t now_us, struct fw_actions *out)
+handle_ownerless(struct fw_requests *rs, const char *engine, const char *id,
+                 int attached, int dead, int64_t now_us,
+                 struct fw_actions *out)
 {
-    struct fw_suspect *s = g_hash_table_lookup(rs->orphans.suspects, id);
-    int64_t wait = attached ? FW_ORPHAN_ATTACHED_US : FW_ORPHAN_US;
+    struct fw_orphan_candidate *s =
+        g_hash_table_lookup(rs->orphans.candidates, id);
+    int64_t grace_us =
+        attached ? FW_ORPHAN_ATTACHED_GRACE_US : FW_ORPHAN_GRACE_US;
 
     if (!s) {
-        s = g_new0(struct fw_suspect, 1);
-        s->first_us = now_us;
-        g_hash_table_replace(rs->orphans.suspects, g_strdup(id), s);
+        s = g_new0(struct fw_orphan_candidate, 1);
+        s->first_seen_us = now_us;
+        g_hash_table_replace(rs->orphans.candidates, g_strdup(id), s);
     }
-    s->last_us = now_us;
+    s->last_seen_us = now_us;
     if (FW_FAULT("orphan-on-suspicion")) {
-        wait = 0;
+        grace_us = 0;
     }
-    if (dead && now_us - s->first_us >= wait) {
-        cancel(rs, engine, id, out);
+    if (dead && now_us - s->first_seen_us >= grace_us) {
+        cancel_orphan(rs, engine, id, out);
     }
 }
 
-/* Adds @id to the question for its owner; full questions are sent. */
+/* Adds @id to the HELD message for its owner in @queries; a full message is
+ * sent. */
 static void
-ask_owner(struct fw_requests *rs, GHashTable *asks, const char *engine,
-          const struct engine_id *id, struct fw_actions *out)
+query_owner(struct fw_requests *rs, GHashTable *queries, const char *engine,
+            const struct engine_id *id, struct fw_actions *out)
 {
-    struct fw_request_msg *msg = g_hash_table_lookup(asks, id->owner);
+    struct fw_request_msg *msg = g_hash_table_lookup(queries, id->owner);
     struct fw_request_ids *ids;
 
     if (!msg || msg->u.ids.n == FW_REQUEST_IDS_MAX) {
@@ -204,37 +213,38 @@
         msg->kind = FW_REQUEST_HELD;
         g_strlcpy(msg->u.ids.engine, engine, FW_NAME_MAX);
         msg->u.ids.boot = id->boot;
-        g_hash_table_replace(asks, g_strdup(id->owner), msg);
+        g_hash_table_replace(queries, g_strdup(id->owner), msg);
     }
     ids = &msg->u.ids;
     ids->seqs[ids->n++] = id->seq;
 }
 
 static void
-look_at(struct fw_requests *rs, GHashTable *asks, const char *engine,
-        const char *text, int attached, int64_t now_us, struct fw_actions *out)
+check_held(struct fw_requests *rs, GHashTable *queries, const char *engine,
+           const char *text, int attached, int64_t now_us,
+           struct fw_actions *out)
 {
     const struct fw_self *self = rs->deps.self;
     const struct fw_member *m;
     struct engine_id id;
-    int silent;
+    int suspected;
 
-    if (parse(text, &id)) {
-        return; /* not one of this system's */
+    if (parse_engine_id(text, &id)) {
+        return; /* not an id of this system */
     }
     if (strcmp(id.owner, self->name) == 0 && id.boot == self->boot) {
-        if (!Fw_Requests_Owns(rs, id.seq)) {
-            cancel(rs, engine, text, out);
+        if (!Fw_Requests_HasAttempt(rs, id.seq)) {
+            cancel_orphan(rs, engine, text, out);
         }
         return;
     }
     m = Fw_Fleet_Find(rs->deps.fleet, id.owner);
-    silent = m && m->boot == id.boot && m->state == FW_MEMBER_SUSPECT;
-    if (m && m->boot == id.boot && !silent && m->state != FW_MEMBER_DEAD) {
-        ask_owner(rs, asks, engine, &id, out);
+    suspected = m && m->boot == id.boot && m->state == FW_MEMBER_SUSPECT;
+    if (m && m->boot == id.boot && !suspected && m->state != FW_MEMBER_DEAD) {
+        query_owner(rs, queries, engine, &id, out);
         return;
     }
-    suspect(rs, engine, text, attached, !silent, now_us, out);
+    handle_ownerless(rs, engine, text, attached, !suspected, now_us, out);
 }
 
 void
@@ -243,33 +253,33 @@
 {
     char *engine = NULL;
     gpointer key = NULL;
-    GHashTable *asks;
+    GHashTable *queries;
     GHashTableIter it;
     gpointer owner;
     gpointer msg;
 
-    if (!g_hash_table_steal_extended(rs->orphans.polls, &ev->op, &key,
+    if (!g_hash_table_steal_extended(rs->orphans.pending_polls, &ev->op, &key,
                                      (gpointer *)&engine)) {
         return;
     }
     g_free(key);
-    asks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    queries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     if (ev->phase == FW_UP_DONE) {
         for (int i = 0; i < ev->u.held.n; i++) {
-            look_at(rs, asks, engine, ev->u.held.requests[i],
-                    ev->u.held.attached && ev->u.held.attached[i], now_us,
-                    out);
+            check_held(rs, queries, engine, ev->u.held.requests[i],
+                       ev->u.held.attached && ev->u.held.attached[i], now_us,
+                       out);
         }
     }
-    g_hash_table_iter_init(&it, asks);
+    g_hash_table_iter_init(&it, queries);
     while (g_hash_table_iter_next(&it, &owner, &msg)) {
         Fw_Request_Send(rs, owner, msg, out);
     }
-    g_hash_table_unref(asks);
+    g_hash_table_unref(queries);
     g_free(engine);
 }
 
-/* An engine holds these of ours: name those that we no longer run. */
+/* Replies with the attempts in @held that this process no longer runs. */
 static void
 on_held(struct fw_requests *rs, const char *from,
         const struct fw_request_ids *held, struct fw_actions *out)
@@ -283,7 +293,7 @@
     g_strlcpy(ids->engine, held->engine, FW_NAME_MAX);
     ids->boot = held->boot;
     for (int i = 0; i < held->n; i++) {
-        if (!Fw_Requests_Owns(rs, held->seqs[i])) {
+        if (!Fw_Requests_HasAttempt(rs, held->seqs[i])) {
             ids->seqs[ids->n++] = held->seqs[i];
         }
     }
@@ -308,6 +318,6 @@
     for (int i = 0; i < ids->n; i++) {
         g_snprintf(id, sizeof(id), "%s.%" PRIx64 ".%" PRIu64, from, ids->boot,
                    ids->seqs[i]);
-        cancel(rs, ids->engine, id, out);
+        cancel_orphan(rs, ids->engine, id, out);
     }
 }
--- a/src/request/poison.c
+++ b/src/request/poison.c
@@ -2,10 +2,10 @@
 
 #include "base/fault.h"
 
-struct strike {
-    uint64_t print;
-    int count;
-    int64_t until_us;
+struct entry {
+    uint64_t fingerprint;
+    int strikes;
+    int64_t expires_us;
 };
 
 void
@@ -13,7 +13,7 @@
 {
     p->strikes =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    p->refused =
+    p->quarantined =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 }
 
@@ -21,75 +21,77 @@
 Fw_Poison_Fini(struct fw_poison *p)
 {
     g_hash_table_unref(p->strikes);
-    g_hash_table_unref(p->refused);
+    g_hash_table_unref(p->quarantined);
 }
 
-static struct strike *
-add(GHashTable *table, uint64_t print)
+static struct entry *
+insert(GHashTable *table, uint64_t fingerprint)
 {
-    struct strike *s = g_new0(struct strike, 1);
+    struct entry *e = g_new0(struct entry, 1);
 
-    s->print = print;
-    g_hash_table_replace(table, &s->print, s);
-    return s;
+    e->fingerprint = fingerprint;
+    g_hash_table_replace(table, &e->fingerprint, e);
+    return e;
 }
 
 int64_t
-Fw_Poison_Strike(struct fw_poison *p, uint64_t print, int64_t now_us)
+Fw_Poison_AddStrike(struct fw_poison *p, uint64_t fingerprint, int64_t now_us)
 {
-    struct strike *s = g_hash_table_lookup(p->strikes, &print);
+    struct entry *e = g_hash_table_lookup(p->strikes, &fingerprint);
 
-    if (!s || s->until_us <= now_us) {
-        if (g_hash_table_size(p->strikes) >= FW_POISON_MAX) {
+    if (!e || e->expires_us <= now_us) {
+        if (g_hash_table_size(p->strikes) >= FW_POISON_FINGERPRINTS_MAX) {
             Fw_Poison_Expire(p, now_us);
         }
-        if (g_hash_table_size(p->strikes) >= FW_POISON_MAX) {
-            /* So many losses are no matter of single requests. */
+        if (g_hash_table_size(p->strikes) >= FW_POISON_FINGERPRINTS_MAX) {
+            /* Crashes on this scale are not caused by single requests. */
             return 0;
         }
-        s = add(p->strikes, print);
+        e = insert(p->strikes, fingerprint);
     }
-    s->count++;
-    s->until_us = now_us + FW_POISON_STRIKE_TTL_US;
-    if (s->count < FW_POISON_STRIKES || FW_FAULT("poison-never-refused")) {
+    e->strikes++;
+    e->expires_us = now_us + FW_POISON_STRIKE_TTL_US;
+    if (e->strikes < FW_POISON_STRIKES || FW_FAULT("poison-never-refused")) {
         return 0;
     }
-    return FW_POISON_TTL_US;
+    return FW_POISON_QUARANTINE_US;
 }
 
 void
-Fw_Poison_Refuse(struct fw_poison *p, uint64_t print, int64_t ttl_us,
-                 int64_t now_us)
+Fw_Poison_Quarantine(struct fw_poison *p, uint64_t fingerprint, int64_t ttl_us,
+                     int64_t now_us)
 {
-    struct strike *s = g_hash_table_lookup(p->refused, &print);
+    struct entry *e = g_hash_table_lookup(p->quarantined, &fingerprint);
 
-    if (!s) {
-        if (g_hash_table_size(p->refused) >= FW_POISON_MAX) {
+    if (!e) {
+        if (g_hash_table_size(p->quarantined) >= FW_POISON_FINGERPRINTS_MAX) {
             return;
         }
-        s = add(p->refused, print);
+        e = insert(p->quarantined, fingerprint);
     }
-    s->until_us = MAX(s->until_us, now_us + MIN(ttl_us, FW_POISON_TTL_US));
+    e->expires_us =
+        MAX(e->expires_us, now_us + MIN(ttl_us, FW_POISON_QUARANTINE_US));
 }
 
 static gboolean
 expired(gpointer key, gpointer value, gpointer now)
 {
     (void)key;
-    return ((struct strike *)value)->until_us <= *(int64_t *)now;
+    return ((struct entry *)value)->expires_us <= *(int64_t *)now;
 }
 
 void
 Fw_Poison_Expire(struct fw_poison *p, int64_t now_us)
 {
     g_hash_table_foreach_remove(p->strikes, expired, &now_us);
-    g_hash_table_foreach_remove(p->refused, expired, &now_us);
+    g_hash_table_foreach_remove(p->quarantined, expired, &now_us);
 }
 
 int64_t
-Fw_Poison_Left(const struct fw_poison *p, uint64_t print, int64_t now_us)
+Fw_Poison_RemainingUs(const struct fw_poison *p, uint64_t fingerprint,
+                      int64_t now_us)
 {
-    const struct strike *s = g_hash_table_lookup(p->refused, &print);
+    const struct entry *e = g_hash_table_lookup(p->quarantined, &fingerprint);
 
-    return s && s->until_us > now_us ? s->until_us - now_us : 0;
+    return e && e->expires_us > now_us ? e->expires_us - now_us : 0;
 }
--- a/src/request/poison.h
+++ b/src/request/poison.h
@@ -1,11 +1,14 @@
 /*
- * Poison requests: now and then one request crashes each engine that runs it,
- * and its caller sends it again. Each engine lost while running a request is
- * a strike against its fingerprint, counted by the coordinator that the
- * rendezvous hash of the fingerprint points to. After the first strike the
- * request is tried once more, on an engine that runs no other suspect, so
- * that a second loss tells it from the bystanders of the first; after the
- * second all instances refuse it for a while.
+ * Quarantine of poison requests: requests that crash every engine that runs
+ * them and that their caller keeps resending.
+ *
+ * A crash of an engine is a strike against each request that it was running.
+ * Strikes are counted per fingerprint (hash of model and prompt) by the
+ * fingerprint's coordinator, the instance chosen by rendezvous hash. After
+ * the first strike the request is retried on an engine that runs no other
+ * request with a strike, so that a second crash can be attributed to it.
+ * After FW_POISON_STRIKES all instances refuse the fingerprint for
+ * FW_POISON_QUARANTINE_US.
  */
 #ifndef FW_REQUEST_POISON_H
 #define FW_REQUEST_POISON_H
@@ -17,13 +20,17 @@
 
 #define FW_POISON_STRIKES 2
 #define FW_POISON_STRIKE_TTL_US (600 * FW_SEC)
-#define FW_POISON_TTL_US (600 * FW_SEC)
-#define FW_POISON_MAX 4096 /* fingerprints remembered */
+#define FW_POISON_QUARANTINE_US (600 * FW_SEC)
+#define FW_POISON_FINGERPRINTS_MAX 4096 /* in each table */
 
-/** struct fw_poison - strikes counted here, and what is refused here. */
+/**
+ * struct fw_poison - tables of one instance, by fingerprint.
+ * @strikes: counted here as coordinator
+ * @quarantined: refused here
+ */
 struct fw_poison {
     GHashTable *strikes;
-    GHashTable *refused;
+    GHashTable *quarantined;
 };
 
 void
@@ -32,20 +39,24 @@
 Fw_Poison_Fini(struct fw_poison *p);
 
 /**
- * Fw_Poison_Strike - counts a loss, as coordinator.
+ * Fw_Poison_AddStrike - counts a strike, on the coordinator.
  *
- * Return: 0 when it may be tried again, else microseconds of quarantine.
+ * Return: 0 when the request may be retried, else the quarantine in
+ * microseconds.
  */
 int64_t
-Fw_Poison_Strike(struct fw_poison *p, uint64_t print, int64_t now_us);
-/* Refuses @print for @ttl_us, bounded by FW_POISON_TTL_US. */
+Fw_Poison_AddStrike(struct fw_poison *p, uint64_t fingerprint, int64_t now_us);
+/* Quarantines @fingerprint for @ttl_us, at most FW_POISON_QUARANTINE_US; never
+ * shortens a quarantine. Does nothing when the table is full. */
 void
-Fw_Poison_Refuse(struct fw_poison *p, uint64_t print, int64_t ttl_us,
-                 int64_t now_us);
+Fw_Poison_Quarantine(struct fw_poison *p, uint64_t fingerprint, int64_t ttl_us,
+                     int64_t now_us);
+/* Removes expired strikes and quarantines. */
 void
 Fw_Poison_Expire(struct fw_poison *p, int64_t now_us);
 
-/* Microseconds of quarantine left for @print, 0 when it may run. */
+/* Return: remaining quarantine of @fingerprint, 0 when it may run. */
 int64_t
-Fw_Poison_Left(const struct fw_poison *p, uint64_t print, int64_t now_us);
+Fw_Poison_RemainingUs(const struct fw_poison *p, uint64_t fingerprint,
+                      int64_t now_us);
 #endif
--- a/src/request/reader.c
+++ b/src/request/reader.c
@@ -1,136 +1,141 @@
-/* Who gets an answer, and how far each has got. */
+/* Subscribers of requests: delivery of pieces, ends and errors. */
 #include <string.h>
 
 #include "request/request_internal.h"
 
-static struct fw_reader *
+static struct fw_subscriber *
 add(struct fw_request *rq)
 {
-    struct fw_reader *rd = g_new0(struct fw_reader, 1);
+    struct fw_subscriber *sub = g_new0(struct fw_subscriber, 1);
 
-    rd->rq = rq;
-    Fw_List_Append(&rq->readers, &rd->link);
-    return rd;
+    sub->rq = rq;
+    Fw_List_Append(&rq->subscribers, &sub->link);
+    return sub;
 }
 
 void
-Fw_Reader_AddCall(struct fw_requests *rs, struct fw_request *rq, uint64_t call)
+Fw_Subscriber_AddCall(struct fw_requests *rs, struct fw_request *rq,
+                      uint64_t call)
 {
-    struct fw_reader *rd = add(rq);
+    struct fw_subscriber *sub = add(rq);
 
-    rd->call = call;
-    g_hash_table_insert(rs->by_call, &rd->call, rd);
+    sub->call = call;
+    g_hash_table_insert(rs->by_call, &sub->call, sub);
 }
 
 void
-Fw_Reader_AddPeer(struct fw_request *rq, const char *peer, uint64_t ticket)
+Fw_Subscriber_AddPeer(struct fw_request *rq, const char *peer, uint64_t ticket)
 {
-    struct fw_reader *rd = add(rq);
+    struct fw_subscriber *sub = add(rq);
 
-    g_strlcpy(rd->peer, peer, sizeof(rd->peer));
-    rd->ticket = ticket;
+    g_strlcpy(sub->peer, peer, sizeof(sub->peer));
+    sub->ticket = ticket;
 }
 
 void
-Fw_Reader_Drop(struct fw_requests *rs, struct fw_reader *rd)
+Fw_Subscriber_Remove(struct fw_requests *rs, struct fw_subscriber *sub)
 {
-    if (rd->call) {
-        g_hash_table_remove(rs->by_call, &rd->call);
+    if (sub->call) {
+        g_hash_table_remove(rs->by_call, &sub->call);
     }
-    Fw_List_Remove(&rd->link);
-    g_free(rd);
+    Fw_List_Remove(&sub->link);
+    g_free(sub);
 }
 
-struct fw_reader *
-Fw_Reader_OfCall(const struct fw_requests *rs, uint64_t call)
+struct fw_subscriber *
+Fw_Subscriber_FindCall(const struct fw_requests *rs, uint64_t call)
 {
     return g_hash_table_lookup(rs->by_call, &call);
 }
 
-struct fw_reader *
-Fw_Reader_OfPeer(const struct fw_request *rq, const char *peer,
-                 uint64_t ticket)
+struct fw_subscriber *
+Fw_Subscriber_FindPeer(const struct fw_request *rq, const char *peer,
+                       uint64_t ticket)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &rq->readers) {
-        struct fw_reader *rd = FW_LIST_ENTRY(pos, struct fw_reader, link);
-        if (rd->ticket == ticket && strcmp(rd->peer, peer) == 0) {
-            return rd;
+    FW_LIST_EACH (pos, &rq->subscribers) {
+        struct fw_subscriber *sub =
+            FW_LIST_ENTRY(pos, struct fw_subscriber, link);
+        if (sub->ticket == ticket && strcmp(sub->peer, peer) == 0) {
+            return sub;
         }
     }
     return NULL;
 }
 
-/* A new string: the piece at @index of what was emitted. */
+/* Return: a copy of the emitted piece @index, to be freed by the caller. */
 static char *
 piece_text(const struct fw_request *rq, int64_t index)
 {
-    guint32 end = g_array_index(rq->ends, guint32, index);
-    guint32 begin = index ? g_array_index(rq->ends, guint32, index - 1) : 0;
+    guint32 end = g_array_index(rq->piece_ends, guint32, index);
+    guint32 begin =
+        index ? g_array_index(rq->piece_ends, guint32, index - 1) : 0;
 
-    return g_strndup(rq->text->str + begin, end - begin);
+    return g_strndup(rq->output->str + begin, end - begin);
 }
 
 static void
-send_start(struct fw_reader *rd, struct fw_actions *out)
+send_start(struct fw_subscriber *sub, struct fw_actions *out)
 {
     struct fw_call_start *start;
 
-    rd->started = 1;
-    if (!rd->call) {
+    sub->started = 1;
+    if (!sub->call) {
         return;
     }
     start = &Fw_Actions_Add(out, FW_ACT_CALL_START)->u.start;
-    start->call = rd->call;
-    g_strlcpy(start->request_id, rd->rq->id, sizeof(start->request_id));
-    g_strlcpy(start->model, rd->rq->model, sizeof(start->model));
+    start->call = sub->call;
+    g_strlcpy(start->request_id, sub->rq->id, sizeof(start->request_id));
+    g_strlcpy(start->model, sub->rq->model, sizeof(start->model));
 }
 
 static void
-send_piece(struct fw_requests *rs, struct fw_reader *rd,
+send_piece(struct fw_requests *rs, struct fw_subscriber *sub,
            struct fw_actions *out)
 {
     struct fw_call_piece *piece;
 
-    if (!rd->call) {
+    if (!sub->call) {
         struct fw_request_msg msg = {
             .kind = FW_REQUEST_PIECE,
-            .u.piece = {.ticket = rd->ticket,
-                        .index = rd->next,
-                        .text = piece_text(rd->rq, rd->next)},
+            .u.piece = {.ticket = sub->ticket,
+                        .index = sub->next_index,
+                        .text = piece_text(sub->rq, sub->next_index)},
         };
-        Fw_Request_Send(rs, rd->peer, &msg, out);
+        Fw_Request_Send(rs, sub->peer, &msg, out);
         return;
     }
     piece = &Fw_Actions_Add(out, FW_ACT_CALL_PIECE)->u.piece;
-    piece->call = rd->call;
-    piece->index = rd->next;
-    piece->text = piece_text(rd->rq, rd->next);
+    piece->call = sub->call;
+    piece->index = sub->next_index;
+    piece->text = piece_text(sub->rq, sub->next_index);
 }
 
 static void
-send_end(struct fw_requests *rs, struct fw_reader *rd, struct fw_actions *out)
+send_end(struct fw_requests *rs, struct fw_subscriber *sub,
+         struct fw_actions *out)
 {
-    const struct fw_request *rq = rd->rq;
+    const struct fw_request *rq = sub->rq;
     struct fw_call_end *end;
 
-    if (!rd->call) {
+    if (!sub->call) {
         struct fw_request_msg msg = {
             .kind = FW_REQUEST_END,
-            .u.end = {.ticket = rd->ticket,
+            .u.end = {.ticket = sub->ticket,
                       .prompt_tokens = rq->prompt_tokens,
-                      .output_tokens = rq->ends->len},
+                      .output_tokens = rq->piece_ends->len},
         };
-        g_strlcpy(msg.u.end.reason, rq->reason, sizeof(msg.u.end.reason));
-        Fw_Request_Send(rs, rd->peer, &msg, out);
+        g_strlcpy(msg.u.end.reason, rq->finish_reason,
+                  sizeof(msg.u.end.reason));
+        Fw_Request_Send(rs, sub->peer, &msg, out);
         return;
     }
     end = &Fw_Actions_Add(out, FW_ACT_CALL_END)->u.end;
-    end->call = rd->call;
-    g_strlcpy(end->reason, rq->reason, sizeof(end->reason));
+    end->call = sub->call;
+    g_strlcpy(end->reason, rq->finish_reason, sizeof(end->reason));
     end->prompt_tokens = rq->prompt_tokens;
-    end->output_tokens = rq->ends->len;
+    end->output_tokens = rq->piece_ends->len;
     end->cached_tokens = rq->cached_tokens;
     end->transfer_us = rq->transfer_us;
     g_strlcpy(end->prefill, rq->prefill, sizeof(end->prefill));
@@ -138,52 +143,54 @@
 }
 
 void
-Fw_Reader_Flush(struct fw_requests *rs, struct fw_request *rq,
-                struct fw_actions *out)
+Fw_Subscriber_Flush(struct fw_requests *rs, struct fw_request *rq,
+                    struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
     int done = rq->stage == FW_STAGE_DONE;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &rq->readers) {
-        struct fw_reader *rd = FW_LIST_ENTRY(pos, struct fw_reader, link);
-        if (!rd->started && (done || rq->ends->len > 0)) {
-            send_start(rd, out);
+    FW_LIST_EACH_SAFE (pos, tmp, &rq->subscribers) {
+        struct fw_subscriber *sub =
+            FW_LIST_ENTRY(pos, struct fw_subscriber, link);
+        if (!sub->started && (done || rq->piece_ends->len > 0)) {
+            send_start(sub, out);
         }
-        for (; rd->next < rq->ends->len; rd->next++) {
-            send_piece(rs, rd, out);
+        for (; sub->next_index < rq->piece_ends->len; sub->next_index++) {
+            send_piece(rs, sub, out);
         }
         if (done) {
-            send_end(rs, rd, out);
-            Fw_Reader_Drop(rs, rd);
+            send_end(rs, sub, out);
+            Fw_Subscriber_Remove(rs, sub);
         }
     }
 }
 
 void
-Fw_Reader_Fail(struct fw_requests *rs, struct fw_request *rq,
-               struct fw_call_fail *fail, struct fw_actions *out)
+Fw_Subscriber_FailAll(struct fw_requests *rs, struct fw_request *rq,
+                      struct fw_call_fail *fail, struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &rq->readers) {
-        struct fw_reader *rd = FW_LIST_ENTRY(pos, struct fw_reader, link);
-        if (rd->call) {
-            fail->call = rd->call;
+    FW_LIST_EACH_SAFE (pos, tmp, &rq->subscribers) {
+        struct fw_subscriber *sub =
+            FW_LIST_ENTRY(pos, struct fw_subscriber, link);
+        if (sub->call) {
+            fail->call = sub->call;
             Fw_Actions_Add(out, FW_ACT_CALL_FAIL)->u.fail = *fail;
         }
         else {
             struct fw_request_msg msg = {
                 .kind = FW_REQUEST_FAIL,
-                .u.fail = {.ticket = rd->ticket,
+                .u.fail = {.ticket = sub->ticket,
                            .status = fail->status,
                            .ran = fail->ran,
                            .retry_after_us = fail->retry_after_us},
             };
             g_strlcpy(msg.u.fail.code, fail->code, sizeof(msg.u.fail.code));
-            Fw_Request_Send(rs, rd->peer, &msg, out);
+            Fw_Request_Send(rs, sub->peer, &msg, out);
         }
-        Fw_Reader_Drop(rs, rd);
+        Fw_Subscriber_Remove(rs, sub);
     }
 }
--- a/src/request/request.c
+++ b/src/request/request.c
@@ -1,4 +1,4 @@
-/* The table of requests. */
+/* The table of requests: creation, lookup, numbering. */
 #include <inttypes.h>
 #include <stdarg.h>
 #include <string.h>
@@ -19,7 +19,7 @@
 static void
 add_counters(struct fw_requests *rs)
 {
-    struct fw_request_counters *n = &rs->n;
+    struct fw_request_counters *n = &rs->counters;
 
     add_counter(rs, &n->opened, "fw_requests_opened_total",
                 "requests taken from callers");
@@ -57,9 +57,9 @@
     rs->by_op = g_hash_table_new(g_int64_hash, g_int64_equal);
     rs->by_seq = g_hash_table_new(g_int64_hash, g_int64_equal);
     rs->by_key = g_hash_table_new(g_int64_hash, g_int64_equal);
-    rs->orphans.polls =
+    rs->orphans.pending_polls =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    rs->orphans.suspects =
+    rs->orphans.candidates =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     Fw_Directory_Init(&rs->directory);
     Fw_Poison_Init(&rs->poison);
@@ -77,15 +77,15 @@
         return;
     }
     FW_LIST_EACH_SAFE (pos, tmp, &rs->all) {
-        Fw_Request_Drop(rs, FW_LIST_ENTRY(pos, struct fw_request, link));
+        Fw_Request_Free(rs, FW_LIST_ENTRY(pos, struct fw_request, link));
     }
     g_hash_table_unref(rs->by_ticket);
     g_hash_table_unref(rs->by_call);
     g_hash_table_unref(rs->by_op);
     g_hash_table_unref(rs->by_seq);
     g_hash_table_unref(rs->by_key);
-    g_hash_table_unref(rs->orphans.polls);
-    g_hash_table_unref(rs->orphans.suspects);
+    g_hash_table_unref(rs->orphans.pending_polls);
+    g_hash_table_unref(rs->orphans.candidates);
     Fw_Directory_Fini(&rs->directory);
     Fw_Poison_Fini(&rs->poison);
     g_free(rs);
@@ -98,12 +98,12 @@
 
     rq->ticket = ++rs->next_ticket;
     rq->arrived_us = now_us;
-    rq->expect = -1;
-    rq->text = g_string_new(NULL);
-    rq->ends = g_array_new(FALSE, FALSE, sizeof(guint32));
-    rq->early =
+    rq->expected_pieces = -1;
+    rq->output = g_string_new(NULL);
+    rq->piece_ends = g_array_new(FALSE, FALSE, sizeof(guint32));
+    rq->reorder =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    Fw_List_Init(&rq->readers);
+    Fw_List_Init(&rq->subscribers);
     Fw_List_Append(&rs->all, &rq->link);
     g_hash_table_insert(rs->by_ticket, &rq->ticket, rq);
     return rq;
@@ -125,19 +125,20 @@
         g_snprintf(rq->id, sizeof(rq->id), "%s-%" PRIx64 "-%" PRIu64,
                    rs->deps.self->name, rs->deps.self->boot, rs->next_ticket);
     }
-    Fw_Reader_AddCall(rs, rq, call->call);
-    rs->n.opened.value++;
+    Fw_Subscriber_AddCall(rs, rq, call->call);
+    rs->counters.opened.value++;
     return rq;
 }
 
 void
-Fw_Request_Drop(struct fw_requests *rs, struct fw_request *rq)
+Fw_Request_Free(struct fw_requests *rs, struct fw_request *rq)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &rq->readers) {
-        Fw_Reader_Drop(rs, FW_LIST_ENTRY(pos, struct fw_reader, link));
+    FW_LIST_EACH_SAFE (pos, tmp, &rq->subscribers) {
+        Fw_Subscriber_Remove(rs,
+                             FW_LIST_ENTRY(pos, struct fw_subscriber, link));
     }
     Fw_Request_ClearOp(rs, rq);
     if (rq->seq) {
@@ -149,14 +150,14 @@
     g_hash_table_remove(rs->by_ticket, &rq->ticket);
     Fw_List_Remove(&rq->link);
     if (rq->stage == FW_STAGE_DONE) {
-        rs->kept_bytes -= (int64_t)rq->text->len;
-        rs->kept--;
+        rs->retained_bytes -= (int64_t)rq->output->len;
+        rs->n_retained--;
     }
     g_bytes_unref(rq->body);
     g_free(rq->path);
-    g_string_free(rq->text, TRUE);
-    g_array_unref(rq->ends);
-    g_hash_table_unref(rq->early);
+    g_string_free(rq->output, TRUE);
+    g_array_unref(rq->piece_ends);
+    g_hash_table_unref(rq->reorder);
     g_free(rq);
 }
 
@@ -176,7 +177,7 @@
 }
 
 void
-Fw_Request_SetOp(struct fw_requests *rs, struct fw_request *rq)
+Fw_Request_AssignOp(struct fw_requests *rs, struct fw_request *rq)
 {
     Fw_Request_ClearOp(rs, rq);
     rq->op = Fw_Owner_Number(FW_OWNER_REQUEST, ++rs->next_op);
@@ -184,7 +185,7 @@
 }
 
 void
-Fw_Request_SetSeq(struct fw_requests *rs, struct fw_request *rq)
+Fw_Request_AssignSeq(struct fw_requests *rs, struct fw_request *rq)
 {
     if (rq->seq) {
         g_hash_table_remove(rs->by_seq, &rq->seq);
@@ -228,11 +229,11 @@
 int
 Fw_Requests_Count(const struct fw_requests *rs)
 {
-    return (int)g_hash_table_size(rs->by_ticket) - rs->kept;
+    return (int)g_hash_table_size(rs->by_ticket) - rs->n_retained;
 }
 
 int
-Fw_Requests_Owns(const struct fw_requests *rs, uint64_t seq)
+Fw_Requests_HasAttempt(const struct fw_requests *rs, uint64_t seq)
 {
     return g_hash_table_contains(rs->by_seq, &seq);
 }
@@ -250,7 +251,7 @@
         struct fw_request_row r = {
             .stage = Fw_Request_StageName(rq->stage),
             .age_us = now_us - rq->arrived_us,
-            .output_tokens = rq->ends->len,
+            .output_tokens = rq->piece_ends->len,
         };
 
         if (rq->stage == FW_STAGE_DONE) {
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -1,7 +1,8 @@
 /*
- * The life of a request: from a caller's document to the last piece of its
- * answer, through budget, queue, prefill, transfer and decode; and the calls
- * to plain services. See docs/ARCHITECTURE.md.
+ * Runs requests. A completion takes tokens from its team's budget, waits in
+ * the queue for engines, and passes through prefill, KV transfer and decode; a
+ * service call is forwarded to a server of the service. See
+ * docs/ARCHITECTURE.md.
  */
 #ifndef FW_REQUEST_REQUEST_H
 #define FW_REQUEST_REQUEST_H
@@ -18,8 +19,11 @@
 #include "route/route.h"
 
 /**
- * struct fw_request_deps - the subsystems a request passes through; all
- * outlive the requests.
+ * struct fw_request_deps - subsystems that requests use, and limits.
+ * @prompt_tokens_max: larger prompts are refused with status 413
+ * @max_tokens_default: output tokens when the caller sets no limit
+ *
+ * The pointers are borrowed and must outlive struct fw_requests.
  */
 struct fw_request_deps {
     const struct fw_self *self;
@@ -42,13 +46,14 @@
 void
 Fw_Requests_Free(struct fw_requests *rs);
 
-/* Commands: what happened. */
+/* Events. Each appends the resulting actions to @out. */
 void
 Fw_Requests_Open(struct fw_requests *rs, const struct fw_call *call,
                  int64_t now_us, struct fw_actions *out);
+/* The caller closed connection @call; ignored when the call is not open. */
 void
-Fw_Requests_Closed(struct fw_requests *rs, uint64_t call, int64_t now_us,
-                   struct fw_actions *out);
+Fw_Requests_OnCallClosed(struct fw_requests *rs, uint64_t call, int64_t now_us,
+                         struct fw_actions *out);
 void
 Fw_Requests_OnUp(struct fw_requests *rs, const struct fw_up_event *ev,
                  int64_t now_us, struct fw_actions *out);
@@ -58,7 +63,7 @@
 void
 Fw_Requests_OnPair(struct fw_requests *rs, const struct fw_route_answer *ans,
                    int64_t now_us, struct fw_actions *out);
-/* Takes over @ans->body. */
+/* Takes ownership of @ans->body. */
 void
 Fw_Requests_OnIdem(struct fw_requests *rs, struct fw_idem_answer *ans,
                    int64_t now_us, struct fw_actions *out);
@@ -66,24 +71,31 @@
 Fw_Requests_OnMsg(struct fw_requests *rs, const char *from,
                   const struct fw_request_msg *msg, int64_t now_us,
                   struct fw_actions *out);
+/* Handles the timeouts that are due and asks for the next tick. */
 void
 Fw_Requests_Tick(struct fw_requests *rs, int64_t now_us,
                  struct fw_actions *out);
-/* The configuration changed: withdrawn keys lose their work. */
+/* The configuration changed: fails requests whose key was withdrawn. */
 void
 Fw_Requests_OnConfig(struct fw_requests *rs, int64_t now_us,
                      struct fw_actions *out);
 
 /* Queries. */
 
-/* Requests that a caller or a peer still waits for. */
+/* Number of unfinished requests. */
 int
 Fw_Requests_Count(const struct fw_requests *rs);
-/* Nonzero when this process runs the attempt @seq. */
+/* Nonzero while the attempt @seq of this process runs. */
 int
-Fw_Requests_Owns(const struct fw_requests *rs, uint64_t seq);
+Fw_Requests_HasAttempt(const struct fw_requests *rs, uint64_t seq);
 
-/** struct fw_request_row - one line of `show requests`. */
+/**
+ * struct fw_request_row - a line of `show requests`.
+ * @stage: static name of enum fw_stage
+ * @prefill: engine of the current or last attempt, empty for none
+ * @decode: engine of the current or last attempt, or server of a service call;
+ *          empty for none
+ */
 struct fw_request_row {
     char id[FW_ID_MAX];
     char team[FW_NAME_MAX];
@@ -94,7 +106,7 @@
     int64_t output_tokens;
 };
 
-/* Calls @row for each open request. */
+/* Calls @row for each unfinished request; @r is valid during the call. */
 void
 Fw_Requests_Each(const struct fw_requests *rs, int64_t now_us,
                  void (*row)(const struct fw_request_row *r, void *ctx),
--- a/src/request/request_msg.c
+++ b/src/request/request_msg.c
@@ -51,7 +51,7 @@
     case FW_REQUEST_HELD:
     case FW_REQUEST_DISOWN:
     case FW_REQUEST_STRIKE:
-    case FW_REQUEST_STRUCK:
+    case FW_REQUEST_STRIKE_RESULT:
     case FW_REQUEST_QUARANTINE:
         return 4;
     case FW_REQUEST_END:
@@ -95,7 +95,7 @@
         pack_ids(pk, &msg->u.ids);
         break;
     case FW_REQUEST_STRIKE:
-    case FW_REQUEST_STRUCK:
+    case FW_REQUEST_STRIKE_RESULT:
     case FW_REQUEST_QUARANTINE:
         msgpack_pack_uint64(pk, msg->u.strike.ticket);
         msgpack_pack_uint64(pk, msg->u.strike.print);
@@ -217,7 +217,7 @@
     case FW_REQUEST_DISOWN:
         return unpack_ids(obj, &msg->u.ids);
     case FW_REQUEST_STRIKE:
-    case FW_REQUEST_STRUCK:
+    case FW_REQUEST_STRIKE_RESULT:
     case FW_REQUEST_QUARANTINE:
         return unpack_strike(obj, &msg->u.strike);
     }
--- a/src/request/request_msg.h
+++ b/src/request/request_msg.h
@@ -10,44 +10,55 @@
 
 /** enum fw_request_msg_kind - a wire value. */
 enum fw_request_msg_kind {
-    FW_REQUEST_LOOKUP = 1, /* to the directory: who runs this id? */
-    FW_REQUEST_OWNER,      /* its answer; the asker runs it when named */
-    FW_REQUEST_JOIN,       /* to the owner: send me the answer too */
-    FW_REQUEST_JOINED,     /* its answer: it will come */
-    FW_REQUEST_PIECE,      /* from the owner to a joined instance */
-    FW_REQUEST_END,
-    FW_REQUEST_FAIL,
-    FW_REQUEST_LEAVE,      /* the joined caller has gone */
-    FW_REQUEST_HELD,       /* to an owner: an engine holds these of yours */
-    FW_REQUEST_DISOWN,     /* its answer: these are not mine any more */
-    FW_REQUEST_STRIKE,     /* an engine was lost while running this */
-    FW_REQUEST_STRUCK,     /* the answer: may it be tried again? */
-    FW_REQUEST_QUARANTINE, /* to all: refuse this for a while */
+    FW_REQUEST_LOOKUP = 1,    /* to the directory: which instance runs it? */
+    FW_REQUEST_OWNER,         /* reply to LOOKUP; may name the asker itself */
+    FW_REQUEST_JOIN,          /* to the owner: subscribe to the answer */
+    FW_REQUEST_JOINED,        /* reply to JOIN */
+    FW_REQUEST_PIECE,         /* from the owner to a joined instance */
+    FW_REQUEST_END,           /* from the owner: the answer is complete */
+    FW_REQUEST_FAIL,          /* from the owner: failed, or unknown to it */
+    FW_REQUEST_LEAVE,         /* to the owner: unsubscribe */
+    FW_REQUEST_HELD,          /* to an owner: its attempts held by an engine */
+    FW_REQUEST_DISOWN,        /* reply to HELD: those that are not running */
+    FW_REQUEST_STRIKE,        /* to the coordinator: a strike, see poison.h */
+    FW_REQUEST_STRIKE_RESULT, /* reply to STRIKE */
+    FW_REQUEST_QUARANTINE,    /* to all instances */
 };
 
-/** struct fw_request_lookup - @key: hash of team and request id. */
+/**
+ * struct fw_request_lookup - LOOKUP.
+ * @ticket: of the asking instance, repeated in the reply
+ * @key: from Fw_Join_Key
+ */
 struct fw_request_lookup {
     uint64_t ticket;
     uint64_t key;
 };
 
+/** struct fw_request_owner - OWNER; @owner is an instance. */
 struct fw_request_owner {
     uint64_t ticket;
     char owner[FW_NAME_MAX];
 };
 
+/**
+ * struct fw_request_join - JOIN, JOINED, LEAVE.
+ * @ticket: of the joined instance; PIECE, END and FAIL repeat it
+ * @key: from Fw_Join_Key
+ */
 struct fw_request_join {
     uint64_t ticket;
     uint64_t key;
 };
 
-/** struct fw_request_piece - @text is owned. */
+/** struct fw_request_piece - PIECE; @text is owned by the message. */
 struct fw_request_piece {
     uint64_t ticket;
     int64_t index;
     char *text;
 };
 
+/** struct fw_request_end - END; @output_tokens is the number of pieces. */
 struct fw_request_end {
     uint64_t ticket;
     char reason[16];
@@ -55,7 +66,7 @@
     int64_t output_tokens;
 };
 
-/** struct fw_request_fail - @status 0: the id is not known there. */
+/** struct fw_request_fail - FAIL; @status 0: unknown to the owner. */
 struct fw_request_fail {
     uint64_t ticket;
     int64_t status;
@@ -66,7 +77,11 @@
 
 #define FW_REQUEST_IDS_MAX 64
 
-/** struct fw_request_ids - engine-side sequence numbers of one owner. */
+/**
+ * struct fw_request_ids - HELD, DISOWN: attempts of one owner on one engine.
+ * @boot: of the owner's process, struct fw_self
+ * @seqs: the SEQ part of the engine-side ids
+ */
 struct fw_request_ids {
     char engine[FW_NAME_MAX];
     uint64_t boot;
@@ -75,8 +90,9 @@
 };
 
 /**
- * struct fw_request_strike - @print: hash of model and prompt; @ttl_us: for
- * a quarantine, what is left of it; 0 means it may be tried again.
+ * struct fw_request_strike - STRIKE, STRIKE_RESULT, QUARANTINE.
+ * @fingerprint: hash of model and prompt
+ * @ttl_us: quarantine; 0 in a STRIKE_RESULT when it may be retried
  */
 struct fw_request_strike {
     uint64_t ticket;
@@ -90,20 +106,21 @@
     union {
         struct fw_request_lookup lookup;
         struct fw_request_owner owner;
-        struct fw_request_join join; /* also LEAVE */
+        struct fw_request_join join; /* JOIN, JOINED, LEAVE */
         struct fw_request_piece piece;
         struct fw_request_end end;
         struct fw_request_fail fail;
         struct fw_request_ids ids;       /* HELD, DISOWN */
-        struct fw_request_strike strike; /* STRIKE, STRUCK, QUARANTINE */
+        struct fw_request_strike strike; /* STRIKE, its result, QUARANTINE */
     } u;
 };
 
 void
 Fw_Request_PackMsg(msgpack_packer *pk, const struct fw_request_msg *msg);
-/* Return: 0 or -EBADMSG; then nothing needs clearing. */
+/* Return: 0, or -EBADMSG, after which @msg needs no Fw_Request_ClearMsg. */
 int
 Fw_Request_UnpackMsg(const msgpack_object *obj, struct fw_request_msg *msg);
+/* Frees what @msg owns. */
 void
 Fw_Request_ClearMsg(struct fw_request_msg *msg);
 
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -1,4 +1,4 @@
-/* An engine failed a request: take the stream up again, try anew, give up. */
+/* Recovery from failed engines: resume the stream, retry, or fail. */
 #include <errno.h>
 #include <string.h>
 #include <syslog.h>
@@ -8,16 +8,16 @@
 
 #define FW_HTTP_NOT_FOUND 404
 
-/* Nonzero when the engine itself seems to have died while running it. A mere
- * refusal or silence says nothing about the request. */
+/* Nonzero when the failure suggests that the engine crashed while running the
+ * request. Refusals and timeouts don't. */
 static int
-crashed(const struct fw_request *rq, const struct fw_up_event *ev)
+engine_crashed(const struct fw_request *rq, const struct fw_up_event *ev)
 {
     if (ev->phase != FW_UP_FAILED) {
         return 0;
     }
     if (ev->kind == FW_UP_RESUME && ev->status == FW_HTTP_NOT_FOUND) {
-        return rq->expect < 0; /* it is back, and has forgotten */
+        return rq->expected_pieces < 0; /* restarted and lost the request */
     }
     if (ev->status != 0) {
         return 0;
@@ -30,11 +30,13 @@
            ev->err != -ETIMEDOUT && ev->err != -EBADMSG;
 }
 
-/* A broken or holed stream is first taken up where it stopped: the engine
- * still has the KV, which costs nothing, while a new prefill costs much. */
+/* Resumes a broken or incomplete stream on the same engine, which may still
+ * hold the KV; a retry would have to prefill again. Return: nonzero when a
+ * resume was started. */
 static int
-resume(struct fw_requests *rs, struct fw_request *rq,
-       const struct fw_up_event *ev, int64_t now_us, struct fw_actions *out)
+try_resume(struct fw_requests *rs, struct fw_request *rq,
+           const struct fw_up_event *ev, int64_t now_us,
+           struct fw_actions *out)
 {
     if (rq->stage != FW_STAGE_DECODE || rq->resumes >= FW_RESUMES_MAX) {
         return 0;
@@ -43,20 +45,21 @@
         (ev->status != 0 || ev->ran == FW_RAN_NO)) {
         return 0;
     }
-    if (Fw_Request_Decode(rs, rq, FW_UP_RESUME, out)) {
+    if (Fw_Request_StartDecode(rs, rq, FW_UP_RESUME, out)) {
         return 0;
     }
     rq->resumes++;
-    rs->n.resumed.value++;
+    rs->counters.resumed.value++;
     Fw_Request_Trace(rs, rq, now_us, "resume on %s from %u", rq->decode,
-                     rq->ends->len);
+                     rq->piece_ends->len);
     return 1;
 }
 
-/* Full, without the model, or the KV had lapsed: the engine is well. Counted
- * as a failure, it would open breakers when the fleet is busiest. */
+/* Nonzero when a working engine refused: it is full, lacks the model, or the
+ * KV has expired. Counting these as failures would open circuit breakers under
+ * high load. */
 static int
-declined(const struct fw_up_event *ev)
+engine_refused(const struct fw_up_event *ev)
 {
     return ev->phase == FW_UP_FAILED &&
            (ev->status == 409 || ev->status == 410 || ev->status == 503);
@@ -68,37 +71,38 @@
             struct fw_actions *out)
 {
     if (rq->stage != FW_STAGE_DECODE) {
-        Fw_Request_CancelOn(rs, rq->prefill, rq->seq, out);
+        Fw_Request_SendCancel(rs, rq->prefill, rq->seq, out);
     }
     if (rq->stage != FW_STAGE_PREFILL) {
-        Fw_Request_CancelOn(rs, rq->decode, rq->seq, out);
+        Fw_Request_SendCancel(rs, rq->decode, rq->seq, out);
     }
     if (rq->stage == FW_STAGE_IMPORT) {
-        rs->n.wasted.value += rq->prompt_tokens;
+        rs->counters.wasted.value += rq->prompt_tokens;
     }
-    if (rq->n_lost < FW_ATTEMPTS_MAX) {
-        g_strlcpy(rq->lost[rq->n_lost++], upstream, FW_NAME_MAX);
+    if (rq->n_failed_upstreams < FW_ATTEMPTS_MAX) {
+        g_strlcpy(rq->failed_upstreams[rq->n_failed_upstreams++], upstream,
+                  FW_NAME_MAX);
     }
     Fw_Route_Step(rs->deps.router, rq->ticket,
-                  declined(ev) ? FW_STEP_REFUSED : FW_STEP_LOST, upstream,
-                  now_us, out);
+                  engine_refused(ev) ? FW_STEP_REFUSED : FW_STEP_LOST,
+                  upstream, now_us, out);
     g_hash_table_remove(rs->by_seq, &rq->seq);
     rq->seq = 0;
     rq->resumes = 0;
 }
 
 void
-Fw_Request_Lost(struct fw_requests *rs, struct fw_request *rq,
-                const char *upstream, const struct fw_up_event *ev,
-                int64_t now_us, struct fw_actions *out)
+Fw_Request_OnUpstreamLost(struct fw_requests *rs, struct fw_request *rq,
+                          const char *upstream, const struct fw_up_event *ev,
+                          int64_t now_us, struct fw_actions *out)
 {
     char lost[FW_NAME_MAX];
-    int crash = crashed(rq, ev);
+    int crash = engine_crashed(rq, ev);
 
     if (!FW_FAULT("verdict-forgotten")) {
         rq->ran = MAX(rq->ran, ev->ran);
     }
-    if (resume(rs, rq, ev, now_us, out)) {
+    if (try_resume(rs, rq, ev, now_us, out)) {
         return;
     }
     g_strlcpy(lost, upstream, sizeof(lost));
@@ -110,14 +114,14 @@
                      Fw_Request_StageName(rq->stage), g_strerror(-ev->err));
     end_attempt(rs, rq, lost, ev, now_us, out);
     if (crash) {
-        Fw_Request_Strike(rs, rq, now_us, out);
+        Fw_Request_ReportStrike(rs, rq, now_us, out);
         return;
     }
-    Fw_Request_Again(rs, rq, now_us, out);
+    Fw_Request_Retry(rs, rq, now_us, out);
 }
 
 void
-Fw_Request_Again(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
+Fw_Request_Retry(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
                  struct fw_actions *out)
 {
     rq->stage = FW_STAGE_IDLE;
@@ -132,10 +136,10 @@
                         "too many retries are under way", FW_SEC, now_us, out);
         return;
     }
-    rs->n.retried.value++;
-    if ((int64_t)rq->ends->len >= rq->max_tokens) {
-        /* Only the closing line was lost: the answer is whole. */
-        g_strlcpy(rq->reason, "length", sizeof(rq->reason));
+    rs->counters.retried.value++;
+    if ((int64_t)rq->piece_ends->len >= rq->max_tokens) {
+        /* Only the end of the stream was lost: the answer is complete. */
+        g_strlcpy(rq->finish_reason, "length", sizeof(rq->finish_reason));
         Fw_Request_Finish(rs, rq, now_us, out);
         return;
     }
--- a/src/request/run.c
+++ b/src/request/run.c
@@ -1,4 +1,4 @@
-/* Queue, prefill and transfer of one attempt. */
+/* Attempts: queueing, prefill, KV transfer and start of the decode. */
 #include <errno.h>
 #include <inttypes.h>
 #include <string.h>
@@ -13,43 +13,43 @@
     struct fw_route_ask ask = {
         .ticket = rq->ticket,
         .prompt = rq->body,
-        .prompt_tokens = rq->prompt_tokens + rq->ends->len,
-        .max_tokens = rq->max_tokens - rq->ends->len,
+        .prompt_tokens = rq->prompt_tokens + rq->piece_ends->len,
+        .max_tokens = rq->max_tokens - rq->piece_ends->len,
         .deadline_us = rq->deadline_us,
-        /* A second attempt can't meet the first one's target any more, and
-         * would be refused for that. */
+        /* A retry would be refused if its wait counted from the arrival of
+         * the request. */
         .arrived_us = rq->attempts > 0 ? now_us : rq->arrived_us,
         .avoid = avoid,
-        .alone = rq->struck > 0,
+        .alone = rq->strikes > 0,
     };
 
-    for (int i = 0; i < rq->n_lost; i++) {
-        avoid[i] = rq->lost[i];
+    for (int i = 0; i < rq->n_failed_upstreams; i++) {
+        avoid[i] = rq->failed_upstreams[i];
     }
     g_strlcpy(ask.team, rq->team, sizeof(ask.team));
     g_strlcpy(ask.model, rq->model, sizeof(ask.model));
     rq->stage = FW_STAGE_QUEUE;
-    rq->at_us = 0;
+    rq->stage_deadline_us = 0;
     Fw_Route_Ask(rs->deps.router, Fw_Fold_Config(rs->deps.fold), &ask, now_us,
                  out);
 }
 
-/* Prompt and what was emitted: the text a new attempt starts from. */
+/* Text that an attempt prefills: the prompt and the output emitted so far. */
 static GBytes *
-prompt_of(const struct fw_request *rq)
+prefill_text(const struct fw_request *rq)
 {
     gsize size = 0;
     const char *prompt = g_bytes_get_data(rq->body, &size);
-    GByteArray *whole;
+    GByteArray *text;
 
-    if (rq->text->len == 0) {
+    if (rq->output->len == 0) {
         return g_bytes_ref(rq->body);
     }
-    whole = g_byte_array_sized_new((guint)(size + rq->text->len));
-    g_byte_array_append(whole, (const guint8 *)prompt, (guint)size);
-    g_byte_array_append(whole, (const guint8 *)rq->text->str,
-                        (guint)rq->text->len);
-    return g_byte_array_free_to_bytes(whole);
+    text = g_byte_array_sized_new((guint)(size + rq->output->len));
+    g_byte_array_append(text, (const guint8 *)prompt, (guint)size);
+    g_byte_array_append(text, (const guint8 *)rq->output->str,
+                        (guint)rq->output->len);
+    return g_byte_array_free_to_bytes(text);
 }
 
 static struct fw_up_start *
@@ -59,12 +59,12 @@
 {
     struct fw_up_start *s;
 
-    Fw_Request_SetOp(rs, rq);
-    s = Fw_Request_StartUp(out, rq->op, kind, up, timeout_us);
+    Fw_Request_AssignOp(rs, rq);
+    s = Fw_Request_StartUpstreamCall(out, rq->op, kind, up, timeout_us);
     return s;
 }
 
-/* "model+adapter" in two parts. */
+/* Splits "model+adapter"; @adapter is empty when there is none. */
 static void
 split_model(const char *model, char *base, char *adapter)
 {
@@ -87,13 +87,13 @@
     struct fw_up_start *s;
     struct fw_up_prefill *p;
 
-    Fw_Request_SetSeq(rs, rq);
+    Fw_Request_AssignSeq(rs, rq);
     s = start_call(rs, rq, FW_UP_PREFILL, up, FW_PREFILL_TIMEOUT_US, out);
     p = &s->u.prefill;
     Fw_Request_EngineId(rs, rq->seq, p->request, sizeof(p->request));
     g_strlcpy(p->team, rq->team, sizeof(p->team));
     split_model(rq->model, p->model, p->adapter);
-    p->prompt = prompt_of(rq);
+    p->prompt = prefill_text(rq);
     p->priority = team ? team->priority : 0;
     rq->stage = FW_STAGE_PREFILL;
 }
@@ -117,7 +117,7 @@
     }
     up = Fw_Config_Upstream(cfg, ans->prefill);
     if (!up || !Fw_Config_Upstream(cfg, ans->decode)) {
-        /* A change took the engine away after it was chosen. */
+        /* The engine was removed from the configuration after the choice. */
         Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_CANCELLED, NULL,
                       now_us, out);
         Fw_Request_Enqueue(rs, rq, now_us, out);
@@ -143,12 +143,12 @@
 
     Fw_Request_ClearOp(rs, rq);
     if (ev->phase == FW_UP_FAILED || !from || !to) {
-        Fw_Request_Lost(rs, rq, rq->prefill, ev, now_us, out);
+        Fw_Request_OnUpstreamLost(rs, rq, rq->prefill, ev, now_us, out);
         return;
     }
     rq->ran = FW_RAN_YES;
     rq->cached_tokens = ev->u.kv.cached_tokens;
-    g_strlcpy(rq->kv, ev->u.kv.kv, sizeof(rq->kv));
+    g_strlcpy(rq->kv_id, ev->u.kv.kv, sizeof(rq->kv_id));
     Fw_Route_NoteCached(rs->deps.router, rq->ticket, rq->cached_tokens);
     Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_PREFILLED, NULL, now_us,
                   out);
@@ -157,7 +157,7 @@
     im = &start_call(rs, rq, FW_UP_IMPORT, to, FW_IMPORT_TIMEOUT_US, out)
               ->u.import;
     Fw_Request_EngineId(rs, rq->seq, im->request, sizeof(im->request));
-    g_strlcpy(im->kv, rq->kv, sizeof(im->kv));
+    g_strlcpy(im->kv, rq->kv_id, sizeof(im->kv));
     g_strlcpy(im->from_url, from->url, sizeof(im->from_url));
     im->tokens = ev->u.kv.tokens;
     rq->stage = FW_STAGE_IMPORT;
@@ -168,11 +168,11 @@
                     const struct fw_up_event *ev, int64_t now_us,
                     struct fw_actions *out)
 {
-    struct fw_up_event gone = {.phase = FW_UP_FAILED, .err = -ENOENT};
+    struct fw_up_event removed = {.phase = FW_UP_FAILED, .err = -ENOENT};
 
     Fw_Request_ClearOp(rs, rq);
     if (ev->phase == FW_UP_FAILED) {
-        Fw_Request_Lost(rs, rq, rq->decode, ev, now_us, out);
+        Fw_Request_OnUpstreamLost(rs, rq, rq->decode, ev, now_us, out);
         return;
     }
     rq->transfer_us = ev->u.transfer_us;
@@ -181,16 +181,16 @@
     Fw_Request_Trace(rs, rq, now_us, "transferred in %" PRId64 " us",
                      rq->transfer_us);
     rq->stage = FW_STAGE_DECODE;
-    if (Fw_Request_Decode(rs, rq, FW_UP_DECODE, out)) {
-        /* A change took the engine away while the KV travelled. */
-        gone.kind = FW_UP_DECODE;
-        Fw_Request_Lost(rs, rq, rq->decode, &gone, now_us, out);
+    if (Fw_Request_StartDecode(rs, rq, FW_UP_DECODE, out)) {
+        /* The engine was removed from the configuration during the import. */
+        removed.kind = FW_UP_DECODE;
+        Fw_Request_OnUpstreamLost(rs, rq, rq->decode, &removed, now_us, out);
     }
 }
 
 int
-Fw_Request_Decode(struct fw_requests *rs, struct fw_request *rq,
-                  enum fw_up_kind kind, struct fw_actions *out)
+Fw_Request_StartDecode(struct fw_requests *rs, struct fw_request *rq,
+                       enum fw_up_kind kind, struct fw_actions *out)
 {
     const struct fw_upstream *up =
         Fw_Config_Upstream(Fw_Fold_Config(rs->deps.fold), rq->decode);
@@ -201,15 +201,15 @@
     }
     d = &start_call(rs, rq, kind, up, FW_PIECE_TIMEOUT_US, out)->u.decode;
     Fw_Request_EngineId(rs, rq->seq, d->request, sizeof(d->request));
-    g_strlcpy(d->kv, rq->kv, sizeof(d->kv));
-    d->from_index = rq->ends->len;
-    d->max_tokens = rq->max_tokens - rq->ends->len;
+    g_strlcpy(d->kv, rq->kv_id, sizeof(d->kv));
+    d->from_index = rq->piece_ends->len;
+    d->max_tokens = rq->max_tokens - rq->piece_ends->len;
     return 0;
 }
 
 void
-Fw_Request_CancelOn(struct fw_requests *rs, const char *upstream, uint64_t seq,
-                    struct fw_actions *out)
+Fw_Request_SendCancel(struct fw_requests *rs, const char *upstream,
+                      uint64_t seq, struct fw_actions *out)
 {
     const struct fw_upstream *up =
         Fw_Config_Upstream(Fw_Fold_Config(rs->deps.fold), upstream);
@@ -218,9 +218,9 @@
     if (!up) {
         return;
     }
-    s = Fw_Request_StartUp(out,
-                           Fw_Owner_Number(FW_OWNER_REQUEST, ++rs->next_op),
-                           FW_UP_CANCEL, up, FW_IMPORT_TIMEOUT_US);
+    s = Fw_Request_StartUpstreamCall(
+        out, Fw_Owner_Number(FW_OWNER_REQUEST, ++rs->next_op), FW_UP_CANCEL,
+        up, FW_IMPORT_TIMEOUT_US);
     Fw_Request_EngineId(rs, seq, s->u.cancel.request,
                         sizeof(s->u.cancel.request));
 }
--- a/src/request/service.c
+++ b/src/request/service.c
@@ -1,4 +1,5 @@
-/* Calls to plain services, which may or may not be repeated. */
+/* Service calls. Idempotent ones are retried on other servers; the others are
+ * sent at most once, guarded by the idempotency record of their key. */
 #include <errno.h>
 #include <string.h>
 #include <syslog.h>
@@ -23,9 +24,9 @@
     struct fw_up_start *s;
     struct fw_up_service *call;
 
-    Fw_Request_SetOp(rs, rq);
-    s = Fw_Request_StartUp(out, rq->op, FW_UP_SERVICE, up,
-                           FW_SERVICE_TIMEOUT_US);
+    Fw_Request_AssignOp(rs, rq);
+    s = Fw_Request_StartUpstreamCall(out, rq->op, FW_UP_SERVICE, up,
+                                     FW_SERVICE_TIMEOUT_US);
     call = &s->u.service;
     g_strlcpy(call->request, rq->id, sizeof(call->request));
     g_strlcpy(call->team, rq->team, sizeof(call->team));
@@ -42,16 +43,16 @@
     rq->attempts++;
 }
 
-/* Picks a server and sends; without one the call surely did not run. */
+/* Sends the call to a server, or fails it when none is usable. */
 static void
-run(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-    struct fw_actions *out)
+send_to_server(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
+               struct fw_actions *out)
 {
     const char *avoid[FW_ATTEMPTS_MAX + 1] = {NULL};
     const struct fw_upstream *up;
 
-    for (int i = 0; i < rq->n_lost; i++) {
-        avoid[i] = rq->lost[i];
+    for (int i = 0; i < rq->n_failed_upstreams; i++) {
+        avoid[i] = rq->failed_upstreams[i];
     }
     up = Fw_Route_PickServer(rs->deps.router, Fw_Fold_Config(rs->deps.fold),
                              rq->service, avoid, now_us);
@@ -70,8 +71,8 @@
 }
 
 static struct fw_request *
-take(struct fw_requests *rs, const struct fw_call *call,
-     const struct fw_team *team, int idempotent, int64_t now_us)
+new_service_call(struct fw_requests *rs, const struct fw_call *call,
+                 const struct fw_team *team, int idempotent, int64_t now_us)
 {
     struct fw_request *rq = Fw_Request_FromCall(rs, call, team, now_us);
 
@@ -92,23 +93,23 @@
 {
     const struct fw_service *svc =
         Fw_Config_Service(Fw_Fold_Config(rs->deps.fold), call->service);
-    const struct fw_service_call *known =
+    const struct fw_service_call *allowed =
         svc ? Fw_Config_ServiceCall(svc, call->method, call->path) : NULL;
     struct fw_request *rq;
 
-    if (!known) {
+    if (!allowed) {
         Fw_Request_Refuse(out, call, 404, "no_such_call",
                           "the service has no such call", 0);
         return;
     }
-    if (!known->idempotent && !call->idem_key[0]) {
+    if (!allowed->idempotent && !call->idem_key[0]) {
         Fw_Request_Refuse(out, call, 400, "idempotency_key_missing",
                           "this call needs an Idempotency-Key header", 0);
         return;
     }
-    rq = take(rs, call, team, known->idempotent, now_us);
+    rq = new_service_call(rs, call, team, allowed->idempotent, now_us);
     if (rq->idempotent) {
-        run(rs, rq, now_us, out);
+        send_to_server(rs, rq, now_us, out);
         return;
     }
     rq->stage = FW_STAGE_IDEM;
@@ -117,50 +118,54 @@
 }
 
 static void
-answer(struct fw_requests *rs, struct fw_request *rq, int status,
-       const char *content_type, GBytes *body, struct fw_actions *out)
+answer_callers(struct fw_requests *rs, struct fw_request *rq, int status,
+               const char *content_type, GBytes *body, struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &rq->readers) {
-        struct fw_reader *rd = FW_LIST_ENTRY(pos, struct fw_reader, link);
+    FW_LIST_EACH_SAFE (pos, tmp, &rq->subscribers) {
+        struct fw_subscriber *sub =
+            FW_LIST_ENTRY(pos, struct fw_subscriber, link);
         struct fw_call_answer *a =
             &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
-        a->call = rd->call;
+        a->call = sub->call;
         a->status = status;
         a->ran = FW_RAN_YES;
         g_strlcpy(a->request_id, rq->id, sizeof(a->request_id));
         g_strlcpy(a->content_type, content_type, sizeof(a->content_type));
         a->body = body ? g_bytes_ref(body) : g_bytes_new(NULL, 0);
-        Fw_Reader_Drop(rs, rd);
+        Fw_Subscriber_Remove(rs, sub);
     }
-    rs->n.finished.value++;
+    rs->counters.finished.value++;
     rq->stage = FW_STAGE_IDLE;
-    Fw_Request_Drop(rs, rq);
+    Fw_Request_Free(rs, rq);
 }
 
-/* How each refusal of the idempotency record reads to the caller. */
+/* Errors by result of the idempotency record. */
 static const struct {
     int status;
     const char *code;
     const char *message;
     enum fw_ran ran;
-} refusals[] = {
-    [FW_IDEM_MAYBE] = {409, "outcome_unknown",
-                       "begun before; whether it ran is not known",
-                       FW_RAN_MAYBE},
+} idem_errors[] = {
+    [FW_IDEM_MAYBE] =
+        {409, "outcome_unknown",
+         "an earlier call with this key began; its outcome is unknown",
+         FW_RAN_MAYBE},
     [FW_IDEM_NOT_RUN] = {409, "not_run",
-                         "an earlier try with this key did not run; send it "
+                         "an earlier call with this key did not run; send it "
                          "again",
                          FW_RAN_NO},
     [FW_IDEM_MISMATCH] = {422, "idempotency_mismatch",
-                          "the key was used with another request", FW_RAN_NO},
-    [FW_IDEM_TOO_OLD] = {409, "idempotency_key_too_old",
-                         "the key is older than records are kept",
-                         FW_RAN_MAYBE},
+                          "the key was used with a different request",
+                          FW_RAN_NO},
+    [FW_IDEM_TOO_OLD] =
+        {409, "idempotency_key_too_old",
+         "the key is older than the retention period of records",
+         FW_RAN_MAYBE},
     [FW_IDEM_UNAVAILABLE] = {503, "log_unavailable",
-                             "calls that may not be repeated need the log",
+                             "calls that are not idempotent need the log",
                              FW_RAN_NO},
 };
 
@@ -172,38 +177,39 @@
 
     if (!rq || rq->stage != FW_STAGE_IDEM) {
         if (ans->result == FW_IDEM_RUN) {
-            /* The caller left before: say for good that it did not run. */
+            /* The request has ended: record that the call did not run. */
             Fw_Idem_Finish(rs->deps.idem, ans->ticket, FW_RAN_NO, 0, "", NULL,
                            now_us, out);
         }
     }
     else if (ans->result == FW_IDEM_RECORDED) {
-        answer(rs, rq, ans->status, ans->content_type, ans->body, out);
+        answer_callers(rs, rq, ans->status, ans->content_type, ans->body, out);
     }
     else if (ans->result != FW_IDEM_RUN) {
-        rq->ran = refusals[ans->result].ran;
+        rq->ran = idem_errors[ans->result].ran;
         rq->stage = FW_STAGE_IDLE;
-        Fw_Request_Fail(
-            rs, rq, refusals[ans->result].status, refusals[ans->result].code,
-            refusals[ans->result].message, ans->retry_after_us, now_us, out);
+        Fw_Request_Fail(rs, rq, idem_errors[ans->result].status,
+                        idem_errors[ans->result].code,
+                        idem_errors[ans->result].message, ans->retry_after_us,
+                        now_us, out);
     }
     else if (Fw_Idem_MayRun(rs->deps.idem, rq->ticket, now_us) != 0) {
         rq->stage = FW_STAGE_IDLE;
         Fw_Request_Fail(rs, rq, 503, "paused",
-                        "the right to run the call lapsed", FW_SEC, now_us,
-                        out);
+                        "the permission to run the call expired", FW_SEC,
+                        now_us, out);
     }
     else {
-        run(rs, rq, now_us, out);
+        send_to_server(rs, rq, now_us, out);
     }
     g_bytes_unref(ans->body);
     ans->body = NULL;
 }
 
 static void
-failed_once(struct fw_requests *rs, struct fw_request *rq,
-            const struct fw_up_event *ev, int64_t now_us,
-            struct fw_actions *out)
+fail_non_idempotent(struct fw_requests *rs, struct fw_request *rq,
+                    const struct fw_up_event *ev, int64_t now_us,
+                    struct fw_actions *out)
 {
     rq->ran = ev->ran;
     Fw_Idem_Finish(rs->deps.idem, rq->ticket, ev->ran, 0, "", NULL, now_us,
@@ -221,19 +227,20 @@
 }
 
 static void
-failed_idempotent(struct fw_requests *rs, struct fw_request *rq,
-                  const struct fw_up_event *ev, int64_t now_us,
-                  struct fw_actions *out)
+retry_idempotent(struct fw_requests *rs, struct fw_request *rq,
+                 const struct fw_up_event *ev, int64_t now_us,
+                 struct fw_actions *out)
 {
     rq->ran = MAX(rq->ran, ev->ran);
     rq->stage = FW_STAGE_IDLE;
-    if (rq->n_lost < FW_ATTEMPTS_MAX) {
-        g_strlcpy(rq->lost[rq->n_lost++], rq->decode, FW_NAME_MAX);
+    if (rq->n_failed_upstreams < FW_ATTEMPTS_MAX) {
+        g_strlcpy(rq->failed_upstreams[rq->n_failed_upstreams++], rq->decode,
+                  FW_NAME_MAX);
     }
-    if (rq->attempts < FW_SERVICE_TRIES &&
+    if (rq->attempts < FW_SERVICE_ATTEMPTS_MAX &&
         Fw_Route_MayRetry(rs->deps.router, now_us)) {
-        rs->n.retried.value++;
-        run(rs, rq, now_us, out);
+        rs->counters.retried.value++;
+        send_to_server(rs, rq, now_us, out);
         return;
     }
     Fw_Request_Fail(rs, rq, 502, "upstream_lost",
@@ -255,13 +262,13 @@
             Fw_Idem_Finish(rs->deps.idem, rq->ticket, FW_RAN_YES, a->status,
                            a->content_type, a->body, now_us, out);
         }
-        answer(rs, rq, a->status, a->content_type, a->body, out);
+        answer_callers(rs, rq, a->status, a->content_type, a->body, out);
     }
     else if (rq->idempotent) {
-        failed_idempotent(rs, rq, ev, now_us, out);
+        retry_idempotent(rs, rq, ev, now_us, out);
     }
     else {
-        failed_once(rs, rq, ev, now_us, out);
+        fail_non_idempotent(rs, rq, ev, now_us, out);
     }
 }
 
--- a/src/request/strike.c
+++ b/src/request/strike.c
@@ -1,20 +1,19 @@
-/* Poison requests: strikes reported, counted and answered; see poison.h. */
+/* Messages about strikes and quarantines, see poison.h. */
 #include <syslog.h>
 
 #include "request/request_internal.h"
 
 static void
-quarantine_everywhere(struct fw_requests *rs, uint64_t print, int64_t ttl_us,
-                      struct fw_actions *out)
+broadcast_quarantine(struct fw_requests *rs, uint64_t fingerprint,
+                     int64_t ttl_us, struct fw_actions *out)
 {
     GPtrArray *members = Fw_Fleet_Members(rs->deps.fleet);
     struct fw_request_msg msg = {
         .kind = FW_REQUEST_QUARANTINE,
-        .u.strike = {.print = print, .ttl_us = ttl_us},
+        .u.strike = {.print = fingerprint, .ttl_us = ttl_us},
     };
 
-    /* To all, since the caller may come back through any instance. This is
-     * rare enough to need no tree. */
+    /* The caller may resend through any instance. */
     for (guint i = 0; i < members->len; i++) {
         const struct fw_member *m = g_ptr_array_index(members, i);
         if (!Fw_Fleet_IsSelf(rs->deps.fleet, m)) {
@@ -25,68 +24,72 @@
     Fw_Actions_Note(out, LOG_ERR, "request_quarantined", NULL);
 }
 
-/* Counts a strike as coordinator; microseconds of quarantine or 0. */
+/* Counts a strike on the coordinator and announces a quarantine. Return: the
+ * quarantine in microseconds, or 0. */
 static int64_t
-count_strike(struct fw_requests *rs, uint64_t print, int64_t now_us,
+count_strike(struct fw_requests *rs, uint64_t fingerprint, int64_t now_us,
              struct fw_actions *out)
 {
-    int64_t ttl = Fw_Poison_Strike(&rs->poison, print, now_us);
+    int64_t ttl_us = Fw_Poison_AddStrike(&rs->poison, fingerprint, now_us);
 
-    if (ttl > 0) {
-        Fw_Poison_Refuse(&rs->poison, print, ttl, now_us);
-        quarantine_everywhere(rs, print, ttl, out);
+    if (ttl_us > 0) {
+        Fw_Poison_Quarantine(&rs->poison, fingerprint, ttl_us, now_us);
+        broadcast_quarantine(rs, fingerprint, ttl_us, out);
     }
-    return ttl;
+    return ttl_us;
 }
 
 void
-Fw_Request_Strike(struct fw_requests *rs, struct fw_request *rq,
-                  int64_t now_us, struct fw_actions *out)
+Fw_Request_ReportStrike(struct fw_requests *rs, struct fw_request *rq,
+                        int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_member *m = Fw_Fleet_Pick(rs->deps.fleet, rq->print, 0);
+    const struct fw_member *m =
+        Fw_Fleet_Pick(rs->deps.fleet, rq->fingerprint, 0);
     struct fw_request_msg msg = {
         .kind = FW_REQUEST_STRIKE,
-        .u.strike = {.ticket = rq->ticket, .print = rq->print},
+        .u.strike = {.ticket = rq->ticket, .print = rq->fingerprint},
     };
 
     if (!m || Fw_Fleet_IsSelf(rs->deps.fleet, m)) {
-        Fw_Request_Struck(rs, rq, count_strike(rs, rq->print, now_us, out),
-                          now_us, out);
+        Fw_Request_OnStrikeResult(
+            rs, rq, count_strike(rs, rq->fingerprint, now_us, out), now_us,
+            out);
         return;
     }
     rq->stage = FW_STAGE_STRIKE;
-    rq->at_us = now_us + FW_STRIKE_US;
-    Fw_Actions_Wake(out, rq->at_us);
+    rq->stage_deadline_us = now_us + FW_STRIKE_TIMEOUT_US;
+    Fw_Actions_Wake(out, rq->stage_deadline_us);
     Fw_Request_Send(rs, m->name, &msg, out);
 }
 
 void
-Fw_Request_Struck(struct fw_requests *rs, struct fw_request *rq,
-                  int64_t ttl_us, int64_t now_us, struct fw_actions *out)
+Fw_Request_OnStrikeResult(struct fw_requests *rs, struct fw_request *rq,
+                          int64_t ttl_us, int64_t now_us,
+                          struct fw_actions *out)
 {
     rq->stage = FW_STAGE_IDLE;
-    rq->struck++;
+    rq->strikes++;
     if (ttl_us > 0) {
-        rs->n.quarantined.value++;
+        rs->counters.quarantined.value++;
         Fw_Request_Fail(rs, rq, 502, "quarantined",
                         "engines were lost while running this request", ttl_us,
                         now_us, out);
         return;
     }
-    Fw_Request_Again(rs, rq, now_us, out);
+    Fw_Request_Retry(rs, rq, now_us, out);
 }
 
 static void
 on_strike(struct fw_requests *rs, const char *from,
-          const struct fw_request_strike *strike_msg, int64_t now_us,
+          const struct fw_request_strike *strike, int64_t now_us,
           struct fw_actions *out)
 {
     struct fw_request_msg msg = {
-        .kind = FW_REQUEST_STRUCK,
-        .u.strike = *strike_msg,
+        .kind = FW_REQUEST_STRIKE_RESULT,
+        .u.strike = *strike,
     };
 
-    msg.u.strike.ttl_us = count_strike(rs, strike_msg->print, now_us, out);
+    msg.u.strike.ttl_us = count_strike(rs, strike->print, now_us, out);
     Fw_Request_Send(rs, from, &msg, out);
 }
 
@@ -103,21 +106,21 @@
         return;
     }
     if (msg->kind == FW_REQUEST_QUARANTINE) {
-        Fw_Poison_Refuse(&rs->poison, s->print, s->ttl_us, now_us);
+        Fw_Poison_Quarantine(&rs->poison, s->print, s->ttl_us, now_us);
         return;
     }
     rq = Fw_Request_ByTicket(rs, s->ticket);
-    if (rq && rq->stage == FW_STAGE_STRIKE && rq->at_us) {
-        rq->at_us = 0;
-        Fw_Request_Struck(rs, rq, s->ttl_us, now_us, out);
+    if (rq && rq->stage == FW_STAGE_STRIKE && rq->stage_deadline_us) {
+        rq->stage_deadline_us = 0;
+        Fw_Request_OnStrikeResult(rs, rq, s->ttl_us, now_us, out);
     }
 }
 
 void
-Fw_Poison_Alone(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
-                struct fw_actions *out)
+Fw_Poison_OnStrikeTimeout(struct fw_requests *rs, struct fw_request *rq,
+                          int64_t now_us, struct fw_actions *out)
 {
-    rq->at_us = 0;
-    Fw_Request_Struck(rs, rq, count_strike(rs, rq->print, now_us, out), now_us,
-                      out);
+    rq->stage_deadline_us = 0;
+    Fw_Request_OnStrikeResult(
+        rs, rq, count_strike(rs, rq->fingerprint, now_us, out), now_us, out);
 }
