--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,10 +1,11 @@
-/* An instance's subsystems: made, freed, asked. */
+/* Creates and frees an instance's subsystems; queries. */
 #include "node/node.h"
 
 #include "node/node_internal.h"
 
-#define FW_LEASE_WAIT_US (900 * FW_SEC) /* life of token leases */
-#define FW_ORDER_WAIT_US (10 * FW_SEC)  /* life of an order */
+/* Waits of a new role holder, covering what its predecessor handed out. */
+#define FW_BUDGET_TAKEOVER_WAIT_US (900 * FW_SEC) /* life of token leases */
+#define FW_ORDER_TAKEOVER_WAIT_US (10 * FW_SEC)   /* life of an order */
 
 static void
 add_gauge(struct fw_node *node, struct fw_metric *m, const char *name,
@@ -17,12 +18,12 @@
 }
 
 static void
-make_subsystems(struct fw_node *node, int64_t now_us)
+create_subsystems(struct fw_node *node, int64_t now_us)
 {
     const struct fw_node_opts *o = &node->opts;
-    const int64_t waits[FW_ROLE_KINDS] = {
-        [FW_ROLE_BUDGET] = FW_LEASE_WAIT_US,
-        [FW_ROLE_ORDER] = FW_ORDER_WAIT_US,
+    const int64_t takeover_wait_us[FW_ROLE_KINDS] = {
+        [FW_ROLE_BUDGET] = FW_BUDGET_TAKEOVER_WAIT_US,
+        [FW_ROLE_ORDER] = FW_ORDER_TAKEOVER_WAIT_US,
     };
     struct fw_request_deps deps = {
         .self = &o->self,
@@ -37,7 +38,7 @@
     node->fold =
         Fw_Fold_New(o->self.name, o->seed + 2, &node->metrics, now_us);
     node->fleet = Fw_Fleet_New(&o->self, o->seed, &node->metrics);
-    node->roles = Fw_Roles_New(&o->self, o->partitions, waits);
+    node->roles = Fw_Roles_New(&o->self, o->partitions, takeover_wait_us);
     node->limit = Fw_Limit_New(&o->self, node->fleet, node->roles, o->seed + 1,
                                &node->metrics);
     node->idem =
@@ -66,7 +67,7 @@
               "age of the last successful read of the configuration log");
     add_gauge(node, &node->open_metric, "fw_requests_open",
               "requests running or waiting");
-    make_subsystems(node, now_us);
+    create_subsystems(node, now_us);
     return node;
 }
 
@@ -104,5 +105,5 @@
 int
 Fw_Node_Ready(const struct fw_node *node)
 {
-    return !node->draining_us && node->warm;
+    return !node->drain_started_us && node->warm;
 }
--- a/src/node/node_internal.h
+++ b/src/node/node_internal.h
@@ -1,4 +1,4 @@
-/* What the files of this directory share. */
+/* Declarations private to src/node. */
 #ifndef FW_NODE_INTERNAL_H
 #define FW_NODE_INTERNAL_H
 
@@ -15,12 +15,17 @@
 
 /**
  * struct fw_node - one instance.
- * @wake_us: earliest tick wanted by any subsystem
- * @draining_us: since when it stops, 0 while it does not
- * @peer_turn: which peer is asked next for the configuration
- * @configured_us: since when a configuration is in force here, 0 for not yet
- * @warm: it can place requests: leaders and engines are known
- * @seen_offset: configuration that the requests were last checked against
+ * @wake_us: earliest tick requested by any subsystem
+ * @next_list_us: when the list of instances and upstreams is read next
+ * @stale_logged_us: when a stale configuration was last logged
+ * @drain_started_us: 0 while not draining
+ * @exited: the exit action was emitted
+ * @configured_us: when warm-up first saw a configuration in force, 0 for not
+ *                 yet
+ * @warm: warm-up is over, see warm_up()
+ * @next_peer: counter that rotates the peers asked for the configuration
+ * @checked_offset: offset of the configuration that requests were last checked
+ *                  against
  */
 struct fw_node {
     struct fw_node_opts opts;
@@ -36,23 +41,26 @@
     struct fw_operate *operate;
     struct fw_explain *explain;
     int64_t wake_us;
-    int64_t list_us;
-    int64_t stale_note_us;
-    int64_t draining_us;
+    int64_t next_list_us;
+    int64_t stale_logged_us;
+    int64_t drain_started_us;
     int exited;
     int64_t configured_us;
     int warm;
-    unsigned peer_turn;
-    uint64_t seen_offset;
+    unsigned next_peer;
+    uint64_t checked_offset;
     struct fw_metric stale_metric;
     struct fw_metric open_metric;
 };
 
-/* upkeep.c: what time asks for. */
+/* maintenance.c */
+/* Runs the timers of the node and its subsystems. */
 void
 Fw_Node_Tick(struct fw_node *node, int64_t now_us, struct fw_actions *out);
+/* Starts a graceful stop; no effect when it has already started. */
 void
 Fw_Node_Drain(struct fw_node *node, int64_t now_us, struct fw_actions *out);
+/* Emits the exit action once a drain is complete. */
 void
 Fw_Node_CheckDrained(struct fw_node *node, int64_t now_us,
                      struct fw_actions *out);
--- a/src/node/step.c
+++ b/src/node/step.c
@@ -1,4 +1,5 @@
-/* The step function: hands each event on, then the answers between them. */
+/* The step function: dispatches events to subsystems and their answers to the
+ * requests. */
 #include <errno.h>
 #include <string.h>
 
@@ -23,7 +24,7 @@
 open_call(struct fw_node *node, const struct fw_call *call, int64_t now_us,
           struct fw_actions *out)
 {
-    if (node->draining_us) {
+    if (node->drain_started_us) {
         refuse(call, "draining", "this instance is stopping", out);
         return;
     }
@@ -93,7 +94,7 @@
 }
 
 static struct fw_operate_view
-view_of(const struct fw_node *node)
+operate_view(const struct fw_node *node)
 {
     return (struct fw_operate_view){
         .self = &node->opts.self,
@@ -110,7 +111,7 @@
 on_appended(struct fw_node *node, const struct fw_log_appended *a,
             int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_operate_view view = view_of(node);
+    const struct fw_operate_view view = operate_view(node);
 
     switch (Fw_Owner_Of(a->ticket)) {
     case FW_OWNER_CONFIG:
@@ -149,17 +150,18 @@
     }
 }
 
-/* Answers that subsystems have for the requests, until none is left. */
+/* Passes answers of the subsystems to the requests until none is left;
+ * handling one may produce others. */
 static void
-pump(struct fw_node *node, int64_t now_us, struct fw_actions *out)
+dispatch_answers(struct fw_node *node, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer budget;
     struct fw_route_answer pair;
     struct fw_idem_answer idem;
     int more = 1;
 
-    if (Fw_Node_Config(node)->offset != node->seen_offset) {
-        node->seen_offset = Fw_Node_Config(node)->offset;
+    if (Fw_Node_Config(node)->offset != node->checked_offset) {
+        node->checked_offset = Fw_Node_Config(node)->offset;
         Fw_Requests_OnConfig(node->requests, now_us, out);
     }
     while (more) {
@@ -183,7 +185,7 @@
 Fw_Node_Step(struct fw_node *node, const struct fw_event *ev, int64_t now_us,
              struct fw_actions *out)
 {
-    const struct fw_operate_view view = view_of(node);
+    const struct fw_operate_view view = operate_view(node);
     int rc = 0;
 
     switch (ev->kind) {
@@ -222,7 +224,7 @@
         rc = -EINVAL;
         break;
     }
-    pump(node, now_us, out);
+    dispatch_answers(node, now_us, out);
     Fw_Operate_AfterFold(node->operate, &view, now_us, out);
     Fw_Node_CheckDrained(node, now_us, out);
     node->open_metric.value = Fw_Requests_Count(node->requests);
