--- a/tests/node/fixture.c
+++ b/tests/node/fixture.c
@@ -4,10 +4,10 @@
 
 #include "base/hash.h"
 
-#define FW_WARM_US (3 * FW_SEC)
+#define FW_FIXTURE_WARM_UP_US (3 * FW_SEC)
 
 static void
-add_engine(GString *items, const char *name, const char *role)
+add_upstream(GString *items, const char *name, const char *role)
 {
     g_string_append_printf(
         items,
@@ -33,7 +33,7 @@
 }
 
 static GString *
-items_of_fleet(void)
+fleet_items(void)
 {
     GString *items = g_string_new(
         "{\"kind\":\"team\",\"name\":\"a\",\"was\":0,\"value\":{\"rate\":"
@@ -50,32 +50,32 @@
 
     add_key(items, "key-a", "a");
     add_key(items, "key-b", "b");
-    add_engine(items, "p0", "prefill");
-    add_engine(items, "p1", "prefill");
-    add_engine(items, "d0", "decode");
-    add_engine(items, "d1", "decode");
-    add_engine(items, "s0", "service");
-    add_engine(items, "s1", "service");
+    add_upstream(items, "p0", "prefill");
+    add_upstream(items, "p1", "prefill");
+    add_upstream(items, "d0", "decode");
+    add_upstream(items, "d1", "decode");
+    add_upstream(items, "s0", "service");
+    add_upstream(items, "s1", "service");
     return items;
 }
 
 struct harness *
 Fw_Fixture_New(int nodes)
 {
-    struct harness *b = Fw_Harness_New(nodes);
-    GString *items = items_of_fleet();
+    struct harness *h = Fw_Harness_New(nodes);
+    GString *items = fleet_items();
 
-    Fw_Harness_Configure(b, items->str);
+    Fw_Harness_Configure(h, items->str);
     g_string_free(items, TRUE);
-    Fw_Harness_Run(b, FW_WARM_US);
+    Fw_Harness_Run(h, FW_FIXTURE_WARM_UP_US);
     for (int i = 0; i < nodes; i++) {
-        ck_assert(Fw_Node_Ready(b->nodes[i]));
+        ck_assert(Fw_Node_Ready(h->nodes[i]));
     }
-    b->answers[FW_UP_PREFILL] = FW_HARNESS_HOLD;
-    b->answers[FW_UP_IMPORT] = FW_HARNESS_HOLD;
-    b->answers[FW_UP_DECODE] = FW_HARNESS_HOLD;
-    b->answers[FW_UP_RESUME] = FW_HARNESS_HOLD;
-    b->answers[FW_UP_SERVICE] = FW_HARNESS_HOLD;
-    Fw_Harness_Expect(b, "");
-    return b;
+    h->reply_modes[FW_UP_PREFILL] = FW_HARNESS_HOLD;
+    h->reply_modes[FW_UP_IMPORT] = FW_HARNESS_HOLD;
+    h->reply_modes[FW_UP_DECODE] = FW_HARNESS_HOLD;
+    h->reply_modes[FW_UP_RESUME] = FW_HARNESS_HOLD;
+    h->reply_modes[FW_UP_SERVICE] = FW_HARNESS_HOLD;
+    Fw_Harness_ExpectTranscript(h, "");
+    return h;
 }
--- a/tests/node/harness_cmd.c
+++ b/tests/node/harness_cmd.c
@@ -1,14 +1,13 @@
-/* What a script does to the harness: callers, operators, answers of upstreams.
- */
+/* Input of a test: calls, drains, failed nodes, answers of upstreams. */
 #include <check.h>
 #include <string.h>
 
 #include "harness.h"
 
 void
-Fw_Harness_PostKey(struct harness *b, int node, uint64_t call, const char *key,
-                   const char *request_id, const char *prompt,
-                   int64_t max_tokens)
+Fw_Harness_PostWithKey(struct harness *h, int node, uint64_t call,
+                       const char *key, const char *request_id,
+                       const char *prompt, int64_t max_tokens)
 {
     struct fw_event ev = {
         .kind = FW_EV_CALL_OPEN,
@@ -23,21 +22,22 @@
     g_strlcpy(ev.u.open.request_id, request_id, FW_ID_MAX);
     g_strlcpy(ev.u.open.model, "m", FW_NAME_MAX);
     ev.u.open.prompt = g_bytes_new(prompt, strlen(prompt));
-    Fw_Harness_Step(b, node, &ev);
+    Fw_Harness_Step(h, node, &ev);
     g_bytes_unref(ev.u.open.prompt);
 }
 
 void
-Fw_Harness_Post(struct harness *b, int node, uint64_t call,
+Fw_Harness_Post(struct harness *h, int node, uint64_t call,
                 const char *request_id, const char *prompt, int64_t max_tokens)
 {
-    Fw_Harness_PostKey(b, node, call, "key-a", request_id, prompt, max_tokens);
+    Fw_Harness_PostWithKey(h, node, call, "key-a", request_id, prompt,
+                           max_tokens);
 }
 
 void
-Fw_Harness_Service(struct harness *b, int node, uint64_t call,
-                   const char *method, const char *path, const char *idem_key,
-                   const char *body)
+Fw_Harness_CallService(struct harness *h, int node, uint64_t call,
+                       const char *method, const char *path,
+                       const char *idem_key, const char *body)
 {
     struct fw_event ev = {
         .kind = FW_EV_CALL_OPEN,
@@ -51,51 +51,51 @@
     g_strlcpy(ev.u.open.method, method, sizeof(ev.u.open.method));
     g_strlcpy(ev.u.open.idem_key, idem_key, FW_ID_MAX);
     ev.u.open.body = g_bytes_new(body, strlen(body));
-    Fw_Harness_Step(b, node, &ev);
+    Fw_Harness_Step(h, node, &ev);
     g_bytes_unref(ev.u.open.body);
 }
 
 void
-Fw_Harness_Close(struct harness *b, int node, uint64_t call)
+Fw_Harness_Close(struct harness *h, int node, uint64_t call)
 {
     struct fw_event ev = {.kind = FW_EV_CALL_CLOSED, .u.closed = call};
 
-    Fw_Harness_Step(b, node, &ev);
+    Fw_Harness_Step(h, node, &ev);
 }
 
 void
-Fw_Harness_Drain(struct harness *b, int node)
+Fw_Harness_Drain(struct harness *h, int node)
 {
     struct fw_event ev = {.kind = FW_EV_DRAIN};
 
-    Fw_Harness_Step(b, node, &ev);
+    Fw_Harness_Step(h, node, &ev);
 }
 
 void
-Fw_Harness_Kill(struct harness *b, int node)
+Fw_Harness_Kill(struct harness *h, int node)
 {
-    b->dead[node] = 1;
-    b->cut[node] = 1;
+    h->dead[node] = 1;
+    h->partitioned[node] = 1;
 }
 
 struct harness_call *
-Fw_Harness_Call(struct harness *b, enum fw_up_kind kind)
+Fw_Harness_FindCall(struct harness *h, enum fw_up_kind kind)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &b->calls) {
+    FW_LIST_EACH (pos, &h->calls) {
         struct harness_call *c = FW_LIST_ENTRY(pos, struct harness_call, link);
         if (c->up.kind == kind) {
             return c;
         }
     }
-    ck_abort_msg("no %s is waiting; seen:\n%s", Fw_Harness_KindName(kind),
-                 b->seen->str);
+    ck_abort_msg("no %s call is waiting; transcript:\n%s",
+                 Fw_Harness_KindName(kind), h->transcript->str);
     return NULL;
 }
 
 static void
-answer(struct harness *b, struct harness_call *c, const struct fw_event *ev)
+answer(struct harness *h, struct harness_call *c, const struct fw_event *ev)
 {
     int node = c->node;
 
@@ -103,12 +103,12 @@
         Fw_List_Remove(&c->link);
         g_free(c);
     }
-    Fw_Harness_Step(b, node, ev);
+    Fw_Harness_Step(h, node, ev);
 }
 
 void
-Fw_Harness_Piece(struct harness *b, struct harness_call *c, int64_t index,
-                 const char *text)
+Fw_Harness_SendPiece(struct harness *h, struct harness_call *c, int64_t index,
+                     const char *text)
 {
     struct fw_event ev = {
         .kind = FW_EV_UP,
@@ -118,11 +118,12 @@
                  .u.token = {.index = index, .text = text}},
     };
 
-    answer(b, c, &ev);
+    answer(h, c, &ev);
 }
 
 void
-Fw_Harness_Done(struct harness *b, struct harness_call *c, int64_t tokens)
+Fw_Harness_CompleteCall(struct harness *h, struct harness_call *c,
+                        int64_t tokens)
 {
     struct fw_event ev = {
         .kind = FW_EV_UP,
@@ -147,12 +148,12 @@
     default:
         break;
     }
-    answer(b, c, &ev);
+    answer(h, c, &ev);
 }
 
 void
-Fw_Harness_Fail(struct harness *b, struct harness_call *c, enum fw_ran ran,
-                int status, int err)
+Fw_Harness_FailCall(struct harness *h, struct harness_call *c, enum fw_ran ran,
+                    int status, int err)
 {
     struct fw_event ev = {
         .kind = FW_EV_UP,
@@ -164,12 +165,12 @@
                  .err = err},
     };
 
-    answer(b, c, &ev);
+    answer(h, c, &ev);
 }
 
 void
-Fw_Harness_Expect(struct harness *b, const char *lines)
+Fw_Harness_ExpectTranscript(struct harness *h, const char *lines)
 {
-    ck_assert_str_eq(b->seen->str, lines);
-    g_string_truncate(b->seen, 0);
+    ck_assert_str_eq(h->transcript->str, lines);
+    g_string_truncate(h->transcript, 0);
 }
--- a/tests/node/script.c
+++ b/tests/node/script.c
@@ -8,28 +8,28 @@
 #include "base/hash.h"
 #include "fixture.h"
 
-#define FW_WORDS 7
+#define FW_ARGS_MAX 7
 
-struct words {
-    int n;
-    const char *w[FW_WORDS];
+struct command {
+    int n_args;
+    const char *args[FW_ARGS_MAX];
 };
 
 static int
-number(const struct words *c, int i)
+int_arg(const struct command *c, int i)
 {
-    ck_assert_msg(i < c->n, "%s lacks a word", c->w[0]);
-    return (int)strtol(c->w[i], NULL, 10);
+    ck_assert_msg(i < c->n_args, "%s lacks an argument", c->args[0]);
+    return (int)strtol(c->args[i], NULL, 10);
 }
 
 static const char *
-id_word(const char *w)
+id_arg(const char *w)
 {
     return strcmp(w, "-") == 0 ? "" : w;
 }
 
 static enum fw_up_kind
-kind_word(const char *w)
+kind_arg(const char *w)
 {
     static const struct {
         const char *word;
@@ -50,7 +50,7 @@
 }
 
 static enum fw_ran
-ran_word(const char *w)
+ran_arg(const char *w)
 {
     for (int r = FW_RAN_NO; r <= FW_RAN_YES; r++) {
         if (strcmp(Fw_Ran_Name((enum fw_ran)r), w) == 0) {
@@ -62,7 +62,7 @@
 }
 
 static int
-err_word(const char *w)
+err_arg(const char *w)
 {
     static const struct {
         const char *word;
@@ -85,7 +85,7 @@
 }
 
 static void
-withdraw(struct harness *b, const char *key)
+withdraw(struct harness *h, const char *key)
 {
     char digest[FW_DIGEST_HEX] = "";
     char *item;
@@ -95,28 +95,29 @@
     item = g_strdup_printf("{\"kind\":\"key\",\"name\":\"%s\",\"was\":1,"
                            "\"value\":{\"team\":\"%c\",\"withdrawn\":true}}",
                            digest, key[strlen(key) - 1]);
-    Fw_Harness_Configure(b, item);
+    Fw_Harness_Configure(h, item);
     g_free(item);
 }
 
 static int
-caller_command(struct harness *b, const struct words *c)
+caller_command(struct harness *h, const struct command *c)
 {
-    if (strcmp(c->w[0], "post") == 0) {
-        Fw_Harness_PostKey(b, number(c, 1), (uint64_t)number(c, 2),
-                           c->n > 6 ? c->w[6] : "key-a", id_word(c->w[3]),
-                           c->w[4], number(c, 5));
+    if (strcmp(c->args[0], "post") == 0) {
+        Fw_Harness_PostWithKey(h, int_arg(c, 1), (uint64_t)int_arg(c, 2),
+                               c->n_args > 6 ? c->args[6] : "key-a",
+                               id_arg(c->args[3]), c->args[4], int_arg(c, 5));
     }
-    else if (strcmp(c->w[0], "order") == 0) {
-        Fw_Harness_Service(b, number(c, 1), (uint64_t)number(c, 2), "POST",
-                           "/orders", id_word(c->w[3]), c->w[4]);
+    else if (strcmp(c->args[0], "order") == 0) {
+        Fw_Harness_CallService(h, int_arg(c, 1), (uint64_t)int_arg(c, 2),
+                               "POST", "/orders", id_arg(c->args[3]),
+                               c->args[4]);
     }
-    else if (strcmp(c->w[0], "get") == 0) {
-        Fw_Harness_Service(b, number(c, 1), (uint64_t)number(c, 2), "GET",
-                           "/readings", "", "");
+    else if (strcmp(c->args[0], "get") == 0) {
+        Fw_Harness_CallService(h, int_arg(c, 1), (uint64_t)int_arg(c, 2),
+                               "GET", "/readings", "", "");
     }
-    else if (strcmp(c->w[0], "close") == 0) {
-        Fw_Harness_Close(b, number(c, 1), (uint64_t)number(c, 2));
+    else if (strcmp(c->args[0], "close") == 0) {
+        Fw_Harness_Close(h, int_arg(c, 1), (uint64_t)int_arg(c, 2));
     }
     else {
         return 0;
@@ -125,93 +126,93 @@
 }
 
 static int
-upstream_command(struct harness *b, const struct words *c)
+upstream_command(struct harness *h, const struct command *c)
 {
     struct harness_call *call;
 
-    if (strcmp(c->w[0], "done") != 0 && strcmp(c->w[0], "piece") != 0 &&
-        strcmp(c->w[0], "fail") != 0) {
+    if (strcmp(c->args[0], "done") != 0 && strcmp(c->args[0], "piece") != 0 &&
+        strcmp(c->args[0], "fail") != 0) {
         return 0;
     }
-    call = Fw_Harness_Call(b, kind_word(c->w[1]));
-    if (c->w[0][0] == 'd') {
-        Fw_Harness_Done(b, call, c->n > 2 ? number(c, 2) : 0);
+    call = Fw_Harness_FindCall(h, kind_arg(c->args[1]));
+    if (c->args[0][0] == 'd') {
+        Fw_Harness_CompleteCall(h, call, c->n_args > 2 ? int_arg(c, 2) : 0);
     }
-    else if (c->w[0][0] == 'p') {
-        Fw_Harness_Piece(b, call, number(c, 2), c->w[3]);
+    else if (c->args[0][0] == 'p') {
+        Fw_Harness_SendPiece(h, call, int_arg(c, 2), c->args[3]);
     }
     else {
-        Fw_Harness_Fail(b, call, ran_word(c->w[2]), number(c, 3),
-                        err_word(c->w[4]));
+        Fw_Harness_FailCall(h, call, ran_arg(c->args[2]), int_arg(c, 3),
+                            err_arg(c->args[4]));
     }
     return 1;
 }
 
 static void
-world_command(struct harness *b, const struct words *c)
+environment_command(struct harness *h, const struct command *c)
 {
-    if (strcmp(c->w[0], "run") == 0) {
-        Fw_Harness_Run(b, number(c, 1) * FW_MSEC);
+    if (strcmp(c->args[0], "run") == 0) {
+        Fw_Harness_Run(h, int_arg(c, 1) * FW_MSEC);
     }
-    else if (strcmp(c->w[0], "withdraw") == 0) {
-        withdraw(b, c->w[1]);
+    else if (strcmp(c->args[0], "withdraw") == 0) {
+        withdraw(h, c->args[1]);
     }
-    else if (strcmp(c->w[0], "drain") == 0) {
-        Fw_Harness_Drain(b, number(c, 1));
+    else if (strcmp(c->args[0], "drain") == 0) {
+        Fw_Harness_Drain(h, int_arg(c, 1));
     }
-    else if (strcmp(c->w[0], "kill") == 0) {
-        Fw_Harness_Kill(b, number(c, 1));
+    else if (strcmp(c->args[0], "kill") == 0) {
+        Fw_Harness_Kill(h, int_arg(c, 1));
     }
-    else if (strcmp(c->w[0], "cut") == 0) {
-        b->cut[number(c, 1)] = 1;
+    else if (strcmp(c->args[0], "cut") == 0) {
+        h->partitioned[int_arg(c, 1)] = 1;
     }
-    else if (strcmp(c->w[0], "heal") == 0) {
-        b->cut[number(c, 1)] = 0;
+    else if (strcmp(c->args[0], "heal") == 0) {
+        h->partitioned[int_arg(c, 1)] = 0;
     }
-    else if (strcmp(c->w[0], "log") == 0) {
-        b->log_down = strcmp(c->w[1], "down") == 0;
+    else if (strcmp(c->args[0], "log") == 0) {
+        h->log_down = strcmp(c->args[1], "down") == 0;
     }
-    else if (strcmp(c->w[0], "attached") == 0) {
-        b->attached = 1;
+    else if (strcmp(c->args[0], "attached") == 0) {
+        h->held_attached = 1;
     }
-    else if (strcmp(c->w[0], "held") == 0) {
-        g_ptr_array_set_size(b->held, 0);
-        if (strcmp(c->w[1], "-") != 0) {
-            g_ptr_array_add(b->held, g_strdup(c->w[1]));
+    else if (strcmp(c->args[0], "held") == 0) {
+        g_ptr_array_set_size(h->held_ids, 0);
+        if (strcmp(c->args[1], "-") != 0) {
+            g_ptr_array_add(h->held_ids, g_strdup(c->args[1]));
         }
     }
     else {
-        ck_abort_msg("unknown command %s", c->w[0]);
+        ck_abort_msg("unknown command %s", c->args[0]);
     }
 }
 
 static void
-run_line(struct harness *b, char *line)
+run_line(struct harness *h, char *line)
 {
-    struct words c = {.w = {"", "", "", "", "", "", ""}};
+    struct command c = {.args = {"", "", "", "", "", "", ""}};
     char *save = NULL;
 
-    for (char *w = strtok_r(line, " ", &save); w && c.n < FW_WORDS;
+    for (char *w = strtok_r(line, " ", &save); w && c.n_args < FW_ARGS_MAX;
          w = strtok_r(NULL, " ", &save)) {
-        c.w[c.n++] = w;
+        c.args[c.n_args++] = w;
     }
-    if (c.n > 0 && !caller_command(b, &c) && !upstream_command(b, &c)) {
-        world_command(b, &c);
+    if (c.n_args > 0 && !caller_command(h, &c) && !upstream_command(h, &c)) {
+        environment_command(h, &c);
     }
 }
 
 void
 Fw_Script_Check(const struct script *s)
 {
-    struct harness *b = Fw_Fixture_New(s->nodes);
+    struct harness *h = Fw_Fixture_New(s->nodes);
     char **lines = g_strsplit(s->lines, "\n", -1);
 
     for (int i = 0; lines[i]; i++) {
-        run_line(b, lines[i]);
+        run_line(h, lines[i]);
     }
     g_strfreev(lines);
-    ck_assert_msg(g_pattern_match_simple(s->expect, b->seen->str),
-                  "%s\n-- seen:\n%s-- expected:\n%s", s->name, b->seen->str,
-                  s->expect);
-    Fw_Harness_Free(b);
+    ck_assert_msg(g_pattern_match_simple(s->expect, h->transcript->str),
+                  "%s\n-- transcript:\n%s-- expected:\n%s", s->name,
+                  h->transcript->str, s->expect);
+    Fw_Harness_Free(h);
 }
--- a/tests/node/script.h
+++ b/tests/node/script.h
@@ -1,19 +1,20 @@
 /*
- * Scripts for the harness: one command a line, and what is seen in return.
+ * Scripts that drive the harness, one command a line:
  *
- *   post NODE CALL ID|- PROMPT MAX [KEY]   a completion (key-a by default)
+ *   post NODE CALL ID|- PROMPT MAX [KEY]   open a completion; KEY: key-a
  *   order NODE CALL KEY|- BODY             POST /orders of grid-desk
  *   get NODE CALL                          GET /readings of grid-desk
- *   close NODE CALL                        the caller goes
- *   run MS                                 time passes
- *   done KIND [TOKENS]                     the oldest held call ends well
- *   piece KIND INDEX TEXT                  a piece comes
- *   fail KIND no|maybe|yes STATUS ERROR    the call fails
- *   withdraw KEY                           an operator withdraws a key
- *   drain|kill|cut|heal NODE
- *   held ID|-                              what engines say they hold
- *   attached                               and their owner is connected
- *   log up|down
+ *   close NODE CALL                        the caller disconnects
+ *   run MS                                 simulated time passes
+ *   done KIND [TOKENS]                     the oldest waiting call succeeds
+ *   piece KIND INDEX TEXT                  the oldest one gets a piece
+ *   fail KIND no|maybe|yes STATUS ERROR    the oldest one fails
+ *   withdraw KEY                           withdraw an API key *   drain|kill
+ * NODE                        stop gracefully, or at once cut|heal NODE
+ * partition from its peers, undo held ID|-                              id
+ * that engines report as held attached                               and its
+ * owner as connected *   log up|down                            the log's
+ * availability
  */
 #ifndef FW_TESTS_NODE_SCRIPT_H
 #define FW_TESTS_NODE_SCRIPT_H
@@ -21,11 +22,12 @@
 #include "harness.h"
 
 /**
- * struct script - a run and what it must show.
- * @name: for the report
- * @nodes: cores stepped side by side
- * @lines: commands; @expect: all that callers and upstreams saw;
- *         "?" stands for any character where the router may choose
+ * struct script - a test case.
+ * @name: printed on failure
+ * @nodes: number of nodes
+ * @lines: commands
+ * @expect: the transcript; "?" matches any character, for choices of the
+ *          router, and "*" any text
  */
 struct script {
     const char *name;
@@ -34,7 +36,7 @@
     const char *expect;
 };
 
-/* Runs @s on a fresh fixture and compares. */
+/* Runs @s on a new fixture; fails the test on any other transcript. */
 void
 Fw_Script_Check(const struct script *s);
 
--- a/tests/node/test_nodes.c
+++ b/tests/node/test_nodes.c
@@ -1,16 +1,16 @@
-/* Requests that concern two or three instances at once. */
+/* Requests that involve several instances, and outages of the log. */
 #include <check.h>
 
 #include "script.h"
 #include "tests/base/suite.h"
 
 /*
- * A caller's connection breaks, and the balancer leads its next one to
- * another instance. It asks with the id of its own request and expects that
- * one answer, not a second run and not the rest of somebody else's.
+ * A caller that reconnects with its request id, also through another instance,
+ * must get the answer of its request from the start: no second run, and never
+ * the answer of another team's request.
  */
 static const struct script joins[] = {
-    {"joined while it runs, from the start", 2,
+    {"joined while running: answer from the first piece", 2,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nclose 0 1\npost 1 2 mine doc 4\nrun 100\n"
      "piece decode 1 b\nrun 100\ndone decode 2\nrun 100",
@@ -20,7 +20,7 @@
      "caller 1 start\ncaller 1 piece 0 a\n"
      "caller 2 start\ncaller 2 piece 0 a\ncaller 2 piece 1 b\n"
      "caller 2 end stop 2\n"},
-    {"finished: the kept answer again", 2,
+    {"joined after the end: the retained answer", 2,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\ndone decode 1\nrun 100\npost 1 2 mine doc 4\n"
      "run 100\npost 0 3 mine doc 4\nrun 100",
@@ -30,7 +30,7 @@
      "caller 1 start\ncaller 1 piece 0 a\ncaller 1 end stop 1\n"
      "caller 2 start\ncaller 2 piece 0 a\ncaller 2 end stop 1\n"
      "caller 3 start\ncaller 3 piece 0 a\ncaller 3 end stop 1\n"},
-    {"another team's id is unknown: it gets a run of its own", 2,
+    {"same id of another team: a separate run", 2,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\npost 1 2 mine doc 4 key-b\nrun 100",
      "P1 prefill instance-0.1.1\n"
@@ -38,7 +38,7 @@
      "D1 decode instance-0.1.1 from 0\n"
      "caller 1 start\ncaller 1 piece 0 a\n"
      "P? prefill instance-1.1.1\n"},
-    {"the instance that ran it dies: run anew from where it stopped", 3,
+    {"the owner dies: run again from the last piece", 3,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nrun 100\npost 1 2 mine doc 4\nrun 100\nkill 0\n"
      "run 12000\ndone prefill\ndone import\nrun 10\n",
@@ -50,7 +50,7 @@
      "P? prefill instance-1.1.1\n"
      "D? import instance-1.1.1\n"
      "D? decode instance-1.1.1 from 1\n"},
-    {"the instance dies and no engine can be reached: it may have run", 3,
+    {"the owner dies, no engine reachable: may have run", 3,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nrun 100\npost 1 2 mine doc 4\nrun 100\nkill 0\n"
      "run 12000\nfail prefill no 0 refused\nrun 1000\n"
@@ -65,7 +65,7 @@
      "P? prefill instance-1.1.2\n"
      "P? cancel instance-1.1.2\n"
      "caller 2 fail 503 ????????* ran maybe\n"},
-    {"the joined caller goes, then nobody is left", 2,
+    {"the joined caller disconnects: cancelled after the grace period", 2,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nclose 0 1\npost 1 2 mine doc 4\nrun 100\n"
      "close 1 2\nrun 1900\nrun 200",
@@ -79,20 +79,18 @@
 };
 
 /*
- * An instance dies while its requests run. The engines go on holding their
- * KV and slots for it, and nobody is left to cancel; after some deaths the
- * engines are full of answers that nobody reads. The others must free them
- * in seconds, and must not touch what a living instance runs, not even when
- * they wrongly believe it dead because they can't reach it.
+ * Engines must not hold KV and slots of a dead instance's requests, and
+ * requests of a live instance must not be cancelled, even while a network
+ * partition makes it look dead.
  */
 static const struct script orphans[] = {
-    {"a dead instance's request is freed", 3,
+    {"the owner is dead: cancelled", 3,
      "kill 0\nheld instance-0.1.9\nrun 15000", "D1 cancel instance-0.1.9\n*"},
-    {"a request that its living owner no longer knows is freed", 3,
+    {"the owner is alive but no longer runs it: cancelled", 3,
      "held instance-0.1.9\nrun 11000", "*? cancel instance-0.1.9\n*"},
-    {"an id of another system is left alone", 3,
+    {"an id of another system: not cancelled", 3,
      "held somebody-else\nrun 15000", ""},
-    {"a living owner's request is left alone", 3,
+    {"the owner runs it: not cancelled", 3,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nheld instance-0.1.1\nrun 25000\npiece decode 1 b\n"
      "done decode 2",
@@ -101,7 +99,7 @@
      "D1 decode instance-0.1.1 from 0\n"
      "caller 1 start\ncaller 1 piece 0 a\n"
      "caller 1 piece 1 b\ncaller 1 end stop 2\n"},
-    {"a living owner that can't be reached, its connection open", 3,
+    {"the owner is partitioned but connected to the engine: not cancelled", 3,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nheld instance-0.1.1\nattached\ncut 0\nrun 25000\n"
      "heal 0\nrun 5000\npiece decode 1 b\ndone decode 2",
@@ -113,11 +111,11 @@
 };
 
 /*
- * The platform's log can be down for long. Callers who want answers must not
- * notice; what needs the log is refused and says that it did not run.
+ * While the log is down, completions must work, and calls that need the log
+ * must be refused with the verdict that they did not run.
  */
 static const struct script outages[] = {
-    {"completions go on, orders are refused, and come back", 3,
+    {"completions work, orders are refused until the log is back", 3,
      "log down\nrun 600000\npost 0 1 - doc 4\npost 2 2 - doc 4 key-b\n"
      "run 100\ndone prefill\ndone prefill\nrun 10\ndone import\n"
      "done import\nrun 10\npiece decode 0 a\ndone decode 1\n"
@@ -130,7 +128,7 @@
      "caller ? start\ncaller ? piece 0 a\ncaller ? end stop 1\n"
      "caller 3 fail 503 log_unavailable ran no\n"
      "S1 POST /orders once\ncaller 4 answer 200 \n"},
-    {"a key withdrawn meanwhile works until the log can be read", 1,
+    {"a key withdrawn meanwhile is valid until the log is read", 1,
      "log down\nrun 2500\nwithdraw key-a\nrun 60000\npost 0 1 - doc 4\n"
      "run 100\ndone prefill\nrun 10\ndone import\nrun 10\nlog up\n"
      "run 30000\npost 0 2 - doc 4",
--- a/tests/node/test_request.c
+++ b/tests/node/test_request.c
@@ -1,17 +1,15 @@
-/* One request through one instance, engine by engine, with what can fail. */
+/* Requests on a single instance, with failures of each stage. */
 #include <check.h>
 
 #include "script.h"
 #include "tests/base/suite.h"
 
 /*
- * Upstream connections break and answers come late, twice or out of order at
- * any stage. Whatever happens, the caller must see one whole answer, or one
- * error whose verdict is true; otherwise it shows text with holes, or text
- * that stands twice, or waits for good.
+ * Whatever upstreams do, the caller must get one complete answer without gaps
+ * or duplicates, or one error with a true verdict.
  */
 static const struct script engine_faults[] = {
-    {"all goes well", 1,
+    {"no failure", 1,
      "post 0 1 - doc 3\nrun 100\ndone prefill\nrun 10\ndone import\n"
      "piece decode 0 a\npiece decode 1 b\ndone decode 2\nrun 100",
      "P1 prefill instance-0.1.1\n"
@@ -19,7 +17,7 @@
      "D1 decode instance-0.1.1 from 0\n"
      "caller 1 start\ncaller 1 piece 0 a\ncaller 1 piece 1 b\n"
      "caller 1 end stop 2\n"},
-    {"pieces late, doubled and out of order", 1,
+    {"duplicate pieces and pieces out of order", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 2 c\npiece decode 0 a\npiece decode 0 a\n"
      "piece decode 1 b\npiece decode 2 c\ndone decode 3",
@@ -28,7 +26,7 @@
      "D1 decode instance-0.1.1 from 0\n"
      "caller 1 start\ncaller 1 piece 0 a\ncaller 1 piece 1 b\n"
      "caller 1 piece 2 c\ncaller 1 end stop 3\n"},
-    {"a piece lost for good is fetched by a resume", 1,
+    {"a lost piece is fetched by a resume", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\npiece decode 2 c\ndone decode 3\n"
      "piece resume 1 b\ndone resume 3",
@@ -38,7 +36,7 @@
      "caller 1 start\ncaller 1 piece 0 a\n"
      "D1 resume instance-0.1.1 from 1\n"
      "caller 1 piece 1 b\ncaller 1 piece 2 c\ncaller 1 end stop 3\n"},
-    {"a broken stream is taken up where it stopped", 1,
+    {"a broken stream is resumed", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nfail decode maybe 0 reset\npiece resume 1 b\n"
      "done resume 2",
@@ -48,7 +46,7 @@
      "caller 1 start\ncaller 1 piece 0 a\n"
      "D1 resume instance-0.1.1 from 1\n"
      "caller 1 piece 1 b\ncaller 1 end stop 2\n"},
-    {"decode engine dies: prefilled anew with what was emitted", 1,
+    {"decode engine dies: prefilled again with the emitted output", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nfail decode maybe 0 reset\n"
      "fail resume no 0 refused\nrun 100\ndone prefill\ndone import\n"
@@ -63,7 +61,7 @@
      "D2 import instance-0.1.2\n"
      "D2 decode instance-0.1.2 from 1\n"
      "caller 1 piece 1 b\ncaller 1 end stop 2\n"},
-    {"prefill engine dies: another one", 1,
+    {"prefill engine dies: retried on another", 1,
      "post 0 1 - doc 4\nrun 100\nfail prefill maybe 0 reset\nrun 100\n"
      "done prefill\ndone import\npiece decode 0 a\ndone decode 1",
      "P1 prefill instance-0.1.1\n"
@@ -72,7 +70,7 @@
      "D1 import instance-0.1.2\n"
      "D1 decode instance-0.1.2 from 0\n"
      "caller 1 start\ncaller 1 piece 0 a\ncaller 1 end stop 1\n"},
-    {"the KV lapses before the transfer", 1,
+    {"the KV expires before the import", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\nfail import no 410 -\n"
      "run 100\ndone prefill\ndone import\npiece decode 0 a\ndone decode 1",
      "P1 prefill instance-0.1.1\n"
@@ -83,7 +81,7 @@
      "D2 import instance-0.1.2\n"
      "D2 decode instance-0.1.2 from 0\n"
      "caller 1 start\ncaller 1 piece 0 a\ncaller 1 end stop 1\n"},
-    {"no engine can be reached: surely not run", 1,
+    {"no engine reachable: did not run", 1,
      "post 0 1 - doc 4\nrun 100\nfail prefill no 0 refused\nrun 100\n"
      "fail prefill no 0 refused\nrun 100",
      "P1 prefill instance-0.1.1\n"
@@ -94,16 +92,14 @@
 };
 
 /*
- * A caller may go at any time: it closes the window, or its network breaks.
- * What the engines hold for it must be freed, or their memory fills up with
- * answers that nobody reads.
+ * When a caller disconnects, whatever the engines hold for it must be freed.
  */
-static const struct script caller_goes[] = {
+static const struct script disconnects[] = {
     {"in prefill", 1, "post 0 1 - doc 4\nrun 100\nclose 0 1\nrun 100",
      "P1 prefill instance-0.1.1\n"
      "P1 prefill stopped\n"
      "P1 cancel instance-0.1.1\n"},
-    {"in the transfer", 1,
+    {"in import", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\nclose 0 1\nrun 100",
      "P1 prefill instance-0.1.1\n"
      "D1 import instance-0.1.1\n"
@@ -119,7 +115,7 @@
      "caller 1 start\ncaller 1 piece 0 a\n"
      "D1 decode stopped\n"
      "D1 cancel instance-0.1.1\n"},
-    {"in decode with an id of its own: freed when it does not come back", 1,
+    {"in decode with a request id: cancelled after the grace period", 1,
      "post 0 1 mine doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nclose 0 1\nrun 1900\nrun 200",
      "P1 prefill instance-0.1.1\n"
@@ -131,12 +127,11 @@
 };
 
 /*
- * Operators withdraw a key, often because it was stolen, while its work runs
- * and while its holder sends more. From then on the holder gets refusals,
- * and what runs is cut.
+ * After a key is withdrawn, for example because it was stolen, its running
+ * requests must be cancelled and new ones refused.
  */
 static const struct script withdrawals[] = {
-    {"running work is cut, new work refused", 1,
+    {"a running request is cancelled, a new one refused", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\nwithdraw key-a\nrun 2500\npost 0 2 - doc 4",
      "P1 prefill instance-0.1.1\n"
@@ -153,7 +148,7 @@
      "P1 prefill stopped\n"
      "P1 cancel instance-0.1.1\n"
      "caller 1 fail 401 key_withdrawn ran maybe\n"},
-    {"the work of another key goes on", 1,
+    {"requests of another key continue", 1,
      "post 0 1 - doc 4 key-b\nrun 100\ndone prefill\ndone import\n"
      "withdraw key-a\nrun 2500\npiece decode 0 a\ndone decode 1",
      "P1 prefill instance-0.1.1\n"
@@ -165,11 +160,11 @@
 };
 
 /*
- * An instance is stopped for an update while callers read. Whoever is being
- * answered must get the rest; whoever comes now is told that nothing ran.
+ * A draining instance must complete its running requests before it exits and
+ * refuse new ones with the verdict that they did not run.
  */
 static const struct script drains[] = {
-    {"running work ends whole before the exit", 1,
+    {"a running request completes before the exit", 1,
      "post 0 1 - doc 4\nrun 100\ndone prefill\ndone import\n"
      "piece decode 0 a\ndrain 0\nrun 1000\npost 0 2 - doc 4\n"
      "piece decode 1 b\ndone decode 2\nrun 1000",
@@ -180,10 +175,10 @@
      "caller 2 fail 503 draining ran no\n"
      "caller 1 piece 1 b\ncaller 1 end stop 2\n"
      "instance-0 exit\n"},
-    {"an order refused for the log's sake does not hold the exit up", 1,
+    {"an order refused while the log is down does not delay the exit", 1,
      "log down\nrun 5000\norder 0 1 k1 buy\nrun 5000\ndrain 0\nrun 10000",
      "caller 1 fail 503 log_unavailable ran no\ninstance-0 exit\n"},
-    {"the same on three instances, at once after the log went", 3,
+    {"the same on three instances, right after the log went down", 3,
      "log down\nrun 100\norder 1 1 k1 buy\norder 1 2 k2 buy\n"
      "order 1 3 k3 buy\nrun 3000\ndrain 1\nrun 10000",
      "caller * fail 503 log_unavailable ran no\n"
@@ -192,12 +187,11 @@
 };
 
 /*
- * One request in a long while crashes each engine that runs it, and its
- * caller sends it again. Without a stop it takes one engine after another;
- * everybody else then sees broken streams.
+ * A request that crashes the engines that run it must be quarantined, before
+ * its retries and its caller's resends take down one engine after another.
  */
-static const struct script poison[] = {
-    {"second loss quarantines it, also for a caller's repeat elsewhere", 2,
+static const struct script poisons[] = {
+    {"quarantined after the second crash, on all instances", 2,
      "post 0 1 - doc 4\nrun 100\nfail prefill maybe 0 reset\nrun 100\n"
      "fail prefill maybe 0 reset\nrun 100\npost 1 2 - doc 4\nrun 50",
      "P1 prefill instance-0.1.1\n"
@@ -206,7 +200,7 @@
      "P2 cancel instance-0.1.2\n"
      "caller 1 fail 502 quarantined ran maybe\n"
      "caller 2 fail 422 quarantined ran no\n"},
-    {"a bystander on the engine that crashed is answered", 1,
+    {"another request on a crashed engine is answered", 1,
      "post 0 1 - poison 4\npost 0 2 - innocent 4\nrun 100\n"
      "fail prefill maybe 0 reset\nfail prefill maybe 0 reset\nrun 100\n"
      "fail prefill maybe 0 reset\nrun 100\ndone prefill\ndone import\n"
@@ -228,75 +222,74 @@
 };
 
 /*
- * Orders must never be doubled. A call that may not be repeated is sent once
- * whatever becomes of its answer; the caller then learns that it may have
- * run, and reads the outcome by asking again with the same key.
+ * A service call that is not idempotent must be sent at most once. When its
+ * answer is lost, the caller must learn that it may have run.
  */
 static const struct script services[] = {
-    {"an order runs once, its repeat gets the recorded answer", 1,
+    {"an order runs once, a resend gets the recorded answer", 1,
      "order 0 1 k1 buy\nrun 500\ndone service\nrun 500\n"
      "order 0 2 k1 buy\nrun 500",
      "S1 POST /orders once\n"
      "caller 1 answer 200 \n"
      "caller 2 answer 200 \n"},
-    {"the answer is lost: maybe, and never sent again", 1,
+    {"the answer is lost: may have run, not sent again", 1,
      "order 0 1 k1 buy\nrun 500\nfail service maybe 0 reset\nrun 500\n"
      "order 0 2 k1 buy\nrun 500",
      "S1 POST /orders once\n"
      "caller 1 fail 502 answer_lost ran maybe\n"
      "caller 2 fail 409 outcome_unknown ran maybe\n"},
-    {"the same key with another body", 1,
+    {"the same key with a different body", 1,
      "order 0 1 k1 buy\nrun 500\ndone service\nrun 500\n"
      "order 0 2 k1 sell\nrun 500",
      "S1 POST /orders once\n"
      "caller 1 answer 200 \n"
      "caller 2 fail 422 idempotency_mismatch ran no\n"},
-    {"no key", 1, "order 0 1 - buy\nrun 500",
+    {"no idempotency key", 1, "order 0 1 - buy\nrun 500",
      "caller 1 fail 400 idempotency_key_missing ran no\n"},
-    {"reading is tried on another server", 1,
+    {"an idempotent call is retried on another server", 1,
      "get 0 1\nfail service maybe 0 reset\ndone service\nrun 100",
      "S1 GET /readings\nS2 GET /readings\ncaller 1 answer 200 \n"},
-    {"the log is down: not run", 1,
+    {"the log is down: did not run", 1,
      "log down\nrun 5000\norder 0 1 k1 buy\nrun 5000",
      "caller 1 fail 503 log_unavailable ran no\n"},
-    {"two instances, one key at once: one send", 2,
+    {"the same key on two instances at once: sent once", 2,
      "order 0 1 k1 buy\norder 1 2 k1 buy\nrun 500\ndone service\nrun 3000",
      "S1 POST /orders once\n"
      "caller 2 answer 200 \n"
      "caller 1 answer 200 \n"},
 };
 
-START_TEST(engines)
+START_TEST(engine_fault)
 {
     Fw_Script_Check(&engine_faults[_i]);
 }
 END_TEST
 
-START_TEST(callers)
+START_TEST(disconnect)
 {
-    Fw_Script_Check(&caller_goes[_i]);
+    Fw_Script_Check(&disconnects[_i]);
 }
 END_TEST
 
-START_TEST(keys)
+START_TEST(withdrawal)
 {
     Fw_Script_Check(&withdrawals[_i]);
 }
 END_TEST
 
-START_TEST(stops)
+START_TEST(drain)
 {
     Fw_Script_Check(&drains[_i]);
 }
 END_TEST
 
-START_TEST(poisons)
+START_TEST(quarantine)
 {
-    Fw_Script_Check(&poison[_i]);
+    Fw_Script_Check(&poisons[_i]);
 }
 END_TEST
 
-START_TEST(orders)
+START_TEST(service_call)
 {
     Fw_Script_Check(&services[_i]);
 }
@@ -307,11 +300,11 @@
 {
     TCase *tc = Fw_Suite_New("request");
 
-    tcase_add_loop_test(tc, engines, 0, G_N_ELEMENTS(engine_faults));
-    tcase_add_loop_test(tc, callers, 0, G_N_ELEMENTS(caller_goes));
-    tcase_add_loop_test(tc, keys, 0, G_N_ELEMENTS(withdrawals));
-    tcase_add_loop_test(tc, stops, 0, G_N_ELEMENTS(drains));
-    tcase_add_loop_test(tc, poisons, 0, G_N_ELEMENTS(poison));
-    tcase_add_loop_test(tc, orders, 0, G_N_ELEMENTS(services));
+    tcase_add_loop_test(tc, engine_fault, 0, G_N_ELEMENTS(engine_faults));
+    tcase_add_loop_test(tc, disconnect, 0, G_N_ELEMENTS(disconnects));
+    tcase_add_loop_test(tc, withdrawal, 0, G_N_ELEMENTS(withdrawals));
+    tcase_add_loop_test(tc, drain, 0, G_N_ELEMENTS(drains));
+    tcase_add_loop_test(tc, quarantine, 0, G_N_ELEMENTS(poisons));
+    tcase_add_loop_test(tc, service_call, 0, G_N_ELEMENTS(services));
     return Fw_Suite_Run(tc);
 }
