--- a/src/node/node.h
+++ b/src/node/node.h
@@ -55,7 +55,7 @@
 Fw_Node_Step(struct fw_node *node, const struct fw_event *ev, int64_t now_us,
              struct fw_actions *out);
 
-/* The configuration in force; borrowed, valid until the next step. */
+/* The configuration in force, empty at first; borrowed until the next step. */
 const struct fw_config *
 Fw_Node_Config(const struct fw_node *node);
 struct fw_metrics *
--- a/src/request/join.c
+++ b/src/request/join.c
@@ -188,6 +188,7 @@
     }
 }
 
+/* Return: the request with @ticket that waits for owner @from, or NULL. */
 static struct fw_request *
 find_remote(struct fw_requests *rs, const char *from, uint64_t ticket)
 {
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -47,6 +47,7 @@
 Fw_Requests_Free(struct fw_requests *rs);
 
 /* Events. Each appends the resulting actions to @out. */
+/* Answers or starts the request @call. */
 void
 Fw_Requests_Open(struct fw_requests *rs, const struct fw_call *call,
                  int64_t now_us, struct fw_actions *out);
@@ -54,16 +55,20 @@
 void
 Fw_Requests_OnCallClosed(struct fw_requests *rs, uint64_t call, int64_t now_us,
                          struct fw_actions *out);
+/* Progress of an upstream call that this module started. */
 void
 Fw_Requests_OnUp(struct fw_requests *rs, const struct fw_up_event *ev,
                  int64_t now_us, struct fw_actions *out);
+/* The limiter granted or refused a request's tokens. */
 void
 Fw_Requests_OnBudget(struct fw_requests *rs, const struct fw_limit_answer *ans,
                      int64_t now_us, struct fw_actions *out);
+/* The router chose a pair of engines for a request, or refused it. */
 void
 Fw_Requests_OnPair(struct fw_requests *rs, const struct fw_route_answer *ans,
                    int64_t now_us, struct fw_actions *out);
-/* Takes ownership of @ans->body. */
+/* The idempotency record of a service call was read or created. Takes
+ * ownership of @ans->body. */
 void
 Fw_Requests_OnIdem(struct fw_requests *rs, struct fw_idem_answer *ans,
                    int64_t now_us, struct fw_actions *out);
@@ -71,7 +76,7 @@
 Fw_Requests_OnMsg(struct fw_requests *rs, const char *from,
                   const struct fw_request_msg *msg, int64_t now_us,
                   struct fw_actions *out);
-/* Handles the timeouts that are due and asks for the next tick. */
+/* Handles due timeouts, polls engines for orphans, requests the next tick. */
 void
 Fw_Requests_Tick(struct fw_requests *rs, int64_t now_us,
                  struct fw_actions *out);
--- a/src/request/request_internal.h
+++ b/src/request/request_internal.h
@@ -9,7 +9,7 @@
 #include "request/poison.h"
 #include "request/request.h"
 
-#define FW_ATTEMPTS_MAX 3 /* pairs of engines tried per request */
+#define FW_ATTEMPTS_MAX 3 /* attempts per request */
 #define FW_RESUMES_MAX 3  /* resumes of one attempt's decode stream */
 /* Out-of-order pieces are buffered up to this far ahead of the next one. */
 #define FW_REORDER_PIECES_MAX 1024
@@ -229,7 +229,7 @@
 /* Frees @rq and its subscribers without notifying anyone. */
 void
 Fw_Request_Free(struct fw_requests *rs, struct fw_request *rq);
-/* Return: NULL when no request has @ticket. */
+/* Return: the request, or NULL when there is none with @ticket. */
 struct fw_request *
 Fw_Request_ByTicket(const struct fw_requests *rs, uint64_t ticket);
 /* Gives @rq a new upstream call number and indexes it. */
@@ -359,6 +359,7 @@
 Fw_Request_OnStrikeResult(struct fw_requests *rs, struct fw_request *rq,
                           int64_t ttl_us, int64_t now_us,
                           struct fw_actions *out);
+/* Handles STRIKE, STRIKE_RESULT and QUARANTINE. */
 void
 Fw_Poison_OnMsg(struct fw_requests *rs, const char *from,
                 const struct fw_request_msg *msg, int64_t now_us,
@@ -394,6 +395,7 @@
 void
 Fw_Join_Leave(struct fw_requests *rs, struct fw_request *rq,
               struct fw_actions *out);
+/* Handles LOOKUP to LEAVE of enum fw_request_msg_kind. */
 void
 Fw_Join_OnMsg(struct fw_requests *rs, const char *from,
               const struct fw_request_msg *msg, int64_t now_us,
@@ -412,6 +414,7 @@
 void
 Fw_Orphans_OnUp(struct fw_requests *rs, const struct fw_up_event *ev,
                 int64_t now_us, struct fw_actions *out);
+/* Handles HELD and DISOWN. */
 void
 Fw_Orphans_OnMsg(struct fw_requests *rs, const char *from,
                  const struct fw_request_msg *msg, int64_t now_us,
--- a/src/request/run.c
+++ b/src/request/run.c
@@ -16,8 +16,8 @@
         .prompt_tokens = rq->prompt_tokens + rq->piece_ends->len,
         .max_tokens = rq->max_tokens - rq->piece_ends->len,
         .deadline_us = rq->deadline_us,
-        /* A retry would be refused if its wait counted from the arrival of
-         * the request. */
+        /* Counted from the arrival of the request, the wait of a retry would
+         * exceed its target and the router would refuse it. */
         .arrived_us = rq->attempts > 0 ? now_us : rq->arrived_us,
         .avoid = avoid,
         .alone = rq->strikes > 0,
--- a/tests/node/script.h
+++ b/tests/node/script.h
@@ -1,7 +1,7 @@
 /*
  * Scripts that drive the harness, one command a line:
  *
- *   post NODE CALL ID|- PROMPT MAX [KEY]   open a completion; KEY: key-a
+ *   post NODE CALL ID|- PROMPT MAX [KEY]   open a completion, default key-a
  *   order NODE CALL KEY|- BODY             POST /orders of grid-desk
  *   get NODE CALL                          GET /readings of grid-desk
  *   close NODE CALL                        the caller disconnects
@@ -9,12 +9,12 @@
  *   done KIND [TOKENS]                     the oldest waiting call succeeds
  *   piece KIND INDEX TEXT                  the oldest one gets a piece
  *   fail KIND no|maybe|yes STATUS ERROR    the oldest one fails
- *   withdraw KEY                           withdraw an API key *   drain|kill
- * NODE                        stop gracefully, or at once cut|heal NODE
- * partition from its peers, undo held ID|-                              id
- * that engines report as held attached                               and its
- * owner as connected *   log up|down                            the log's
- * availability
+ *   withdraw KEY                           withdraw an API key
+ *   drain|kill NODE                        stop gracefully, or at once
+ *   cut|heal NODE                          partition from its peers, undo
+ *   held ID|-                              id that engines report as held
+ *   attached                               ... with its owner connected
+ *   log up|down                            the log's availability
  */
 #ifndef FW_TESTS_NODE_SCRIPT_H
 #define FW_TESTS_NODE_SCRIPT_H
