--- a/src/route/admit.c
+++ b/src/route/admit.c
@@ -4,7 +4,7 @@
 #define FW_RETRY_AFTER_MIN_US (250 * FW_MSEC)
 
 int64_t
-Fw_Admit_LatestUs(const struct fw_admit *a)
+Fw_Admit_LatestStartUs(const struct fw_admission *a)
 {
     if (a->deadline_us) {
         return a->deadline_us - a->service_us - a->stream_us;
--- a/src/route/backlog_cmd.c
+++ b/src/route/backlog_cmd.c
@@ -4,7 +4,7 @@
 #include "route/slots.h"
 
 /* A grant reaches the engine this much later, at most, as a rule. */
-#define FW_GRANT_TRAVELS_US (10 * FW_MSEC)
+#define FW_GRANT_LATENCY_US (10 * FW_MSEC)
 
 static void
 drop(struct fw_backlog *b, int i)
@@ -18,7 +18,7 @@
 static int
 in_report(const struct fw_backlog_item *it, int64_t at_us)
 {
-    return it->at_us + FW_GRANT_TRAVELS_US < at_us &&
+    return it->granted_us + FW_GRANT_LATENCY_US < at_us &&
            (!it->done_us || it->done_us > at_us);
 }
 
@@ -28,12 +28,12 @@
  * askers that died and never told.
  */
 void
-Fw_Backlog_Report(struct fw_backlog *b, int64_t at_us, int64_t queued,
-                  int64_t rate)
+Fw_Backlog_ApplyReport(struct fw_backlog *b, int64_t at_us, int64_t queued,
+                       int64_t rate)
 {
     int64_t expected = 0;
 
-    if (at_us < b->at_us) {
+    if (at_us < b->report_us) {
         return;
     }
     for (int i = 0; i < b->n; i++) {
@@ -56,15 +56,15 @@
             i++;
         }
     }
-    b->at_us = at_us;
-    b->extra_us = MAX(queued - expected, 0) * FW_SEC / MAX(rate, 1);
+    b->report_us = at_us;
+    b->other_work_us = MAX(queued - expected, 0) * FW_SEC / MAX(rate, 1);
 }
 
 static int
-find(const struct fw_backlog *b, uint64_t owner, uint64_t ask)
+find(const struct fw_backlog *b, uint64_t owner, uint64_t round_id)
 {
     for (int i = 0; i < b->n; i++) {
-        if (b->item[i].owner == owner && b->item[i].ask == ask) {
+        if (b->item[i].owner == owner && b->item[i].round_id == round_id) {
             return i;
         }
     }
@@ -72,9 +72,9 @@
 }
 
 void
-Fw_Backlog_Remove(struct fw_backlog *b, uint64_t owner, uint64_t ask)
+Fw_Backlog_Remove(struct fw_backlog *b, uint64_t owner, uint64_t round_id)
 {
-    int i = find(b, owner, ask);
+    int i = find(b, owner, round_id);
 
     if (i >= 0 && !b->item[i].done_us) {
         drop(b, i);
@@ -82,16 +82,16 @@
 }
 
 const struct fw_backlog_item *
-Fw_Backlog_Done(struct fw_backlog *b, uint64_t owner, uint64_t ask,
-                int64_t now_us)
+Fw_Backlog_Complete(struct fw_backlog *b, uint64_t owner, uint64_t round_id,
+                    int64_t now_us)
 {
-    int i = find(b, owner, ask);
+    int i = find(b, owner, round_id);
 
     if (i < 0) {
         return NULL;
     }
     b->item[i].done_us = now_us;
-    b->done_us = now_us;
+    b->last_done_us = now_us;
     return &b->item[i];
 }
 
--- a/src/route/backlog_query.c
+++ b/src/route/backlog_query.c
@@ -3,9 +3,9 @@
 #include "route/slots.h"
 
 int64_t
-Fw_Backlog_Wait(const struct fw_backlog *b, int64_t now_us)
+Fw_Backlog_WaitUs(const struct fw_backlog *b, int64_t now_us)
 {
-    int64_t sum = MAX(b->extra_us - (now_us - b->at_us), 0);
+    int64_t sum = MAX(b->other_work_us - (now_us - b->report_us), 0);
     int first = 1;
 
     for (int i = 0; i < b->n; i++) {
@@ -16,7 +16,7 @@
             continue;
         }
         if (first) {
-            left -= MIN(now_us - MAX(it->at_us, b->done_us), left);
+            left -= MIN(now_us - MAX(it->granted_us, b->last_done_us), left);
             first = 0;
         }
         sum += left;
--- a/src/route/breaker_cmd.c
+++ b/src/route/breaker_cmd.c
@@ -3,11 +3,11 @@
 #define FW_BREAKER_FAILURES 3
 #define FW_BREAKER_SLOW 5
 /* Slow is this many times the usual time and a margin for small ones. */
-#define FW_BREAKER_SLOW_TIMES 4
+#define FW_BREAKER_SLOW_FACTOR 4
 #define FW_BREAKER_SLOW_MARGIN_US (50 * FW_MSEC)
 #define FW_BREAKER_OPEN_MIN_US FW_SEC
 #define FW_BREAKER_OPEN_MAX_US (30 * FW_SEC)
-#define FW_BREAKER_PROBE_US (5 * FW_SEC)
+#define FW_BREAKER_PROBE_TIMEOUT_US (5 * FW_SEC)
 
 static int
 trip(struct fw_breaker *b, int64_t now_us)
@@ -16,52 +16,53 @@
         CLAMP(b->open_us * 2, FW_BREAKER_OPEN_MIN_US, FW_BREAKER_OPEN_MAX_US);
     b->state = FW_BREAKER_OPEN;
     b->until_us = now_us + b->open_us;
-    b->failures = 0;
-    b->slow = 0;
+    b->n_failures = 0;
+    b->n_slow = 0;
     return 1;
 }
 
 int
-Fw_Breaker_Fail(struct fw_breaker *b, int64_t now_us)
+Fw_Breaker_RecordFailure(struct fw_breaker *b, int64_t now_us)
 {
-    b->failures++;
+    b->n_failures++;
     if (b->state == FW_BREAKER_OPEN) {
         return 0;
     }
-    if (b->state == FW_BREAKER_PROBING || b->failures >= FW_BREAKER_FAILURES) {
+    if (b->state == FW_BREAKER_HALF_OPEN ||
+        b->n_failures >= FW_BREAKER_FAILURES) {
         return trip(b, now_us);
     }
     return 0;
 }
 
 int
-Fw_Breaker_Ok(struct fw_breaker *b, int64_t took_us, int64_t usual_us,
-              int64_t now_us)
+Fw_Breaker_RecordSuccess(struct fw_breaker *b, int64_t took_us,
+                         int64_t usual_us, int64_t now_us)
 {
-    int slow = usual_us > 0 && took_us > usual_us * FW_BREAKER_SLOW_TIMES +
+    int slow = usual_us > 0 && took_us > usual_us * FW_BREAKER_SLOW_FACTOR +
                                              FW_BREAKER_SLOW_MARGIN_US;
 
-    b->failures = 0;
+    b->n_failures = 0;
     if (b->state == FW_BREAKER_OPEN) {
         return 0;
     }
     if (slow) {
-        b->slow++;
-        return b->state == FW_BREAKER_PROBING || b->slow >= FW_BREAKER_SLOW
+        b->n_slow++;
+        return b->state == FW_BREAKER_HALF_OPEN || b->n_slow >= FW_BREAKER_SLOW
                    ? trip(b, now_us)
                    : 0;
     }
-    b->slow = 0;
+    b->n_slow = 0;
     b->state = FW_BREAKER_CLOSED;
     b->open_us = 0;
     return 0;
 }
 
 void
-Fw_Breaker_Sent(struct fw_breaker *b, int64_t now_us)
+Fw_Breaker_RecordRequest(struct fw_breaker *b, int64_t now_us)
 {
     if (b->state != FW_BREAKER_CLOSED && now_us >= b->until_us) {
-        b->state = FW_BREAKER_PROBING;
-        b->until_us = now_us + FW_BREAKER_PROBE_US;
+        b->state = FW_BREAKER_HALF_OPEN;
+        b->until_us = now_us + FW_BREAKER_PROBE_TIMEOUT_US;
     }
 }
--- a/src/route/coord_cmd.c
+++ b/src/route/coord_cmd.c
@@ -9,13 +9,13 @@
 #include "base/hash.h"
 #include "route/router.h"
 
-#define FW_SCAN_EVERY_US (50 * FW_MSEC)
-#define FW_SCAN_ENGINES 16
+#define FW_SCAN_INTERVAL_US (50 * FW_MSEC)
+#define FW_SCAN_BATCH 16
 #define FW_POLL_TIMEOUT_US FW_SEC
 /* An account that nobody asks for and that is not ours is dropped. */
-#define FW_COORD_KEEP_US (5 * FW_SEC)
+#define FW_COORD_IDLE_US (5 * FW_SEC)
 /* Cache events are read with every fourth load report. */
-#define FW_CACHE_POLLS 4
+#define FW_CACHE_POLL_RATIO 4
 
 static uint64_t
 new_op(struct fw_router *r, struct fw_engine *e)
@@ -49,20 +49,20 @@
             struct fw_actions *out)
 {
     struct fw_coord *c = e->coord;
-    int64_t every = Fw_Coord_PollEvery(r);
+    int64_t every = Fw_Coord_PollIntervalUs(r);
 
-    if (!c->poll_op && now_us >= c->poll_at_us) {
+    if (!c->poll_op && now_us >= c->next_poll_us) {
         c->poll_op = start_call(r, e, u, FW_UP_LOAD, out)->op;
-        c->poll_at_us =
+        c->next_poll_us =
             now_us + every + g_rand_int_range(r->rand, 0, (gint32)(every / 8));
     }
     if (u->role == FW_ROLE_PREFILL && !c->cache_op &&
-        r->opts.policy == FW_POLICY_FULL && now_us >= c->cache_at_us) {
+        r->opts.policy == FW_POLICY_FULL && now_us >= c->next_cache_us) {
         struct fw_up_start *up = start_call(r, e, u, FW_UP_CACHE, out);
 
-        up->u.cache.from_seq = c->cache_seq;
+        up->u.cache.from_seq = c->next_cache_seq;
         c->cache_op = up->op;
-        c->cache_at_us = now_us + FW_CACHE_POLLS * every;
+        c->next_cache_us = now_us + FW_CACHE_POLL_RATIO * every;
     }
 }
 
@@ -77,8 +77,8 @@
         return;
     }
     c = Fw_Engine_Coord(e);
-    c->asked_us = now_us;
-    if (!c->word.at_us) {
+    c->last_request_us = now_us;
+    if (!c->status.received_us) {
         poll_engine(r, e, u, now_us, out);
     }
 }
@@ -100,16 +100,17 @@
 static void
 rescan_mine(struct fw_router *r, const struct fw_config *cfg)
 {
-    guint n = MIN(r->order->len, FW_SCAN_ENGINES);
+    guint n = MIN(r->engine_list->len, FW_SCAN_BATCH);
 
     for (guint i = 0; i < n; i++) {
-        struct fw_engine *e = r->order->pdata[r->scan++ % r->order->len];
+        struct fw_engine *e =
+            r->engine_list->pdata[r->scan_pos++ % r->engine_list->len];
         const struct fw_upstream *u =
             g_hash_table_lookup(cfg->upstreams, e->name);
         int mine = u && u->role != FW_ROLE_SERVICE && should_coordinate(r, e);
 
-        r->n_mine += mine - e->mine;
-        e->mine = mine;
+        r->n_coordinated += mine - e->coordinated;
+        e->coordinated = mine;
     }
 }
 
@@ -117,23 +118,24 @@
 Fw_Coord_Scan(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
               struct fw_actions *out)
 {
-    if (now_us < r->scan_at_us) {
-        Fw_Actions_Wake(out, r->scan_at_us);
+    if (now_us < r->next_scan_us) {
+        Fw_Actions_Wake(out, r->next_scan_us);
         return;
     }
-    r->scan_at_us = now_us + FW_SCAN_EVERY_US;
-    Fw_Actions_Wake(out, r->scan_at_us);
+    r->next_scan_us = now_us + FW_SCAN_INTERVAL_US;
+    Fw_Actions_Wake(out, r->next_scan_us);
     rescan_mine(r, cfg);
-    for (guint i = 0; i < r->order->len; i++) {
-        struct fw_engine *e = r->order->pdata[i];
+    for (guint i = 0; i < r->engine_list->len; i++) {
+        struct fw_engine *e = r->engine_list->pdata[i];
         const struct fw_upstream *u;
 
-        if (!e->mine && !e->coord) {
+        if (!e->coordinated && !e->coord) {
             continue;
         }
         u = g_hash_table_lookup(cfg->upstreams, e->name);
         if (!u || u->role == FW_ROLE_SERVICE ||
-            (!e->mine && now_us - e->coord->asked_us > FW_COORD_KEEP_US)) {
+            (!e->coordinated &&
+             now_us - e->coord->last_request_us > FW_COORD_IDLE_US)) {
             Fw_Engine_DropCoord(e);
             continue;
         }
@@ -147,18 +149,18 @@
           int64_t now_us)
 {
     int64_t at_us = now_us - CLAMP(rep->lag_us, 0, 10 * FW_SEC);
-    struct fw_word *w = &c->word;
+    struct fw_engine_status *w = &c->status;
 
-    w->at_us = now_us;
+    w->received_us = now_us;
     w->leaving = rep->leaving;
     w->is_prefill = strcmp(rep->role, "prefill") == 0;
-    w->n_refs = CLAMP(rep->n_models, 0, FW_UP_MODELS_MAX);
-    for (int i = 0; i < w->n_refs; i++) {
-        w->refs[i] = (uint32_t)Fw_Hash_Str(rep->models[i]);
+    w->n_models = CLAMP(rep->n_models, 0, FW_UP_MODELS_MAX);
+    for (int i = 0; i < w->n_models; i++) {
+        w->models[i] = (uint32_t)Fw_Hash_Str(rep->models[i]);
     }
-    Fw_Slots_Report(&c->slots, rep, at_us);
-    Fw_Backlog_Report(&c->backlog, at_us,
-                      CLAMP(rep->queued_tokens, 0, 1LL << 40), rate);
+    Fw_Slots_ApplyReport(&c->slots, rep, at_us);
+    Fw_Backlog_ApplyReport(&c->backlog, at_us,
+                           CLAMP(rep->queued_tokens, 0, 1LL << 40), rate);
 }
 
 /*
@@ -171,7 +173,7 @@
          const struct fw_up_cache_batch *batch)
 {
     struct fw_coord *c = e->coord;
-    uint64_t expect = c->cache_seq;
+    uint64_t expect = c->next_cache_seq;
     int gap = 0;
 
     for (int i = 0; i < batch->n; i++) {
@@ -179,24 +181,24 @@
         expect = batch->events[i].seq + 1;
     }
     gap |= batch->next_seq != expect;
-    if (gap && c->cache_known) {
-        e->prefix_gen++;
+    if (gap && c->cache_synced) {
+        e->cache_epoch++;
         r->m.cache_gaps.value++;
     }
     for (int i = 0; i < batch->n; i++) {
         const struct fw_up_cache_event *ev = &batch->events[i];
 
         if (ev->evicted) {
-            Fw_Prefix_Forget(&r->prefixes, Fw_Engine_CacheKey(e),
+            Fw_Prefix_Remove(&r->prefixes, Fw_Engine_CacheKey(e),
                              (uint32_t)ev->prefix);
         }
         else {
-            Fw_Prefix_Learn(&r->prefixes, Fw_Engine_CacheKey(e),
-                            (uint32_t)ev->prefix);
+            Fw_Prefix_Add(&r->prefixes, Fw_Engine_CacheKey(e),
+                          (uint32_t)ev->prefix);
         }
     }
-    c->cache_seq = batch->next_seq;
-    c->cache_known = 1;
+    c->next_cache_seq = batch->next_seq;
+    c->cache_synced = 1;
 }
 
 void
@@ -219,7 +221,7 @@
             on_report(c, &ev->u.report, u ? u->prefill_rate : 0, now_us);
         }
         else {
-            c->word.at_us = 0;
+            c->status.received_us = 0;
         }
     }
     else if (c && c->cache_op == ev->op) {
@@ -240,15 +242,15 @@
 {
     int64_t found;
 
-    if (it->cached <= 0) {
+    if (it->cached_tokens <= 0) {
         return;
     }
-    found = MIN(cached, it->cached) * 1000 / it->cached;
-    c->trust_permille = (int)((c->trust_permille * 7 + found) / 8);
+    found = MIN(cached, it->cached_tokens) * 1000 / it->cached_tokens;
+    c->cache_hit_permille = (int)((c->cache_hit_permille * 7 + found) / 8);
 }
 
 void
-Fw_Coord_Release(struct fw_engine *e, uint64_t owner, uint64_t ask,
+Fw_Coord_Release(struct fw_engine *e, uint64_t owner, uint64_t round_id,
                  int64_t cached, int64_t now_us)
 {
     const struct fw_backlog_item *it;
@@ -256,12 +258,12 @@
     if (!e->coord) {
         return;
     }
-    Fw_Slots_Release(&e->coord->slots, owner, ask, now_us);
+    Fw_Slots_Release(&e->coord->slots, owner, round_id, now_us);
     if (cached < 0) {
-        Fw_Backlog_Remove(&e->coord->backlog, owner, ask);
+        Fw_Backlog_Remove(&e->coord->backlog, owner, round_id);
         return;
     }
-    it = Fw_Backlog_Done(&e->coord->backlog, owner, ask, now_us);
+    it = Fw_Backlog_Complete(&e->coord->backlog, owner, round_id, now_us);
     if (it) {
         learn_trust(e->coord, it, cached);
     }
--- a/src/route/cost.c
+++ b/src/route/cost.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 /* Where the configuration names no link: ten gigabit a second. */
-#define FW_LINK_DEFAULT 1250000000LL
+#define FW_LINK_DEFAULT_BYTES_PER_S 1250000000LL
 /* Where it names links, but none from there: a last resort. */
-#define FW_LINK_UNNAMED 50000000LL
+#define FW_LINK_FALLBACK_BYTES_PER_S 50000000LL
 
 int64_t
 Fw_Cost_PrefillUs(int64_t tokens, int64_t cached, int64_t rate)
@@ -26,9 +26,9 @@
         }
     }
     if (decode->n_links == 0 || strcmp(decode->domain, domain) == 0) {
-        return FW_LINK_DEFAULT;
+        return FW_LINK_DEFAULT_BYTES_PER_S;
     }
-    return FW_LINK_UNNAMED;
+    return FW_LINK_FALLBACK_BYTES_PER_S;
 }
 
 int64_t
--- a/src/route/engine_cmd.c
+++ b/src/route/engine_cmd.c
@@ -13,7 +13,7 @@
         g_strlcpy(e->name, name, sizeof(e->name));
         e->id = id;
         g_hash_table_insert(r->engines, &e->id, e);
-        g_ptr_array_add(r->order, e);
+        g_ptr_array_add(r->engine_list, e);
     }
     return e;
 }
@@ -24,8 +24,8 @@
     if (!e->coord) {
         e->coord = g_new0(struct fw_coord, 1);
         Fw_Slots_Init(&e->coord->slots);
-        e->coord->trust_permille = 1000;
-        e->coord->cache_seq = 1; /* numbers of events count from 1 */
+        e->coord->cache_hit_permille = 1000;
+        e->coord->next_cache_seq = 1; /* numbers of events count from 1 */
     }
     return e->coord;
 }
@@ -41,64 +41,64 @@
 }
 
 void
-Fw_Engine_HearLeaving(struct fw_router *r,
+Fw_Engine_MarkLeaving(struct fw_router *r,
                       const struct fw_route_leaving *leaving, int64_t now_us)
 {
     for (int i = 0; i < leaving->n; i++) {
         struct fw_engine *e = Fw_Engine_Find(r, leaving->engine[i]);
 
         if (e) {
-            e->rumour_us = now_us;
+            e->peer_leaving_us = now_us;
         }
     }
 }
 
 void
-Fw_Engine_HearVerdict(struct fw_engine *e, const struct fw_route_verdict *v,
+Fw_Engine_ApplyResult(struct fw_engine *e, const struct fw_reserve_result *v,
                       uint64_t serving, int64_t now_us)
 {
-    switch (v->grant) {
-    case FW_GRANT_YES:
-    case FW_GRANT_FULL:
-        e->heard_serves = 1;
+    switch (v->status) {
+    case FW_RESERVE_GRANTED:
+    case FW_RESERVE_FULL:
+        e->peer_serves = 1;
         break;
-    case FW_GRANT_UNSERVED:
-        e->heard_serves = 0;
+    case FW_RESERVE_NOT_SERVED:
+        e->peer_serves = 0;
         break;
-    case FW_GRANT_LEAVING:
-        e->rumour_us = now_us;
+    case FW_RESERVE_LEAVING:
+        e->peer_leaving_us = now_us;
         return;
-    case FW_GRANT_UNKNOWN:
-    case FW_GRANT_KINDS:
+    case FW_RESERVE_NO_REPORT:
+    case FW_RESERVE_STATUSES:
         return;
     }
-    e->heard_ref = serving;
-    e->heard_us = now_us;
-    e->free = v->free;
+    e->peer_serving = serving;
+    e->peer_serves_us = now_us;
+    e->free_slots = v->free_slots;
     e->wait_us = v->wait_us;
-    e->heard_load_us = now_us;
+    e->load_us = now_us;
 }
 
 void
-Fw_Engine_HearLoad(struct fw_router *r, const struct fw_route_load *load,
-                   int64_t now_us)
+Fw_Engine_UpdateLoad(struct fw_router *r, const struct fw_route_load *load,
+                     int64_t now_us)
 {
     struct fw_engine *e = Fw_Engine_Find(r, load->engine);
 
     if (e) {
-        e->free = load->free;
+        e->free_slots = load->free;
         e->wait_us = load->wait_us;
-        e->heard_load_us = now_us;
+        e->load_us = now_us;
     }
 }
 
 void
-Fw_Engine_NoteSent(struct fw_engine *prefill, struct fw_engine *decode,
-                   int64_t compute_us, int64_t now_us)
+Fw_Engine_AddDispatched(struct fw_engine *prefill, struct fw_engine *decode,
+                        int64_t compute_us, int64_t now_us)
 {
-    int64_t left_us = prefill->wait_us - (now_us - prefill->heard_load_us);
+    int64_t left_us = prefill->wait_us - (now_us - prefill->load_us);
 
     prefill->wait_us = MAX(left_us, 0) + compute_us;
-    prefill->heard_load_us = now_us;
-    decode->free--;
+    prefill->load_us = now_us;
+    decode->free_slots--;
 }
--- a/src/route/index.c
+++ b/src/route/index.c
@@ -19,14 +19,14 @@
 static struct fw_pool_index *
 index_of(struct fw_router *r, const char *pool)
 {
-    struct fw_pool_index *idx = g_hash_table_lookup(r->index, pool);
+    struct fw_pool_index *idx = g_hash_table_lookup(r->pools, pool);
 
     if (!idx) {
         idx = g_new0(struct fw_pool_index, 1);
         idx->prefill = g_ptr_array_new();
         idx->decode = g_ptr_array_new();
         idx->service = g_ptr_array_new();
-        g_hash_table_insert(r->index, g_strdup(pool), idx);
+        g_hash_table_insert(r->pools, g_strdup(pool), idx);
     }
     return idx;
 }
@@ -68,14 +68,14 @@
     GHashTableIter it;
     gpointer val;
 
-    if (r->index && r->indexed_cfg == cfg &&
+    if (r->pools && r->indexed_cfg == cfg &&
         r->indexed_offset == cfg->offset) {
         return;
     }
-    if (r->index) {
-        g_hash_table_unref(r->index);
+    if (r->pools) {
+        g_hash_table_unref(r->pools);
     }
-    r->index =
+    r->pools =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_index);
     r->indexed_cfg = cfg;
     r->indexed_offset = cfg->offset;
@@ -86,7 +86,7 @@
         g_ptr_array_add(of_role(index_of(r, u->pool), u->role),
                         Fw_Engine_Get(r, u->name));
     }
-    g_hash_table_iter_init(&it, r->index);
+    g_hash_table_iter_init(&it, r->pools);
     while (g_hash_table_iter_next(&it, NULL, &val)) {
         struct fw_pool_index *idx = val;
 
@@ -99,5 +99,5 @@
 const struct fw_pool_index *
 Fw_Index_Pool(const struct fw_router *r, const char *pool)
 {
-    return r->index ? g_hash_table_lookup(r->index, pool) : NULL;
+    return r->pools ? g_hash_table_lookup(r->pools, pool) : NULL;
 }
--- a/src/route/pair.c
+++ b/src/route/pair.c
@@ -15,7 +15,7 @@
  * instance. Of a large pool each instance knows few engines, and these well,
  * in place of all of them badly.
  */
-#define FW_SUBSET 12
+#define FW_CANDIDATES_MAX 12
 /* An engine without a free slot, as far as is known, is asked last. */
 #define FW_FULL_COST_US (400 * FW_MSEC)
 #define FW_OCCUPANCY_COST_US (60 * FW_MSEC)
@@ -38,14 +38,14 @@
 struct cands {
     int n;
     int serving; /* also those that said no in this round */
-    struct cand c[FW_SUBSET];
+    struct cand c[FW_CANDIDATES_MAX];
 };
 
 static int
 tried(const struct fw_job *job, uint64_t id)
 {
-    for (int i = 0; i < job->n_tried; i++) {
-        if (job->tried[i] == id) {
+    for (int i = 0; i < job->n_denied; i++) {
+        if (job->denied[i] == id) {
             return 1;
         }
     }
@@ -54,7 +54,7 @@
 
 static void
 collect(const struct fw_router *r, const struct fw_config *cfg,
-        const struct fw_job *job, const struct fw_part *part,
+        const struct fw_job *job, const struct fw_reservation *part,
         const GPtrArray *engines, uint64_t serving, int is_prefill,
         int64_t now_us, struct cands *out)
 {
@@ -63,16 +63,16 @@
     (void)r;
     out->n = 0;
     out->serving = 0;
-    for (guint i = 0; i < engines->len && out->n < FW_SUBSET; i++) {
+    for (guint i = 0; i < engines->len && out->n < FW_CANDIDATES_MAX; i++) {
         struct fw_engine *e = engines->pdata[i];
         const struct fw_upstream *u =
             g_hash_table_lookup(cfg->upstreams, e->name);
 
-        if (part->state == FW_PART_GRANTED && part->engine != e) {
+        if (part->state == FW_RESERVATION_GRANTED && part->engine != e) {
             continue;
         }
         if (!Fw_Usable_Check(e, u, avoid, now_us) ||
-            Fw_Engine_Agrees(e, serving, is_prefill, now_us) == 0) {
+            Fw_Engine_CheckServes(e, serving, is_prefill, now_us) == 0) {
             continue;
         }
         out->serving++;
@@ -80,7 +80,7 @@
             continue;
         }
         out->c[out->n++] = (struct cand){.e = e, .u = u};
-        if (Fw_Usable_LostDomain(cfg, avoid, u->domain)) {
+        if (Fw_Usable_InAvoidedDomain(cfg, avoid, u->domain)) {
             out->c[out->n - 1].cost_us = FW_LOST_DOMAIN_COST_US;
         }
     }
@@ -98,11 +98,11 @@
         int64_t rate = MAX(c->u->prefill_rate, 1);
 
         c->cached =
-            MIN(Fw_Prefix_Cached(&r->prefixes, Fw_Engine_CacheKey(c->e),
-                                 &job->prefixes),
+            MIN(Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(c->e),
+                                       &job->prefixes),
                 job->prompt_tokens);
         c->compute_us = Fw_Cost_PrefillUs(job->prompt_tokens, c->cached, rate);
-        c->wait_us = Fw_Engine_Wait(c->e, now_us);
+        c->wait_us = Fw_Engine_WaitUs(c->e, now_us);
         c->cost_us += c->compute_us + c->wait_us;
         if (job->prefixes.n) {
             int level = MIN(FW_AFFINITY_LEVEL, job->prefixes.n - 1);
@@ -125,7 +125,7 @@
     for (int i = 0; i < cs->n; i++) {
         struct cand *c = &cs->c[i];
         int slots = MAX(c->u->slots, 1);
-        int64_t free_slots = Fw_Engine_Free(c->e, slots, now_us);
+        int64_t free_slots = Fw_Engine_FreeSlots(c->e, slots, now_us);
 
         if (free_slots <= 0) {
             c->cost_us += FW_FULL_COST_US;
@@ -180,18 +180,18 @@
 take(struct fw_job *job, const struct best *b)
 {
     job->serving = b->serving;
-    if (job->prefill.state != FW_PART_GRANTED) {
-        job->prefill = (struct fw_part){.engine = b->p.e,
-                                        .wait_us = b->p.wait_us,
-                                        .expect_us = b->p.compute_us};
-        job->cached = b->p.cached;
+    if (job->prefill.state != FW_RESERVATION_GRANTED) {
+        job->prefill = (struct fw_reservation){.engine = b->p.e,
+                                               .wait_us = b->p.wait_us,
+                                               .service_us = b->p.compute_us};
+        job->cached_tokens = b->p.cached;
     }
-    if (job->decode.state != FW_PART_GRANTED) {
-        job->decode = (struct fw_part){.engine = b->d.e};
+    if (job->decode.state != FW_RESERVATION_GRANTED) {
+        job->decode = (struct fw_reservation){.engine = b->d.e};
     }
-    job->decode.expect_us = b->transfer_us;
+    job->decode.service_us = b->transfer_us;
     (void)snprintf(
-        job->why, sizeof(job->why),
+        job->explanation, sizeof(job->explanation),
         "cost %" PRId64 " ms, next %" PRId64 " ms, wait %" PRId64
         " ms, cached %" PRId64 " of %" PRId64 " tokens",
         (int64_t)(b->cost_us / FW_MSEC),
@@ -204,9 +204,9 @@
                struct fw_job *job, int64_t now_us)
 {
     struct fw_offer offers[FW_OFFERS_MAX];
-    int n = Fw_Serving_Offers(r, cfg, job->class->model, offers);
-    int granted = job->prefill.state == FW_PART_GRANTED ||
-                  job->decode.state == FW_PART_GRANTED;
+    int n = Fw_Serving_Offers(r, cfg, job->model_queue->model, offers);
+    int granted = job->prefill.state == FW_RESERVATION_GRANTED ||
+                  job->decode.state == FW_RESERVATION_GRANTED;
     struct best b = {0};
     int serving = 0;
 
--- a/src/route/pick.c
+++ b/src/route/pick.c
@@ -17,10 +17,10 @@
         return g_rand_int_range(r->rand, 0, G_MAXINT32);
     }
     if (is_prefill) {
-        return Fw_Engine_Wait(e, now_us) * 16 +
+        return Fw_Engine_WaitUs(e, now_us) * 16 +
                g_rand_int_range(r->rand, 0, 16);
     }
-    return -Fw_Engine_Free(e, u->slots, now_us) * 16 +
+    return -Fw_Engine_FreeSlots(e, u->slots, now_us) * 16 +
            g_rand_int_range(r->rand, 0, 16);
 }
 
@@ -41,8 +41,8 @@
 
         if (!Fw_Usable_Check(e, u, avoid, now_us) ||
             !Fw_Breaker_Allows(&e->breaker, now_us) ||
-            Fw_Engine_Agrees(e, serving, is_prefill, now_us) == 0 ||
-            (job->alone && e->running + e->prefilling > 0)) {
+            Fw_Engine_CheckServes(e, serving, is_prefill, now_us) == 0 ||
+            (job->exclusive && e->decoding + e->prefilling > 0)) {
             continue;
         }
         load = load_of(r, e, u, is_prefill, now_us);
@@ -64,24 +64,25 @@
     int64_t compute_us =
         Fw_Cost_PrefillUs(job->prompt_tokens, 0, MAX(u->prefill_rate, 1));
     struct fw_backlog_item work = {.owner = r->self_id,
-                                   .ask = job->ask,
-                                   .at_us = now_us,
+                                   .round_id = job->round_id,
+                                   .granted_us = now_us,
                                    .tokens = job->prompt_tokens,
                                    .compute_us = compute_us};
-    struct fw_hold hold = {
-        .owner = r->self_id, .ask = job->ask, .need_us = now_us + compute_us};
+    struct fw_hold hold = {.owner = r->self_id,
+                           .round_id = job->round_id,
+                           .need_us = now_us + compute_us};
 
-    job->prefill.expect_us = compute_us;
+    job->prefill.service_us = compute_us;
     Fw_Backlog_Add(&Fw_Engine_Coord(job->prefill.engine)->backlog, &work);
     Fw_Slots_Hold(&Fw_Engine_Coord(job->decode.engine)->slots, &hold);
 }
 
 int
-Fw_Pick_Pair(struct fw_router *r, const struct fw_config *cfg,
-             struct fw_job *job, int64_t now_us)
+Fw_Baseline_Choose(struct fw_router *r, const struct fw_config *cfg,
+                   struct fw_job *job, int64_t now_us)
 {
     struct fw_offer offers[FW_OFFERS_MAX];
-    int n = Fw_Serving_Offers(r, cfg, job->class->model, offers);
+    int n = Fw_Serving_Offers(r, cfg, job->model_queue->model, offers);
 
     for (int i = 0; i < n; i++) {
         struct fw_engine *p = pick(r, cfg, job, offers[i].index->prefill,
@@ -93,9 +94,11 @@
             continue;
         }
         job->serving = offers[i].serving;
-        job->prefill = (struct fw_part){.engine = p, .state = FW_PART_GRANTED};
-        job->decode = (struct fw_part){.engine = d, .state = FW_PART_GRANTED};
-        (void)snprintf(job->why, sizeof(job->why), "%s",
+        job->prefill = (struct fw_reservation){
+            .engine = p, .state = FW_RESERVATION_GRANTED};
+        job->decode = (struct fw_reservation){.engine = d,
+                                              .state = FW_RESERVATION_GRANTED};
+        (void)snprintf(job->explanation, sizeof(job->explanation), "%s",
                        r->opts.policy == FW_POLICY_RANDOM ? "random"
                                                           : "least loaded");
         book(r, cfg, job, now_us);
@@ -112,7 +115,7 @@
     if (!Fw_Breaker_Allows(&e->breaker, now_us)) {
         return 2;
     }
-    return Fw_Usable_LostDomain(cfg, avoid, u->domain) ? 1 : 0;
+    return Fw_Usable_InAvoidedDomain(cfg, avoid, u->domain) ? 1 : 0;
 }
 
 const struct fw_upstream *
@@ -146,7 +149,8 @@
         }
     }
     if (best) {
-        Fw_Breaker_Sent(&Fw_Engine_Get(r, best->name)->breaker, now_us);
+        Fw_Breaker_RecordRequest(&Fw_Engine_Get(r, best->name)->breaker,
+                                 now_us);
     }
     return best;
 }
@@ -155,10 +159,11 @@
 static void
 learn_usual(struct fw_router *r, int64_t took_us)
 {
-    int64_t part = took_us > 4 * r->usual_us ? 256 : 16;
+    int64_t part = took_us > 4 * r->mean_call_us ? 256 : 16;
 
-    r->usual_us =
-        r->usual_us ? r->usual_us + (took_us - r->usual_us) / part : took_us;
+    r->mean_call_us =
+        r->mean_call_us ? r->mean_call_us + (took_us - r->mean_call_us) / part
+                        : took_us;
 }
 
 void
@@ -168,10 +173,11 @@
     struct fw_engine *e = Fw_Engine_Get(r, upstream);
 
     if (!ok) {
-        r->m.breakers.value += Fw_Breaker_Fail(&e->breaker, now_us);
+        r->m.breaker_trips.value +=
+            Fw_Breaker_RecordFailure(&e->breaker, now_us);
         return;
     }
-    r->m.breakers.value +=
-        Fw_Breaker_Ok(&e->breaker, took_us, r->usual_us, now_us);
+    r->m.breaker_trips.value += Fw_Breaker_RecordSuccess(
+        &e->breaker, took_us, r->mean_call_us, now_us);
     learn_usual(r, took_us);
 }
--- a/src/route/prefix_cmd.c
+++ b/src/route/prefix_cmd.c
@@ -10,7 +10,7 @@
 }
 
 void
-Fw_Prefix_Forget(struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
+Fw_Prefix_Remove(struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
 {
     uint64_t key = Fw_Hash_Bytes(&prefix, sizeof(prefix), engine);
     uint64_t *set = set_of(t, key);
@@ -27,12 +27,12 @@
 
 /* Newest first. */
 void
-Fw_Prefix_Learn(struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
+Fw_Prefix_Add(struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
 {
     uint64_t key = Fw_Hash_Bytes(&prefix, sizeof(prefix), engine);
     uint64_t *set = set_of(t, key);
 
-    Fw_Prefix_Forget(t, engine, prefix);
+    Fw_Prefix_Remove(t, engine, prefix);
     memmove(&set[1], &set[0], sizeof(*set) * (FW_PREFIX_WAYS - 1));
     set[0] = key;
 }
--- a/src/route/prefix_query.c
+++ b/src/route/prefix_query.c
@@ -1,15 +1,15 @@
 #include "base/hash.h"
 #include "route/policy.h"
 
-#define FW_PREFIX_FIRST 1024 /* bytes of the shortest prefix */
+#define FW_PREFIX_MIN_BYTES 1024 /* bytes of the shortest prefix */
 #define FW_BYTES_PER_TOKEN 4
 
 void
-Fw_Prefix_Of(GBytes *prompt, struct fw_prefixes *p)
+Fw_Prefix_Hash(GBytes *prompt, struct fw_prefixes *p)
 {
     gsize len = 0;
     const void *data = prompt ? g_bytes_get_data(prompt, &len) : NULL;
-    gsize want = FW_PREFIX_FIRST;
+    gsize want = FW_PREFIX_MIN_BYTES;
 
     p->n = 0;
     while (p->n < FW_PREFIX_LEVELS && want <= len) {
@@ -19,9 +19,9 @@
 }
 
 int64_t
-Fw_Prefix_Tokens(int level)
+Fw_Prefix_LevelTokens(int level)
 {
-    return (FW_PREFIX_FIRST / FW_BYTES_PER_TOKEN) << level;
+    return (FW_PREFIX_MIN_BYTES / FW_BYTES_PER_TOKEN) << level;
 }
 
 static int
@@ -39,12 +39,12 @@
 }
 
 int64_t
-Fw_Prefix_Cached(const struct fw_prefix_table *t, uint64_t engine,
-                 const struct fw_prefixes *p)
+Fw_Prefix_CachedTokens(const struct fw_prefix_table *t, uint64_t engine,
+                       const struct fw_prefixes *p)
 {
     for (int i = p->n - 1; i >= 0; i--) {
         if (known(t, engine, p->hash[i])) {
-            return Fw_Prefix_Tokens(i);
+            return Fw_Prefix_LevelTokens(i);
         }
     }
     return 0;
--- a/src/route/pump.c
+++ b/src/route/pump.c
@@ -6,41 +6,42 @@
 
 #include "route/router.h"
 
-#define FW_ROUNDS_MAX 8
-#define FW_NO_ENGINE_AGAIN_US FW_SEC
+#define FW_CONCURRENT_ROUNDS_MAX 8
+#define FW_NO_ENGINE_RETRY_AFTER_US FW_SEC
 
 static struct fw_job *
 job_of(struct fw_queue_item *it)
 {
-    return FW_LIST_ENTRY(it, struct fw_job, item);
+    return FW_LIST_ENTRY(it, struct fw_job, queue_item);
 }
 
 static int64_t
 latest_us(const struct fw_router *r, const struct fw_job *job)
 {
-    struct fw_admit a = {
+    struct fw_admission a = {
         .arrived_us = job->arrived_us,
         .deadline_us = job->deadline_us,
         .ttft_us = r->opts.ttft_us,
         .queue_max_us = r->opts.queue_max_us,
         .service_us =
-            job->prefill.expect_us + job->decode.expect_us + r->opts.itl_us,
+            job->prefill.service_us + job->decode.service_us + r->opts.itl_us,
         .stream_us = job->max_tokens * r->opts.itl_us,
     };
 
-    return Fw_Admit_LatestUs(&a);
+    return Fw_Admit_LatestStartUs(&a);
 }
 
 /* Time in the queue by the pace of the last grants; 0 when nothing waits. */
 static int64_t
-queue_wait_us(const struct fw_class *c, const struct fw_job *job)
+queue_wait_us(const struct fw_model_queue *c, const struct fw_job *job)
 {
     if (c->queue.n == 0) {
         return 0;
     }
-    return c->gap_us * (Fw_Queue_Ahead(&c->queue, job->item.team_name,
-                                       job->item.latest_us) +
-                        1);
+    return c->grant_interval_us *
+           (Fw_Queue_CountAhead(&c->queue, job->queue_item.team_name,
+                                job->queue_item.latest_us) +
+            1);
 }
 
 static void
@@ -49,30 +50,30 @@
 {
     Fw_Grant_Refuse(
         r, job, "overloaded",
-        Fw_Admit_RetryAfterUs(wait_us, job->item.latest_us - now_us));
-    Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Admit_RetryAfterUs(wait_us, job->queue_item.latest_us - now_us));
+    Fw_Grant_FreeJob(r, job, now_us, out);
 }
 
 static void
 answer_at_once(struct fw_router *r, const struct fw_config *cfg,
                struct fw_job *job, int64_t now_us, struct fw_actions *out)
 {
-    job->ask = ++r->next_ask;
-    g_hash_table_insert(r->asks, &job->ask, job);
-    if (Fw_Pick_Pair(r, cfg, job, now_us)) {
-        Fw_Grant_Refuse(r, job, "no_engine", FW_NO_ENGINE_AGAIN_US);
-        Fw_Grant_Drop(r, job, now_us, out);
+    job->round_id = ++r->next_round_id;
+    g_hash_table_insert(r->rounds, &job->round_id, job);
+    if (Fw_Baseline_Choose(r, cfg, job, now_us)) {
+        Fw_Grant_Refuse(r, job, "no_engine", FW_NO_ENGINE_RETRY_AFTER_US);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         return;
     }
     Fw_Grant_Pair(r, job, now_us);
 }
 
 void
-Fw_Pump_Add(struct fw_router *r, const struct fw_config *cfg,
-            struct fw_job *job, const struct fw_route_ask *ask, int64_t now_us,
-            struct fw_actions *out)
+Fw_Dispatch_Enqueue(struct fw_router *r, const struct fw_config *cfg,
+                    struct fw_job *job, const struct fw_route_ask *ask,
+                    int64_t now_us, struct fw_actions *out)
 {
-    struct fw_class *c = job->class;
+    struct fw_model_queue *c = job->model_queue;
     int64_t wait_us;
 
     job->state = FW_JOB_QUEUED;
@@ -80,26 +81,26 @@
         answer_at_once(r, cfg, job, now_us, out);
         return;
     }
-    Fw_Prefix_Of(ask->prompt, &job->prefixes);
+    Fw_Prefix_Hash(ask->prompt, &job->prefixes);
     if (Fw_Pair_Choose(r, cfg, job, now_us) == -ENOENT) {
-        Fw_Grant_Refuse(r, job, "no_engine", FW_NO_ENGINE_AGAIN_US);
-        Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Grant_Refuse(r, job, "no_engine", FW_NO_ENGINE_RETRY_AFTER_US);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         return;
     }
-    job->item.latest_us = latest_us(r, job);
-    job->item.tokens = job->prompt_tokens + job->max_tokens;
+    job->queue_item.latest_us = latest_us(r, job);
+    job->queue_item.tokens = job->prompt_tokens + job->max_tokens;
     wait_us = queue_wait_us(c, job);
-    if (now_us + wait_us > job->item.latest_us) {
+    if (now_us + wait_us > job->queue_item.latest_us) {
         refuse(r, job, wait_us, now_us, out);
         return;
     }
-    Fw_Queue_Put(&c->queue, &job->item);
-    Fw_Pump_Run(r, cfg, now_us, out);
+    Fw_Queue_Put(&c->queue, &job->queue_item);
+    Fw_Dispatch_Run(r, cfg, now_us, out);
 }
 
 /* Those whose time is over, whatever their turn. */
 static void
-expire(struct fw_router *r, struct fw_class *c, int64_t now_us,
+expire(struct fw_router *r, struct fw_model_queue *c, int64_t now_us,
        struct fw_actions *out)
 {
     struct fw_queue_item *it;
@@ -115,16 +116,17 @@
 }
 
 static void
-run_class(struct fw_router *r, const struct fw_config *cfg, struct fw_class *c,
-          int64_t now_us, struct fw_actions *out)
+run_class(struct fw_router *r, const struct fw_config *cfg,
+          struct fw_model_queue *c, int64_t now_us, struct fw_actions *out)
 {
     int64_t paused_us = c->paused_until_us;
 
     expire(r, c, now_us, out);
     c->paused_until_us = paused_us;
     while (c->queue.n && now_us >= c->paused_until_us &&
-           c->seeking < FW_ROUNDS_MAX) {
-        Fw_Seek_Start(r, cfg, job_of(Fw_Queue_Take(&c->queue)), now_us, out);
+           c->n_rounds < FW_CONCURRENT_ROUNDS_MAX) {
+        Fw_Reserve_Start(r, cfg, job_of(Fw_Queue_Take(&c->queue)), now_us,
+                         out);
     }
     if (c->queue.n && now_us < c->paused_until_us) {
         Fw_Actions_Wake(out, c->paused_until_us);
@@ -132,16 +134,16 @@
 }
 
 void
-Fw_Pump_Run(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
-            struct fw_actions *out)
+Fw_Dispatch_Run(struct fw_router *r, const struct fw_config *cfg,
+                int64_t now_us, struct fw_actions *out)
 {
     GHashTableIter it;
     gpointer val;
     int64_t queued = 0;
 
-    g_hash_table_iter_init(&it, r->classes);
+    g_hash_table_iter_init(&it, r->model_queues);
     while (g_hash_table_iter_next(&it, NULL, &val)) {
-        struct fw_class *c = val;
+        struct fw_model_queue *c = val;
 
         run_class(r, cfg, c, now_us, out);
         queued += c->queue.n;
--- a/src/route/queue.h
+++ b/src/route/queue.h
@@ -1,7 +1,7 @@
 /*
- * The queue of one model: deficit round robin over teams in tokens, earliest
- * latest-start first within a team. Only teams with something queued take
- * memory.
+ * Fair queue: deficit round robin over teams, with tokens as the cost, and
+ * the earliest latest start time first within a team. Only teams with queued
+ * items take memory.
  */
 #ifndef FW_ROUTE_QUEUE_H
 #define FW_ROUTE_QUEUE_H
@@ -13,19 +13,25 @@
 #include "base/list.h"
 
 /**
- * struct fw_queue_item - embedded in what is queued.
- * @latest_us: after this time it is no use any more
- * @tokens: cost
+ * struct fw_queue_item - embedded in the object that is queued.
+ * @team: NULL while not queued
+ * @latest_us: latest time at which the item is still worth starting
+ * @tokens: cost charged to the team
  */
 struct fw_queue_item {
     struct fw_list link;
-    struct fw_queue_team *team; /* NULL while not queued */
+    struct fw_queue_team *team;
     char team_name[FW_NAME_MAX];
     int64_t latest_us;
     int64_t tokens;
 };
 
-/** struct fw_queue_team - a team with something queued. */
+/**
+ * struct fw_queue_team - a team with queued items.
+ * @items: by latest start time
+ * @n: number of @items
+ * @deficit: tokens the team may still spend in its turn
+ */
 struct fw_queue_team {
     char name[FW_NAME_MAX];
     struct fw_list items;
@@ -35,14 +41,15 @@
 };
 
 /**
- * struct fw_queue - see above.
+ * struct fw_queue - deficit round robin over teams.
  * @teams: name to struct fw_queue_team
- * @round: teams in the order of their turns
- * @quantum: tokens a team earns with each turn
+ * @active_teams: the same teams in the order of their turns
+ * @n: number of items of all teams
+ * @quantum: tokens added to a team's deficit in each turn
  */
 struct fw_queue {
     GHashTable *teams;
-    struct fw_list round;
+    struct fw_list active_teams;
     int n;
     int64_t quantum;
 };
@@ -50,25 +57,29 @@
 /* queue_cmd.c */
 void
 Fw_Queue_Init(struct fw_queue *q, int64_t quantum);
-/* The items must have been removed. */
+/* Frees what @q owns; all items must have been removed before. */
 void
 Fw_Queue_Clear(struct fw_queue *q);
 void
 Fw_Queue_Put(struct fw_queue *q, struct fw_queue_item *it);
-/* The next item by the rules above, removed; NULL when empty. */
+/* Removes and returns the next item; NULL when empty. */
 struct fw_queue_item *
 Fw_Queue_Take(struct fw_queue *q);
-/* @it was taken in vain: its team gets its turn and tokens back. */
+/* Returns an item that was taken but not started: it goes ahead of items with
+ * the same latest start, and its team gets its tokens and turn back. */
 void
 Fw_Queue_PutBack(struct fw_queue *q, struct fw_queue_item *it);
+/* Does nothing if @it is not queued. */
 void
 Fw_Queue_Remove(struct fw_queue *q, struct fw_queue_item *it);
 
 /* queue_query.c */
-/* Items that go before a new one of @team with @latest_us, by fair turns. */
+/* Estimates how many items would be taken before a new one of @team,
+ * counting one item of each other team per turn. */
 int
-Fw_Queue_Ahead(const struct fw_queue *q, const char *team, int64_t latest_us);
-/* The item with the earliest @latest_us of all, or NULL. */
+Fw_Queue_CountAhead(const struct fw_queue *q, const char *team,
+                    int64_t latest_us);
+/* The item with the earliest latest start of all teams, or NULL. */
 struct fw_queue_item *
 Fw_Queue_Earliest(const struct fw_queue *q);
 
--- a/src/route/queue_cmd.c
+++ b/src/route/queue_cmd.c
@@ -4,7 +4,7 @@
 Fw_Queue_Init(struct fw_queue *q, int64_t quantum)
 {
     q->teams = g_hash_table_new(g_str_hash, g_str_equal);
-    Fw_List_Init(&q->round);
+    Fw_List_Init(&q->active_teams);
     q->n = 0;
     q->quantum = quantum;
 }
@@ -33,7 +33,7 @@
         t = g_new0(struct fw_queue_team, 1);
         g_strlcpy(t->name, name, sizeof(t->name));
         Fw_List_Init(&t->items);
-        Fw_List_Append(&q->round, &t->link);
+        Fw_List_Append(&q->active_teams, &t->link);
         g_hash_table_insert(q->teams, t->name, t);
     }
     return t;
@@ -83,9 +83,9 @@
 struct fw_queue_item *
 Fw_Queue_Take(struct fw_queue *q)
 {
-    while (!Fw_List_Empty(&q->round)) {
+    while (!Fw_List_Empty(&q->active_teams)) {
         struct fw_queue_team *t =
-            FW_LIST_ENTRY(q->round.next, struct fw_queue_team, link);
+            FW_LIST_ENTRY(q->active_teams.next, struct fw_queue_team, link);
         struct fw_queue_item *it =
             FW_LIST_ENTRY(t->items.next, struct fw_queue_item, link);
 
@@ -96,7 +96,7 @@
         }
         t->deficit += q->quantum;
         Fw_List_Remove(&t->link);
-        Fw_List_Append(&q->round, &t->link);
+        Fw_List_Append(&q->active_teams, &t->link);
     }
     return NULL;
 }
@@ -110,5 +110,5 @@
     q->n++;
     t->deficit += it->tokens;
     Fw_List_Remove(&t->link);
-    Fw_List_Append(q->round.next, &t->link);
+    Fw_List_Append(q->active_teams.next, &t->link);
 }
--- a/src/route/queue_query.c
+++ b/src/route/queue_query.c
@@ -1,7 +1,8 @@
 #include "route/queue.h"
 
 int
-Fw_Queue_Ahead(const struct fw_queue *q, const char *team, int64_t latest_us)
+Fw_Queue_CountAhead(const struct fw_queue *q, const char *team,
+                    int64_t latest_us)
 {
     const struct fw_queue_team *own = g_hash_table_lookup(q->teams, team);
     struct fw_list *pos;
@@ -18,7 +19,7 @@
         }
     }
     ahead = before;
-    FW_LIST_EACH (pos, &q->round) {
+    FW_LIST_EACH (pos, &q->active_teams) {
         const struct fw_queue_team *t =
             FW_LIST_ENTRY(pos, struct fw_queue_team, link);
 
@@ -36,7 +37,7 @@
     struct fw_queue_item *first = NULL;
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &q->round) {
+    FW_LIST_EACH (pos, &q->active_teams) {
         const struct fw_queue_team *t =
             FW_LIST_ENTRY(pos, struct fw_queue_team, link);
         struct fw_queue_item *it =
--- a/src/route/retry.c
+++ b/src/route/retry.c
@@ -1,27 +1,28 @@
 #include "route/policy.h"
 
 /* Retries that a quiet time may save up. */
-#define FW_RETRY_SAVED 10LL
+#define FW_RETRY_BURST 10LL
 
 void
-Fw_Retry_Init(struct fw_retry *b, int permille)
+Fw_Retry_Init(struct fw_retry_budget *b, int permille)
 {
-    b->permille = permille;
-    b->milli = permille > 0 ? FW_RETRY_SAVED * 1000 : 0;
+    b->earn_permille = permille;
+    b->balance_milli = permille > 0 ? FW_RETRY_BURST * 1000 : 0;
 }
 
 void
-Fw_Retry_Earn(struct fw_retry *b)
+Fw_Retry_Earn(struct fw_retry_budget *b)
 {
-    b->milli = MIN(b->milli + b->permille, FW_RETRY_SAVED * 1000);
+    b->balance_milli =
+        MIN(b->balance_milli + b->earn_permille, FW_RETRY_BURST * 1000);
 }
 
 int
-Fw_Retry_Spend(struct fw_retry *b)
+Fw_Retry_Spend(struct fw_retry_budget *b)
 {
-    if (b->milli < 1000) {
+    if (b->balance_milli < 1000) {
         return 0;
     }
-    b->milli -= 1000;
+    b->balance_milli -= 1000;
     return 1;
 }
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -7,7 +7,7 @@
 #include "route/router.h"
 
 /* Tokens that a team earns with each turn; a short request. */
-#define FW_QUANTUM 1024
+#define FW_QUEUE_QUANTUM_TOKENS 1024
 
 static void
 free_engine(gpointer p)
@@ -19,7 +19,7 @@
 static void
 free_class(gpointer p)
 {
-    struct fw_class *c = p;
+    struct fw_model_queue *c = p;
 
     Fw_Queue_Clear(&c->queue);
     g_free(c);
@@ -40,14 +40,16 @@
                    .help = "Rounds of reservations begun."},
         .denials = {.name = "fw_route_denials_total",
                     .help = "Reservations that a coordinator refused."},
-        .silences = {.name = "fw_route_silences_total",
-                     .help = "Coordinators that did not answer in time."},
+        .reply_timeouts = {.name = "fw_route_silences_total",
+                           .help =
+                               "Coordinators that did not answer in time."},
         .polls = {.name = "fw_route_polls_total",
                   .help = "Load and cache calls to engines."},
         .cache_gaps = {.name = "fw_route_cache_gaps_total",
                        .help = "Gaps in cache events; beliefs voided."},
-        .breakers = {.name = "fw_route_breaker_opened_total",
-                     .help = "Times an upstream was taken out of choice."},
+        .breaker_trips = {.name = "fw_route_breaker_opened_total",
+                          .help =
+                              "Times an upstream was taken out of choice."},
         .retries_refused = {.name = "fw_route_retries_refused_total",
                             .help = "Retries beyond the retry budget."},
     };
@@ -56,10 +58,10 @@
     Fw_Metrics_Add(all, &m->refusals);
     Fw_Metrics_Add(all, &m->rounds);
     Fw_Metrics_Add(all, &m->denials);
-    Fw_Metrics_Add(all, &m->silences);
+    Fw_Metrics_Add(all, &m->reply_timeouts);
     Fw_Metrics_Add(all, &m->polls);
     Fw_Metrics_Add(all, &m->cache_gaps);
-    Fw_Metrics_Add(all, &m->breakers);
+    Fw_Metrics_Add(all, &m->breaker_trips);
     Fw_Metrics_Add(all, &m->retries_refused);
 }
 
@@ -75,18 +77,19 @@
     r->opts = *opts;
     /* Another run under this name began elsewhere: its reservations are not
      * taken for those of this one. */
-    r->next_ask = (uint32_t)Fw_Hash_Bytes(&self->boot, sizeof(self->boot), 0);
+    r->next_round_id =
+        (uint32_t)Fw_Hash_Bytes(&self->boot, sizeof(self->boot), 0);
     r->rand = g_rand_new_with_seed(opts->seed);
     r->engines =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_engine);
-    r->order = g_ptr_array_new();
+    r->engine_list = g_ptr_array_new();
     r->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    r->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
+    r->rounds = g_hash_table_new(g_int64_hash, g_int64_equal);
     r->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    r->classes =
+    r->model_queues =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_class);
-    Fw_List_Init(&r->seeking);
-    Fw_List_Init(&r->ready);
+    Fw_List_Init(&r->reserving);
+    Fw_List_Init(&r->answers);
     Fw_Retry_Init(&r->retry, opts->retry_permille);
     add_metrics(&r->m, metrics);
     return r;
@@ -95,14 +98,14 @@
 int
 Fw_Route_TakeAnswer(struct fw_router *r, struct fw_route_answer *ans)
 {
-    struct fw_ready *ready;
+    struct fw_pending_answer *ready;
 
-    if (Fw_List_Empty(&r->ready)) {
+    if (Fw_List_Empty(&r->answers)) {
         return 0;
     }
-    ready = FW_LIST_ENTRY(r->ready.next, struct fw_ready, link);
+    ready = FW_LIST_ENTRY(r->answers.next, struct fw_pending_answer, link);
     Fw_List_Remove(&ready->link);
-    *ans = ready->ans;
+    *ans = ready->answer;
     g_free(ready);
     return 1;
 }
@@ -122,39 +125,39 @@
     for (g_hash_table_iter_init(&it, r->jobs);
          g_hash_table_iter_next(&it, NULL, &val);
          g_hash_table_iter_init(&it, r->jobs)) {
-        Fw_Grant_Drop(r, val, 0, &out);
+        Fw_Grant_FreeJob(r, val, 0, &out);
     }
     Fw_Actions_Clear(&out);
     while (Fw_Route_TakeAnswer(r, &ans)) {
     }
-    g_hash_table_unref(r->classes);
+    g_hash_table_unref(r->model_queues);
     g_hash_table_unref(r->ops);
-    g_hash_table_unref(r->asks);
+    g_hash_table_unref(r->rounds);
     g_hash_table_unref(r->jobs);
-    if (r->index) {
-        g_hash_table_unref(r->index);
+    if (r->pools) {
+        g_hash_table_unref(r->pools);
     }
-    g_ptr_array_unref(r->order);
+    g_ptr_array_unref(r->engine_list);
     g_hash_table_unref(r->engines);
     g_rand_free(r->rand);
     g_free(r);
 }
 
 /* Those that must run alone wait apart, or they would hold up all others. */
-static struct fw_class *
+static struct fw_model_queue *
 class_of(struct fw_router *r, const char *model, int alone)
 {
     char *key = g_strconcat(alone ? "!" : "", model, NULL);
-    struct fw_class *c = g_hash_table_lookup(r->classes, key);
+    struct fw_model_queue *c = g_hash_table_lookup(r->model_queues, key);
 
     if (c) {
         g_free(key);
         return c;
     }
-    c = g_new0(struct fw_class, 1);
+    c = g_new0(struct fw_model_queue, 1);
     g_strlcpy(c->model, model, sizeof(c->model));
-    Fw_Queue_Init(&c->queue, FW_QUANTUM);
-    g_hash_table_insert(r->classes, key, c);
+    Fw_Queue_Init(&c->queue, FW_QUEUE_QUANTUM_TOKENS);
+    g_hash_table_insert(r->model_queues, key, c);
     return c;
 }
 
@@ -167,42 +170,43 @@
 
     Fw_Index_Sync(r, cfg);
     if (job) {
-        Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Grant_FreeJob(r, job, now_us, out);
     }
     if (!ask->avoid || !ask->avoid[0]) {
         Fw_Retry_Earn(&r->retry);
     }
     job = g_new0(struct fw_job, 1);
     job->ticket = ask->ticket;
-    job->class = class_of(r, ask->model, ask->alone);
-    g_strlcpy(job->item.team_name, ask->team, sizeof(job->item.team_name));
+    job->model_queue = class_of(r, ask->model, ask->alone);
+    g_strlcpy(job->queue_item.team_name, ask->team,
+              sizeof(job->queue_item.team_name));
     job->prompt_tokens = MAX(ask->prompt_tokens, 1);
     job->max_tokens = MAX(ask->max_tokens, 1);
     job->deadline_us = ask->deadline_us;
     job->arrived_us = ask->arrived_us;
-    job->alone = ask->alone;
+    job->exclusive = ask->alone;
     job->avoid = g_strdupv((char **)ask->avoid);
-    Fw_List_Init(&job->item.link);
-    Fw_List_Init(&job->seeking);
+    Fw_List_Init(&job->queue_item.link);
+    Fw_List_Init(&job->reserving);
     g_hash_table_insert(r->jobs, &job->ticket, job);
-    Fw_Pump_Add(r, cfg, job, ask, now_us, out);
+    Fw_Dispatch_Enqueue(r, cfg, job, ask, now_us, out);
 }
 
 static void
 on_prefilled(struct fw_router *r, struct fw_job *job, int64_t now_us,
              struct fw_actions *out)
 {
-    struct fw_part *p = &job->prefill;
+    struct fw_reservation *p = &job->prefill;
 
     if (job->prefilled) {
         return;
     }
     job->prefilled = 1;
     p->engine->prefilling--;
-    r->m.breakers.value +=
-        Fw_Breaker_Ok(&p->engine->breaker, now_us - job->given_us,
-                      p->wait_us + p->expect_us, now_us);
-    Fw_Grant_Computed(r, job, now_us, out);
+    r->m.breaker_trips.value +=
+        Fw_Breaker_RecordSuccess(&p->engine->breaker, now_us - job->granted_us,
+                                 p->wait_us + p->service_us, now_us);
+    Fw_Grant_CompletePrefill(r, job, now_us, out);
 }
 
 static void
@@ -212,7 +216,8 @@
     struct fw_engine *e = upstream ? Fw_Engine_Get(r, upstream) : NULL;
 
     if (e && (e == job->prefill.engine || e == job->decode.engine)) {
-        r->m.breakers.value += Fw_Breaker_Fail(&e->breaker, now_us);
+        r->m.breaker_trips.value +=
+            Fw_Breaker_RecordFailure(&e->breaker, now_us);
     }
 }
 
@@ -227,7 +232,7 @@
     }
     if (job->state != FW_JOB_RUNNING) {
         if (step == FW_STEP_CANCELLED) {
-            Fw_Grant_Drop(r, job, now_us, out);
+            Fw_Grant_FreeJob(r, job, now_us, out);
         }
         return;
     }
@@ -239,16 +244,17 @@
     case FW_STEP_TOKEN:
         break;
     case FW_STEP_DONE:
-        (void)Fw_Breaker_Ok(&job->decode.engine->breaker, 0, 0, now_us);
-        Fw_Grant_Drop(r, job, now_us, out);
+        (void)Fw_Breaker_RecordSuccess(&job->decode.engine->breaker, 0, 0,
+                                       now_us);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     case FW_STEP_LOST:
         on_lost(r, job, upstream, now_us);
-        Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     case FW_STEP_REFUSED:
     case FW_STEP_CANCELLED:
-        Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     }
 }
@@ -259,7 +265,7 @@
     struct fw_job *job = g_hash_table_lookup(r->jobs, &ticket);
 
     if (job) {
-        job->cached = tokens;
+        job->cached_tokens = tokens;
     }
 }
 
@@ -279,8 +285,8 @@
 {
     Fw_Index_Sync(r, cfg);
     Fw_Coord_Scan(r, cfg, now_us, out);
-    Fw_Seek_Tick(r, cfg, now_us, out);
-    Fw_Pump_Run(r, cfg, now_us, out);
+    Fw_Reserve_Tick(r, cfg, now_us, out);
+    Fw_Dispatch_Run(r, cfg, now_us, out);
 }
 
 void
@@ -290,7 +296,7 @@
 {
     Fw_Index_Sync(r, cfg);
     Fw_Coord_OnUp(r, cfg, ev, now_us);
-    Fw_Pump_Run(r, cfg, now_us, out);
+    Fw_Dispatch_Run(r, cfg, now_us, out);
 }
 
 void
@@ -309,7 +315,7 @@
 
 static void
 on_want(struct fw_router *r, const struct fw_config *cfg, const char *from,
-        const struct fw_route_want *want, int64_t now_us,
+        const struct fw_route_reserve *want, int64_t now_us,
         struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Find(r->fleet, from);
@@ -322,11 +328,11 @@
     msg.u.route.kind = FW_ROUTE_ANSWER;
     reply->ask = want->ask;
     for (int i = 0; i < want->n; i++) {
-        Fw_Coord_Answer(r, cfg, Fw_Hash_Str(from), want->ask, &want->item[i],
-                        now_us, &reply->verdict[reply->n++], out);
+        Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), want->ask, &want->item[i],
+                         now_us, &reply->verdict[reply->n++], out);
     }
-    Fw_Coord_Loads(r, cfg, now_us, reply);
-    Fw_Coord_Leaving(r, &reply->leaving);
+    Fw_Coord_FillLoads(r, cfg, now_us, reply);
+    Fw_Coord_FillLeaving(r, &reply->leaving);
     Fw_Actions_Send(out, m->name, m->addr, &msg);
 }
 
@@ -349,13 +355,13 @@
     Fw_Index_Sync(r, cfg);
     switch (msg->kind) {
     case FW_ROUTE_ASK:
-        Fw_Engine_HearLeaving(r, &msg->u.want.leaving, now_us);
+        Fw_Engine_MarkLeaving(r, &msg->u.want.leaving, now_us);
         on_want(r, cfg, from, &msg->u.want, now_us, out);
         break;
     case FW_ROUTE_ANSWER:
-        Fw_Engine_HearLeaving(r, &msg->u.reply.leaving, now_us);
-        Fw_Seek_OnReply(r, cfg, &msg->u.reply, now_us, out);
-        Fw_Pump_Run(r, cfg, now_us, out);
+        Fw_Engine_MarkLeaving(r, &msg->u.reply.leaving, now_us);
+        Fw_Reserve_OnReply(r, cfg, &msg->u.reply, now_us, out);
+        Fw_Dispatch_Run(r, cfg, now_us, out);
         break;
     case FW_ROUTE_RELEASE:
         on_release(r, from, &msg->u.release, now_us);
@@ -370,5 +376,5 @@
 {
     const struct fw_engine *e = Fw_Engine_Find(r, Fw_Hash_Str(upstream));
 
-    return e && Fw_Engine_LeavesFirstHand(e);
+    return e && Fw_Engine_IsConfirmedLeaving(e);
 }
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -1,6 +1,6 @@
 /*
- * Which engines a request runs on, and when: queues, pairing, reservations.
- * See docs/design/routing.md.
+ * Chooses the prefill and decode engine of each request: queueing, pairing
+ * and reservations. See docs/design/routing.md.
  */
 #ifndef FW_ROUTE_ROUTE_H
 #define FW_ROUTE_ROUTE_H
@@ -13,18 +13,20 @@
 #include "core/types.h"
 #include "fleet/fleet.h"
 
-/** enum fw_policy - selectable in the settings. */
+/** enum fw_policy - routing policy, selected in the settings. */
 enum fw_policy {
     FW_POLICY_RANDOM,
     FW_POLICY_LEAST_LOADED,
-    FW_POLICY_FULL,
+    FW_POLICY_FULL, /* queues, and the cheapest pair that can be reserved */
 };
 
 /**
  * struct fw_route_opts - settings of the router.
- * @ttft_us, @itl_us: targets for time to first token and between tokens
- * @queue_max_us: longest wait in the queue
- * @retry_permille: retries allowed in a thousand requests
+ * @ttft_us: target for the time to first token
+ * @itl_us: target for the time between tokens
+ * @queue_max_us: longest wait in the queue of requests without a deadline
+ * @retry_permille: retries allowed per thousand requests
+ * @seed: of the random choices
  */
 struct fw_route_opts {
     enum fw_policy policy;
@@ -36,11 +38,16 @@
 };
 
 /**
- * struct fw_route_ask - a request that wants engines.
- * @deadline_us: whole by then, 0 for none: then the targets count
- * @arrived_us: when the caller's request came
- * @avoid: upstreams already lost by this request; NULL-terminated or NULL
- * @alone: a suspect: only an engine that runs nothing else
+ * struct fw_route_ask - a request to be routed.
+ * @ticket: identifies the request in later calls
+ * @prompt: for the prefix cache, may be NULL
+ * @max_tokens: output tokens at most
+ * @deadline_us: when the last token is due; 0 for none, the targets of struct
+ *               fw_route_opts apply then
+ * @arrived_us: when the attempt began; the targets count from it
+ * @avoid: upstreams that failed this request before; NULL-terminated, or NULL
+ * @alone: use only engines that run nothing else, for a request that may
+ *         crash its engine
  */
 struct fw_route_ask {
     uint64_t ticket;
@@ -56,11 +63,12 @@
 };
 
 /**
- * struct fw_route_answer - a pair or a refusal.
+ * struct fw_route_answer - a pair of engines or a refusal.
  * @status: 0 for a pair, else the HTTP status of the refusal
- * @code: stable word for the refusal
- * @serving: what the engines run ("model@version")
- * @why: the pairing and its runners-up, for explain
+ * @code: machine-readable reason of the refusal
+ * @retry_after_us: for a refusal, when the caller should try again
+ * @prefill, @decode: names of the engines
+ * @why: the pair's estimated cost and that of the next best, for traces
  */
 struct fw_route_answer {
     uint64_t ticket;
@@ -72,51 +80,59 @@
     char why[160];
 };
 
-/** enum fw_route_step - what became of a pair; the router's feedback. */
+/** enum fw_route_step - progress of a routed request. */
 enum fw_route_step {
-    FW_STEP_PREFILLED, /* KV computed, prefill engine free again */
-    FW_STEP_IMPORTED,  /* KV arrived, slot in use */
-    FW_STEP_TOKEN,     /* a piece came */
-    FW_STEP_DONE,      /* slot free */
-    FW_STEP_LOST,      /* the engine named failed or was too slow */
-    FW_STEP_REFUSED,   /* it refused before beginning: full, not loaded */
-    FW_STEP_CANCELLED, /* caller gone or request given up */
+    FW_STEP_PREFILLED, /* KV computed, the prefill engine is free */
+    FW_STEP_IMPORTED,  /* the decode engine has the KV */
+    FW_STEP_TOKEN,     /* output received */
+    FW_STEP_DONE,      /* completed, the decode slot is free */
+    FW_STEP_LOST,      /* an engine failed or timed out */
+    FW_STEP_REFUSED,   /* an engine rejected it before starting */
+    FW_STEP_CANCELLED, /* the caller left or the request was abandoned */
 };
 
-/** struct fw_router - queues and beliefs of one instance; see route.c. */
+/** struct fw_router - routing state of one instance; see router.h. */
 struct fw_router;
 
+/* Adds its metrics to @metrics; @fleet must outlive the router. */
 struct fw_router *
 Fw_Router_New(const struct fw_self *self, const struct fw_fleet *fleet,
               const struct fw_route_opts *opts, struct fw_metrics *metrics);
 void
 Fw_Router_Free(struct fw_router *r);
 
+/* Queues a request, or answers it at once; a request with the same ticket is
+ * dropped first. See Fw_Route_TakeAnswer(). */
 void
 Fw_Route_Ask(struct fw_router *r, const struct fw_config *cfg,
              const struct fw_route_ask *ask, int64_t now_us,
              struct fw_actions *out);
+/* Takes the next answer. Return: 0 if there is none. */
 int
 Fw_Route_TakeAnswer(struct fw_router *r, struct fw_route_answer *ans);
 /**
- * Fw_Route_Step - tells what became of @ticket.
- * @upstream: the engine concerned, for LOST; else may be NULL
+ * Fw_Route_Step - reports progress of the request @ticket. DONE and the later
+ * steps release its engines and end it; unknown tickets are ignored.
+ * @upstream: for FW_STEP_LOST, the engine that failed; NULL otherwise
  */
 void
 Fw_Route_Step(struct fw_router *r, uint64_t ticket, enum fw_route_step step,
               const char *upstream, int64_t now_us, struct fw_actions *out);
-/* Before PREFILLED: prompt tokens that the engine found in its cache. */
+/* Sets how many prompt tokens the prefill engine found in its cache, before
+ * FW_STEP_PREFILLED is reported. */
 void
 Fw_Route_NoteCached(struct fw_router *r, uint64_t ticket, int64_t tokens);
-/* Nonzero when the retry budget allows one more. It is then spent. */
+/* Takes one retry from the budget. Return: nonzero if one was available. */
 int
 Fw_Route_MayRetry(struct fw_router *r, int64_t now_us);
-/* A server of a plain service, or NULL; @avoid as in struct fw_route_ask. */
+/* Picks a server of a plain service; @avoid as in struct fw_route_ask.
+ * Return: owned by @cfg; NULL if there is none. */
 const struct fw_upstream *
 Fw_Route_PickServer(struct fw_router *r, const struct fw_config *cfg,
                     const char *service, const char *const *avoid,
                     int64_t now_us);
-/* Feedback on a plain service's server, for the circuit breaker. */
+/* Reports the outcome of a call to a plain service, for the circuit breaker;
+ * @took_us is read only if @ok. */
 void
 Fw_Route_ServerResult(struct fw_router *r, const char *upstream, int ok,
                       int64_t took_us, int64_t now_us);
@@ -124,11 +140,13 @@
 void
 Fw_Router_Tick(struct fw_router *r, const struct fw_config *cfg,
                int64_t now_us, struct fw_actions *out);
-/* Events of the router's own calls: load reports and cache events. */
+/* Receives an event of one of the router's own calls, which fetch load
+ * reports and cache events; other events are ignored. */
 void
 Fw_Router_OnUp(struct fw_router *r, const struct fw_config *cfg,
                const struct fw_up_event *ev, int64_t now_us,
                struct fw_actions *out);
+/* Receives the platform's list of upstreams, which says who is leaving. */
 void
 Fw_Router_OnListed(struct fw_router *r, const struct fw_listed *listed,
                    int64_t now_us);
@@ -136,10 +154,12 @@
 Fw_Router_OnMsg(struct fw_router *r, const struct fw_config *cfg,
                 const char *from, const struct fw_route_msg *msg,
                 int64_t now_us, struct fw_actions *out);
-/* Nonzero once every engine coordinated here has said how it is. */
+/* Nonzero while there are engines and every one that this instance
+ * coordinates has a load report. */
 int
 Fw_Router_Heard(const struct fw_router *r);
-/* Nonzero when @upstream is known to be leaving. */
+/* Nonzero if @upstream is leaving by the platform's list or by its own load
+ * report. */
 int
 Fw_Route_IsLeaving(const struct fw_router *r, const char *upstream);
 
--- a/src/route/route_msg.c
+++ b/src/route/route_msg.c
@@ -19,7 +19,7 @@
     msgpack_pack_array(pk, 9);
     msgpack_pack_uint64(pk, it->engine);
     msgpack_pack_int(pk, it->is_prefill);
-    msgpack_pack_int(pk, it->alone);
+    msgpack_pack_int(pk, it->exclusive);
     msgpack_pack_uint64(pk, it->serving);
     msgpack_pack_int64(pk, it->tokens);
     msgpack_pack_int64(pk, it->need_us);
@@ -29,7 +29,7 @@
 }
 
 static void
-pack_want(msgpack_packer *pk, const struct fw_route_want *w)
+pack_want(msgpack_packer *pk, const struct fw_route_reserve *w)
 {
     msgpack_pack_array(pk, 4);
     msgpack_pack_int(pk, FW_ROUTE_ASK);
@@ -49,14 +49,14 @@
     msgpack_pack_uint64(pk, p->ask);
     msgpack_pack_array(pk, (size_t)p->n);
     for (int i = 0; i < p->n; i++) {
-        const struct fw_route_verdict *v = &p->verdict[i];
+        const struct fw_reserve_result *v = &p->verdict[i];
 
         msgpack_pack_array(pk, 5);
         msgpack_pack_uint64(pk, v->engine);
-        msgpack_pack_int(pk, (int)v->grant);
+        msgpack_pack_int(pk, (int)v->status);
         msgpack_pack_int64(pk, v->wait_us);
         msgpack_pack_int64(pk, v->cached);
-        msgpack_pack_int64(pk, v->free);
+        msgpack_pack_int64(pk, v->free_slots);
     }
     msgpack_pack_array(pk, (size_t)p->n_loads);
     for (int i = 0; i < p->n_loads; i++) {
@@ -143,13 +143,13 @@
         return -EBADMSG;
     }
     it->is_prefill = prefill != 0;
-    it->alone = alone != 0;
+    it->exclusive = alone != 0;
     return unpack_hashes(o, 8, it->prefixes.hash, FW_PREFIX_LEVELS,
                          &it->prefixes.n);
 }
 
 static int
-unpack_want(const msgpack_object *o, struct fw_route_want *w)
+unpack_want(const msgpack_object *o, struct fw_route_reserve *w)
 {
     const msgpack_object *arr = bounded(o, 2, FW_ROUTE_ITEMS_MAX);
 
@@ -167,17 +167,17 @@
 }
 
 static int
-unpack_verdict(const msgpack_object *o, struct fw_route_verdict *v)
+unpack_verdict(const msgpack_object *o, struct fw_reserve_result *v)
 {
     int64_t grant;
 
     if (Fw_Unpack_U64(o, 0, &v->engine) || Fw_Unpack_I64(o, 1, &grant) ||
-        grant < 0 || grant >= FW_GRANT_KINDS ||
+        grant < 0 || grant >= FW_RESERVE_STATUSES ||
         unpack_amount(o, 2, &v->wait_us) || unpack_amount(o, 3, &v->cached) ||
-        unpack_amount(o, 4, &v->free)) {
+        unpack_amount(o, 4, &v->free_slots)) {
         return -EBADMSG;
     }
-    v->grant = (enum fw_grant)grant;
+    v->status = (enum fw_reserve_status)grant;
     return 0;
 }
 
--- a/src/route/route_msg.h
+++ b/src/route/route_msg.h
@@ -1,12 +1,12 @@
 /*
- * Messages of the route subsystem between instances: reservations asked of
- * the coordinators of engines, their answers, and what is given back.
+ * Messages of the route subsystem between instances: requests for
+ * reservations to the coordinators of engines, their replies, and releases.
  *
- * Engines are named by the hash of their name (Fw_Hash_Str): nine bytes in
- * place of up to 47. Model versions, domains and prefixes are the low 32 bits
- * of a hash, five bytes: two that collide cost a refusal or a wrong guess of
- * the cache. Times are durations in microseconds, since the clocks of
- * two instances have nothing in common.
+ * To keep messages small, engines are identified by the hash of their name
+ * (Fw_Hash_Str), and model versions, failure domains and prefixes by the low
+ * 32 bits of a hash. A collision costs a refusal or a wrong estimate of what
+ * is cached. Times are durations in microseconds, since the clocks of
+ * instances are not synchronized.
  */
 #ifndef FW_ROUTE_MSG_H
 #define FW_ROUTE_MSG_H
@@ -19,7 +19,7 @@
 #define FW_ROUTE_LEAVING_MAX 3
 #define FW_PREFIX_LEVELS 6
 
-/** enum fw_route_msg_kind - a wire value. */
+/** enum fw_route_msg_kind - message type, a wire value. */
 enum fw_route_msg_kind {
     FW_ROUTE_NONE,
     FW_ROUTE_ASK,
@@ -27,37 +27,40 @@
     FW_ROUTE_RELEASE,
 };
 
-/** enum fw_grant - a coordinator's word on one engine; a wire value. */
-enum fw_grant {
-    FW_GRANT_YES,
-    FW_GRANT_FULL,     /* no slot, or too much prefill waiting */
-    FW_GRANT_UNKNOWN,  /* no report of the engine yet */
-    FW_GRANT_UNSERVED, /* the engine does not hold the model or role */
-    FW_GRANT_LEAVING,  /* the engine leaves */
-    FW_GRANT_KINDS,
+/** enum fw_reserve_status - outcome of a reservation, a wire value. */
+enum fw_reserve_status {
+    FW_RESERVE_GRANTED,
+    FW_RESERVE_FULL,       /* no slot or KV memory, or too long a queue */
+    FW_RESERVE_NO_REPORT,  /* the engine has not reported its load */
+    FW_RESERVE_NOT_SERVED, /* the engine has another model version or role */
+    FW_RESERVE_LEAVING,    /* the engine is leaving */
+    FW_RESERVE_STATUSES,
 };
 
-/** struct fw_prefixes - hashes of a prompt's first 1,024, 2,048 ... bytes. */
+/**
+ * struct fw_prefixes - hashes of a prompt's first 1,024, 2,048, 4,096 ...
+ * bytes, as far as it is that long.
+ */
 struct fw_prefixes {
     int n;
     uint64_t hash[FW_PREFIX_LEVELS]; /* low 32 bits */
 };
 
 /**
- * struct fw_route_item - what is wanted of one engine.
- * @is_prefill: prefill time, else a decode slot
- * @alone: nothing else may run there meanwhile
+ * struct fw_route_item - the reservation requested on one engine.
+ * @is_prefill: nonzero for a prefill, 0 for a decode slot
+ * @exclusive: no other request may run on the engine meanwhile
  * @serving: hash of "model@version" or "model@version+adapter"
- * @tokens: of a prefill, prompt tokens; of a decode slot, output as well
- * @need_us: from now until the slot is needed
- * @from: hash of the prefill engine's failure domain, of a decode slot
- * @transfer_us: time of the KV on the link from there
- * @prefixes: of a prefill
+ * @tokens: prompt tokens; for a decode slot, output tokens in addition
+ * @need_us: decode: time from now until the KV has arrived
+ * @from: decode: hash of the prefill engine's failure domain
+ * @transfer_us: decode: expected time of the KV transfer from that domain
+ * @prefixes: prefill: prefixes of the prompt
  */
 struct fw_route_item {
     uint64_t engine;
     int is_prefill;
-    int alone;
+    int exclusive;
     uint64_t serving;
     int64_t tokens;
     int64_t need_us;
@@ -67,55 +70,69 @@
 };
 
 /**
- * struct fw_route_verdict - the answer to one item.
- * @wait_us: of YES: until prefill begins, or of the link; of FULL: when to
- *           ask again
- * @cached: prompt tokens that the prefill engine has in its cache
- * @free: decode slots left
+ * struct fw_reserve_result - the reply to one struct fw_route_item.
+ * @wait_us: if granted, the time until prefill begins, or until the KV link
+ *           is free; if full, the time after which to try again
+ * @cached: prefill: prompt tokens expected in the engine's prefix cache
+ * @free_slots: decode: free slots left after this reservation
  */
-struct fw_route_verdict {
+struct fw_reserve_result {
     uint64_t engine;
-    enum fw_grant grant;
+    enum fw_reserve_status status;
     int64_t wait_us;
     int64_t cached;
-    int64_t free;
+    int64_t free_slots;
 };
 
-/** struct fw_route_load - a word on another engine coordinated there. */
+/**
+ * struct fw_route_load - load of an engine that the sender coordinates.
+ * @wait_us: time until a new prefill would begin
+ * @free: free decode slots
+ */
 struct fw_route_load {
     uint64_t engine;
     int64_t wait_us;
     int64_t free;
 };
 
-/** struct fw_route_leaving - engines known first-hand to be leaving. */
+/**
+ * struct fw_route_leaving - engines that the sender itself knows to be
+ * leaving, see Fw_Engine_IsConfirmedLeaving().
+ */
 struct fw_route_leaving {
     int n;
     uint64_t engine[FW_ROUTE_LEAVING_MAX];
 };
 
-/** struct fw_route_want - the body of an ASK; @ask is the asker's number. */
-struct fw_route_want {
+/**
+ * struct fw_route_reserve - a request for reservations.
+ * @ask: the sender's number for the round of reservations
+ */
+struct fw_route_reserve {
     uint64_t ask;
     int n;
     struct fw_route_item item[FW_ROUTE_ITEMS_MAX];
     struct fw_route_leaving leaving;
 };
 
-/** struct fw_route_reply - the body of an ANSWER. */
+/**
+ * struct fw_route_reply - results for a struct fw_route_reserve.
+ * @ask: the round of the request
+ */
 struct fw_route_reply {
     uint64_t ask;
     int n;
-    struct fw_route_verdict verdict[FW_ROUTE_ITEMS_MAX];
+    struct fw_reserve_result verdict[FW_ROUTE_ITEMS_MAX];
     int n_loads;
     struct fw_route_load load[FW_ROUTE_LOADS_MAX];
     struct fw_route_leaving leaving;
 };
 
 /**
- * struct fw_route_release - a reservation of @ask is over.
- * @cached: of a prefill that was computed: tokens that the cache had spared;
- *          -1 for a prefill not begun, or a decode slot
+ * struct fw_route_release - releases one reservation.
+ * @ask: the round in which it was requested
+ * @cached: for a computed prefill, prompt tokens found in the engine's cache;
+ *          -1 for a prefill that was not started or a decode slot
  */
 struct fw_route_release {
     uint64_t ask;
@@ -123,11 +140,11 @@
     int64_t cached;
 };
 
-/** struct fw_route_msg - tagged by @kind; owns nothing. */
+/** struct fw_route_msg - a message; @kind selects the member, owns nothing. */
 struct fw_route_msg {
     enum fw_route_msg_kind kind;
     union {
-        struct fw_route_want want;
+        struct fw_route_reserve want;
         struct fw_route_reply reply;
         struct fw_route_release release;
     } u;
@@ -135,7 +152,7 @@
 
 void
 Fw_Route_PackMsg(msgpack_packer *pk, const struct fw_route_msg *msg);
-/* Return: 0 or -EBADMSG; then nothing needs clearing. */
+/* Return: 0, or -EBADMSG; then @msg need not be cleared. */
 int
 Fw_Route_UnpackMsg(const msgpack_object *obj, struct fw_route_msg *msg);
 void
--- a/src/route/router.h
+++ b/src/route/router.h
@@ -1,7 +1,4 @@
-/*
- * Inside of the router. Small pure parts over typed state first, then the
- * state of one instance that joins them.
- */
+/* Internals of the router, private to this directory, benchmarks and tests. */
 #ifndef FW_ROUTE_ROUTER_H
 #define FW_ROUTE_ROUTER_H
 
@@ -12,191 +9,242 @@
 #include "route/route.h"
 #include "route/slots.h"
 
-/** struct fw_word - an engine's own word, from its last load report. */
-struct fw_word {
-    int64_t at_us;
+/**
+ * struct fw_engine_status - what an engine serves, by its last load report.
+ * @received_us: when the report came, 0 if there is none or the last poll
+ *               failed
+ * @models: hashes of "model@version" or "model@version+adapter"
+ */
+struct fw_engine_status {
+    int64_t received_us;
     int leaving;
     int is_prefill;
-    int n_refs;
-    uint64_t refs[FW_UP_MODELS_MAX];
+    int n_models;
+    uint64_t models[FW_UP_MODELS_MAX];
 };
 
 #define FW_COORD_LINKS FW_UPSTREAM_LINKS_MAX
 
-/** struct fw_wire - a link into a decode engine, busy until then. */
-struct fw_wire {
-    uint64_t from;
+/**
+ * struct fw_kv_link - KV link into a decode engine.
+ * @from_domain: hash of the failure domain at the other end
+ * @busy_until_us: when the transfers reserved on it will be finished
+ */
+struct fw_kv_link {
+    uint64_t from_domain;
     int64_t busy_until_us;
 };
 
 /**
- * struct fw_coord - the account of one engine, held by its coordinator, or
- * by an instance that has to poll it itself. Soft: rebuilt from the engine's
- * report.
- * @asked_us: when a peer last asked, which keeps the account alive
- * @poll_op: load call under way, 0 for none
- * @cache_op: cache events call under way, 0 for none
- * @trust_permille: share of what is believed cached that is found there
+ * struct fw_coord - reservations and load of one engine, kept by its
+ * coordinator or by an instance that polls the engine itself. Soft state:
+ * rebuilt from the engine's load reports.
+ * @last_request_us: when a reservation was last requested, which keeps the
+ *                   state alive where the engine is not coordinated
+ * @poll_op: load call in progress, 0 for none
+ * @next_poll_us: when the next load call is due
+ * @cache_op: cache events call in progress, 0 for none
+ * @next_cache_us: when the next cache events call is due
+ * @next_cache_seq: sequence number of the next cache event
+ * @cache_synced: whether cache events were received before, so that a gap in
+ *                their numbers means lost events
+ * @cache_hit_permille: share of the tokens expected to be cached that the
+ *                      engine did find cached, a moving average
  */
 struct fw_coord {
-    struct fw_word word;
+    struct fw_engine_status status;
     struct fw_slots slots;
     struct fw_backlog backlog;
-    struct fw_wire wires[FW_COORD_LINKS];
-    int64_t asked_us;
+    struct fw_kv_link links[FW_COORD_LINKS];
+    int64_t last_request_us;
     uint64_t poll_op;
-    int64_t poll_at_us;
+    int64_t next_poll_us;
     uint64_t cache_op;
-    int64_t cache_at_us;
-    uint64_t cache_seq;
-    int cache_known;
-    int trust_permille;
+    int64_t next_cache_us;
+    uint64_t next_cache_seq;
+    int cache_synced;
+    int cache_hit_permille;
 };
 
 /**
- * struct fw_engine - what one instance believes of one upstream.
- * @prefix_gen: raised to void all that is believed of its cache
- * @mine: whether this instance is its coordinator
- * @running: requests of this instance that have it as decode engine
- * @prefilling: requests of this instance that wait for its prefill
- * @heard_ref, @heard_serves, @heard_us: a coordinator's word on one model
- * @free, @wait_us, @heard_load_us: a coordinator's word on load, corrected
- *      by what was sent since
- * @mute_until_us: its coordinator is silent: not asked before then
- * @rumour_us: when a peer last said that it leaves
+ * struct fw_engine - what this instance knows of one upstream.
+ * @id: hash of its name
+ * @cache_epoch: part of the key of its entries in the prefix table; raised to
+ *               invalidate them all
+ * @coordinated: whether this instance is its coordinator
+ * @coord: NULL unless this instance coordinates or polls it
+ * @decoding: requests of this instance that have it as decode engine
+ * @prefilling: requests of this instance in prefill there
+ * @peer_serving, @peer_serves, @peer_serves_us: the model version that a
+ *      coordinator last reported on, whether the engine serves it, and when
+ * @free_slots, @wait_us, @load_us: load last reported by a coordinator,
+ *      adjusted for requests dispatched since, and when
+ * @coord_down_until_us: its coordinator did not reply and is not contacted
+ *                       before then
+ * @listed_leaving: whether the platform's list says that it is leaving
+ * @peer_leaving_us: when a peer last reported it as leaving, 0 for never
  */
 struct fw_engine {
     char name[FW_NAME_MAX];
     uint64_t id;
-    uint32_t prefix_gen;
-    int mine;
+    uint32_t cache_epoch;
+    int coordinated;
     struct fw_coord *coord;
-    int running;
+    int decoding;
     int prefilling;
-    uint64_t heard_ref;
-    int heard_serves;
-    int64_t heard_us;
-    int64_t free;
+    uint64_t peer_serving;
+    int peer_serves;
+    int64_t peer_serves_us;
+    int64_t free_slots;
     int64_t wait_us;
-    int64_t heard_load_us;
-    int64_t mute_until_us;
+    int64_t load_us;
+    int64_t coord_down_until_us;
     int listed_leaving;
-    int64_t rumour_us;
+    int64_t peer_leaving_us;
     struct fw_breaker breaker;
 };
 
-/** enum fw_part_state - how far one engine of a pair has been settled. */
-enum fw_part_state {
-    FW_PART_NONE,
-    FW_PART_ASKED,
-    FW_PART_GRANTED,
-    FW_PART_DENIED,
+/** enum fw_reservation_state - state of a requested reservation. */
+enum fw_reservation_state {
+    FW_RESERVATION_NONE,
+    FW_RESERVATION_PENDING,
+    FW_RESERVATION_GRANTED,
+    FW_RESERVATION_DENIED,
 };
 
-/** struct fw_part - one engine of a pair. */
-struct fw_part {
+/**
+ * struct fw_reservation - reservation on one engine of a pair.
+ * @wait_us: prefill: expected time until it begins; decode: until the KV link
+ *           is free
+ * @service_us: expected time of the prefill or of the KV transfer
+ */
+struct fw_reservation {
     struct fw_engine *engine;
-    enum fw_part_state state;
+    enum fw_reservation_state state;
     int64_t wait_us;
-    int64_t expect_us;
+    int64_t service_us;
 };
 
-/** enum fw_job_state - life of a request in the router. */
+/** enum fw_job_state - state of a request in the router. */
 enum fw_job_state {
     FW_JOB_QUEUED,
-    FW_JOB_SEEKING,
+    FW_JOB_RESERVING,
     FW_JOB_RUNNING,
 };
 
 #define FW_JOB_TRIED_MAX 6
 
 /**
- * struct fw_job - one request.
- * @ask: number of the round of reservations, names it to coordinators
- * @tried: engines that said no in this round
- * @cached: prompt tokens expected in the prefill engine's cache
+ * struct fw_job - a request in the router; see struct fw_route_ask for the
+ * fields taken from there.
+ * @round_id: identifies its last round of reservations to coordinators
+ * @round_sent_us: when reservations were last requested from peers
+ * @serving: hash of the model version, maybe with adapter, of the chosen pair
+ * @denied: ids of the engines denied in this round
+ * @retry_hint_us: shortest wait that a full engine named in this round
+ * @cached_tokens: prompt tokens expected, and once reported, found in the
+ *                 prefill engine's prefix cache
+ * @granted_us: when the pair was granted
+ * @prefilled: whether the prefill has been reported as computed
+ * @explanation: for fw_route_answer.why
+ * @reserving: in fw_router.reserving
  */
 struct fw_job {
     uint64_t ticket;
     enum fw_job_state state;
-    struct fw_class *class;
-    struct fw_queue_item item;
+    struct fw_model_queue *model_queue;
+    struct fw_queue_item queue_item;
     int64_t prompt_tokens;
     int64_t max_tokens;
     int64_t deadline_us;
     int64_t arrived_us;
-    int alone;
+    int exclusive;
     char **avoid;
     struct fw_prefixes prefixes;
-    uint64_t ask;
-    int64_t asked_us;
+    uint64_t round_id;
+    int64_t round_sent_us;
     uint64_t serving;
-    int n_tried;
-    uint64_t tried[FW_JOB_TRIED_MAX];
-    int64_t hint_us;
-    int64_t cached;
-    int64_t given_us;
+    int n_denied;
+    uint64_t denied[FW_JOB_TRIED_MAX];
+    int64_t retry_hint_us;
+    int64_t cached_tokens;
+    int64_t granted_us;
     int prefilled;
-    struct fw_part prefill;
-    struct fw_part decode;
-    char why[160];
-    struct fw_list seeking; /* in struct fw_router */
+    struct fw_reservation prefill;
+    struct fw_reservation decode;
+    char explanation[160];
+    struct fw_list reserving;
 };
 
 /**
- * struct fw_class - requests for one model, waiting for engines.
- * @paused_until_us: all engines said no: not asked again before then
- * @backoff_us: length of the next pause
- * @seeking: rounds under way
- * @gap_us: mean time between two grants while others waited, 0 unknown
+ * struct fw_model_queue - requests for one model that wait for engines.
+ * @paused_until_us: all engines were denied; no round starts before then
+ * @backoff_us: shortest length of the last pause, 0 after a grant
+ * @n_rounds: rounds of reservations in progress
+ * @grant_interval_us: mean time between grants while requests waited, 0 if
+ *                     unknown
+ * @backlogged: whether requests have been waiting since the last grant
  */
-struct fw_class {
+struct fw_model_queue {
     char model[FW_NAME_MAX];
     struct fw_queue queue;
     int64_t paused_until_us;
     int64_t backoff_us;
-    int seeking;
-    int64_t gap_us;
+    int n_rounds;
+    int64_t grant_interval_us;
     int64_t last_grant_us;
-    int waited;
+    int backlogged;
 };
 
-/** struct fw_ready - an answer that waits to be taken. */
-struct fw_ready {
-    struct fw_route_answer ans;
+/** struct fw_pending_answer - see Fw_Route_TakeAnswer(). */
+struct fw_pending_answer {
+    struct fw_route_answer answer;
     struct fw_list link;
 };
 
-/** struct fw_pool_index - engines of a pool, nearest to this instance first
- * by rendezvous hash. */
+/**
+ * struct fw_pool_index - engines of a pool by role, each in the order of
+ * their rendezvous hash with this instance.
+ */
 struct fw_pool_index {
     GPtrArray *prefill;
     GPtrArray *decode;
     GPtrArray *service;
 };
 
-/** struct fw_route_metrics - counters of the router. */
+/** struct fw_route_metrics - metrics of the router. */
 struct fw_route_metrics {
     struct fw_metric queued;
     struct fw_metric grants;
     struct fw_metric refusals;
     struct fw_metric rounds;
     struct fw_metric denials;
-    struct fw_metric silences;
+    struct fw_metric reply_timeouts;
     struct fw_metric polls;
     struct fw_metric cache_gaps;
-    struct fw_metric breakers;
+    struct fw_metric breaker_trips;
     struct fw_metric retries_refused;
 };
 
 /**
- * struct fw_router - queues and beliefs of one instance.
- * @engines: id to struct fw_engine; @order: the same, for rolling scans
- * @jobs: ticket to struct fw_job; @asks: round number to struct fw_job
- * @classes: model to struct fw_class
- * @index: pool to struct fw_pool_index, of @indexed_cfg at @indexed_offset
- * @ops: running calls to struct fw_engine
- * @usual_us: mean time of a call to a plain service
+ * struct fw_router - routing state of one instance.
+ * @self_id: identifies this run of the instance, as owner of reservations
+ *           held here and for rendezvous hashing
+ * @engines: id to struct fw_engine
+ * @engine_list: the same engines, in the order they became known
+ * @scan_pos: position in @engine_list of the scan for coordinated engines
+ * @n_coordinated: engines that this instance coordinates
+ * @jobs: ticket to struct fw_job
+ * @rounds: round id to struct fw_job
+ * @model_queues: model to struct fw_model_queue, with separate queues for
+ *                exclusive requests
+ * @pools: pool name to struct fw_pool_index, built from @indexed_cfg at
+ *         @indexed_offset
+ * @ops: calls in progress, to struct fw_engine
+ * @mean_call_us: mean time of a call to a plain service, 0 if unknown
+ * @reserving: jobs with a round in progress
+ * @answers: struct fw_pending_answer
+ * @prefixes: prefixes expected in the engines' caches
  */
 struct fw_router {
     struct fw_self self;
@@ -205,49 +253,53 @@
     struct fw_route_opts opts;
     GRand *rand;
     GHashTable *engines;
-    GPtrArray *order;
-    guint scan;
-    int n_mine;
-    int64_t scan_at_us;
+    GPtrArray *engine_list;
+    guint scan_pos;
+    int n_coordinated;
+    int64_t next_scan_us;
     GHashTable *jobs;
-    GHashTable *asks;
-    GHashTable *classes;
-    GHashTable *index;
+    GHashTable *rounds;
+    GHashTable *model_queues;
+    GHashTable *pools;
     const struct fw_config *indexed_cfg;
     uint64_t indexed_offset;
     GHashTable *ops;
-    int64_t usual_us;
+    int64_t mean_call_us;
     uint64_t next_op;
-    uint64_t next_ask;
-    struct fw_list seeking;
-    struct fw_list ready;
-    struct fw_retry retry;
+    uint64_t next_round_id;
+    struct fw_list reserving;
+    struct fw_list answers;
+    struct fw_retry_budget retry;
     struct fw_prefix_table prefixes;
     struct fw_route_metrics m;
 };
 
-/* index.c: which engines a pool has. */
+/* index.c: engines by pool. */
+/* Rebuilds the index if the configuration has changed. */
 void
 Fw_Index_Sync(struct fw_router *r, const struct fw_config *cfg);
+/* NULL if no upstream belongs to @pool. */
 const struct fw_pool_index *
 Fw_Index_Pool(const struct fw_router *r, const char *pool);
 
 /* engine_cmd.c */
+/* The engine of that name, created if unknown. */
 struct fw_engine *
 Fw_Engine_Get(struct fw_router *r, const char *name);
 void
-Fw_Engine_HearLeaving(struct fw_router *r,
+Fw_Engine_MarkLeaving(struct fw_router *r,
                       const struct fw_route_leaving *leaving, int64_t now_us);
 void
-Fw_Engine_HearVerdict(struct fw_engine *e, const struct fw_route_verdict *v,
+Fw_Engine_ApplyResult(struct fw_engine *e, const struct fw_reserve_result *v,
                       uint64_t serving, int64_t now_us);
 void
-Fw_Engine_HearLoad(struct fw_router *r, const struct fw_route_load *load,
-                   int64_t now_us);
-/* What was sent since a coordinator's figures is added to them. */
+Fw_Engine_UpdateLoad(struct fw_router *r, const struct fw_route_load *load,
+                     int64_t now_us);
+/* Adds a dispatched request to the load last reported for its engines. */
 void
-Fw_Engine_NoteSent(struct fw_engine *prefill, struct fw_engine *decode,
-                   int64_t compute_us, int64_t now_us);
+Fw_Engine_AddDispatched(struct fw_engine *prefill, struct fw_engine *decode,
+                        int64_t compute_us, int64_t now_us);
+/* Coordinator state of @e, created if there is none. */
 struct fw_coord *
 Fw_Engine_Coord(struct fw_engine *e);
 void
@@ -256,58 +308,68 @@
 /* engine_query.c */
 struct fw_engine *
 Fw_Engine_Find(const struct fw_router *r, uint64_t id);
-/* Key of its cache in the prefix table; changes when beliefs are voided. */
+/* Key of its entries in the prefix table; changes with its cache epoch. */
 uint64_t
 Fw_Engine_CacheKey(const struct fw_engine *e);
-/* Nonzero when any of list, own word and peers says so. */
+/* Nonzero if the platform's list, its load report or, recently, a peer says
+ * that it is leaving. */
 int
-Fw_Engine_Leaves(const struct fw_engine *e, int64_t now_us);
-/* Nonzero when this instance knows it itself and may pass it on. */
+Fw_Engine_IsLeaving(const struct fw_engine *e, int64_t now_us);
+/* Nonzero if the platform's list or its load report says that it is leaving.
+ * Only this is forwarded to peers, so that what they report expires. */
 int
-Fw_Engine_LeavesFirstHand(const struct fw_engine *e);
+Fw_Engine_IsConfirmedLeaving(const struct fw_engine *e);
 /**
- * Fw_Engine_Agrees - does the engine itself say that it serves @serving?
+ * Fw_Engine_CheckServes - does the engine serve @serving in that role, by its
+ * own load report or else by its coordinator's last result?
  *
- * Return: 1 yes, 0 no, -1 when it was not heard of lately.
+ * Return: 1 yes, 0 no, -1 if there is no recent information.
  */
 int
-Fw_Engine_Agrees(const struct fw_engine *e, uint64_t serving, int is_prefill,
-                 int64_t now_us);
-/* Decode slots believed free; @slots from the configuration. */
+Fw_Engine_CheckServes(const struct fw_engine *e, uint64_t serving,
+                      int is_prefill, int64_t now_us);
+/* Expected free decode slots; @slots is the configured number, used if there
+ * is no recent report. */
 int64_t
-Fw_Engine_Free(const struct fw_engine *e, int slots, int64_t now_us);
-/* Time until a new prefill would begin there. */
+Fw_Engine_FreeSlots(const struct fw_engine *e, int slots, int64_t now_us);
+/* Expected time until a new prefill would begin there. */
 int64_t
-Fw_Engine_Wait(const struct fw_engine *e, int64_t now_us);
+Fw_Engine_WaitUs(const struct fw_engine *e, int64_t now_us);
 
 /* coord_cmd.c */
+/* Updates which engines this instance coordinates, and polls those due. */
 void
 Fw_Coord_Scan(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
               struct fw_actions *out);
+/* Polls @e if it has not reported yet, and keeps its coordinator state. */
 void
 Fw_Coord_PollNow(struct fw_router *r, const struct fw_config *cfg,
                  struct fw_engine *e, int64_t now_us, struct fw_actions *out);
 void
 Fw_Coord_OnUp(struct fw_router *r, const struct fw_config *cfg,
               const struct fw_up_event *ev, int64_t now_us);
-/* Decides on @item for round @ask of @owner and books what it grants. */
+/* Decides on the reservation @item in round @round_id of @owner, and records
+ * it if granted. */
 void
-Fw_Coord_Answer(struct fw_router *r, const struct fw_config *cfg,
-                uint64_t owner, uint64_t ask, const struct fw_route_item *item,
-                int64_t now_us, struct fw_route_verdict *v,
-                struct fw_actions *out);
+Fw_Coord_Reserve(struct fw_router *r, const struct fw_config *cfg,
+                 uint64_t owner, uint64_t round_id,
+                 const struct fw_route_item *item, int64_t now_us,
+                 struct fw_reserve_result *v, struct fw_actions *out);
+/* Ends a reservation; @cached as in struct fw_route_release. */
 void
-Fw_Coord_Release(struct fw_engine *e, uint64_t owner, uint64_t ask,
+Fw_Coord_Release(struct fw_engine *e, uint64_t owner, uint64_t round_id,
                  int64_t cached, int64_t now_us);
 
 /* coord_query.c */
+/* Time between two load polls of an engine. */
 int64_t
-Fw_Coord_PollEvery(const struct fw_router *r);
+Fw_Coord_PollIntervalUs(const struct fw_router *r);
+/* Fills in the load of engines coordinated here, others in each round. */
 void
-Fw_Coord_Loads(const struct fw_router *r, const struct fw_config *cfg,
-               int64_t now_us, struct fw_route_reply *reply);
+Fw_Coord_FillLoads(const struct fw_router *r, const struct fw_config *cfg,
+                   int64_t now_us, struct fw_route_reply *reply);
 void
-Fw_Coord_Leaving(const struct fw_router *r, struct fw_route_leaving *out);
+Fw_Coord_FillLeaving(const struct fw_router *r, struct fw_route_leaving *out);
 
 /* serving.c */
 /**
@@ -320,75 +382,81 @@
     uint64_t serving;
 };
 #define FW_OFFERS_MAX 8
-/* Offers for "name" or "name+adapter", the newest of a pool first. */
+/* Finds the model versions for "name" or "name+adapter", the newest of a pool
+ * first. Return: their number. */
 int
 Fw_Serving_Offers(const struct fw_router *r, const struct fw_config *cfg,
                   const char *model, struct fw_offer offers[FW_OFFERS_MAX]);
 
 /* usable.c */
-/* Nonzero when @e may be given @job, its word on @serving unknown or yes. */
+/* Nonzero if @e is configured, not drained, not leaving and not in @avoid. */
 int
 Fw_Usable_Check(const struct fw_engine *e, const struct fw_upstream *u,
                 const char *const *avoid, int64_t now_us);
-/* Nonzero when an upstream in @avoid stands in @domain. */
+/* Nonzero if an upstream in @avoid is in the failure domain @domain. */
 int
-Fw_Usable_LostDomain(const struct fw_config *cfg, const char *const *avoid,
-                     const char *domain);
+Fw_Usable_InAvoidedDomain(const struct fw_config *cfg,
+                          const char *const *avoid, const char *domain);
 
-/* pair.c: choice of engines; changes nothing but the jobs' choice. */
+/* pair.c: choice of the cheapest pair; changes only the job. */
 /**
- * Fw_Pair_Choose - fills the parts of @job that are not yet granted.
+ * Fw_Pair_Choose - chooses engines for the reservations of @job that are not
+ * yet granted.
  *
- * Return: 0; -EAGAIN when all that serve have said no in this round; -ENOENT
- * when none serves.
+ * Return: 0; -EAGAIN if engines serve the model but all were denied in this
+ * round or have an open breaker; -ENOENT if no pair serves it.
  */
 int
 Fw_Pair_Choose(struct fw_router *r, const struct fw_config *cfg,
                struct fw_job *job, int64_t now_us);
 
-/* pick.c: the plain baselines, and servers of plain services. */
+/* baseline.c: baseline policies, and choice of servers of plain services. */
+/* Chooses and records a pair without coordinators. Return: 0, or -ENOENT. */
 int
-Fw_Pick_Pair(struct fw_router *r, const struct fw_config *cfg,
-             struct fw_job *job, int64_t now_us);
+Fw_Baseline_Choose(struct fw_router *r, const struct fw_config *cfg,
+                   struct fw_job *job, int64_t now_us);
 
-/* seek.c: rounds of reservations. */
+/* reserve.c: rounds of reservations. */
 void
-Fw_Seek_Start(struct fw_router *r, const struct fw_config *cfg,
-              struct fw_job *job, int64_t now_us, struct fw_actions *out);
+Fw_Reserve_Start(struct fw_router *r, const struct fw_config *cfg,
+                 struct fw_job *job, int64_t now_us, struct fw_actions *out);
 void
-Fw_Seek_OnReply(struct fw_router *r, const struct fw_config *cfg,
-                const struct fw_route_reply *reply, int64_t now_us,
-                struct fw_actions *out);
+Fw_Reserve_OnReply(struct fw_router *r, const struct fw_config *cfg,
+                   const struct fw_route_reply *reply, int64_t now_us,
+                   struct fw_actions *out);
 void
-Fw_Seek_Tick(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
-             struct fw_actions *out);
+Fw_Reserve_Tick(struct fw_router *r, const struct fw_config *cfg,
+                int64_t now_us, struct fw_actions *out);
 
-/* grant.c: what a round ends with, and what is given back. */
+/* grant.c: answers to requests, and release of reservations. */
 void
 Fw_Grant_Pair(struct fw_router *r, struct fw_job *job, int64_t now_us);
 void
 Fw_Grant_Refuse(struct fw_router *r, struct fw_job *job, const char *code,
                 int64_t retry_after_us);
-/* Gives the reservation of @part back to its coordinator. */
+/* Releases @part if it was granted or is pending. */
 void
-Fw_Grant_Release(struct fw_router *r, struct fw_job *job, struct fw_part *part,
-                 int64_t now_us, struct fw_actions *out);
-/* Tells the coordinator that the prefill is computed. */
+Fw_Grant_Release(struct fw_router *r, struct fw_job *job,
+                 struct fw_reservation *part, int64_t now_us,
+                 struct fw_actions *out);
+/* Reports to the coordinator that the prefill is computed. */
 void
-Fw_Grant_Computed(struct fw_router *r, struct fw_job *job, int64_t now_us,
-                  struct fw_actions *out);
-/* Takes @job out of everything and frees it. */
+Fw_Grant_CompletePrefill(struct fw_router *r, struct fw_job *job,
+                         int64_t now_us, struct fw_actions *out);
+/* Removes @job, releases its reservations and frees it. */
 void
-Fw_Grant_Drop(struct fw_router *r, struct fw_job *job, int64_t now_us,
-              struct fw_actions *out);
+Fw_Grant_FreeJob(struct fw_router *r, struct fw_job *job, int64_t now_us,
+                 struct fw_actions *out);
 
-/* pump.c: takes requests out of the queues while engines are to be had. */
+/* dispatch.c: admission, and start of rounds for queued requests. */
+/* Queues @job, refuses it, or with a baseline policy answers it at once. */
 void
-Fw_Pump_Add(struct fw_router *r, const struct fw_config *cfg,
-            struct fw_job *job, const struct fw_route_ask *ask, int64_t now_us,
-            struct fw_actions *out);
+Fw_Dispatch_Enqueue(struct fw_router *r, const struct fw_config *cfg,
+                    struct fw_job *job, const struct fw_route_ask *ask,
+                    int64_t now_us, struct fw_actions *out);
+/* Refuses expired requests and starts rounds for others. */
 void
-Fw_Pump_Run(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
-            struct fw_actions *out);
+Fw_Dispatch_Run(struct fw_router *r, const struct fw_config *cfg,
+                int64_t now_us, struct fw_actions *out);
 
 #endif
--- a/src/route/seek.c
+++ b/src/route/seek.c
@@ -9,21 +9,21 @@
 #include "base/hash.h"
 #include "route/router.h"
 
-#define FW_SILENCE_US (20 * FW_MSEC)
-#define FW_MUTE_US (500 * FW_MSEC)
-#define FW_PAUSE_MIN_US (10 * FW_MSEC)
-#define FW_PAUSE_MAX_US (120 * FW_MSEC)
-#define FW_REFUSED_AGAIN_US FW_SEC
+#define FW_REPLY_TIMEOUT_US (20 * FW_MSEC)
+#define FW_COORD_RETRY_US (500 * FW_MSEC)
+#define FW_QUEUE_BACKOFF_MIN_US (10 * FW_MSEC)
+#define FW_QUEUE_BACKOFF_MAX_US (120 * FW_MSEC)
+#define FW_REFUSED_RETRY_AFTER_US FW_SEC
 
 static int
-is_prefill(const struct fw_job *job, const struct fw_part *part)
+is_prefill(const struct fw_job *job, const struct fw_reservation *part)
 {
     return part == &job->prefill;
 }
 
 static void
 fill_item(const struct fw_config *cfg, const struct fw_job *job,
-          const struct fw_part *part, struct fw_route_item *it)
+          const struct fw_reservation *part, struct fw_route_item *it)
 {
     const struct fw_upstream *p =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
@@ -31,7 +31,7 @@
     *it = (struct fw_route_item){
         .engine = part->engine->id,
         .is_prefill = is_prefill(job, part),
-        .alone = job->alone,
+        .exclusive = job->exclusive,
         .serving = job->serving,
         .tokens = job->prompt_tokens,
     };
@@ -41,53 +41,54 @@
     }
     it->tokens += job->max_tokens;
     it->from = p ? (uint32_t)Fw_Hash_Str(p->domain) : 0;
-    it->transfer_us = job->decode.expect_us;
-    it->need_us =
-        job->prefill.wait_us + job->prefill.expect_us + job->decode.expect_us;
+    it->transfer_us = job->decode.service_us;
+    it->need_us = job->prefill.wait_us + job->prefill.service_us +
+                  job->decode.service_us;
 }
 
 /* What the coordinator knows of the cache replaces what was believed. */
 static void
 correct_cache(struct fw_router *r, const struct fw_config *cfg,
-              struct fw_job *job, const struct fw_route_verdict *v)
+              struct fw_job *job, const struct fw_reserve_result *v)
 {
     const struct fw_upstream *u =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
     uint64_t key = Fw_Engine_CacheKey(job->prefill.engine);
 
     for (int i = 0; i < job->prefixes.n; i++) {
-        if (Fw_Prefix_Tokens(i) > v->cached) {
-            Fw_Prefix_Forget(&r->prefixes, key, job->prefixes.hash[i]);
+        if (Fw_Prefix_LevelTokens(i) > v->cached) {
+            Fw_Prefix_Remove(&r->prefixes, key, job->prefixes.hash[i]);
         }
         else {
-            Fw_Prefix_Learn(&r->prefixes, key, job->prefixes.hash[i]);
+            Fw_Prefix_Add(&r->prefixes, key, job->prefixes.hash[i]);
         }
     }
-    job->cached = v->cached;
-    job->prefill.expect_us = Fw_Cost_PrefillUs(
+    job->cached_tokens = v->cached;
+    job->prefill.service_us = Fw_Cost_PrefillUs(
         job->prompt_tokens, v->cached, u ? MAX(u->prefill_rate, 1) : 1);
 }
 
 static void
 settle(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-       struct fw_part *part, const struct fw_route_verdict *v, int64_t now_us)
+       struct fw_reservation *part, const struct fw_reserve_result *v,
+       int64_t now_us)
 {
-    Fw_Engine_HearVerdict(part->engine, v, job->serving, now_us);
-    if (v->grant == FW_GRANT_YES) {
-        part->state = FW_PART_GRANTED;
+    Fw_Engine_ApplyResult(part->engine, v, job->serving, now_us);
+    if (v->status == FW_RESERVE_GRANTED) {
+        part->state = FW_RESERVATION_GRANTED;
         part->wait_us = v->wait_us;
         if (is_prefill(job, part)) {
             correct_cache(r, cfg, job, v);
         }
         return;
     }
-    part->state = FW_PART_DENIED;
+    part->state = FW_RESERVATION_DENIED;
     r->m.denials.value++;
-    if (job->n_tried < FW_JOB_TRIED_MAX) {
-        job->tried[job->n_tried++] = part->engine->id;
+    if (job->n_denied < FW_JOB_TRIED_MAX) {
+        job->denied[job->n_denied++] = part->engine->id;
     }
-    if (v->grant == FW_GRANT_FULL) {
-        job->hint_us = MIN(job->hint_us, v->wait_us);
+    if (v->status == FW_RESERVE_FULL) {
+        job->retry_hint_us = MIN(job->retry_hint_us, v->wait_us);
     }
 }
 
@@ -97,7 +98,7 @@
 {
     const struct fw_member *m;
 
-    if (now_us < e->mute_until_us) {
+    if (now_us < e->coord_down_until_us) {
         return NULL;
     }
     m = Fw_Fleet_Pick(r->fleet, e->id, 0);
@@ -106,19 +107,19 @@
 
 static void
 send_ask(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-         const struct fw_member *m, struct fw_part *const *parts, int n,
+         const struct fw_member *m, struct fw_reservation *const *parts, int n,
          struct fw_actions *out)
 {
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
-    struct fw_route_want *w = &msg.u.route.u.want;
+    struct fw_route_reserve *w = &msg.u.route.u.want;
 
     msg.u.route.kind = FW_ROUTE_ASK;
-    w->ask = job->ask;
+    w->ask = job->round_id;
     for (int i = 0; i < n; i++) {
         fill_item(cfg, job, parts[i], &w->item[w->n++]);
-        parts[i]->state = FW_PART_ASKED;
+        parts[i]->state = FW_RESERVATION_PENDING;
     }
-    Fw_Coord_Leaving(r, &w->leaving);
+    Fw_Coord_FillLeaving(r, &w->leaving);
     Fw_Actions_Send(out, m->name, m->addr, &msg);
 }
 
@@ -126,13 +127,13 @@
 ask_parts(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
           int64_t now_us, struct fw_actions *out)
 {
-    struct fw_part *open[2];
+    struct fw_reservation *open[2];
     const struct fw_member *peer[2];
-    struct fw_part *parts[] = {&job->prefill, &job->decode};
+    struct fw_reservation *parts[] = {&job->prefill, &job->decode};
     int n = 0;
 
     for (int i = 0; i < 2; i++) {
-        if (parts[i]->state == FW_PART_GRANTED) {
+        if (parts[i]->state == FW_RESERVATION_GRANTED) {
             continue;
         }
         peer[n] = peer_for(r, parts[i]->engine, now_us);
@@ -141,11 +142,11 @@
         }
         else {
             struct fw_route_item item;
-            struct fw_route_verdict v;
+            struct fw_reserve_result v;
 
             fill_item(cfg, job, parts[i], &item);
-            Fw_Coord_Answer(r, cfg, r->self_id, job->ask, &item, now_us, &v,
-                            out);
+            Fw_Coord_Reserve(r, cfg, r->self_id, job->round_id, &item, now_us,
+                             &v, out);
             settle(r, cfg, job, parts[i], &v, now_us);
         }
     }
@@ -162,8 +163,8 @@
 end_round(struct fw_router *r, struct fw_job *job, int64_t now_us,
           struct fw_actions *out)
 {
-    Fw_List_Remove(&job->seeking);
-    job->class->seeking--;
+    Fw_List_Remove(&job->reserving);
+    job->model_queue->n_rounds--;
     Fw_Grant_Release(r, job, &job->prefill, now_us, out);
     Fw_Grant_Release(r, job, &job->decode, now_us, out);
     job->state = FW_JOB_QUEUED;
@@ -173,14 +174,15 @@
 put_back(struct fw_router *r, struct fw_job *job, int64_t now_us,
          struct fw_actions *out)
 {
-    struct fw_class *c = job->class;
+    struct fw_model_queue *c = job->model_queue;
 
     end_round(r, job, now_us, out);
-    Fw_Queue_PutBack(&c->queue, &job->item);
-    c->waited = 1;
-    c->backoff_us = CLAMP(c->backoff_us * 2, FW_PAUSE_MIN_US, FW_PAUSE_MAX_US);
-    c->paused_until_us =
-        now_us + CLAMP(job->hint_us, c->backoff_us, FW_PAUSE_MAX_US);
+    Fw_Queue_PutBack(&c->queue, &job->queue_item);
+    c->backlogged = 1;
+    c->backoff_us = CLAMP(c->backoff_us * 2, FW_QUEUE_BACKOFF_MIN_US,
+                          FW_QUEUE_BACKOFF_MAX_US);
+    c->paused_until_us = now_us + CLAMP(job->retry_hint_us, c->backoff_us,
+                                        FW_QUEUE_BACKOFF_MAX_US);
     Fw_Actions_Wake(out, c->paused_until_us);
 }
 
@@ -188,20 +190,20 @@
 refuse(struct fw_router *r, struct fw_job *job, const char *code,
        int64_t now_us, struct fw_actions *out)
 {
-    Fw_Grant_Refuse(r, job, code, FW_REFUSED_AGAIN_US);
-    Fw_Grant_Drop(r, job, now_us, out);
+    Fw_Grant_Refuse(r, job, code, FW_REFUSED_RETRY_AFTER_US);
+    Fw_Grant_FreeJob(r, job, now_us, out);
 }
 
 static void
 finish(struct fw_router *r, struct fw_job *job, int64_t now_us,
        struct fw_actions *out)
 {
-    if (now_us + job->prefill.wait_us > job->item.latest_us) {
+    if (now_us + job->prefill.wait_us > job->queue_item.latest_us) {
         refuse(r, job, "overloaded", now_us, out);
         return;
     }
-    Fw_List_Remove(&job->seeking);
-    job->class->seeking--;
+    Fw_List_Remove(&job->reserving);
+    job->model_queue->n_rounds--;
     Fw_Grant_Pair(r, job, now_us);
 }
 
@@ -210,7 +212,7 @@
         int64_t now_us, struct fw_actions *out)
 {
     for (;;) {
-        int rc = job->n_tried < FW_JOB_TRIED_MAX
+        int rc = job->n_denied < FW_JOB_TRIED_MAX
                      ? Fw_Pair_Choose(r, cfg, job, now_us)
                      : -EAGAIN;
 
@@ -223,14 +225,14 @@
             return;
         }
         ask_parts(r, cfg, job, now_us, out);
-        if (job->prefill.state == FW_PART_ASKED ||
-            job->decode.state == FW_PART_ASKED) {
-            job->asked_us = now_us;
-            Fw_Actions_Wake(out, now_us + FW_SILENCE_US);
+        if (job->prefill.state == FW_RESERVATION_PENDING ||
+            job->decode.state == FW_RESERVATION_PENDING) {
+            job->round_sent_us = now_us;
+            Fw_Actions_Wake(out, now_us + FW_REPLY_TIMEOUT_US);
             return;
         }
-        if (job->prefill.state == FW_PART_GRANTED &&
-            job->decode.state == FW_PART_GRANTED) {
+        if (job->prefill.state == FW_RESERVATION_GRANTED &&
+            job->decode.state == FW_RESERVATION_GRANTED) {
             finish(r, job, now_us, out);
             return;
         }
@@ -238,46 +240,46 @@
 }
 
 void
-Fw_Seek_Start(struct fw_router *r, const struct fw_config *cfg,
-              struct fw_job *job, int64_t now_us, struct fw_actions *out)
+Fw_Reserve_Start(struct fw_router *r, const struct fw_config *cfg,
+                 struct fw_job *job, int64_t now_us, struct fw_actions *out)
 {
-    if (job->ask) {
-        g_hash_table_remove(r->asks, &job->ask);
+    if (job->round_id) {
+        g_hash_table_remove(r->rounds, &job->round_id);
     }
-    job->ask = ++r->next_ask;
-    g_hash_table_insert(r->asks, &job->ask, job);
-    job->state = FW_JOB_SEEKING;
-    job->n_tried = 0;
-    job->hint_us = FW_PAUSE_MAX_US;
-    job->prefill = (struct fw_part){0};
-    job->decode = (struct fw_part){0};
-    job->class->seeking++;
-    Fw_List_Append(&r->seeking, &job->seeking);
+    job->round_id = ++r->next_round_id;
+    g_hash_table_insert(r->rounds, &job->round_id, job);
+    job->state = FW_JOB_RESERVING;
+    job->n_denied = 0;
+    job->retry_hint_us = FW_QUEUE_BACKOFF_MAX_US;
+    job->prefill = (struct fw_reservation){0};
+    job->decode = (struct fw_reservation){0};
+    job->model_queue->n_rounds++;
+    Fw_List_Append(&r->reserving, &job->reserving);
     r->m.rounds.value++;
     advance(r, cfg, job, now_us, out);
 }
 
 /* A yes that nobody waits for any more: it would lapse by itself, later. */
 static void
-give_back(struct fw_router *r, const struct fw_route_verdict *v, uint64_t ask,
-          int64_t now_us, struct fw_actions *out)
+give_back(struct fw_router *r, const struct fw_reserve_result *v,
+          uint64_t round_id, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_part part = {.engine = Fw_Engine_Find(r, v->engine),
-                           .state = FW_PART_GRANTED};
-    struct fw_job job = {.ask = ask};
+    struct fw_reservation part = {.engine = Fw_Engine_Find(r, v->engine),
+                                  .state = FW_RESERVATION_GRANTED};
+    struct fw_job job = {.round_id = round_id};
 
-    if (part.engine && v->grant == FW_GRANT_YES) {
+    if (part.engine && v->status == FW_RESERVE_GRANTED) {
         Fw_Grant_Release(r, &job, &part, now_us, out);
     }
 }
 
-static struct fw_part *
+static struct fw_reservation *
 part_waiting(struct fw_job *job, uint64_t engine)
 {
-    struct fw_part *parts[] = {&job->prefill, &job->decode};
+    struct fw_reservation *parts[] = {&job->prefill, &job->decode};
 
     for (int i = 0; i < 2; i++) {
-        if (parts[i]->state == FW_PART_ASKED &&
+        if (parts[i]->state == FW_RESERVATION_PENDING &&
             parts[i]->engine->id == engine) {
             return parts[i];
         }
@@ -286,18 +288,19 @@
 }
 
 void
-Fw_Seek_OnReply(struct fw_router *r, const struct fw_config *cfg,
-                const struct fw_route_reply *reply, int64_t now_us,
-                struct fw_actions *out)
+Fw_Reserve_OnReply(struct fw_router *r, const struct fw_config *cfg,
+                   const struct fw_route_reply *reply, int64_t now_us,
+                   struct fw_actions *out)
 {
-    struct fw_job *job = g_hash_table_lookup(r->asks, &reply->ask);
+    struct fw_job *job = g_hash_table_lookup(r->rounds, &reply->ask);
 
     for (int i = 0; i < reply->n_loads; i++) {
-        Fw_Engine_HearLoad(r, &reply->load[i], now_us);
+        Fw_Engine_UpdateLoad(r, &reply->load[i], now_us);
     }
     for (int i = 0; i < reply->n; i++) {
-        const struct fw_route_verdict *v = &reply->verdict[i];
-        struct fw_part *part = job ? part_waiting(job, v->engine) : NULL;
+        const struct fw_reserve_result *v = &reply->verdict[i];
+        struct fw_reservation *part =
+            job ? part_waiting(job, v->engine) : NULL;
 
         if (part) {
             settle(r, cfg, job, part, v, now_us);
@@ -306,13 +309,13 @@
             give_back(r, v, reply->ask, now_us, out);
         }
     }
-    if (!job || job->state != FW_JOB_SEEKING ||
-        job->prefill.state == FW_PART_ASKED ||
-        job->decode.state == FW_PART_ASKED) {
+    if (!job || job->state != FW_JOB_RESERVING ||
+        job->prefill.state == FW_RESERVATION_PENDING ||
+        job->decode.state == FW_RESERVATION_PENDING) {
         return;
     }
-    if (job->prefill.state == FW_PART_GRANTED &&
-        job->decode.state == FW_PART_GRANTED) {
+    if (job->prefill.state == FW_RESERVATION_GRANTED &&
+        job->decode.state == FW_RESERVATION_GRANTED) {
         finish(r, job, now_us, out);
         return;
     }
@@ -320,28 +323,29 @@
 }
 
 static void
-give_up_waiting(struct fw_router *r, struct fw_job *job, struct fw_part *part,
-                int64_t now_us, struct fw_actions *out)
+give_up_waiting(struct fw_router *r, struct fw_job *job,
+                struct fw_reservation *part, int64_t now_us,
+                struct fw_actions *out)
 {
-    if (part->state == FW_PART_ASKED) {
+    if (part->state == FW_RESERVATION_PENDING) {
         Fw_Grant_Release(r, job, part, now_us, out);
-        part->engine->mute_until_us = now_us + FW_MUTE_US;
-        r->m.silences.value++;
+        part->engine->coord_down_until_us = now_us + FW_COORD_RETRY_US;
+        r->m.reply_timeouts.value++;
     }
 }
 
 void
-Fw_Seek_Tick(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
-             struct fw_actions *out)
+Fw_Reserve_Tick(struct fw_router *r, const struct fw_config *cfg,
+                int64_t now_us, struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &r->seeking) {
-        struct fw_job *job = FW_LIST_ENTRY(pos, struct fw_job, seeking);
+    FW_LIST_EACH_SAFE (pos, tmp, &r->reserving) {
+        struct fw_job *job = FW_LIST_ENTRY(pos, struct fw_job, reserving);
 
-        if (now_us - job->asked_us < FW_SILENCE_US) {
-            Fw_Actions_Wake(out, job->asked_us + FW_SILENCE_US);
+        if (now_us - job->round_sent_us < FW_REPLY_TIMEOUT_US) {
+            Fw_Actions_Wake(out, job->round_sent_us + FW_REPLY_TIMEOUT_US);
             continue;
         }
         give_up_waiting(r, job, &job->prefill, now_us, out);
--- a/src/route/slots_cmd.c
+++ b/src/route/slots_cmd.c
@@ -4,14 +4,14 @@
 #include "route/slots.h"
 
 /* A slot that was promised is in use this long after it was due, at most. */
-#define FW_HOLD_LATE_US (2 * FW_SEC)
+#define FW_HOLD_START_GRACE_US (2 * FW_SEC)
 /* Given back sooner than this, a slot was never decoded in: that says nothing
  * about how soon others come free. */
-#define FW_HOLD_SHORT_US (300 * FW_MSEC)
+#define FW_HOLD_SAMPLE_MIN_US (300 * FW_MSEC)
 
 /* A report that claims more is broken; sums must not run over. */
-#define FW_SLOTS_SANE 100000
-#define FW_TOKENS_SANE (1LL << 40)
+#define FW_REPORT_SLOTS_MAX 100000
+#define FW_REPORT_TOKENS_MAX (1LL << 40)
 
 void
 Fw_Slots_Init(struct fw_slots *s)
@@ -53,7 +53,7 @@
 static void
 drop_stale(struct fw_slots *s, int64_t at_us, int busy)
 {
-    int64_t due_us = at_us - FW_HOLD_LATE_US;
+    int64_t due_us = at_us - FW_HOLD_START_GRACE_US;
     struct fw_list *pos;
     struct fw_list *tmp;
     int expected = 0;
@@ -76,31 +76,31 @@
 }
 
 void
-Fw_Slots_Report(struct fw_slots *s, const struct fw_up_report *rep,
-                int64_t at_us)
+Fw_Slots_ApplyReport(struct fw_slots *s, const struct fw_up_report *rep,
+                     int64_t at_us)
 {
-    int busy = CLAMP(rep->busy, 0, FW_SLOTS_SANE);
+    int busy = CLAMP(rep->busy, 0, FW_REPORT_SLOTS_MAX);
     struct fw_list *pos;
 
-    if (at_us < s->at_us) {
+    if (at_us < s->report_us) {
         return;
     }
     drop_stale(s, at_us, busy);
-    s->at_us = at_us;
-    s->total = CLAMP(rep->slots, 0, FW_SLOTS_SANE);
-    s->kv_total = CLAMP(rep->kv_total, 0, FW_TOKENS_SANE);
-    s->extra = busy;
-    s->extra_kv = CLAMP(rep->kv_used, 0, FW_TOKENS_SANE);
+    s->report_us = at_us;
+    s->total = CLAMP(rep->slots, 0, FW_REPORT_SLOTS_MAX);
+    s->kv_total_tokens = CLAMP(rep->kv_total, 0, FW_REPORT_TOKENS_MAX);
+    s->other_busy = busy;
+    s->other_kv_tokens = CLAMP(rep->kv_used, 0, FW_REPORT_TOKENS_MAX);
     FW_LIST_EACH (pos, &s->holds) {
         const struct fw_hold *h = FW_LIST_ENTRY(pos, struct fw_hold, link);
 
         if (in_use(h, at_us, at_us)) {
-            s->extra--;
-            s->extra_kv -= h->tokens;
+            s->other_busy--;
+            s->other_kv_tokens -= h->tokens;
         }
     }
-    s->extra = MAX(s->extra, 0);
-    s->extra_kv = MAX(s->extra_kv, 0);
+    s->other_busy = MAX(s->other_busy, 0);
+    s->other_kv_tokens = MAX(s->other_kv_tokens, 0);
 }
 
 void
@@ -116,16 +116,18 @@
 static void
 note_gap(struct fw_slots *s, int64_t now_us)
 {
-    int64_t gap = MIN(now_us - s->released_us, FW_SEC);
+    int64_t gap = MIN(now_us - s->last_release_us, FW_SEC);
 
-    if (s->released_us) {
-        s->gap_us = s->gap_us ? (s->gap_us * 7 + gap) / 8 : gap;
+    if (s->last_release_us) {
+        s->release_interval_us = s->release_interval_us
+                                     ? (s->release_interval_us * 7 + gap) / 8
+                                     : gap;
     }
-    s->released_us = now_us;
+    s->last_release_us = now_us;
 }
 
 int
-Fw_Slots_Release(struct fw_slots *s, uint64_t owner, uint64_t ask,
+Fw_Slots_Release(struct fw_slots *s, uint64_t owner, uint64_t round_id,
                  int64_t now_us)
 {
     struct fw_list *pos;
@@ -133,10 +135,10 @@
     FW_LIST_EACH (pos, &s->holds) {
         struct fw_hold *h = FW_LIST_ENTRY(pos, struct fw_hold, link);
 
-        if (h->owner != owner || h->ask != ask || h->released_us) {
+        if (h->owner != owner || h->round_id != round_id || h->released_us) {
             continue;
         }
-        if (now_us - h->need_us > FW_HOLD_SHORT_US) {
+        if (now_us - h->need_us > FW_HOLD_SAMPLE_MIN_US) {
             note_gap(s, now_us);
         }
         /* Kept: a report of a time before this may yet come, and count it. */
--- a/src/route/slots_query.c
+++ b/src/route/slots_query.c
@@ -12,7 +12,7 @@
 Fw_Slots_Busy(const struct fw_slots *s)
 {
     const struct fw_list *pos;
-    int busy = s->extra;
+    int busy = s->other_busy;
 
     FW_LIST_EACH (pos, &s->holds) {
         busy += !FW_LIST_ENTRY(pos, struct fw_hold, link)->released_us;
@@ -30,9 +30,9 @@
 Fw_Slots_Fits(const struct fw_slots *s, int64_t tokens)
 {
     const struct fw_list *pos;
-    int64_t used = s->extra_kv + tokens;
+    int64_t used = s->other_kv_tokens + tokens;
 
-    if (s->kv_total == 0) {
+    if (s->kv_total_tokens == 0) {
         return 1;
     }
     FW_LIST_EACH (pos, &s->holds) {
@@ -40,18 +40,18 @@
 
         used += h->released_us ? 0 : h->tokens;
     }
-    return used <= s->kv_total;
+    return used <= s->kv_total_tokens;
 }
 
 int
-Fw_Slots_Alone(const struct fw_slots *s)
+Fw_Slots_IsExclusive(const struct fw_slots *s)
 {
     const struct fw_list *pos;
 
     FW_LIST_EACH (pos, &s->holds) {
         const struct fw_hold *h = FW_LIST_ENTRY(pos, struct fw_hold, link);
 
-        if (h->alone && !h->released_us) {
+        if (h->exclusive && !h->released_us) {
             return 1;
         }
     }
--- a/src/route/usable.c
+++ b/src/route/usable.c
@@ -6,15 +6,15 @@
 Fw_Usable_Check(const struct fw_engine *e, const struct fw_upstream *u,
                 const char *const *avoid, int64_t now_us)
 {
-    if (!u || u->drained || Fw_Engine_Leaves(e, now_us)) {
+    if (!u || u->drained || Fw_Engine_IsLeaving(e, now_us)) {
         return 0;
     }
     return !avoid || !g_strv_contains(avoid, u->name);
 }
 
 int
-Fw_Usable_LostDomain(const struct fw_config *cfg, const char *const *avoid,
-                     const char *domain)
+Fw_Usable_InAvoidedDomain(const struct fw_config *cfg,
+                          const char *const *avoid, const char *domain)
 {
     for (int i = 0; avoid && avoid[i]; i++) {
         const struct fw_upstream *u =
--- a/tests/route/test_policy.c
+++ b/tests/route/test_policy.c
@@ -37,11 +37,11 @@
     const struct fw_up_report first = {.slots = 20,
                                        .busy = slot_rows[_i].busy};
     struct fw_hold hold = {
-        .owner = 1, .ask = 2, .need_us = slot_rows[_i].need_ms * FW_MSEC};
+        .owner = 1, .round_id = 2, .need_us = slot_rows[_i].need_ms * FW_MSEC};
     struct fw_slots s;
 
     Fw_Slots_Init(&s);
-    Fw_Slots_Report(&s, &first, 500 * FW_MSEC);
+    Fw_Slots_ApplyReport(&s, &first, 500 * FW_MSEC);
     if (hold.need_us) {
         Fw_Slots_Hold(&s, &hold);
     }
@@ -50,7 +50,7 @@
             Fw_Slots_Release(&s, 1, 2, slot_rows[_i].released_ms * FW_MSEC));
     }
     if (slot_rows[_i].report_ms) {
-        Fw_Slots_Report(&s, &first, slot_rows[_i].report_ms * FW_MSEC);
+        Fw_Slots_ApplyReport(&s, &first, slot_rows[_i].report_ms * FW_MSEC);
     }
     ck_assert_msg(Fw_Slots_Busy(&s) == slot_rows[_i].want, "%s: %d",
                   slot_rows[_i].what, Fw_Slots_Busy(&s));
@@ -65,11 +65,11 @@
     const struct fw_up_report rep = {
         .slots = 20, .busy = 1, .kv_used = 6000, .kv_total = 10000};
     struct fw_hold hold = {
-        .owner = 1, .ask = 1, .tokens = 3000, .need_us = FW_SEC};
+        .owner = 1, .round_id = 1, .tokens = 3000, .need_us = FW_SEC};
     struct fw_slots s;
 
     Fw_Slots_Init(&s);
-    Fw_Slots_Report(&s, &rep, 500 * FW_MSEC);
+    Fw_Slots_ApplyReport(&s, &rep, 500 * FW_MSEC);
     ck_assert(Fw_Slots_Fits(&s, 4000));
     Fw_Slots_Hold(&s, &hold);
     ck_assert(!Fw_Slots_Fits(&s, 1001));
@@ -87,34 +87,34 @@
 {
     struct fw_backlog b = {0};
     struct fw_backlog_item it = {.owner = 1,
-                                 .ask = 1,
-                                 .at_us = 1100 * FW_MSEC,
+                                 .round_id = 1,
+                                 .granted_us = 1100 * FW_MSEC,
                                  .tokens = 2000,
                                  .compute_us = 100 * FW_MSEC};
 
     /* Someone else's work, by the report. */
-    Fw_Backlog_Report(&b, FW_SEC, 2000, 10000);
-    ck_assert_int_eq(Fw_Backlog_Wait(&b, 1100 * FW_MSEC), 100 * FW_MSEC);
+    Fw_Backlog_ApplyReport(&b, FW_SEC, 2000, 10000);
+    ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1100 * FW_MSEC), 100 * FW_MSEC);
     Fw_Backlog_Add(&b, &it);
-    ck_assert_int_eq(Fw_Backlog_Wait(&b, 1100 * FW_MSEC), 200 * FW_MSEC);
-    it.ask = 2;
-    it.at_us = 1150 * FW_MSEC;
+    ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1100 * FW_MSEC), 200 * FW_MSEC);
+    it.round_id = 2;
+    it.granted_us = 1150 * FW_MSEC;
     Fw_Backlog_Add(&b, &it);
     /* Both grants are in this report and nothing else. */
-    Fw_Backlog_Report(&b, 1180 * FW_MSEC, 4000, 10000);
-    ck_assert_int_eq(Fw_Backlog_Wait(&b, 1200 * FW_MSEC), 100 * FW_MSEC);
+    Fw_Backlog_ApplyReport(&b, 1180 * FW_MSEC, 4000, 10000);
+    ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1200 * FW_MSEC), 100 * FW_MSEC);
     /* The first is told computed; a late report still has it. */
-    ck_assert(Fw_Backlog_Done(&b, 1, 1, 1210 * FW_MSEC) != NULL);
-    Fw_Backlog_Report(&b, 1200 * FW_MSEC, 4000, 10000);
-    ck_assert_int_eq(Fw_Backlog_Wait(&b, 1250 * FW_MSEC), 60 * FW_MSEC);
+    ck_assert(Fw_Backlog_Complete(&b, 1, 1, 1210 * FW_MSEC) != NULL);
+    Fw_Backlog_ApplyReport(&b, 1200 * FW_MSEC, 4000, 10000);
+    ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1250 * FW_MSEC), 60 * FW_MSEC);
     /* The asker of the second died: the engine has nothing left. */
-    Fw_Backlog_Report(&b, 1300 * FW_MSEC, 0, 10000);
-    ck_assert_int_eq(Fw_Backlog_Wait(&b, 1300 * FW_MSEC), 0);
+    Fw_Backlog_ApplyReport(&b, 1300 * FW_MSEC, 0, 10000);
+    ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1300 * FW_MSEC), 0);
     ck_assert_int_eq(b.n, 0);
     Fw_Backlog_Add(&b, &it);
     Fw_Backlog_Remove(&b, 1, 2);
     ck_assert_int_eq(b.n, 0);
-    ck_assert(Fw_Backlog_Done(&b, 1, 2, FW_SEC) == NULL);
+    ck_assert(Fw_Backlog_Complete(&b, 1, 2, FW_SEC) == NULL);
 }
 END_TEST
 
@@ -153,10 +153,11 @@
             now += FW_SEC;
             continue;
         }
-        Fw_Breaker_Sent(&b, now);
-        opened += *c == 'f' ? Fw_Breaker_Fail(&b, now)
-                            : Fw_Breaker_Ok(&b, *c == 's' ? FW_SEC : 1000,
-                                            10 * FW_MSEC, now);
+        Fw_Breaker_RecordRequest(&b, now);
+        opened += *c == 'f'
+                      ? Fw_Breaker_RecordFailure(&b, now)
+                      : Fw_Breaker_RecordSuccess(&b, *c == 's' ? FW_SEC : 1000,
+                                                 10 * FW_MSEC, now);
     }
     ck_assert_msg(Fw_Breaker_Allows(&b, now) == breaker_rows[_i].allows, "%s",
                   breaker_rows[_i].what);
@@ -171,7 +172,7 @@
  */
 START_TEST(retries_are_a_share_of_traffic)
 {
-    struct fw_retry b;
+    struct fw_retry_budget b;
     int spent = 0;
 
     Fw_Retry_Init(&b, 100);
@@ -189,7 +190,7 @@
 
 static const struct {
     const char *what;
-    struct fw_admit a;
+    struct fw_admission a;
     int64_t want_ms;
 } admit_rows[] = {
     {"target less its own service",
@@ -222,7 +223,7 @@
 
 START_TEST(admission_knows_the_latest_start)
 {
-    ck_assert_msg(Fw_Admit_LatestUs(&admit_rows[_i].a) ==
+    ck_assert_msg(Fw_Admit_LatestStartUs(&admit_rows[_i].a) ==
                       admit_rows[_i].want_ms * FW_MSEC,
                   "%s", admit_rows[_i].what);
 }
@@ -235,15 +236,15 @@
     GBytes *prompt = g_bytes_new_take(text, 5000);
     struct fw_prefixes p;
 
-    Fw_Prefix_Of(prompt, &p);
+    Fw_Prefix_Hash(prompt, &p);
     ck_assert_int_eq(p.n, 3);
-    ck_assert_int_eq(Fw_Prefix_Cached(t, 1, &p), 0);
-    Fw_Prefix_Learn(t, 1, p.hash[0]);
-    Fw_Prefix_Learn(t, 1, p.hash[1]);
-    ck_assert_int_eq(Fw_Prefix_Cached(t, 1, &p), 512);
-    ck_assert_int_eq(Fw_Prefix_Cached(t, 2, &p), 0);
-    Fw_Prefix_Forget(t, 1, p.hash[1]);
-    ck_assert_int_eq(Fw_Prefix_Cached(t, 1, &p), 256);
+    ck_assert_int_eq(Fw_Prefix_CachedTokens(t, 1, &p), 0);
+    Fw_Prefix_Add(t, 1, p.hash[0]);
+    Fw_Prefix_Add(t, 1, p.hash[1]);
+    ck_assert_int_eq(Fw_Prefix_CachedTokens(t, 1, &p), 512);
+    ck_assert_int_eq(Fw_Prefix_CachedTokens(t, 2, &p), 0);
+    Fw_Prefix_Remove(t, 1, p.hash[1]);
+    ck_assert_int_eq(Fw_Prefix_CachedTokens(t, 1, &p), 256);
     g_bytes_unref(prompt);
     g_free(t);
 }
@@ -292,8 +293,8 @@
     queued(&q, "b", 1000, 101);
     queued(&q, "c", 500, 102);
     queued(&q, "c", 500, 103);
-    ck_assert_int_eq(Fw_Queue_Ahead(&q, "d", 200), 3);
-    ck_assert_int_eq(Fw_Queue_Ahead(&q, "A", 200), 14);
+    ck_assert_int_eq(Fw_Queue_CountAhead(&q, "d", 200), 3);
+    ck_assert_int_eq(Fw_Queue_CountAhead(&q, "A", 200), 14);
     order = drain(&q);
     ck_assert_str_eq(order, "AbccAbAAAAAAAA");
     g_free(order);
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -109,7 +109,7 @@
     stage_ask(s, asker, 1, "a", 100, NULL);
     stage_run(s, 400 * FW_MSEC);
     ck_assert_msg(strstr(s->seen->str, "> d0\n"), "%s", s->seen->str);
-    ck_assert_int_gt(s->router[asker]->m.silences.value, 0);
+    ck_assert_int_gt(s->router[asker]->m.reply_timeouts.value, 0);
     stage_free(s);
 }
 END_TEST
@@ -154,10 +154,11 @@
     s->lose_replies = 0;
     stage_run(s, 2 * FW_SEC);
     for (int i = 0; i < 2; i++) {
-        for (guint k = 0; k < s->router[i]->order->len; k++) {
-            const struct fw_engine *e = s->router[i]->order->pdata[k];
+        for (guint k = 0; k < s->router[i]->engine_list->len; k++) {
+            const struct fw_engine *e = s->router[i]->engine_list->pdata[k];
 
-            held += e->mine && e->coord && Fw_Slots_Busy(&e->coord->slots);
+            held +=
+                e->coordinated && e->coord && Fw_Slots_Busy(&e->coord->slots);
         }
     }
     ck_assert_int_eq(held, 0);
@@ -239,14 +240,16 @@
         (struct fw_up_cache_batch){.n = 1, .next_seq = 2, .events = first};
     stage_run(s, 5 * FW_SEC);
     ck_assert_int_gt(
-        Fw_Prefix_Cached(&r->prefixes, Fw_Engine_CacheKey(e), &seven), 0);
+        Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(e), &seven),
+        0);
     route_env_engine(s, "p0")->cache =
         (struct fw_up_cache_batch){.n = 1, .next_seq = 5, .events = later};
     stage_run(s, 5 * FW_SEC);
     ck_assert_int_eq(
-        Fw_Prefix_Cached(&r->prefixes, Fw_Engine_CacheKey(e), &seven), 0);
+        Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(e), &seven),
+        0);
     ck_assert_int_gt(
-        Fw_Prefix_Cached(&r->prefixes, Fw_Engine_CacheKey(e), &nine), 0);
+        Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(e), &nine), 0);
     stage_free(s);
 }
 END_TEST
