--- a/src/route/book.c
+++ b/src/route/book.c
@@ -1,21 +1,22 @@
-/* A coordinator's word on one reservation, and the booking of it. */
+/* Coordinator: grants or denies a reservation and records it. */
 #include "route/router.h"
 
 /*
- * Prefill waiting at an engine is kept short: what waits there can't be put
- * in the order of fairness any more. Long enough that the engine never idles
- * between two grants.
+ * Prefill queued at an engine, above which no more is granted. Kept short
+ * because fair queueing no longer applies to it, but long enough that the
+ * engine does not idle between grants.
  */
 #define FW_PREFILL_BACKLOG_MAX_US (150 * FW_MSEC)
-/* A KV that waits for the link longer than this may have lapsed. */
+/* Longest time for which a KV may wait for the link and be transferred; the
+ * prefill engine may have dropped it after that. */
 #define FW_KV_TRANSFER_MAX_US (700 * FW_MSEC)
-/* What an engine takes for the shortest of prompts. */
+/* Prefill time independent of the number of tokens. */
 #define FW_PREFILL_OVERHEAD_US (3 * FW_MSEC)
 #define FW_FULL_RETRY_US (30 * FW_MSEC)
 
 static void
-hold_alone(struct fw_slots *s, uint64_t owner, uint64_t round_id,
-           int64_t now_us)
+hold_exclusive(struct fw_slots *s, uint64_t owner, uint64_t round_id,
+               int64_t now_us)
 {
     struct fw_hold hold = {.owner = owner,
                            .round_id = round_id,
@@ -26,10 +27,10 @@
 }
 
 static void
-book_prefill(struct fw_router *r, struct fw_engine *e,
-             const struct fw_upstream *u, uint64_t owner, uint64_t round_id,
-             const struct fw_route_item *item, int64_t now_us,
-             struct fw_reserve_result *v)
+reserve_prefill(struct fw_router *r, struct fw_engine *e,
+                const struct fw_upstream *u, uint64_t owner, uint64_t round_id,
+                const struct fw_route_item *item, int64_t now_us,
+                struct fw_reserve_result *v)
 {
     struct fw_coord *c = e->coord;
     struct fw_backlog_item work = {
@@ -57,7 +58,7 @@
 
     Fw_Backlog_Add(&c->backlog, &work);
     if (item->exclusive) {
-        hold_alone(&c->slots, owner, round_id, now_us);
+        hold_exclusive(&c->slots, owner, round_id, now_us);
     }
     for (int i = 0; i < item->prefixes.n; i++) {
         Fw_Prefix_Add(&r->prefixes, Fw_Engine_CacheKey(e),
@@ -65,39 +66,41 @@
     }
 }
 
+/* The link from that domain; if there is none yet, it takes the place of the
+ * one that is free the earliest. */
 static struct fw_kv_link *
-wire_of(struct fw_coord *c, uint64_t from)
+find_link(struct fw_coord *c, uint64_t from_domain)
 {
-    struct fw_kv_link *oldest = &c->links[0];
+    struct fw_kv_link *idlest = &c->links[0];
 
     for (int i = 0; i < FW_COORD_LINKS; i++) {
-        if (c->links[i].from_domain == from) {
+        if (c->links[i].from_domain == from_domain) {
             return &c->links[i];
         }
-        if (c->links[i].busy_until_us < oldest->busy_until_us) {
-            oldest = &c->links[i];
+        if (c->links[i].busy_until_us < idlest->busy_until_us) {
+            idlest = &c->links[i];
         }
     }
-    *oldest = (struct fw_kv_link){.from_domain = from};
-    return oldest;
+    *idlest = (struct fw_kv_link){.from_domain = from_domain};
+    return idlest;
 }
 
 static void
-book_decode(struct fw_engine *e, uint64_t owner, uint64_t round_id,
-            const struct fw_route_item *item, int64_t now_us,
-            struct fw_reserve_result *v)
+reserve_decode(struct fw_engine *e, uint64_t owner, uint64_t round_id,
+               const struct fw_route_item *item, int64_t now_us,
+               struct fw_reserve_result *v)
 {
     struct fw_coord *c = e->coord;
-    struct fw_kv_link *w = wire_of(c, item->from);
+    struct fw_kv_link *link = find_link(c, item->from);
     int64_t need_us = now_us + item->need_us;
     int64_t ready_us = MAX(need_us - item->transfer_us, now_us);
-    int64_t link_us = MAX(w->busy_until_us - ready_us, 0);
+    int64_t link_wait_us = MAX(link->busy_until_us - ready_us, 0);
     struct fw_hold hold = {.owner = owner,
                            .round_id = round_id,
                            .tokens = item->tokens,
                            .exclusive = item->exclusive};
 
-    hold.need_us = need_us + link_us;
+    hold.need_us = need_us + link_wait_us;
     v->free_slots = Fw_Slots_Free(&c->slots);
     v->status = FW_RESERVE_FULL;
     v->wait_us = c->slots.release_interval_us > 0
@@ -108,14 +111,15 @@
         (item->exclusive && Fw_Slots_Busy(&c->slots) > 0)) {
         return;
     }
-    if (link_us + item->transfer_us > FW_KV_TRANSFER_MAX_US && link_us > 0) {
-        v->wait_us = link_us;
+    if (link_wait_us + item->transfer_us > FW_KV_TRANSFER_MAX_US &&
+        link_wait_us > 0) {
+        v->wait_us = link_wait_us;
         return;
     }
     v->status = FW_RESERVE_GRANTED;
-    v->wait_us = link_us;
+    v->wait_us = link_wait_us;
     v->free_slots--;
-    w->busy_until_us = ready_us + link_us + item->transfer_us;
+    link->busy_until_us = ready_us + link_wait_us + item->transfer_us;
     Fw_Slots_Hold(&c->slots, &hold);
 }
 
@@ -128,7 +132,7 @@
     struct fw_engine *e = Fw_Engine_Find(r, item->engine);
     const struct fw_upstream *u =
         e ? g_hash_table_lookup(cfg->upstreams, e->name) : NULL;
-    int agrees;
+    int serves;
 
     *v = (struct fw_reserve_result){.engine = item->engine,
                                     .status = FW_RESERVE_NOT_SERVED};
@@ -140,19 +144,19 @@
         v->status = FW_RESERVE_LEAVING;
         return;
     }
-    agrees = Fw_Engine_CheckServes(e, item->serving, item->is_prefill, now_us);
-    if (agrees < 0 || !e->coord->status.received_us) {
+    serves = Fw_Engine_CheckServes(e, item->serving, item->is_prefill, now_us);
+    if (serves < 0 || !e->coord->status.received_us) {
         Fw_Coord_PollNow(r, cfg, e, now_us, out);
         v->status = FW_RESERVE_NO_REPORT;
         return;
     }
-    if (!agrees) {
+    if (!serves) {
         return;
     }
     if (item->is_prefill) {
-        book_prefill(r, e, u, owner, round_id, item, now_us, v);
+        reserve_prefill(r, e, u, owner, round_id, item, now_us, v);
     }
     else {
-        book_decode(e, owner, round_id, item, now_us, v);
+        reserve_decode(e, owner, round_id, item, now_us, v);
     }
 }
--- a/src/route/grant.c
+++ b/src/route/grant.c
@@ -1,37 +1,38 @@
-/* What a round of reservations ends with, and what is given back. */
+/* Answers to requests, and release of their reservations. */
 #include <string.h>
 
 #include "base/hash.h"
 #include "route/router.h"
 
 static struct fw_route_answer *
-answer(struct fw_router *r, const struct fw_job *job)
+append_answer(struct fw_router *r, const struct fw_job *job)
 {
-    struct fw_pending_answer *ready = g_new0(struct fw_pending_answer, 1);
+    struct fw_pending_answer *pending = g_new0(struct fw_pending_answer, 1);
 
-    ready->answer.ticket = job->ticket;
-    Fw_List_Append(&r->answers, &ready->link);
-    return &ready->answer;
+    pending->answer.ticket = job->ticket;
+    Fw_List_Append(&r->answers, &pending->link);
+    return &pending->answer;
 }
 
 static void
-note_gap(struct fw_model_queue *c, int64_t now_us)
+update_grant_interval(struct fw_model_queue *mq, int64_t now_us)
 {
-    int64_t gap = MIN(now_us - c->last_grant_us, FW_SEC);
+    int64_t interval = MIN(now_us - mq->last_grant_us, FW_SEC);
 
-    if (c->backlogged) {
-        c->grant_interval_us =
-            c->grant_interval_us ? (c->grant_interval_us * 7 + gap) / 8 : gap;
+    if (mq->backlogged) {
+        mq->grant_interval_us =
+            mq->grant_interval_us ? (mq->grant_interval_us * 7 + interval) / 8
+                                  : interval;
     }
-    c->last_grant_us = now_us;
-    c->backlogged = c->queue.n > 0;
-    c->backoff_us = 0;
+    mq->last_grant_us = now_us;
+    mq->backlogged = mq->queue.n > 0;
+    mq->backoff_us = 0;
 }
 
 void
 Fw_Grant_Pair(struct fw_router *r, struct fw_job *job, int64_t now_us)
 {
-    struct fw_route_answer *ans = answer(r, job);
+    struct fw_route_answer *ans = append_answer(r, job);
     struct fw_engine *p = job->prefill.engine;
     struct fw_engine *d = job->decode.engine;
 
@@ -49,7 +50,7 @@
     }
     Fw_Breaker_RecordRequest(&p->breaker, now_us);
     Fw_Breaker_RecordRequest(&d->breaker, now_us);
-    note_gap(job->model_queue, now_us);
+    update_grant_interval(job->model_queue, now_us);
     r->m.grants.value++;
 }
 
@@ -57,7 +58,7 @@
 Fw_Grant_Refuse(struct fw_router *r, struct fw_job *job, const char *code,
                 int64_t retry_after_us)
 {
-    struct fw_route_answer *ans = answer(r, job);
+    struct fw_route_answer *ans = append_answer(r, job);
 
     ans->status = 503;
     ans->retry_after_us = retry_after_us;
@@ -66,37 +67,37 @@
 }
 
 static void
-give_back(struct fw_router *r, const struct fw_job *job,
-          const struct fw_reservation *part, int64_t cached, int64_t now_us,
-          struct fw_actions *out)
+release_reservation(struct fw_router *r, const struct fw_job *job,
+                    const struct fw_reservation *res, int64_t cached,
+                    int64_t now_us, struct fw_actions *out)
 {
     const struct fw_member *m = NULL;
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
 
-    Fw_Coord_Release(part->engine, r->self_id, job->round_id, cached, now_us);
+    Fw_Coord_Release(res->engine, r->self_id, job->round_id, cached, now_us);
     if (r->opts.policy == FW_POLICY_FULL) {
-        m = Fw_Fleet_Pick(r->fleet, part->engine->id, 0);
+        m = Fw_Fleet_Pick(r->fleet, res->engine->id, 0);
     }
     if (!m || Fw_Fleet_IsSelf(r->fleet, m)) {
         return;
     }
     msg.u.route.kind = FW_ROUTE_RELEASE;
     msg.u.route.u.release.ask = job->round_id;
-    msg.u.route.u.release.engine = part->engine->id;
+    msg.u.route.u.release.engine = res->engine->id;
     msg.u.route.u.release.cached = cached;
     Fw_Actions_Send(out, m->name, m->addr, &msg);
 }
 
 void
 Fw_Grant_Release(struct fw_router *r, struct fw_job *job,
-                 struct fw_reservation *part, int64_t now_us,
+                 struct fw_reservation *res, int64_t now_us,
                  struct fw_actions *out)
 {
-    /* Whoever was asked may have said yes, and the answer was lost. */
-    if (part->state == FW_RESERVATION_GRANTED ||
-        part->state == FW_RESERVATION_PENDING) {
-        part->state = FW_RESERVATION_NONE;
-        give_back(r, job, part, -1, now_us, out);
+    /* A pending one may have been granted in a reply that was lost. */
+    if (res->state == FW_RESERVATION_GRANTED ||
+        res->state == FW_RESERVATION_PENDING) {
+        res->state = FW_RESERVATION_NONE;
+        release_reservation(r, job, res, -1, now_us, out);
     }
 }
 
@@ -106,12 +107,13 @@
 {
     if (job->prefill.state == FW_RESERVATION_GRANTED) {
         job->prefill.state = FW_RESERVATION_NONE;
-        give_back(r, job, &job->prefill, job->cached_tokens, now_us, out);
+        release_reservation(r, job, &job->prefill, job->cached_tokens, now_us,
+                            out);
     }
 }
 
 static void
-leave_running(struct fw_job *job)
+uncount_running(struct fw_job *job)
 {
     if (!job->prefilled) {
         job->prefill.engine->prefilling--;
@@ -132,7 +134,7 @@
         job->model_queue->n_rounds--;
         break;
     case FW_JOB_RUNNING:
-        leave_running(job);
+        uncount_running(job);
         break;
     }
     if (!job->prefilled) {
--- a/src/route/pair.c
+++ b/src/route/pair.c
@@ -1,7 +1,7 @@
 /*
- * Choice of a pair by cost: time to the first token as believed here, with
- * prefix cache, link and failure domain in it. Coordinators have the last
- * word.
+ * Chooses the cheapest pair of engines by the estimated time to first token,
+ * which includes prefix cache hits and the KV transfer, with penalties for
+ * occupied engines and failure domains. Coordinators grant or deny it.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -11,19 +11,18 @@
 #include "route/router.h"
 
 /*
- * Engines looked at per role: the nearest by rendezvous hash of this
- * instance. Of a large pool each instance knows few engines, and these well,
- * in place of all of them badly.
+ * Engines considered per role, the first in the order of the pool index. In a
+ * large pool, each instance uses few engines and has recent load of these.
  */
 #define FW_CANDIDATES_MAX 12
-/* An engine without a free slot, as far as is known, is asked last. */
+/* Penalty for a decode engine expected to be full; it is tried last. */
 #define FW_FULL_COST_US (400 * FW_MSEC)
 #define FW_OCCUPANCY_COST_US (60 * FW_MSEC)
 #define FW_LOST_DOMAIN_COST_US (200 * FW_MSEC)
-/* A prompt seen nowhere goes to its rendezvous engine while that costs no
- * more than this share of the prefill. */
+/* Discount for the engine that the prompt's prefix hashes to, as a share of
+ * the prefill time, so that requests with a common prefix meet on it. */
 #define FW_AFFINITY_PERMILLE 300
-/* The level of the prefix that says where a prompt belongs: 2,048 bytes. */
+/* Index of the prefix hashed for that: 2,048 bytes. */
 #define FW_AFFINITY_LEVEL 1
 
 struct cand {
@@ -37,12 +36,12 @@
 
 struct cands {
     int n;
-    int serving; /* also those that said no in this round */
+    int n_serving; /* engines that serve the model, also those denied */
     struct cand c[FW_CANDIDATES_MAX];
 };
 
 static int
-tried(const struct fw_job *job, uint64_t id)
+was_denied(const struct fw_job *job, uint64_t id)
 {
     for (int i = 0; i < job->n_denied; i++) {
         if (job->denied[i] == id) {
@@ -53,30 +52,31 @@
 }
 
 static void
-collect(const struct fw_router *r, const struct fw_config *cfg,
-        const struct fw_job *job, const struct fw_reservation *part,
-        const GPtrArray *engines, uint64_t serving, int is_prefill,
-        int64_t now_us, struct cands *out)
+collect_candidates(const struct fw_router *r, const struct fw_config *cfg,
+                   const struct fw_job *job, const struct fw_reservation *res,
+                   const GPtrArray *engines, uint64_t serving, int is_prefill,
+                   int64_t now_us, struct cands *out)
 {
     const char *const *avoid = (const char *const *)job->avoid;
 
     (void)r;
     out->n = 0;
-    out->serving = 0;
+    out->n_serving = 0;
     for (guint i = 0; i < engines->len && out->n < FW_CANDIDATES_MAX; i++) {
         struct fw_engine *e = engines->pdata[i];
         const struct fw_upstream *u =
             g_hash_table_lookup(cfg->upstreams, e->name);
 
-        if (part->state == FW_RESERVATION_GRANTED && part->engine != e) {
+        if (res->state == FW_RESERVATION_GRANTED && res->engine != e) {
             continue;
         }
         if (!Fw_Usable_Check(e, u, avoid, now_us) ||
             Fw_Engine_CheckServes(e, serving, is_prefill, now_us) == 0) {
             continue;
         }
-        out->serving++;
-        if (tried(job, e->id) || !Fw_Breaker_Allows(&e->breaker, now_us)) {
+        out->n_serving++;
+        if (was_denied(job, e->id) ||
+            !Fw_Breaker_Allows(&e->breaker, now_us)) {
             continue;
         }
         out->c[out->n++] = (struct cand){.e = e, .u = u};
@@ -87,10 +87,10 @@
 }
 
 static void
-cost_prefill(const struct fw_router *r, const struct fw_job *job,
-             struct cands *cs, int64_t now_us)
+add_prefill_cost(const struct fw_router *r, const struct fw_job *job,
+                 struct cands *cs, int64_t now_us)
 {
-    struct cand *belongs = NULL;
+    struct cand *affine = NULL;
     uint64_t best = 0;
 
     for (int i = 0; i < cs->n; i++) {
@@ -108,19 +108,19 @@
             int level = MIN(FW_AFFINITY_LEVEL, job->prefixes.n - 1);
             uint64_t w = Fw_Hash_Weight(job->prefixes.hash[level], c->e->name);
 
-            if (!belongs || w > best) {
-                belongs = c;
+            if (!affine || w > best) {
+                affine = c;
                 best = w;
             }
         }
     }
-    if (belongs) {
-        belongs->cost_us -= belongs->compute_us * FW_AFFINITY_PERMILLE / 1000;
+    if (affine) {
+        affine->cost_us -= affine->compute_us * FW_AFFINITY_PERMILLE / 1000;
     }
 }
 
 static void
-cost_decode(struct cands *cs, int64_t now_us)
+add_decode_cost(struct cands *cs, int64_t now_us)
 {
     for (int i = 0; i < cs->n; i++) {
         struct cand *c = &cs->c[i];
@@ -137,11 +137,11 @@
     }
 }
 
-/* struct best - cheapest pair so far, and the cheapest of another pair. */
+/* struct best - the cheapest pair so far and the cost of the next best. */
 struct best {
     int found;
     int64_t cost_us;
-    int64_t other_us;
+    int64_t next_cost_us;
     struct cand p;
     struct cand d;
     int64_t transfer_us;
@@ -149,8 +149,8 @@
 };
 
 static void
-weigh(const struct fw_job *job, const struct fw_offer *o,
-      const struct cands *ps, const struct cands *ds, struct best *b)
+compare_pairs(const struct fw_job *job, const struct fw_offer *o,
+              const struct cands *ps, const struct cands *ds, struct best *b)
 {
     for (int i = 0; i < ps->n; i++) {
         for (int k = 0; k < ds->n; k++) {
@@ -162,10 +162,10 @@
             int64_t cost_us = p->cost_us + d->cost_us + transfer_us;
 
             if (b->found && cost_us >= b->cost_us) {
-                b->other_us = MIN(b->other_us, cost_us);
+                b->next_cost_us = MIN(b->next_cost_us, cost_us);
                 continue;
             }
-            b->other_us = b->found ? b->cost_us : INT64_MAX;
+            b->next_cost_us = b->found ? b->cost_us : INT64_MAX;
             b->found = 1;
             b->cost_us = cost_us;
             b->p = *p;
@@ -177,7 +177,7 @@
 }
 
 static void
-take(struct fw_job *job, const struct best *b)
+assign_pair(struct fw_job *job, const struct best *b)
 {
     job->serving = b->serving;
     if (job->prefill.state != FW_RESERVATION_GRANTED) {
@@ -195,7 +195,8 @@
         "cost %" PRId64 " ms, next %" PRId64 " ms, wait %" PRId64
         " ms, cached %" PRId64 " of %" PRId64 " tokens",
         (int64_t)(b->cost_us / FW_MSEC),
-        (int64_t)(b->other_us == INT64_MAX ? -1 : b->other_us / FW_MSEC),
+        (int64_t)(b->next_cost_us == INT64_MAX ? -1
+                                               : b->next_cost_us / FW_MSEC),
         (int64_t)(b->p.wait_us / FW_MSEC), b->p.cached, job->prompt_tokens);
 }
 
@@ -217,18 +218,19 @@
         if (granted && offers[i].serving != job->serving) {
             continue;
         }
-        collect(r, cfg, job, &job->prefill, offers[i].index->prefill,
-                offers[i].serving, 1, now_us, &ps);
-        collect(r, cfg, job, &job->decode, offers[i].index->decode,
-                offers[i].serving, 0, now_us, &ds);
-        serving |= ps.serving && ds.serving;
-        cost_prefill(r, job, &ps, now_us);
-        cost_decode(&ds, now_us);
-        weigh(job, &offers[i], &ps, &ds, &b);
+        collect_candidates(r, cfg, job, &job->prefill,
+                           offers[i].index->prefill, offers[i].serving, 1,
+                           now_us, &ps);
+        collect_candidates(r, cfg, job, &job->decode, offers[i].index->decode,
+                           offers[i].serving, 0, now_us, &ds);
+        serving |= ps.n_serving && ds.n_serving;
+        add_prefill_cost(r, job, &ps, now_us);
+        add_decode_cost(&ds, now_us);
+        compare_pairs(job, &offers[i], &ps, &ds, &b);
     }
     if (!b.found) {
         return serving ? -EAGAIN : -ENOENT;
     }
-    take(job, &b);
+    assign_pair(job, &b);
     return 0;
 }
--- a/src/route/pick.c
+++ b/src/route/pick.c
@@ -1,7 +1,7 @@
 /*
- * The plain baselines, which answer at once, and servers of plain services.
- * Least-loaded takes each engine's last report, corrected by what this
- * instance sent since.
+ * Baseline policies, which answer without queueing, and the choice of servers
+ * of plain services. Least-loaded uses each engine's last report, adjusted
+ * for requests this instance sent since.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -10,8 +10,8 @@
 #include "route/router.h"
 
 static int64_t
-load_of(struct fw_router *r, const struct fw_engine *e,
-        const struct fw_upstream *u, int is_prefill, int64_t now_us)
+compute_load(struct fw_router *r, const struct fw_engine *e,
+             const struct fw_upstream *u, int is_prefill, int64_t now_us)
 {
     if (r->opts.policy == FW_POLICY_RANDOM) {
         return g_rand_int_range(r->rand, 0, G_MAXINT32);
@@ -25,9 +25,9 @@
 }
 
 static struct fw_engine *
-pick(struct fw_router *r, const struct fw_config *cfg,
-     const struct fw_job *job, const GPtrArray *engines, uint64_t serving,
-     int is_prefill, int64_t now_us)
+pick_least_loaded(struct fw_router *r, const struct fw_config *cfg,
+                  const struct fw_job *job, const GPtrArray *engines,
+                  uint64_t serving, int is_prefill, int64_t now_us)
 {
     const char *const *avoid = (const char *const *)job->avoid;
     struct fw_engine *best = NULL;
@@ -45,7 +45,7 @@
             (job->exclusive && e->decoding + e->prefilling > 0)) {
             continue;
         }
-        load = load_of(r, e, u, is_prefill, now_us);
+        load = compute_load(r, e, u, is_prefill, now_us);
         if (!best || load < best_load) {
             best = e;
             best_load = load;
@@ -54,10 +54,10 @@
     return best;
 }
 
-/* Own books, so that the next choice sees this one before the next report. */
+/* Lets the next choice take this one into account before the next report. */
 static void
-book(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-     int64_t now_us)
+record_reservations(struct fw_router *r, const struct fw_config *cfg,
+                    struct fw_job *job, int64_t now_us)
 {
     const struct fw_upstream *u =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
@@ -85,10 +85,12 @@
     int n = Fw_Serving_Offers(r, cfg, job->model_queue->model, offers);
 
     for (int i = 0; i < n; i++) {
-        struct fw_engine *p = pick(r, cfg, job, offers[i].index->prefill,
-                                   offers[i].serving, 1, now_us);
-        struct fw_engine *d = pick(r, cfg, job, offers[i].index->decode,
-                                   offers[i].serving, 0, now_us);
+        struct fw_engine *p =
+            pick_least_loaded(r, cfg, job, offers[i].index->prefill,
+                              offers[i].serving, 1, now_us);
+        struct fw_engine *d =
+            pick_least_loaded(r, cfg, job, offers[i].index->decode,
+                              offers[i].serving, 0, now_us);
 
         if (!p || !d) {
             continue;
@@ -101,16 +103,18 @@
         (void)snprintf(job->explanation, sizeof(job->explanation), "%s",
                        r->opts.policy == FW_POLICY_RANDOM ? "random"
                                                           : "least loaded");
-        book(r, cfg, job, now_us);
+        record_reservations(r, cfg, job, now_us);
         return 0;
     }
     return -ENOENT;
 }
 
-/* 0 best; the domain of a lost server next to last, an open breaker last. */
+/* 0 is best; 1: in the failure domain of a server to avoid; 2: the breaker is
+ * open. */
 static int
-tier(const struct fw_config *cfg, const struct fw_engine *e,
-     const struct fw_upstream *u, const char *const *avoid, int64_t now_us)
+preference_tier(const struct fw_config *cfg, const struct fw_engine *e,
+                const struct fw_upstream *u, const char *const *avoid,
+                int64_t now_us)
 {
     if (!Fw_Breaker_Allows(&e->breaker, now_us)) {
         return 2;
@@ -126,7 +130,7 @@
     const struct fw_pool_index *idx;
     const struct fw_upstream *best = NULL;
     int best_tier = 0;
-    int equals = 0;
+    int n_equal = 0;
 
     Fw_Index_Sync(r, cfg);
     idx = Fw_Index_Pool(r, service);
@@ -139,11 +143,11 @@
         if (!Fw_Usable_Check(e, u, avoid, now_us)) {
             continue;
         }
-        t = tier(cfg, e, u, avoid, now_us);
-        equals = best && t == best_tier ? equals + 1 : 1;
-        /* Each of those that are alike with the same chance. */
+        t = preference_tier(cfg, e, u, avoid, now_us);
+        n_equal = best && t == best_tier ? n_equal + 1 : 1;
+        /* Reservoir sampling: equal servers are equally likely. */
         if (!best || t < best_tier ||
-            (t == best_tier && g_rand_int_range(r->rand, 0, equals) == 0)) {
+            (t == best_tier && g_rand_int_range(r->rand, 0, n_equal) == 0)) {
             best = u;
             best_tier = t;
         }
@@ -155,15 +159,17 @@
     return best;
 }
 
-/* One server that drags must not make its slowness the usual. */
+/* Outliers get less weight, so that one slow server does not raise the mean
+ * that its own calls are compared with. */
 static void
-learn_usual(struct fw_router *r, int64_t took_us)
+update_mean_call_time(struct fw_router *r, int64_t took_us)
 {
-    int64_t part = took_us > 4 * r->mean_call_us ? 256 : 16;
+    int64_t divisor = took_us > 4 * r->mean_call_us ? 256 : 16;
 
     r->mean_call_us =
-        r->mean_call_us ? r->mean_call_us + (took_us - r->mean_call_us) / part
-                        : took_us;
+        r->mean_call_us
+            ? r->mean_call_us + (took_us - r->mean_call_us) / divisor
+            : took_us;
 }
 
 void
@@ -179,5 +185,5 @@
     }
     r->m.breaker_trips.value += Fw_Breaker_RecordSuccess(
         &e->breaker, took_us, r->mean_call_us, now_us);
-    learn_usual(r, took_us);
+    update_mean_call_time(r, took_us);
 }
--- a/src/route/pump.c
+++ b/src/route/pump.c
@@ -1,6 +1,6 @@
 /*
- * Admission, and the way out of the queues. A request that can't be served
- * in time is answered when that is known, not when its time is up.
+ * Admission control and dispatch from the queues. A request that cannot be
+ * served in time is refused as soon as that is known.
  */
 #include <errno.h>
 
@@ -10,13 +10,13 @@
 #define FW_NO_ENGINE_RETRY_AFTER_US FW_SEC
 
 static struct fw_job *
-job_of(struct fw_queue_item *it)
+job_from_item(struct fw_queue_item *it)
 {
     return FW_LIST_ENTRY(it, struct fw_job, queue_item);
 }
 
 static int64_t
-latest_us(const struct fw_router *r, const struct fw_job *job)
+compute_latest_start_us(const struct fw_router *r, const struct fw_job *job)
 {
     struct fw_admission a = {
         .arrived_us = job->arrived_us,
@@ -31,15 +31,15 @@
     return Fw_Admit_LatestStartUs(&a);
 }
 
-/* Time in the queue by the pace of the last grants; 0 when nothing waits. */
+/* Expected time in the queue at the recent rate of grants. */
 static int64_t
-queue_wait_us(const struct fw_model_queue *c, const struct fw_job *job)
+queue_wait_us(const struct fw_model_queue *mq, const struct fw_job *job)
 {
-    if (c->queue.n == 0) {
+    if (mq->queue.n == 0) {
         return 0;
     }
-    return c->grant_interval_us *
-           (Fw_Queue_CountAhead(&c->queue, job->queue_item.team_name,
+    return mq->grant_interval_us *
+           (Fw_Queue_CountAhead(&mq->queue, job->queue_item.team_name,
                                 job->queue_item.latest_us) +
             1);
 }
@@ -55,8 +55,9 @@
 }
 
 static void
-answer_at_once(struct fw_router *r, const struct fw_config *cfg,
-               struct fw_job *job, int64_t now_us, struct fw_actions *out)
+answer_with_baseline(struct fw_router *r, const struct fw_config *cfg,
+                     struct fw_job *job, int64_t now_us,
+                     struct fw_actions *out)
 {
     job->round_id = ++r->next_round_id;
     g_hash_table_insert(r->rounds, &job->round_id, job);
@@ -73,12 +74,12 @@
                     struct fw_job *job, const struct fw_route_ask *ask,
                     int64_t now_us, struct fw_actions *out)
 {
-    struct fw_model_queue *c = job->model_queue;
+    struct fw_model_queue *mq = job->model_queue;
     int64_t wait_us;
 
     job->state = FW_JOB_QUEUED;
     if (r->opts.policy != FW_POLICY_FULL) {
-        answer_at_once(r, cfg, job, now_us, out);
+        answer_with_baseline(r, cfg, job, now_us, out);
         return;
     }
     Fw_Prefix_Hash(ask->prompt, &job->prefixes);
@@ -87,28 +88,28 @@
         Fw_Grant_FreeJob(r, job, now_us, out);
         return;
     }
-    job->queue_item.latest_us = latest_us(r, job);
+    job->queue_item.latest_us = compute_latest_start_us(r, job);
     job->queue_item.tokens = job->prompt_tokens + job->max_tokens;
-    wait_us = queue_wait_us(c, job);
+    wait_us = queue_wait_us(mq, job);
     if (now_us + wait_us > job->queue_item.latest_us) {
         refuse(r, job, wait_us, now_us, out);
         return;
     }
-    Fw_Queue_Put(&c->queue, &job->queue_item);
+    Fw_Queue_Put(&mq->queue, &job->queue_item);
     Fw_Dispatch_Run(r, cfg, now_us, out);
 }
 
-/* Those whose time is over, whatever their turn. */
+/* Refuses requests past their latest start, whatever their turn. */
 static void
-expire(struct fw_router *r, struct fw_model_queue *c, int64_t now_us,
-       struct fw_actions *out)
+refuse_expired(struct fw_router *r, struct fw_model_queue *mq, int64_t now_us,
+               struct fw_actions *out)
 {
     struct fw_queue_item *it;
 
-    while ((it = Fw_Queue_Earliest(&c->queue)) && it->latest_us < now_us) {
-        struct fw_job *job = job_of(it);
+    while ((it = Fw_Queue_Earliest(&mq->queue)) && it->latest_us < now_us) {
+        struct fw_job *job = job_from_item(it);
 
-        refuse(r, job, queue_wait_us(c, job), now_us, out);
+        refuse(r, job, queue_wait_us(mq, job), now_us, out);
     }
     if (it) {
         Fw_Actions_Wake(out, it->latest_us + 1);
@@ -116,20 +117,20 @@
 }
 
 static void
-run_class(struct fw_router *r, const struct fw_config *cfg,
-          struct fw_model_queue *c, int64_t now_us, struct fw_actions *out)
+run_queue(struct fw_router *r, const struct fw_config *cfg,
+          struct fw_model_queue *mq, int64_t now_us, struct fw_actions *out)
 {
-    int64_t paused_us = c->paused_until_us;
-
-    expire(r, c, now_us, out);
-    c->paused_until_us = paused_us;
-    while (c->queue.n && now_us >= c->paused_until_us &&
-           c->n_rounds < FW_CONCURRENT_ROUNDS_MAX) {
-        Fw_Reserve_Start(r, cfg, job_of(Fw_Queue_Take(&c->queue)), now_us,
-                         out);
+    int64_t paused_us = mq->paused_until_us;
+
+    refuse_expired(r, mq, now_us, out);
+    mq->paused_until_us = paused_us;
+    while (mq->queue.n && now_us >= mq->paused_until_us &&
+           mq->n_rounds < FW_CONCURRENT_ROUNDS_MAX) {
+        Fw_Reserve_Start(r, cfg, job_from_item(Fw_Queue_Take(&mq->queue)),
+                         now_us, out);
     }
-    if (c->queue.n && now_us < c->paused_until_us) {
-        Fw_Actions_Wake(out, c->paused_until_us);
+    if (mq->queue.n && now_us < mq->paused_until_us) {
+        Fw_Actions_Wake(out, mq->paused_until_us);
     }
 }
 
@@ -143,10 +144,10 @@
 
     g_hash_table_iter_init(&it, r->model_queues);
     while (g_hash_table_iter_next(&it, NULL, &val)) {
-        struct fw_model_queue *c = val;
+        struct fw_model_queue *mq = val;
 
-        run_class(r, cfg, c, now_us, out);
-        queued += c->queue.n;
+        run_queue(r, cfg, mq, now_us, out);
+        queued += mq->queue.n;
     }
     r->m.queued.value = queued;
 }
--- a/src/route/router.h
+++ b/src/route/router.h
@@ -132,14 +132,15 @@
     FW_JOB_RUNNING,
 };
 
-#define FW_JOB_TRIED_MAX 6
+#define FW_JOB_DENIED_MAX 6
 
 /**
  * struct fw_job - a request in the router; see struct fw_route_ask for the
  * fields taken from there.
  * @round_id: identifies its last round of reservations to coordinators
  * @round_sent_us: when reservations were last requested from peers
- * @serving: hash of the model version, maybe with adapter, of the chosen pair
+ * @serving: hash of "model@version" or "model@version+adapter" of the chosen
+ *           pair
  * @denied: ids of the engines denied in this round
  * @retry_hint_us: shortest wait that a full engine named in this round
  * @cached_tokens: prompt tokens expected, and once reported, found in the
@@ -165,7 +166,7 @@
     int64_t round_sent_us;
     uint64_t serving;
     int n_denied;
-    uint64_t denied[FW_JOB_TRIED_MAX];
+    uint64_t denied[FW_JOB_DENIED_MAX];
     int64_t retry_hint_us;
     int64_t cached_tokens;
     int64_t granted_us;
@@ -183,7 +184,7 @@
  * @n_rounds: rounds of reservations in progress
  * @grant_interval_us: mean time between grants while requests waited, 0 if
  *                     unknown
- * @backlogged: whether requests have been waiting since the last grant
+ * @backlogged: whether requests had to wait since the last grant
  */
 struct fw_model_queue {
     char model[FW_NAME_MAX];
@@ -434,10 +435,10 @@
 void
 Fw_Grant_Refuse(struct fw_router *r, struct fw_job *job, const char *code,
                 int64_t retry_after_us);
-/* Releases @part if it was granted or is pending. */
+/* Releases @res if it was granted or is pending. */
 void
 Fw_Grant_Release(struct fw_router *r, struct fw_job *job,
-                 struct fw_reservation *part, int64_t now_us,
+                 struct fw_reservation *res, int64_t now_us,
                  struct fw_actions *out);
 /* Reports to the coordinator that the prefill is computed. */
 void
--- a/src/route/seek.c
+++ b/src/route/seek.c
@@ -1,8 +1,8 @@
 /*
- * A round of reservations: the coordinators of one prefill and one decode
- * engine are asked at once; one that says no is followed by the next choice,
- * a few times. A silent coordinator costs one timeout; after that this
- * instance goes by its own belief for a while.
+ * Rounds of reservations. The coordinators of a prefill and a decode engine
+ * are contacted in parallel; when one denies, the next best engine is tried,
+ * up to a limit. A coordinator that does not reply costs one timeout; for a
+ * while after it, this instance decides for the engine itself.
  */
 #include <errno.h>
 
@@ -16,21 +16,21 @@
 #define FW_REFUSED_RETRY_AFTER_US FW_SEC
 
 static int
-is_prefill(const struct fw_job *job, const struct fw_reservation *part)
+is_prefill(const struct fw_job *job, const struct fw_reservation *res)
 {
-    return part == &job->prefill;
+    return res == &job->prefill;
 }
 
 static void
 fill_item(const struct fw_config *cfg, const struct fw_job *job,
-          const struct fw_reservation *part, struct fw_route_item *it)
+          const struct fw_reservation *res, struct fw_route_item *it)
 {
     const struct fw_upstream *p =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
 
     *it = (struct fw_route_item){
-        .engine = part->engine->id,
-        .is_prefill = is_prefill(job, part),
+        .engine = res->engine->id,
+        .is_prefill = is_prefill(job, res),
         .exclusive = job->exclusive,
         .serving = job->serving,
         .tokens = job->prompt_tokens,
@@ -46,10 +46,11 @@
                   job->decode.service_us;
 }
 
-/* What the coordinator knows of the cache replaces what was believed. */
+/* Replaces the estimate of cached tokens, and the prefix table's entries for
+ * the engine, by what the coordinator replied. */
 static void
-correct_cache(struct fw_router *r, const struct fw_config *cfg,
-              struct fw_job *job, const struct fw_reserve_result *v)
+update_cached_tokens(struct fw_router *r, const struct fw_config *cfg,
+                     struct fw_job *job, const struct fw_reserve_result *v)
 {
     const struct fw_upstream *u =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
@@ -69,32 +70,33 @@
 }
 
 static void
-settle(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-       struct fw_reservation *part, const struct fw_reserve_result *v,
-       int64_t now_us)
+apply_result(struct fw_router *r, const struct fw_config *cfg,
+             struct fw_job *job, struct fw_reservation *res,
+             const struct fw_reserve_result *v, int64_t now_us)
 {
-    Fw_Engine_ApplyResult(part->engine, v, job->serving, now_us);
+    Fw_Engine_ApplyResult(res->engine, v, job->serving, now_us);
     if (v->status == FW_RESERVE_GRANTED) {
-        part->state = FW_RESERVATION_GRANTED;
-        part->wait_us = v->wait_us;
-        if (is_prefill(job, part)) {
-            correct_cache(r, cfg, job, v);
+        res->state = FW_RESERVATION_GRANTED;
+        res->wait_us = v->wait_us;
+        if (is_prefill(job, res)) {
+            update_cached_tokens(r, cfg, job, v);
         }
         return;
     }
-    part->state = FW_RESERVATION_DENIED;
+    res->state = FW_RESERVATION_DENIED;
     r->m.denials.value++;
-    if (job->n_denied < FW_JOB_TRIED_MAX) {
-        job->denied[job->n_denied++] = part->engine->id;
+    if (job->n_denied < FW_JOB_DENIED_MAX) {
+        job->denied[job->n_denied++] = res->engine->id;
     }
     if (v->status == FW_RESERVE_FULL) {
         job->retry_hint_us = MIN(job->retry_hint_us, v->wait_us);
     }
 }
 
-/* The peer to ask about @e; NULL when this instance decides by itself. */
+/* The peer that coordinates @e; NULL if this instance decides itself. */
 static const struct fw_member *
-peer_for(const struct fw_router *r, const struct fw_engine *e, int64_t now_us)
+find_coordinator(const struct fw_router *r, const struct fw_engine *e,
+                 int64_t now_us)
 {
     const struct fw_member *m;
 
@@ -106,56 +108,57 @@
 }
 
 static void
-send_ask(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-         const struct fw_member *m, struct fw_reservation *const *parts, int n,
-         struct fw_actions *out)
+send_reserve(struct fw_router *r, const struct fw_config *cfg,
+             struct fw_job *job, const struct fw_member *m,
+             struct fw_reservation *const *res, int n, struct fw_actions *out)
 {
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
-    struct fw_route_reserve *w = &msg.u.route.u.want;
+    struct fw_route_reserve *body = &msg.u.route.u.want;
 
     msg.u.route.kind = FW_ROUTE_ASK;
-    w->ask = job->round_id;
+    body->ask = job->round_id;
     for (int i = 0; i < n; i++) {
-        fill_item(cfg, job, parts[i], &w->item[w->n++]);
-        parts[i]->state = FW_RESERVATION_PENDING;
+        fill_item(cfg, job, res[i], &body->item[body->n++]);
+        res[i]->state = FW_RESERVATION_PENDING;
     }
-    Fw_Coord_FillLeaving(r, &w->leaving);
+    Fw_Coord_FillLeaving(r, &body->leaving);
     Fw_Actions_Send(out, m->name, m->addr, &msg);
 }
 
 static void
-ask_parts(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-          int64_t now_us, struct fw_actions *out)
+request_reservations(struct fw_router *r, const struct fw_config *cfg,
+                     struct fw_job *job, int64_t now_us,
+                     struct fw_actions *out)
 {
     struct fw_reservation *open[2];
     const struct fw_member *peer[2];
-    struct fw_reservation *parts[] = {&job->prefill, &job->decode};
+    struct fw_reservation *both[] = {&job->prefill, &job->decode};
     int n = 0;
 
     for (int i = 0; i < 2; i++) {
-        if (parts[i]->state == FW_RESERVATION_GRANTED) {
+        if (both[i]->state == FW_RESERVATION_GRANTED) {
             continue;
         }
-        peer[n] = peer_for(r, parts[i]->engine, now_us);
+        peer[n] = find_coordinator(r, both[i]->engine, now_us);
         if (peer[n]) {
-            open[n++] = parts[i];
+            open[n++] = both[i];
         }
         else {
             struct fw_route_item item;
             struct fw_reserve_result v;
 
-            fill_item(cfg, job, parts[i], &item);
+            fill_item(cfg, job, both[i], &item);
             Fw_Coord_Reserve(r, cfg, r->self_id, job->round_id, &item, now_us,
                              &v, out);
-            settle(r, cfg, job, parts[i], &v, now_us);
+            apply_result(r, cfg, job, both[i], &v, now_us);
         }
     }
     if (n == 2 && peer[0] == peer[1]) {
-        send_ask(r, cfg, job, peer[0], open, 2, out);
+        send_reserve(r, cfg, job, peer[0], open, 2, out);
         return;
     }
     for (int i = 0; i < n; i++) {
-        send_ask(r, cfg, job, peer[i], &open[i], 1, out);
+        send_reserve(r, cfg, job, peer[i], &open[i], 1, out);
     }
 }
 
@@ -171,19 +174,19 @@
 }
 
 static void
-put_back(struct fw_router *r, struct fw_job *job, int64_t now_us,
-         struct fw_actions *out)
+requeue(struct fw_router *r, struct fw_job *job, int64_t now_us,
+        struct fw_actions *out)
 {
-    struct fw_model_queue *c = job->model_queue;
+    struct fw_model_queue *mq = job->model_queue;
 
     end_round(r, job, now_us, out);
-    Fw_Queue_PutBack(&c->queue, &job->queue_item);
-    c->backlogged = 1;
-    c->backoff_us = CLAMP(c->backoff_us * 2, FW_QUEUE_BACKOFF_MIN_US,
-                          FW_QUEUE_BACKOFF_MAX_US);
-    c->paused_until_us = now_us + CLAMP(job->retry_hint_us, c->backoff_us,
-                                        FW_QUEUE_BACKOFF_MAX_US);
-    Fw_Actions_Wake(out, c->paused_until_us);
+    Fw_Queue_PutBack(&mq->queue, &job->queue_item);
+    mq->backlogged = 1;
+    mq->backoff_us = CLAMP(mq->backoff_us * 2, FW_QUEUE_BACKOFF_MIN_US,
+                           FW_QUEUE_BACKOFF_MAX_US);
+    mq->paused_until_us = now_us + CLAMP(job->retry_hint_us, mq->backoff_us,
+                                         FW_QUEUE_BACKOFF_MAX_US);
+    Fw_Actions_Wake(out, mq->paused_until_us);
 }
 
 static void
@@ -195,8 +198,8 @@
 }
 
 static void
-finish(struct fw_router *r, struct fw_job *job, int64_t now_us,
-       struct fw_actions *out)
+grant_or_refuse(struct fw_router *r, struct fw_job *job, int64_t now_us,
+                struct fw_actions *out)
 {
     if (now_us + job->prefill.wait_us > job->queue_item.latest_us) {
         refuse(r, job, "overloaded", now_us, out);
@@ -208,11 +211,11 @@
 }
 
 static void
-advance(struct fw_router *r, const struct fw_config *cfg, struct fw_job *job,
-        int64_t now_us, struct fw_actions *out)
+continue_round(struct fw_router *r, const struct fw_config *cfg,
+               struct fw_job *job, int64_t now_us, struct fw_actions *out)
 {
     for (;;) {
-        int rc = job->n_denied < FW_JOB_TRIED_MAX
+        int rc = job->n_denied < FW_JOB_DENIED_MAX
                      ? Fw_Pair_Choose(r, cfg, job, now_us)
                      : -EAGAIN;
 
@@ -221,10 +224,10 @@
             return;
         }
         if (rc) {
-            put_back(r, job, now_us, out);
+            requeue(r, job, now_us, out);
             return;
         }
-        ask_parts(r, cfg, job, now_us, out);
+        request_reservations(r, cfg, job, now_us, out);
         if (job->prefill.state == FW_RESERVATION_PENDING ||
             job->decode.state == FW_RESERVATION_PENDING) {
             job->round_sent_us = now_us;
@@ -233,7 +236,7 @@
         }
         if (job->prefill.state == FW_RESERVATION_GRANTED &&
             job->decode.state == FW_RESERVATION_GRANTED) {
-            finish(r, job, now_us, out);
+            grant_or_refuse(r, job, now_us, out);
             return;
         }
     }
@@ -256,32 +259,33 @@
     job->model_queue->n_rounds++;
     Fw_List_Append(&r->reserving, &job->reserving);
     r->m.rounds.value++;
-    advance(r, cfg, job, now_us, out);
+    continue_round(r, cfg, job, now_us, out);
 }
 
-/* A yes that nobody waits for any more: it would lapse by itself, later. */
+/* Releases a grant that is not waited for any more, such as one that arrived
+ * after the timeout. */
 static void
-give_back(struct fw_router *r, const struct fw_reserve_result *v,
-          uint64_t round_id, int64_t now_us, struct fw_actions *out)
+release_unclaimed(struct fw_router *r, const struct fw_reserve_result *v,
+                  uint64_t round_id, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_reservation part = {.engine = Fw_Engine_Find(r, v->engine),
-                                  .state = FW_RESERVATION_GRANTED};
+    struct fw_reservation res = {.engine = Fw_Engine_Find(r, v->engine),
+                                 .state = FW_RESERVATION_GRANTED};
     struct fw_job job = {.round_id = round_id};
 
-    if (part.engine && v->status == FW_RESERVE_GRANTED) {
-        Fw_Grant_Release(r, &job, &part, now_us, out);
+    if (res.engine && v->status == FW_RESERVE_GRANTED) {
+        Fw_Grant_Release(r, &job, &res, now_us, out);
     }
 }
 
 static struct fw_reservation *
-part_waiting(struct fw_job *job, uint64_t engine)
+find_pending(struct fw_job *job, uint64_t engine)
 {
-    struct fw_reservation *parts[] = {&job->prefill, &job->decode};
+    struct fw_reservation *both[] = {&job->prefill, &job->decode};
 
     for (int i = 0; i < 2; i++) {
-        if (parts[i]->state == FW_RESERVATION_PENDING &&
-            parts[i]->engine->id == engine) {
-            return parts[i];
+        if (both[i]->state == FW_RESERVATION_PENDING &&
+            both[i]->engine->id == engine) {
+            return both[i];
         }
     }
     return NULL;
@@ -299,14 +303,13 @@
     }
     for (int i = 0; i < reply->n; i++) {
         const struct fw_reserve_result *v = &reply->verdict[i];
-        struct fw_reservation *part =
-            job ? part_waiting(job, v->engine) : NULL;
+        struct fw_reservation *res = job ? find_pending(job, v->engine) : NULL;
 
-        if (part) {
-            settle(r, cfg, job, part, v, now_us);
+        if (res) {
+            apply_result(r, cfg, job, res, v, now_us);
         }
         else {
-            give_back(r, v, reply->ask, now_us, out);
+            release_unclaimed(r, v, reply->ask, now_us, out);
         }
     }
     if (!job || job->state != FW_JOB_RESERVING ||
@@ -316,20 +319,19 @@
     }
     if (job->prefill.state == FW_RESERVATION_GRANTED &&
         job->decode.state == FW_RESERVATION_GRANTED) {
-        finish(r, job, now_us, out);
+        grant_or_refuse(r, job, now_us, out);
         return;
     }
-    advance(r, cfg, job, now_us, out);
+    continue_round(r, cfg, job, now_us, out);
 }
 
 static void
-give_up_waiting(struct fw_router *r, struct fw_job *job,
-                struct fw_reservation *part, int64_t now_us,
-                struct fw_actions *out)
+time_out(struct fw_router *r, struct fw_job *job, struct fw_reservation *res,
+         int64_t now_us, struct fw_actions *out)
 {
-    if (part->state == FW_RESERVATION_PENDING) {
-        Fw_Grant_Release(r, job, part, now_us, out);
-        part->engine->coord_down_until_us = now_us + FW_COORD_RETRY_US;
+    if (res->state == FW_RESERVATION_PENDING) {
+        Fw_Grant_Release(r, job, res, now_us, out);
+        res->engine->coord_down_until_us = now_us + FW_COORD_RETRY_US;
         r->m.reply_timeouts.value++;
     }
 }
@@ -348,8 +350,8 @@
             Fw_Actions_Wake(out, job->round_sent_us + FW_REPLY_TIMEOUT_US);
             continue;
         }
-        give_up_waiting(r, job, &job->prefill, now_us, out);
-        give_up_waiting(r, job, &job->decode, now_us, out);
-        advance(r, cfg, job, now_us, out);
+        time_out(r, job, &job->prefill, now_us, out);
+        time_out(r, job, &job->decode, now_us, out);
+        continue_round(r, cfg, job, now_us, out);
     }
 }
