--- a/src/route/backlog_cmd.c
+++ b/src/route/backlog_cmd.c
@@ -3,11 +3,12 @@
 #include "base/limits.h"
 #include "route/slots.h"
 
-/* A grant reaches the engine this much later, at most, as a rule. */
+/* Usual upper bound for the time from a grant to the prefill's arrival at the
+ * engine, after which reports include it. */
 #define FW_GRANT_LATENCY_US (10 * FW_MSEC)
 
 static void
-drop(struct fw_backlog *b, int i)
+remove_item(struct fw_backlog *b, int i)
 {
     for (int k = i + 1; k < b->n; k++) {
         b->item[k - 1] = b->item[k];
@@ -16,16 +17,16 @@
 }
 
 static int
-in_report(const struct fw_backlog_item *it, int64_t at_us)
+expected_in_report(const struct fw_backlog_item *it, int64_t at_us)
 {
     return it->granted_us + FW_GRANT_LATENCY_US < at_us &&
            (!it->done_us || it->done_us > at_us);
 }
 
 /*
- * Reports lag behind what askers tell. What a report holds beyond the grants
- * was granted by another coordinator; grants that it lacks were given up by
- * askers that died and never told.
+ * Queued tokens beyond the grants were granted by another coordinator. Grants
+ * missing from the report belong to owners that died without releasing them;
+ * the oldest are removed.
  */
 void
 Fw_Backlog_ApplyReport(struct fw_backlog *b, int64_t at_us, int64_t queued,
@@ -37,12 +38,13 @@
         return;
     }
     for (int i = 0; i < b->n; i++) {
-        expected += in_report(&b->item[i], at_us) ? b->item[i].tokens : 0;
+        expected +=
+            expected_in_report(&b->item[i], at_us) ? b->item[i].tokens : 0;
     }
     for (int i = 0; i < b->n && expected > queued;) {
-        if (in_report(&b->item[i], at_us) && !b->item[i].done_us) {
+        if (expected_in_report(&b->item[i], at_us) && !b->item[i].done_us) {
             expected -= b->item[i].tokens;
-            drop(b, i);
+            remove_item(b, i);
         }
         else {
             i++;
@@ -50,7 +52,7 @@
     }
     for (int i = 0; i < b->n;) {
         if (b->item[i].done_us && b->item[i].done_us <= at_us) {
-            drop(b, i);
+            remove_item(b, i);
         }
         else {
             i++;
@@ -61,7 +63,7 @@
 }
 
 static int
-find(const struct fw_backlog *b, uint64_t owner, uint64_t round_id)
+find_item(const struct fw_backlog *b, uint64_t owner, uint64_t round_id)
 {
     for (int i = 0; i < b->n; i++) {
         if (b->item[i].owner == owner && b->item[i].round_id == round_id) {
@@ -74,10 +76,10 @@
 void
 Fw_Backlog_Remove(struct fw_backlog *b, uint64_t owner, uint64_t round_id)
 {
-    int i = find(b, owner, round_id);
+    int i = find_item(b, owner, round_id);
 
     if (i >= 0 && !b->item[i].done_us) {
-        drop(b, i);
+        remove_item(b, i);
     }
 }
 
@@ -85,7 +87,7 @@
 Fw_Backlog_Complete(struct fw_backlog *b, uint64_t owner, uint64_t round_id,
                     int64_t now_us)
 {
-    int i = find(b, owner, round_id);
+    int i = find_item(b, owner, round_id);
 
     if (i < 0) {
         return NULL;
@@ -99,7 +101,7 @@
 Fw_Backlog_Add(struct fw_backlog *b, const struct fw_backlog_item *item)
 {
     if (b->n == FW_BACKLOG_MAX) {
-        drop(b, 0);
+        remove_item(b, 0);
     }
     b->item[b->n++] = *item;
 }
--- a/src/route/coord_cmd.c
+++ b/src/route/coord_cmd.c
@@ -1,8 +1,8 @@
 /*
- * The coordinator of an engine: polls its load, and books decode slots and
- * prefill for those who ask. Two coordinators at once book without knowing
- * of each other: a KV may then find no slot, which costs a prefill. None at
- * all: askers fall back to polling the engine themselves.
+ * The coordinator of an engine polls its load and keeps its reservations. If
+ * two instances coordinate an engine at once, neither sees the other's
+ * grants: a KV may then find no free slot, and the prefill is repeated. If
+ * none does, instances poll the engine themselves.
  */
 #include <string.h>
 
@@ -12,9 +12,9 @@
 #define FW_SCAN_INTERVAL_US (50 * FW_MSEC)
 #define FW_SCAN_BATCH 16
 #define FW_POLL_TIMEOUT_US FW_SEC
-/* An account that nobody asks for and that is not ours is dropped. */
+/* State of an engine not coordinated here is dropped when idle this long. */
 #define FW_COORD_IDLE_US (5 * FW_SEC)
-/* Cache events are read with every fourth load report. */
+/* Load polls per poll for cache events. */
 #define FW_CACHE_POLL_RATIO 4
 
 static uint64_t
@@ -95,10 +95,10 @@
     return m && Fw_Fleet_IsSelf(r->fleet, m);
 }
 
-/* A few engines a time: at 1,200 engines and 320 members, a whole pass at
- * once would hold up the loop. */
+/* Checks a few engines at a time: in a large fleet, a whole pass would block
+ * the event loop. */
 static void
-rescan_mine(struct fw_router *r, const struct fw_config *cfg)
+update_coordinated(struct fw_router *r, const struct fw_config *cfg)
 {
     guint n = MIN(r->engine_list->len, FW_SCAN_BATCH);
 
@@ -107,10 +107,11 @@
             r->engine_list->pdata[r->scan_pos++ % r->engine_list->len];
         const struct fw_upstream *u =
             g_hash_table_lookup(cfg->upstreams, e->name);
-        int mine = u && u->role != FW_ROLE_SERVICE && should_coordinate(r, e);
+        int coordinated =
+            u && u->role != FW_ROLE_SERVICE && should_coordinate(r, e);
 
-        r->n_coordinated += mine - e->coordinated;
-        e->coordinated = mine;
+        r->n_coordinated += coordinated - e->coordinated;
+        e->coordinated = coordinated;
     }
 }
 
@@ -124,7 +125,7 @@
     }
     r->next_scan_us = now_us + FW_SCAN_INTERVAL_US;
     Fw_Actions_Wake(out, r->next_scan_us);
-    rescan_mine(r, cfg);
+    update_coordinated(r, cfg);
     for (guint i = 0; i < r->engine_list->len; i++) {
         struct fw_engine *e = r->engine_list->pdata[i];
         const struct fw_upstream *u;
@@ -145,18 +146,18 @@
 }
 
 static void
-on_report(struct fw_coord *c, const struct fw_up_report *rep, int64_t rate,
-          int64_t now_us)
+apply_report(struct fw_coord *c, const struct fw_up_report *rep, int64_t rate,
+             int64_t now_us)
 {
     int64_t at_us = now_us - CLAMP(rep->lag_us, 0, 10 * FW_SEC);
-    struct fw_engine_status *w = &c->status;
+    struct fw_engine_status *status = &c->status;
 
-    w->received_us = now_us;
-    w->leaving = rep->leaving;
-    w->is_prefill = strcmp(rep->role, "prefill") == 0;
-    w->n_models = CLAMP(rep->n_models, 0, FW_UP_MODELS_MAX);
-    for (int i = 0; i < w->n_models; i++) {
-        w->models[i] = (uint32_t)Fw_Hash_Str(rep->models[i]);
+    status->received_us = now_us;
+    status->leaving = rep->leaving;
+    status->is_prefill = strcmp(rep->role, "prefill") == 0;
+    status->n_models = CLAMP(rep->n_models, 0, FW_UP_MODELS_MAX);
+    for (int i = 0; i < status->n_models; i++) {
+        status->models[i] = (uint32_t)Fw_Hash_Str(rep->models[i]);
     }
     Fw_Slots_ApplyReport(&c->slots, rep, at_us);
     Fw_Backlog_ApplyReport(&c->backlog, at_us,
@@ -164,13 +165,13 @@
 }
 
 /*
- * Events that were lost may have said that a prefix is gone. What is believed
- * of this engine is void then, or its queue would fill with prompts that find
- * nothing cached there.
+ * A gap in the sequence numbers may hide evictions. All prefixes known of the
+ * engine are invalidated then, so that it does not attract prompts that it no
+ * longer has cached.
  */
 static void
-on_cache(struct fw_router *r, struct fw_engine *e,
-         const struct fw_up_cache_batch *batch)
+apply_cache_events(struct fw_router *r, struct fw_engine *e,
+                   const struct fw_up_cache_batch *batch)
 {
     struct fw_coord *c = e->coord;
     uint64_t expect = c->next_cache_seq;
@@ -218,7 +219,7 @@
             const struct fw_upstream *u =
                 g_hash_table_lookup(cfg->upstreams, e->name);
 
-            on_report(c, &ev->u.report, u ? u->prefill_rate : 0, now_us);
+            apply_report(c, &ev->u.report, u ? u->prefill_rate : 0, now_us);
         }
         else {
             c->status.received_us = 0;
@@ -227,18 +228,18 @@
     else if (c && c->cache_op == ev->op) {
         c->cache_op = 0;
         if (ev->phase == FW_UP_DONE && ev->kind == FW_UP_CACHE) {
-            on_cache(r, e, &ev->u.cache);
+            apply_cache_events(r, e, &ev->u.cache);
         }
     }
 }
 
 /*
- * How much of what was believed cached the engine did find: it evicts, and
- * its events tell that seconds later. The next estimates are scaled by it.
+ * Eviction events arrive seconds late, so an engine finds fewer tokens cached
+ * than expected. Later estimates are scaled by the share that was found.
  */
 static void
-learn_trust(struct fw_coord *c, const struct fw_backlog_item *it,
-            int64_t cached)
+update_cache_hit_share(struct fw_coord *c, const struct fw_backlog_item *it,
+                       int64_t cached)
 {
     int64_t found;
 
@@ -265,6 +266,6 @@
     }
     it = Fw_Backlog_Complete(&e->coord->backlog, owner, round_id, now_us);
     if (it) {
-        learn_trust(e->coord, it, cached);
+        update_cache_hit_share(e->coord, it, cached);
     }
 }
--- a/src/route/coord_query.c
+++ b/src/route/coord_query.c
@@ -1,20 +1,21 @@
 #include "route/router.h"
 
 /*
- * A load poll takes about 550 bytes both ways. An instance that coordinates
- * more engines polls each less often, so that polls stay within their part
- * of the 6 KB a second.
+ * Size of a load poll with its answer, and the bandwidth that all polls of an
+ * instance may use: the more engines it coordinates, the less often it polls
+ * each.
  */
 #define FW_POLL_BYTES 550LL
 #define FW_POLL_BUDGET_BYTES_PER_S 1400
 #define FW_POLL_MIN_US (250 * FW_MSEC)
-/* An engine's word must not grow stale, however few instances there are. */
+/* Bounds the age of a report, however many engines are coordinated here; must
+ * be less than FW_STATUS_FRESH_US. */
 #define FW_POLL_MAX_US (1500 * FW_MSEC)
 
 int64_t
 Fw_Coord_PollIntervalUs(const struct fw_router *r)
 {
-    /* The baselines poll everything from everywhere: today's size only. */
+    /* With a baseline policy every instance polls every engine. */
     if (r->opts.policy != FW_POLICY_FULL) {
         return FW_POLL_MIN_US;
     }
--- a/src/route/engine_cmd.c
+++ b/src/route/engine_cmd.c
@@ -1,4 +1,4 @@
-/* What is learnt of upstreams from the list, from peers and from answers. */
+/* Updates the state of upstreams from peers' messages and dispatches. */
 #include "base/hash.h"
 #include "route/router.h"
 
@@ -25,7 +25,7 @@
         e->coord = g_new0(struct fw_coord, 1);
         Fw_Slots_Init(&e->coord->slots);
         e->coord->cache_hit_permille = 1000;
-        e->coord->next_cache_seq = 1; /* numbers of events count from 1 */
+        e->coord->next_cache_seq = 1; /* engines number events from 1 */
     }
     return e->coord;
 }
--- a/src/route/engine_query.c
+++ b/src/route/engine_query.c
@@ -1,12 +1,13 @@
 #include "base/fault.h"
 #include "route/router.h"
 
-/* An engine's word older than this is not taken for its word any more. */
+/* Load reports of engines, and results of coordinators about models, are not
+ * used when older, except for a report that the engine is leaving. */
 #define FW_STATUS_FRESH_US (3 * FW_SEC)
-/* A coordinator's figures older than this are only a guess. */
+/* Older figures of coordinators are not used for free slots. */
 #define FW_LOAD_FRESH_US (2 * FW_SEC)
-/* Peers repeat first-hand knowledge, so a rumour that stops being repeated
- * is over: the engine came back. */
+/* Peers repeat what they know of leaving engines; if none did so for this
+ * long, the engine is back. */
 #define FW_PEER_LEAVING_TTL_US (10 * FW_SEC)
 
 struct fw_engine *
@@ -22,7 +23,7 @@
 }
 
 static int
-word_fresh(const struct fw_engine *e, int64_t now_us)
+has_fresh_status(const struct fw_engine *e, int64_t now_us)
 {
     return e->coord && e->coord->status.received_us &&
            now_us - e->coord->status.received_us < FW_STATUS_FRESH_US;
@@ -49,7 +50,7 @@
 Fw_Engine_CheckServes(const struct fw_engine *e, uint64_t serving,
                       int is_prefill, int64_t now_us)
 {
-    if (word_fresh(e, now_us)) {
+    if (has_fresh_status(e, now_us)) {
         const struct fw_engine_status *w = &e->coord->status;
 
         if (w->is_prefill != is_prefill) {
@@ -72,7 +73,7 @@
 int64_t
 Fw_Engine_FreeSlots(const struct fw_engine *e, int slots, int64_t now_us)
 {
-    if (word_fresh(e, now_us)) {
+    if (has_fresh_status(e, now_us)) {
         return Fw_Slots_Free(&e->coord->slots);
     }
     if (e->load_us && now_us - e->load_us < FW_LOAD_FRESH_US) {
@@ -84,7 +85,7 @@
 int64_t
 Fw_Engine_WaitUs(const struct fw_engine *e, int64_t now_us)
 {
-    if (word_fresh(e, now_us)) {
+    if (has_fresh_status(e, now_us)) {
         return Fw_Backlog_WaitUs(&e->coord->backlog, now_us);
     }
     if (e->load_us) {
--- a/src/route/index.c
+++ b/src/route/index.c
@@ -1,6 +1,6 @@
 /*
- * Which engines a pool has, indexed once per configuration, so that a
- * decision does not walk all 1,200 upstreams.
+ * Engines by pool and role, indexed once per configuration so that a routing
+ * decision does not scan all upstreams.
  */
 #include "base/hash.h"
 #include "route/router.h"
@@ -17,7 +17,7 @@
 }
 
 static struct fw_pool_index *
-index_of(struct fw_router *r, const char *pool)
+get_pool_index(struct fw_router *r, const char *pool)
 {
     struct fw_pool_index *idx = g_hash_table_lookup(r->pools, pool);
 
@@ -36,7 +36,7 @@
 };
 
 static gint
-by_weight(gconstpointer a, gconstpointer b, gpointer data)
+compare_weight(gconstpointer a, gconstpointer b, gpointer data)
 {
     const struct fw_engine *const *ea = a;
     const struct fw_engine *const *eb = b;
@@ -48,7 +48,7 @@
 }
 
 static GPtrArray *
-of_role(struct fw_pool_index *idx, enum fw_up_role role)
+engines_of_role(struct fw_pool_index *idx, enum fw_up_role role)
 {
     switch (role) {
     case FW_ROLE_PREFILL:
@@ -83,16 +83,16 @@
     while (g_hash_table_iter_next(&it, NULL, &val)) {
         const struct fw_upstream *u = val;
 
-        g_ptr_array_add(of_role(index_of(r, u->pool), u->role),
+        g_ptr_array_add(engines_of_role(get_pool_index(r, u->pool), u->role),
                         Fw_Engine_Get(r, u->name));
     }
     g_hash_table_iter_init(&it, r->pools);
     while (g_hash_table_iter_next(&it, NULL, &val)) {
         struct fw_pool_index *idx = val;
 
-        g_ptr_array_sort_with_data(idx->prefill, by_weight, &ctx);
-        g_ptr_array_sort_with_data(idx->decode, by_weight, &ctx);
-        g_ptr_array_sort_with_data(idx->service, by_weight, &ctx);
+        g_ptr_array_sort_with_data(idx->prefill, compare_weight, &ctx);
+        g_ptr_array_sort_with_data(idx->decode, compare_weight, &ctx);
+        g_ptr_array_sort_with_data(idx->service, compare_weight, &ctx);
     }
 }
 
--- a/src/route/slots.h
+++ b/src/route/slots.h
@@ -39,8 +39,9 @@
  * @kv_total_tokens: KV memory of the engine in tokens, 0 if unknown
  * @holds: struct fw_hold, oldest first; released ones stay until a report
  *         describes a later time
- * @release_interval_us: mean time between two releases, 0 if unknown
- * @last_release_us: when a slot was last released, 0 for never
+ * @release_interval_us: mean time between releases of slots that were in use,
+ *                       0 if unknown
+ * @last_release_us: when such a slot was last released, 0 for never
  */
 struct fw_slots {
     int64_t report_us;
@@ -64,7 +65,8 @@
  * @tokens: tokens of the whole prompt, as reports count them
  * @compute_us: expected prefill time of the tokens that are not cached
  * @done_us: when the owner reported it computed, 0 before
- * @cached_tokens: prompt tokens expected in the engine's prefix cache
+ * @cached_tokens: prompt tokens cached by the prefix table, not scaled by
+ *                 fw_coord.cache_hit_permille
  */
 struct fw_backlog_item {
     uint64_t owner;
@@ -118,7 +120,7 @@
 /* Adds a copy of @item; when full, the oldest item is dropped. */
 void
 Fw_Backlog_Add(struct fw_backlog *b, const struct fw_backlog_item *item);
-/* Removes a prefill that was not started. */
+/* Removes a prefill that will not be started; no effect once computed. */
 void
 Fw_Backlog_Remove(struct fw_backlog *b, uint64_t owner, uint64_t round_id);
 /* Marks a prefill as computed. Return: the item, valid until @b changes next;
--- a/src/route/slots_cmd.c
+++ b/src/route/slots_cmd.c
@@ -3,13 +3,13 @@
 #include "base/limits.h"
 #include "route/slots.h"
 
-/* A slot that was promised is in use this long after it was due, at most. */
+/* A reserved slot is in use at most this long after it was needed. */
 #define FW_HOLD_START_GRACE_US (2 * FW_SEC)
-/* Given back sooner than this, a slot was never decoded in: that says nothing
- * about how soon others come free. */
+/* A slot released sooner was hardly used, and does not count for the mean time
+ * between releases. */
 #define FW_HOLD_SAMPLE_MIN_US (300 * FW_MSEC)
 
-/* A report that claims more is broken; sums must not run over. */
+/* Reports are clamped to these limits so that sums do not overflow. */
 #define FW_REPORT_SLOTS_MAX 100000
 #define FW_REPORT_TOKENS_MAX (1LL << 40)
 
@@ -21,7 +21,7 @@
 }
 
 static void
-drop(struct fw_slots *s, struct fw_hold *h)
+remove_hold(struct fw_slots *s, struct fw_hold *h)
 {
     Fw_List_Remove(&h->link);
     s->n_holds--;
@@ -35,23 +35,24 @@
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &s->holds) {
-        drop(s, FW_LIST_ENTRY(pos, struct fw_hold, link));
+        remove_hold(s, FW_LIST_ENTRY(pos, struct fw_hold, link));
     }
 }
 
-/* Nonzero when @h was held at @at_us and due before @due_us. */
+/* Nonzero if @h was not released by @at_us and needed by @due_us. */
 static int
-in_use(const struct fw_hold *h, int64_t at_us, int64_t due_us)
+is_in_use(const struct fw_hold *h, int64_t at_us, int64_t due_us)
 {
     return h->need_us <= due_us && (!h->released_us || h->released_us > at_us);
 }
 
 /*
- * An asker that died gives nothing back. The engine has freed its slot, so
- * the report holds fewer than must be in use by now: the oldest go.
+ * Removes holds that were released before the report. If the report shows
+ * fewer busy slots than there are holds due, their owners died without
+ * releasing them, and the oldest are removed.
  */
 static void
-drop_stale(struct fw_slots *s, int64_t at_us, int busy)
+remove_stale(struct fw_slots *s, int64_t at_us, int busy)
 {
     int64_t due_us = at_us - FW_HOLD_START_GRACE_US;
     struct fw_list *pos;
@@ -60,17 +61,17 @@
 
     FW_LIST_EACH (pos, &s->holds) {
         expected +=
-            in_use(FW_LIST_ENTRY(pos, struct fw_hold, link), at_us, due_us);
+            is_in_use(FW_LIST_ENTRY(pos, struct fw_hold, link), at_us, due_us);
     }
     FW_LIST_EACH_SAFE (pos, tmp, &s->holds) {
         struct fw_hold *h = FW_LIST_ENTRY(pos, struct fw_hold, link);
 
         if (h->released_us && h->released_us <= at_us) {
-            drop(s, h);
+            remove_hold(s, h);
         }
-        else if (expected > busy && in_use(h, at_us, due_us)) {
+        else if (expected > busy && is_in_use(h, at_us, due_us)) {
             expected--;
-            drop(s, h);
+            remove_hold(s, h);
         }
     }
 }
@@ -85,7 +86,7 @@
     if (at_us < s->report_us) {
         return;
     }
-    drop_stale(s, at_us, busy);
+    remove_stale(s, at_us, busy);
     s->report_us = at_us;
     s->total = CLAMP(rep->slots, 0, FW_REPORT_SLOTS_MAX);
     s->kv_total_tokens = CLAMP(rep->kv_total, 0, FW_REPORT_TOKENS_MAX);
@@ -94,7 +95,7 @@
     FW_LIST_EACH (pos, &s->holds) {
         const struct fw_hold *h = FW_LIST_ENTRY(pos, struct fw_hold, link);
 
-        if (in_use(h, at_us, at_us)) {
+        if (is_in_use(h, at_us, at_us)) {
             s->other_busy--;
             s->other_kv_tokens -= h->tokens;
         }
@@ -112,16 +113,18 @@
     s->n_holds++;
 }
 
-/* An exponential mean; long silences say nothing about a busy engine. */
+/* Exponential moving average, clamped because a long interval only means that
+ * the engine was idle. */
 static void
-note_gap(struct fw_slots *s, int64_t now_us)
+update_release_interval(struct fw_slots *s, int64_t now_us)
 {
-    int64_t gap = MIN(now_us - s->last_release_us, FW_SEC);
+    int64_t interval = MIN(now_us - s->last_release_us, FW_SEC);
 
     if (s->last_release_us) {
-        s->release_interval_us = s->release_interval_us
-                                     ? (s->release_interval_us * 7 + gap) / 8
-                                     : gap;
+        s->release_interval_us =
+            s->release_interval_us
+                ? (s->release_interval_us * 7 + interval) / 8
+                : interval;
     }
     s->last_release_us = now_us;
 }
@@ -139,9 +142,9 @@
             continue;
         }
         if (now_us - h->need_us > FW_HOLD_SAMPLE_MIN_US) {
-            note_gap(s, now_us);
+            update_release_interval(s, now_us);
         }
-        /* Kept: a report of a time before this may yet come, and count it. */
+        /* Kept, as a later report may describe a time before the release. */
         h->released_us = now_us;
         return 1;
     }
--- a/src/route/slots_query.c
+++ b/src/route/slots_query.c
@@ -3,10 +3,10 @@
 #include "route/slots.h"
 
 /*
- * A slot counts from its promise to its release. A report alone would miss
- * those whose KV is still on its way, and show those that are free again.
- * Slots that may come free until then are not counted on: a KV that finds no
- * slot is a wasted prefill.
+ * A slot counts from its reservation to its release; a report alone would
+ * miss slots whose KV has not arrived and include those freed since. Slots
+ * expected to become free are not counted on, since a KV that finds no slot
+ * wastes a prefill.
  */
 int
 Fw_Slots_Busy(const struct fw_slots *s)
