--- a/src/route/admit.c
+++ b/src/route/admit.c
@@ -1,6 +1,6 @@
 #include "route/policy.h"
 
-/* Under this, a caller that comes back finds the same queue. */
+/* A caller that retries sooner finds the queue unchanged. */
 #define FW_RETRY_AFTER_MIN_US (250 * FW_MSEC)
 
 int64_t
@@ -10,8 +10,8 @@
         return a->deadline_us - a->service_us - a->stream_us;
     }
     /*
-     * A prompt too long for the target on an idle engine would never be
-     * served if it were held to the target: it is only held to the queue.
+     * A prompt that would miss the target even on an idle engine is bounded
+     * by the queue limit alone; otherwise it would never be served.
      */
     if (a->service_us >= a->ttft_us) {
         return a->arrived_us + a->queue_max_us;
--- a/src/route/breaker_cmd.c
+++ b/src/route/breaker_cmd.c
@@ -2,7 +2,7 @@
 
 #define FW_BREAKER_FAILURES 3
 #define FW_BREAKER_SLOW 5
-/* Slow is this many times the usual time and a margin for small ones. */
+/* A call is slow above this multiple of the expected time plus the margin. */
 #define FW_BREAKER_SLOW_FACTOR 4
 #define FW_BREAKER_SLOW_MARGIN_US (50 * FW_MSEC)
 #define FW_BREAKER_OPEN_MIN_US FW_SEC
@@ -10,7 +10,7 @@
 #define FW_BREAKER_PROBE_TIMEOUT_US (5 * FW_SEC)
 
 static int
-trip(struct fw_breaker *b, int64_t now_us)
+open_breaker(struct fw_breaker *b, int64_t now_us)
 {
     b->open_us =
         CLAMP(b->open_us * 2, FW_BREAKER_OPEN_MIN_US, FW_BREAKER_OPEN_MAX_US);
@@ -30,17 +30,18 @@
     }
     if (b->state == FW_BREAKER_HALF_OPEN ||
         b->n_failures >= FW_BREAKER_FAILURES) {
-        return trip(b, now_us);
+        return open_breaker(b, now_us);
     }
     return 0;
 }
 
 int
 Fw_Breaker_RecordSuccess(struct fw_breaker *b, int64_t took_us,
-                         int64_t usual_us, int64_t now_us)
+                         int64_t expected_us, int64_t now_us)
 {
-    int slow = usual_us > 0 && took_us > usual_us * FW_BREAKER_SLOW_FACTOR +
-                                             FW_BREAKER_SLOW_MARGIN_US;
+    int slow =
+        expected_us > 0 && took_us > expected_us * FW_BREAKER_SLOW_FACTOR +
+                                         FW_BREAKER_SLOW_MARGIN_US;
 
     b->n_failures = 0;
     if (b->state == FW_BREAKER_OPEN) {
@@ -49,7 +50,7 @@
     if (slow) {
         b->n_slow++;
         return b->state == FW_BREAKER_HALF_OPEN || b->n_slow >= FW_BREAKER_SLOW
-                   ? trip(b, now_us)
+                   ? open_breaker(b, now_us)
                    : 0;
     }
     b->n_slow = 0;
--- a/src/route/cost.c
+++ b/src/route/cost.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-/* Where the configuration names no link: ten gigabit a second. */
+/* For decode engines without configured links, and within a failure domain:
+ * 10 Gbit/s. */
 #define FW_LINK_DEFAULT_BYTES_PER_S 1250000000LL
-/* Where it names links, but none from there: a last resort. */
+/* For domains missing from the configured links; makes them a last resort. */
 #define FW_LINK_FALLBACK_BYTES_PER_S 50000000LL
 
 int64_t
--- a/src/route/policy.h
+++ b/src/route/policy.h
@@ -97,13 +97,13 @@
 Fw_Breaker_RecordFailure(struct fw_breaker *b, int64_t now_us);
 /*
  * A call that took @took_us succeeded; it is slow if that is well above
- * @usual_us, the time expected of such a call (0: unknown).
+ * @expected_us, the time expected of such a call (0: unknown).
  *
  * Return: nonzero if slow calls opened the breaker.
  */
 int
 Fw_Breaker_RecordSuccess(struct fw_breaker *b, int64_t took_us,
-                         int64_t usual_us, int64_t now_us);
+                         int64_t expected_us, int64_t now_us);
 /* A request is sent; it is the probe if the open period has passed. */
 void
 Fw_Breaker_RecordRequest(struct fw_breaker *b, int64_t now_us);
--- a/src/route/prefix_cmd.c
+++ b/src/route/prefix_cmd.c
@@ -25,7 +25,7 @@
     }
 }
 
-/* Newest first. */
+/* Sets are kept newest first; the last entry is evicted. */
 void
 Fw_Prefix_Add(struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
 {
--- a/src/route/prefix_query.c
+++ b/src/route/prefix_query.c
@@ -1,8 +1,8 @@
 #include "base/hash.h"
 #include "route/policy.h"
 
-#define FW_PREFIX_MIN_BYTES 1024 /* bytes of the shortest prefix */
-#define FW_BYTES_PER_TOKEN 4
+#define FW_PREFIX_MIN_BYTES 1024
+#define FW_BYTES_PER_TOKEN 4 /* a rough average */
 
 void
 Fw_Prefix_Hash(GBytes *prompt, struct fw_prefixes *p)
@@ -25,7 +25,7 @@
 }
 
 static int
-known(const struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
+contains(const struct fw_prefix_table *t, uint64_t engine, uint64_t prefix)
 {
     uint64_t key = Fw_Hash_Bytes(&prefix, sizeof(prefix), engine);
     const uint64_t *set = t->key[key % FW_PREFIX_SETS];
@@ -43,7 +43,7 @@
                        const struct fw_prefixes *p)
 {
     for (int i = p->n - 1; i >= 0; i--) {
-        if (known(t, engine, p->hash[i])) {
+        if (contains(t, engine, p->hash[i])) {
             return Fw_Prefix_LevelTokens(i);
         }
     }
--- a/src/route/queue_cmd.c
+++ b/src/route/queue_cmd.c
@@ -25,7 +25,7 @@
 }
 
 static struct fw_queue_team *
-team_of(struct fw_queue *q, const char *name)
+get_team(struct fw_queue *q, const char *name)
 {
     struct fw_queue_team *t = g_hash_table_lookup(q->teams, name);
 
@@ -39,9 +39,10 @@
     return t;
 }
 
-/* Before the first item whose latest start is @before_us or later. */
+/* Inserts before the first item whose latest start is @before_us or later. */
 static void
-insert(struct fw_queue_team *t, struct fw_queue_item *it, int64_t before_us)
+insert_item(struct fw_queue_team *t, struct fw_queue_item *it,
+            int64_t before_us)
 {
     struct fw_list *pos;
 
@@ -59,7 +60,7 @@
 void
 Fw_Queue_Put(struct fw_queue *q, struct fw_queue_item *it)
 {
-    insert(team_of(q, it->team_name), it, it->latest_us + 1);
+    insert_item(get_team(q, it->team_name), it, it->latest_us + 1);
     q->n++;
 }
 
@@ -104,9 +105,9 @@
 void
 Fw_Queue_PutBack(struct fw_queue *q, struct fw_queue_item *it)
 {
-    struct fw_queue_team *t = team_of(q, it->team_name);
+    struct fw_queue_team *t = get_team(q, it->team_name);
 
-    insert(t, it, it->latest_us);
+    insert_item(t, it, it->latest_us);
     q->n++;
     t->deficit += it->tokens;
     Fw_List_Remove(&t->link);
--- a/src/route/retry.c
+++ b/src/route/retry.c
@@ -1,6 +1,6 @@
 #include "route/policy.h"
 
-/* Retries that a quiet time may save up. */
+/* Retries that the budget holds at most, and at the start. */
 #define FW_RETRY_BURST 10LL
 
 void
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -1,4 +1,4 @@
-/* The router's face: what callers of the subsystem see. */
+/* Public interface of the router. */
 #include "route/route.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "base/hash.h"
 #include "route/router.h"
 
-/* Tokens that a team earns with each turn; a short request. */
+/* About the tokens of a short request. */
 #define FW_QUEUE_QUANTUM_TOKENS 1024
 
 static void
@@ -17,12 +17,12 @@
 }
 
 static void
-free_class(gpointer p)
+free_model_queue(gpointer p)
 {
-    struct fw_model_queue *c = p;
+    struct fw_model_queue *mq = p;
 
-    Fw_Queue_Clear(&c->queue);
-    g_free(c);
+    Fw_Queue_Clear(&mq->queue);
+    g_free(mq);
 }
 
 static void
@@ -75,8 +75,8 @@
     r->self_id = Fw_Hash_Str(self->name) ^ self->boot;
     r->fleet = fleet;
     r->opts = *opts;
-    /* Another run under this name began elsewhere: its reservations are not
-     * taken for those of this one. */
+    /* Numbers rounds from a start that depends on the boot id, so that peers
+     * do not confuse them with rounds of an earlier run of this instance. */
     r->next_round_id =
         (uint32_t)Fw_Hash_Bytes(&self->boot, sizeof(self->boot), 0);
     r->rand = g_rand_new_with_seed(opts->seed);
@@ -86,8 +86,8 @@
     r->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     r->rounds = g_hash_table_new(g_int64_hash, g_int64_equal);
     r->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    r->model_queues =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_class);
+    r->model_queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                            free_model_queue);
     Fw_List_Init(&r->reserving);
     Fw_List_Init(&r->answers);
     Fw_Retry_Init(&r->retry, opts->retry_permille);
@@ -98,15 +98,15 @@
 int
 Fw_Route_TakeAnswer(struct fw_router *r, struct fw_route_answer *ans)
 {
-    struct fw_pending_answer *ready;
+    struct fw_pending_answer *pending;
 
     if (Fw_List_Empty(&r->answers)) {
         return 0;
     }
-    ready = FW_LIST_ENTRY(r->answers.next, struct fw_pending_answer, link);
-    Fw_List_Remove(&ready->link);
-    *ans = ready->answer;
-    g_free(ready);
+    pending = FW_LIST_ENTRY(r->answers.next, struct fw_pending_answer, link);
+    Fw_List_Remove(&pending->link);
+    *ans = pending->answer;
+    g_free(pending);
     return 1;
 }
 
@@ -143,22 +143,23 @@
     g_free(r);
 }
 
-/* Those that must run alone wait apart, or they would hold up all others. */
+/* Exclusive requests have a queue of their own, so that they do not block the
+ * others. */
 static struct fw_model_queue *
-class_of(struct fw_router *r, const char *model, int alone)
+get_model_queue(struct fw_router *r, const char *model, int exclusive)
 {
-    char *key = g_strconcat(alone ? "!" : "", model, NULL);
-    struct fw_model_queue *c = g_hash_table_lookup(r->model_queues, key);
+    char *key = g_strconcat(exclusive ? "!" : "", model, NULL);
+    struct fw_model_queue *mq = g_hash_table_lookup(r->model_queues, key);
 
-    if (c) {
+    if (mq) {
         g_free(key);
-        return c;
+        return mq;
     }
-    c = g_new0(struct fw_model_queue, 1);
-    g_strlcpy(c->model, model, sizeof(c->model));
-    Fw_Queue_Init(&c->queue, FW_QUEUE_QUANTUM_TOKENS);
-    g_hash_table_insert(r->model_queues, key, c);
-    return c;
+    mq = g_new0(struct fw_model_queue, 1);
+    g_strlcpy(mq->model, model, sizeof(mq->model));
+    Fw_Queue_Init(&mq->queue, FW_QUEUE_QUANTUM_TOKENS);
+    g_hash_table_insert(r->model_queues, key, mq);
+    return mq;
 }
 
 void
@@ -177,7 +178,7 @@
     }
     job = g_new0(struct fw_job, 1);
     job->ticket = ask->ticket;
-    job->model_queue = class_of(r, ask->model, ask->alone);
+    job->model_queue = get_model_queue(r, ask->model, ask->alone);
     g_strlcpy(job->queue_item.team_name, ask->team,
               sizeof(job->queue_item.team_name));
     job->prompt_tokens = MAX(ask->prompt_tokens, 1);
@@ -193,8 +194,8 @@
 }
 
 static void
-on_prefilled(struct fw_router *r, struct fw_job *job, int64_t now_us,
-             struct fw_actions *out)
+complete_prefill(struct fw_router *r, struct fw_job *job, int64_t now_us,
+                 struct fw_actions *out)
 {
     struct fw_reservation *p = &job->prefill;
 
@@ -210,8 +211,8 @@
 }
 
 static void
-on_lost(struct fw_router *r, const struct fw_job *job, const char *upstream,
-        int64_t now_us)
+record_failure(struct fw_router *r, const struct fw_job *job,
+               const char *upstream, int64_t now_us)
 {
     struct fw_engine *e = upstream ? Fw_Engine_Get(r, upstream) : NULL;
 
@@ -238,7 +239,7 @@
     }
     switch (step) {
     case FW_STEP_PREFILLED:
-        on_prefilled(r, job, now_us, out);
+        complete_prefill(r, job, now_us, out);
         break;
     case FW_STEP_IMPORTED:
     case FW_STEP_TOKEN:
@@ -249,7 +250,7 @@
         Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     case FW_STEP_LOST:
-        on_lost(r, job, upstream, now_us);
+        record_failure(r, job, upstream, now_us);
         Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     case FW_STEP_REFUSED:
@@ -272,11 +273,11 @@
 int
 Fw_Route_MayRetry(struct fw_router *r, int64_t now_us)
 {
-    int may = Fw_Retry_Spend(&r->retry);
+    int allowed = Fw_Retry_Spend(&r->retry);
 
     (void)now_us;
-    r->m.retries_refused.value += !may;
-    return may;
+    r->m.retries_refused.value += !allowed;
+    return allowed;
 }
 
 void
@@ -314,9 +315,9 @@
 }
 
 static void
-on_want(struct fw_router *r, const struct fw_config *cfg, const char *from,
-        const struct fw_route_reserve *want, int64_t now_us,
-        struct fw_actions *out)
+on_reserve(struct fw_router *r, const struct fw_config *cfg, const char *from,
+           const struct fw_route_reserve *req, int64_t now_us,
+           struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Find(r->fleet, from);
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
@@ -326,9 +327,9 @@
         return;
     }
     msg.u.route.kind = FW_ROUTE_ANSWER;
-    reply->ask = want->ask;
-    for (int i = 0; i < want->n; i++) {
-        Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), want->ask, &want->item[i],
+    reply->ask = req->ask;
+    for (int i = 0; i < req->n; i++) {
+        Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), req->ask, &req->item[i],
                          now_us, &reply->verdict[reply->n++], out);
     }
     Fw_Coord_FillLoads(r, cfg, now_us, reply);
@@ -356,7 +357,7 @@
     switch (msg->kind) {
     case FW_ROUTE_ASK:
         Fw_Engine_MarkLeaving(r, &msg->u.want.leaving, now_us);
-        on_want(r, cfg, from, &msg->u.want, now_us, out);
+        on_reserve(r, cfg, from, &msg->u.want, now_us, out);
         break;
     case FW_ROUTE_ANSWER:
         Fw_Engine_MarkLeaving(r, &msg->u.reply.leaving, now_us);
--- a/src/route/route_msg.c
+++ b/src/route/route_msg.c
@@ -29,7 +29,7 @@
 }
 
 static void
-pack_want(msgpack_packer *pk, const struct fw_route_reserve *w)
+pack_reserve(msgpack_packer *pk, const struct fw_route_reserve *w)
 {
     msgpack_pack_array(pk, 4);
     msgpack_pack_int(pk, FW_ROUTE_ASK);
@@ -73,7 +73,7 @@
 {
     switch (msg->kind) {
     case FW_ROUTE_ASK:
-        pack_want(pk, &msg->u.want);
+        pack_reserve(pk, &msg->u.want);
         return;
     case FW_ROUTE_ANSWER:
         pack_reply(pk, &msg->u.reply);
@@ -92,9 +92,9 @@
     msgpack_pack_int(pk, FW_ROUTE_NONE);
 }
 
-/* The array at @i with at most @max elements, else NULL. */
+/* Returns the array at @i, or NULL if it has more than @max elements. */
 static const msgpack_object *
-bounded(const msgpack_object *obj, uint32_t i, int max)
+unpack_bounded_array(const msgpack_object *obj, uint32_t i, int max)
 {
     const msgpack_object *arr = Fw_Unpack_Array(obj, i);
 
@@ -105,7 +105,7 @@
 unpack_hashes(const msgpack_object *obj, uint32_t i, uint64_t *hash, int max,
               int *n)
 {
-    const msgpack_object *arr = bounded(obj, i, max);
+    const msgpack_object *arr = unpack_bounded_array(obj, i, max);
 
     if (!arr) {
         return -EBADMSG;
@@ -119,9 +119,9 @@
     return 0;
 }
 
-/* A duration or count: never negative, so that sums cannot run away. */
+/* Unpacks a duration or count, bounded so that sums do not overflow. */
 static int
-unpack_amount(const msgpack_object *obj, uint32_t i, int64_t *out)
+unpack_non_negative(const msgpack_object *obj, uint32_t i, int64_t *out)
 {
     if (Fw_Unpack_I64(obj, i, out) || *out < 0 || *out > (1LL << 40)) {
         return -EBADMSG;
@@ -137,9 +137,10 @@
 
     if (Fw_Unpack_U64(o, 0, &it->engine) || Fw_Unpack_I64(o, 1, &prefill) ||
         Fw_Unpack_I64(o, 2, &alone) || Fw_Unpack_U64(o, 3, &it->serving) ||
-        unpack_amount(o, 4, &it->tokens) ||
-        unpack_amount(o, 5, &it->need_us) || Fw_Unpack_U64(o, 6, &it->from) ||
-        unpack_amount(o, 7, &it->transfer_us)) {
+        unpack_non_negative(o, 4, &it->tokens) ||
+        unpack_non_negative(o, 5, &it->need_us) ||
+        Fw_Unpack_U64(o, 6, &it->from) ||
+        unpack_non_negative(o, 7, &it->transfer_us)) {
         return -EBADMSG;
     }
     it->is_prefill = prefill != 0;
@@ -149,9 +150,9 @@
 }
 
 static int
-unpack_want(const msgpack_object *o, struct fw_route_reserve *w)
+unpack_reserve(const msgpack_object *o, struct fw_route_reserve *w)
 {
-    const msgpack_object *arr = bounded(o, 2, FW_ROUTE_ITEMS_MAX);
+    const msgpack_object *arr = unpack_bounded_array(o, 2, FW_ROUTE_ITEMS_MAX);
 
     if (!arr || Fw_Unpack_U64(o, 1, &w->ask)) {
         return -EBADMSG;
@@ -173,8 +174,9 @@
 
     if (Fw_Unpack_U64(o, 0, &v->engine) || Fw_Unpack_I64(o, 1, &grant) ||
         grant < 0 || grant >= FW_RESERVE_STATUSES ||
-        unpack_amount(o, 2, &v->wait_us) || unpack_amount(o, 3, &v->cached) ||
-        unpack_amount(o, 4, &v->free_slots)) {
+        unpack_non_negative(o, 2, &v->wait_us) ||
+        unpack_non_negative(o, 3, &v->cached) ||
+        unpack_non_negative(o, 4, &v->free_slots)) {
         return -EBADMSG;
     }
     v->status = (enum fw_reserve_status)grant;
@@ -184,8 +186,10 @@
 static int
 unpack_reply(const msgpack_object *o, struct fw_route_reply *p)
 {
-    const msgpack_object *verdicts = bounded(o, 2, FW_ROUTE_ITEMS_MAX);
-    const msgpack_object *loads = bounded(o, 3, FW_ROUTE_LOADS_MAX);
+    const msgpack_object *verdicts =
+        unpack_bounded_array(o, 2, FW_ROUTE_ITEMS_MAX);
+    const msgpack_object *loads =
+        unpack_bounded_array(o, 3, FW_ROUTE_LOADS_MAX);
 
     if (!verdicts || !loads || Fw_Unpack_U64(o, 1, &p->ask)) {
         return -EBADMSG;
@@ -201,8 +205,8 @@
         const msgpack_object *l = &loads->via.array.ptr[i];
 
         if (Fw_Unpack_U64(l, 0, &p->load[i].engine) ||
-            unpack_amount(l, 1, &p->load[i].wait_us) ||
-            unpack_amount(l, 2, &p->load[i].free)) {
+            unpack_non_negative(l, 1, &p->load[i].wait_us) ||
+            unpack_non_negative(l, 2, &p->load[i].free)) {
             return -EBADMSG;
         }
     }
@@ -223,7 +227,7 @@
     case FW_ROUTE_NONE:
         return 0;
     case FW_ROUTE_ASK:
-        return unpack_want(obj, &msg->u.want);
+        return unpack_reserve(obj, &msg->u.want);
     case FW_ROUTE_ANSWER:
         return unpack_reply(obj, &msg->u.reply);
     case FW_ROUTE_RELEASE:
--- a/src/route/serving.c
+++ b/src/route/serving.c
@@ -4,9 +4,9 @@
 #include "base/hash.h"
 #include "route/router.h"
 
-/* Nonzero when @s is what "name" or "name+adapter" asks for. */
+/* Nonzero if @s serves @model, which is "name" or "name+adapter". */
 static int
-matches(const struct fw_serving *s, const char *model)
+serves_model(const struct fw_serving *s, const char *model)
 {
     size_t n = strlen(s->model);
 
@@ -18,7 +18,7 @@
 }
 
 static uint64_t
-ref_of(const struct fw_serving *s, int with_adapter)
+hash_serving(const struct fw_serving *s, int with_adapter)
 {
     char ref[3 * FW_NAME_MAX];
 
@@ -46,13 +46,13 @@
         const struct fw_pool *pool = val;
 
         for (int i = pool->n_serves - 1; i >= 0 && n < FW_OFFERS_MAX; i--) {
-            if (!matches(&pool->serves[i], model)) {
+            if (!serves_model(&pool->serves[i], model)) {
                 continue;
             }
             offers[n] = (struct fw_offer){
                 .pool = pool,
                 .index = Fw_Index_Pool(r, pool->name),
-                .serving = ref_of(&pool->serves[i], with_adapter),
+                .serving = hash_serving(&pool->serves[i], with_adapter),
             };
             n += offers[n].index != NULL;
         }
