--- a/tests/route/test_policy.c
+++ b/tests/route/test_policy.c
@@ -1,4 +1,5 @@
-/* The small decisions of the router, by tables. */
+/* Tests of the routing policies, the slot and backlog accounts and the queue.
+ */
 #include <check.h>
 #include <string.h>
 
@@ -10,26 +11,24 @@
 #define N(rows) (int)G_N_ELEMENTS(rows)
 
 /*
- * A report is older than it looks, and many instances act on it. Between two
- * reports a coordinator must know what it has promised itself, or a decode
- * engine is promised twice and a finished prefill finds no slot: the caller
- * waits for it to be computed again.
+ * Reservations made and released since the last report must be counted, or a
+ * slot is granted twice and a finished prefill has to be repeated.
  */
 static const struct {
     const char *what;
-    int64_t need_ms;     /* of the one reservation, 0 for none */
+    int64_t need_ms;     /* when the reserved slot is needed, 0: no slot */
     int64_t released_ms; /* 0: held */
-    int64_t report_ms;   /* time that a second report speaks of, 0: none */
-    int busy;            /* in the last report */
-    int want;            /* slots thought busy at 1000 ms */
+    int64_t report_ms;   /* time that a second report describes, 0: none */
+    int busy;            /* in both reports */
+    int want;            /* expected busy slots */
 } slot_rows[] = {
-    {"nothing promised: as reported", 0, 0, 0, 3, 3},
-    {"promised since the report", 600, 0, 0, 3, 4},
-    {"in use before the report: seen in it", 600, 0, 700, 4, 4},
-    {"promised, not yet in use at the report", 900, 0, 700, 3, 4},
-    {"given back before it was in use", 900, 800, 0, 3, 3},
-    {"in use, freed since the report", 600, 900, 700, 4, 3},
-    {"freed before the report", 600, 650, 700, 3, 3},
+    {"nothing reserved: as reported", 0, 0, 0, 3, 3},
+    {"reserved since the report", 600, 0, 0, 3, 4},
+    {"in use before the report, which counts it", 600, 0, 700, 4, 4},
+    {"reserved, not yet in use at the report", 900, 0, 700, 3, 4},
+    {"released before it was in use", 900, 800, 0, 3, 3},
+    {"in use, released since the report", 600, 900, 700, 4, 3},
+    {"released before the report", 600, 650, 700, 3, 3},
 };
 
 START_TEST(slots_correct_a_lagging_report)
@@ -59,8 +58,8 @@
 }
 END_TEST
 
-/* Engine memory runs out before slots do when prompts are long. */
-START_TEST(slots_count_engine_memory)
+/* With long prompts, KV memory runs out before slots do. */
+START_TEST(slots_count_kv_memory)
 {
     const struct fw_up_report rep = {
         .slots = 20, .busy = 1, .kv_used = 6000, .kv_total = 10000};
@@ -79,11 +78,10 @@
 END_TEST
 
 /*
- * A coordinator that goes by reports alone sends a second's worth of prompts
- * before the first of them shows; one that goes by its grants alone never
- * learns that an asker died. Both are put together.
+ * Reports alone miss recent grants, and grants alone miss owners that died:
+ * the backlog must combine both.
  */
-START_TEST(backlog_drains_and_grows)
+START_TEST(backlog_combines_reports_and_grants)
 {
     struct fw_backlog b = {0};
     struct fw_backlog_item it = {.owner = 1,
@@ -92,7 +90,7 @@
                                  .tokens = 2000,
                                  .compute_us = 100 * FW_MSEC};
 
-    /* Someone else's work, by the report. */
+    /* Work granted by another coordinator. */
     Fw_Backlog_ApplyReport(&b, FW_SEC, 2000, 10000);
     ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1100 * FW_MSEC), 100 * FW_MSEC);
     Fw_Backlog_Add(&b, &it);
@@ -100,14 +98,14 @@
     it.round_id = 2;
     it.granted_us = 1150 * FW_MSEC;
     Fw_Backlog_Add(&b, &it);
-    /* Both grants are in this report and nothing else. */
+    /* This report counts both grants and nothing else. */
     Fw_Backlog_ApplyReport(&b, 1180 * FW_MSEC, 4000, 10000);
     ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1200 * FW_MSEC), 100 * FW_MSEC);
-    /* The first is told computed; a late report still has it. */
+    /* The first is computed, but an older report still counts it. */
     ck_assert(Fw_Backlog_Complete(&b, 1, 1, 1210 * FW_MSEC) != NULL);
     Fw_Backlog_ApplyReport(&b, 1200 * FW_MSEC, 4000, 10000);
     ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1250 * FW_MSEC), 60 * FW_MSEC);
-    /* The asker of the second died: the engine has nothing left. */
+    /* The owner of the second died: the engine has nothing queued. */
     Fw_Backlog_ApplyReport(&b, 1300 * FW_MSEC, 0, 10000);
     ck_assert_int_eq(Fw_Backlog_WaitUs(&b, 1300 * FW_MSEC), 0);
     ck_assert_int_eq(b.n, 0);
@@ -118,28 +116,25 @@
 }
 END_TEST
 
-/*
- * One server fails or drags while the others are well. Without a breaker
- * every third caller meets it; with one that never tries again the fleet
- * loses a server for good.
- */
+/* A breaker must keep requests off a failing or slow server, and must let
+ * probes through, or the server is never used again. */
 static const struct {
     const char *what;
-    const char *calls; /* f fails, s slow, o ok, '.' a second passes */
+    const char *calls; /* f: failure, s: slow, o: ok, '.': 1 s passes */
     int allows;
     int opened;
 } breaker_rows[] = {
-    {"well", "oooo", 1, 0},
-    {"two failures are chance", "ff", 1, 0},
-    {"a success in between counts", "ffoff", 1, 0},
-    {"three in a row open it", "fff", 0, 1},
-    {"a probe is let through later", "fff.", 1, 1},
-    {"the probe fails: open for longer", "fff.f.", 0, 2},
-    {"and is let through again", "fff.f..", 1, 2},
-    {"the probe is well: closed", "fff.off", 1, 1},
-    {"four slow ones are chance", "ssss", 1, 0},
-    {"five slow in a row open it", "sssss", 0, 1},
-    {"the probe is slow", "sssss.s.", 0, 2},
+    {"successes: closed", "oooo", 1, 0},
+    {"two failures: closed", "ff", 1, 0},
+    {"a success resets the count", "ffoff", 1, 0},
+    {"three consecutive failures: open", "fff", 0, 1},
+    {"probe allowed after the open period", "fff.", 1, 1},
+    {"probe failed: open for twice as long", "fff.f.", 0, 2},
+    {"probe allowed after that", "fff.f..", 1, 2},
+    {"probe succeeded: closed", "fff.off", 1, 1},
+    {"four slow calls: closed", "ssss", 1, 0},
+    {"five consecutive slow calls: open", "sssss", 0, 1},
+    {"probe slow: open again", "sssss.s.", 0, 2},
 };
 
 START_TEST(breaker_opens_and_probes)
@@ -166,10 +161,8 @@
 }
 END_TEST
 
-/*
- * When engines fail, every request fails, and retries of all of them would
- * double the load on what is left.
- */
+/* Retries must be limited, or an outage doubles the load on the engines that
+ * are left. */
 START_TEST(retries_are_a_share_of_traffic)
 {
     struct fw_retry_budget b;
@@ -193,25 +186,25 @@
     struct fw_admission a;
     int64_t want_ms;
 } admit_rows[] = {
-    {"target less its own service",
+    {"target less the service time",
      {.arrived_us = FW_SEC,
       .ttft_us = 850 * FW_MSEC,
       .queue_max_us = 5 * FW_SEC,
       .service_us = 300 * FW_MSEC},
      1550},
-    {"never longer than the queue may hold",
+    {"bounded by the longest wait in the queue",
      {.arrived_us = FW_SEC,
       .ttft_us = 850 * FW_MSEC,
       .queue_max_us = 200 * FW_MSEC,
       .service_us = 300 * FW_MSEC},
      1200},
-    {"too long for the target: held to the queue only",
+    {"service time exceeds the target: queue limit only",
      {.arrived_us = FW_SEC,
       .ttft_us = 850 * FW_MSEC,
       .queue_max_us = 5 * FW_SEC,
       .service_us = 2 * FW_SEC},
      6000},
-    {"a deadline: whole by then, streaming counted",
+    {"deadline less service and streaming time",
      {.arrived_us = FW_SEC,
       .deadline_us = 60 * FW_SEC,
       .ttft_us = 850 * FW_MSEC,
@@ -221,7 +214,7 @@
      50000},
 };
 
-START_TEST(admission_knows_the_latest_start)
+START_TEST(admission_computes_latest_start)
 {
     ck_assert_msg(Fw_Admit_LatestStartUs(&admit_rows[_i].a) ==
                       admit_rows[_i].want_ms * FW_MSEC,
@@ -229,7 +222,7 @@
 }
 END_TEST
 
-START_TEST(prefixes_are_learnt_and_voided)
+START_TEST(prefixes_are_added_and_removed)
 {
     struct fw_prefix_table *t = g_new0(struct fw_prefix_table, 1);
     char *text = g_strnfill(5000, 'a');
@@ -250,7 +243,7 @@
 }
 END_TEST
 
-/* Takes everything in the queue; team names in order. */
+/* Takes all items; returns their team names in order, to be freed. */
 static char *
 drain(struct fw_queue *q)
 {
@@ -265,7 +258,7 @@
 }
 
 static struct fw_queue_item *
-queued(struct fw_queue *q, const char *team, int64_t tokens, int64_t latest)
+enqueue(struct fw_queue *q, const char *team, int64_t tokens, int64_t latest)
 {
     struct fw_queue_item *it = g_new0(struct fw_queue_item, 1);
 
@@ -276,10 +269,7 @@
     return it;
 }
 
-/*
- * One team sends five times what the others send. Served first come, first
- * served, the others wait behind all of it.
- */
+/* A team with a long backlog must not delay the others. */
 START_TEST(queue_is_fair_in_tokens)
 {
     struct fw_queue q;
@@ -287,12 +277,12 @@
 
     Fw_Queue_Init(&q, 1000);
     for (int i = 0; i < 10; i++) {
-        queued(&q, "A", 1000, i);
+        enqueue(&q, "A", 1000, i);
     }
-    queued(&q, "b", 1000, 100);
-    queued(&q, "b", 1000, 101);
-    queued(&q, "c", 500, 102);
-    queued(&q, "c", 500, 103);
+    enqueue(&q, "b", 1000, 100);
+    enqueue(&q, "b", 1000, 101);
+    enqueue(&q, "c", 500, 102);
+    enqueue(&q, "c", 500, 103);
     ck_assert_int_eq(Fw_Queue_CountAhead(&q, "d", 200), 3);
     ck_assert_int_eq(Fw_Queue_CountAhead(&q, "A", 200), 14);
     order = drain(&q);
@@ -304,7 +294,7 @@
 }
 END_TEST
 
-START_TEST(queue_goes_by_deadline_and_gives_turns_back)
+START_TEST(queue_orders_by_latest_start_and_restores_turns)
 {
     struct fw_queue q;
     struct fw_queue_item *late;
@@ -312,9 +302,9 @@
     struct fw_queue_item *it;
 
     Fw_Queue_Init(&q, 1000);
-    late = queued(&q, "a", 1000, 9);
-    soon = queued(&q, "a", 1000, 3);
-    it = queued(&q, "b", 1000, 5);
+    late = enqueue(&q, "a", 1000, 9);
+    soon = enqueue(&q, "a", 1000, 3);
+    it = enqueue(&q, "b", 1000, 5);
     ck_assert_ptr_eq(Fw_Queue_Earliest(&q), soon);
     ck_assert_ptr_eq(Fw_Queue_Take(&q), soon);
     Fw_Queue_PutBack(&q, soon);
@@ -336,14 +326,13 @@
     TCase *tc = Fw_Suite_New("policy");
 
     tcase_add_loop_test(tc, slots_correct_a_lagging_report, 0, N(slot_rows));
-    tcase_add_test(tc, slots_count_engine_memory);
-    tcase_add_test(tc, backlog_drains_and_grows);
+    tcase_add_test(tc, slots_count_kv_memory);
+    tcase_add_test(tc, backlog_combines_reports_and_grants);
     tcase_add_loop_test(tc, breaker_opens_and_probes, 0, N(breaker_rows));
     tcase_add_test(tc, retries_are_a_share_of_traffic);
-    tcase_add_loop_test(tc, admission_knows_the_latest_start, 0,
-                        N(admit_rows));
-    tcase_add_test(tc, prefixes_are_learnt_and_voided);
+    tcase_add_loop_test(tc, admission_computes_latest_start, 0, N(admit_rows));
+    tcase_add_test(tc, prefixes_are_added_and_removed);
     tcase_add_test(tc, queue_is_fair_in_tokens);
-    tcase_add_test(tc, queue_goes_by_deadline_and_gives_turns_back);
+    tcase_add_test(tc, queue_orders_by_latest_start_and_restores_turns);
     return Fw_Suite_Run(tc);
 }
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -1,4 +1,4 @@
-/* Routers under faults, by scripted runs. */
+/* Scripted tests of routers with simulated engines, peers and faults. */
 #include <check.h>
 #include <errno.h>
 #include <string.h>
@@ -6,8 +6,7 @@
 #include "base/hash.h"
 #include "explore/p_route_env.h"
 
-#define FW_AHEAD_TOKENS 1000 /* a tenth of a second of prefill */
-
+/* Prefill must not start before a decode slot is reserved. */
 START_TEST(decode_slot_comes_before_prefill)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
@@ -24,7 +23,7 @@
     stage_run(s, 900 * FW_MSEC);
     ck_assert(strstr(s->seen->str, "> d1\n"));
     g_string_truncate(s->seen, 0);
-    /* That was the last slot, whatever the reports still say. */
+    /* That was the last slot, though reports still count it as free. */
     stage_ask(s, 0, 2, "a", 100, NULL);
     stage_run(s, 200 * FW_MSEC);
     stage_expect(s, "");
@@ -36,12 +35,9 @@
 }
 END_TEST
 
-/*
- * All slots stay taken. Callers would hang until their patience ends; they
- * are told as soon as the target is out of reach, and the wait that is named
- * holds.
- */
-START_TEST(refusal_is_early_and_honest)
+/* With all slots taken, a request must be refused as soon as its target cannot
+ * be met, not when the caller gives up. */
+START_TEST(overload_is_refused_early)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
 
@@ -59,11 +55,9 @@
 }
 END_TEST
 
-/*
- * A tenant at five times its share fills the queue. With both decode engines
- * full, the slots that come free go to the teams in turn.
- */
-START_TEST(slots_go_round_the_teams)
+/* A team that fills the queue must not delay another: free slots go to the
+ * teams in turn. */
+START_TEST(slots_are_shared_between_teams)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
     GString *order = g_string_new(NULL);
@@ -91,34 +85,30 @@
 }
 END_TEST
 
-/*
- * The coordinator of an engine dies. Whoever asks it hears nothing; the
- * request must still be served, a little later, from the engine's own word.
- */
-START_TEST(dead_coordinator_costs_time_only)
+/* A request must be served, if later, when the engine's coordinator is dead:
+ * the instance polls the engine itself. */
+START_TEST(dead_coordinator_only_delays_requests)
 {
     struct route_env *s = stage_new(3, FW_POLICY_FULL);
     const struct fw_member *m = Fw_Fleet_Pick(
         s->fleet[0], route_env_engine(s, "d0") ? Fw_Hash_Str("d0") : 0, 0);
     int dead = m->name[1] - '0';
-    int asker = (dead + 1) % 3;
+    int requester = (dead + 1) % 3;
 
     s->dead[dead] = 1;
     route_env_engine(s, "d1")->dead = 1;
     stage_run(s, 1500 * FW_MSEC);
-    stage_ask(s, asker, 1, "a", 100, NULL);
+    stage_ask(s, requester, 1, "a", 100, NULL);
     stage_run(s, 400 * FW_MSEC);
     ck_assert_msg(strstr(s->seen->str, "> d0\n"), "%s", s->seen->str);
-    ck_assert_int_gt(s->router[asker]->m.reply_timeouts.value, 0);
+    ck_assert_int_gt(s->router[requester]->m.reply_timeouts.value, 0);
     stage_free(s);
 }
 END_TEST
 
-/*
- * A coordinator is replaced, as happens a hundred times a day. It knows
- * nothing of its engines yet; callers elsewhere must not be refused for that.
- */
-START_TEST(restarted_coordinator_costs_no_request)
+/* Requests must not be refused because a restarted coordinator has no load
+ * reports yet. */
+START_TEST(restarted_coordinator_refuses_no_request)
 {
     struct route_env *s = stage_new(2, FW_POLICY_FULL);
 
@@ -135,8 +125,8 @@
 }
 END_TEST
 
-/* Answers are lost: the reservation made for nobody must not stay. */
-START_TEST(lost_reservation_lapses)
+/* A reservation whose reply was lost must not leak a slot. */
+START_TEST(reservation_with_lost_reply_is_released)
 {
     struct route_env *s = stage_new(2, FW_POLICY_FULL);
     int held = 0;
@@ -166,7 +156,7 @@
 }
 END_TEST
 
-/* What an engine may say of itself, and whether it is still given work. */
+/* Ways in which an engine becomes unusable; it must get no requests then. */
 static const struct {
     const char *what;
     const char *engine;
@@ -176,56 +166,53 @@
     int is_prefill;
     int drained;
     int listed;
-} word_rows[] = {
-    {"it leaves, the list lags", "d0", 1, 0, "m@1", 0, 0, 0},
-    {"it answers no more", "d0", 0, 1, "m@1", 0, 0, 0},
-    {"it holds another version", "d0", 0, 0, "m@2", 0, 0, 0},
-    {"its role was changed", "d0", 0, 0, "m@1", 1, 0, 0},
-    {"an operator took it out", "d0", 0, 0, "m@1", 0, 1, 0},
-    {"only the list says so", "d0", 0, 0, "m@1", 0, 0, 1},
-    {"a prefill engine leaves", "p0", 1, 0, "m@1", 1, 0, 0},
+} unusable_rows[] = {
+    {"leaving by its report only", "d0", 1, 0, "m@1", 0, 0, 0},
+    {"does not answer polls", "d0", 0, 1, "m@1", 0, 0, 0},
+    {"reports another model version", "d0", 0, 0, "m@2", 0, 0, 0},
+    {"reports another role", "d0", 0, 0, "m@1", 1, 0, 0},
+    {"drained by the operator", "d0", 0, 0, "m@1", 0, 1, 0},
+    {"leaving by the list only", "d0", 0, 0, "m@1", 0, 0, 1},
+    {"prefill engine leaving by its report", "p0", 1, 0, "m@1", 1, 0, 0},
 };
 
-START_TEST(engine_and_configuration_must_agree)
+START_TEST(unusable_engine_gets_no_requests)
 {
     struct route_env *s = stage_new(2, FW_POLICY_FULL);
-    struct route_env_engine *e = route_env_engine(s, word_rows[_i].engine);
+    struct route_env_engine *e = route_env_engine(s, unusable_rows[_i].engine);
     struct fw_upstream *u =
-        g_hash_table_lookup(s->cfg->upstreams, word_rows[_i].engine);
+        g_hash_table_lookup(s->cfg->upstreams, unusable_rows[_i].engine);
     struct fw_list_entry entry = {.kind = FW_LIST_UPSTREAM,
-                                  .leaving = word_rows[_i].listed};
+                                  .leaving = unusable_rows[_i].listed};
     struct fw_listed listed = {.n = 1, .entries = &entry};
 
     g_strlcpy(entry.name, e->name, sizeof(entry.name));
     Fw_Router_OnListed(s->router[0], &listed, s->now_us);
-    e->leaving = word_rows[_i].leaving;
-    e->dead = word_rows[_i].dead;
-    e->model = word_rows[_i].model;
-    e->is_prefill = word_rows[_i].is_prefill;
-    u->drained = word_rows[_i].drained;
+    e->leaving = unusable_rows[_i].leaving;
+    e->dead = unusable_rows[_i].dead;
+    e->model = unusable_rows[_i].model;
+    e->is_prefill = unusable_rows[_i].is_prefill;
+    u->drained = unusable_rows[_i].drained;
     stage_run(s, 2 * FW_SEC);
     for (uint64_t i = 0; i < 6; i++) {
         stage_ask(s, (int)(i % 2), i, "a", 100, NULL);
         stage_run(s, 100 * FW_MSEC);
         stage_step(s, (int)(i % 2), i, FW_STEP_CANCELLED, NULL);
-        if (i == 0 && word_rows[_i].listed) {
-            g_string_truncate(s->seen, 0); /* n1 has heard of it by now */
+        if (i == 0 && unusable_rows[_i].listed) {
+            g_string_truncate(s->seen, 0); /* n1 knows from n0 by now */
         }
     }
     ck_assert_msg(strstr(s->seen->str, " > "), "%s: none served",
-                  word_rows[_i].what);
-    ck_assert_msg(!strstr(s->seen->str, word_rows[_i].engine), "%s:\n%s",
-                  word_rows[_i].what, s->seen->str);
+                  unusable_rows[_i].what);
+    ck_assert_msg(!strstr(s->seen->str, unusable_rows[_i].engine), "%s:\n%s",
+                  unusable_rows[_i].what, s->seen->str);
     stage_free(s);
 }
 END_TEST
 
-/*
- * Cache events were lost; one of them said that a prompt is no longer cached.
- * Believing on would queue its callers behind an engine that has to compute
- * all of it.
- */
-START_TEST(gap_in_cache_events_voids_the_belief)
+/* A gap in the cache events may hide an eviction: prompts must not be sent to
+ * an engine that no longer has them cached. */
+START_TEST(gap_in_cache_events_invalidates_prefixes)
 {
     static const struct fw_up_cache_event first[] = {{.seq = 1, .prefix = 7}};
     static const struct fw_up_cache_event later[] = {{.seq = 4, .prefix = 9}};
@@ -235,7 +222,7 @@
     struct fw_router *r = s->router[0];
     const struct fw_engine *e = Fw_Engine_Find(r, Fw_Hash_Str("p0"));
 
-    /* The first batch starts the account; what comes next must follow it. */
+    /* The first batch sets the sequence; the next one has a gap. */
     route_env_engine(s, "p0")->cache =
         (struct fw_up_cache_batch){.n = 1, .next_seq = 2, .events = first};
     stage_run(s, 5 * FW_SEC);
@@ -254,6 +241,7 @@
 }
 END_TEST
 
+/* Repeated prompts must go to the engine that has them cached. */
 START_TEST(same_prompt_goes_where_it_is_cached)
 {
     struct route_env *s = stage_new(2, FW_POLICY_FULL);
@@ -279,7 +267,7 @@
 }
 END_TEST
 
-/* An engine is lost: the next attempt avoids it and its failure domain. */
+/* A retry must avoid the engine that failed, and its failure domain. */
 START_TEST(retry_goes_to_another_domain)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
@@ -291,11 +279,12 @@
 }
 END_TEST
 
-START_TEST(server_that_fails_is_left_alone)
+/* Neither a server with an open breaker nor one to avoid must be picked. */
+START_TEST(failing_server_is_not_picked)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
     const char *avoid[] = {"s1", NULL};
-    int met = 0;
+    int n_wrong = 0;
 
     for (int i = 0; i < 3; i++) {
         Fw_Route_ServerResult(s->router[0], "s0", 0, 0, s->now_us);
@@ -304,17 +293,17 @@
         const struct fw_upstream *u = Fw_Route_PickServer(
             s->router[0], s->cfg, "desk", avoid, s->now_us);
 
-        met += strcmp(u->name, "s2") != 0;
+        n_wrong += strcmp(u->name, "s2") != 0;
     }
-    ck_assert_int_eq(met, 0);
+    ck_assert_int_eq(n_wrong, 0);
     ck_assert_ptr_null(
         Fw_Route_PickServer(s->router[0], s->cfg, "none", NULL, s->now_us));
     stage_free(s);
 }
 END_TEST
 
-/* Nothing else may run beside a request that may crash its engine. */
-START_TEST(suspect_runs_alone)
+/* A request that may crash its engine must not share it with others. */
+START_TEST(exclusive_request_shares_no_engine)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
     struct fw_route_ask ask = {.ticket = 1,
@@ -344,6 +333,7 @@
 }
 END_TEST
 
+/* The baseline policies must answer without queueing. */
 START_TEST(baselines_answer_at_once)
 {
     enum fw_policy policy = _i ? FW_POLICY_RANDOM : FW_POLICY_LEAST_LOADED;
@@ -371,18 +361,18 @@
 
     tcase_set_timeout(tc, 30);
     tcase_add_test(tc, decode_slot_comes_before_prefill);
-    tcase_add_test(tc, refusal_is_early_and_honest);
-    tcase_add_test(tc, slots_go_round_the_teams);
-    tcase_add_test(tc, dead_coordinator_costs_time_only);
-    tcase_add_test(tc, restarted_coordinator_costs_no_request);
-    tcase_add_test(tc, lost_reservation_lapses);
-    tcase_add_loop_test(tc, engine_and_configuration_must_agree, 0,
-                        (int)G_N_ELEMENTS(word_rows));
-    tcase_add_test(tc, gap_in_cache_events_voids_the_belief);
+    tcase_add_test(tc, overload_is_refused_early);
+    tcase_add_test(tc, slots_are_shared_between_teams);
+    tcase_add_test(tc, dead_coordinator_only_delays_requests);
+    tcase_add_test(tc, restarted_coordinator_refuses_no_request);
+    tcase_add_test(tc, reservation_with_lost_reply_is_released);
+    tcase_add_loop_test(tc, unusable_engine_gets_no_requests, 0,
+                        (int)G_N_ELEMENTS(unusable_rows));
+    tcase_add_test(tc, gap_in_cache_events_invalidates_prefixes);
     tcase_add_test(tc, same_prompt_goes_where_it_is_cached);
     tcase_add_test(tc, retry_goes_to_another_domain);
-    tcase_add_test(tc, server_that_fails_is_left_alone);
-    tcase_add_test(tc, suspect_runs_alone);
+    tcase_add_test(tc, failing_server_is_not_picked);
+    tcase_add_test(tc, exclusive_request_shares_no_engine);
     tcase_add_loop_test(tc, baselines_answer_at_once, 0, 2);
     suite_add_tcase(suite, tc);
     sr = srunner_create(suite);
