--- a/src/route/book.c
+++ b/src/route/book.c
@@ -30,30 +30,30 @@
 reserve_prefill(struct fw_router *r, struct fw_engine *e,
                 const struct fw_upstream *u, uint64_t owner, uint64_t round_id,
                 const struct fw_route_item *item, int64_t now_us,
-                struct fw_reserve_result *v)
+                struct fw_reserve_result *result)
 {
     struct fw_coord *c = e->coord;
     struct fw_backlog_item work = {
         .owner = owner, .round_id = round_id, .granted_us = now_us};
     int64_t rate = MAX(u->prefill_rate, 1);
 
-    v->wait_us = Fw_Backlog_WaitUs(&c->backlog, now_us);
+    result->wait_us = Fw_Backlog_WaitUs(&c->backlog, now_us);
     work.cached_tokens = Fw_Prefix_CachedTokens(
         &r->prefixes, Fw_Engine_CacheKey(e), &item->prefixes);
-    v->cached = work.cached_tokens * c->cache_hit_permille / 1000;
+    result->cached = work.cached_tokens * c->cache_hit_permille / 1000;
     if (Fw_Slots_IsExclusive(&c->slots) ||
-        (item->exclusive && v->wait_us > 0)) {
-        v->status = FW_RESERVE_FULL;
-        v->wait_us = MAX(v->wait_us, FW_FULL_RETRY_US);
+        (item->exclusive && result->wait_us > 0)) {
+        result->status = FW_RESERVE_FULL;
+        result->wait_us = MAX(result->wait_us, FW_FULL_RETRY_US);
         return;
     }
-    if (v->wait_us > FW_PREFILL_BACKLOG_MAX_US) {
-        v->status = FW_RESERVE_FULL;
+    if (result->wait_us > FW_PREFILL_BACKLOG_MAX_US) {
+        result->status = FW_RESERVE_FULL;
         return;
     }
-    v->status = FW_RESERVE_GRANTED;
+    result->status = FW_RESERVE_GRANTED;
     work.tokens = item->tokens;
-    work.compute_us = Fw_Cost_PrefillUs(item->tokens, v->cached, rate) +
+    work.compute_us = Fw_Cost_PrefillUs(item->tokens, result->cached, rate) +
                       FW_PREFILL_OVERHEAD_US;
 
     Fw_Backlog_Add(&c->backlog, &work);
@@ -88,7 +88,7 @@
 static void
 reserve_decode(struct fw_engine *e, uint64_t owner, uint64_t round_id,
                const struct fw_route_item *item, int64_t now_us,
-               struct fw_reserve_result *v)
+               struct fw_reserve_result *result)
 {
     struct fw_coord *c = e->coord;
     struct fw_kv_link *link = find_link(c, item->from);
@@ -101,24 +101,24 @@
                            .exclusive = item->exclusive};
 
     hold.need_us = need_us + link_wait_us;
-    v->free_slots = Fw_Slots_Free(&c->slots);
-    v->status = FW_RESERVE_FULL;
-    v->wait_us = c->slots.release_interval_us > 0
-                     ? c->slots.release_interval_us
-                     : FW_FULL_RETRY_US;
-    if (v->free_slots <= 0 || !Fw_Slots_Fits(&c->slots, item->tokens) ||
+    result->free_slots = Fw_Slots_Free(&c->slots);
+    result->status = FW_RESERVE_FULL;
+    result->wait_us = c->slots.release_interval_us > 0
+                          ? c->slots.release_interval_us
+                          : FW_FULL_RETRY_US;
+    if (result->free_slots <= 0 || !Fw_Slots_Fits(&c->slots, item->tokens) ||
         Fw_Slots_IsExclusive(&c->slots) ||
         (item->exclusive && Fw_Slots_Busy(&c->slots) > 0)) {
         return;
     }
     if (link_wait_us + item->transfer_us > FW_KV_TRANSFER_MAX_US &&
         link_wait_us > 0) {
-        v->wait_us = link_wait_us;
+        result->wait_us = link_wait_us;
         return;
     }
-    v->status = FW_RESERVE_GRANTED;
-    v->wait_us = link_wait_us;
-    v->free_slots--;
+    result->status = FW_RESERVE_GRANTED;
+    result->wait_us = link_wait_us;
+    result->free_slots--;
     link->busy_until_us = ready_us + link_wait_us + item->transfer_us;
     Fw_Slots_Hold(&c->slots, &hold);
 }
@@ -127,36 +127,36 @@
 Fw_Coord_Reserve(struct fw_router *r, const struct fw_config *cfg,
                  uint64_t owner, uint64_t round_id,
                  const struct fw_route_item *item, int64_t now_us,
-                 struct fw_reserve_result *v, struct fw_actions *out)
+                 struct fw_reserve_result *result, struct fw_actions *out)
 {
     struct fw_engine *e = Fw_Engine_Find(r, item->engine);
     const struct fw_upstream *u =
         e ? g_hash_table_lookup(cfg->upstreams, e->name) : NULL;
     int serves;
 
-    *v = (struct fw_reserve_result){.engine = item->engine,
-                                    .status = FW_RESERVE_NOT_SERVED};
+    *result = (struct fw_reserve_result){.engine = item->engine,
+                                         .status = FW_RESERVE_NOT_SERVED};
     if (!u || u->drained || u->role == FW_ROLE_SERVICE) {
         return;
     }
     Fw_Engine_Coord(e)->last_request_us = now_us;
     if (Fw_Engine_IsLeaving(e, now_us)) {
-        v->status = FW_RESERVE_LEAVING;
+        result->status = FW_RESERVE_LEAVING;
         return;
     }
     serves = Fw_Engine_CheckServes(e, item->serving, item->is_prefill, now_us);
     if (serves < 0 || !e->coord->status.received_us) {
         Fw_Coord_PollNow(r, cfg, e, now_us, out);
-        v->status = FW_RESERVE_NO_REPORT;
+        result->status = FW_RESERVE_NO_REPORT;
         return;
     }
     if (!serves) {
         return;
     }
     if (item->is_prefill) {
-        reserve_prefill(r, e, u, owner, round_id, item, now_us, v);
+        reserve_prefill(r, e, u, owner, round_id, item, now_us, result);
     }
     else {
-        reserve_decode(e, owner, round_id, item, now_us, v);
+        reserve_decode(e, owner, round_id, item, now_us, result);
     }
 }
--- a/src/route/coord_cmd.c
+++ b/src/route/coord_cmd.c
@@ -239,20 +239,20 @@
  */
 static void
 update_cache_hit_share(struct fw_coord *c, const struct fw_backlog_item *it,
-                       int64_t cached)
+                       int64_t cached_tokens)
 {
     int64_t found;
 
     if (it->cached_tokens <= 0) {
         return;
     }
-    found = MIN(cached, it->cached_tokens) * 1000 / it->cached_tokens;
+    found = MIN(cached_tokens, it->cached_tokens) * 1000 / it->cached_tokens;
     c->cache_hit_permille = (int)((c->cache_hit_permille * 7 + found) / 8);
 }
 
 void
 Fw_Coord_Release(struct fw_engine *e, uint64_t owner, uint64_t round_id,
-                 int64_t cached, int64_t now_us)
+                 int64_t cached_tokens, int64_t now_us)
 {
     const struct fw_backlog_item *it;
 
@@ -260,12 +260,12 @@
         return;
     }
     Fw_Slots_Release(&e->coord->slots, owner, round_id, now_us);
-    if (cached < 0) {
+    if (cached_tokens < 0) {
         Fw_Backlog_Remove(&e->coord->backlog, owner, round_id);
         return;
     }
     it = Fw_Backlog_Complete(&e->coord->backlog, owner, round_id, now_us);
     if (it) {
-        update_cache_hit_share(e->coord, it, cached);
+        update_cache_hit_share(e->coord, it, cached_tokens);
     }
 }
--- a/src/route/engine_cmd.c
+++ b/src/route/engine_cmd.c
@@ -54,10 +54,11 @@
 }
 
 void
-Fw_Engine_ApplyResult(struct fw_engine *e, const struct fw_reserve_result *v,
-                      uint64_t serving, int64_t now_us)
+Fw_Engine_ApplyResult(struct fw_engine *e,
+                      const struct fw_reserve_result *result, uint64_t serving,
+                      int64_t now_us)
 {
-    switch (v->status) {
+    switch (result->status) {
     case FW_RESERVE_GRANTED:
     case FW_RESERVE_FULL:
         e->peer_serves = 1;
@@ -74,8 +75,8 @@
     }
     e->peer_serving = serving;
     e->peer_serves_us = now_us;
-    e->free_slots = v->free_slots;
-    e->wait_us = v->wait_us;
+    e->free_slots = result->free_slots;
+    e->wait_us = result->wait_us;
     e->load_us = now_us;
 }
 
--- a/src/route/grant.c
+++ b/src/route/grant.c
@@ -68,13 +68,14 @@
 
 static void
 release_reservation(struct fw_router *r, const struct fw_job *job,
-                    const struct fw_reservation *res, int64_t cached,
+                    const struct fw_reservation *res, int64_t cached_tokens,
                     int64_t now_us, struct fw_actions *out)
 {
     const struct fw_member *m = NULL;
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
 
-    Fw_Coord_Release(res->engine, r->self_id, job->round_id, cached, now_us);
+    Fw_Coord_Release(res->engine, r->self_id, job->round_id, cached_tokens,
+                     now_us);
     if (r->opts.policy == FW_POLICY_FULL) {
         m = Fw_Fleet_Pick(r->fleet, res->engine->id, 0);
     }
@@ -84,7 +85,7 @@
     msg.u.route.kind = FW_ROUTE_RELEASE;
     msg.u.route.u.release.ask = job->round_id;
     msg.u.route.u.release.engine = res->engine->id;
-    msg.u.route.u.release.cached = cached;
+    msg.u.route.u.release.cached = cached_tokens;
     Fw_Actions_Send(out, m->name, m->addr, &msg);
 }
 
--- a/src/route/pump.c
+++ b/src/route/pump.c
@@ -71,7 +71,7 @@
 
 void
 Fw_Dispatch_Enqueue(struct fw_router *r, const struct fw_config *cfg,
-                    struct fw_job *job, const struct fw_route_ask *ask,
+                    struct fw_job *job, const struct fw_route_ask *req,
                     int64_t now_us, struct fw_actions *out)
 {
     struct fw_model_queue *mq = job->model_queue;
@@ -82,7 +82,7 @@
         answer_with_baseline(r, cfg, job, now_us, out);
         return;
     }
-    Fw_Prefix_Hash(ask->prompt, &job->prefixes);
+    Fw_Prefix_Hash(req->prompt, &job->prefixes);
     if (Fw_Pair_Choose(r, cfg, job, now_us) == -ENOENT) {
         Fw_Grant_Refuse(r, job, "no_engine", FW_NO_ENGINE_RETRY_AFTER_US);
         Fw_Grant_FreeJob(r, job, now_us, out);
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -164,33 +164,33 @@
 
 void
 Fw_Route_Ask(struct fw_router *r, const struct fw_config *cfg,
-             const struct fw_route_ask *ask, int64_t now_us,
+             const struct fw_route_ask *req, int64_t now_us,
              struct fw_actions *out)
 {
-    struct fw_job *job = g_hash_table_lookup(r->jobs, &ask->ticket);
+    struct fw_job *job = g_hash_table_lookup(r->jobs, &req->ticket);
 
     Fw_Index_Sync(r, cfg);
     if (job) {
         Fw_Grant_FreeJob(r, job, now_us, out);
     }
-    if (!ask->avoid || !ask->avoid[0]) {
+    if (!req->avoid || !req->avoid[0]) {
         Fw_Retry_Earn(&r->retry);
     }
     job = g_new0(struct fw_job, 1);
-    job->ticket = ask->ticket;
-    job->model_queue = get_model_queue(r, ask->model, ask->alone);
-    g_strlcpy(job->queue_item.team_name, ask->team,
+    job->ticket = req->ticket;
+    job->model_queue = get_model_queue(r, req->model, req->alone);
+    g_strlcpy(job->queue_item.team_name, req->team,
               sizeof(job->queue_item.team_name));
-    job->prompt_tokens = MAX(ask->prompt_tokens, 1);
-    job->max_tokens = MAX(ask->max_tokens, 1);
-    job->deadline_us = ask->deadline_us;
-    job->arrived_us = ask->arrived_us;
-    job->exclusive = ask->alone;
-    job->avoid = g_strdupv((char **)ask->avoid);
+    job->prompt_tokens = MAX(req->prompt_tokens, 1);
+    job->max_tokens = MAX(req->max_tokens, 1);
+    job->deadline_us = req->deadline_us;
+    job->arrived_us = req->arrived_us;
+    job->exclusive = req->alone;
+    job->avoid = g_strdupv((char **)req->avoid);
     Fw_List_Init(&job->queue_item.link);
     Fw_List_Init(&job->reserving);
     g_hash_table_insert(r->jobs, &job->ticket, job);
-    Fw_Dispatch_Enqueue(r, cfg, job, ask, now_us, out);
+    Fw_Dispatch_Enqueue(r, cfg, job, req, now_us, out);
 }
 
 static void
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -105,7 +105,7 @@
  * dropped first. See Fw_Route_TakeAnswer(). */
 void
 Fw_Route_Ask(struct fw_router *r, const struct fw_config *cfg,
-             const struct fw_route_ask *ask, int64_t now_us,
+             const struct fw_route_ask *req, int64_t now_us,
              struct fw_actions *out);
 /* Takes the next answer. Return: 0 if there is none. */
 int
--- a/src/route/route_msg.c
+++ b/src/route/route_msg.c
@@ -49,14 +49,14 @@
     msgpack_pack_uint64(pk, p->ask);
     msgpack_pack_array(pk, (size_t)p->n);
     for (int i = 0; i < p->n; i++) {
-        const struct fw_reserve_result *v = &p->verdict[i];
+        const struct fw_reserve_result *result = &p->verdict[i];
 
         msgpack_pack_array(pk, 5);
-        msgpack_pack_uint64(pk, v->engine);
-        msgpack_pack_int(pk, (int)v->status);
-        msgpack_pack_int64(pk, v->wait_us);
-        msgpack_pack_int64(pk, v->cached);
-        msgpack_pack_int64(pk, v->free_slots);
+        msgpack_pack_uint64(pk, result->engine);
+        msgpack_pack_int(pk, (int)result->status);
+        msgpack_pack_int64(pk, result->wait_us);
+        msgpack_pack_int64(pk, result->cached);
+        msgpack_pack_int64(pk, result->free_slots);
     }
     msgpack_pack_array(pk, (size_t)p->n_loads);
     for (int i = 0; i < p->n_loads; i++) {
@@ -168,35 +168,35 @@
 }
 
 static int
-unpack_verdict(const msgpack_object *o, struct fw_reserve_result *v)
+unpack_result(const msgpack_object *o, struct fw_reserve_result *result)
 {
     int64_t grant;
 
-    if (Fw_Unpack_U64(o, 0, &v->engine) || Fw_Unpack_I64(o, 1, &grant) ||
+    if (Fw_Unpack_U64(o, 0, &result->engine) || Fw_Unpack_I64(o, 1, &grant) ||
         grant < 0 || grant >= FW_RESERVE_STATUSES ||
-        unpack_non_negative(o, 2, &v->wait_us) ||
-        unpack_non_negative(o, 3, &v->cached) ||
-        unpack_non_negative(o, 4, &v->free_slots)) {
+        unpack_non_negative(o, 2, &result->wait_us) ||
+        unpack_non_negative(o, 3, &result->cached) ||
+        unpack_non_negative(o, 4, &result->free_slots)) {
         return -EBADMSG;
     }
-    v->status = (enum fw_reserve_status)grant;
+    result->status = (enum fw_reserve_status)grant;
     return 0;
 }
 
 static int
 unpack_reply(const msgpack_object *o, struct fw_route_reply *p)
 {
-    const msgpack_object *verdicts =
+    const msgpack_object *results =
         unpack_bounded_array(o, 2, FW_ROUTE_ITEMS_MAX);
     const msgpack_object *loads =
         unpack_bounded_array(o, 3, FW_ROUTE_LOADS_MAX);
 
-    if (!verdicts || !loads || Fw_Unpack_U64(o, 1, &p->ask)) {
+    if (!results || !loads || Fw_Unpack_U64(o, 1, &p->ask)) {
         return -EBADMSG;
     }
-    p->n = (int)verdicts->via.array.size;
+    p->n = (int)results->via.array.size;
     for (int i = 0; i < p->n; i++) {
-        if (unpack_verdict(&verdicts->via.array.ptr[i], &p->verdict[i])) {
+        if (unpack_result(&results->via.array.ptr[i], &p->verdict[i])) {
             return -EBADMSG;
         }
     }
--- a/src/route/route_msg.h
+++ b/src/route/route_msg.h
@@ -131,8 +131,8 @@
 /**
  * struct fw_route_release - releases one reservation.
  * @ask: the round in which it was requested
- * @cached: for a computed prefill, prompt tokens found in the engine's cache;
- *          -1 for a prefill that was not started or a decode slot
+ * @cached: for a computed prefill, prompt tokens found in the cache;
+ *          -1 for a prefill that was not started, and for a decode slot
  */
 struct fw_route_release {
     uint64_t ask;
--- a/src/route/router.h
+++ b/src/route/router.h
@@ -291,8 +291,9 @@
 Fw_Engine_MarkLeaving(struct fw_router *r,
                       const struct fw_route_leaving *leaving, int64_t now_us);
 void
-Fw_Engine_ApplyResult(struct fw_engine *e, const struct fw_reserve_result *v,
-                      uint64_t serving, int64_t now_us);
+Fw_Engine_ApplyResult(struct fw_engine *e,
+                      const struct fw_reserve_result *result, uint64_t serving,
+                      int64_t now_us);
 void
 Fw_Engine_UpdateLoad(struct fw_router *r, const struct fw_route_load *load,
                      int64_t now_us);
@@ -355,11 +356,11 @@
 Fw_Coord_Reserve(struct fw_router *r, const struct fw_config *cfg,
                  uint64_t owner, uint64_t round_id,
                  const struct fw_route_item *item, int64_t now_us,
-                 struct fw_reserve_result *v, struct fw_actions *out);
-/* Ends a reservation; @cached as in struct fw_route_release. */
+                 struct fw_reserve_result *result, struct fw_actions *out);
+/* Ends a reservation; @cached_tokens as in struct fw_route_release. */
 void
 Fw_Coord_Release(struct fw_engine *e, uint64_t owner, uint64_t round_id,
-                 int64_t cached, int64_t now_us);
+                 int64_t cached_tokens, int64_t now_us);
 
 /* coord_query.c */
 /* Time between two load polls of an engine. */
@@ -453,7 +454,7 @@
 /* Queues @job, refuses it, or with a baseline policy answers it at once. */
 void
 Fw_Dispatch_Enqueue(struct fw_router *r, const struct fw_config *cfg,
-                    struct fw_job *job, const struct fw_route_ask *ask,
+                    struct fw_job *job, const struct fw_route_ask *req,
                     int64_t now_us, struct fw_actions *out);
 /* Refuses expired requests and starts rounds for others. */
 void
--- a/src/route/seek.c
+++ b/src/route/seek.c
@@ -50,36 +50,37 @@
  * the engine, by what the coordinator replied. */
 static void
 update_cached_tokens(struct fw_router *r, const struct fw_config *cfg,
-                     struct fw_job *job, const struct fw_reserve_result *v)
+                     struct fw_job *job,
+                     const struct fw_reserve_result *result)
 {
     const struct fw_upstream *u =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
     uint64_t key = Fw_Engine_CacheKey(job->prefill.engine);
 
     for (int i = 0; i < job->prefixes.n; i++) {
-        if (Fw_Prefix_LevelTokens(i) > v->cached) {
+        if (Fw_Prefix_LevelTokens(i) > result->cached) {
             Fw_Prefix_Remove(&r->prefixes, key, job->prefixes.hash[i]);
         }
         else {
             Fw_Prefix_Add(&r->prefixes, key, job->prefixes.hash[i]);
         }
     }
-    job->cached_tokens = v->cached;
+    job->cached_tokens = result->cached;
     job->prefill.service_us = Fw_Cost_PrefillUs(
-        job->prompt_tokens, v->cached, u ? MAX(u->prefill_rate, 1) : 1);
+        job->prompt_tokens, result->cached, u ? MAX(u->prefill_rate, 1) : 1);
 }
 
 static void
 apply_result(struct fw_router *r, const struct fw_config *cfg,
              struct fw_job *job, struct fw_reservation *res,
-             const struct fw_reserve_result *v, int64_t now_us)
+             const struct fw_reserve_result *result, int64_t now_us)
 {
-    Fw_Engine_ApplyResult(res->engine, v, job->serving, now_us);
-    if (v->status == FW_RESERVE_GRANTED) {
+    Fw_Engine_ApplyResult(res->engine, result, job->serving, now_us);
+    if (result->status == FW_RESERVE_GRANTED) {
         res->state = FW_RESERVATION_GRANTED;
-        res->wait_us = v->wait_us;
+        res->wait_us = result->wait_us;
         if (is_prefill(job, res)) {
-            update_cached_tokens(r, cfg, job, v);
+            update_cached_tokens(r, cfg, job, result);
         }
         return;
     }
@@ -88,8 +89,8 @@
     if (job->n_denied < FW_JOB_DENIED_MAX) {
         job->denied[job->n_denied++] = res->engine->id;
     }
-    if (v->status == FW_RESERVE_FULL) {
-        job->retry_hint_us = MIN(job->retry_hint_us, v->wait_us);
+    if (result->status == FW_RESERVE_FULL) {
+        job->retry_hint_us = MIN(job->retry_hint_us, result->wait_us);
     }
 }
 
@@ -145,12 +146,12 @@
         }
         else {
             struct fw_route_item item;
-            struct fw_reserve_result v;
+            struct fw_reserve_result result;
 
             fill_item(cfg, job, both[i], &item);
             Fw_Coord_Reserve(r, cfg, r->self_id, job->round_id, &item, now_us,
-                             &v, out);
-            apply_result(r, cfg, job, both[i], &v, now_us);
+                             &result, out);
+            apply_result(r, cfg, job, both[i], &result, now_us);
         }
     }
     if (n == 2 && peer[0] == peer[1]) {
@@ -265,14 +266,14 @@
 /* Releases a grant that is not waited for any more, such as one that arrived
  * after the timeout. */
 static void
-release_unclaimed(struct fw_router *r, const struct fw_reserve_result *v,
+release_unclaimed(struct fw_router *r, const struct fw_reserve_result *result,
                   uint64_t round_id, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_reservation res = {.engine = Fw_Engine_Find(r, v->engine),
+    struct fw_reservation res = {.engine = Fw_Engine_Find(r, result->engine),
                                  .state = FW_RESERVATION_GRANTED};
     struct fw_job job = {.round_id = round_id};
 
-    if (res.engine && v->status == FW_RESERVE_GRANTED) {
+    if (res.engine && result->status == FW_RESERVE_GRANTED) {
         Fw_Grant_Release(r, &job, &res, now_us, out);
     }
 }
@@ -302,14 +303,15 @@
         Fw_Engine_UpdateLoad(r, &reply->load[i], now_us);
     }
     for (int i = 0; i < reply->n; i++) {
-        const struct fw_reserve_result *v = &reply->verdict[i];
-        struct fw_reservation *res = job ? find_pending(job, v->engine) : NULL;
+        const struct fw_reserve_result *result = &reply->verdict[i];
+        struct fw_reservation *res =
+            job ? find_pending(job, result->engine) : NULL;
 
         if (res) {
-            apply_result(r, cfg, job, res, v, now_us);
+            apply_result(r, cfg, job, res, result, now_us);
         }
         else {
-            release_unclaimed(r, v, reply->ask, now_us, out);
+            release_unclaimed(r, result, reply->ask, now_us, out);
         }
     }
     if (!job || job->state != FW_JOB_RESERVING ||
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -306,7 +306,7 @@
 START_TEST(exclusive_request_shares_no_engine)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
-    struct fw_route_ask ask = {.ticket = 1,
+    struct fw_route_ask req = {.ticket = 1,
                                .prompt_tokens = 100,
                                .max_tokens = 10,
                                .arrived_us = s->now_us,
@@ -315,11 +315,11 @@
 
     route_env_engine(s, "d0")->busy = 1;
     stage_run(s, 2 * FW_SEC);
-    ask.arrived_us = s->now_us;
-    g_strlcpy(ask.team, "a", sizeof(ask.team));
-    g_strlcpy(ask.model, "m", sizeof(ask.model));
+    req.arrived_us = s->now_us;
+    g_strlcpy(req.team, "a", sizeof(req.team));
+    g_strlcpy(req.model, "m", sizeof(req.model));
     Fw_Actions_Init(&out);
-    Fw_Route_Ask(s->router[0], s->cfg, &ask, s->now_us, &out);
+    Fw_Route_Ask(s->router[0], s->cfg, &req, s->now_us, &out);
     Fw_Actions_Clear(&out);
     stage_run(s, 50 * FW_MSEC);
     ck_assert_msg(strstr(s->seen->str, "> d1\n"), "%s", s->seen->str);
