--- a/src/route/route.h
+++ b/src/route/route.h
@@ -68,7 +68,7 @@
  * @code: machine-readable reason of the refusal
  * @retry_after_us: for a refusal, when the caller should try again
  * @prefill, @decode: names of the engines
- * @why: the pair's estimated cost and that of the next best, for traces
+ * @why: cost of the pair and of the next best, for traces
  */
 struct fw_route_answer {
     uint64_t ticket;
