--- a/src/route/route.c
+++ b/src/route/route.c
@@ -1,4 +1,4 @@
-/* The router's face: what callers of the subsystem see. */
+/* Public interface of the router. */
 #include "route/route.h"
 
 #include <string.h>
@@ -6,8 +6,8 @@
 #include "base/hash.h"
 #include "route/router.h"
 
-/* Tokens that a team earns with each turn; a short request. */
-#define FW_QUANTUM 1024
+/* About the tokens of a short request. */
+#define FW_QUEUE_QUANTUM_TOKENS 1024
 
 static void
 free_engine(gpointer p)
@@ -17,12 +17,12 @@
 }
 
 static void
-free_class(gpointer p)
+free_model_queue(gpointer p)
 {
-    struct fw_class *c = p;
+    struct fw_model_queue *mq = p;
 
-    Fw_Queue_Clear(&c->queue);
-    g_free(c);
+    Fw_Queue_Clear(&mq->queue);
+    g_free(mq);
 }
 
 static void
@@ -40,14 +40,16 @@
                    .help = "Rounds of reservations begun."},
         .denials = {.name = "fw_route_denials_total",
                     .help = "Reservations that a coordinator refused."},
-        .silences = {.name = "fw_route_silences_total",
-                     .help = "Coordinators that did not answer in time."},
+        .reply_timeouts = {.name = "fw_route_silences_total",
+                           .help =
+                               "Coordinators that did not answer in time."},
         .polls = {.name = "fw_route_polls_total",
                   .help = "Load and cache calls to engines."},
         .cache_gaps = {.name = "fw_route_cache_gaps_total",
                        .help = "Gaps in cache events; beliefs voided."},
-        .breakers = {.name = "fw_route_breaker_opened_total",
-                     .help = "Times an upstream was taken out of choice."},
+        .breaker_trips = {.name = "fw_route_breaker_opened_total",
+                          .help =
+                              "Times an upstream was taken out of choice."},
         .retries_refused = {.name = "fw_route_retries_refused_total",
                             .help = "Retries beyond the retry budget."},
     };
@@ -56,10 +58,10 @@
     Fw_Metrics_Add(all, &m->refusals);
     Fw_Metrics_Add(all, &m->rounds);
     Fw_Metrics_Add(all, &m->denials);
-    Fw_Metrics_Add(all, &m->silences);
+    Fw_Metrics_Add(all, &m->reply_timeouts);
     Fw_Metrics_Add(all, &m->polls);
     Fw_Metrics_Add(all, &m->cache_gaps);
-    Fw_Metrics_Add(all, &m->breakers);
+    Fw_Metrics_Add(all, &m->breaker_trips);
     Fw_Metrics_Add(all, &m->retries_refused);
 }
 
@@ -73,20 +75,21 @@
     r->self_id = Fw_Hash_Str(self->name) ^ self->boot;
     r->fleet = fleet;
     r->opts = *opts;
-    /* Another run under this name began elsewhere: its reservations are not
-     * taken for those of this one. */
-    r->next_ask = (uint32_t)Fw_Hash_Bytes(&self->boot, sizeof(self->boot), 0);
+    /* Numbers rounds from a start that depends on the boot id, so that peers
+     * do not confuse them with rounds of an earlier run of this instance. */
+    r->next_round_id =
+        (uint32_t)Fw_Hash_Bytes(&self->boot, sizeof(self->boot), 0);
     r->rand = g_rand_new_with_seed(opts->seed);
     r->engines =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_engine);
-    r->order = g_ptr_array_new();
+    r->engine_list = g_ptr_array_new();
     r->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    r->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
+    r->rounds = g_hash_table_new(g_int64_hash, g_int64_equal);
     r->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    r->classes =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_class);
-    Fw_List_Init(&r->seeking);
-    Fw_List_Init(&r->ready);
+    r->model_queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                            free_model_queue);
+    Fw_List_Init(&r->reserving);
+    Fw_List_Init(&r->answers);
     Fw_Retry_Init(&r->retry, opts->retry_permille);
     add_metrics(&r->m, metrics);
     return r;
@@ -95,15 +98,15 @@
 int
 Fw_Route_TakeAnswer(struct fw_router *r, struct fw_route_answer *ans)
 {
-    struct fw_ready *ready;
+    struct fw_pending_answer *pending;
 
-    if (Fw_List_Empty(&r->ready)) {
+    if (Fw_List_Empty(&r->answers)) {
         return 0;
     }
-    ready = FW_LIST_ENTRY(r->ready.next, struct fw_ready, link);
-    Fw_List_Remove(&ready->link);
-    *ans = ready->ans;
-    g_free(ready);
+    pending = FW_LIST_ENTRY(r->answers.next, struct fw_pending_answer, link);
+    Fw_List_Remove(&pending->link);
+    *ans = pending->answer;
+    g_free(pending);
     return 1;
 }
 
@@ -122,97 +125,100 @@
     for (g_hash_table_iter_init(&it, r->jobs);
          g_hash_table_iter_next(&it, NULL, &val);
          g_hash_table_iter_init(&it, r->jobs)) {
-        Fw_Grant_Drop(r, val, 0, &out);
+        Fw_Grant_FreeJob(r, val, 0, &out);
     }
     Fw_Actions_Clear(&out);
     while (Fw_Route_TakeAnswer(r, &ans)) {
     }
-    g_hash_table_unref(r->classes);
+    g_hash_table_unref(r->model_queues);
     g_hash_table_unref(r->ops);
-    g_hash_table_unref(r->asks);
+    g_hash_table_unref(r->rounds);
     g_hash_table_unref(r->jobs);
-    if (r->index) {
-        g_hash_table_unref(r->index);
+    if (r->pools) {
+        g_hash_table_unref(r->pools);
     }
-    g_ptr_array_unref(r->order);
+    g_ptr_array_unref(r->engine_list);
     g_hash_table_unref(r->engines);
     g_rand_free(r->rand);
     g_free(r);
 }
 
-/* Those that must run alone wait apart, or they would hold up all others. */
-static struct fw_class *
-class_of(struct fw_router *r, const char *model, int alone)
+/* Exclusive requests have a queue of their own, so that they do not block the
+ * others. */
+static struct fw_model_queue *
+get_model_queue(struct fw_router *r, const char *model, int exclusive)
 {
-    char *key = g_strconcat(alone ? "!" : "", model, NULL);
-    struct fw_class *c = g_hash_table_lookup(r->classes, key);
+    char *key = g_strconcat(exclusive ? "!" : "", model, NULL);
+    struct fw_model_queue *mq = g_hash_table_lookup(r->model_queues, key);
 
-    if (c) {
+    if (mq) {
         g_free(key);
-        return c;
+        return mq;
     }
-    c = g_new0(struct fw_class, 1);
-    g_strlcpy(c->model, model, sizeof(c->model));
-    Fw_Queue_Init(&c->queue, FW_QUANTUM);
-    g_hash_table_insert(r->classes, key, c);
-    return c;
+    mq = g_new0(struct fw_model_queue, 1);
+    g_strlcpy(mq->model, model, sizeof(mq->model));
+    Fw_Queue_Init(&mq->queue, FW_QUEUE_QUANTUM_TOKENS);
+    g_hash_table_insert(r->model_queues, key, mq);
+    return mq;
 }
 
 void
 Fw_Route_Ask(struct fw_router *r, const struct fw_config *cfg,
-             const struct fw_route_ask *ask, int64_t now_us,
+             const struct fw_route_ask *req, int64_t now_us,
              struct fw_actions *out)
 {
-    struct fw_job *job = g_hash_table_lookup(r->jobs, &ask->ticket);
+    struct fw_job *job = g_hash_table_lookup(r->jobs, &req->ticket);
 
     Fw_Index_Sync(r, cfg);
     if (job) {
-        Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Grant_FreeJob(r, job, now_us, out);
     }
-    if (!ask->avoid || !ask->avoid[0]) {
+    if (!req->avoid || !req->avoid[0]) {
         Fw_Retry_Earn(&r->retry);
     }
     job = g_new0(struct fw_job, 1);
-    job->ticket = ask->ticket;
-    job->class = class_of(r, ask->model, ask->alone);
-    g_strlcpy(job->item.team_name, ask->team, sizeof(job->item.team_name));
-    job->prompt_tokens = MAX(ask->prompt_tokens, 1);
-    job->max_tokens = MAX(ask->max_tokens, 1);
-    job->deadline_us = ask->deadline_us;
-    job->arrived_us = ask->arrived_us;
-    job->alone = ask->alone;
-    job->avoid = g_strdupv((char **)ask->avoid);
-    Fw_List_Init(&job->item.link);
-    Fw_List_Init(&job->seeking);
+    job->ticket = req->ticket;
+    job->model_queue = get_model_queue(r, req->model, req->alone);
+    g_strlcpy(job->queue_item.team_name, req->team,
+              sizeof(job->queue_item.team_name));
+    job->prompt_tokens = MAX(req->prompt_tokens, 1);
+    job->max_tokens = MAX(req->max_tokens, 1);
+    job->deadline_us = req->deadline_us;
+    job->arrived_us = req->arrived_us;
+    job->exclusive = req->alone;
+    job->avoid = g_strdupv((char **)req->avoid);
+    Fw_List_Init(&job->queue_item.link);
+    Fw_List_Init(&job->reserving);
     g_hash_table_insert(r->jobs, &job->ticket, job);
-    Fw_Pump_Add(r, cfg, job, ask, now_us, out);
+    Fw_Dispatch_Enqueue(r, cfg, job, req, now_us, out);
 }
 
 static void
-on_prefilled(struct fw_router *r, struct fw_job *job, int64_t now_us,
-             struct fw_actions *out)
+complete_prefill(struct fw_router *r, struct fw_job *job, int64_t now_us,
+                 struct fw_actions *out)
 {
-    struct fw_part *p = &job->prefill;
+    struct fw_reservation *p = &job->prefill;
 
     if (job->prefilled) {
         return;
     }
     job->prefilled = 1;
     p->engine->prefilling--;
-    r->m.breakers.value +=
-        Fw_Breaker_Ok(&p->engine->breaker, now_us - job->given_us,
-                      p->wait_us + p->expect_us, now_us);
-    Fw_Grant_Computed(r, job, now_us, out);
+    r->m.breaker_trips.value +=
+        Fw_Breaker_RecordSuccess(&p->engine->breaker, now_us - job->granted_us,
+                                 p->wait_us + p->service_us, now_us);
+    Fw_Grant_CompletePrefill(r, job, now_us, out);
 }
 
 static void
-on_lost(struct fw_router *r, const struct fw_job *job, const char *upstream,
-        int64_t now_us)
+record_failure(struct fw_router *r, const struct fw_job *job,
+               const char *upstream, int64_t now_us)
 {
     struct fw_engine *e = upstream ? Fw_Engine_Get(r, upstream) : NULL;
 
     if (e && (e == job->prefill.engine || e == job->decode.engine)) {
-        r->m.breakers.value += Fw_Breaker_Fail(&e->breaker, now_us);
+        r->m.breaker_trips.value +=
+            Fw_Breaker_RecordFailure(&e->breaker, now_us);
     }
 }
 
@@ -227,28 +233,29 @@
     }
     if (job->state != FW_JOB_RUNNING) {
         if (step == FW_STEP_CANCELLED) {
-            Fw_Grant_Drop(r, job, now_us, out);
+            Fw_Grant_FreeJob(r, job, now_us, out);
         }
         return;
     }
     switch (step) {
     case FW_STEP_PREFILLED:
-        on_prefilled(r, job, now_us, out);
+        complete_prefill(r, job, now_us, out);
         break;
     case FW_STEP_IMPORTED:
     case FW_STEP_TOKEN:
         break;
     case FW_STEP_DONE:
-        (void)Fw_Breaker_Ok(&job->decode.engine->breaker, 0, 0, now_us);
-        Fw_Grant_Drop(r, job, now_us, out);
+        (void)Fw_Breaker_RecordSuccess(&job->decode.engine->breaker, 0, 0,
+                                       now_us);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     case FW_STEP_LOST:
-        on_lost(r, job, upstream, now_us);
-        Fw_Grant_Drop(r, job, now_us, out);
+        record_failure(r, job, upstream, now_us);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     case FW_STEP_REFUSED:
     case FW_STEP_CANCELLED:
-        Fw_Grant_Drop(r, job, now_us, out);
+        Fw_Grant_FreeJob(r, job, now_us, out);
         break;
     }
 }
@@ -259,18 +266,18 @@
     struct fw_job *job = g_hash_table_lookup(r->jobs, &ticket);
 
     if (job) {
-        job->cached = tokens;
+        job->cached_tokens = tokens;
     }
 }
 
 int
 Fw_Route_MayRetry(struct fw_router *r, int64_t now_us)
 {
-    int may = Fw_Retry_Spend(&r->retry);
+    int allowed = Fw_Retry_Spend(&r->retry);
 
     (void)now_us;
-    r->m.retries_refused.value += !may;
-    return may;
+    r->m.retries_refused.value += !allowed;
+    return allowed;
 }
 
 void
@@ -279,8 +286,8 @@
 {
     Fw_Index_Sync(r, cfg);
     Fw_Coord_Scan(r, cfg, now_us, out);
-    Fw_Seek_Tick(r, cfg, now_us, out);
-    Fw_Pump_Run(r, cfg, now_us, out);
+    Fw_Reserve_Tick(r, cfg, now_us, out);
+    Fw_Dispatch_Run(r, cfg, now_us, out);
 }
 
 void
@@ -290,7 +297,7 @@
 {
     Fw_Index_Sync(r, cfg);
     Fw_Coord_OnUp(r, cfg, ev, now_us);
-    Fw_Pump_Run(r, cfg, now_us, out);
+    Fw_Dispatch_Run(r, cfg, now_us, out);
 }
 
 void
@@ -308,9 +315,9 @@
 }
 
 static void
-on_want(struct fw_router *r, const struct fw_config *cfg, const char *from,
-        const struct fw_route_want *want, int64_t now_us,
-        struct fw_actions *out)
+on_reserve(struct fw_router *r, const struct fw_config *cfg, const char *from,
+           const struct fw_route_reserve *req, int64_t now_us,
+           struct fw_actions *out)
 {
     const struct fw_member *m = Fw_Fleet_Find(r->fleet, from);
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
@@ -320,13 +327,13 @@
         return;
     }
     msg.u.route.kind = FW_ROUTE_ANSWER;
-    reply->ask = want->ask;
-    for (int i = 0; i < want->n; i++) {
-        Fw_Coord_Answer(r, cfg, Fw_Hash_Str(from), want->ask, &want->item[i],
-                        now_us, &reply->verdict[reply->n++], out);
+    reply->ask = req->ask;
+    for (int i = 0; i < req->n; i++) {
+        Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), req->ask, &req->item[i],
+                         now_us, &reply->verdict[reply->n++], out);
     }
-    Fw_Coord_Loads(r, cfg, now_us, reply);
-    Fw_Coord_Leaving(r, &reply->leaving);
+    Fw_Coord_FillLoads(r, cfg, now_us, reply);
+    Fw_Coord_FillLeaving(r, &reply->leaving);
     Fw_Actions_Send(out, m->name, m->addr, &msg);
 }
 
@@ -349,13 +356,13 @@
     Fw_Index_Sync(r, cfg);
     switch (msg->kind) {
     case FW_ROUTE_ASK:
-        Fw_Engine_HearLeaving(r, &msg->u.want.leaving, now_us);
-        on_want(r, cfg, from, &msg->u.want, now_us, out);
+        Fw_Engine_MarkLeaving(r, &msg->u.want.leaving, now_us);
+        on_reserve(r, cfg, from, &msg->u.want, now_us, out);
         break;
     case FW_ROUTE_ANSWER:
-        Fw_Engine_HearLeaving(r, &msg->u.reply.leaving, now_us);
-        Fw_Seek_OnReply(r, cfg, &msg->u.reply, now_us, out);
-        Fw_Pump_Run(r, cfg, now_us, out);
+        Fw_Engine_MarkLeaving(r, &msg->u.reply.leaving, now_us);
+        Fw_Reserve_OnReply(r, cfg, &msg->u.reply, now_us, out);
+        Fw_Dispatch_Run(r, cfg, now_us, out);
         break;
     case FW_ROUTE_RELEASE:
         on_release(r, from, &msg->u.release, now_us);
@@ -370,5 +377,5 @@
 {
     const struct fw_engine *e = Fw_Engine_Find(r, Fw_Hash_Str(upstream));
 
-    return e && Fw_Engine_LeavesFirstHand(e);
+    return e && Fw_Engine_IsConfirmedLeaving(e);
 }
