--- a/src/decide/learned.c
+++ b/src/decide/learned.c
@@ -43,10 +43,10 @@
     memset(l, 0, sizeof(*l));
     g_strlcpy(l->service, service, sizeof(l->service));
     Fw_Mean_Init(&l->run_us, FW_RUN_GUESS_US, 0);
-    Fw_Mean_Init(&l->speed, FW_SPEED_GUESS, 0);
-    Fw_Mean_Init(&l->token_us, FW_TOKEN_GUESS_US, 0);
-    Fw_Mean_Init(&l->read_late_us, 0, FW_LATE_GUESS_US);
-    Fw_Mean_Init(&l->start_us, FW_START_GUESS_US, FW_START_DEV_GUESS_US);
+    Fw_Mean_Init(&l->decode_tokens_per_us, FW_SPEED_GUESS, 0);
+    Fw_Mean_Init(&l->prefill_us_per_token, FW_TOKEN_GUESS_US, 0);
+    Fw_Mean_Init(&l->prefill_delay_us, 0, FW_LATE_GUESS_US);
+    Fw_Mean_Init(&l->first_event_us, FW_START_GUESS_US, FW_START_DEV_GUESS_US);
 }
 
 void
@@ -54,21 +54,22 @@
 {
     double late = (double)(took_us - Fw_Learned_ReadTime(l, tokens));
 
-    Fw_Mean_Note(&l->read_late_us, late);
-    Fw_Mean_Note(&l->token_us, (double)took_us / (double)MAX(tokens, 1));
+    Fw_Mean_Update(&l->prefill_delay_us, late);
+    Fw_Mean_Update(&l->prefill_us_per_token,
+                   (double)took_us / (double)MAX(tokens, 1));
 }
 
 int64_t
 Fw_Learned_ReadTime(const struct fw_learned *l, int64_t tokens)
 {
-    return (int64_t)(l->token_us.mean * (double)tokens);
+    return (int64_t)(l->prefill_us_per_token.mean * (double)tokens);
 }
 
 int64_t
 Fw_Learned_ReadSlack(const struct fw_learned *l)
 {
-    double us =
-        l->read_late_us.mean + FW_SLACK_DEVIATIONS * l->read_late_us.dev;
+    double us = l->prefill_delay_us.mean +
+                FW_SLACK_DEVIATIONS * l->prefill_delay_us.dev;
 
     return CLAMP((int64_t)us, FW_SLACK_LEAST_US, FW_SLACK_MOST_US);
 }
@@ -80,7 +81,8 @@
 int64_t
 Fw_Learned_QueueTime(const struct fw_learned *l, int64_t objective_us)
 {
-    double rest = l->start_us.mean + FW_START_DEVIATIONS * l->start_us.dev;
+    double rest =
+        l->first_event_us.mean + FW_START_DEVIATIONS * l->first_event_us.dev;
 
     if (objective_us <= 0) {
         return FW_QUEUE_DEFAULT_US;
--- a/src/decide/learned.h
+++ b/src/decide/learned.h
@@ -10,23 +10,24 @@
 /**
  * struct fw_learned - of one service.
  * @run_us: a stream's time at its engine
- * @speed: tokens that one stream is given in a microsecond
- * @token_us: to read a token of a prompt, waits for earlier ones included
- * @read_late_us: how much later than expected a prompt was read
- * @start_us: from room at an engine until the first event
+ * @decode_tokens_per_us: tokens that one stream is given in a microsecond
+ * @prefill_us_per_token: to read a token of a prompt, waits for earlier ones
+ * included
+ * @prefill_delay_us: how much later than expected a prompt was read
+ * @first_event_us: from room at an engine until the first event
  * @reading: prompts that callers sent here
- * @checked_us: when an engine was last asked what its events hold
+ * @report_requested_us: when an engine was last asked what its events hold
  */
 struct fw_learned {
     char service[FW_NAME_MAX];
-    struct fw_length length;
-    struct fw_mean run_us;
-    struct fw_mean speed;
-    struct fw_mean token_us;
-    struct fw_mean read_late_us;
-    struct fw_mean start_us;
-    struct fw_reading reading;
-    int64_t checked_us;
+    struct fw_length_model length;
+    struct fw_moving_mean run_us;
+    struct fw_moving_mean decode_tokens_per_us;
+    struct fw_moving_mean prefill_us_per_token;
+    struct fw_moving_mean prefill_delay_us;
+    struct fw_moving_mean first_event_us;
+    struct fw_prefill_load reading;
+    int64_t report_requested_us;
 };
 
 void
--- a/src/decide/length.c
+++ b/src/decide/length.c
@@ -28,39 +28,42 @@
 
 /* One that gives no estimate says as much as the mean one does. */
 static double
-estimate(const struct fw_length *l, int64_t hint, int64_t most)
+estimate(const struct fw_length_model *l, int64_t hint, int64_t most)
 {
-    return hint < 0 ? l->x : (double)MIN(hint, most);
+    return hint < 0 ? l->mean_hint : (double)MIN(hint, most);
 }
 
 /* A step up or down settles where as many are above as below. */
 static void
-note_per_event(struct fw_length *l, double hint, double events)
+note_per_event(struct fw_length_model *l, double hint, double events)
 {
     double seen = hint / events;
     double step = MAX(FW_MEDIAN_FIRST / (1 + l->n / 2), FW_MEDIAN_LEAST);
 
-    if (l->measured) {
+    if (l->is_reported) {
         return;
     }
-    if (l->per_event <= 0) {
-        l->per_event = seen;
+    if (l->tokens_per_event <= 0) {
+        l->tokens_per_event = seen;
         return;
     }
-    l->per_event *= seen > l->per_event ? 1 + step : 1 / (1 + step);
+    l->tokens_per_event *=
+        seen > l->tokens_per_event ? 1 + step : 1 / (1 + step);
 }
 
 void
-Fw_Length_NoteTokens(struct fw_length *l, int64_t tokens, int64_t events)
+Fw_Length_SetTokensPerEvent(struct fw_length_model *l, int64_t tokens,
+                            int64_t events)
 {
     if (tokens > 0 && events > 0) {
-        l->per_event = (double)tokens / (double)events;
-        l->measured = 1;
+        l->tokens_per_event = (double)tokens / (double)events;
+        l->is_reported = 1;
     }
 }
 
 void
-Fw_Length_Note(struct fw_length *l, int64_t hint, int64_t most, int64_t events)
+Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t most,
+               int64_t events)
 {
     double y = (double)events;
     double x;
@@ -78,14 +81,14 @@
                  : (double)(hint < 0 ? most / 2 : MIN(hint, most));
     l->n = MIN(l->n + 1, FW_LENGTH_MEMORY);
     part = 1 / l->n;
-    dx = x - l->x;
-    dy = y - l->y;
-    l->x += part * dx;
-    l->y += part * dy;
-    l->xx += part * ((1 - part) * dx * dx - l->xx);
-    l->yy += part * ((1 - part) * dy * dy - l->yy);
-    l->xy += part * ((1 - part) * dx * dy - l->xy);
-    l->longest = MAX(y, l->longest * (1 - FW_LONGEST_DECAY));
+    dx = x - l->mean_hint;
+    dy = y - l->mean_events;
+    l->mean_hint += part * dx;
+    l->mean_events += part * dy;
+    l->hint_variance += part * ((1 - part) * dx * dx - l->hint_variance);
+    l->events_variance += part * ((1 - part) * dy * dy - l->events_variance);
+    l->covariance += part * ((1 - part) * dx * dy - l->covariance);
+    l->max_events = MAX(y, l->max_events * (1 - FW_LONGEST_DECAY));
 }
 
 /*
@@ -93,23 +96,25 @@
  * possible: rather too much than too little.
  */
 double
-Fw_Length_PerEvent(const struct fw_length *l, int64_t most)
+Fw_Length_TokensPerEvent(const struct fw_length_model *l, int64_t most)
 {
-    if (l->per_event > 0) {
-        return l->per_event;
+    if (l->tokens_per_event > 0) {
+        return l->tokens_per_event;
     }
-    return l->longest > 0 ? (double)most / l->longest : 0;
+    return l->max_events > 0 ? (double)most / l->max_events : 0;
 }
 
 void
-Fw_Length_Guess(const struct fw_length *l, int64_t hint, int64_t most,
+Fw_Length_Guess(const struct fw_length_model *l, int64_t hint, int64_t most,
                 struct fw_length_guess *out)
 {
-    double per_event = Fw_Length_PerEvent(l, most);
+    double per_event = Fw_Length_TokensPerEvent(l, most);
     double known = l->n / (l->n + FW_LENGTH_START);
-    double slope = l->xx > 0 ? MAX(l->xy / l->xx, 0) : 0;
-    double events = l->y + slope * (estimate(l, hint, most) - l->x);
-    double spread = MAX(l->yy - slope * l->xy, 0);
+    double slope =
+        l->hint_variance > 0 ? MAX(l->covariance / l->hint_variance, 0) : 0;
+    double events =
+        l->mean_events + slope * (estimate(l, hint, most) - l->mean_hint);
+    double spread = MAX(l->events_variance - slope * l->covariance, 0);
     struct fw_length_guess blind;
 
     guess_blind(hint, most, &blind);
@@ -119,29 +124,37 @@
 }
 
 void
-Fw_Length_Write(const struct fw_length *l, double figures[FW_LENGTH_FIGURES])
+Fw_Length_Export(const struct fw_length_model *l,
+                 double figures[FW_LENGTH_PARAMS])
 {
-    const double all[FW_LENGTH_FIGURES] = {
-        l->n, l->x, l->y, l->xx, l->yy, l->xy, l->per_event, l->longest};
-
-    for (int i = 0; i < FW_LENGTH_FIGURES; i++) {
+    const double all[FW_LENGTH_PARAMS] = {l->n,
+                                          l->mean_hint,
+                                          l->mean_events,
+                                          l->hint_variance,
+                                          l->events_variance,
+                                          l->covariance,
+                                          l->tokens_per_event,
+                                          l->max_events};
+
+    for (int i = 0; i < FW_LENGTH_PARAMS; i++) {
         figures[i] = all[i];
     }
 }
 
 void
-Fw_Length_Adopt(struct fw_length *l, const double figures[FW_LENGTH_FIGURES])
+Fw_Length_Import(struct fw_length_model *l,
+                 const double figures[FW_LENGTH_PARAMS])
 {
-    struct fw_length got = {.n = figures[0],
-                            .x = figures[1],
-                            .y = figures[2],
-                            .xx = figures[3],
-                            .yy = figures[4],
-                            .xy = figures[5],
-                            .per_event = figures[6],
-                            .longest = figures[7]};
-
-    for (int i = 0; i < FW_LENGTH_FIGURES; i++) {
+    struct fw_length_model got = {.n = figures[0],
+                                  .mean_hint = figures[1],
+                                  .mean_events = figures[2],
+                                  .hint_variance = figures[3],
+                                  .events_variance = figures[4],
+                                  .covariance = figures[5],
+                                  .tokens_per_event = figures[6],
+                                  .max_events = figures[7]};
+
+    for (int i = 0; i < FW_LENGTH_PARAMS; i++) {
         if (!isfinite(figures[i]) || (figures[i] < 0 && i != 5)) {
             return;
         }
--- a/src/decide/length.h
+++ b/src/decide/length.h
@@ -14,27 +14,30 @@
 #include <stdint.h>
 
 /* Figures that one instance hands on to another that has just started. */
-#define FW_LENGTH_FIGURES 8
+#define FW_LENGTH_PARAMS 8
 
 /**
- * struct fw_length - what was learned; zeroed at the start.
+ * struct fw_length_model - what was learned; zeroed at the start.
  * @n: answers, old ones for less and less
- * @x, @y: means of estimates in tokens and of answers in events
- * @xx, @yy, @xy: mean squares and products of the distances from them
- * @per_event: tokens of an event, 0 before an estimate was compared
- * @measured: @per_event is an engine's figure, not one from estimates
- * @longest: events of the longest answer of late
+ * @mean_hint, @mean_events: means of estimates in tokens and of answers in
+ * events
+ * @hint_variance, @events_variance, @covariance: mean squares and products of
+ * the distances from them
+ * @tokens_per_event: tokens of an event, 0 before an estimate was compared
+ * @is_reported: @tokens_per_event is an engine's figure, not one from
+ * estimates
+ * @max_events: events of the longest answer of late
  */
-struct fw_length {
+struct fw_length_model {
     double n;
-    double x;
-    double y;
-    double xx;
-    double yy;
-    double xy;
-    double per_event;
-    double longest;
-    int measured;
+    double mean_hint;
+    double mean_events;
+    double hint_variance;
+    double events_variance;
+    double covariance;
+    double tokens_per_event;
+    double max_events;
+    int is_reported;
 };
 
 /** struct fw_length_guess - tokens: what is expected, standard deviation. */
@@ -50,22 +53,25 @@
  * @events: that it had
  */
 void
-Fw_Length_Note(struct fw_length *l, int64_t hint, int64_t most,
+Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t most,
                int64_t events);
 void
-Fw_Length_Guess(const struct fw_length *l, int64_t hint, int64_t most,
+Fw_Length_Guess(const struct fw_length_model *l, int64_t hint, int64_t most,
                 struct fw_length_guess *out);
 /* An engine has reported that @events of a stream are @tokens. */
 void
-Fw_Length_NoteTokens(struct fw_length *l, int64_t tokens, int64_t events);
+Fw_Length_SetTokensPerEvent(struct fw_length_model *l, int64_t tokens,
+                            int64_t events);
 /* Tokens of an event; 0 when nothing is known. */
 double
-Fw_Length_PerEvent(const struct fw_length *l, int64_t most);
+Fw_Length_TokensPerEvent(const struct fw_length_model *l, int64_t most);
 
 void
-Fw_Length_Write(const struct fw_length *l, double figures[FW_LENGTH_FIGURES]);
+Fw_Length_Export(const struct fw_length_model *l,
+                 double figures[FW_LENGTH_PARAMS]);
 /* Takes over another's, unless as much is known here or they make no sense. */
 void
-Fw_Length_Adopt(struct fw_length *l, const double figures[FW_LENGTH_FIGURES]);
+Fw_Length_Import(struct fw_length_model *l,
+                 const double figures[FW_LENGTH_PARAMS]);
 
 #endif
--- a/src/decide/mean.c
+++ b/src/decide/mean.c
@@ -9,13 +9,13 @@
 #define FW_MEAN_MEMORY 30
 
 void
-Fw_Mean_Init(struct fw_mean *m, double mean, double dev)
+Fw_Mean_Init(struct fw_moving_mean *m, double mean, double dev)
 {
-    *m = (struct fw_mean){.mean = mean, .dev = dev};
+    *m = (struct fw_moving_mean){.mean = mean, .dev = dev};
 }
 
 void
-Fw_Mean_Note(struct fw_mean *m, double value)
+Fw_Mean_Update(struct fw_moving_mean *m, double value)
 {
     double part;
 
--- a/src/decide/mean.h
+++ b/src/decide/mean.h
@@ -3,11 +3,11 @@
 #define FW_DECIDE_MEAN_H
 
 /**
- * struct fw_mean - moving mean of a quantity.
+ * struct fw_moving_mean - moving mean of a quantity.
  * @mean, @dev: the mean and the mean distance from it, in the quantity's unit
  * @n: observations so far, up to a bound
  */
-struct fw_mean {
+struct fw_moving_mean {
     double mean;
     double dev;
     int n;
@@ -15,8 +15,8 @@
 
 /* Before anything was seen: @mean and @dev count as a few observations. */
 void
-Fw_Mean_Init(struct fw_mean *m, double mean, double dev);
+Fw_Mean_Init(struct fw_moving_mean *m, double mean, double dev);
 void
-Fw_Mean_Note(struct fw_mean *m, double value);
+Fw_Mean_Update(struct fw_moving_mean *m, double value);
 
 #endif
--- a/src/decide/memory.c
+++ b/src/decide/memory.c
@@ -16,8 +16,8 @@
  * with old streams only would be filled until it preempts them.
  */
 int64_t
-Fw_Memory_Use(int64_t in, const struct fw_length_guess *answer, int64_t most,
-              double generated)
+Fw_Memory_StreamTokens(int64_t in, const struct fw_length_guess *answer,
+                       int64_t most, double generated)
 {
     double met = answer->mean + answer->dev * answer->dev / answer->mean;
     double out = MAX(met / 2, generated);
--- a/src/decide/readers.c
+++ b/src/decide/readers.c
@@ -26,7 +26,7 @@
 }
 
 void
-Fw_Reading_Note(struct fw_reading *r, int64_t tokens, int64_t now_us)
+Fw_Reading_Note(struct fw_prefill_load *r, int64_t tokens, int64_t now_us)
 {
     r->sum = r->sum * fade((double)(now_us - r->at_us)) + (double)tokens;
     r->at_us = now_us;
@@ -37,7 +37,7 @@
 
 /* Over the time that it was seen for: one that has just started is right. */
 double
-Fw_Reading_Rate(const struct fw_reading *r, int64_t now_us)
+Fw_Reading_Rate(const struct fw_prefill_load *r, int64_t now_us)
 {
     double seen = MAX((double)(now_us - r->since_us), FW_READING_LEAST_US);
 
@@ -49,8 +49,8 @@
 }
 
 double
-Fw_Readers_Mean(const struct fw_reading *mine, double rate, double token_us,
-                double guess, int64_t now_us)
+Fw_PrefillPool_BusyEngines(const struct fw_prefill_load *mine, double rate,
+                           double token_us, double guess, int64_t now_us)
 {
     double seen = mine->since_us ? (double)(now_us - mine->since_us) : 0;
     double part = seen / (seen + FW_GUESS_LIFE_US);
@@ -63,7 +63,7 @@
  * a few engines need more beside the mean than many do.
  */
 int
-Fw_Readers_Wanted(double busy, int engines, int now_readers)
+Fw_PrefillPool_TargetSize(double busy, int engines, int now_readers)
 {
     double want = busy + FW_READERS_SPARE * sqrt(busy);
     int most = MAX(engines - 1, 1);
--- a/src/decide/readers.h
+++ b/src/decide/readers.h
@@ -10,38 +10,38 @@
 #include <stdint.h>
 
 /**
- * struct fw_reading - prompts that come in, as one instance sees it.
+ * struct fw_prefill_load - prompts that come in, as one instance sees it.
  * @sum: tokens, old ones for less and less; as of @at_us
  * @since_us: the first one came, 0 for none
  * @at_us: of the last one
  */
-struct fw_reading {
+struct fw_prefill_load {
     double sum;
     int64_t since_us;
     int64_t at_us;
 };
 
 void
-Fw_Reading_Note(struct fw_reading *r, int64_t tokens, int64_t now_us);
+Fw_Reading_Note(struct fw_prefill_load *r, int64_t tokens, int64_t now_us);
 /* Tokens a second as of now. */
 double
-Fw_Reading_Rate(const struct fw_reading *r, int64_t now_us);
+Fw_Reading_Rate(const struct fw_prefill_load *r, int64_t now_us);
 
 /**
- * Fw_Readers_Mean - engines that reading keeps busy.
+ * Fw_PrefillPool_BusyEngines - engines that reading keeps busy.
  * @mine: prompts of this instance: how long the load has been seen
  * @rate: tokens a second, of all instances
  * @token_us: to read one
  * @guess: engines, before the load was seen
  */
 double
-Fw_Readers_Mean(const struct fw_reading *mine, double rate, double token_us,
-                double guess, int64_t now_us);
+Fw_PrefillPool_BusyEngines(const struct fw_prefill_load *mine, double rate,
+                           double token_us, double guess, int64_t now_us);
 /*
  * Readers among @engines when @busy are kept busy and @now_readers read; that
  * is 0 when the number may change freely.
  */
 int
-Fw_Readers_Wanted(double busy, int engines, int now_readers);
+Fw_PrefillPool_TargetSize(double busy, int engines, int now_readers);
 
 #endif
--- a/src/relay/allowance.c
+++ b/src/relay/allowance.c
@@ -46,7 +46,7 @@
 static double
 cap_of(const struct fw_rl_allowance *p)
 {
-    return (double)p->burst * p->part;
+    return (double)p->burst * p->fleet_share;
 }
 
 /*
@@ -64,10 +64,10 @@
     double more =
         (double)p->rate * part * (double)(now_us - p->at_us) / FW_SEC;
 
-    if (p->level > 0 && part < p->part) {
-        p->level *= part / p->part;
+    if (p->level > 0 && part < p->fleet_share) {
+        p->level *= part / p->fleet_share;
     }
-    p->part = part;
+    p->fleet_share = part;
     if (now_us > p->at_us) {
         p->level += more;
         p->at_us = now_us;
@@ -118,8 +118,8 @@
         p->hash = Fw_Hash_Str(t->name);
         p->level = FW_START_LEVEL * (double)t->burst;
         p->at_us = now_us;
-        p->born_us = now_us;
-        p->part = 1.0;
+        p->created_us = now_us;
+        p->fleet_share = 1.0;
         g_hash_table_insert(r->allowances, &p->hash, p);
     }
     resize(r, p, t, now_us);
@@ -127,8 +127,8 @@
 }
 
 void
-Fw_Allowance_FollowRules(struct fw_relay *r, int64_t now_us,
-                         struct fw_rl_acts *out)
+Fw_Allowance_ApplyRules(struct fw_relay *r, int64_t now_us,
+                        struct fw_rl_acts *out)
 {
     for (guint i = 0; i < r->rules->teams->len; i++) {
         const struct fw_rl_team_rule *t =
@@ -153,7 +153,7 @@
              int64_t cost)
 {
     int64_t part = r->opts.tolerance * FW_CREDIT_PERMILLE / 1000;
-    double credit = (double)part * p->part;
+    double credit = (double)part * p->fleet_share;
 
     if ((double)cost * FW_SMALL_PART <= credit) {
         return (double)cost - credit;
@@ -223,7 +223,7 @@
     /* Before it is taken off: a full bucket doesn't refill meanwhile. */
     settle(r, p, now_us);
     r->x.wants_push |= tokens > 0 && p->level < FW_EMPTY * cap_of(p);
-    if (!p->adopted && now_us - p->born_us < FW_ADOPT_US) {
+    if (!p->adopted && now_us - p->created_us < FW_ADOPT_US) {
         p->adopted = 1;
         p->level = (double)level;
         p->at_us = now_us;
@@ -306,5 +306,5 @@
     const struct fw_rl_allowance *p = find(r, Fw_Hash_Str(team));
 
     *level = p ? (int64_t)p->level : 0;
-    *part_permille = p ? (int)(p->part * 1000) : 0;
+    *part_permille = p ? (int)(p->fleet_share * 1000) : 0;
 }
--- a/src/relay/learned.c
+++ b/src/relay/learned.c
@@ -24,7 +24,7 @@
 /* Figures go as whole numbers, in thousandths. */
 #define FW_FIGURE_SCALE 1000.0
 /* A service's hash and its figures. */
-#define FW_LEARNED_WIDTH (1 + FW_LENGTH_FIGURES)
+#define FW_LEARNED_WIDTH (1 + FW_LENGTH_PARAMS)
 
 struct fw_learned *
 Fw_Learned_Of(const struct fw_relay *r, const char *service)
@@ -80,15 +80,16 @@
         struct fw_rl_server *s;
 
         if (l->length.n < FW_CHECK_ANSWERS ||
-            (l->checked_us && now_us - l->checked_us < FW_CHECK_US)) {
+            (l->report_requested_us &&
+             now_us - l->report_requested_us < FW_CHECK_US)) {
             continue;
         }
         s = server_to_check(r, l->service, now_us);
         if (s) {
-            l->checked_us = now_us;
+            l->report_requested_us = now_us;
             Fw_Call_Ask(r, NULL, s, &up, now_us + FW_RL_HOUSEKEEPING_US,
                         now_us, out)
-                ->about_runs = 1;
+                ->is_calibration = 1;
         }
     }
 }
@@ -126,7 +127,8 @@
             events += run->events;
         }
     }
-    Fw_Length_NoteTokens(&Fw_Learned_Of(r, service)->length, tokens, events);
+    Fw_Length_SetTokensPerEvent(&Fw_Learned_Of(r, service)->length, tokens,
+                                events);
 }
 
 int
@@ -143,12 +145,12 @@
     msgpack_pack_array(&pk, r->learned->len);
     for (guint i = 0; i < r->learned->len; i++) {
         const struct fw_learned *l = g_ptr_array_index(r->learned, i);
-        double figures[FW_LENGTH_FIGURES];
+        double figures[FW_LENGTH_PARAMS];
 
-        Fw_Length_Write(&l->length, figures);
+        Fw_Length_Export(&l->length, figures);
         msgpack_pack_array(&pk, FW_LEARNED_WIDTH);
         msgpack_pack_uint64(&pk, Fw_Hash_Str(l->service));
-        for (int k = 0; k < FW_LENGTH_FIGURES; k++) {
+        for (int k = 0; k < FW_LENGTH_PARAMS; k++) {
             msgpack_pack_int64(&pk, (int64_t)(figures[k] * FW_FIGURE_SCALE));
         }
     }
@@ -162,16 +164,16 @@
     uint64_t hash = Fw_Hash_Str(service);
 
     for (uint32_t i = 0; i < rows->size; i++) {
-        double figures[FW_LENGTH_FIGURES];
+        double figures[FW_LENGTH_PARAMS];
 
         if ((uint64_t)Fw_Rows_Cell(rows, i, 0) != hash) {
             continue;
         }
-        for (int k = 0; k < FW_LENGTH_FIGURES; k++) {
+        for (int k = 0; k < FW_LENGTH_PARAMS; k++) {
             figures[k] =
                 (double)Fw_Rows_Cell(rows, i, k + 1) / FW_FIGURE_SCALE;
         }
-        Fw_Length_Adopt(&Fw_Learned_Of(r, service)->length, figures);
+        Fw_Length_Import(&Fw_Learned_Of(r, service)->length, figures);
     }
 }
 
--- a/src/relay/metrics.c
+++ b/src/relay/metrics.c
@@ -3,7 +3,7 @@
 #include "relay/relay_internal.h"
 
 void
-Fw_Relay_AddCounts(struct fw_relay *r)
+Fw_Relay_RegisterMetrics(struct fw_relay *r)
 {
     struct {
         struct fw_metric *m;
@@ -119,5 +119,6 @@
     r->n.rules_age_ms.value = Fw_Relay_Ms(now_us - r->fresh_us);
     r->n.servers_usable.value = usable;
     r->n.tokens_reserved.value = reserved;
-    r->n.role_held.value = r->lead.fence && now_us < r->lead.until_us;
+    r->n.role_held.value =
+        r->order_lease.fence && now_us < r->order_lease.until_us;
 }
--- a/src/relay/need.c
+++ b/src/relay/need.c
@@ -10,14 +10,15 @@
         return 0;
     }
     return (double)(now_us - c->run_us) *
-           Fw_Learned_Of(r, c->service)->speed.mean;
+           Fw_Learned_Of(r, c->service)->decode_tokens_per_us.mean;
 }
 
 void
 Fw_Need_Grow(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us)
 {
-    int64_t use = Fw_Memory_Use(c->ask.tokens_in, &c->answer,
-                                c->ask.tokens_out, generated(r, c, now_us));
+    int64_t use =
+        Fw_Memory_StreamTokens(c->ask.tokens_in, &c->answer, c->ask.tokens_out,
+                               generated(r, c, now_us));
     /* A caller may say 0; a need of 0 marks plain requests. */
     int64_t need = MAX(use, 1);
 
@@ -39,13 +40,13 @@
     if (c->ask.last_event >= 0) {
         return;
     }
-    Fw_Mean_Note(&l->run_us, took);
+    Fw_Mean_Update(&l->run_us, took);
     if (events > 0) {
         Fw_Length_Note(&l->length, c->ask.hint_out, c->ask.tokens_out, events);
-        tokens =
-            (double)events * Fw_Length_PerEvent(&l->length, c->ask.tokens_out);
+        tokens = (double)events *
+                 Fw_Length_TokensPerEvent(&l->length, c->ask.tokens_out);
     }
-    Fw_Mean_Note(&l->speed, tokens / took);
+    Fw_Mean_Update(&l->decode_tokens_per_us, tokens / took);
 }
 
 int64_t
--- a/src/relay/order.c
+++ b/src/relay/order.c
@@ -76,18 +76,19 @@
 holds_role(const struct fw_relay *r, int64_t now_us)
 {
     if (FW_FAULT("lead-without-lease")) {
-        return r->lead.fence != 0;
+        return r->order_lease.fence != 0;
     }
-    return r->lead.fence && now_us < r->lead.until_us - FW_LEASE_MARGIN_US;
+    return r->order_lease.fence &&
+           now_us < r->order_lease.until_us - FW_LEASE_MARGIN_US;
 }
 
 /* Has the last claim surely run out, as seen from here? */
 static int
 role_is_free(const struct fw_relay *r, int64_t now_us)
 {
-    return !r->lead.asking &&
-           (!r->lead.seen_us ||
-            now_us - r->lead.seen_us > r->opts.lease_us + FW_SEC);
+    return !r->order_lease.claim_pending &&
+           (!r->order_lease.last_claim_us ||
+            now_us - r->order_lease.last_claim_us > r->opts.lease_us + FW_SEC);
 }
 
 /* Prompts of @service that all instances in touch are sent, tokens a second.
@@ -116,12 +117,13 @@
 {
     const struct fw_learned *known = Fw_Learned_Of(r, service);
     double guess = engines * r->opts.prefill_permille / 1000.0;
-    double busy =
-        Fw_Readers_Mean(&known->reading, reading_rate(r, known, now_us),
-                        known->token_us.mean, guess, now_us);
+    double busy = Fw_PrefillPool_BusyEngines(
+        &known->reading, reading_rate(r, known, now_us),
+        known->prefill_us_per_token.mean, guess, now_us);
 
     /* At the start there is nothing yet that a change would disturb. */
-    return Fw_Readers_Wanted(busy, engines, r->settled ? readers : 0);
+    return Fw_PrefillPool_TargetSize(busy, engines,
+                                     r->stages_settled ? readers : 0);
 }
 
 static enum fw_rl_stage
@@ -218,7 +220,7 @@
                                .whole = 1,
                                .connect_us = FW_RL_CONNECT_US,
                                .stage = to,
-                               .fence = r->lead.fence,
+                               .fence = r->order_lease.fence,
                                .expected = orders};
 
     if (!holds_role(r, now_us)) {
@@ -231,7 +233,7 @@
     Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_WAIT_US, now_us, out);
     /* Until its outcome is known nothing else is ordered there. */
     s->to_stage = to;
-    s->stage_us = now_us + FW_ORDER_LATE_US;
+    s->stage_change_until_us = now_us + FW_ORDER_LATE_US;
 }
 
 /*
@@ -244,9 +246,9 @@
     const struct fw_rl_service_rule *rule;
     struct fw_list *pos;
 
-    r->lead.surveyed = 1;
-    r->lead.survey_us = now_us + FW_SURVEY_US;
-    r->look_us = r->lead.survey_us;
+    r->order_lease.reports_requested = 1;
+    r->order_lease.reports_until_us = now_us + FW_SURVEY_US;
+    r->stage_check_us = r->order_lease.reports_until_us;
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
@@ -257,43 +259,44 @@
 }
 
 void
-Fw_Order_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
 {
     enum fw_rl_stage to;
     struct fw_rl_server *s;
 
-    if (!r->rules || !r->list_known || r->draining || now_us < r->look_us) {
+    if (!r->rules || !r->list_known || r->draining ||
+        now_us < r->stage_check_us) {
         return;
     }
-    if (!r->look_us) {
-        r->look_us = now_us + FW_SETTLE_US;
+    if (!r->stage_check_us) {
+        r->stage_check_us = now_us + FW_SETTLE_US;
         return;
     }
-    r->look_us = now_us + FW_LOOK_US;
+    r->stage_check_us = now_us + FW_LOOK_US;
     if (!is_mine(r, now_us) || !Fw_Relay_KeysFresh(r, now_us)) {
         return;
     }
     s = next_change(r, now_us, &to);
     if (!s) {
-        r->short_us = 0;
-        r->settled = 1;
+        r->imbalance_since_us = 0;
+        r->stages_settled = 1;
         return;
     }
-    if (!r->short_us) {
-        r->short_us = now_us;
+    if (!r->imbalance_since_us) {
+        r->imbalance_since_us = now_us;
     }
-    if (r->settled && now_us - r->short_us < FW_SHORT_US) {
+    if (r->stages_settled && now_us - r->imbalance_since_us < FW_SHORT_US) {
         return;
     }
-    if (holds_role(r, now_us) && !r->lead.surveyed) {
+    if (holds_role(r, now_us) && !r->order_lease.reports_requested) {
         survey(r, now_us, out);
     }
     else if (holds_role(r, now_us)) {
         ask_report(r, s, now_us, out);
     }
     else if (role_is_free(r, now_us)) {
-        r->lead.asking = 1;
-        Fw_Acts_Add(out, FW_RL_DO_LEAD)->u.lead_end = r->lead.end;
+        r->order_lease.claim_pending = 1;
+        Fw_Acts_Add(out, FW_RL_DO_LEAD)->u.lead_end = r->order_lease.log_end;
     }
 }
 
@@ -301,23 +304,23 @@
 Fw_Relay_Lead(struct fw_relay *r, enum fw_rl_claim claim, uint64_t offset,
               int64_t sent_us, int64_t now_us)
 {
-    r->lead.asking = 0;
+    r->order_lease.claim_pending = 0;
     switch (claim) {
     case FW_RL_CLAIM_MADE:
-        r->lead.fence = offset + 1;
-        r->lead.end = offset + 1;
-        r->lead.until_us = sent_us + r->opts.lease_us;
-        r->lead.surveyed = 0;
-        r->look_us = now_us;
+        r->order_lease.fence = offset + 1;
+        r->order_lease.log_end = offset + 1;
+        r->order_lease.until_us = sent_us + r->opts.lease_us;
+        r->order_lease.reports_requested = 0;
+        r->stage_check_us = now_us;
         break;
     case FW_RL_CLAIM_TAKEN:
-        r->lead.fence = 0;
-        r->lead.end = offset;
+        r->order_lease.fence = 0;
+        r->order_lease.log_end = offset;
         break;
     case FW_RL_CLAIM_UNKNOWN:
         return;
     }
-    r->lead.seen_us = now_us;
+    r->order_lease.last_claim_us = now_us;
 }
 
 static void
@@ -330,10 +333,10 @@
 
     if (ans->status == 200 && ans->busy && !Fw_Servers_Switching(s, now_us)) {
         s->to_stage = other_stage(s->e.stage);
-        s->stage_us = now_us + FW_ORDER_LATE_US;
+        s->stage_change_until_us = now_us + FW_ORDER_LATE_US;
     }
     if (ans->status != 200 || ans->busy || ans->orders < 0 ||
-        now_us < r->lead.survey_us) {
+        now_us < r->order_lease.reports_until_us) {
         return;
     }
     next = next_change(r, now_us, &to);
@@ -353,28 +356,28 @@
     Fw_Acts_Log(out, r, LOG_NOTICE, "ordered",
                 "\"server\":\"%s\",\"status\":%d", s->e.id, ans->status);
     if (ans->status == 202 || ans->status == 200) {
-        s->stage_us =
+        s->stage_change_until_us =
             now_us + (rule ? rule->engine.switch_us : 0) + FW_LISTED_US;
-        r->look_us = now_us;
+        r->stage_check_us = now_us;
         return;
     }
-    s->stage_us = 0;
-    r->look_us = now_us + FW_LOOK_US;
+    s->stage_change_until_us = 0;
+    r->stage_check_us = now_us + FW_LOOK_US;
     if (ans->status == 412) {
         /* Another holds a newer token: this one must not be used again. */
-        r->lead.fence = 0;
-        r->lead.seen_us = now_us;
+        r->order_lease.fence = 0;
+        r->order_lease.last_claim_us = now_us;
     }
 }
 
 void
-Fw_Order_Answered(struct fw_relay *r, struct fw_rl_op *op,
-                  const struct fw_rl_up_answer *ans, int64_t now_us,
-                  struct fw_rl_acts *out)
+Fw_StageOrder_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
+                             const struct fw_rl_up_answer *ans, int64_t now_us,
+                             struct fw_rl_acts *out)
 {
     struct fw_rl_server *s = Fw_Servers_Ref(op->server);
     enum fw_rl_up_kind kind = op->kind;
-    int about_runs = op->about_runs;
+    int about_runs = op->is_calibration;
 
     Fw_Op_End(r, op);
     if (kind == FW_RL_UP_REPORT) {
@@ -390,8 +393,8 @@
 }
 
 void
-Fw_Order_Failed(struct fw_relay *r, struct fw_rl_op *op,
-                struct fw_rl_acts *out)
+Fw_StageOrder_HandleFailure(struct fw_relay *r, struct fw_rl_op *op,
+                            struct fw_rl_acts *out)
 {
     if (op->kind == FW_RL_UP_STAGE) {
         Fw_Acts_Log(out, r, LOG_WARNING, "order_unanswered",
--- a/src/relay/poison.c
+++ b/src/relay/poison.c
@@ -20,12 +20,13 @@
 Fw_Poison_CutOff(struct fw_relay *r, uint64_t digest,
                  const struct fw_rl_server *s, int64_t now_us)
 {
-    struct fw_rl_suspicion *q =
-        &r->suspicions[r->n_suspicions++ % FW_RL_SUSPICIONS];
+    struct fw_rl_crash_suspect *q =
+        &r->crash_suspects[r->n_crash_suspects++ % FW_RL_CRASH_SUSPECTS_MAX];
 
-    *q = (struct fw_rl_suspicion){.digest = digest,
-                                  .server = s->hash ^ (uint64_t)s->e.born_ms,
-                                  .at_us = now_us};
+    *q = (struct fw_rl_crash_suspect){.digest = digest,
+                                      .server =
+                                          s->hash ^ (uint64_t)s->e.born_ms,
+                                      .at_us = now_us};
 }
 
 static struct fw_rl_strike *
@@ -41,7 +42,7 @@
             oldest = &r->strikes[i];
         }
     }
-    if (r->n_strikes < FW_RL_STRIKES) {
+    if (r->n_strikes < FW_RL_STRIKES_MAX) {
         oldest = &r->strikes[r->n_strikes++];
     }
     *oldest = (struct fw_rl_strike){.digest = digest};
@@ -53,10 +54,10 @@
                      int64_t now_us, struct fw_rl_acts *out)
 {
     uint64_t server = s->hash ^ (uint64_t)s->e.born_ms;
-    int n = MIN(r->n_suspicions, FW_RL_SUSPICIONS);
+    int n = MIN(r->n_crash_suspects, FW_RL_CRASH_SUSPECTS_MAX);
 
     for (int i = 0; i < n; i++) {
-        struct fw_rl_suspicion *q = &r->suspicions[i];
+        struct fw_rl_crash_suspect *q = &r->crash_suspects[i];
         struct fw_rl_strike *k;
 
         if (q->server != server || now_us - q->at_us > FW_SUSPICION_US) {
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -39,7 +39,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
     r->loads =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    r->budgets = g_ptr_array_new_with_free_func(g_free);
+    r->retry_budgets = g_ptr_array_new_with_free_func(g_free);
     r->learned = g_ptr_array_new_with_free_func(g_free);
     Fw_List_Init(&r->servers);
     Fw_List_Init(&r->call_list);
@@ -47,7 +47,7 @@
     Fw_List_Init(&r->members);
     Fw_Queue_Init(&r->queue, FW_QUANTUM);
     Fw_Metrics_Init(&r->metrics);
-    Fw_Relay_AddCounts(r);
+    Fw_Relay_RegisterMetrics(r);
     return r;
 }
 
@@ -79,7 +79,7 @@
     g_hash_table_destroy(r->allowances);
     g_hash_table_destroy(r->census);
     g_hash_table_destroy(r->loads);
-    g_ptr_array_unref(r->budgets);
+    g_ptr_array_unref(r->retry_budgets);
     g_ptr_array_unref(r->learned);
     g_rand_free(r->rand);
     g_free(r);
@@ -124,7 +124,7 @@
                 ",\"routes\":%u,\"services\":%u,\"teams\":%u",
                 rules->version, offset, rules->routes->len,
                 rules->services->len, rules->teams->len);
-    Fw_Allowance_FollowRules(r, now_us, out);
+    Fw_Allowance_ApplyRules(r, now_us, out);
     Fw_Stream_Pump(r, now_us, out);
 }
 
@@ -159,12 +159,12 @@
     /* What it went on from is used up now. */
     op->call->hold[0] = 0;
     op->call->kv[0] = 0;
-    op->server->refusals = 0;
+    op->server->rejected_runs = 0;
     Fw_Servers_Served(op->server, ans->status >= 500,
                       is_stream(op) ? -1 : now_us - op->sent_us);
     if (is_stream(op) && op->call->room_us) {
-        Fw_Mean_Note(&Fw_Learned_Of(r, op->call->service)->start_us,
-                     (double)(now_us - op->call->room_us));
+        Fw_Mean_Update(&Fw_Learned_Of(r, op->call->service)->first_event_us,
+                       (double)(now_us - op->call->room_us));
     }
     Fw_Call_Pass(r, op->call, now_us, out);
 }
@@ -180,7 +180,7 @@
         return;
     }
     if (!op->call) {
-        Fw_Order_Answered(r, op, ans, now_us, out);
+        Fw_StageOrder_HandleResponse(r, op, ans, now_us, out);
     }
     else if (is_stream(op)) {
         Fw_Stream_Answered(r, op, ans, now_us, out);
@@ -205,7 +205,7 @@
                 op->call ? op->call->ask.id : "", op->server->e.id,
                 (int)op->kind, err, sent, Fw_Relay_Ms(now_us - op->sent_us));
     if (!op->call) {
-        Fw_Order_Failed(r, op, out);
+        Fw_StageOrder_HandleFailure(r, op, out);
     }
     else if (is_stream(op)) {
         Fw_Stream_Failed(r, op, err, sent, now_us, out);
@@ -278,7 +278,7 @@
         tick_call(r, FW_LIST_ENTRY(pos, struct fw_rl_call, link), now_us, out);
     }
     Fw_Members_Tick(r, now_us, out);
-    Fw_Order_Tick(r, now_us, out);
+    Fw_StageOrder_Tick(r, now_us, out);
     Fw_Learned_Tick(r, now_us, out);
     Fw_Stream_Pump(r, now_us, out);
     Fw_Relay_UpdateGauges(r, now_us);
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -31,7 +31,7 @@
  * After the store's return, until a lapse of that time counts: entries of
  * servers that live are back within two seconds. See servers.c.
  */
-#define FW_RL_STORE_RETURN_US (2200 * FW_MSEC)
+#define FW_RL_RELIST_GRACE_US (2200 * FW_MSEC)
 /* Without a message of any peer for so long an instance is on its own. */
 #define FW_RL_ISOLATED_US (3 * FW_SEC)
 
@@ -42,13 +42,14 @@
  *     expected to take on average, and tokens of prompts that are read
  * @full_us: when it last had no room for @full_tokens
  * @suspect_us: not chosen before, after it could not be reached
- * @misses: failures to reach it in a row
- * @silent: calls in a row that it took and did not answer in time
+ * @connect_failures: failures to reach it in a row
+ * @timeouts: calls in a row that it took and did not answer in time
  * @errors: part of its answers that were failures, moving mean
  * @took_us: moving mean of its time to answer
  * @work_us: the same of answers to requests that found a free slot
- * @refusals: runs refused in a row that had a reservation there
- * @to_stage, @stage_us: a stage change under way, over by then at the latest
+ * @rejected_runs: runs refused in a row that had a reservation there
+ * @to_stage, @stage_change_until_us: a stage change under way, over by then at
+ * the latest
  * @unsent: the others don't know yet what was last taken of it here
  */
 struct fw_rl_server {
@@ -58,21 +59,21 @@
     int refs;
     int gone;
     int listed;
-    int64_t lapse_us;
+    int64_t removal_us;
     int running;
     int64_t reserved;
     int64_t reading;
     int64_t full_us;
     int64_t full_tokens;
     int64_t suspect_us;
-    int misses;
-    int silent;
-    int refusals;
+    int connect_failures;
+    int timeouts;
+    int rejected_runs;
     double errors;
     double took_us;
     double work_us;
     enum fw_rl_stage to_stage;
-    int64_t stage_us;
+    int64_t stage_change_until_us;
     int unsent;
 };
 
@@ -80,13 +81,13 @@
  * struct fw_rl_allowance - a team's allowance as known here.
  * @hash: of the team's name
  * @level: tokens; below zero when others spent what was not known here yet
- * @part: of the fleet that is in touch, as of @at_us
+ * @fleet_share: of the fleet that is in touch, as of @at_us
  * @spent: tokens spent here since the start
  * @leaves: tokens that leaves of this hub have spent, as counted here
  * @sent: of both together, what the other hubs were sent
  * @counted: of @spent, what hubs are known to have counted
  * @reported: @spent as of the last report
- * @born_us, @adopted: the level of an instance that has just started is a
+ * @created_us, @adopted: the level of an instance that has just started is a
  *     guess until another one's was taken over
  */
 struct fw_rl_allowance {
@@ -94,14 +95,14 @@
     int64_t rate;
     int64_t burst;
     double level;
-    double part;
+    double fleet_share;
     int64_t at_us;
     int64_t spent;
     int64_t leaves;
     int64_t sent;
     int64_t counted;
     int64_t reported;
-    int64_t born_us;
+    int64_t created_us;
     int adopted;
 };
 
@@ -125,14 +126,15 @@
     int members_known;
 };
 
-#define FW_RL_BUDGET_SLOTS 16
+#define FW_RL_RETRY_BUDGET_SLOTS 16
 
-/** struct fw_rl_budget - repeats of one service's requests; ring by time. */
-struct fw_rl_budget {
+/** struct fw_rl_retry_budget - repeats of one service's requests; ring by
+ * time. */
+struct fw_rl_retry_budget {
     char service[FW_NAME_MAX];
     int64_t slot;
-    int requests[FW_RL_BUDGET_SLOTS];
-    int repeats[FW_RL_BUDGET_SLOTS];
+    int requests[FW_RL_RETRY_BUDGET_SLOTS];
+    int retries[FW_RL_RETRY_BUDGET_SLOTS];
 };
 
 enum fw_rl_state {
@@ -201,9 +203,9 @@
     struct fw_rl_call *call; /* NULL for housekeeping */
     struct fw_rl_server *server;
     int64_t sent_us;
-    int64_t until_us; /* given up then */
-    int found_slot;   /* the server had one free when it was sent */
-    int about_runs;   /* a report for what its streams have in memory */
+    int64_t until_us;   /* given up then */
+    int found_slot;     /* the server had one free when it was sent */
+    int is_calibration; /* a report for what its streams have in memory */
 };
 
 /** struct fw_rl_strike - servers lost while they ran one request. */
@@ -213,31 +215,31 @@
     int64_t at_us;
 };
 
-/** struct fw_rl_suspicion - a request was cut off by a server's end. */
-struct fw_rl_suspicion {
+/** struct fw_rl_crash_suspect - a request was cut off by a server's end. */
+struct fw_rl_crash_suspect {
     uint64_t digest;
     uint64_t server;
     int64_t at_us;
 };
 
-#define FW_RL_SUSPICIONS 64
-#define FW_RL_STRIKES 64
+#define FW_RL_CRASH_SUSPECTS_MAX 64
+#define FW_RL_STRIKES_MAX 64
 
 /**
- * struct fw_rl_lead - the order role; see order.c.
- * @end: where the next claim would go
- * @seen_us: when the last claim was learnt of
- * @asking: a claim of ours is on its way
+ * struct fw_rl_order_lease - the order role; see order.c.
+ * @log_end: where the next claim would go
+ * @last_claim_us: when the last claim was learnt of
+ * @claim_pending: a claim of ours is on its way
  * @fence, @until_us: of the lease held here; @fence 0 for none
  */
-struct fw_rl_lead {
-    uint64_t end;
-    int64_t seen_us;
-    int asking;
+struct fw_rl_order_lease {
+    uint64_t log_end;
+    int64_t last_claim_us;
+    int claim_pending;
     uint64_t fence;
     int64_t until_us;
-    int surveyed;      /* the engines were asked under this lease */
-    int64_t survey_us; /* until when only their state is taken in */
+    int reports_requested;    /* the engines were asked under this lease */
+    int64_t reports_until_us; /* until when only their state is taken in */
 };
 
 static inline int64_t
@@ -250,14 +252,14 @@
 #define FW_RL_REASONS_MAX 24
 
 /**
- * struct fw_rl_counts - metrics of the relay.
+ * struct fw_rl_metrics - metrics of the relay.
  * @reasons, @labels: refusals and failures by reason, made when first met
  * @queued_s: from a generation's arrival until it has room
  * @read_s: until its prompt is read, from then on
  * @first_s: until an answer begins, from the request's arrival
  * @whole_s: until it is whole
  */
-struct fw_rl_counts {
+struct fw_rl_metrics {
     struct fw_metric requests;
     struct fw_metric passed;
     struct fw_metric refused;
@@ -290,7 +292,7 @@
     GRand *rand;
     int64_t start_us;
     struct fw_metrics metrics;
-    struct fw_rl_counts n;
+    struct fw_rl_metrics n;
     struct fw_rl_rules *rules;
     uint64_t rules_offset;
     int64_t fresh_us;
@@ -309,18 +311,19 @@
     GHashTable *census; /* hash of a name to when it was in touch */
     GHashTable *loads;  /* hash of a server's id to what peers have there */
     GHashTable *allowances; /* hash of a team to struct fw_rl_allowance */
-    GPtrArray *budgets;
-    struct fw_rl_suspicion suspicions[FW_RL_SUSPICIONS];
-    int n_suspicions;
-    struct fw_rl_strike strikes[FW_RL_STRIKES];
+    GPtrArray *retry_budgets;
+    struct fw_rl_crash_suspect crash_suspects[FW_RL_CRASH_SUSPECTS_MAX];
+    int n_crash_suspects;
+    struct fw_rl_strike strikes[FW_RL_STRIKES_MAX];
     int n_strikes;
-    struct fw_rl_lead lead;
+    struct fw_rl_order_lease order_lease;
     struct fw_rl_watch watch;
     GPtrArray *learned; /* of struct fw_learned */
     uint64_t digest_seq;
-    int64_t look_us;  /* when engines are looked at next */
-    int settled;      /* the stages were as wanted once */
-    int64_t short_us; /* since when a stage has too many or too few */
+    int64_t stage_check_us; /* when engines are looked at next */
+    int stages_settled;     /* the stages were as wanted once */
+    int64_t
+        imbalance_since_us; /* since when a stage has too many or too few */
     int draining;
     int64_t drain_us;
 };
@@ -501,8 +504,8 @@
 /* allowance.c */
 /* A bucket for each team of the configuration in force. */
 void
-Fw_Allowance_FollowRules(struct fw_relay *r, int64_t now_us,
-                         struct fw_rl_acts *out);
+Fw_Allowance_ApplyRules(struct fw_relay *r, int64_t now_us,
+                        struct fw_rl_acts *out);
 int
 Fw_Allowance_Take(struct fw_relay *r, const struct fw_rl_team_rule *t,
                   int64_t cost, int64_t now_us, int64_t *retry_us);
@@ -566,14 +569,14 @@
 
 /* order.c */
 void
-Fw_Order_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 void
-Fw_Order_Answered(struct fw_relay *r, struct fw_rl_op *op,
-                  const struct fw_rl_up_answer *ans, int64_t now_us,
-                  struct fw_rl_acts *out);
+Fw_StageOrder_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
+                             const struct fw_rl_up_answer *ans, int64_t now_us,
+                             struct fw_rl_acts *out);
 void
-Fw_Order_Failed(struct fw_relay *r, struct fw_rl_op *op,
-                struct fw_rl_acts *out);
+Fw_StageOrder_HandleFailure(struct fw_relay *r, struct fw_rl_op *op,
+                            struct fw_rl_acts *out);
 
 /* metrics.c */
 void
@@ -582,6 +585,6 @@
 void
 Fw_Relay_UpdateGauges(struct fw_relay *r, int64_t now_us);
 void
-Fw_Relay_AddCounts(struct fw_relay *r);
+Fw_Relay_RegisterMetrics(struct fw_relay *r);
 
 #endif
--- a/src/relay/servers.c
+++ b/src/relay/servers.c
@@ -75,15 +75,15 @@
 int
 Fw_Servers_Switching(const struct fw_rl_server *s, int64_t now_us)
 {
-    return now_us < s->stage_us && s->e.stage != s->to_stage;
+    return now_us < s->stage_change_until_us && s->e.stage != s->to_stage;
 }
 
 void
 Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us)
 {
-    int doublings = MIN(s->misses, FW_SUSPECT_DOUBLINGS);
+    int doublings = MIN(s->connect_failures, FW_SUSPECT_DOUBLINGS);
 
-    s->misses++;
+    s->connect_failures++;
     s->suspect_us = now_us + (FW_SUSPECT_US << doublings);
 }
 
@@ -95,8 +95,8 @@
 void
 Fw_Servers_Silent(struct fw_rl_server *s, int64_t now_us)
 {
-    s->silent++;
-    if (s->silent >= FW_SILENT_MAX) {
+    s->timeouts++;
+    if (s->timeouts >= FW_SILENT_MAX) {
         Fw_Servers_Missed(s, now_us);
     }
 }
@@ -109,8 +109,8 @@
 void
 Fw_Servers_Refused(struct fw_rl_server *s, int64_t now_us)
 {
-    s->refusals++;
-    if (s->refusals >= FW_REFUSALS) {
+    s->rejected_runs++;
+    if (s->rejected_runs >= FW_REFUSALS) {
         Fw_Servers_Missed(s, now_us);
     }
 }
@@ -118,8 +118,8 @@
 void
 Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t took_us)
 {
-    s->misses = 0;
-    s->silent = 0;
+    s->connect_failures = 0;
+    s->timeouts = 0;
     s->errors += FW_MEAN_WEIGHT * ((failed ? 1.0 : 0.0) - s->errors);
     if (took_us >= 0) {
         s->took_us =
@@ -200,14 +200,14 @@
     }
     s->e = *e;
     s->listed = 1;
-    s->lapse_us = 0;
+    s->removal_us = 0;
 }
 
 static int
 store_was_away(const struct fw_relay *r, int64_t now_us)
 {
     return r->store_back_us &&
-           now_us - r->store_back_us < FW_RL_STORE_RETURN_US;
+           now_us - r->store_back_us < FW_RL_RELIST_GRACE_US;
 }
 
 static void
@@ -215,8 +215,8 @@
       struct fw_rl_acts *out)
 {
     if (store_was_away(r, now_us)) {
-        if (!s->lapse_us) {
-            s->lapse_us = r->store_back_us + FW_RL_STORE_RETURN_US;
+        if (!s->removal_us) {
+            s->removal_us = r->store_back_us + FW_RL_RELIST_GRACE_US;
         }
         return;
     }
@@ -297,7 +297,7 @@
     FW_LIST_EACH_SAFE (pos, tmp, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (s->lapse_us && now_us >= s->lapse_us) {
+        if (s->removal_us && now_us >= s->removal_us) {
             drop(r, s, "not back after the store's return", now_us, out);
         }
     }
--- a/tests/decide/test_decide.c
+++ b/tests/decide/test_decide.c
@@ -40,8 +40,8 @@
 static double
 error_of(const struct answers *a, uint32_t seed, double *blind)
 {
-    struct fw_length l = {0};
-    struct fw_length none = {0};
+    struct fw_length_model l = {0};
+    struct fw_length_model none = {0};
     GRand *rand = g_rand_new_with_seed(seed);
     double sum = 0;
     double sum_blind = 0;
@@ -86,7 +86,7 @@
 /* Nobody gives an estimate: rather too much is expected than too little. */
 START_TEST(without_estimates_the_longest_answer_is_the_most)
 {
-    struct fw_length l = {0};
+    struct fw_length_model l = {0};
     struct fw_length_guess g;
 
     for (int i = 0; i < 60; i++) {
@@ -101,7 +101,7 @@
 /* Answers get three times as long; half a hundred later that is known. */
 START_TEST(a_changed_load_is_learned_anew)
 {
-    struct fw_length l = {0};
+    struct fw_length_model l = {0};
     struct fw_length_guess g;
 
     for (int i = 0; i < 300; i++) {
@@ -121,23 +121,23 @@
  */
 START_TEST(a_new_instance_takes_over_what_is_known)
 {
-    double figures[FW_LENGTH_FIGURES];
-    struct fw_length l = {0};
-    struct fw_length fresh = {0};
+    double figures[FW_LENGTH_PARAMS];
+    struct fw_length_model l = {0};
+    struct fw_length_model fresh = {0};
     struct fw_length_guess a;
     struct fw_length_guess b;
 
     for (int i = 0; i < 40; i++) {
         Fw_Length_Note(&l, 130 + i, FW_MOST, 10 + i % 3);
     }
-    Fw_Length_Write(&l, figures);
-    Fw_Length_Adopt(&fresh, figures);
+    Fw_Length_Export(&l, figures);
+    Fw_Length_Import(&fresh, figures);
     Fw_Length_Guess(&l, 150, FW_MOST, &a);
     Fw_Length_Guess(&fresh, 150, FW_MOST, &b);
     ck_assert_double_eq(a.mean, b.mean);
     figures[0] += 1;
     figures[2] = -1;
-    Fw_Length_Adopt(&fresh, figures);
+    Fw_Length_Import(&fresh, figures);
     Fw_Length_Guess(&fresh, 150, FW_MOST, &b);
     ck_assert_double_eq(a.mean, b.mean);
 }
@@ -148,10 +148,11 @@
 {
     struct fw_length_guess g = {.mean = 800, .dev = 0};
 
-    ck_assert_int_eq(Fw_Memory_Use(3000, &g, FW_MOST, 0), 3400);
-    ck_assert_int_eq(Fw_Memory_Use(3000, &g, FW_MOST, 300), 3400);
-    ck_assert_int_eq(Fw_Memory_Use(3000, &g, FW_MOST, 1200), 4200);
-    ck_assert_int_eq(Fw_Memory_Use(3000, &g, FW_MOST, 9000), 3000 + FW_MOST);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 0), 3400);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 300), 3400);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 1200), 4200);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 9000),
+                     3000 + FW_MOST);
 }
 END_TEST
 
@@ -178,9 +179,9 @@
  */
 START_TEST(readers_follow_the_load_and_not_a_burst)
 {
-    struct fw_reading r = {0};
+    struct fw_prefill_load r = {0};
     int64_t now = FW_SEC;
-    int readers = Fw_Readers_Wanted(1, 9, 0);
+    int readers = Fw_PrefillPool_TargetSize(1, 9, 0);
 
     ck_assert_int_eq(readers, 3);
     for (int i = 0; i < 3000; i++) {
@@ -188,9 +189,10 @@
 
         now += 100 * FW_MSEC;
         Fw_Reading_Note(&r, i >= 1500 ? 9000 : burst ? 6000 : 3000, now);
-        readers = Fw_Readers_Wanted(
-            Fw_Readers_Mean(&r, Fw_Reading_Rate(&r, now), 30, 1, now), 9,
-            readers);
+        readers = Fw_PrefillPool_TargetSize(
+            Fw_PrefillPool_BusyEngines(&r, Fw_Reading_Rate(&r, now), 30, 1,
+                                       now),
+            9, readers);
         ck_assert(i >= 1500 || readers == 3);
     }
     /* 2.7 engines' work: 2.7 and 1.8 of its root. */
@@ -208,9 +210,9 @@
     Fw_Learned_Init(&slow, "s");
     Fw_Learned_Init(&quick, "s");
     for (int i = 0; i < 60; i++) {
-        Fw_Mean_Note(&slow.start_us, 400.0 * FW_MSEC);
-        Fw_Mean_Note(&quick.start_us, 40.0 * FW_MSEC);
-        Fw_Mean_Note(&slow.run_us, 8.0 * FW_SEC);
+        Fw_Mean_Update(&slow.first_event_us, 400.0 * FW_MSEC);
+        Fw_Mean_Update(&quick.first_event_us, 40.0 * FW_MSEC);
+        Fw_Mean_Update(&slow.run_us, 8.0 * FW_SEC);
         Fw_Learned_NoteRead(&quick, 3000, 30 * FW_MSEC);
     }
     ck_assert_int_lt(Fw_Learned_QueueTime(&slow, 900 * FW_MSEC),
--- a/tests/relay/engines.h
+++ b/tests/relay/engines.h
@@ -35,7 +35,7 @@
  */
 struct fw_load_plan {
     struct fw_load_shape shape;
-    const struct fw_length *fixed;
+    const struct fw_length_model *fixed;
     int readers;
     int decoders;
     double per_s;     /* requests a second */
--- a/tests/relay/test_load.c
+++ b/tests/relay/test_load.c
@@ -194,10 +194,11 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
         double most = (double)p->shape.most_out / FW_EVENT_TOKENS;
-        struct fw_length fixed = {
-            .n = 1e6, .y = most * parts[i], .per_event = FW_EVENT_TOKENS};
+        struct fw_length_model fixed = {.n = 1e6,
+                                        .mean_events = most * parts[i],
+                                        .tokens_per_event = FW_EVENT_TOKENS};
 
-        fixed.yy = pow(most * FW_PART_DEVIATION, 2);
+        fixed.events_variance = pow(most * FW_PART_DEVIATION, 2);
         p->fixed = &fixed;
         best = MAX(best, on_time(p));
         p->fixed = NULL;
