--- a/src/decide/learned.c
+++ b/src/decide/learned.c
@@ -4,57 +4,57 @@
 #include <string.h>
 
 /*
- * Before anything was seen. Streams that are taken for faster than they are
- * count as more memory than they have: the safe side.
+ * Initial values. Overestimating the generation rate is the safe side: it
+ * overestimates the memory that streams use.
  */
-#define FW_RUN_GUESS_US (4.0 * FW_SEC)
-#define FW_SPEED_GUESS (1.3 / FW_MSEC)
-#define FW_TOKEN_GUESS_US 25.0
-#define FW_LATE_GUESS_US (150.0 * FW_MSEC)
-#define FW_START_GUESS_US (150.0 * FW_MSEC)
-#define FW_START_DEV_GUESS_US (50.0 * FW_MSEC)
+#define FW_STREAM_PRIOR_US (4.0 * FW_SEC)
+#define FW_DECODE_PRIOR_TOKENS_PER_US (1.3 / FW_MSEC)
+#define FW_PREFILL_PRIOR_US_PER_TOKEN 25.0
+#define FW_PREFILL_DELAY_DEV_PRIOR_US (150.0 * FW_MSEC)
+#define FW_FIRST_EVENT_PRIOR_US (150.0 * FW_MSEC)
+#define FW_FIRST_EVENT_DEV_PRIOR_US (50.0 * FW_MSEC)
+/* A prefill is given up after this many deviations beyond its mean delay. */
+#define FW_PREFILL_SLACK_DEVIATIONS 4.0
+#define FW_PREFILL_SLACK_MIN_US (120 * FW_MSEC)
+#define FW_PREFILL_SLACK_MAX_US (2 * FW_SEC)
+/* Deviations beyond the mean first event time to reserve after queueing. */
+#define FW_FIRST_EVENT_DEVIATIONS 2.0
+/* For routes without an objective. */
+#define FW_QUEUE_DEFAULT_US (650 * FW_MSEC)
+/* Requests are queued for at least this long, even if they will be late. */
+#define FW_QUEUE_MIN_US (50 * FW_MSEC)
 /*
- * Deviations beyond the mean that a prompt is waited for: another engine's
- * time is worth more than the last one in a hundred.
+ * A full engine is tried again after this fraction of the mean interval
+ * between the ends of its streams.
  */
-#define FW_SLACK_DEVIATIONS 4.0
-#define FW_SLACK_LEAST_US (120 * FW_MSEC)
-#define FW_SLACK_MOST_US (2 * FW_SEC)
-/* And that are kept of the objective for what comes after the queue. */
-#define FW_START_DEVIATIONS 2.0
-/* Of a route without an objective. */
-#define FW_QUEUE_DEFAULT_US (650 * FW_MSEC)
-/* A request is worth a try at the engines even if it will be late. */
-#define FW_QUEUE_LEAST_US (50 * FW_MSEC)
-/* An engine without room is asked again after this part of the time in
- * which one of its streams ends. */
-#define FW_FULL_PART 0.25
-#define FW_FULL_LEAST_US (15 * FW_MSEC)
-#define FW_FULL_MOST_US (60 * FW_MSEC)
-/* Parts of a stream's time between which refused callers come back. */
-#define FW_RETRY_LEAST 0.4
-#define FW_RETRY_MOST 1.0
-#define FW_RETRY_LEAST_US (250 * FW_MSEC)
-#define FW_RETRY_MOST_US (15 * FW_SEC)
+#define FW_FULL_BACKOFF_FRACTION 0.25
+#define FW_FULL_BACKOFF_MIN_US (15 * FW_MSEC)
+#define FW_FULL_BACKOFF_MAX_US (60 * FW_MSEC)
+/* Retry-After is drawn between these fractions of a stream's duration. */
+#define FW_RETRY_MIN_FRACTION 0.4
+#define FW_RETRY_MAX_FRACTION 1.0
+#define FW_RETRY_MIN_US (250 * FW_MSEC)
+#define FW_RETRY_MAX_US (15 * FW_SEC)
 
 void
 Fw_Learned_Init(struct fw_learned *l, const char *service)
 {
     memset(l, 0, sizeof(*l));
     g_strlcpy(l->service, service, sizeof(l->service));
-    Fw_Mean_Init(&l->run_us, FW_RUN_GUESS_US, 0);
-    Fw_Mean_Init(&l->decode_tokens_per_us, FW_SPEED_GUESS, 0);
-    Fw_Mean_Init(&l->prefill_us_per_token, FW_TOKEN_GUESS_US, 0);
-    Fw_Mean_Init(&l->prefill_delay_us, 0, FW_LATE_GUESS_US);
-    Fw_Mean_Init(&l->first_event_us, FW_START_GUESS_US, FW_START_DEV_GUESS_US);
+    Fw_Mean_Init(&l->run_us, FW_STREAM_PRIOR_US, 0);
+    Fw_Mean_Init(&l->decode_tokens_per_us, FW_DECODE_PRIOR_TOKENS_PER_US, 0);
+    Fw_Mean_Init(&l->prefill_us_per_token, FW_PREFILL_PRIOR_US_PER_TOKEN, 0);
+    Fw_Mean_Init(&l->prefill_delay_us, 0, FW_PREFILL_DELAY_DEV_PRIOR_US);
+    Fw_Mean_Init(&l->first_event_us, FW_FIRST_EVENT_PRIOR_US,
+                 FW_FIRST_EVENT_DEV_PRIOR_US);
 }
 
 void
 Fw_Learned_NoteRead(struct fw_learned *l, int64_t tokens, int64_t took_us)
 {
-    double late = (double)(took_us - Fw_Learned_ReadTime(l, tokens));
+    double delay = (double)(took_us - Fw_Learned_ReadTime(l, tokens));
 
-    Fw_Mean_Update(&l->prefill_delay_us, late);
+    Fw_Mean_Update(&l->prefill_delay_us, delay);
     Fw_Mean_Update(&l->prefill_us_per_token,
                    (double)took_us / (double)MAX(tokens, 1));
 }
@@ -69,41 +69,43 @@
 Fw_Learned_ReadSlack(const struct fw_learned *l)
 {
     double us = l->prefill_delay_us.mean +
-                FW_SLACK_DEVIATIONS * l->prefill_delay_us.dev;
+                FW_PREFILL_SLACK_DEVIATIONS * l->prefill_delay_us.dev;
 
-    return CLAMP((int64_t)us, FW_SLACK_LEAST_US, FW_SLACK_MOST_US);
+    return CLAMP((int64_t)us, FW_PREFILL_SLACK_MIN_US,
+                 FW_PREFILL_SLACK_MAX_US);
 }
 
 /*
- * As long as its first event can still come in time: beyond that it takes
- * room from those that would be on time.
+ * Limits the wait to what lets the first event meet the objective; a later
+ * request would take memory from those that can still meet theirs.
  */
 int64_t
 Fw_Learned_QueueTime(const struct fw_learned *l, int64_t objective_us)
 {
-    double rest =
-        l->first_event_us.mean + FW_START_DEVIATIONS * l->first_event_us.dev;
+    double first_event = l->first_event_us.mean +
+                         FW_FIRST_EVENT_DEVIATIONS * l->first_event_us.dev;
 
     if (objective_us <= 0) {
         return FW_QUEUE_DEFAULT_US;
     }
-    return MAX(objective_us - (int64_t)rest, FW_QUEUE_LEAST_US);
+    return MAX(objective_us - (int64_t)first_event, FW_QUEUE_MIN_US);
 }
 
 int64_t
 Fw_Learned_FullTime(const struct fw_learned *l, int running)
 {
-    double us = FW_FULL_PART * l->run_us.mean / MAX(running, 1);
+    double us = FW_FULL_BACKOFF_FRACTION * l->run_us.mean / MAX(running, 1);
 
-    return CLAMP((int64_t)us, FW_FULL_LEAST_US, FW_FULL_MOST_US);
+    return CLAMP((int64_t)us, FW_FULL_BACKOFF_MIN_US, FW_FULL_BACKOFF_MAX_US);
 }
 
-/* By then many of the streams that fill the engines now have ended. */
+/* Many of the streams that now fill the engines have ended by then. */
 int64_t
 Fw_Learned_RetryAfter(const struct fw_learned *l, double chance)
 {
-    double part = FW_RETRY_LEAST + (FW_RETRY_MOST - FW_RETRY_LEAST) * chance;
+    double fraction = FW_RETRY_MIN_FRACTION +
+                      (FW_RETRY_MAX_FRACTION - FW_RETRY_MIN_FRACTION) * chance;
 
-    return CLAMP((int64_t)(l->run_us.mean * part), FW_RETRY_LEAST_US,
-                 FW_RETRY_MOST_US);
+    return CLAMP((int64_t)(l->run_us.mean * fraction), FW_RETRY_MIN_US,
+                 FW_RETRY_MAX_US);
 }
--- a/src/decide/learned.h
+++ b/src/decide/learned.h
@@ -1,4 +1,4 @@
-/* What was learned of a service's engines and of the answers they give. */
+/* Measured behaviour of one service's engines and of their answers. */
 #ifndef FW_DECIDE_LEARNED_H
 #define FW_DECIDE_LEARNED_H
 
@@ -8,15 +8,17 @@
 #include "decide/readers.h"
 
 /**
- * struct fw_learned - of one service.
- * @run_us: a stream's time at its engine
- * @decode_tokens_per_us: tokens that one stream is given in a microsecond
- * @prefill_us_per_token: to read a token of a prompt, waits for earlier ones
- * included
- * @prefill_delay_us: how much later than expected a prompt was read
- * @first_event_us: from room at an engine until the first event
- * @reading: prompts that callers sent here
- * @report_requested_us: when an engine was last asked what its events hold
+ * struct fw_service_stats - moving statistics of one service.
+ * @length: model of the answers' lengths
+ * @stream_us: time from sending a stream to its engine until it ends
+ * @decode_tokens_per_us: generation rate of a single stream
+ * @prefill_us_per_token: prefill time divided by the tokens queued at the
+ *     engine when the prompt was sent, the prompt included
+ * @prefill_delay_us: actual minus predicted prefill time
+ * @first_event_us: time from a granted reservation to the first event
+ * @prefill_load: prompt tokens that callers sent to this instance
+ * @report_requested_us: when an engine was last asked for the tokens and
+ *     events of its streams; 0 for never
  */
 struct fw_learned {
     char service[FW_NAME_MAX];
@@ -32,22 +34,29 @@
 
 void
 Fw_Learned_Init(struct fw_learned *l, const char *service);
-/* A prompt was read in @took_us that had @tokens before it, as above. */
+/* Records a prefill that took @took_us with @tokens queued, its own included.
+ */
 void
 Fw_Learned_NoteRead(struct fw_learned *l, int64_t tokens, int64_t took_us);
-/* Until a prompt is read that has @tokens before it, itself included. */
+/* Predicted time in us to prefill @tokens, all those queued included. */
 int64_t
 Fw_Learned_ReadTime(const struct fw_learned *l, int64_t tokens);
-/* How much longer than that is waited before another engine is asked. */
+/* Time in us to wait beyond the prediction before trying another engine. */
 int64_t
 Fw_Learned_ReadSlack(const struct fw_learned *l);
-/* How long a request may wait for room, given its route's objective. */
+/*
+ * Longest time in us that a request may be queued for a reservation.
+ * @objective_us: objective of its route, 0 for none
+ */
 int64_t
 Fw_Learned_QueueTime(const struct fw_learned *l, int64_t objective_us);
-/* Until an engine that had no room beside @running streams is asked again. */
+/*
+ * Time in us before a reservation is requested again of an engine that
+ * rejected one while @running streams ran there.
+ */
 int64_t
 Fw_Learned_FullTime(const struct fw_learned *l, int running);
-/* A refused stream comes back then; @chance from 0 to 1. */
+/* Retry-After in us for a rejected stream; @chance: random, from 0 to 1. */
 int64_t
 Fw_Learned_RetryAfter(const struct fw_learned *l, double chance);
 
--- a/src/decide/length.c
+++ b/src/decide/length.c
@@ -3,42 +3,44 @@
 #include <glib.h>
 #include <math.h>
 
-/* Answers that are remembered: a change of the load shows in some 60. */
-#define FW_LENGTH_MEMORY 60.0
-/* Answers that the guess without any counts as. */
-#define FW_LENGTH_START 8.0
-/* Steps of the median, as parts of it: the first and the smallest. */
-#define FW_MEDIAN_FIRST 0.4
-#define FW_MEDIAN_LEAST 0.02
-/* Part by which the longest answer is forgotten with each further one. */
-#define FW_LONGEST_DECAY 0.002
+/* Limit of the model's weight: older answers fade over this many. */
+#define FW_LENGTH_WEIGHT_MAX 60.0
+/* Weight of the prior estimate, in answers. */
+#define FW_LENGTH_PRIOR_WEIGHT 8.0
+/* First and smallest relative step of the median. */
+#define FW_MEDIAN_FIRST_STEP 0.4
+#define FW_MEDIAN_MIN_STEP 0.02
+/* Relative decay of the longest answer's length per further answer. */
+#define FW_MAX_EVENTS_DECAY 0.002
 
 /*
- * Before anything was seen: half of the estimate and half of the middle of
- * what is possible, and as uncertain as if every length were as likely.
+ * Estimate without any answer seen: the mean of the caller's estimate and
+ * half the maximum, with the deviation of a uniform distribution.
  */
 static void
-guess_blind(int64_t hint, int64_t most, struct fw_length_guess *out)
+prior_estimate(int64_t hint, int64_t max_tokens, struct fw_length_guess *out)
 {
-    double middle = (double)most / 2;
+    double middle = (double)max_tokens / 2;
 
-    out->mean = hint < 0 ? middle : ((double)MIN(hint, most) + middle) / 2;
-    out->dev = (double)most / sqrt(12);
+    out->mean =
+        hint < 0 ? middle : ((double)MIN(hint, max_tokens) + middle) / 2;
+    out->dev = (double)max_tokens / sqrt(12);
 }
 
-/* One that gives no estimate says as much as the mean one does. */
+/* Substitutes the mean estimate where the caller gave none. */
 static double
-estimate(const struct fw_length_model *l, int64_t hint, int64_t most)
+hint_or_mean(const struct fw_length_model *l, int64_t hint, int64_t max_tokens)
 {
-    return hint < 0 ? l->mean_hint : (double)MIN(hint, most);
+    return hint < 0 ? l->mean_hint : (double)MIN(hint, max_tokens);
 }
 
-/* A step up or down settles where as many are above as below. */
+/* Steps of equal relative size up or down converge on the median. */
 static void
-note_per_event(struct fw_length_model *l, double hint, double events)
+update_tokens_per_event(struct fw_length_model *l, double hint, double events)
 {
     double seen = hint / events;
-    double step = MAX(FW_MEDIAN_FIRST / (1 + l->n / 2), FW_MEDIAN_LEAST);
+    double step =
+        MAX(FW_MEDIAN_FIRST_STEP / (1 + l->n / 2), FW_MEDIAN_MIN_STEP);
 
     if (l->is_reported) {
         return;
@@ -62,70 +64,73 @@
 }
 
 void
-Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t most,
+Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t max_tokens,
                int64_t events)
 {
     double y = (double)events;
     double x;
-    double part;
+    double weight;
     double dx;
     double dy;
 
-    if (events <= 0 || most <= 0) {
+    if (events <= 0 || max_tokens <= 0) {
         return;
     }
     if (hint > 0) {
-        note_per_event(l, (double)MIN(hint, most), y);
+        update_tokens_per_event(l, (double)MIN(hint, max_tokens), y);
     }
-    x = l->n > 0 ? estimate(l, hint, most)
-                 : (double)(hint < 0 ? most / 2 : MIN(hint, most));
-    l->n = MIN(l->n + 1, FW_LENGTH_MEMORY);
-    part = 1 / l->n;
+    x = l->n > 0 ? hint_or_mean(l, hint, max_tokens)
+                 : (double)(hint < 0 ? max_tokens / 2 : MIN(hint, max_tokens));
+    l->n = MIN(l->n + 1, FW_LENGTH_WEIGHT_MAX);
+    weight = 1 / l->n;
     dx = x - l->mean_hint;
     dy = y - l->mean_events;
-    l->mean_hint += part * dx;
-    l->mean_events += part * dy;
-    l->hint_variance += part * ((1 - part) * dx * dx - l->hint_variance);
-    l->events_variance += part * ((1 - part) * dy * dy - l->events_variance);
-    l->covariance += part * ((1 - part) * dx * dy - l->covariance);
-    l->max_events = MAX(y, l->max_events * (1 - FW_LONGEST_DECAY));
+    l->mean_hint += weight * dx;
+    l->mean_events += weight * dy;
+    l->hint_variance += weight * ((1 - weight) * dx * dx - l->hint_variance);
+    l->events_variance +=
+        weight * ((1 - weight) * dy * dy - l->events_variance);
+    l->covariance += weight * ((1 - weight) * dx * dy - l->covariance);
+    l->max_events = MAX(y, l->max_events * (1 - FW_MAX_EVENTS_DECAY));
 }
 
 /*
- * Without estimates the longest answer is taken for one of the most that is
- * possible: rather too much than too little.
+ * Without estimates the longest answer is assumed to have reached the
+ * maximum: this errs towards reserving too much memory.
  */
 double
-Fw_Length_TokensPerEvent(const struct fw_length_model *l, int64_t most)
+Fw_Length_TokensPerEvent(const struct fw_length_model *l, int64_t max_tokens)
 {
     if (l->tokens_per_event > 0) {
         return l->tokens_per_event;
     }
-    return l->max_events > 0 ? (double)most / l->max_events : 0;
+    return l->max_events > 0 ? (double)max_tokens / l->max_events : 0;
 }
 
 void
-Fw_Length_Guess(const struct fw_length_model *l, int64_t hint, int64_t most,
-                struct fw_length_guess *out)
+Fw_Length_Guess(const struct fw_length_model *l, int64_t hint,
+                int64_t max_tokens, struct fw_length_guess *out)
 {
-    double per_event = Fw_Length_TokensPerEvent(l, most);
-    double known = l->n / (l->n + FW_LENGTH_START);
+    double per_event = Fw_Length_TokensPerEvent(l, max_tokens);
+    double confidence = l->n / (l->n + FW_LENGTH_PRIOR_WEIGHT);
     double slope =
         l->hint_variance > 0 ? MAX(l->covariance / l->hint_variance, 0) : 0;
-    double events =
-        l->mean_events + slope * (estimate(l, hint, most) - l->mean_hint);
+    double events = l->mean_events +
+                    slope * (hint_or_mean(l, hint, max_tokens) - l->mean_hint);
     double spread = MAX(l->events_variance - slope * l->covariance, 0);
-    struct fw_length_guess blind;
-
-    guess_blind(hint, most, &blind);
-    out->mean = known * events * per_event + (1 - known) * blind.mean;
-    out->dev = known * sqrt(spread) * per_event + (1 - known) * blind.dev;
-    out->mean = CLAMP(out->mean, 1, MAX((double)most, 1));
+    struct fw_length_guess prior;
+
+    prior_estimate(hint, max_tokens, &prior);
+    out->mean =
+        confidence * events * per_event + (1 - confidence) * prior.mean;
+    out->dev =
+        confidence * sqrt(spread) * per_event + (1 - confidence) * prior.dev;
+    out->mean = CLAMP(out->mean, 1, MAX((double)max_tokens, 1));
 }
 
 void
 Fw_Length_Export(const struct fw_length_model *l,
-                 double figures[FW_LENGTH_PARAMS])
+                 double params[FW_LENGTH_PARAMS])
 {
     const double all[FW_LENGTH_PARAMS] = {l->n,
                                           l->mean_hint,
@@ -137,29 +142,29 @@
                                           l->max_events};
 
     for (int i = 0; i < FW_LENGTH_PARAMS; i++) {
-        figures[i] = all[i];
+        params[i] = all[i];
     }
 }
 
 void
 Fw_Length_Import(struct fw_length_model *l,
-                 const double figures[FW_LENGTH_PARAMS])
+                 const double params[FW_LENGTH_PARAMS])
 {
-    struct fw_length_model got = {.n = figures[0],
-                                  .mean_hint = figures[1],
-                                  .mean_events = figures[2],
-                                  .hint_variance = figures[3],
-                                  .events_variance = figures[4],
-                                  .covariance = figures[5],
-                                  .tokens_per_event = figures[6],
-                                  .max_events = figures[7]};
+    struct fw_length_model model = {.n = params[0],
+                                    .mean_hint = params[1],
+                                    .mean_events = params[2],
+                                    .hint_variance = params[3],
+                                    .events_variance = params[4],
+                                    .covariance = params[5],
+                                    .tokens_per_event = params[6],
+                                    .max_events = params[7]};
 
     for (int i = 0; i < FW_LENGTH_PARAMS; i++) {
-        if (!isfinite(figures[i]) || (figures[i] < 0 && i != 5)) {
+        if (!isfinite(params[i]) || (params[i] < 0 && i != 5)) {
             return;
         }
     }
-    if (got.n > l->n && got.n <= FW_LENGTH_MEMORY) {
-        *l = got;
+    if (model.n > l->n && model.n <= FW_LENGTH_WEIGHT_MAX) {
+        *l = model;
     }
 }
--- a/src/decide/length.h
+++ b/src/decide/length.h
@@ -1,32 +1,30 @@
 /*
- * How long the answers of a service's model get.
+ * Prediction of the number of tokens in a model's answer.
  *
- * A request declares the most that it may generate, and mostly estimates
- * what it will. How much such estimates are worth differs from one load to
- * the next, and engines that are filled by a wrong figure stand half empty
- * or preempt what they run. So the length is learned from the answers that
- * ended: by regression on the estimate, in events, with the tokens of an
- * event from the estimates, which are right at the median.
+ * A request declares the maximum that it may generate and usually an
+ * estimate, whose accuracy differs between workloads. Wrong predictions leave
+ * engine memory unused or cause preemption. Finished answers therefore feed
+ * a linear regression of the length, in events, on the caller's estimate.
+ * Tokens per event come from engine reports, or else from the estimates,
+ * whose median is taken as unbiased.
  */
 #ifndef FW_DECIDE_LENGTH_H
 #define FW_DECIDE_LENGTH_H
 
 #include <stdint.h>
 
-/* Figures that one instance hands on to another that has just started. */
+/* Parameters of a model as one instance sends them to another. */
 #define FW_LENGTH_PARAMS 8
 
 /**
- * struct fw_length_model - what was learned; zeroed at the start.
- * @n: answers, old ones for less and less
- * @mean_hint, @mean_events: means of estimates in tokens and of answers in
- * events
- * @hint_variance, @events_variance, @covariance: mean squares and products of
- * the distances from them
- * @tokens_per_event: tokens of an event, 0 before an estimate was compared
- * @is_reported: @tokens_per_event is an engine's figure, not one from
- * estimates
- * @max_events: events of the longest answer of late
+ * struct fw_length_model - regression of answer length; zeroed initially.
+ * @n: weight of the answers seen, limited so that old ones fade
+ * @mean_hint: mean of the callers' estimates, tokens
+ * @mean_events: mean length of answers, events
+ * @hint_variance, @events_variance, @covariance: of estimates and lengths
+ * @tokens_per_event: 0 until an estimate or a report was seen
+ * @max_events: longest recent answer, decaying with each further one
+ * @is_reported: @tokens_per_event comes from an engine's report
  */
 struct fw_length_model {
     double n;
@@ -40,38 +38,48 @@
     int is_reported;
 };
 
-/** struct fw_length_guess - tokens: what is expected, standard deviation. */
+/**
+ * struct fw_length_estimate - predicted length of one answer, in tokens.
+ * @dev: standard deviation
+ */
 struct fw_length_guess {
     double mean;
     double dev;
 };
 
 /**
- * Fw_Length_Note - an answer has ended whole.
- * @hint: the caller's estimate, tokens; -1 for none
- * @most: that it might have generated
- * @events: that it had
+ * Fw_Length_Update - adds a complete answer to the model.
+ * @hint: the caller's estimate in tokens, -1 for none
+ * @max_tokens: declared maximum, tokens
+ * @events: length of the answer, events
  */
 void
-Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t most,
+Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t max_tokens,
                int64_t events);
+/* Predicts the length of an answer to a request with @hint and @max_tokens. */
 void
-Fw_Length_Guess(const struct fw_length_model *l, int64_t hint, int64_t most,
-                struct fw_length_guess *out);
-/* An engine has reported that @events of a stream are @tokens. */
+Fw_Length_Guess(const struct fw_length_model *l, int64_t hint,
+                int64_t max_tokens, struct fw_length_guess *out);
+/* Sets the ratio from an engine's report; ignored unless both are positive. */
 void
 Fw_Length_SetTokensPerEvent(struct fw_length_model *l, int64_t tokens,
                             int64_t events);
-/* Tokens of an event; 0 when nothing is known. */
+/*
+ * Tokens per event. Without estimates and reports, the longest recent answer
+ * is assumed to have @max_tokens tokens; 0 if there is none either.
+ */
 double
-Fw_Length_TokensPerEvent(const struct fw_length_model *l, int64_t most);
+Fw_Length_TokensPerEvent(const struct fw_length_model *l, int64_t max_tokens);
 
 void
 Fw_Length_Export(const struct fw_length_model *l,
-                 double figures[FW_LENGTH_PARAMS]);
-/* Takes over another's, unless as much is known here or they make no sense. */
+                 double params[FW_LENGTH_PARAMS]);
+/*
+ * Replaces the model by an exported one, unless that one is invalid or is
+ * based on no more answers than @l.
+ */
 void
 Fw_Length_Import(struct fw_length_model *l,
-                 const double figures[FW_LENGTH_PARAMS]);
+                 const double params[FW_LENGTH_PARAMS]);
 
 #endif
--- a/src/decide/mean.c
+++ b/src/decide/mean.c
@@ -3,10 +3,10 @@
 #include <glib.h>
 #include <math.h>
 
-/* Observations that what was assumed at the start counts as. */
-#define FW_MEAN_START 3
-/* Observations that are remembered: a change of the load shows in some 30. */
-#define FW_MEAN_MEMORY 30
+/* Weight of the prior, in observations. */
+#define FW_MEAN_PRIOR_WEIGHT 3
+/* Limit of the total weight: older observations fade over this many. */
+#define FW_MEAN_WEIGHT_MAX 30
 
 void
 Fw_Mean_Init(struct fw_moving_mean *m, double mean, double dev)
@@ -17,10 +17,10 @@
 void
 Fw_Mean_Update(struct fw_moving_mean *m, double value)
 {
-    double part;
+    double weight;
 
-    m->n = MIN(m->n + 1, FW_MEAN_MEMORY - FW_MEAN_START);
-    part = 1.0 / (m->n + FW_MEAN_START);
-    m->dev += part * (fabs(value - m->mean) - m->dev);
-    m->mean += part * (value - m->mean);
+    m->n = MIN(m->n + 1, FW_MEAN_WEIGHT_MAX - FW_MEAN_PRIOR_WEIGHT);
+    weight = 1.0 / (m->n + FW_MEAN_PRIOR_WEIGHT);
+    m->dev += weight * (fabs(value - m->mean) - m->dev);
+    m->mean += weight * (value - m->mean);
 }
--- a/src/decide/mean.h
+++ b/src/decide/mean.h
@@ -1,11 +1,11 @@
-/* A quantity that is learned from what was seen, with its spread. */
+/* Moving mean and mean absolute deviation of a quantity. */
 #ifndef FW_DECIDE_MEAN_H
 #define FW_DECIDE_MEAN_H
 
 /**
- * struct fw_moving_mean - moving mean of a quantity.
- * @mean, @dev: the mean and the mean distance from it, in the quantity's unit
- * @n: observations so far, up to a bound
+ * struct fw_moving_mean - both figures in the unit of the quantity.
+ * @dev: mean absolute deviation
+ * @n: observations so far, up to a limit
  */
 struct fw_moving_mean {
     double mean;
@@ -13,7 +13,7 @@
     int n;
 };
 
-/* Before anything was seen: @mean and @dev count as a few observations. */
+/* Sets a prior @mean and @dev that weigh as much as a few observations. */
 void
 Fw_Mean_Init(struct fw_moving_mean *m, double mean, double dev);
 void
--- a/src/decide/readers.h
+++ b/src/decide/readers.h
@@ -1,8 +1,8 @@
 /*
- * How many engines read prompts, the others generating.
+ * Size of the prefill pool; the remaining engines of a service decode.
  *
- * Answers a load whose parts change: with too few readers prompts wait and
- * first tokens are late, with too many the memory for streams is short.
+ * With too few prefill engines prompts queue and first tokens are late; with
+ * too many there is not enough KV cache memory for streams.
  */
 #ifndef FW_DECIDE_READERS_H
 #define FW_DECIDE_READERS_H
@@ -10,10 +10,10 @@
 #include <stdint.h>
 
 /**
- * struct fw_prefill_load - prompts that come in, as one instance sees it.
- * @sum: tokens, old ones for less and less; as of @at_us
- * @since_us: the first one came, 0 for none
- * @at_us: of the last one
+ * struct fw_prefill_load - exponentially decaying sum of prompt tokens.
+ * @sum: tokens, as of @at_us
+ * @since_us: time of the first prompt, 0 for none
+ * @at_us: time of the last prompt
  */
 struct fw_prefill_load {
     double sum;
@@ -23,25 +23,28 @@
 
 void
 Fw_Reading_Note(struct fw_prefill_load *r, int64_t tokens, int64_t now_us);
-/* Tokens a second as of now. */
+/* Prompt tokens per second, as of @now_us. */
 double
 Fw_Reading_Rate(const struct fw_prefill_load *r, int64_t now_us);
 
 /**
- * Fw_PrefillPool_BusyEngines - engines that reading keeps busy.
- * @mine: prompts of this instance: how long the load has been seen
- * @rate: tokens a second, of all instances
- * @token_us: to read one
- * @guess: engines, before the load was seen
+ * Fw_PrefillPool_BusyEngines - mean number of engines busy with prefill.
+ * @local: load of this instance; its age is the weight of @rate
+ * @rate: prompt tokens per second, all instances together
+ * @token_us: prefill time per token
+ * @prior_engines: number of engines to assume before a load was observed
  */
 double
-Fw_PrefillPool_BusyEngines(const struct fw_prefill_load *mine, double rate,
-                           double token_us, double guess, int64_t now_us);
-/*
- * Readers among @engines when @busy are kept busy and @now_readers read; that
- * is 0 when the number may change freely.
+Fw_PrefillPool_BusyEngines(const struct fw_prefill_load *local, double rate,
+                           double token_us, double prior_engines,
+                           int64_t now_us);
+/**
+ * Fw_PrefillPool_TargetSize - engines that should be in the prefill stage.
+ * @busy_engines: mean number of engines busy with prefill
+ * @engines: engines of the service, prefill and decode
+ * @current: present size, kept if close to the target; 0 to ignore it
  */
 int
-Fw_PrefillPool_TargetSize(double busy, int engines, int now_readers);
+Fw_PrefillPool_TargetSize(double busy_engines, int engines, int current);
 
 #endif
--- a/tests/decide/test_decide.c
+++ b/tests/decide/test_decide.c
@@ -1,4 +1,4 @@
-/* What is learned of answers, and what follows for engines. */
+/* Length prediction, memory accounting and prefill pool size. */
 #include <check.h>
 #include <math.h>
 
@@ -6,19 +6,25 @@
 #include "decide/memory.h"
 #include "tests/base/suite.h"
 
-#define FW_MOST 2000
-#define FW_EVENT 13
+#define FW_MAX_TOKENS 2000
+#define FW_EVENT_TOKENS 13
 #define FW_ANSWERS 200
 
-/** struct answers - a load; @hint_spread: of estimates, -1 for none given. */
-struct answers {
+/**
+ * struct workload - distribution of answers and of callers' estimates.
+ * @mean: of the answers, tokens
+ * @spread: standard deviation of the logarithm of an answer's length
+ * @hint_spread: the same of estimate / length; -1 for no estimates
+ */
+struct workload {
     double mean;
     double spread;
     double hint_spread;
 };
 
+/* Log-normal factor with a median of 1. */
 static double
-around(GRand *rand, double spread)
+log_normal_factor(GRand *rand, double spread)
 {
     double sum = 0;
 
@@ -29,180 +35,177 @@
 }
 
 static int64_t
-hint_of(GRand *rand, const struct answers *a, double out)
+draw_hint(GRand *rand, const struct workload *w, double out)
 {
-    return a->hint_spread < 0
+    return w->hint_spread < 0
                ? -1
-               : (int64_t)MAX(out * around(rand, a->hint_spread), 1);
+               : (int64_t)MAX(out * log_normal_factor(rand, w->hint_spread),
+                              1);
 }
 
-/* Root of the mean square error of the guesses of the last half, tokens. */
+/* Root mean square error in tokens over the second half of the answers. */
 static double
-error_of(const struct answers *a, uint32_t seed, double *blind)
+prediction_error(const struct workload *w, uint32_t seed, double *prior)
 {
     struct fw_length_model l = {0};
     struct fw_length_model none = {0};
     GRand *rand = g_rand_new_with_seed(seed);
     double sum = 0;
-    double sum_blind = 0;
+    double sum_prior = 0;
 
     for (int i = 0; i < FW_ANSWERS; i++) {
-        double out = MIN(a->mean * around(rand, a->spread), FW_MOST);
-        int64_t hint = hint_of(rand, a, out);
+        double out =
+            MIN(w->mean * log_normal_factor(rand, w->spread), FW_MAX_TOKENS);
+        int64_t hint = draw_hint(rand, w, out);
         struct fw_length_guess g;
 
-        Fw_Length_Guess(&l, hint, FW_MOST, &g);
+        Fw_Length_Guess(&l, hint, FW_MAX_TOKENS, &g);
         if (i >= FW_ANSWERS / 2) {
             sum += (g.mean - out) * (g.mean - out);
-            Fw_Length_Guess(&none, hint, FW_MOST, &g);
-            sum_blind += (g.mean - out) * (g.mean - out);
+            Fw_Length_Guess(&none, hint, FW_MAX_TOKENS, &g);
+            sum_prior += (g.mean - out) * (g.mean - out);
         }
-        Fw_Length_Note(&l, hint, FW_MOST, (int64_t)ceil(out / FW_EVENT));
+        Fw_Length_Note(&l, hint, FW_MAX_TOKENS,
+                       (int64_t)ceil(out / FW_EVENT_TOKENS));
     }
     g_rand_free(rand);
-    *blind = sqrt(sum_blind / (FW_ANSWERS / 2.0));
+    *prior = sqrt(sum_prior / (FW_ANSWERS / 2.0));
     return sqrt(sum / (FW_ANSWERS / 2.0));
 }
 
 /*
- * Callers of one model estimate well what they will get, those of another
- * badly, and its answers are far shorter than what they may be. Engines that
- * are filled by one formula for both are half empty with the second.
+ * Prediction must beat the prior with accurate estimates, with answers far
+ * below the maximum, and with useless estimates.
  */
-START_TEST(answers_are_guessed_better_than_blindly)
+START_TEST(prediction_beats_the_prior)
 {
-    static const struct answers loads[] = {
-        {1000, 0.5, 0.1}, /* good estimates */
-        {300, 0.3, 0.5},  /* short answers, far from the most */
-        {300, 0.3, 2.0},  /* and estimates that say nothing */
+    static const struct workload workloads[] = {
+        {1000, 0.5, 0.1}, /* accurate estimates */
+        {300, 0.3, 0.5},  /* answers far below the maximum */
+        {300, 0.3, 2.0},  /* and useless estimates */
     };
-    double blind;
-    double error = error_of(&loads[_i], 7, &blind);
+    double prior;
+    double error = prediction_error(&workloads[_i], 7, &prior);
 
-    ck_assert_msg(error < 0.8 * blind, "error %g, blind %g", error, blind);
+    ck_assert_msg(error < 0.8 * prior, "error %g, prior %g", error, prior);
 }
 END_TEST
 
-/* Nobody gives an estimate: rather too much is expected than too little. */
-START_TEST(without_estimates_the_longest_answer_is_the_most)
+/* Without estimates the prediction must lean towards the maximum. */
+START_TEST(without_estimates_prediction_leans_high)
 {
     struct fw_length_model l = {0};
     struct fw_length_guess g;
 
     for (int i = 0; i < 60; i++) {
-        Fw_Length_Note(&l, -1, FW_MOST, i % 2 ? 20 : 100);
+        Fw_Length_Note(&l, -1, FW_MAX_TOKENS, i % 2 ? 20 : 100);
     }
-    Fw_Length_Guess(&l, -1, FW_MOST, &g);
-    ck_assert_double_ge(g.mean, 0.5 * FW_MOST);
-    ck_assert_double_le(g.mean, 0.8 * FW_MOST);
+    Fw_Length_Guess(&l, -1, FW_MAX_TOKENS, &g);
+    ck_assert_double_ge(g.mean, 0.5 * FW_MAX_TOKENS);
+    ck_assert_double_le(g.mean, 0.8 * FW_MAX_TOKENS);
 }
 END_TEST
 
-/* Answers get three times as long; half a hundred later that is known. */
-START_TEST(a_changed_load_is_learned_anew)
+/* The prediction must follow a lasting change of the answers' length. */
+START_TEST(prediction_follows_a_changed_workload)
 {
     struct fw_length_model l = {0};
     struct fw_length_guess g;
 
     for (int i = 0; i < 300; i++) {
-        Fw_Length_Note(&l, 260, FW_MOST, 20);
+        Fw_Length_Note(&l, 260, FW_MAX_TOKENS, 20);
     }
     for (int i = 0; i < 150; i++) {
-        Fw_Length_Note(&l, 780, FW_MOST, 60);
+        Fw_Length_Note(&l, 780, FW_MAX_TOKENS, 60);
     }
-    Fw_Length_Guess(&l, 780, FW_MOST, &g);
+    Fw_Length_Guess(&l, 780, FW_MAX_TOKENS, &g);
     ck_assert_double_eq_tol(g.mean, 780, 120);
 }
 END_TEST
 
-/*
- * An instance that has just started is handed what another one knows; what
- * can't be a figure of answers is left alone.
- */
-START_TEST(a_new_instance_takes_over_what_is_known)
+/* An imported model predicts the same; invalid parameters are ignored. */
+START_TEST(exported_model_predicts_the_same)
 {
-    double figures[FW_LENGTH_PARAMS];
+    double params[FW_LENGTH_PARAMS];
     struct fw_length_model l = {0};
-    struct fw_length_model fresh = {0};
+    struct fw_length_model imported = {0};
     struct fw_length_guess a;
     struct fw_length_guess b;
 
     for (int i = 0; i < 40; i++) {
-        Fw_Length_Note(&l, 130 + i, FW_MOST, 10 + i % 3);
+        Fw_Length_Note(&l, 130 + i, FW_MAX_TOKENS, 10 + i % 3);
     }
-    Fw_Length_Export(&l, figures);
-    Fw_Length_Import(&fresh, figures);
-    Fw_Length_Guess(&l, 150, FW_MOST, &a);
-    Fw_Length_Guess(&fresh, 150, FW_MOST, &b);
+    Fw_Length_Export(&l, params);
+    Fw_Length_Import(&imported, params);
+    Fw_Length_Guess(&l, 150, FW_MAX_TOKENS, &a);
+    Fw_Length_Guess(&imported, 150, FW_MAX_TOKENS, &b);
     ck_assert_double_eq(a.mean, b.mean);
-    figures[0] += 1;
-    figures[2] = -1;
-    Fw_Length_Import(&fresh, figures);
-    Fw_Length_Guess(&fresh, 150, FW_MOST, &b);
+    params[0] += 1;
+    params[2] = -1;
+    Fw_Length_Import(&imported, params);
+    Fw_Length_Guess(&imported, 150, FW_MAX_TOKENS, &b);
     ck_assert_double_eq(a.mean, b.mean);
 }
 END_TEST
 
-/* What a stream counts as grows with it, to no more than it may take. */
-START_TEST(a_stream_counts_as_what_it_has_grown_to)
+/* A stream's accounted memory grows with it, up to its maximum. */
+START_TEST(stream_memory_grows_with_generated_tokens)
 {
     struct fw_length_guess g = {.mean = 800, .dev = 0};
 
-    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 0), 3400);
-    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 300), 3400);
-    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 1200), 4200);
-    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MOST, 9000),
-                     3000 + FW_MOST);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MAX_TOKENS, 0), 3400);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MAX_TOKENS, 300),
+                     3400);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MAX_TOKENS, 1200),
+                     4200);
+    ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MAX_TOKENS, 9000),
+                     3000 + FW_MAX_TOKENS);
 }
 END_TEST
 
-/* More is left free beside answers that are long or hard to tell. */
-START_TEST(the_spare_follows_what_is_uncertain)
+/* Headroom grows with the length, the variance and the number of streams. */
+START_TEST(headroom_follows_uncertainty)
 {
     struct fw_length_guess sure = {.mean = 900, .dev = 50};
     struct fw_length_guess vague = {.mean = 900, .dev = 700};
     struct fw_length_guess longer = {.mean = 1900, .dev = 50};
 
-    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MOST, 12),
-                     Fw_Memory_Spare(&vague, FW_MOST, 12));
-    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MOST, 12),
-                     Fw_Memory_Spare(&longer, FW_MOST, 12));
-    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MOST, 12),
-                     Fw_Memory_Spare(&sure, FW_MOST, 48));
+    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 12),
+                     Fw_Memory_Spare(&vague, FW_MAX_TOKENS, 12));
+    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 12),
+                     Fw_Memory_Spare(&longer, FW_MAX_TOKENS, 12));
+    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 12),
+                     Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 48));
 }
 END_TEST
 
-/*
- * Prompts double for a few seconds, as they do several times a day: engines
- * stay as they are, since a change takes one out of service for seconds.
- * When they are three times as many for good, more engines read.
- */
-START_TEST(readers_follow_the_load_and_not_a_burst)
+/* A burst of ten seconds must not resize the pool; a lasting change must. */
+START_TEST(prefill_pool_ignores_bursts)
 {
     struct fw_prefill_load r = {0};
     int64_t now = FW_SEC;
-    int readers = Fw_PrefillPool_TargetSize(1, 9, 0);
+    int pool_size = Fw_PrefillPool_TargetSize(1, 9, 0);
 
-    ck_assert_int_eq(readers, 3);
+    ck_assert_int_eq(pool_size, 3);
     for (int i = 0; i < 3000; i++) {
         int burst = i >= 600 && i < 700;
 
         now += 100 * FW_MSEC;
         Fw_Reading_Note(&r, i >= 1500 ? 9000 : burst ? 6000 : 3000, now);
-        readers = Fw_PrefillPool_TargetSize(
+        pool_size = Fw_PrefillPool_TargetSize(
             Fw_PrefillPool_BusyEngines(&r, Fw_Reading_Rate(&r, now), 30, 1,
                                        now),
-            9, readers);
-        ck_assert(i >= 1500 || readers == 3);
+            9, pool_size);
+        ck_assert(i >= 1500 || pool_size == 3);
     }
-    /* 2.7 engines' work: 2.7 and 1.8 of its root. */
-    ck_assert_int_ge(readers, 5);
-    ck_assert_int_le(readers, 6);
+    /* Load of 2.7 engines: the target is 2.7 + 1.8 * sqrt(2.7). */
+    ck_assert_int_ge(pool_size, 5);
+    ck_assert_int_le(pool_size, 6);
 }
 END_TEST
 
-/* A few requests wait as long as they can still be answered in time. */
-START_TEST(waits_follow_what_engines_take)
+/* Queue limit, prefill prediction and Retry-After follow measured times. */
+START_TEST(time_limits_follow_measured_times)
 {
     struct fw_learned slow;
     struct fw_learned quick;
@@ -231,13 +234,13 @@
 {
     TCase *tc = Fw_Suite_New("decisions");
 
-    tcase_add_loop_test(tc, answers_are_guessed_better_than_blindly, 0, 3);
-    tcase_add_test(tc, without_estimates_the_longest_answer_is_the_most);
-    tcase_add_test(tc, a_changed_load_is_learned_anew);
-    tcase_add_test(tc, a_new_instance_takes_over_what_is_known);
-    tcase_add_test(tc, a_stream_counts_as_what_it_has_grown_to);
-    tcase_add_test(tc, the_spare_follows_what_is_uncertain);
-    tcase_add_test(tc, readers_follow_the_load_and_not_a_burst);
-    tcase_add_test(tc, waits_follow_what_engines_take);
+    tcase_add_loop_test(tc, prediction_beats_the_prior, 0, 3);
+    tcase_add_test(tc, without_estimates_prediction_leans_high);
+    tcase_add_test(tc, prediction_follows_a_changed_workload);
+    tcase_add_test(tc, exported_model_predicts_the_same);
+    tcase_add_test(tc, stream_memory_grows_with_generated_tokens);
+    tcase_add_test(tc, headroom_follows_uncertainty);
+    tcase_add_test(tc, prefill_pool_ignores_bursts);
+    tcase_add_test(tc, time_limits_follow_measured_times);
     return Fw_Suite_Run(tc);
 }
