--- a/src/relay/metrics.c
+++ b/src/relay/metrics.c
@@ -120,5 +120,5 @@
     r->n.servers_usable.value = usable;
     r->n.tokens_reserved.value = reserved;
     r->n.role_held.value =
-        r->order_lease.fence && now_us < r->order_lease.until_us;
+        r->order_lease.fence && now_us < r->order_lease.expires_us;
 }
--- a/src/relay/order.c
+++ b/src/relay/order.c
@@ -79,7 +79,7 @@
         return r->order_lease.fence != 0;
     }
     return r->order_lease.fence &&
-           now_us < r->order_lease.until_us - FW_LEASE_MARGIN_US;
+           now_us < r->order_lease.expires_us - FW_LEASE_MARGIN_US;
 }
 
 /* Has the last claim surely run out, as seen from here? */
@@ -309,7 +309,7 @@
     case FW_RL_CLAIM_MADE:
         r->order_lease.fence = offset + 1;
         r->order_lease.log_end = offset + 1;
-        r->order_lease.until_us = sent_us + r->opts.lease_us;
+        r->order_lease.expires_us = sent_us + r->opts.lease_us;
         r->order_lease.reports_requested = 0;
         r->stage_check_us = now_us;
         break;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,8 +1,8 @@
 /*
- * The relay's core: routes callers' requests to upstreams that run in their
- * own wire form. It does no I/O: what happens is told to it with the time,
- * what is to be done comes back as actions. Bytes of bodies pass from one
- * connection to the other in the shell; the core sees ids, sizes and times.
+ * Core of the relay, which routes callers' requests to upstreams. It does no
+ * I/O: the shell passes it events with the current time and carries out the
+ * actions that it returns. Bodies are copied between connections by the
+ * shell; the core sees only ids, sizes and times.
  */
 #ifndef FW_RELAY_RELAY_H
 #define FW_RELAY_RELAY_H
@@ -13,32 +13,40 @@
 
 struct fw_relay;
 
-/** enum fw_rl_up_kind - what an upstream is asked for. */
+/** enum fw_rl_upstream_kind - operation requested of an upstream. */
 enum fw_rl_up_kind {
-    FW_RL_UP_RUN,       /* the caller's request */
-    FW_RL_UP_PREFILL,   /* read the prompt, keep its KV cache */
-    FW_RL_UP_HOLD,      /* reserve a slot and memory */
-    FW_RL_UP_DROP_HOLD, /* give a reservation back */
-    FW_RL_UP_DROP_KV,   /* free a KV cache that nobody will take */
-    FW_RL_UP_REPORT,    /* state of an engine */
-    FW_RL_UP_STAGE,     /* order: change the engine's stage */
+    FW_RL_UP_RUN,       /* run the caller's request */
+    FW_RL_UP_PREFILL,   /* prefill the prompt and keep its KV cache */
+    FW_RL_UP_HOLD,      /* reserve a slot and KV cache memory */
+    FW_RL_UP_DROP_HOLD, /* release a reservation */
+    FW_RL_UP_DROP_KV,   /* free the KV cache of a prefill */
+    FW_RL_UP_REPORT,    /* report the engine's state and streams */
+    FW_RL_UP_STAGE,     /* change the engine's stage */
 };
 
 /**
- * struct fw_rl_up_call - one call to an upstream.
- * @xid: names it in what is told back
- * @call: the caller's request, 0 when it serves none
- * @addr, @server: where, and the id that must be there
- * @left_us: time limit handed on
- * @team: for the upstream; empty for none
- * @urgency: 0 first, 9 last; -1 for the upstream's default
- * @whole: report only the end, with the response kept, unless it is large
- * @reuse_us: longest idle time of a kept connection that may be used
- * @connect_us: longest time for a new connection
- * @hold, @kv_addr, @kv: reservation and KV cache that the run goes on from
- * @tokens, @ttl_us: of a reservation
- * @stage, @fence, @expected: of an order; @expected: orders that the engine
- *                            has accepted so far
+ * struct fw_rl_upstream_call - a call to an upstream.
+ * @xid: id under which the shell reports the outcome
+ * @call: id of the caller's request, 0 if the call serves none
+ * @addr: address to connect to
+ * @server: server id that must answer there
+ * @timeout_us: time limit to send to the upstream
+ * @team: team to send to the upstream, empty for none
+ * @priority: 0 most urgent, 9 least; -1 for the upstream's default
+ * @buffer_response: buffer the response and report only its end; a large
+ *     response is forwarded as it arrives
+ * @reuse_us: maximum idle time of a connection that may be reused; 0 for a
+ *     new connection
+ * @connect_us: connect timeout
+ * @reservation: reservation to use (RUN) or to release (RELEASE)
+ * @kv_addr: engine that holds the KV cache to fetch
+ * @kv_handle: KV cache to fetch (RUN) or to free (FREE_KV)
+ * @tokens: size of the reservation (RESERVE)
+ * @ttl_us: lifetime of the reservation (RESERVE)
+ * @stage: new stage (SET_STAGE)
+ * @fence: fencing token (SET_STAGE)
+ * @expected_orders: number of orders that the engine must have accepted so
+ *     far for this one to be valid (SET_STAGE)
  */
 struct fw_rl_up_call {
     enum fw_rl_up_kind kind;
@@ -62,14 +70,14 @@
     int64_t expected;
 };
 
-/* Runs of a report that are taken in. */
+/* Maximum number of streams read from an engine's report. */
 #define FW_RL_RUNS_MAX 32
 
 /**
- * struct fw_rl_run - a stream at an engine, as the engine reports it.
- * @id: hash of the request's id
- * @tokens: in memory, its prompt included
- * @events: made so far
+ * struct fw_rl_stream_report - a stream as its engine reports it.
+ * @id: hash of the request id
+ * @tokens: tokens in the KV cache, prompt included
+ * @events: events generated so far
  */
 struct fw_rl_run {
     uint64_t id;
@@ -78,12 +86,17 @@
 };
 
 /**
- * struct fw_rl_up_answer - what an upstream said.
- * @not_run: it states that it has not run the request
- * @moved: another server has the address
- * @name: reservation or KV cache made
- * @events: of a stream, so far
- * @stage, @busy, @orders, @runs: of a report
+ * struct fw_rl_upstream_response - response of an upstream.
+ * @status: HTTP status
+ * @not_run: the upstream states that it did not run the request
+ * @wrong_server: another server now uses the address
+ * @handle: reservation or KV cache created, empty for none
+ * @events: events of the stream so far
+ * @stage: stage of the engine (REPORT)
+ * @changing_stage: the engine is changing its stage (REPORT)
+ * @orders: number of orders that the engine has accepted, negative if not
+ *     reported (REPORT)
+ * @streams: streams running at the engine (REPORT)
  */
 struct fw_rl_up_answer {
     int status;
@@ -98,22 +111,24 @@
     struct fw_rl_run runs[FW_RL_RUNS_MAX];
 };
 
-/** enum fw_rl_act_kind - tag of struct fw_rl_act. */
+/** enum fw_rl_action_kind - tag of struct fw_rl_action. */
 enum fw_rl_act_kind {
-    FW_RL_DO_REFUSE, /* a final answer of our own */
-    FW_RL_DO_PASS,   /* hand @xid's response to the caller, as it comes */
-    FW_RL_DO_FINISH, /* the response that was passed is whole */
-    FW_RL_DO_CUT,    /* it will never be whole */
-    FW_RL_DO_ASK,    /* call an upstream */
-    FW_RL_DO_STOP_ASK,
-    FW_RL_DO_LEAD,   /* write a record that claims the order role */
-    FW_RL_DO_FORGET, /* close idle connections to @addr */
+    FW_RL_DO_REFUSE,   /* answer the caller with an error response */
+    FW_RL_DO_PASS,     /* forward the response of @xid as it arrives */
+    FW_RL_DO_FINISH,   /* end the forwarded response */
+    FW_RL_DO_CUT,      /* abort the forwarded response */
+    FW_RL_DO_ASK,      /* call an upstream */
+    FW_RL_DO_STOP_ASK, /* cancel the call @xid to an upstream */
+    FW_RL_DO_LEAD,     /* append a claim of the order role to the log */
+    FW_RL_DO_FORGET,   /* close idle connections to @addr */
     FW_RL_DO_LOG,
 };
 
 /**
- * struct fw_rl_refusal - @retry_us: when to come back, 0 to say nothing.
- * @reason: one of a small set, a literal; also the metric's label
+ * struct fw_rl_rejection - an error response to a caller.
+ * @retry_us: Retry-After, 0 for none
+ * @reason: string literal; also the value of the metric's label
+ * @ran: whether the request was run
  */
 struct fw_rl_refusal {
     uint64_t call;
@@ -123,17 +138,26 @@
     enum fw_ran ran;
 };
 
-/* The longest line names a caller's id, a route, a team and two servers. */
+/* Fits a request id, a route, a team and two servers; longer text is cut. */
 #define FW_RL_LOG_TEXT 640
 
-/** struct fw_rl_log_line - @text: JSON members, without braces. */
+/**
+ * struct fw_rl_log_line - a structured log line.
+ * @severity: syslog severity
+ * @event: string literal
+ * @text: JSON members, without braces
+ */
 struct fw_rl_log_line {
     int severity;
     const char *event;
     char text[FW_RL_LOG_TEXT];
 };
 
-/** struct fw_rl_act - one thing to do. */
+/**
+ * struct fw_rl_action - an action for the shell to carry out.
+ * @u: argument, by @kind; for FW_RL_DO_CLAIM_ROLE, @u.lead_end is the log
+ *     offset at which the claim must be appended
+ */
 struct fw_rl_act {
     enum fw_rl_act_kind kind;
     union {
@@ -151,41 +175,46 @@
     } u;
 };
 
-/** struct fw_rl_acts - in order; cleared by who has carried them out. */
+/** struct fw_rl_actions - actions in order; the shell frees them. */
 struct fw_rl_acts {
     GArray *all; /* of struct fw_rl_act */
 };
 
-/** enum fw_rl_policy - how servers are chosen. */
+/** enum fw_rl_policy - load balancing policy. */
 enum fw_rl_policy {
-    FW_RL_POLICY_FULL,         /* by room, wait, errors and time taken */
-    FW_RL_POLICY_LEAST_LOADED, /* by requests that run there; to compare */
-    FW_RL_POLICY_RANDOM,       /* any that is usable; to compare */
+    FW_RL_POLICY_FULL,         /* by memory, queue, error rate, latency */
+    FW_RL_POLICY_LEAST_LOADED, /* by running requests; a baseline */
+    FW_RL_POLICY_RANDOM,       /* any usable server; a baseline */
 };
 
 /**
- * struct fw_relay_opts - from the settings; see docs/OPERATIONS.md.
- * @retry_ratio_ppm, @retry_extra, @retry_window_us: repeats that all
- *     instances together may make of a service's requests
- * @key_stale_us: keyed requests are refused when the configuration in force
- *     is not known to be the newest as of so long ago
- * @policy: how servers are chosen
- * @queue_us: longest wait for room at an engine; 0: as long as the route's
- *     objective can still be met
- * @reserve_permille: part of the tokens that may be generated which is
- *     reserved
- * @read_here_us: a prompt that would be read later than this elsewhere is
- *     read by its decode engine
- * @prefill_permille: part of a service's engines that prefill keeps busy,
- *     until the load was seen
- * @overage_ppm, @tolerance: what the operator tolerates beyond a team's rate
- *     and burst: part of them, and tokens
- * @lease_us: how long the order role lasts
- * @cpu_ppm: part of a core that this instance has: large ones serve others
- * @digest_every_us: between digests, and between reports
- * @grace_us: from SIGTERM until the process is killed
- * @log_level: lines of a lower severity are left out
- * @log_sample: of the requests that go well one in so many is logged
+ * struct fw_relay_opts - settings; see docs/OPERATIONS.md.
+ * @name: name of this instance
+ * @domain: its failure domain
+ * @boot: identifies this run of the process
+ * @seed: seed of the random number generator
+ * @retry_ratio_ppm: retries of all instances together, in proportion to the
+ *     requests for a service within @retry_window_us
+ * @retry_extra: retries allowed on top of that, all instances together
+ * @retry_window_us: window of the retry budget
+ * @key_stale_us: requests with a key are rejected unless the configuration
+ *     is known to have been the newest less than this long ago
+ * @queue_limit_us: maximum wait for an engine's reservation; 0 to derive it
+ *     from the route's objective
+ * @reserve_permille: part of a request's maximum output tokens to reserve
+ * @local_prefill_us: the decode engine prefills the prompt itself if a
+ *     prefill engine would take longer than this
+ * @prefill_permille: assumed part of a service's engines that are busy with
+ *     prefill, until the load was measured
+ * @overage_ppm: tolerated excess over a team's rate
+ * @tolerance_tokens: tolerated excess over a team's burst
+ * @lease_us: duration of a lease of the order role
+ * @grace_us: time from SIGTERM until the process is killed
+ * @cpu_ppm: CPU share of this instance, one core being 1,000,000; instances
+ *     with larger shares are preferred as hubs
+ * @digest_period_us: interval between digests, and between reports
+ * @log_level: least severe syslog severity to log
+ * @log_sample: one in this many successful requests is logged
  */
 struct fw_relay_opts {
     char name[FW_NAME_MAX];
@@ -225,64 +254,74 @@
 void
 Fw_Acts_Clear(struct fw_rl_acts *acts);
 
-/* A caller's request came; @call names it from now on. */
+/* A caller's request was received; @call is its id until it has ended. */
 void
 Fw_Relay_Open(struct fw_relay *r, uint64_t call, const struct fw_rl_ask *ask,
               int64_t now_us, struct fw_rl_acts *out);
-/* Its caller has left. */
+/* The caller has disconnected. */
 void
 Fw_Relay_Gone(struct fw_relay *r, uint64_t call, int64_t now_us,
               struct fw_rl_acts *out);
 
-/* A response has begun that is not kept; only for FW_RL_UP_RUN. */
+/* The headers of an unbuffered response were received (FW_RL_UP_RUN only). */
 void
 Fw_Relay_Begun(struct fw_relay *r, uint64_t xid,
                const struct fw_rl_up_answer *ans, int64_t now_us,
                struct fw_rl_acts *out);
-/* A response is whole. */
+/* A response was received completely. */
 void
 Fw_Relay_Answered(struct fw_relay *r, uint64_t xid,
                   const struct fw_rl_up_answer *ans, int64_t now_us,
                   struct fw_rl_acts *out);
-/* A call failed; @sent: some of it may have reached the upstream. */
+/*
+ * A call to an upstream failed.
+ * @err: negative errno
+ * @sent: part of the request may have reached the upstream
+ */
 void
 Fw_Relay_Failed(struct fw_relay *r, uint64_t xid, int err, int sent,
                 int64_t now_us, struct fw_rl_acts *out);
 
-/* The operator's newest configuration, or one that can't be read (NULL). */
+/*
+ * Sets the configuration read at the log's @offset, unless it is older than
+ * the current one; takes a reference. @rules is NULL if it was invalid.
+ */
 void
 Fw_Relay_Rules(struct fw_relay *r, struct fw_rl_rules *rules, uint64_t offset,
                int64_t now_us, struct fw_rl_acts *out);
-/* All that the store held at @as_of_us is in force. */
+/* The current configuration was the newest in the store at @as_of_us. */
 void
 Fw_Relay_Fresh(struct fw_relay *r, int64_t as_of_us);
-/* A server's entry; @entry NULL: it is no longer listed. */
+/* Adds or updates a server; @entry is NULL if it is no longer listed. */
 void
 Fw_Relay_Server(struct fw_relay *r, const char *id,
                 const struct fw_rl_server_entry *entry, int64_t now_us,
                 struct fw_rl_acts *out);
-/* The list of servers was read whole: what wasn't named since is gone. */
+/*
+ * Enclose a complete listing of the servers; those not updated in between are
+ * removed.
+ */
 void
 Fw_Relay_ListBegin(struct fw_relay *r);
 void
 Fw_Relay_ListEnd(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
-/* The store does not answer. */
+/* The store has stopped answering. */
 void
 Fw_Relay_StoreLost(struct fw_relay *r);
-/* It answers again after it did not. */
+/* The store answers again. */
 void
 Fw_Relay_StoreBack(struct fw_relay *r, int64_t now_us);
 
-/** enum fw_rl_claim - what became of a claim of the order role. */
+/** enum fw_rl_claim_result - outcome of a claim of the order role. */
 enum fw_rl_claim {
-    FW_RL_CLAIM_MADE,    /* it stands in the log */
-    FW_RL_CLAIM_TAKEN,   /* another came first */
-    FW_RL_CLAIM_UNKNOWN, /* no answer */
+    FW_RL_CLAIM_MADE,    /* the claim was appended to the log */
+    FW_RL_CLAIM_TAKEN,   /* another record was appended first */
+    FW_RL_CLAIM_UNKNOWN, /* the log did not answer */
 };
 
 /*
- * What became of FW_RL_DO_LEAD sent at @sent_us. @offset: where it stands, or
- * where the next one would go when another came first.
+ * Outcome of an FW_RL_DO_CLAIM_ROLE that was sent at @sent_us.
+ * @offset: offset of the claim if it was appended, otherwise the log's end
  */
 void
 Fw_Relay_Lead(struct fw_relay *r, enum fw_rl_claim claim, uint64_t offset,
@@ -294,52 +333,54 @@
     GBytes *data;
 };
 
-/** struct fw_rl_mail - messages to go out, of struct fw_rl_datagram. */
+/** struct fw_rl_mail - outgoing messages, of struct fw_rl_datagram. */
 struct fw_rl_mail {
     GPtrArray *all;
 };
 
 void
 Fw_Mail_Init(struct fw_rl_mail *mail);
-/* Drops the messages. */
+/* Frees the messages. */
 void
 Fw_Mail_Clear(struct fw_rl_mail *mail);
-/* What other instances should get by now. */
+/* Appends the messages to other instances that are due. */
 void
 Fw_Relay_Exchange(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out);
-/* What waits for an engine is placed, where there is room by now. */
+/* Requests reservations for queued requests as far as engines have room. */
 void
 Fw_Relay_Place(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
-/* When there is something at the latest. */
+/* Time at which Fw_Relay_WriteMessages() must be called again. */
 int64_t
 Fw_Relay_ExchangeDue(const struct fw_relay *r);
 /*
- * A message of another instance at @addr; @out takes what goes back. Return:
- * 1 when its sender has just been met, 0, or -EBADMSG.
+ * Handles a message from another instance at @addr and appends replies to
+ * @out. Return: 1 if the sender is new or was out of touch, 0 otherwise,
+ * -EBADMSG if the message is invalid.
  */
 int
 Fw_Relay_ReadMessage(struct fw_relay *r, const char *addr, const void *data,
                      size_t len, int64_t now_us, struct fw_rl_mail *out);
-/* Does this instance read the store itself, or learn from others? */
+/* Whether this instance reads the store itself rather than rely on others. */
 int
 Fw_Relay_ReadsStore(const struct fw_relay *r, int64_t now_us);
-/* How long a read of the configuration may wait for a change. */
+/* Long-poll timeout in us of a configuration read, by default @base_us. */
 int64_t
 Fw_Relay_RulesWait(struct fw_relay *r, int64_t base_us, int64_t now_us);
 /*
- * Does another instance know a newer configuration, or newer entries of
- * servers? @addr takes its address; asked about, it is taken as done.
+ * Whether another instance knows a newer configuration, or newer servers.
+ * @addr receives its address. Each such notice is returned only once.
  */
 int
 Fw_Relay_TakeWantRules(struct fw_relay *r, char addr[FW_URL_MAX]);
 int
 Fw_Relay_TakeWantList(struct fw_relay *r, char addr[FW_URL_MAX]);
-/* The servers' entries were read up to @offset. */
+/* The servers' entries were read up to the log's @offset. */
 void
 Fw_Relay_ListOffset(struct fw_relay *r, uint64_t offset);
 /**
- * struct fw_rl_peer - another instance as it is registered.
- * @cpu_ppm: part of a core that it has
+ * struct fw_rl_peer - registration of another instance.
+ * @domain: its failure domain
+ * @cpu_ppm: its CPU share, one core being 1,000,000
  */
 struct fw_rl_peer {
     char name[FW_NAME_MAX];
@@ -351,29 +392,30 @@
 void
 Fw_Relay_AddMember(struct fw_relay *r, const struct fw_rl_peer *peer,
                    int64_t now_us);
-/* All that are registered were named. */
+/* All registered instances have been added with Fw_Relay_AddMember(). */
 void
 Fw_Relay_MembersEnd(struct fw_relay *r, int64_t now_us);
-/* Has no other instance sent anything for a while? */
+/* Whether no message of any other instance was received recently. */
 int
 Fw_Relay_IsIsolated(const struct fw_relay *r, int64_t now_us);
 
-/* SIGTERM: no longer ready. */
+/* Starts draining: the instance is no longer ready. */
 void
 Fw_Relay_Drain(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 void
 Fw_Relay_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
-/* When the next tick is wanted. */
+/* Time of the next call of Fw_Relay_Tick(). */
 int64_t
 Fw_Relay_Wake(const struct fw_relay *r, int64_t now_us);
 int
 Fw_Relay_Ready(const struct fw_relay *r, int64_t now_us);
-/* Should callers with kept connections open their next one elsewhere? */
+/* Whether to close callers' connections so that they reconnect elsewhere. */
 int
 Fw_Relay_SendsAway(const struct fw_relay *r, int64_t now_us);
-/* May new requests go to the server @id? */
+/* Whether new requests may be sent to the server @id. */
 int
 Fw_Relay_Usable(const struct fw_relay *r, const char *id, int64_t now_us);
+/* Returns the current configuration, NULL if there is none; borrowed. */
 const struct fw_rl_rules *
 Fw_Relay_InForce(const struct fw_relay *r);
 
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of src/relay. */
+/* Internal interfaces of src/relay. */
 #ifndef FW_RELAY_INTERNAL_H
 #define FW_RELAY_INTERNAL_H
 
@@ -10,47 +10,52 @@
 #include "relay/relay.h"
 #include "route/queue.h"
 
-/* Servers that one request may meet before it is given up. */
+/* Maximum number of servers that one request is sent to. */
 #define FW_RL_TRIED_MAX 6
 /*
- * A kept connection is used again for a request that must not be repeated
- * only when it was idle for less: one that went silent meanwhile takes the
- * request with it, and a new connection costs a millisecond.
+ * Maximum idle time of a connection reused for a request that must not be
+ * retried: if the connection has died meanwhile, the request is lost with it.
  */
 #define FW_RL_REUSE_ONCE_US (1 * FW_SEC)
-/* For one that may be repeated: the upstream's own idle limit binds. */
+/* Maximum idle time of a connection reused for any other request. */
 #define FW_RL_REUSE_US (60 * FW_SEC)
-/*
- * A server that hasn't accepted by then is taken as unreachable: a hundred
- * times the round trip in a region, less than half of the objective.
- */
+/* A server that does not accept a connection in time is unreachable. */
 #define FW_RL_CONNECT_US (250 * FW_MSEC)
-/* Giving back a reservation or a KV cache that lapse by themselves anyway. */
+/* Timeout for releasing a reservation or KV cache, which expire anyway. */
 #define FW_RL_HOUSEKEEPING_US (1 * FW_SEC)
 /*
- * After the store's return, until a lapse of that time counts: entries of
- * servers that live are back within two seconds. See servers.c.
+ * Time after the store's recovery during which unlisted servers are kept, so
+ * that live ones can renew their entries. See servers.c.
  */
 #define FW_RL_RELIST_GRACE_US (2200 * FW_MSEC)
-/* Without a message of any peer for so long an instance is on its own. */
+/* An instance without messages from any peer for this long is isolated. */
 #define FW_RL_ISOLATED_US (3 * FW_SEC)
 
 /**
- * struct fw_rl_server - a server in one lifetime.
- * @refs: calls that name it; it is freed when it is gone and none does
- * @running, @reserved, @reading: requests, tokens of memory that these are
- *     expected to take on average, and tokens of prompts that are read
- * @full_us: when it last had no room for @full_tokens
- * @suspect_us: not chosen before, after it could not be reached
- * @connect_failures: failures to reach it in a row
- * @timeouts: calls in a row that it took and did not answer in time
- * @errors: part of its answers that were failures, moving mean
- * @took_us: moving mean of its time to answer
- * @work_us: the same of answers to requests that found a free slot
- * @rejected_runs: runs refused in a row that had a reservation there
- * @to_stage, @stage_change_until_us: a stage change under way, over by then at
- * the latest
- * @unsent: the others don't know yet what was last taken of it here
+ * struct fw_rl_server - one process of a server, until it ends.
+ * @hash: hash of its id
+ * @refs: references; freed when removed from the list and unreferenced
+ * @gone: removed from the list
+ * @listed: named since the current listing began
+ * @removal_us: time to remove it unless it is listed again; 0 for none
+ * @running: requests of this instance there
+ * @kv_tokens: expected KV cache use of these, tokens
+ * @prefill_tokens: prompt tokens sent there by this instance that have not
+ *     been prefilled yet
+ * @full_us: when it last rejected a reservation or a prefill
+ * @full_tokens: expected use of the request that it rejected then; 0 for a
+ *     prefill
+ * @backoff_until_us: not chosen before this time
+ * @connect_failures: backoffs since its last response
+ * @timeouts: calls that timed out since its last response
+ * @rejected_runs: runs with a reservation rejected since one was accepted
+ * @error_rate: moving mean of the share of failures among its responses
+ * @latency_us: moving mean of its response time, 0 if unknown
+ * @service_us: moving mean of its response time for requests that found a
+ *     free slot, 0 if unknown
+ * @target_stage: stage that it is changing to until @stage_change_until_us
+ * @stage_change_until_us: latest end of the stage change
+ * @is_unsent: its load has changed since it was last sent to other instances
  */
 struct fw_rl_server {
     struct fw_list link;
@@ -78,17 +83,21 @@
 };
 
 /**
- * struct fw_rl_allowance - a team's allowance as known here.
- * @hash: of the team's name
- * @level: tokens; below zero when others spent what was not known here yet
- * @fleet_share: of the fleet that is in touch, as of @at_us
- * @spent: tokens spent here since the start
- * @leaves: tokens that leaves of this hub have spent, as counted here
- * @sent: of both together, what the other hubs were sent
- * @counted: of @spent, what hubs are known to have counted
- * @reported: @spent as of the last report
- * @created_us, @adopted: the level of an instance that has just started is a
- *     guess until another one's was taken over
+ * struct fw_rl_allowance - this instance's view of a team's token bucket.
+ * @hash: hash of the team's name
+ * @rate: refill rate, tokens per second
+ * @burst: capacity, tokens
+ * @level: tokens left; negative if other instances spent more than was known
+ * @fleet_share: fraction of all instances that are in touch, as of @at_us
+ * @at_us: time up to which the bucket was refilled
+ * @spent: tokens spent by this instance since its start
+ * @leaf_spent: tokens spent by this hub's leaves, as counted by this instance
+ * @digest_spent: sum of @spent and @leaf_spent last sent to the other hubs
+ * @acknowledged: part of @spent that hubs have certainly counted
+ * @report_spent: @spent as of the last report
+ * @created_us: when the bucket was created
+ * @adopted: the level was taken from another instance; until then it is the
+ *     initial estimate
  */
 struct fw_rl_allowance {
     uint64_t hash;
@@ -107,13 +116,15 @@
 };
 
 /**
- * struct fw_rl_watch - how the store is kept up with; see watch.c.
- * @asked_us, @nonce: the question that is out, @nonce 0 for none
- * @list_offset: how far the servers' entries were read here
- * @rules_from, @list_from: address of an instance that knows of something
- *     newer, "" for none
- * @store_lost: the store does not answer here
- * @members_known: the instances were read from the store
+ * struct fw_rl_watch - state of following the store; see watch.c.
+ * @query_us: when the pending query to another instance was sent
+ * @nonce: nonce of the pending query, 0 for none
+ * @last_nonce: nonce of the last query
+ * @list_offset: log offset up to which servers' entries were read
+ * @rules_source: address of an instance with a newer configuration, or empty
+ * @list_source: address of an instance with newer servers, or empty
+ * @store_lost: the store does not answer this instance
+ * @members_known: the registered instances were read from the store
  */
 struct fw_rl_watch {
     int64_t asked_us;
@@ -126,10 +137,15 @@
     int members_known;
 };
 
+/* Two slots more than the window has; see retry_budget.c. */
 #define FW_RL_RETRY_BUDGET_SLOTS 16
 
-/** struct fw_rl_retry_budget - repeats of one service's requests; ring by
- * time. */
+/**
+ * struct fw_rl_retry_budget - retry budget of one service.
+ * @slot: number of the current time slot
+ * @requests: ring of counts per time slot
+ * @retries: ring of counts per time slot
+ */
 struct fw_rl_retry_budget {
     char service[FW_NAME_MAX];
     int64_t slot;
@@ -138,25 +154,42 @@
 };
 
 enum fw_rl_state {
-    FW_RL_QUEUED, /* waits for room at an engine */
-    FW_RL_HOLD,   /* asked an engine for a reservation */
-    FW_RL_READ,   /* its prompt is being read */
-    FW_RL_RUN,    /* sent to the server that answers */
+    FW_RL_QUEUED, /* waiting for an engine with enough memory */
+    FW_RL_HOLD,   /* a reservation was requested of an engine */
+    FW_RL_READ,   /* a prefill engine prefills the prompt */
+    FW_RL_RUN,    /* sent to the server that generates the response */
 };
 
 /**
- * struct fw_rl_call - a caller's request until its answer is out.
- * @cost: tokens of its team's allowance; @paid: taken, and given back if it
- *     never runs
- * @need: tokens of an engine's memory that it is expected to take, averaged
- *     over its run; 0 for a plain request
- * @answer: how long its answer is expected to be
- * @hold_tokens: reserved for it at the engine
- * @ahead: tokens that @reader had to read when it was asked, its own included
- * @server, @reader: where it runs, and where its prompt is read
- * @op: the call to an upstream that it waits for
- * @tries: servers that it was sent to run on
- * @passed: its answer has begun
+ * struct fw_rl_call - a caller's request until its response has ended.
+ * @route: copy of its route's configuration
+ * @priority: 0 most urgent
+ * @opened_us: when it was received
+ * @deadline_us: when it times out
+ * @queue_limit_us: maximum time in the queue
+ * @queue_until_us: when it is rejected if still queued
+ * @cost: tokens that it costs of its team's allowance
+ * @is_charged: @cost was taken, and is refunded if it never runs
+ * @kv_tokens: expected KV cache use, averaged over its run; 0 for a plain
+ *     request
+ * @length: predicted length of its answer
+ * @reservation_tokens: KV cache tokens to reserve at the engine
+ * @prefill_queue_tokens: prompt tokens queued at @prefill_server when its
+ *     prompt was sent there, its own included
+ * @server: server that it runs on
+ * @prefill_server: engine that prefills its prompt, NULL for @server
+ * @reservation: reservation at @server, empty for none
+ * @kv_handle: KV cache at @prefill_server, empty for none
+ * @kv_addr: address of the engine that holds @kv_handle
+ * @is_prefilling: its prompt counts in @prefill_server's prefill_tokens
+ * @reserved_us: when its reservation was granted, 0 if not yet
+ * @sent_us: when it was sent to @server, 0 if not yet
+ * @response_us: when its response began, 0 if not yet
+ * @op: pending call to an upstream, NULL for none
+ * @attempts: servers that may have run it
+ * @is_forwarded: its response has begun
+ * @ran: whether it was run
+ * @tried: hashes of the servers to avoid
  */
 struct fw_rl_call {
     struct fw_list link;
@@ -182,10 +215,10 @@
     char hold[FW_RL_KEY_MAX];
     char kv[FW_RL_KEY_MAX];
     char kv_addr[FW_URL_MAX];
-    int reading;      /* its prompt counts as load of @reader */
-    int64_t room_us;  /* when it had room at an engine */
-    int64_t run_us;   /* when it was sent to run */
-    int64_t first_us; /* when its answer began */
+    int reading;
+    int64_t room_us;
+    int64_t run_us;
+    int64_t first_us;
     struct fw_rl_op *op;
     int tries;
     int passed;
@@ -195,27 +228,43 @@
     struct fw_queue_item item;
 };
 
-/** struct fw_rl_op - a call to an upstream under way. */
+/**
+ * struct fw_rl_op - a pending call to an upstream.
+ * @call: the caller's request, NULL if it serves none
+ * @deadline_us: when it times out
+ * @had_free_slot: the server had a free slot when the call was sent
+ * @is_calibration: a report requested only to learn the tokens per event
+ */
 struct fw_rl_op {
     struct fw_list link;
     uint64_t xid;
     enum fw_rl_up_kind kind;
-    struct fw_rl_call *call; /* NULL for housekeeping */
+    struct fw_rl_call *call;
     struct fw_rl_server *server;
     int64_t sent_us;
-    int64_t until_us;   /* given up then */
-    int found_slot;     /* the server had one free when it was sent */
-    int is_calibration; /* a report for what its streams have in memory */
+    int64_t until_us;
+    int found_slot;
+    int is_calibration;
 };
 
-/** struct fw_rl_strike - servers lost while they ran one request. */
+/**
+ * struct fw_rl_strike - servers that ended while running one request.
+ * @digest: hash of the request
+ * @count: number of these servers
+ * @at_us: when the last one ended
+ */
 struct fw_rl_strike {
     uint64_t digest;
     int count;
     int64_t at_us;
 };
 
-/** struct fw_rl_crash_suspect - a request was cut off by a server's end. */
+/**
+ * struct fw_rl_crash_suspect - a request whose connection to a server broke.
+ * @digest: hash of the request
+ * @server: hash of the server's id and start time, 0 once counted as a strike
+ * @at_us: when the connection broke
+ */
 struct fw_rl_crash_suspect {
     uint64_t digest;
     uint64_t server;
@@ -226,20 +275,23 @@
 #define FW_RL_STRIKES_MAX 64
 
 /**
- * struct fw_rl_order_lease - the order role; see order.c.
- * @log_end: where the next claim would go
- * @last_claim_us: when the last claim was learnt of
- * @claim_pending: a claim of ours is on its way
- * @fence, @until_us: of the lease held here; @fence 0 for none
+ * struct fw_rl_order_lease - lease of the order role; see stage_order.c.
+ * @log_end: log offset at which the next claim must be appended
+ * @last_claim_us: when this instance learned of the last claim, 0 for never
+ * @claim_pending: a claim of this instance has not been answered yet
+ * @fence: fencing token of the lease held here, 0 for none
+ * @expires_us: end of the lease held here
+ * @reports_requested: engines were asked for reports under this lease
+ * @reports_until_us: no orders before this time, while reports arrive
  */
 struct fw_rl_order_lease {
     uint64_t log_end;
     int64_t last_claim_us;
     int claim_pending;
     uint64_t fence;
-    int64_t until_us;
-    int reports_requested;    /* the engines were asked under this lease */
-    int64_t reports_until_us; /* until when only their state is taken in */
+    int64_t expires_us;
+    int reports_requested;
+    int64_t reports_until_us;
 };
 
 static inline int64_t
@@ -248,16 +300,17 @@
     return us / FW_MSEC;
 }
 
-/* Kinds of refusal that are counted apart. */
+/* Maximum number of reasons with a counter of their own. */
 #define FW_RL_REASONS_MAX 24
 
 /**
- * struct fw_rl_metrics - metrics of the relay.
- * @reasons, @labels: refusals and failures by reason, made when first met
- * @queued_s: from a generation's arrival until it has room
- * @read_s: until its prompt is read, from then on
- * @first_s: until an answer begins, from the request's arrival
- * @whole_s: until it is whole
+ * struct fw_rl_metrics - metrics of the relay; see metrics.c for the others.
+ * @reasons: error responses by reason, created at the first of each
+ * @labels: label of each of @reasons
+ * @queued_s: from receiving a request until its reservation is granted
+ * @prefill_s: from then until its prompt is prefilled
+ * @response_s: from receiving a request until its response begins
+ * @total_s: from receiving a request until its response has ended
  */
 struct fw_rl_metrics {
     struct fw_metric requests;
@@ -287,6 +340,30 @@
     struct fw_histogram whole_s;
 };
 
+/**
+ * struct fw_relay - state of the relay core.
+ * @metrics: registry of all metrics
+ * @n: the relay's own metrics
+ * @rules: current configuration, NULL for none
+ * @rules_offset: its log offset
+ * @rules_fresh_us: latest time at which @rules was known to be the newest
+ * @store_recovered_us: when the store last answered again, 0 for never
+ * @has_server_list: a complete listing of the servers was received
+ * @calls: request id to struct fw_rl_call
+ * @ops: xid to struct fw_rl_op
+ * @hash: hash of this instance's name
+ * @census: hash of an instance's name to when it was last in touch
+ * @loads: hash of a server's id to the load of other instances there
+ * @allowances: hash of a team's name to struct fw_rl_allowance
+ * @retry_budgets: struct fw_rl_retry_budget
+ * @n_crash_suspects: number added to the ring @crash_suspects so far
+ * @service_stats: struct fw_service_stats
+ * @stage_check_us: next check of the engines' stages
+ * @stages_settled: the pools had their target sizes at least once
+ * @imbalance_since_us: since when a pool differs from its target size, 0 if
+ *     none does
+ * @drain_start_us: when draining began
+ */
 struct fw_relay {
     struct fw_relay_opts opts;
     GRand *rand;
@@ -299,18 +376,18 @@
     int64_t store_back_us;
     int list_known;
     struct fw_list servers;
-    GHashTable *calls; /* id to struct fw_rl_call */
+    GHashTable *calls;
     struct fw_list call_list;
-    GHashTable *ops; /* xid to struct fw_rl_op */
+    GHashTable *ops;
     struct fw_list op_list;
     struct fw_queue queue;
     uint64_t last_xid;
     struct fw_list members;
     struct fw_rl_exchange x;
-    uint64_t hash;      /* of the own name */
-    GHashTable *census; /* hash of a name to when it was in touch */
-    GHashTable *loads;  /* hash of a server's id to what peers have there */
-    GHashTable *allowances; /* hash of a team to struct fw_rl_allowance */
+    uint64_t hash;
+    GHashTable *census;
+    GHashTable *loads;
+    GHashTable *allowances;
     GPtrArray *retry_budgets;
     struct fw_rl_crash_suspect crash_suspects[FW_RL_CRASH_SUSPECTS_MAX];
     int n_crash_suspects;
@@ -318,29 +395,34 @@
     int n_strikes;
     struct fw_rl_order_lease order_lease;
     struct fw_rl_watch watch;
-    GPtrArray *learned; /* of struct fw_learned */
+    GPtrArray *learned;
     uint64_t digest_seq;
-    int64_t stage_check_us; /* when engines are looked at next */
-    int stages_settled;     /* the stages were as wanted once */
-    int64_t
-        imbalance_since_us; /* since when a stage has too many or too few */
+    int64_t stage_check_us;
+    int stages_settled;
+    int64_t imbalance_since_us;
     int draining;
     int64_t drain_us;
 };
 
-/* acts.c */
+/* actions.c */
+/* Appends an action. The pointer is valid until the next one is added. */
 struct fw_rl_act *
 Fw_Acts_Add(struct fw_rl_acts *acts, enum fw_rl_act_kind kind);
+/*
+ * Appends a log line if the log level includes @severity.
+ * @event: string literal
+ * @fmt: JSON members without braces
+ */
 void
 Fw_Acts_Log(struct fw_rl_acts *acts, const struct fw_relay *r, int severity,
             const char *event, const char *fmt, ...)
     __attribute__((format(printf, 5, 6)));
 
 /* servers.c */
-/* A run that had a reservation there was refused. */
+/* The server rejected a run that had a reservation there. */
 void
 Fw_Servers_Refused(struct fw_rl_server *s, int64_t now_us);
-/* It took a call and did not answer in time. */
+/* The server accepted a call and did not answer in time. */
 void
 Fw_Servers_Silent(struct fw_rl_server *s, int64_t now_us);
 struct fw_rl_server *
@@ -349,91 +431,117 @@
 Fw_Servers_Ref(struct fw_rl_server *s);
 void
 Fw_Servers_Unref(struct fw_rl_server *s);
-/* May new work go there? */
+/* Whether new requests may be sent to the server. */
 int
 Fw_Servers_Usable(const struct fw_rl_server *s, int64_t now_us);
-/* Is its stage being changed? */
+/* Whether the server is changing its stage. */
 int
 Fw_Servers_Switching(const struct fw_rl_server *s, int64_t now_us);
+/* Starts a backoff, which doubles until the server responds. */
 void
 Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us);
+/*
+ * The server has responded.
+ * @failed: the response was a failure
+ * @took_us: response time, -1 to leave the latency as it is
+ */
 void
 Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t took_us);
-/* It answered a request that had not to wait there. */
+/* The server has responded to a request that found a free slot there. */
 void
 Fw_Servers_Worked(struct fw_rl_server *s, int64_t took_us);
+/* Removes unlisted servers whose grace period is over. */
 void
 Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 void
 Fw_Servers_Clear(struct fw_relay *r);
 
 /* place.c */
-/* The server for a plain request of @c, or NULL. */
+/* Chooses the server for the plain request @c; NULL if there is none. */
 struct fw_rl_server *
 Fw_Place_Plain(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us);
-/* Would @c wait at @s beyond its objective? Decided by chance in between. */
+/*
+ * Whether @c would miss its objective in the queue of @s. Near the limit the
+ * result is random, with a probability that grows with the load.
+ */
 int
 Fw_Place_IsCrowded(struct fw_relay *r, const struct fw_rl_call *c,
                    const struct fw_rl_server *s, int64_t now_us);
-/* The engine that most likely has room for @c, or NULL. */
+/* Chooses a decode engine with enough free memory for @c, or NULL. */
 struct fw_rl_server *
 Fw_Place_Decode(struct fw_relay *r, const struct fw_rl_call *c,
                 int64_t now_us);
-/* The engine that reads @c's prompt first, or NULL; @wait_us: until read. */
+/*
+ * Chooses a prefill engine for @c's prompt, or NULL.
+ * @wait_us: receives the predicted time until the prompt is prefilled
+ */
 struct fw_rl_server *
 Fw_Place_Read(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us,
               int64_t *wait_us);
+/* Load at @s of all instances together. */
 void
 Fw_Place_Load(const struct fw_relay *r, const struct fw_rl_server *s,
               int64_t now_us, struct fw_rl_load *out);
+/* Whether @c must avoid @s, which it has tried before. */
 int
 Fw_Call_Tried(const struct fw_rl_call *c, const struct fw_rl_server *s);
 
 /* call.c */
+/*
+ * Calls the upstream @s.
+ * @c: the request that the call serves, NULL for none
+ * @up: the call; ids and address are filled in
+ * @until_us: when the call times out
+ */
 struct fw_rl_op *
 Fw_Call_Ask(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
             struct fw_rl_up_call *up, int64_t until_us, int64_t now_us,
             struct fw_rl_acts *out);
+/* Frees @op; a response that arrives later is ignored. */
 void
 Fw_Op_End(struct fw_relay *r, struct fw_rl_op *op);
-/* Ends @c with an answer of our own. */
+/*
+ * Ends @c with an error response. A status that says that the request was not
+ * run is replaced by 502 if it may have run.
+ */
 void
 Fw_Call_Refuse(struct fw_relay *r, struct fw_rl_call *c, int status,
                int64_t retry_us, const char *reason, int64_t now_us,
                struct fw_rl_acts *out);
-/* Ends @c after its answer is out or cut, or its caller is gone. */
+/* Frees @c and what it holds; its response has ended or has no recipient. */
 void
 Fw_Call_End(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
             struct fw_rl_acts *out);
-/* Frees what @c still holds at engines. */
+/* Cancels @c's pending call and releases its reservation and KV cache. */
 void
 Fw_Call_Release(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
                 struct fw_rl_acts *out);
+/* Starts forwarding the response of @c's pending call. */
 void
 Fw_Call_Pass(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
              struct fw_rl_acts *out);
-/* Lets go of @c's server without giving anything back there. */
+/* Detaches @c from its server without releasing its reservation there. */
 void
 Fw_Call_LeaveServer(struct fw_rl_call *c);
-/* The prompt is read, or won't be: no load at its reader any more. */
+/* Removes @c's prompt from the load of its prefill engine. */
 void
 Fw_Call_ReadDone(struct fw_rl_call *c);
-/* Of the lines that tell of a request that goes well. */
+/* Severity of @c's log lines that report no problem; depends on sampling. */
 int
 Fw_Call_Severity(const struct fw_relay *r, const struct fw_rl_call *c);
-/* The answer that was passed is whole, or never will be. */
+/* Ends the forwarded response of @c, complete if @whole, else aborted. */
 void
 Fw_Call_Finish(struct fw_relay *r, struct fw_rl_call *c, int whole,
                int64_t now_us, struct fw_rl_acts *out);
 
 /* open.c */
-/* Do callers' keys count, see there. */
+/* Whether callers' keys may be accepted; see open.c. */
 int
 Fw_Relay_KeysFresh(const struct fw_relay *r, int64_t now_us);
-/* When a caller that is refused for stale keys should come back. */
+/* Retry-After in us for requests rejected because keys are stale. */
 int64_t
 Fw_Relay_UnreadyRetry(struct fw_relay *r, int64_t now_us);
-/* Looked at again right before a request goes to a server. */
+/* Whether @c may still be sent to a server; checked again before sending. */
 int
 Fw_Relay_MayServe(const struct fw_relay *r, const struct fw_rl_call *c,
                   int64_t now_us);
@@ -454,7 +562,7 @@
 void
 Fw_Stream_Open(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
                struct fw_rl_acts *out);
-/* Asks for room for as many waiting requests as there seems to be. */
+/* Requests reservations for queued requests while an engine has room. */
 void
 Fw_Stream_Pump(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 void
@@ -464,73 +572,81 @@
 void
 Fw_Stream_Failed(struct fw_relay *r, struct fw_rl_op *op, int err, int sent,
                  int64_t now_us, struct fw_rl_acts *out);
-/* When a refused stream has a fair chance of room. */
+/* Retry-After in us for a rejected stream. */
 int64_t
 Fw_Stream_RetryAfter(struct fw_relay *r, const struct fw_rl_call *c);
 
-/* need.c */
-/* Counts @c's memory, at its engine if it has one, as of now. */
+/* kv_demand.c */
+/* Updates the expected KV cache use of @c, also in its server's total. */
 void
 Fw_Need_Grow(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us);
-/* What is reserved for @c at an engine. */
+/* KV cache tokens to reserve for @c at an engine. */
 int64_t
 Fw_Need_Hold(const struct fw_relay *r, const struct fw_rl_call *c);
-/* A stream has ended whole, after @events. */
+/* Updates the statistics after a complete stream of @events events. */
 void
 Fw_Need_NoteRun(struct fw_relay *r, const struct fw_rl_call *c, int64_t events,
                 int64_t now_us);
 
-/* learned.c */
-/* What was learned of @service, as far as anything was. */
+/* service_stats.c */
+/* Returns the statistics of @service, created with initial values if new. */
 struct fw_learned *
 Fw_Learned_Of(const struct fw_relay *r, const char *service);
-/* Asks engines now and then what an event of their streams holds. */
+/* Requests reports from engines to learn the tokens per event. */
 void
 Fw_Learned_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
-/* An engine of @service has reported its streams. */
+/* Updates the tokens per event from a report of an engine of @service. */
 void
 Fw_Learned_TakeRuns(struct fw_relay *r, const char *service,
                     const struct fw_rl_up_answer *ans);
 /*
- * What was learned here, for an instance that has just started: appended to
- * @out. Return: nonzero when there is any.
+ * Appends a message with all length models to @out, for an instance that has
+ * just started. Return: nonzero if there are any.
  */
 int
 Fw_Learned_Write(const struct fw_relay *r, GByteArray *out);
-/* What another instance has learned; -EBADMSG for another message. */
+/* Imports the models of such a message. Return: 0 or -EBADMSG. */
 int
 Fw_Learned_Read(struct fw_relay *r, const msgpack_object *o);
 
 /* allowance.c */
-/* A bucket for each team of the configuration in force. */
+/* Creates or resizes the buckets after a change of the configuration. */
 void
 Fw_Allowance_ApplyRules(struct fw_relay *r, int64_t now_us,
                         struct fw_rl_acts *out);
+/*
+ * Takes @cost from a team's bucket. Return: nonzero if it was taken, otherwise
+ * @retry_us receives when to retry.
+ */
 int
 Fw_Allowance_Take(struct fw_relay *r, const struct fw_rl_team_rule *t,
                   int64_t cost, int64_t now_us, int64_t *retry_us);
-/* What a refusal was decided by: tokens left, and the part of the fleet. */
+/* Level of the bucket in tokens and fleet_share, to log a rejection. */
 void
 Fw_Allowance_Explain(const struct fw_relay *r, const char *team,
                      int64_t *level, int *part_permille);
+/* Returns the cost of a request that did not run. */
 void
 Fw_Allowance_Return(struct fw_relay *r, const char *team, int64_t cost);
 /*
- * Another instance has spent @tokens more of the team with @hash, and has
- * @level of it.
+ * Another hub and its leaves have spent @tokens more of the team with @hash;
+ * @level is the level of the bucket there.
  */
 void
 Fw_Allowance_Others(struct fw_relay *r, uint64_t hash, int64_t tokens,
                     int64_t level, int64_t now_us);
-/* A leaf has spent @tokens more of the team with @hash. */
+/* A leaf of this hub has spent @tokens more of the team with @hash. */
 void
 Fw_Allowance_Leaf(struct fw_relay *r, uint64_t hash, int64_t tokens,
                   int64_t now_us);
 
 /**
- * struct fw_rl_level - a team's level as a hub knows it.
- * @counted: what the hub has counted of this instance's spending
- * @may_rise: in reply to the last report, not possibly overtaken
+ * struct fw_rl_hub_level - level of a team's bucket as sent by the hub.
+ * @hash: hash of the team's name
+ * @level: tokens
+ * @acknowledged: tokens spent by this instance that the hub has counted
+ * @is_current: answers the last report; other messages may be outdated, and
+ *     can only lower the level
  */
 struct fw_rl_level {
     uint64_t hash;
@@ -539,35 +655,45 @@
     int may_rise;
 };
 
+/* Adopts the level of the hub, less what it has not counted yet. */
 void
 Fw_Allowance_Hub(struct fw_relay *r, const struct fw_rl_level *level,
                  int64_t now_us);
-/* A hub has counted all that was reported; what it doesn't name is full. */
+/*
+ * The hub has counted the last report. All buckets are set to full, because
+ * its reply lists only those that are not.
+ */
 void
 Fw_Allowance_Counted(struct fw_relay *r, int64_t now_us);
+/* Whether the bucket is full, up to rounding. */
 int
 Fw_Allowance_IsFull(struct fw_relay *r, struct fw_rl_allowance *p,
                     int64_t now_us);
 
-/* budget.c */
+/* retry_budget.c */
+/* Counts a request, which adds to the budget of its service. */
 void
 Fw_Budget_Request(struct fw_relay *r, const char *service, int64_t now_us);
-/* Nonzero when @n more arrivals are allowed; they are then counted. */
+/* Takes @n retries. Return: nonzero if the budget allowed them. */
 int
 Fw_Budget_Repeat(struct fw_relay *r, const char *service, int n,
                  int64_t now_us);
 
 /* poison.c */
+/* The connection to @s broke while it ran the request with @digest. */
 void
 Fw_Poison_CutOff(struct fw_relay *r, uint64_t digest,
                  const struct fw_rl_server *s, int64_t now_us);
+/* @s has ended; requests whose connections broke shortly before get a strike.
+ */
 void
 Fw_Poison_ServerLost(struct fw_relay *r, const struct fw_rl_server *s,
                      int64_t now_us, struct fw_rl_acts *out);
+/* Strikes of the request with @digest, counted by all instances. */
 int
 Fw_Poison_Count(const struct fw_relay *r, uint64_t digest, int64_t now_us);
 
-/* order.c */
+/* stage_order.c */
 void
 Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 void
@@ -579,9 +705,10 @@
                             struct fw_rl_acts *out);
 
 /* metrics.c */
+/* Counts an error response by its @reason. */
 void
 Fw_Relay_CountReason(struct fw_relay *r, const char *reason);
-/* Gauges that are worked out when time passes. */
+/* Updates the gauges that are derived from other state. */
 void
 Fw_Relay_UpdateGauges(struct fw_relay *r, int64_t now_us);
 void
--- a/src/relay/types.h
+++ b/src/relay/types.h
@@ -1,7 +1,7 @@
 /*
- * What the relay knows of callers, upstreams and the operator's
- * configuration, in the project's words. The adapter of a platform decodes
- * its wire form into these and back; nothing here depends on one.
+ * Requests, servers and configuration as the relay core represents them.
+ * Platform adapters translate between these and their wire formats; nothing
+ * here depends on a platform.
  */
 #ifndef FW_RELAY_TYPES_H
 #define FW_RELAY_TYPES_H
@@ -12,35 +12,36 @@
 #include "base/limits.h"
 #include "base/list.h"
 
-/* Services that one route's traffic is split over. */
+/* Services that the traffic of one route may be split over. */
 #define FW_RL_TARGETS_MAX 8
-/* A caller's key, or a handle of engine memory. */
+/* Bytes of a caller's key or an engine's handle, terminating null included. */
 #define FW_RL_KEY_MAX 128
 
-/** enum fw_rl_kind - what may be done with a request twice. */
+/** enum fw_rl_route_kind - whether requests of a route may be retried. */
 enum fw_rl_kind {
     FW_RL_IDEMPOTENT,
-    FW_RL_ONCE,   /* runs at most once for each of the caller's attempts */
-    FW_RL_STREAM, /* events; once, unless the route is resumable */
+    FW_RL_ONCE,   /* retried only if it certainly did not run */
+    FW_RL_STREAM, /* event stream; retried only if the route is resumable */
 };
 
-/** struct fw_rl_target - a service and its part of a route's traffic. */
+/** struct fw_rl_target - a service and its weight in a route's traffic. */
 struct fw_rl_target {
     char service[FW_NAME_MAX];
     int weight;
 };
 
 /**
- * struct fw_rl_route_rule - one route.
- * @prefix: of the path; begins and ends with a slash
- * @timeout_us: the longest that a caller may be kept waiting
- * @objective_us: an answer (a stream's first event) by then is on time
- * @gap_us: longest pause between events that is on time, 0 for none
- * @attempts: servers that one request may be sent to
+ * struct fw_rl_route_rule - configuration of one route.
+ * @prefix: path prefix; begins and ends with a slash
+ * @timeout_us: limit for a whole request, 0 for the default
+ * @objective_us: latency objective for the response, for a stream for its
+ *     first event; 0 for none
+ * @event_gap_us: objective for the interval between events, 0 for none
+ * @attempts: maximum number of servers that one request may be sent to
  * @priority: 0 is the most urgent
- * @anonymous: needs no key
- * @resumable: a broken stream may go on at another server
- * @generates: carries a model's prompt: goes through prefill and decode
+ * @anonymous: requests need no key
+ * @resumable: an interrupted stream may be continued by another server
+ * @generates: requests carry a prompt and go through prefill and decode
  */
 struct fw_rl_route_rule {
     char name[FW_NAME_MAX];
@@ -60,12 +61,12 @@
 };
 
 /**
- * struct fw_rl_engine_spec - what the engines of a service can do.
- * @slots: requests at once
- * @kv_tokens: memory
- * @handle_us: life of a finished prefill's KV cache
- * @hold_us: longest life of a reservation
- * @switch_us: out of service while changing its stage
+ * struct fw_rl_engine_spec - capacity and timing of a service's engines.
+ * @slots: concurrent requests
+ * @kv_tokens: KV cache capacity in tokens
+ * @kv_ttl_us: lifetime of the KV cache of a finished prefill
+ * @reservation_ttl_us: maximum lifetime of a reservation
+ * @stage_change_us: time out of service during a stage change
  */
 struct fw_rl_engine_spec {
     int slots;
@@ -75,7 +76,10 @@
     int64_t switch_us;
 };
 
-/** struct fw_rl_service_rule - one service; @engine holds when @engines. */
+/**
+ * struct fw_rl_service_rule - configuration of one service.
+ * @has_engines: its servers are engines, described by @engine
+ */
 struct fw_rl_service_rule {
     char name[FW_NAME_MAX];
     char health[FW_URL_MAX];
@@ -85,11 +89,12 @@
 };
 
 /**
- * struct fw_rl_team_rule - one team.
- * @rate, @burst: tokens a second and tokens; 0 for no limit
- * @by_request: rate and burst count requests, not tokens
- * @plain_cost: tokens that a request without token counts counts as
- * @priority: -1 when the route's holds
+ * struct fw_rl_team_rule - configuration of one team.
+ * @rate: refill rate of its allowance, tokens per second; 0 for no limit
+ * @burst: capacity of its allowance, tokens
+ * @by_request: @rate and @burst count requests instead of tokens
+ * @plain_cost: tokens charged for a request that declares no token counts
+ * @priority: replaces the route's priority unless -1
  */
 struct fw_rl_team_rule {
     char name[FW_NAME_MAX];
@@ -101,10 +106,16 @@
 };
 
 /**
- * struct fw_rl_rules - a configuration in full; immutable once read.
- * @routes, @services, @teams: of the structs above
+ * struct fw_rl_rules - a complete configuration; immutable once indexed.
+ * @routes: owned struct fw_rl_route_rule
+ * @services: owned struct fw_rl_service_rule
+ * @teams: owned struct fw_rl_team_rule
  * @by_host: host to GPtrArray of struct fw_rl_route_rule, longest prefix first
  * @keys: caller's key to struct fw_rl_team_rule
+ * @header_bytes: 0 for the default; maximum size of a request's headers
+ * @body_bytes: maximum size of a request's body
+ * @header_us: time limit for receiving a request's headers
+ * @idle_us: idle timeout of connections and while receiving a body
  */
 struct fw_rl_rules {
     int refs;
@@ -120,14 +131,14 @@
     int64_t idle_us;
 };
 
-/* An empty configuration with one reference. */
+/* Returns an empty configuration with one reference. */
 struct fw_rl_rules *
 Fw_Rules_New(void);
 struct fw_rl_rules *
 Fw_Rules_Ref(struct fw_rl_rules *r);
 void
 Fw_Rules_Unref(struct fw_rl_rules *r);
-/* Each returns a new zeroed element of @r. */
+/* Append a zeroed element, which @r owns, and return it. */
 struct fw_rl_route_rule *
 Fw_Rules_AddRoute(struct fw_rl_rules *r);
 struct fw_rl_service_rule *
@@ -137,30 +148,33 @@
 void
 Fw_Rules_AddKey(struct fw_rl_rules *r, const char *key,
                 struct fw_rl_team_rule *t);
-/* After the last route was added: makes them findable. */
+/* Builds the index for Fw_Rules_Route(); call after adding the last route. */
 void
 Fw_Rules_Index(struct fw_rl_rules *r);
-/* The route with the longest prefix of @path at @host, or NULL. */
+/* Returns the route with the longest prefix of @path at @host, or NULL. */
 const struct fw_rl_route_rule *
 Fw_Rules_Route(const struct fw_rl_rules *r, const char *host,
                const char *path);
 const struct fw_rl_service_rule *
 Fw_Rules_Service(const struct fw_rl_rules *r, const char *name);
+/* Returns the team that a caller's @key belongs to, or NULL. */
 const struct fw_rl_team_rule *
 Fw_Rules_Team(const struct fw_rl_rules *r, const char *key);
 
-/** enum fw_rl_stage - what an engine does at present. */
+/** enum fw_rl_stage - the phase of inference that an engine serves. */
 enum fw_rl_stage {
-    FW_RL_STAGE_NONE, /* no engine */
+    FW_RL_STAGE_NONE, /* the server is no engine */
     FW_RL_STAGE_PREFILL,
     FW_RL_STAGE_DECODE,
 };
 
 /**
  * struct fw_rl_server_entry - a server as the platform lists it.
- * @born_ms: start of its process, Unix milliseconds: tells two lifetimes
- *           under one id apart; 0 when not known
- * @cold_us: how much longer it will be slow after its start
+ * @slots: concurrent requests
+ * @draining: accepts no new requests
+ * @born_ms: start of its process in Unix milliseconds, to distinguish
+ *     processes that use the same id; 0 if unknown
+ * @warmup_us: remaining time of slow operation after its start
  */
 struct fw_rl_server_entry {
     char id[FW_NAME_MAX];
@@ -175,15 +189,17 @@
 };
 
 /**
- * struct fw_rl_ask - a caller's request, without its bytes.
- * @path: of the target, without the query; for the choice of a route only
+ * struct fw_rl_request_info - a caller's request, without its body.
+ * @id: request id
+ * @path: path of the target without the query, used to choose a route
  * @key: bearer key, empty for none; never logged
- * @left_us: how long the caller will wait; 0 when it didn't say
- * @tokens_in, @tokens_out: prompt, and the most it may generate; -1 if not
- *                          said
- * @hint_out: the caller's estimate of what it will generate; -1 if not said
- * @last_event: it goes on with a broken stream from this id; -1 for none
- * @digest: of method, target and body, for telling poison requests
+ * @timeout_us: how long the caller will wait, 0 if not specified
+ * @tokens_in: tokens of the prompt, -1 if not specified
+ * @tokens_out_max: maximum number of tokens to generate, -1 if not specified
+ * @tokens_out_hint: the caller's estimate of the tokens that will be
+ *     generated, -1 if not specified
+ * @last_event_id: continue an interrupted stream after this event; -1 for none
+ * @body_digest: hash of method, target and body, to recognize poison requests
  */
 struct fw_rl_ask {
     char id[FW_ID_MAX];
