--- a/src/relay/acts.c
+++ b/src/relay/acts.c
@@ -30,11 +30,11 @@
 }
 
 /*
- * A line that was too long is kept as one text: cut off in the middle of a
- * member it could not be read by a program, and the rest of it with it.
+ * Turns a truncated list of JSON members into a single string member, so that
+ * the line stays valid JSON.
  */
 static void
-keep_as_text(char text[FW_RL_LOG_TEXT])
+wrap_truncated_text(char text[FW_RL_LOG_TEXT])
 {
     static const char head[] = "\"cut_off\":\"";
     size_t at = sizeof(head) - 1;
@@ -67,6 +67,6 @@
     n = vsnprintf(a->u.log.text, sizeof(a->u.log.text), fmt, ap);
     va_end(ap);
     if (n >= FW_RL_LOG_TEXT) {
-        keep_as_text(a->u.log.text);
+        wrap_truncated_text(a->u.log.text);
     }
 }
--- a/src/relay/budget.c
+++ b/src/relay/budget.c
@@ -1,16 +1,15 @@
 /*
- * Repeats of requests, bounded for all instances together: without a bound
- * a service that fails under load is given more load by the retries.
+ * Retry budget, which keeps retries from adding load to a failing service.
  *
- * Each instance counts its own requests for a service over the window and
- * may repeat that ratio of them, plus an equal part of the fixed extra; so
- * the sum holds without a word between instances.
+ * The budget holds for all instances together without communication: each may
+ * retry a fixed ratio of its own requests within the window, plus an equal
+ * share of a fixed number.
  */
 #include <string.h>
 
 #include "relay/relay_internal.h"
 
-/* Kept back from the fixed extra: instances that aren't known yet. */
+/* Usable part of the fixed number; the rest is for unknown instances. */
 #define FW_EXTRA_PERMILLE 800
 
 static struct fw_rl_retry_budget *
@@ -54,21 +53,21 @@
                  int64_t now_us)
 {
     struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
-    int members = Fw_Members_Count(r, now_us, NULL);
+    int instances = Fw_Members_Count(r, now_us, NULL);
     int64_t requests = 0;
-    int64_t repeats = 0;
+    int64_t retries = 0;
     int64_t allowed;
 
     for (int i = 0; i < FW_RL_RETRY_BUDGET_SLOTS; i++) {
         requests += b->requests[i];
-        repeats += b->retries[i];
+        retries += b->retries[i];
     }
-    /* The oldest slots lie outside of the window: they count as repeats. */
+    /* The ring is two slots longer than the window: scale the requests. */
     requests =
         requests * (FW_RL_RETRY_BUDGET_SLOTS - 2) / FW_RL_RETRY_BUDGET_SLOTS;
     allowed = requests * r->opts.retry_ratio_ppm / 1000000 +
-              r->opts.retry_extra * FW_EXTRA_PERMILLE / 1000 / members;
-    if (repeats + n > allowed) {
+              r->opts.retry_extra * FW_EXTRA_PERMILLE / 1000 / instances;
+    if (retries + n > allowed) {
         return 0;
     }
     b->retries[b->slot % FW_RL_RETRY_BUDGET_SLOTS] += n;
--- a/src/relay/learned.c
+++ b/src/relay/learned.c
@@ -1,7 +1,6 @@
 /*
- * What was learned of each service's streams, and how an instance that has
- * just started gets it from the others: for its first answers it would
- * otherwise fill engines by a blind guess.
+ * Statistics of each service's streams, and their transfer to instances that
+ * have just started, which would otherwise predict lengths from the prior.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,21 +9,21 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_LEARNED 5
+#define FW_FORM_SERVICE_STATS 5
 /*
- * An engine is asked when so many answers have ended here, and then so often:
- * what an event holds changes with the engine's version.
+ * Reports are first requested after this number of answers, then at this
+ * interval, because tokens per event may change with the engine's version.
  */
-#define FW_CHECK_ANSWERS 4
-#define FW_CHECK_US (60 * FW_SEC)
-/* Of a stream that is in the report: that is up to a second old. */
-#define FW_CHECK_AGE_US (1500 * FW_MSEC)
-/* The first event of a stream may hold less than the others. */
-#define FW_CHECK_EVENTS 4
-/* Figures go as whole numbers, in thousandths. */
-#define FW_FIGURE_SCALE 1000.0
-/* A service's hash and its figures. */
-#define FW_LEARNED_WIDTH (1 + FW_LENGTH_PARAMS)
+#define FW_REPORT_MIN_ANSWERS 4
+#define FW_REPORT_PERIOD_US (60 * FW_SEC)
+/* Minimum age of a running stream; a report may be a second old. */
+#define FW_REPORT_MIN_AGE_US (1500 * FW_MSEC)
+/* Minimum events of a stream, since the first may have fewer tokens. */
+#define FW_REPORT_MIN_EVENTS 4
+/* Parameters are sent as integers, in thousandths. */
+#define FW_PARAM_SCALE 1000.0
+/* Columns of a row: hash of the service's name, then its parameters. */
+#define FW_PARAMS_ROW_WIDTH (1 + FW_LENGTH_PARAMS)
 
 struct fw_learned *
 Fw_Learned_Of(const struct fw_relay *r, const char *service)
@@ -43,9 +42,10 @@
     return l;
 }
 
-/* Where a stream runs that the engine's report will have; NULL for none. */
+/* Returns a server with a stream that its report will contain, or NULL. */
 static struct fw_rl_server *
-server_to_check(const struct fw_relay *r, const char *service, int64_t now_us)
+find_server_to_report(const struct fw_relay *r, const char *service,
+                      int64_t now_us)
 {
     struct fw_list *pos;
 
@@ -54,7 +54,7 @@
             FW_LIST_ENTRY(pos, struct fw_rl_call, link);
 
         if (c->need && c->passed && c->server && !c->server->gone &&
-            now_us - c->first_us >= FW_CHECK_AGE_US &&
+            now_us - c->first_us >= FW_REPORT_MIN_AGE_US &&
             strcmp(c->service, service) == 0) {
             return c->server;
         }
@@ -63,8 +63,8 @@
 }
 
 /*
- * Callers' estimates give the tokens of an event only roughly, and not every
- * caller sends one; engines report them exactly.
+ * Engines report the tokens of an event exactly; callers' estimates give only
+ * an approximation, if they are sent at all.
  */
 void
 Fw_Learned_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
@@ -79,12 +79,12 @@
         struct fw_learned *l = g_ptr_array_index(r->learned, i);
         struct fw_rl_server *s;
 
-        if (l->length.n < FW_CHECK_ANSWERS ||
+        if (l->length.n < FW_REPORT_MIN_ANSWERS ||
             (l->report_requested_us &&
-             now_us - l->report_requested_us < FW_CHECK_US)) {
+             now_us - l->report_requested_us < FW_REPORT_PERIOD_US)) {
             continue;
         }
-        s = server_to_check(r, l->service, now_us);
+        s = find_server_to_report(r, l->service, now_us);
         if (s) {
             l->report_requested_us = now_us;
             Fw_Call_Ask(r, NULL, s, &up, now_us + FW_RL_HOUSEKEEPING_US,
@@ -95,7 +95,7 @@
 }
 
 static const struct fw_rl_call *
-call_with(const struct fw_relay *r, uint64_t id)
+find_call(const struct fw_relay *r, uint64_t id)
 {
     struct fw_list *pos;
 
@@ -119,9 +119,10 @@
 
     for (int i = 0; i < ans->n_runs; i++) {
         const struct fw_rl_run *run = &ans->runs[i];
-        const struct fw_rl_call *c = call_with(r, run->id);
+        const struct fw_rl_call *c = find_call(r, run->id);
 
-        if (c && c->ask.last_event < 0 && run->events >= FW_CHECK_EVENTS &&
+        if (c && c->ask.last_event < 0 &&
+            run->events >= FW_REPORT_MIN_EVENTS &&
             run->tokens > c->ask.tokens_in) {
             tokens += run->tokens - c->ask.tokens_in;
             events += run->events;
@@ -141,39 +142,38 @@
     }
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, 2);
-    msgpack_pack_int(&pk, FW_FORM_LEARNED);
+    msgpack_pack_int(&pk, FW_FORM_SERVICE_STATS);
     msgpack_pack_array(&pk, r->learned->len);
     for (guint i = 0; i < r->learned->len; i++) {
         const struct fw_learned *l = g_ptr_array_index(r->learned, i);
-        double figures[FW_LENGTH_PARAMS];
+        double params[FW_LENGTH_PARAMS];
 
-        Fw_Length_Export(&l->length, figures);
-        msgpack_pack_array(&pk, FW_LEARNED_WIDTH);
+        Fw_Length_Export(&l->length, params);
+        msgpack_pack_array(&pk, FW_PARAMS_ROW_WIDTH);
         msgpack_pack_uint64(&pk, Fw_Hash_Str(l->service));
         for (int k = 0; k < FW_LENGTH_PARAMS; k++) {
-            msgpack_pack_int64(&pk, (int64_t)(figures[k] * FW_FIGURE_SCALE));
+            msgpack_pack_int64(&pk, (int64_t)(params[k] * FW_PARAM_SCALE));
         }
     }
     return 1;
 }
 
 static void
-adopt(struct fw_relay *r, const char *service,
-      const msgpack_object_array *rows)
+import_params(struct fw_relay *r, const char *service,
+              const msgpack_object_array *rows)
 {
     uint64_t hash = Fw_Hash_Str(service);
 
     for (uint32_t i = 0; i < rows->size; i++) {
-        double figures[FW_LENGTH_PARAMS];
+        double params[FW_LENGTH_PARAMS];
 
         if ((uint64_t)Fw_Rows_Cell(rows, i, 0) != hash) {
             continue;
         }
         for (int k = 0; k < FW_LENGTH_PARAMS; k++) {
-            figures[k] =
-                (double)Fw_Rows_Cell(rows, i, k + 1) / FW_FIGURE_SCALE;
+            params[k] = (double)Fw_Rows_Cell(rows, i, k + 1) / FW_PARAM_SCALE;
         }
-        Fw_Length_Import(&Fw_Learned_Of(r, service)->length, figures);
+        Fw_Length_Import(&Fw_Learned_Of(r, service)->length, params);
     }
 }
 
@@ -184,10 +184,10 @@
     uint64_t form;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 2 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_LEARNED) {
+        Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_SERVICE_STATS) {
         return -EBADMSG;
     }
-    rows = Fw_Rows_Of(o, 1, FW_LEARNED_WIDTH);
+    rows = Fw_Rows_Of(o, 1, FW_PARAMS_ROW_WIDTH);
     if (!rows) {
         return -EBADMSG;
     }
@@ -196,7 +196,7 @@
             g_ptr_array_index(r->rules->services, i);
 
         if (s->engines) {
-            adopt(r, s->name, rows);
+            import_params(r, s->name, rows);
         }
     }
     return 0;
--- a/src/relay/metrics.c
+++ b/src/relay/metrics.c
@@ -88,7 +88,7 @@
         }
     }
     if (i == FW_RL_REASONS_MAX) {
-        return; /* the sums are complete all the same */
+        return; /* still counted in the total */
     }
     g_strlcpy(r->n.labels[i], labels, sizeof(r->n.labels[i]));
     r->n.reasons[i] =
--- a/src/relay/order.c
+++ b/src/relay/order.c
@@ -1,14 +1,14 @@
 /*
- * Stages of engines: how many prefill, set by orders of one instance at a
- * time.
+ * Assignment of engines to the prefill and decode stages, by orders that only
+ * one instance at a time may give.
  *
- * The instance that would order claims the role by a record that the
- * platform's log takes only where the claimant saw its end; the record's
- * offset is the fencing token. The role lasts for one lease from when the
- * claim was sent, and a new claim follows the last one only after that has
- * surely run out for its holder. So two instances never order at once, and
- * an order that is late bears an old token. Orders are rare, so no lease is
- * kept up: a claim is made when there is something to order.
+ * An instance claims the order role by appending a record to the platform's
+ * log, on condition that the log still ends where the instance last saw its
+ * end. The record's offset gives the fencing token. A lease starts when the
+ * claim is sent, and the next claim is made only after the lease has certainly
+ * expired for its holder. So two instances never give orders at once, and a
+ * delayed order has an old token. Orders are rare, so leases are not renewed:
+ * the role is claimed when an order is needed.
  */
 #include <string.h>
 
@@ -16,32 +16,31 @@
 #include "base/hash.h"
 #include "relay/relay_internal.h"
 
-/* A peer's rate of prompts counts for so long. */
-#define FW_RATE_LIFE_US (5 * FW_SEC)
-/* Engines are looked at so often. */
-#define FW_LOOK_US (1 * FW_SEC)
-/* An order or report that has no answer by then. */
-#define FW_ORDER_WAIT_US (800 * FW_MSEC)
-/* An order that was not answered may be carried out this much later. */
+/* A peer's prefill load is used for this long after its last message. */
+#define FW_PEER_LOAD_TTL_US (5 * FW_SEC)
+/* Interval between checks of the pool sizes. */
+#define FW_STAGE_CHECK_PERIOD_US (1 * FW_SEC)
+/* Timeout of an order or of a request for a report. */
+#define FW_ORDER_TIMEOUT_US (800 * FW_MSEC)
+/* An engine may carry out an unanswered order until this much later. */
 #define FW_ORDER_LATE_US (13 * FW_SEC)
-/* After a change, until the list shows it: two heartbeats and a read. */
-#define FW_LISTED_US (4 * FW_SEC)
-/* Of the lease's end, for the way of an order and for clocks' drift. */
+/* Time for the server list to show a change: two heartbeats and a read. */
+#define FW_LIST_DELAY_US (4 * FW_SEC)
+/* Unused end of a lease, for the latency of an order and clock drift. */
 #define FW_LEASE_MARGIN_US (900 * FW_MSEC)
-/* Within this the engines' reports are there. */
-#define FW_SURVEY_US (300 * FW_MSEC)
+/* Time allowed for the engines' reports. */
+#define FW_REPORTS_TIMEOUT_US (300 * FW_MSEC)
 /*
- * A stage must be short for so long before engines are moved: one that
- * crashed is mostly back sooner, and a change takes an engine out of
- * service for longer.
+ * A pool must differ from its target size for this long before a change. A
+ * crashed engine is usually back sooner, and a change takes longer.
  */
-#define FW_SHORT_US (3 * FW_SEC)
-/* Before the first look: entries and other instances become known. */
-#define FW_SETTLE_US (700 * FW_MSEC)
+#define FW_IMBALANCE_MIN_US (3 * FW_SEC)
+/* Delay of the first check, for servers and instances to become known. */
+#define FW_FIRST_CHECK_DELAY_US (700 * FW_MSEC)
 
 static int
-engine_of(const struct fw_relay *r, const struct fw_rl_server *s,
-          const struct fw_rl_service_rule **rule)
+find_engine_rule(const struct fw_relay *r, const struct fw_rl_server *s,
+                 const struct fw_rl_service_rule **rule)
 {
     if (s->gone || s->e.draining || s->e.stage == FW_RL_STAGE_NONE) {
         return 0;
@@ -50,10 +49,12 @@
     return *rule && (*rule)->engines;
 }
 
-/* The instance that orders: of the hubs in touch the one of the lowest name.
+/*
+ * Whether this instance should give the orders: of the hubs in touch, the one
+ * with the lowest name.
  */
 static int
-is_mine(const struct fw_relay *r, int64_t now_us)
+should_give_orders(const struct fw_relay *r, int64_t now_us)
 {
     struct fw_list *pos;
 
@@ -82,29 +83,28 @@
            now_us < r->order_lease.expires_us - FW_LEASE_MARGIN_US;
 }
 
-/* Has the last claim surely run out, as seen from here? */
+/* Whether the lease of the last known claim has certainly expired. */
 static int
-role_is_free(const struct fw_relay *r, int64_t now_us)
+is_role_free(const struct fw_relay *r, int64_t now_us)
 {
     return !r->order_lease.claim_pending &&
            (!r->order_lease.last_claim_us ||
             now_us - r->order_lease.last_claim_us > r->opts.lease_us + FW_SEC);
 }
 
-/* Prompts of @service that all instances in touch are sent, tokens a second.
- */
+/* Prompt tokens per second that all instances in touch receive. */
 static double
-reading_rate(const struct fw_relay *r, const struct fw_learned *known,
-             int64_t now_us)
+total_prefill_rate(const struct fw_relay *r, const struct fw_learned *stats,
+                   int64_t now_us)
 {
-    uint64_t hash = Fw_Hash_Str(known->service);
-    double sum = Fw_Reading_Rate(&known->reading, now_us);
+    uint64_t hash = Fw_Hash_Str(stats->service);
+    double sum = Fw_Reading_Rate(&stats->reading, now_us);
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
-        if (now_us - m->heard_us < FW_RATE_LIFE_US) {
+        if (now_us - m->heard_us < FW_PEER_LOAD_TTL_US) {
             sum += (double)Fw_Rows_Lookup(m->reading, hash);
         }
     }
@@ -112,22 +112,22 @@
 }
 
 static int
-wanted_readers(const struct fw_relay *r, const char *service, int engines,
-               int readers, int64_t now_us)
+target_pool_size(const struct fw_relay *r, const char *service, int engines,
+                 int prefill_engines, int64_t now_us)
 {
-    const struct fw_learned *known = Fw_Learned_Of(r, service);
-    double guess = engines * r->opts.prefill_permille / 1000.0;
-    double busy = Fw_PrefillPool_BusyEngines(
-        &known->reading, reading_rate(r, known, now_us),
-        known->prefill_us_per_token.mean, guess, now_us);
-
-    /* At the start there is nothing yet that a change would disturb. */
-    return Fw_PrefillPool_TargetSize(busy, engines,
-                                     r->stages_settled ? readers : 0);
+    const struct fw_learned *stats = Fw_Learned_Of(r, service);
+    double prior_engines = engines * r->opts.prefill_permille / 1000.0;
+    double busy_engines = Fw_PrefillPool_BusyEngines(
+        &stats->reading, total_prefill_rate(r, stats, now_us),
+        stats->prefill_us_per_token.mean, prior_engines, now_us);
+
+    /* No hysteresis before the first assignment. */
+    return Fw_PrefillPool_TargetSize(busy_engines, engines,
+                                     r->stages_settled ? prefill_engines : 0);
 }
 
 static enum fw_rl_stage
-stage_to_be(const struct fw_rl_server *s, int64_t now_us)
+future_stage(const struct fw_rl_server *s, int64_t now_us)
 {
     return Fw_Servers_Switching(s, now_us) ? s->to_stage : s->e.stage;
 }
@@ -140,47 +140,48 @@
 }
 
 /*
- * The next engine of @service whose stage should change, or NULL. Those with
- * the highest hash of their id go first: all instances agree without a
- * message.
+ * Returns the next engine of @service whose stage should change, or NULL. The
+ * one with the highest hash goes first, so that all instances choose the same.
  */
 static struct fw_rl_server *
-next_of_service(struct fw_relay *r, const char *service, int64_t now_us,
-                enum fw_rl_stage *to)
+next_change_of_service(struct fw_relay *r, const char *service, int64_t now_us,
+                       enum fw_rl_stage *to)
 {
     const struct fw_rl_service_rule *rule;
     struct fw_rl_server *best = NULL;
     struct fw_list *pos;
-    int readers = 0;
+    int prefill_engines = 0;
     int engines = 0;
-    int want;
+    int target;
 
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (engine_of(r, s, &rule) && strcmp(s->e.service, service) == 0) {
+        if (find_engine_rule(r, s, &rule) &&
+            strcmp(s->e.service, service) == 0) {
             engines++;
-            readers += stage_to_be(s, now_us) == FW_RL_STAGE_PREFILL;
+            prefill_engines += future_stage(s, now_us) == FW_RL_STAGE_PREFILL;
         }
     }
-    want = wanted_readers(r, service, engines, readers, now_us);
-    if (engines < 2 || readers == want) {
+    target = target_pool_size(r, service, engines, prefill_engines, now_us);
+    if (engines < 2 || prefill_engines == target) {
         return NULL;
     }
-    *to = readers > want ? FW_RL_STAGE_DECODE : FW_RL_STAGE_PREFILL;
+    *to = prefill_engines > target ? FW_RL_STAGE_DECODE : FW_RL_STAGE_PREFILL;
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (engine_of(r, s, &rule) && strcmp(s->e.service, service) == 0 &&
-            s->e.stage != *to && !Fw_Servers_Switching(s, now_us) &&
-            Fw_Servers_Usable(s, now_us) && (!best || s->hash > best->hash)) {
+        if (find_engine_rule(r, s, &rule) &&
+            strcmp(s->e.service, service) == 0 && s->e.stage != *to &&
+            !Fw_Servers_Switching(s, now_us) && Fw_Servers_Usable(s, now_us) &&
+            (!best || s->hash > best->hash)) {
             best = s;
         }
     }
     return best;
 }
 
-/* Each model has engines of its own, and a load of its own. */
+/* Each service has its own engines and its own load. */
 static struct fw_rl_server *
 next_change(struct fw_relay *r, int64_t now_us, enum fw_rl_stage *to)
 {
@@ -188,7 +189,8 @@
         const struct fw_rl_service_rule *rule =
             g_ptr_array_index(r->rules->services, i);
         struct fw_rl_server *s =
-            rule->engines ? next_of_service(r, rule->name, now_us, to) : NULL;
+            rule->engines ? next_change_of_service(r, rule->name, now_us, to)
+                          : NULL;
 
         if (s) {
             return s;
@@ -198,8 +200,8 @@
 }
 
 static void
-ask_report(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
-           struct fw_rl_acts *out)
+request_report(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
+               struct fw_rl_acts *out)
 {
     struct fw_rl_up_call up = {.kind = FW_RL_UP_REPORT,
                                .urgency = -1,
@@ -207,13 +209,13 @@
                                .reuse_us = FW_RL_REUSE_US,
                                .connect_us = FW_RL_CONNECT_US};
 
-    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_WAIT_US, now_us, out);
+    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_TIMEOUT_US, now_us, out);
 }
 
-/* The role is looked at again right before the order goes out. */
+/* Orders a change if this instance still holds the order role. */
 static void
-order(struct fw_relay *r, struct fw_rl_server *s, enum fw_rl_stage to,
-      int64_t orders, int64_t now_us, struct fw_rl_acts *out)
+send_order(struct fw_relay *r, struct fw_rl_server *s, enum fw_rl_stage to,
+           int64_t orders, int64_t now_us, struct fw_rl_acts *out)
 {
     struct fw_rl_up_call up = {.kind = FW_RL_UP_STAGE,
                                .urgency = -1,
@@ -230,30 +232,30 @@
                 "\"server\":\"%s\",\"stage\":%d,\"fence\":%" G_GUINT64_FORMAT
                 ",\"expected\":%" G_GINT64_FORMAT,
                 s->e.id, (int)to, up.fence, orders);
-    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_WAIT_US, now_us, out);
-    /* Until its outcome is known nothing else is ordered there. */
+    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_TIMEOUT_US, now_us, out);
+    /* No further order for this engine until the outcome is known. */
     s->to_stage = to;
     s->stage_change_until_us = now_us + FW_ORDER_LATE_US;
 }
 
 /*
- * A change that the last holder ordered may be under way: engines that say
- * so count as having the stage that they change to.
+ * Requests reports from all engines, because a previous holder of the role may
+ * have ordered changes that are not complete.
  */
 static void
-survey(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+request_all_reports(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
 {
     const struct fw_rl_service_rule *rule;
     struct fw_list *pos;
 
     r->order_lease.reports_requested = 1;
-    r->order_lease.reports_until_us = now_us + FW_SURVEY_US;
+    r->order_lease.reports_until_us = now_us + FW_REPORTS_TIMEOUT_US;
     r->stage_check_us = r->order_lease.reports_until_us;
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (engine_of(r, s, &rule)) {
-            ask_report(r, s, now_us, out);
+        if (find_engine_rule(r, s, &rule)) {
+            request_report(r, s, now_us, out);
         }
     }
 }
@@ -269,11 +271,11 @@
         return;
     }
     if (!r->stage_check_us) {
-        r->stage_check_us = now_us + FW_SETTLE_US;
+        r->stage_check_us = now_us + FW_FIRST_CHECK_DELAY_US;
         return;
     }
-    r->stage_check_us = now_us + FW_LOOK_US;
-    if (!is_mine(r, now_us) || !Fw_Relay_KeysFresh(r, now_us)) {
+    r->stage_check_us = now_us + FW_STAGE_CHECK_PERIOD_US;
+    if (!should_give_orders(r, now_us) || !Fw_Relay_KeysFresh(r, now_us)) {
         return;
     }
     s = next_change(r, now_us, &to);
@@ -285,16 +287,17 @@
     if (!r->imbalance_since_us) {
         r->imbalance_since_us = now_us;
     }
-    if (r->stages_settled && now_us - r->imbalance_since_us < FW_SHORT_US) {
+    if (r->stages_settled &&
+        now_us - r->imbalance_since_us < FW_IMBALANCE_MIN_US) {
         return;
     }
     if (holds_role(r, now_us) && !r->order_lease.reports_requested) {
-        survey(r, now_us, out);
+        request_all_reports(r, now_us, out);
     }
     else if (holds_role(r, now_us)) {
-        ask_report(r, s, now_us, out);
+        request_report(r, s, now_us, out);
     }
-    else if (role_is_free(r, now_us)) {
+    else if (is_role_free(r, now_us)) {
         r->order_lease.claim_pending = 1;
         Fw_Acts_Add(out, FW_RL_DO_LEAD)->u.lead_end = r->order_lease.log_end;
     }
@@ -324,9 +327,9 @@
 }
 
 static void
-report_answered(struct fw_relay *r, struct fw_rl_server *s,
-                const struct fw_rl_up_answer *ans, int64_t now_us,
-                struct fw_rl_acts *out)
+handle_report(struct fw_relay *r, struct fw_rl_server *s,
+              const struct fw_rl_up_answer *ans, int64_t now_us,
+              struct fw_rl_acts *out)
 {
     enum fw_rl_stage to = FW_RL_STAGE_NONE;
     struct fw_rl_server *next;
@@ -341,14 +344,14 @@
     }
     next = next_change(r, now_us, &to);
     if (next && next == s && ans->stage != to) {
-        order(r, next, to, ans->orders, now_us, out);
+        send_order(r, next, to, ans->orders, now_us, out);
     }
 }
 
 static void
-stage_answered(struct fw_relay *r, struct fw_rl_server *s,
-               const struct fw_rl_up_answer *ans, int64_t now_us,
-               struct fw_rl_acts *out)
+handle_order_response(struct fw_relay *r, struct fw_rl_server *s,
+                      const struct fw_rl_up_answer *ans, int64_t now_us,
+                      struct fw_rl_acts *out)
 {
     const struct fw_rl_service_rule *rule =
         r->rules ? Fw_Rules_Service(r->rules, s->e.service) : NULL;
@@ -357,14 +360,14 @@
                 "\"server\":\"%s\",\"status\":%d", s->e.id, ans->status);
     if (ans->status == 202 || ans->status == 200) {
         s->stage_change_until_us =
-            now_us + (rule ? rule->engine.switch_us : 0) + FW_LISTED_US;
+            now_us + (rule ? rule->engine.switch_us : 0) + FW_LIST_DELAY_US;
         r->stage_check_us = now_us;
         return;
     }
     s->stage_change_until_us = 0;
-    r->stage_check_us = now_us + FW_LOOK_US;
+    r->stage_check_us = now_us + FW_STAGE_CHECK_PERIOD_US;
     if (ans->status == 412) {
-        /* Another holds a newer token: this one must not be used again. */
+        /* The engine has seen a newer token: the lease is lost. */
         r->order_lease.fence = 0;
         r->order_lease.last_claim_us = now_us;
     }
@@ -384,10 +387,10 @@
         Fw_Learned_TakeRuns(r, s->e.service, ans);
     }
     if (kind == FW_RL_UP_REPORT && !about_runs) {
-        report_answered(r, s, ans, now_us, out);
+        handle_report(r, s, ans, now_us, out);
     }
     else if (kind == FW_RL_UP_STAGE) {
-        stage_answered(r, s, ans, now_us, out);
+        handle_order_response(r, s, ans, now_us, out);
     }
     Fw_Servers_Unref(s);
 }
--- a/src/relay/poison.c
+++ b/src/relay/poison.c
@@ -1,20 +1,19 @@
 /*
- * Requests that crash each server that runs them. Their callers send them
- * again, so one such request could take down a whole service.
+ * Detection of requests that crash the servers that run them. Retried by
+ * their callers, such requests could take down a whole service.
  *
- * A connection that breaks proves little; a strike is counted only when the
- * server's lifetime ends soon after it broke. Strikes of all instances are
- * added up.
+ * A broken connection counts as a strike only if the server's process ends
+ * shortly after. The strikes of all instances are added up.
  */
 #include "relay/relay_internal.h"
 
 /*
- * A crash shows in the list within three heartbeats of 1.2 s and the read
- * after it; a connection refused shows it at once.
+ * Maximum time from a broken connection until the server's end is known: its
+ * entry expires after three heartbeats of 1.2 s, then the list is read.
  */
-#define FW_SUSPICION_US (6 * FW_SEC)
-/* Strikes are forgotten: the fault may lie in a version that was replaced. */
-#define FW_STRIKE_US (120 * FW_SEC)
+#define FW_CRASH_DETECTION_US (6 * FW_SEC)
+/* Strikes expire, since the server may have been fixed meanwhile. */
+#define FW_STRIKE_TTL_US (120 * FW_SEC)
 
 void
 Fw_Poison_CutOff(struct fw_relay *r, uint64_t digest,
@@ -30,7 +29,7 @@
 }
 
 static struct fw_rl_strike *
-strike_of(struct fw_relay *r, uint64_t digest)
+find_or_add_strike(struct fw_relay *r, uint64_t digest)
 {
     struct fw_rl_strike *oldest = &r->strikes[0];
 
@@ -60,11 +59,11 @@
         struct fw_rl_crash_suspect *q = &r->crash_suspects[i];
         struct fw_rl_strike *k;
 
-        if (q->server != server || now_us - q->at_us > FW_SUSPICION_US) {
+        if (q->server != server || now_us - q->at_us > FW_CRASH_DETECTION_US) {
             continue;
         }
         q->server = 0;
-        k = strike_of(r, q->digest);
+        k = find_or_add_strike(r, q->digest);
         k->count++;
         k->at_us = now_us;
         Fw_Acts_Log(out, r, LOG_WARNING, "strike",
@@ -82,7 +81,7 @@
 
     for (int i = 0; i < r->n_strikes; i++) {
         if (r->strikes[i].digest == digest &&
-            now_us - r->strikes[i].at_us < FW_STRIKE_US) {
+            now_us - r->strikes[i].at_us < FW_STRIKE_TTL_US) {
             n += r->strikes[i].count;
         }
     }
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -1,21 +1,18 @@
-/* The relay as a whole: what happens, handed to who decides about it. */
+/* Entry points of the relay core: dispatch of events, time limits. */
 #include <errno.h>
 #include <string.h>
 
 #include "base/hash.h"
 #include "relay/relay_internal.h"
 
-/* Of digests and reports, where the settings name none. */
-#define FW_PERIOD_US (150 * FW_MSEC)
-/* Tokens a team earns with each turn in the queue: about one request. */
-#define FW_QUANTUM 16384
-/* Ticks while something waits for room, and otherwise. */
+/* Default interval between digests, and between reports. */
+#define FW_DIGEST_PERIOD_US (150 * FW_MSEC)
+/* Deficit round robin quantum of a team in tokens, about one request. */
+#define FW_QUEUE_QUANTUM_TOKENS 16384
+/* Tick interval with and without queued requests. */
 #define FW_TICK_BUSY_US (20 * FW_MSEC)
 #define FW_TICK_IDLE_US (100 * FW_MSEC)
-/*
- * The time limit is watched a little late, so that an upstream that keeps
- * to it answers first.
- */
+/* Time by which an upstream may exceed a deadline before the call ends. */
 #define FW_DEADLINE_SLACK_US (60 * FW_MSEC)
 
 struct fw_relay *
@@ -45,7 +42,7 @@
     Fw_List_Init(&r->call_list);
     Fw_List_Init(&r->op_list);
     Fw_List_Init(&r->members);
-    Fw_Queue_Init(&r->queue, FW_QUANTUM);
+    Fw_Queue_Init(&r->queue, FW_QUEUE_QUANTUM_TOKENS);
     Fw_Metrics_Init(&r->metrics);
     Fw_Relay_RegisterMetrics(r);
     return r;
@@ -90,7 +87,7 @@
 {
     r->opts = *opts;
     if (r->opts.digest_every_us <= 0) {
-        r->opts.digest_every_us = FW_PERIOD_US;
+        r->opts.digest_every_us = FW_DIGEST_PERIOD_US;
     }
 }
 
@@ -109,7 +106,7 @@
                     "\"offset\":%" G_GUINT64_FORMAT, offset);
         return;
     }
-    /* Within a lifetime nothing older comes into force again. */
+    /* Never go back to an older configuration. */
     if (r->rules &&
         (offset <= r->rules_offset || rules->version <= r->rules->version)) {
         return;
@@ -135,7 +132,7 @@
 }
 
 static struct fw_rl_op *
-op_named(const struct fw_relay *r, uint64_t xid)
+find_op(const struct fw_relay *r, uint64_t xid)
 {
     return g_hash_table_lookup(r->ops, &xid);
 }
@@ -151,12 +148,12 @@
                const struct fw_rl_up_answer *ans, int64_t now_us,
                struct fw_rl_acts *out)
 {
-    struct fw_rl_op *op = op_named(r, xid);
+    struct fw_rl_op *op = find_op(r, xid);
 
     if (!op || !op->call || op->kind != FW_RL_UP_RUN || ans->not_run) {
         return;
     }
-    /* What it went on from is used up now. */
+    /* The server has consumed the reservation and the KV cache. */
     op->call->hold[0] = 0;
     op->call->kv[0] = 0;
     op->server->rejected_runs = 0;
@@ -174,7 +171,7 @@
                   const struct fw_rl_up_answer *ans, int64_t now_us,
                   struct fw_rl_acts *out)
 {
-    struct fw_rl_op *op = op_named(r, xid);
+    struct fw_rl_op *op = find_op(r, xid);
 
     if (!op) {
         return;
@@ -194,7 +191,7 @@
 Fw_Relay_Failed(struct fw_relay *r, uint64_t xid, int err, int sent,
                 int64_t now_us, struct fw_rl_acts *out)
 {
-    struct fw_rl_op *op = op_named(r, xid);
+    struct fw_rl_op *op = find_op(r, xid);
 
     if (!op) {
         return;
@@ -231,12 +228,12 @@
         }
         Fw_Acts_Add(out, FW_RL_DO_STOP_ASK)->u.xid = xid;
         Fw_Relay_Failed(r, xid, -ETIMEDOUT, 1, now_us, out);
-        pos = r->op_list.next; /* the list may be another one now */
+        pos = r->op_list.next; /* the failure may have changed the list */
     }
 }
 
 static int
-over(const struct fw_rl_call *c, int64_t now_us)
+is_overdue(const struct fw_rl_call *c, int64_t now_us)
 {
     return now_us >= c->deadline_us + FW_DEADLINE_SLACK_US;
 }
@@ -245,7 +242,7 @@
 tick_call(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
           struct fw_rl_acts *out)
 {
-    if (over(c, now_us)) {
+    if (is_overdue(c, now_us)) {
         int sent = c->op && c->op->kind == FW_RL_UP_RUN;
 
         if (c->passed) {
--- a/src/relay/rules.c
+++ b/src/relay/rules.c
@@ -73,7 +73,7 @@
 }
 
 static int
-longer_first(gconstpointer a, gconstpointer b)
+compare_prefix_length(gconstpointer a, gconstpointer b)
 {
     const struct fw_rl_route_rule *const *x = a;
     const struct fw_rl_route_rule *const *y = b;
@@ -99,7 +99,7 @@
     }
     g_hash_table_iter_init(&it, r->by_host);
     while (g_hash_table_iter_next(&it, NULL, &at_host)) {
-        g_ptr_array_sort(at_host, longer_first);
+        g_ptr_array_sort(at_host, compare_prefix_length);
     }
 }
 
--- a/src/relay/servers.c
+++ b/src/relay/servers.c
@@ -1,10 +1,10 @@
 /*
- * Servers as the platform lists them, each in one lifetime.
+ * Servers that the platform lists, and their health as seen by this instance.
  *
- * An entry that vanishes means that the server has left. While the store
- * was away entries also lapse for servers that live; those are back within
- * two seconds of its return. So a lapse seen around such a time counts only
- * after that, or healthy servers would be dropped all at once.
+ * A server is removed when its entry vanishes. While the store is unavailable
+ * the entries of live servers expire too, and are renewed within two seconds
+ * of its recovery. During that time unlisted servers are kept, or all healthy
+ * servers would be removed at once.
  */
 #include <errno.h>
 #include <string.h>
@@ -13,18 +13,17 @@
 #include "relay/relay_internal.h"
 
 /*
- * After a server could not be reached it is left alone for so long, doubled
- * with each further miss up to four times: a crashed server is back after
- * some seconds, and each request that tries it meanwhile loses a connection
- * timeout of its objective.
+ * Initial backoff of a server that could not be reached, and the number of
+ * times it is doubled. Each request that tries such a server loses a connect
+ * timeout; a crashed server is usually back within seconds.
  */
-#define FW_SUSPECT_US (700 * FW_MSEC)
-#define FW_SUSPECT_DOUBLINGS 2
-/* Calls without an answer in a row after which a server is left alone. */
-#define FW_SILENT_MAX 2
-/* Refused runs in a row after which an engine is left alone. */
-#define FW_REFUSALS 2
-/* Weight of the newest answer in the moving means. */
+#define FW_BACKOFF_US (700 * FW_MSEC)
+#define FW_BACKOFF_DOUBLINGS_MAX 2
+/* Consecutive timeouts that start a backoff. */
+#define FW_TIMEOUTS_MAX 2
+/* Consecutive rejected runs that start a backoff. */
+#define FW_REJECTED_RUNS_MAX 2
+/* Weight of the newest response in the moving means. */
 #define FW_MEAN_WEIGHT 0.15
 
 struct fw_rl_server *
@@ -81,36 +80,35 @@
 void
 Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us)
 {
-    int doublings = MIN(s->connect_failures, FW_SUSPECT_DOUBLINGS);
+    int doublings = MIN(s->connect_failures, FW_BACKOFF_DOUBLINGS_MAX);
 
     s->connect_failures++;
-    s->suspect_us = now_us + (FW_SUSPECT_US << doublings);
+    s->suspect_us = now_us + (FW_BACKOFF_US << doublings);
 }
 
 /*
- * One answer that stays away may have been lost while the server is well: it
- * is left alone only after the second in a row. Otherwise each loss would
- * take an engine's memory away from everybody for a while.
+ * A single timeout may be due to packet loss; a backoff for each would take a
+ * healthy engine out of service.
  */
 void
 Fw_Servers_Silent(struct fw_rl_server *s, int64_t now_us)
 {
     s->timeouts++;
-    if (s->timeouts >= FW_SILENT_MAX) {
+    if (s->timeouts >= FW_TIMEOUTS_MAX) {
         Fw_Servers_Missed(s, now_us);
     }
 }
 
 /*
- * An engine whose stage is being changed still gives reservations but runs
- * nothing for twelve seconds; all that is placed there meanwhile is read in
- * vain. One refusal may have another cause (the KV cache lapsed).
+ * An engine that changes its stage grants reservations but runs nothing for
+ * twelve seconds, so prefills for it are wasted. A single rejection may have
+ * another cause, such as an expired KV cache.
  */
 void
 Fw_Servers_Refused(struct fw_rl_server *s, int64_t now_us)
 {
     s->rejected_runs++;
-    if (s->rejected_runs >= FW_REFUSALS) {
+    if (s->rejected_runs >= FW_REJECTED_RUNS_MAX) {
         Fw_Servers_Missed(s, now_us);
     }
 }
@@ -140,29 +138,29 @@
 }
 
 static void
-forget(const struct fw_rl_server *s, struct fw_rl_acts *out)
+close_idle_connections(const struct fw_rl_server *s, struct fw_rl_acts *out)
 {
     g_strlcpy(Fw_Acts_Add(out, FW_RL_DO_FORGET)->u.addr, s->e.addr,
               FW_URL_MAX);
 }
 
 static void
-drop(struct fw_relay *r, struct fw_rl_server *s, const char *why,
-     int64_t now_us, struct fw_rl_acts *out)
+remove_server(struct fw_relay *r, struct fw_rl_server *s, const char *why,
+              int64_t now_us, struct fw_rl_acts *out)
 {
     Fw_Acts_Log(out, r, LOG_NOTICE, "server_gone",
                 "\"server\":\"%s\",\"addr\":\"%s\",\"why\":\"%s\"", s->e.id,
                 s->e.addr, why);
     Fw_Poison_ServerLost(r, s, now_us, out);
-    forget(s, out);
+    close_idle_connections(s, out);
     s->gone = 1;
     Fw_List_Remove(&s->link);
     Fw_Servers_Unref(s);
 }
 
 static void
-add(struct fw_relay *r, const struct fw_rl_server_entry *e,
-    struct fw_rl_acts *out)
+add_server(struct fw_relay *r, const struct fw_rl_server_entry *e,
+           struct fw_rl_acts *out)
 {
     struct fw_rl_server *s = g_new0(struct fw_rl_server, 1);
 
@@ -178,8 +176,8 @@
 }
 
 static int
-same_lifetime(const struct fw_rl_server_entry *a,
-              const struct fw_rl_server_entry *b)
+is_same_process(const struct fw_rl_server_entry *a,
+                const struct fw_rl_server_entry *b)
 {
     return strcmp(a->addr, b->addr) == 0 &&
            strcmp(a->service, b->service) == 0 &&
@@ -187,8 +185,8 @@
 }
 
 static void
-update(struct fw_relay *r, struct fw_rl_server *s,
-       const struct fw_rl_server_entry *e, struct fw_rl_acts *out)
+update_server(struct fw_relay *r, struct fw_rl_server *s,
+              const struct fw_rl_server_entry *e, struct fw_rl_acts *out)
 {
     if (e->draining != s->e.draining || e->stage != s->e.stage) {
         Fw_Acts_Log(out, r, LOG_NOTICE, "server_changed",
@@ -196,7 +194,7 @@
                     e->draining, (int)e->stage);
     }
     if (e->draining && !s->e.draining) {
-        forget(s, out);
+        close_idle_connections(s, out);
     }
     s->e = *e;
     s->listed = 1;
@@ -204,23 +202,23 @@
 }
 
 static int
-store_was_away(const struct fw_relay *r, int64_t now_us)
+is_in_relist_grace(const struct fw_relay *r, int64_t now_us)
 {
     return r->store_back_us &&
            now_us - r->store_back_us < FW_RL_RELIST_GRACE_US;
 }
 
 static void
-lapse(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
-      struct fw_rl_acts *out)
+remove_unlisted(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
+                struct fw_rl_acts *out)
 {
-    if (store_was_away(r, now_us)) {
+    if (is_in_relist_grace(r, now_us)) {
         if (!s->removal_us) {
             s->removal_us = r->store_back_us + FW_RL_RELIST_GRACE_US;
         }
         return;
     }
-    drop(r, s, "no longer listed", now_us, out);
+    remove_server(r, s, "no longer listed", now_us, out);
 }
 
 void
@@ -232,19 +230,19 @@
 
     if (!entry) {
         if (s) {
-            lapse(r, s, now_us, out);
+            remove_unlisted(r, s, now_us, out);
         }
         return;
     }
-    if (s && !same_lifetime(&s->e, entry)) {
-        drop(r, s, "started anew", now_us, out);
+    if (s && !is_same_process(&s->e, entry)) {
+        remove_server(r, s, "started anew", now_us, out);
         s = NULL;
     }
     if (s) {
-        update(r, s, entry, out);
+        update_server(r, s, entry, out);
     }
     else {
-        add(r, entry, out);
+        add_server(r, entry, out);
     }
     Fw_Stream_Pump(r, now_us, out);
 }
@@ -270,7 +268,7 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (!s->listed) {
-            lapse(r, s, now_us, out);
+            remove_unlisted(r, s, now_us, out);
         }
     }
 }
@@ -298,7 +296,8 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (s->removal_us && now_us >= s->removal_us) {
-            drop(r, s, "not back after the store's return", now_us, out);
+            remove_server(r, s, "not back after the store's return", now_us,
+                          out);
         }
     }
 }
