--- a/src/decide/learned.h
+++ b/src/decide/learned.h
@@ -34,8 +34,7 @@
 
 void
 Fw_Learned_Init(struct fw_learned *l, const char *service);
-/* Records a prefill that took @took_us with @tokens queued, its own included.
- */
+/* Records a prefill's duration; @tokens: queued there, its own included. */
 void
 Fw_Learned_NoteRead(struct fw_learned *l, int64_t tokens, int64_t took_us);
 /* Predicted time in us to prefill @tokens, all those queued included. */
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -166,9 +166,9 @@
             uint64_t call;
             uint64_t xid;
         } pass;
-        uint64_t call; /* FINISH, CUT */
+        uint64_t call; /* FINISH, ABORT */
         struct fw_rl_up_call ask;
-        uint64_t xid; /* STOP_ASK */
+        uint64_t xid; /* CANCEL_CALL */
         uint64_t lead_end;
         char addr[FW_URL_MAX];
         struct fw_rl_log_line log;
@@ -283,8 +283,8 @@
                 int64_t now_us, struct fw_rl_acts *out);
 
 /*
- * Sets the configuration read at the log's @offset, unless it is older than
- * the current one; takes a reference. @rules is NULL if it was invalid.
+ * Sets the configuration read at the log's @offset if it is newer than the
+ * current one; takes a reference. @rules is NULL if it was invalid.
  */
 void
 Fw_Relay_Rules(struct fw_relay *r, struct fw_rl_rules *rules, uint64_t offset,
@@ -315,7 +315,7 @@
 /** enum fw_rl_claim_result - outcome of a claim of the order role. */
 enum fw_rl_claim {
     FW_RL_CLAIM_MADE,    /* the claim was appended to the log */
-    FW_RL_CLAIM_TAKEN,   /* another record was appended first */
+    FW_RL_CLAIM_TAKEN,   /* another claim was appended first */
     FW_RL_CLAIM_UNKNOWN, /* the log did not answer */
 };
 
@@ -363,7 +363,7 @@
 /* Whether this instance reads the store itself rather than rely on others. */
 int
 Fw_Relay_ReadsStore(const struct fw_relay *r, int64_t now_us);
-/* Long-poll timeout in us of a configuration read, by default @base_us. */
+/* Long-poll timeout in us of a configuration read, at most @base_us. */
 int64_t
 Fw_Relay_RulesWait(struct fw_relay *r, int64_t base_us, int64_t now_us);
 /*
@@ -389,6 +389,7 @@
     int64_t cpu_ppm;
 };
 
+/* Adds or updates a registered instance. */
 void
 Fw_Relay_AddMember(struct fw_relay *r, const struct fw_rl_peer *peer,
                    int64_t now_us);
@@ -402,6 +403,7 @@
 /* Starts draining: the instance is no longer ready. */
 void
 Fw_Relay_Drain(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+/* Handles timeouts and periodic work. */
 void
 Fw_Relay_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
 /* Time of the next call of Fw_Relay_Tick(). */
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -10,7 +10,7 @@
 #include "relay/relay.h"
 #include "route/queue.h"
 
-/* Maximum number of servers that one request is sent to. */
+/* Maximum number of servers that one request may try. */
 #define FW_RL_TRIED_MAX 6
 /*
  * Maximum idle time of a connection reused for a request that must not be
@@ -55,7 +55,8 @@
  *     free slot, 0 if unknown
  * @target_stage: stage that it is changing to until @stage_change_until_us
  * @stage_change_until_us: latest end of the stage change
- * @is_unsent: its load has changed since it was last sent to other instances
+ * @is_unsent: requests were placed there since its load was last sent to
+ *     other instances
  */
 struct fw_rl_server {
     struct fw_list link;
@@ -437,7 +438,7 @@
 /* Whether the server is changing its stage. */
 int
 Fw_Servers_Switching(const struct fw_rl_server *s, int64_t now_us);
-/* Starts a backoff, which doubles until the server responds. */
+/* Starts a backoff, longer each time until the server responds. */
 void
 Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us);
 /*
@@ -684,7 +685,9 @@
 void
 Fw_Poison_CutOff(struct fw_relay *r, uint64_t digest,
                  const struct fw_rl_server *s, int64_t now_us);
-/* @s has ended; requests whose connections broke shortly before get a strike.
+/*
+ * @s has ended. Adds a strike to each request whose connection to it broke
+ * shortly before.
  */
 void
 Fw_Poison_ServerLost(struct fw_relay *r, const struct fw_rl_server *s,
