--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -189,8 +189,7 @@
 
 /**
  * struct fw_relay_opts - settings; see docs/OPERATIONS.md.
- * @name: name of this instance
- * @domain: its failure domain
+ * @domain: failure domain of this instance
  * @boot: identifies this run of the process
  * @seed: seed of the random number generator
  * @retry_ratio_ppm: retries of all instances together, in proportion to the
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -444,10 +444,10 @@
 /*
  * The server has responded.
  * @failed: the response was a failure
- * @took_us: response time, -1 to leave the latency as it is
+ * @latency_us: response time, -1 to leave the mean as it is
  */
 void
-Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t took_us);
+Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t latency_us);
 /* The server has responded to a request that found a free slot there. */
 void
 Fw_Servers_Worked(struct fw_rl_server *s, int64_t took_us);
@@ -489,10 +489,9 @@
 
 /* call.c */
 /*
- * Calls the upstream @s.
+ * Calls the upstream @s; the call times out at the given time.
  * @c: the request that the call serves, NULL for none
  * @up: the call; ids and address are filled in
- * @until_us: when the call times out
  */
 struct fw_rl_op *
 Fw_Call_Ask(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
--- a/src/relay/servers.c
+++ b/src/relay/servers.c
@@ -114,16 +114,16 @@
 }
 
 void
-Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t took_us)
+Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t latency_us)
 {
     s->consecutive_backoffs = 0;
     s->timeouts = 0;
     s->errors += FW_MEAN_WEIGHT * ((failed ? 1.0 : 0.0) - s->errors);
-    if (took_us >= 0) {
-        s->took_us =
-            s->took_us == 0
-                ? (double)took_us
-                : s->took_us + FW_MEAN_WEIGHT * ((double)took_us - s->took_us);
+    if (latency_us >= 0) {
+        s->took_us = s->took_us == 0
+                         ? (double)latency_us
+                         : s->took_us + FW_MEAN_WEIGHT *
+                                            ((double)latency_us - s->took_us);
     }
 }
 
