--- a/src/limit/limit.h
+++ b/src/limit/limit.h
@@ -13,7 +13,7 @@
 #include "fleet/role.h"
 
 /**
- * struct fw_limit_result - outcome of a request for tokens.
+ * struct fw_limit_answer - outcome of a request for tokens.
  * @ticket: as passed to Fw_Limit_Request
  * @retry_after_us: of a refusal, time in which the region refills the missing
  *                  tokens; 0 when the request exceeds the burst and can never
@@ -41,7 +41,7 @@
  * Fw_Limit_Request - requests @tokens for @team.
  * @ticket: identifies the request in its result, unique on this instance
  *
- * The result is available from Fw_Limit_PopResult: at once if local tokens
+ * The result is available from Fw_Limit_TakeAnswer: at once if local tokens
  * suffice, else after peers were asked in turn, within a bounded time.
  */
 void
--- a/src/limit/share.h
+++ b/src/limit/share.h
@@ -267,7 +267,7 @@
     int n_partitions;
     struct fw_limit_partition *partitions;
     struct fw_list requests; /* struct fw_token_request */
-    GQueue results;          /* struct fw_limit_result */
+    GQueue results;          /* struct fw_limit_answer */
     GQueue peer_grants;      /* struct fw_peer_grant, the oldest first */
     GHashTable *senders;     /* peer to struct fw_return_sender */
     uint64_t seq;
