--- a/bench/bench_digest.c
+++ b/bench/bench_digest.c
@@ -42,13 +42,13 @@
 {
     struct fw_relay_opts opts = {.boot = 1, .seed = 1, .retry_window_us = 1};
     struct fw_relay *r;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     g_strlcpy(opts.name, name, sizeof(opts.name));
     r = Fw_Relay_New(&opts, FW_SEC);
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Rules(r, rules, 1, FW_SEC, &acts);
-    Fw_Acts_Clear(&acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_SetRules(r, rules, 1, FW_SEC, &acts);
+    Fw_RelayActions_Clear(&acts);
     return r;
 }
 
@@ -61,9 +61,9 @@
     double wrote_s = 0;
     double took_s = 0;
     guint bytes = 0;
-    struct fw_rl_mail mail;
+    struct fw_rl_outbox mail;
 
-    Fw_Mail_Init(&mail);
+    Fw_Outbox_Init(&mail);
     for (int i = 0; i < FW_ROUNDS; i++) {
         int64_t now_us = FW_SEC + i * 150 * FW_MSEC;
         GByteArray *msg = g_byte_array_new();
@@ -74,7 +74,7 @@
         t1 = now_s();
         g_assert(Fw_Relay_ReadMessage(to, "127.0.0.1:1", msg->data, msg->len,
                                       now_us, &mail) >= 0);
-        Fw_Mail_Clear(&mail);
+        Fw_Outbox_Clear(&mail);
         took_s += now_s() - t1;
         wrote_s += t1 - t0;
         bytes = msg->len;
--- a/bench/bench_region.c
+++ b/bench/bench_region.c
@@ -57,9 +57,9 @@
     for (int i = 0; i < SITES; i++) {
         struct fw_actions out;
         Fw_Actions_Init(&out);
-        Fw_Limit_Ask(w->sites[i].limit, &teams[Fw_FleetEnv_Below(w, TEAMS)],
-                     ++*ticket, 100 + Fw_FleetEnv_Below(w, 1000),
-                     Fw_FleetEnv_Local(w, i), &out);
+        Fw_Limit_Request(
+            w->sites[i].limit, &teams[Fw_FleetEnv_Below(w, TEAMS)], ++*ticket,
+            100 + Fw_FleetEnv_Below(w, 1000), Fw_FleetEnv_Local(w, i), &out);
         Fw_FleetEnv_Carry(w, i, &out);
     }
 }
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -120,17 +120,17 @@
 ask_one(struct fw_router *r, const struct fw_config *cfg, const struct size *z,
         GBytes *prompt, uint64_t n, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_route_ask ask = {.ticket = n,
-                               .prompt = prompt,
-                               .prompt_tokens = PROMPT_BYTES / 4,
-                               .max_tokens = 100,
-                               .arrived_us = now_us};
+    struct fw_route_request ask = {.ticket = n,
+                                   .prompt = prompt,
+                                   .prompt_tokens = PROMPT_BYTES / 4,
+                                   .max_tokens = 100,
+                                   .arrived_us = now_us};
 
     g_snprintf(ask.team, sizeof(ask.team), "team-%d",
                (int)(n * 7919 % (uint64_t)z->teams));
     g_snprintf(ask.model, sizeof(ask.model), "model-%d",
                (int)(n % (uint64_t)z->models));
-    Fw_Route_Ask(r, cfg, &ask, now_us, out);
+    Fw_Route_Submit(r, cfg, &ask, now_us, out);
 }
 
 /* Nanoseconds of a decision: asked, granted here, computed, done. */
@@ -159,8 +159,8 @@
         while (Fw_Route_TakeAnswer(r, &ans)) {
             granted += ans.status == 0;
         }
-        Fw_Route_Step(r, n, FW_STEP_PREFILLED, NULL, now_us, &out);
-        Fw_Route_Step(r, n, FW_STEP_DONE, NULL, now_us, &out);
+        Fw_Route_ReportStep(r, n, FW_STEP_PREFILLED, NULL, now_us, &out);
+        Fw_Route_ReportStep(r, n, FW_STEP_DONE, NULL, now_us, &out);
         spent += now_ns() - start;
         Fw_Actions_Clear(&out);
         Fw_Actions_Init(&out);
@@ -239,20 +239,20 @@
 print_wire(void)
 {
     struct fw_msg m = {.area = FW_AREA_ROUTE};
-    struct fw_route_item *it = &m.u.route.u.want.item[0];
+    struct fw_reserve_item *it = &m.u.route.u.want.item[0];
     size_t ask_p;
     size_t ask_d;
     size_t reply;
     size_t release;
 
-    m.u.route.kind = FW_ROUTE_ASK;
+    m.u.route.kind = FW_ROUTE_RESERVE;
     m.u.route.u.want.ask = G_MAXUINT32 / 3;
     m.u.route.u.want.n = 1;
-    *it = (struct fw_route_item){.engine = G_MAXUINT64 / 3,
-                                 .is_prefill = 1,
-                                 .serving = G_MAXUINT32 / 5,
-                                 .tokens = 3000,
-                                 .prefixes = {.n = 4}};
+    *it = (struct fw_reserve_item){.engine = G_MAXUINT64 / 3,
+                                   .is_prefill = 1,
+                                   .serving = G_MAXUINT32 / 5,
+                                   .tokens = 3000,
+                                   .prefixes = {.n = 4}};
     for (int i = 0; i < 4; i++) {
         it->prefixes.hash[i] = G_MAXUINT32 / 7;
     }
@@ -264,7 +264,7 @@
     it->transfer_us = 60000;
     ask_d = packed(&m);
     memset(&m.u.route.u, 0, sizeof(m.u.route.u));
-    m.u.route.kind = FW_ROUTE_ANSWER;
+    m.u.route.kind = FW_ROUTE_REPLY;
     m.u.route.u.reply.ask = G_MAXUINT32 / 3;
     m.u.route.u.reply.n = 1;
     m.u.route.u.reply.verdict[0].engine = G_MAXUINT64 / 3;
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 #define SERVE_US (20 * FW_MSEC)
 #define WALL_BASE_MS 1764000000000LL
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -185,8 +185,8 @@
     }
     g_array_append_val(c->open, q);
     Fw_Actions_Init(&out);
-    Fw_Limit_Ask(w->sites[site].limit, &c->accounts[team].team, q.ticket,
-                 tokens, Fw_FleetEnv_Local(w, site), &out);
+    Fw_Limit_Request(w->sites[site].limit, &c->accounts[team].team, q.ticket,
+                     tokens, Fw_FleetEnv_Local(w, site), &out);
     Fw_FleetEnv_Carry(w, site, &out);
     take_answers(w, c);
 }
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -100,7 +100,7 @@
         return;
     }
     if (s->dead[to] || (s->lose_replies && send->msg.area == FW_AREA_ROUTE &&
-                        send->msg.u.route.kind == FW_ROUTE_ANSWER)) {
+                        send->msg.u.route.kind == FW_ROUTE_REPLY)) {
         return;
     }
     m = post(s, to);
@@ -353,11 +353,11 @@
           int64_t tokens, const char *avoid)
 {
     const char *list[] = {avoid, NULL};
-    struct fw_route_ask ask = {.ticket = ticket,
-                               .prompt_tokens = tokens,
-                               .max_tokens = 10,
-                               .arrived_us = s->now_us,
-                               .avoid = list};
+    struct fw_route_request ask = {.ticket = ticket,
+                                   .prompt_tokens = tokens,
+                                   .max_tokens = 10,
+                                   .arrived_us = s->now_us,
+                                   .avoid = list};
     char *text = g_strnfill((gsize)tokens * 4, 'x');
     struct fw_actions out;
 
@@ -365,7 +365,7 @@
     g_strlcpy(ask.team, team, sizeof(ask.team));
     g_strlcpy(ask.model, "m", sizeof(ask.model));
     Fw_Actions_Init(&out);
-    Fw_Route_Ask(s->router[node], s->cfg, &ask, s->now_us, &out);
+    Fw_Route_Submit(s->router[node], s->cfg, &ask, s->now_us, &out);
     carry_out(s, node, &out);
     g_bytes_unref(ask.prompt);
 }
@@ -377,7 +377,8 @@
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    Fw_Route_Step(s->router[node], ticket, step, upstream, s->now_us, &out);
+    Fw_Route_ReportStep(s->router[node], ticket, step, upstream, s->now_us,
+                        &out);
     carry_out(s, node, &out);
 }
 
--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -74,7 +74,7 @@
     int n = 0;
 
     for (int i = 0; i < f->n; i++) {
-        n += f->sites[i].isolated || !Fw_RelayFleet_Runs(f, i);
+        n += f->sites[i].isolated || !Fw_RelayFleet_IsRunning(f, i);
     }
     return n;
 }
@@ -82,8 +82,8 @@
 static void
 inject_fault(struct fleet *f, int64_t *last_us)
 {
-    int i = Fw_RelayFleet_Below(f, f->n);
-    int event = Fw_RelayFleet_Below(f, 100);
+    int i = Fw_RelayFleet_RandBelow(f, f->n);
+    int event = Fw_RelayFleet_RandBelow(f, 100);
 
     if (event != 1 && (count_faulty(f) >= FW_FAULTY_MAX ||
                        f->now_us - *last_us < FW_FAULT_INTERVAL_US)) {
@@ -104,7 +104,7 @@
         break;
     case 3:
         f->sites[i].frozen_until_us =
-            f->now_us + Fw_RelayFleet_Below(f, 6 * FW_SEC);
+            f->now_us + Fw_RelayFleet_RandBelow(f, 6 * FW_SEC);
         Fw_Run_Trace(f->run, "%s frozen", f->sites[i].name);
         break;
     case 4:
@@ -130,16 +130,16 @@
     f.expires_members = expires_members;
     Fw_RelayFleet_Advance(&f, 10 * FW_SEC);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        int i = Fw_RelayFleet_Below(&f, f.n);
-        int64_t cost = Fw_RelayFleet_Below(&f, 100) < FW_SMALL_PCT
+        int i = Fw_RelayFleet_RandBelow(&f, f.n);
+        int64_t cost = Fw_RelayFleet_RandBelow(&f, 100) < FW_SMALL_PCT
                            ? FW_SMALL_COST
                            : FW_LARGE_COST;
         int64_t retry_us;
 
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, FW_STEP_MAX_MS) *
+        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_RandBelow(&f, FW_STEP_MAX_MS) *
                                       FW_MSEC);
         inject_fault(&f, &last_us);
-        if (!Fw_RelayFleet_Runs(&f, i) ||
+        if (!Fw_RelayFleet_IsRunning(&f, i) ||
             !Fw_Allowance_Take(f.sites[i].relay, t, cost,
                                Fw_RelayFleet_Now(&f, i), &retry_us)) {
             continue;
--- a/explore/relay_fleet.c
+++ b/explore/relay_fleet.c
@@ -23,7 +23,7 @@
 }
 
 int
-Fw_RelayFleet_Below(struct fleet *f, int n)
+Fw_RelayFleet_RandBelow(struct fleet *f, int n)
 {
     return g_rand_int_range(f->run->rand, 0, n);
 }
@@ -35,7 +35,7 @@
 }
 
 int
-Fw_RelayFleet_Runs(const struct fleet *f, int i)
+Fw_RelayFleet_IsRunning(const struct fleet *f, int i)
 {
     return f->now_us >= f->sites[i].frozen_until_us;
 }
@@ -56,12 +56,12 @@
                               .retry_extra = 100,
                               .retry_window_us = 10 * FW_SEC,
                               .key_stale_us = 4800 * FW_MSEC,
-                              .queue_us = 650 * FW_MSEC,
-                              .read_here_us = 600 * FW_MSEC,
+                              .queue_limit_us = 650 * FW_MSEC,
+                              .local_prefill_us = 600 * FW_MSEC,
                               .reserve_permille = 1000,
                               .prefill_permille = 250,
                               .overage_ppm = 100000,
-                              .tolerance = 72000,
+                              .tolerance_tokens = 72000,
                               .lease_us = 3 * FW_SEC,
                               .grace_us = 8 * FW_SEC,
                               .log_level = 0};
@@ -70,10 +70,10 @@
     g_strlcpy(o.name, s->name, sizeof(o.name));
     domain_name(i, o.domain);
     s->relay = Fw_Relay_New(&o, now);
-    Fw_Acts_Init(&s->acts);
-    Fw_Relay_Rules(s->relay, f->rules, 1, now, &s->acts);
-    Fw_Relay_Fresh(s->relay, now);
-    Fw_Relay_ListEnd(s->relay, now, &s->acts);
+    Fw_RelayActions_Init(&s->acts);
+    Fw_Relay_SetRules(s->relay, f->rules, 1, now, &s->acts);
+    Fw_Relay_SetFreshAsOf(s->relay, now);
+    Fw_Relay_EndServerList(s->relay, now, &s->acts);
     for (int k = 0; k < f->n; k++) {
         struct fw_rl_peer peer = {0};
 
@@ -96,13 +96,13 @@
                         .delay_pct = 3,
                         .delay_max_us = 5 * FW_SEC};
     f->in_flight = g_ptr_array_new_with_free_func(msg_free);
-    Fw_Mail_Init(&f->outbox);
+    Fw_Outbox_Init(&f->outbox);
     for (int i = 0; i < n; i++) {
         struct fleet_site *s = &f->sites[i];
 
         g_snprintf(s->name, sizeof(s->name), "n%02d", i);
         g_snprintf(s->addr, sizeof(s->addr), "10.0.0.%d:1", i + 1);
-        s->skew_us = Fw_RelayFleet_Below(f, 1000) * FW_SEC;
+        s->skew_us = Fw_RelayFleet_RandBelow(f, 1000) * FW_SEC;
         s->boot = 1;
     }
     for (int i = 0; i < n; i++) {
@@ -114,18 +114,18 @@
 Fw_RelayFleet_Clear(struct fleet *f)
 {
     for (int i = 0; i < f->n; i++) {
-        Fw_Acts_Clear(&f->sites[i].acts);
+        Fw_RelayActions_Clear(&f->sites[i].acts);
         Fw_Relay_Free(f->sites[i].relay);
     }
     g_ptr_array_unref(f->in_flight);
-    Fw_Mail_Clear(&f->outbox);
+    Fw_Outbox_Clear(&f->outbox);
     g_ptr_array_unref(f->outbox.all);
 }
 
 void
 Fw_RelayFleet_Restart(struct fleet *f, int i)
 {
-    Fw_Acts_Clear(&f->sites[i].acts);
+    Fw_RelayActions_Clear(&f->sites[i].acts);
     Fw_Relay_Free(f->sites[i].relay);
     f->sites[i].boot++;
     f->sites[i].frozen_until_us = 0;
@@ -140,11 +140,11 @@
 
     if (f->sites[from].isolated || f->sites[to].isolated ||
         f->sites[from].partition != f->sites[to].partition ||
-        Fw_RelayFleet_Below(f, 100) < f->loss_pct) {
+        Fw_RelayFleet_RandBelow(f, 100) < f->loss_pct) {
         return;
     }
-    if (Fw_RelayFleet_Below(f, 100) < f->delay_pct) {
-        delay = Fw_RelayFleet_Below(f, (int)f->delay_max_us);
+    if (Fw_RelayFleet_RandBelow(f, 100) < f->delay_pct) {
+        delay = Fw_RelayFleet_RandBelow(f, (int)f->delay_max_us);
     }
     m = g_new0(struct datagram, 1);
     m->from = from;
@@ -166,7 +166,7 @@
 }
 
 static void
-send_outbox(struct fleet *f, int from, struct fw_rl_mail *outbox)
+send_outbox(struct fleet *f, int from, struct fw_rl_outbox *outbox)
 {
     for (guint i = 0; i < outbox->all->len; i++) {
         const struct fw_rl_datagram *d = g_ptr_array_index(outbox->all, i);
@@ -176,7 +176,7 @@
             send_datagram(f, from, to, d->data);
         }
     }
-    Fw_Mail_Clear(outbox);
+    Fw_Outbox_Clear(outbox);
 }
 
 static void
@@ -198,7 +198,7 @@
     for (guint i = 0; i < f->in_flight->len;) {
         struct datagram *m = g_ptr_array_index(f->in_flight, i);
 
-        if (m->due_us > f->now_us || !Fw_RelayFleet_Runs(f, m->to)) {
+        if (m->due_us > f->now_us || !Fw_RelayFleet_IsRunning(f, m->to)) {
             i++;
             continue;
         }
@@ -210,14 +210,14 @@
 void
 Fw_RelayFleet_Send(struct fleet *f, int i)
 {
-    if (Fw_RelayFleet_Runs(f, i)) {
+    if (Fw_RelayFleet_IsRunning(f, i)) {
         if (f->expires_members) {
             Fw_Members_Tick(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
                             &f->sites[i].acts);
             g_array_set_size(f->sites[i].acts.all, 0);
         }
-        Fw_Relay_Exchange(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
-                          &f->outbox);
+        Fw_Relay_WriteMessages(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
+                               &f->outbox);
         send_outbox(f, i, &f->outbox);
     }
 }
@@ -225,7 +225,7 @@
 void
 Fw_RelayFleet_Partition(struct fleet *f)
 {
-    int domain = Fw_RelayFleet_Below(f, FW_DOMAINS);
+    int domain = Fw_RelayFleet_RandBelow(f, FW_DOMAINS);
 
     for (int i = domain; i < f->n; i += FW_DOMAINS) {
         f->sites[i].partition = 1;
--- a/explore/relay_fleet.h
+++ b/explore/relay_fleet.h
@@ -21,7 +21,7 @@
  */
 struct fleet_site {
     struct fw_relay *relay;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
     int64_t skew_us;
@@ -53,7 +53,7 @@
     int loss_pct;
     int delay_pct;
     int64_t delay_max_us;
-    struct fw_rl_mail outbox;
+    struct fw_rl_outbox outbox;
     int expires_members;
     int n_cross_domain;
 };
@@ -65,7 +65,7 @@
 Fw_RelayFleet_Clear(struct fleet *f);
 /* A random number from 0 to @n - 1, from the run's generator. */
 int
-Fw_RelayFleet_Below(struct fleet *f, int n);
+Fw_RelayFleet_RandBelow(struct fleet *f, int n);
 /* Kills the instance and starts it without state. */
 void
 Fw_RelayFleet_Restart(struct fleet *f, int i);
@@ -86,6 +86,6 @@
 Fw_RelayFleet_Heal(struct fleet *f);
 /* Is instance @i not frozen? */
 int
-Fw_RelayFleet_Runs(const struct fleet *f, int i);
+Fw_RelayFleet_IsRunning(const struct fleet *f, int i);
 
 #endif
--- a/explore/relay_freshness.c
+++ b/explore/relay_freshness.c
@@ -29,8 +29,8 @@
     struct fw_rl_rules *r = Fw_Rules_New();
 
     r->version = h->n;
-    Fw_Relay_Rules(s->relay, r, (uint64_t)h->n, now, &s->acts);
-    Fw_Relay_Fresh(s->relay, now);
+    Fw_Relay_SetRules(s->relay, r, (uint64_t)h->n, now, &s->acts);
+    Fw_Relay_SetFreshAsOf(s->relay, now);
     g_array_set_size(s->acts.all, 0);
     Fw_Rules_Unref(r);
 }
@@ -42,13 +42,13 @@
     char addr[FW_URL_MAX];
     int must_read;
 
-    if (!Fw_RelayFleet_Runs(f, i) || f->sites[i].isolated ||
+    if (!Fw_RelayFleet_IsRunning(f, i) || f->sites[i].isolated ||
         h->store_rejects[i]) {
         return;
     }
     must_read = Fw_Relay_ReadsStore(r, Fw_RelayFleet_Now(f, i));
-    must_read |= Fw_Relay_TakeWantRules(r, addr);
-    if (must_read && Fw_RelayFleet_Below(f, 100) < 30) {
+    must_read |= Fw_Relay_TakeRulesSource(r, addr);
+    if (must_read && Fw_RelayFleet_RandBelow(f, 100) < 30) {
         read_store(f, i, h);
     }
 }
@@ -61,8 +61,9 @@
     int64_t version = r->rules->version;
     int64_t stale_us = r->opts.key_stale_us;
 
-    if (!Fw_RelayFleet_Runs(f, i) ||
-        !Fw_Relay_KeysFresh(r, Fw_RelayFleet_Now(f, i)) || version >= h->n) {
+    if (!Fw_RelayFleet_IsRunning(f, i) ||
+        !Fw_Relay_AreKeysFresh(r, Fw_RelayFleet_Now(f, i)) ||
+        version >= h->n) {
         return;
     }
     if (f->now_us - h->at_us[version] > stale_us) {
@@ -87,22 +88,22 @@
     f.delay_max_us = 8 * FW_SEC;
     h.at_us[0] = f.now_us;
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        int i = Fw_RelayFleet_Below(&f, f.n);
+        int i = Fw_RelayFleet_RandBelow(&f, f.n);
 
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, 100) * FW_MSEC);
-        if (Fw_RelayFleet_Below(&f, 40) == 0 && h.n < FW_VERSIONS_MAX) {
+        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_RandBelow(&f, 100) * FW_MSEC);
+        if (Fw_RelayFleet_RandBelow(&f, 40) == 0 && h.n < FW_VERSIONS_MAX) {
             h.at_us[h.n++] = f.now_us; /* replaces the current version */
             Fw_Run_Trace(run, "version %d", h.n);
         }
-        if (Fw_RelayFleet_Below(&f, 50) == 0) {
+        if (Fw_RelayFleet_RandBelow(&f, 50) == 0) {
             f.sites[i].isolated = !f.sites[i].isolated;
         }
-        if (Fw_RelayFleet_Below(&f, 30) == 0) {
+        if (Fw_RelayFleet_RandBelow(&f, 30) == 0) {
             h.store_rejects[i] = !h.store_rejects[i];
         }
-        if (Fw_RelayFleet_Below(&f, 80) == 0) {
+        if (Fw_RelayFleet_RandBelow(&f, 80) == 0) {
             f.sites[i].frozen_until_us =
-                f.now_us + Fw_RelayFleet_Below(&f, 9 * FW_SEC);
+                f.now_us + Fw_RelayFleet_RandBelow(&f, 9 * FW_SEC);
         }
         for (int k = 0; k < f.n; k++) {
             update_config(&f, k, &h);
--- a/explore/relay_hubs.c
+++ b/explore/relay_hubs.c
@@ -19,7 +19,8 @@
     struct fw_rl_server_entry e = {
         .id = FW_SERVER, .service = "llm", .slots = 8, .born_ms = 1};
 
-    Fw_Relay_Server(s->relay, e.id, &e, Fw_RelayFleet_Now(f, i), &s->acts);
+    Fw_Relay_UpdateServer(s->relay, e.id, &e, Fw_RelayFleet_Now(f, i),
+                          &s->acts);
     g_array_set_size(s->acts.all, 0);
 }
 
@@ -30,17 +31,17 @@
     struct fw_relay *r = f->sites[i].relay;
     struct fw_rl_server *s = Fw_Servers_Find(r, FW_SERVER);
 
-    s->running = Fw_RelayFleet_Below(f, 9);
-    s->reserved = s->running * 1000;
-    Fw_Delta_Placed(r, s);
+    s->running = Fw_RelayFleet_RandBelow(f, 9);
+    s->kv_tokens = s->running * 1000;
+    Fw_Delta_NotePlacement(r, s);
 }
 
 static void
 inject_fault(struct fleet *f)
 {
-    int i = Fw_RelayFleet_Below(f, f->n);
+    int i = Fw_RelayFleet_RandBelow(f, f->n);
 
-    switch (Fw_RelayFleet_Below(f, 30)) {
+    switch (Fw_RelayFleet_RandBelow(f, 30)) {
     case 0:
         f->sites[i].isolated = 1;
         Fw_Run_Trace(f->run, "%s isolated", f->sites[i].name);
@@ -51,7 +52,7 @@
         break;
     case 2:
         f->sites[i].frozen_until_us =
-            f->now_us + Fw_RelayFleet_Below(f, 3 * FW_SEC);
+            f->now_us + Fw_RelayFleet_RandBelow(f, 3 * FW_SEC);
         Fw_Run_Trace(f->run, "%s frozen", f->sites[i].name);
         break;
     case 3:
@@ -97,7 +98,7 @@
                       f->sites[i].name, count, in_touch, f->n);
     }
     Fw_Place_Load(r, Fw_Servers_Find(r, FW_SERVER), now, &load);
-    if (load.running != running || load.reserved != running * 1000) {
+    if (load.running != running || load.kv_tokens != running * 1000) {
         Fw_Run_Breach(f->run, "%s computes a load of %d requests, expected %d",
                       f->sites[i].name, load.running, running);
     }
@@ -122,10 +123,10 @@
         list_server(&f, i);
     }
     for (int s = 0; s < run->steps; s++) {
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_Below(&f, FW_STEP_MAX_MS) *
+        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_RandBelow(&f, FW_STEP_MAX_MS) *
                                       FW_MSEC);
         inject_fault(&f);
-        set_load(&f, Fw_RelayFleet_Below(&f, f.n));
+        set_load(&f, Fw_RelayFleet_RandBelow(&f, f.n));
     }
     end_faults(&f);
     for (int i = 0; i < f.n; i++) {
--- a/explore/relay_orders.c
+++ b/explore/relay_orders.c
@@ -24,7 +24,7 @@
     int64_t sent_us;
     int64_t due_us;
     int decided;
-    enum fw_rl_claim result;
+    enum fw_rl_claim_result result;
     uint64_t offset;
 };
 
@@ -58,15 +58,15 @@
 
         g_snprintf(entry.id, sizeof(entry.id), "e%d", e);
         g_snprintf(entry.addr, sizeof(entry.addr), "10.1.0.%d:1", e);
-        Fw_Relay_Server(s->relay, entry.id, &entry,
-                        Fw_RelayFleet_Now(&w->f, i), &s->acts);
+        Fw_Relay_UpdateServer(s->relay, entry.id, &entry,
+                              Fw_RelayFleet_Now(&w->f, i), &s->acts);
     }
-    Fw_Relay_Fresh(s->relay, Fw_RelayFleet_Now(&w->f, i));
+    Fw_Relay_SetFreshAsOf(s->relay, Fw_RelayFleet_Now(&w->f, i));
 }
 
 /* Checks an order of instance @i against earlier ones and carries it out. */
 static void
-apply_order(struct order_world *w, int i, const struct fw_rl_up_call *c)
+apply_order(struct order_world *w, int i, const struct fw_rl_upstream_call *c)
 {
     int e = c->server[1] - '0';
 
@@ -95,24 +95,24 @@
 }
 
 static void
-respond(struct order_world *w, int i, const struct fw_rl_up_call *c)
+respond(struct order_world *w, int i, const struct fw_rl_upstream_call *c)
 {
     struct fleet_site *s = &w->f.sites[i];
     int e = c->server[1] - '0';
-    struct fw_rl_up_answer a = {
+    struct fw_rl_upstream_response a = {
         .status = 200, .stage = w->stage[e], .orders = w->orders[e]};
 
-    if (c->kind == FW_RL_UP_STAGE) {
+    if (c->kind == FW_RL_UP_SET_STAGE) {
         apply_order(w, i, c);
         a.status = 202;
     }
-    if (Fw_RelayFleet_Below(&w->f, 100) < 10) {
-        Fw_Relay_Failed(s->relay, c->xid, -110, 1, Fw_RelayFleet_Now(&w->f, i),
-                        &s->acts);
+    if (Fw_RelayFleet_RandBelow(&w->f, 100) < 10) {
+        Fw_Relay_UpstreamFailed(s->relay, c->xid, -110, 1,
+                                Fw_RelayFleet_Now(&w->f, i), &s->acts);
         return;
     }
-    Fw_Relay_Answered(s->relay, c->xid, &a, Fw_RelayFleet_Now(&w->f, i),
-                      &s->acts);
+    Fw_Relay_ResponseEnded(s->relay, c->xid, &a, Fw_RelayFleet_Now(&w->f, i),
+                           &s->acts);
 }
 
 static void
@@ -120,12 +120,12 @@
 {
     struct claim *c = g_new0(struct claim, 1);
 
-    *c = (struct claim){.site = i,
-                        .boot = w->f.sites[i].boot,
-                        .append_at = append_at,
-                        .sent_us = Fw_RelayFleet_Now(&w->f, i),
-                        .due_us = w->f.now_us +
-                                  Fw_RelayFleet_Below(&w->f, 900 * FW_MSEC)};
+    *c = (struct claim){
+        .site = i,
+        .boot = w->f.sites[i].boot,
+        .append_at = append_at,
+        .sent_us = Fw_RelayFleet_Now(&w->f, i),
+        .due_us = w->f.now_us + Fw_RelayFleet_RandBelow(&w->f, 900 * FW_MSEC)};
     g_ptr_array_add(w->claims, c);
 }
 
@@ -142,27 +142,27 @@
         struct fleet_site *s = &w->f.sites[c->site];
 
         if (w->f.now_us < c->due_us ||
-            (c->decided && !Fw_RelayFleet_Runs(&w->f, c->site))) {
+            (c->decided && !Fw_RelayFleet_IsRunning(&w->f, c->site))) {
             k++;
             continue;
         }
         if (!c->decided) {
             c->decided = 1;
-            c->result = c->append_at == w->log_end ? FW_RL_CLAIM_MADE
-                                                   : FW_RL_CLAIM_TAKEN;
-            w->log_end += c->result == FW_RL_CLAIM_MADE;
+            c->result = c->append_at == w->log_end ? FW_RL_CLAIM_WON
+                                                   : FW_RL_CLAIM_LOST;
+            w->log_end += c->result == FW_RL_CLAIM_WON;
             c->offset =
-                c->result == FW_RL_CLAIM_MADE ? w->log_end - 1 : w->log_end;
-            c->due_us += Fw_RelayFleet_Below(&w->f, 900 * FW_MSEC);
-            if (Fw_RelayFleet_Below(&w->f, 100) < 15) {
+                c->result == FW_RL_CLAIM_WON ? w->log_end - 1 : w->log_end;
+            c->due_us += Fw_RelayFleet_RandBelow(&w->f, 900 * FW_MSEC);
+            if (Fw_RelayFleet_RandBelow(&w->f, 100) < 15) {
                 c->result = FW_RL_CLAIM_UNKNOWN;
             }
             k++;
             continue;
         }
         if (c->boot == s->boot) {
-            Fw_Relay_Lead(s->relay, c->result, c->offset, c->sent_us,
-                          Fw_RelayFleet_Now(&w->f, c->site));
+            Fw_Relay_ClaimEnded(s->relay, c->result, c->offset, c->sent_us,
+                                Fw_RelayFleet_Now(&w->f, c->site));
         }
         g_ptr_array_remove_index(w->claims, k);
     }
@@ -173,17 +173,18 @@
 {
     struct fleet_site *s = &w->f.sites[i];
 
-    if (!Fw_RelayFleet_Runs(&w->f, i)) {
+    if (!Fw_RelayFleet_IsRunning(&w->f, i)) {
         return;
     }
     Fw_Relay_Tick(s->relay, Fw_RelayFleet_Now(&w->f, i), &s->acts);
     for (guint k = 0; k < s->acts.all->len; k++) {
-        struct fw_rl_act a = g_array_index(s->acts.all, struct fw_rl_act, k);
+        struct fw_rl_action a =
+            g_array_index(s->acts.all, struct fw_rl_action, k);
 
-        if (a.kind == FW_RL_DO_LEAD) {
+        if (a.kind == FW_RL_DO_CLAIM_ROLE) {
             send_claim(w, i, a.u.lead_end);
         }
-        else if (a.kind == FW_RL_DO_ASK) {
+        else if (a.kind == FW_RL_DO_CALL) {
             respond(w, i, &a.u.ask);
         }
     }
@@ -198,9 +199,9 @@
 
     r->version = 1;
     g_strlcpy(s->name, "llm", sizeof(s->name));
-    s->engines = 1;
+    s->has_engines = 1;
     s->engine = (struct fw_rl_engine_spec){
-        .slots = 8, .kv_tokens = 100000, .switch_us = 100 * FW_MSEC};
+        .slots = 8, .kv_tokens = 100000, .stage_change_us = 100 * FW_MSEC};
     return r;
 }
 
@@ -213,19 +214,20 @@
     Fw_RelayFleet_Init(&w.f, run, 3, rules);
     w.claims = g_ptr_array_new_with_free_func(g_free);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        int i = Fw_RelayFleet_Below(&w.f, w.f.n);
-        int e = Fw_RelayFleet_Below(&w.f, FW_ENGINE_COUNT);
-
-        Fw_RelayFleet_Advance(&w.f, Fw_RelayFleet_Below(&w.f, 200) * FW_MSEC);
-        if (Fw_RelayFleet_Below(&w.f, 8) == 0) {
-            w.stage[e] = Fw_RelayFleet_Below(&w.f, 2) ? FW_RL_STAGE_PREFILL
-                                                      : FW_RL_STAGE_DECODE;
+        int i = Fw_RelayFleet_RandBelow(&w.f, w.f.n);
+        int e = Fw_RelayFleet_RandBelow(&w.f, FW_ENGINE_COUNT);
+
+        Fw_RelayFleet_Advance(&w.f,
+                              Fw_RelayFleet_RandBelow(&w.f, 200) * FW_MSEC);
+        if (Fw_RelayFleet_RandBelow(&w.f, 8) == 0) {
+            w.stage[e] = Fw_RelayFleet_RandBelow(&w.f, 2) ? FW_RL_STAGE_PREFILL
+                                                          : FW_RL_STAGE_DECODE;
         }
-        if (Fw_RelayFleet_Below(&w.f, 25) == 0) {
+        if (Fw_RelayFleet_RandBelow(&w.f, 25) == 0) {
             w.f.sites[i].frozen_until_us =
-                w.f.now_us + Fw_RelayFleet_Below(&w.f, 7 * FW_SEC);
+                w.f.now_us + Fw_RelayFleet_RandBelow(&w.f, 7 * FW_SEC);
         }
-        if (Fw_RelayFleet_Below(&w.f, 150) == 0) {
+        if (Fw_RelayFleet_RandBelow(&w.f, 150) == 0) {
             Fw_RelayFleet_Restart(&w.f, i);
         }
         deliver_claims(&w);
--- a/explore/relay_requests.c
+++ b/explore/relay_requests.c
@@ -32,7 +32,7 @@
 
 /** struct pending - an upstream call; @begun: its response has begun. */
 struct pending {
-    struct fw_rl_up_call call;
+    struct fw_rl_upstream_call call;
     int begun;
 };
 
@@ -45,7 +45,7 @@
 struct req_world {
     struct fw_run *run;
     struct fw_relay *r;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     int64_t now_us;
     GPtrArray *pending;
     struct request_state requests[FW_REQUESTS_MAX];
@@ -90,29 +90,29 @@
 }
 
 static void
-apply_action(struct req_world *w, const struct fw_rl_act *a)
+apply_action(struct req_world *w, const struct fw_rl_action *a)
 {
     struct pending *p;
 
     switch (a->kind) {
-    case FW_RL_DO_ASK:
+    case FW_RL_DO_CALL:
         p = g_new0(struct pending, 1);
         p->call = a->u.ask;
         g_ptr_array_add(w->pending, p);
         break;
-    case FW_RL_DO_STOP_ASK:
+    case FW_RL_DO_CANCEL_CALL:
         p = find_pending(w, a->u.xid);
         if (p) {
             g_ptr_array_remove(w->pending, p);
         }
         break;
-    case FW_RL_DO_REFUSE:
+    case FW_RL_DO_REJECT:
         record_end(w, a->u.refuse.call, a->u.refuse.status == 503, "refused");
         break;
     case FW_RL_DO_FINISH:
         record_end(w, a->u.call, 0, "finished");
         break;
-    case FW_RL_DO_CUT:
+    case FW_RL_DO_ABORT:
         record_end(w, a->u.call, 0, "cut");
         break;
     default:
@@ -124,7 +124,8 @@
 apply_actions(struct req_world *w)
 {
     for (guint i = 0; i < w->acts.all->len; i++) {
-        struct fw_rl_act a = g_array_index(w->acts.all, struct fw_rl_act, i);
+        struct fw_rl_action a =
+            g_array_index(w->acts.all, struct fw_rl_action, i);
 
         apply_action(w, &a);
     }
@@ -147,26 +148,28 @@
 }
 
 static void
-allocate(struct req_world *w, struct fw_rl_up_answer *a, const char *prefix)
+allocate(struct req_world *w, struct fw_rl_upstream_response *a,
+         const char *prefix)
 {
     static int last_id;
 
-    g_snprintf(a->name, sizeof(a->name), "%s%d", prefix, ++last_id);
-    g_hash_table_add(w->held, g_strdup(a->name));
+    g_snprintf(a->handle, sizeof(a->handle), "%s%d", prefix, ++last_id);
+    g_hash_table_add(w->held, g_strdup(a->handle));
 }
 
 /* A run consumes its reservation and KV cache. */
 static void
-consume(struct req_world *w, const struct fw_rl_up_call *c)
+consume(struct req_world *w, const struct fw_rl_upstream_call *c)
 {
-    g_hash_table_remove(w->held, c->hold);
-    g_hash_table_remove(w->held, c->kv);
+    g_hash_table_remove(w->held, c->reservation);
+    g_hash_table_remove(w->held, c->kv_handle);
 }
 
 static void
 respond_to_run(struct req_world *w, struct pending *p)
 {
-    struct fw_rl_up_answer a = {.status = random_below(w, 5) ? 200 : 500};
+    struct fw_rl_upstream_response a = {.status =
+                                            random_below(w, 5) ? 200 : 500};
     uint64_t xid = p->call.xid;
 
     if (!p->begun && random_below(w, 6) == 0) {
@@ -176,14 +179,14 @@
     else if (!p->begun) {
         record_run(w, p->call.call);
         consume(w, &p->call);
-        if (!p->call.whole) {
+        if (!p->call.buffer_response) {
             p->begun = 1;
-            Fw_Relay_Begun(w->r, xid, &a, w->now_us, &w->acts);
+            Fw_Relay_ResponseBegan(w->r, xid, &a, w->now_us, &w->acts);
             return;
         }
     }
     g_ptr_array_remove(w->pending, p);
-    Fw_Relay_Answered(w->r, xid, &a, w->now_us, &w->acts);
+    Fw_Relay_ResponseEnded(w->r, xid, &a, w->now_us, &w->acts);
 }
 
 static void
@@ -198,14 +201,14 @@
         consume(w, &p->call);
     }
     g_ptr_array_remove(w->pending, p);
-    Fw_Relay_Failed(w->r, xid, sent ? -ECONNRESET : -ECONNREFUSED, sent,
-                    w->now_us, &w->acts);
+    Fw_Relay_UpstreamFailed(w->r, xid, sent ? -ECONNRESET : -ECONNREFUSED,
+                            sent, w->now_us, &w->acts);
 }
 
 static void
 advance_call(struct req_world *w, struct pending *p)
 {
-    struct fw_rl_up_answer a = {.status = 200};
+    struct fw_rl_upstream_response a = {.status = 200};
     uint64_t xid = p->call.xid;
 
     if (random_below(w, 8) == 0) {
@@ -216,7 +219,7 @@
     case FW_RL_UP_RUN:
         respond_to_run(w, p);
         return;
-    case FW_RL_UP_HOLD:
+    case FW_RL_UP_RESERVE:
         a.status = random_below(w, 4) ? 200 : 503;
         if (a.status == 200) {
             allocate(w, &a, "h");
@@ -229,18 +232,18 @@
             allocate(w, &a, "k");
         }
         break;
-    case FW_RL_UP_DROP_HOLD:
-        g_hash_table_remove(w->held, p->call.hold);
+    case FW_RL_UP_RELEASE:
+        g_hash_table_remove(w->held, p->call.reservation);
         break;
-    case FW_RL_UP_DROP_KV:
-        g_hash_table_remove(w->held, p->call.kv);
+    case FW_RL_UP_FREE_KV:
+        g_hash_table_remove(w->held, p->call.kv_handle);
         break;
     case FW_RL_UP_REPORT:
-    case FW_RL_UP_STAGE:
+    case FW_RL_UP_SET_STAGE:
         break;
     }
     g_ptr_array_remove(w->pending, p);
-    Fw_Relay_Answered(w->r, xid, &a, w->now_us, &w->acts);
+    Fw_Relay_ResponseEnded(w->r, xid, &a, w->now_us, &w->acts);
 }
 
 static void
@@ -248,10 +251,10 @@
 {
     static const char *const paths[] = {"/read/", "/order/", "/gen/"};
     int kind = random_below(w, 3);
-    struct fw_rl_ask ask = {.host = "h",
-                            .tokens_in = kind == 2 ? 1000 : -1,
-                            .tokens_out = kind == 2 ? 1000 : -1,
-                            .digest = (uint64_t)w->n};
+    struct fw_rl_request_info ask = {.host = "h",
+                                     .tokens_in = kind == 2 ? 1000 : -1,
+                                     .tokens_out_max = kind == 2 ? 1000 : -1,
+                                     .body_digest = (uint64_t)w->n};
     uint64_t id = (uint64_t)w->n++;
 
     w->requests[id].once = kind != 0;
@@ -267,7 +270,7 @@
 
     if (!w->requests[id].over) {
         record_end(w, id, 0, "left");
-        Fw_Relay_Gone(w->r, id, w->now_us, &w->acts);
+        Fw_Relay_CallerLeft(w->r, id, w->now_us, &w->acts);
     }
 }
 
@@ -286,11 +289,12 @@
     g_snprintf(e.addr, sizeof(e.addr), "10.0.0.%d:1", i + 1);
     g_strlcpy(e.service, i < FW_PLAIN_SERVERS ? "plain" : "llm",
               sizeof(e.service));
-    Fw_Relay_Server(w->r, e.id, &e, w->now_us, &w->acts);
+    Fw_Relay_UpdateServer(w->r, e.id, &e, w->now_us, &w->acts);
 }
 
 static void
-add_route(struct fw_rl_rules *rules, const char *prefix, enum fw_rl_kind kind)
+add_route(struct fw_rl_rules *rules, const char *prefix,
+          enum fw_rl_route_kind kind)
 {
     struct fw_rl_route_rule *r = Fw_Rules_AddRoute(rules);
 
@@ -319,8 +323,8 @@
                               .retry_extra = 1000,
                               .retry_window_us = 10 * FW_SEC,
                               .key_stale_us = 3600 * FW_SEC,
-                              .queue_us = 500 * FW_MSEC,
-                              .read_here_us = 600 * FW_MSEC,
+                              .queue_limit_us = 500 * FW_MSEC,
+                              .local_prefill_us = 600 * FW_MSEC,
                               .reserve_permille = 1000,
                               .prefill_permille = 400,
                               .lease_us = 3 * FW_SEC,
@@ -331,19 +335,19 @@
     w->r = Fw_Relay_New(&o, w->now_us);
     w->pending = g_ptr_array_new_with_free_func(g_free);
     w->held = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    Fw_Acts_Init(&w->acts);
+    Fw_RelayActions_Init(&w->acts);
     rules->version = 1;
     add_route(rules, "/read/", FW_RL_IDEMPOTENT);
-    add_route(rules, "/order/", FW_RL_ONCE);
+    add_route(rules, "/order/", FW_RL_NON_IDEMPOTENT);
     add_route(rules, "/gen/", FW_RL_STREAM);
     g_strlcpy(Fw_Rules_AddService(rules)->name, "plain", FW_NAME_MAX);
     s = Fw_Rules_AddService(rules);
     g_strlcpy(s->name, "llm", FW_NAME_MAX);
-    s->engines = 1;
+    s->has_engines = 1;
     s->engine = (struct fw_rl_engine_spec){
-        .slots = 8, .kv_tokens = 8000, .hold_us = 2 * FW_SEC};
+        .slots = 8, .kv_tokens = 8000, .reservation_ttl_us = 2 * FW_SEC};
     Fw_Rules_Index(rules);
-    Fw_Relay_Rules(w->r, rules, 1, w->now_us, &w->acts);
+    Fw_Relay_SetRules(w->r, rules, 1, w->now_us, &w->acts);
     Fw_Rules_Unref(rules);
     for (int i = 0; i < FW_SERVERS; i++) {
         update_server(w, i, 1);
@@ -386,9 +390,9 @@
         const struct fw_rl_server *s =
             FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (s->running || s->reserved || s->reading) {
+        if (s->running || s->kv_tokens || s->prefill_tokens) {
             Fw_Run_Breach(w->run, "%s still counts %d running, %d tokens",
-                          s->e.id, s->running, (int)s->reserved);
+                          s->entry.id, s->running, (int)s->kv_tokens);
         }
     }
     for (int i = 0; i < w->n; i++) {
@@ -421,7 +425,7 @@
         check_final_state(w);
     }
     Fw_Run_Trace(run, "%d requests", w->n);
-    Fw_Acts_Clear(&w->acts);
+    Fw_RelayActions_Clear(&w->acts);
     Fw_Relay_Free(w->r);
     g_ptr_array_unref(w->pending);
     g_hash_table_destroy(w->held);
--- a/src/decide/length.c
+++ b/src/decide/length.c
@@ -18,7 +18,8 @@
  * half the maximum, with the deviation of a uniform distribution.
  */
 static void
-prior_estimate(int64_t hint, int64_t max_tokens, struct fw_length_guess *out)
+prior_estimate(int64_t hint, int64_t max_tokens,
+               struct fw_length_estimate *out)
 {
     double middle = (double)max_tokens / 2;
 
@@ -64,8 +65,8 @@
 }
 
 void
-Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t max_tokens,
-               int64_t events)
+Fw_Length_Update(struct fw_length_model *l, int64_t hint, int64_t max_tokens,
+                 int64_t events)
 {
     double y = (double)events;
     double x;
@@ -108,8 +109,8 @@
 }
 
 void
-Fw_Length_Guess(const struct fw_length_model *l, int64_t hint,
-                int64_t max_tokens, struct fw_length_guess *out)
+Fw_Length_Estimate(const struct fw_length_model *l, int64_t hint,
+                   int64_t max_tokens, struct fw_length_estimate *out)
 {
     double per_event = Fw_Length_TokensPerEvent(l, max_tokens);
     double confidence = l->n / (l->n + FW_LENGTH_PRIOR_WEIGHT);
@@ -118,7 +119,7 @@
     double events = l->mean_events +
                     slope * (hint_or_mean(l, hint, max_tokens) - l->mean_hint);
     double spread = MAX(l->events_variance - slope * l->covariance, 0);
-    struct fw_length_guess prior;
+    struct fw_length_estimate prior;
 
     prior_estimate(hint, max_tokens, &prior);
     out->mean =
--- a/src/decide/length.h
+++ b/src/decide/length.h
@@ -42,7 +42,7 @@
  * struct fw_length_estimate - predicted length of one answer, in tokens.
  * @dev: standard deviation
  */
-struct fw_length_guess {
+struct fw_length_estimate {
     double mean;
     double dev;
 };
@@ -54,12 +54,12 @@
  * @events: length of the answer, events
  */
 void
-Fw_Length_Note(struct fw_length_model *l, int64_t hint, int64_t max_tokens,
-               int64_t events);
+Fw_Length_Update(struct fw_length_model *l, int64_t hint, int64_t max_tokens,
+                 int64_t events);
 /* Predicts the length of an answer to a request with @hint and @max_tokens. */
 void
-Fw_Length_Guess(const struct fw_length_model *l, int64_t hint,
-                int64_t max_tokens, struct fw_length_guess *out);
+Fw_Length_Estimate(const struct fw_length_model *l, int64_t hint,
+                   int64_t max_tokens, struct fw_length_estimate *out);
 /* Sets the ratio from an engine's report; ignored unless both are positive. */
 void
 Fw_Length_SetTokensPerEvent(struct fw_length_model *l, int64_t tokens,
--- a/src/decide/memory.c
+++ b/src/decide/memory.c
@@ -14,7 +14,7 @@
  * until it preempts them.
  */
 int64_t
-Fw_Memory_StreamTokens(int64_t in, const struct fw_length_guess *answer,
+Fw_Memory_StreamTokens(int64_t in, const struct fw_length_estimate *answer,
                        int64_t max_tokens, double generated)
 {
     double running_length =
@@ -29,8 +29,8 @@
  * length, which itself has the variance of the prediction.
  */
 int64_t
-Fw_Memory_Spare(const struct fw_length_guess *answer, int64_t max_tokens,
-                int n)
+Fw_Memory_Headroom(const struct fw_length_estimate *answer, int64_t max_tokens,
+                   int n)
 {
     double variance =
         answer->mean * answer->mean / 12 + answer->dev * answer->dev / 3;
--- a/src/decide/readers.c
+++ b/src/decide/prefill_pool.c
@@ -1,4 +1,4 @@
-#include "decide/readers.h"
+#include "decide/prefill_pool.h"
 
 #include <glib.h>
 #include <math.h>
@@ -26,7 +26,7 @@
 }
 
 void
-Fw_Reading_Note(struct fw_prefill_load *r, int64_t tokens, int64_t now_us)
+Fw_PrefillLoad_Add(struct fw_prefill_load *r, int64_t tokens, int64_t now_us)
 {
     r->sum = r->sum * decay((double)(now_us - r->at_us)) + (double)tokens;
     r->at_us = now_us;
@@ -37,7 +37,7 @@
 
 /* Normalizes by the time observed, so that it is unbiased after a start. */
 double
-Fw_Reading_Rate(const struct fw_prefill_load *r, int64_t now_us)
+Fw_PrefillLoad_Rate(const struct fw_prefill_load *r, int64_t now_us)
 {
     double observed_us = MAX((double)(now_us - r->since_us), FW_LOAD_MIN_US);
 
--- a/src/decide/learned.c
+++ b/src/decide/service_stats.c
@@ -1,4 +1,4 @@
-#include "decide/learned.h"
+#include "decide/service_stats.h"
 
 #include <glib.h>
 #include <string.h>
@@ -37,11 +37,11 @@
 #define FW_RETRY_MAX_US (15 * FW_SEC)
 
 void
-Fw_Learned_Init(struct fw_learned *l, const char *service)
+Fw_ServiceStats_Init(struct fw_service_stats *l, const char *service)
 {
     memset(l, 0, sizeof(*l));
     g_strlcpy(l->service, service, sizeof(l->service));
-    Fw_Mean_Init(&l->run_us, FW_STREAM_PRIOR_US, 0);
+    Fw_Mean_Init(&l->stream_us, FW_STREAM_PRIOR_US, 0);
     Fw_Mean_Init(&l->decode_tokens_per_us, FW_DECODE_PRIOR_TOKENS_PER_US, 0);
     Fw_Mean_Init(&l->prefill_us_per_token, FW_PREFILL_PRIOR_US_PER_TOKEN, 0);
     Fw_Mean_Init(&l->prefill_delay_us, 0, FW_PREFILL_DELAY_DEV_PRIOR_US);
@@ -50,9 +50,10 @@
 }
 
 void
-Fw_Learned_NoteRead(struct fw_learned *l, int64_t tokens, int64_t took_us)
+Fw_ServiceStats_NotePrefill(struct fw_service_stats *l, int64_t tokens,
+                            int64_t took_us)
 {
-    double delay = (double)(took_us - Fw_Learned_ReadTime(l, tokens));
+    double delay = (double)(took_us - Fw_ServiceStats_PrefillTime(l, tokens));
 
     Fw_Mean_Update(&l->prefill_delay_us, delay);
     Fw_Mean_Update(&l->prefill_us_per_token,
@@ -60,13 +61,13 @@
 }
 
 int64_t
-Fw_Learned_ReadTime(const struct fw_learned *l, int64_t tokens)
+Fw_ServiceStats_PrefillTime(const struct fw_service_stats *l, int64_t tokens)
 {
     return (int64_t)(l->prefill_us_per_token.mean * (double)tokens);
 }
 
 int64_t
-Fw_Learned_ReadSlack(const struct fw_learned *l)
+Fw_ServiceStats_PrefillSlack(const struct fw_service_stats *l)
 {
     double us = l->prefill_delay_us.mean +
                 FW_PREFILL_SLACK_DEVIATIONS * l->prefill_delay_us.dev;
@@ -80,7 +81,8 @@
  * request would take memory from those that can still meet theirs.
  */
 int64_t
-Fw_Learned_QueueTime(const struct fw_learned *l, int64_t objective_us)
+Fw_ServiceStats_QueueLimit(const struct fw_service_stats *l,
+                           int64_t objective_us)
 {
     double first_event = l->first_event_us.mean +
                          FW_FIRST_EVENT_DEVIATIONS * l->first_event_us.dev;
@@ -92,20 +94,20 @@
 }
 
 int64_t
-Fw_Learned_FullTime(const struct fw_learned *l, int running)
+Fw_ServiceStats_FullBackoff(const struct fw_service_stats *l, int running)
 {
-    double us = FW_FULL_BACKOFF_FRACTION * l->run_us.mean / MAX(running, 1);
+    double us = FW_FULL_BACKOFF_FRACTION * l->stream_us.mean / MAX(running, 1);
 
     return CLAMP((int64_t)us, FW_FULL_BACKOFF_MIN_US, FW_FULL_BACKOFF_MAX_US);
 }
 
 /* Many of the streams that now fill the engines have ended by then. */
 int64_t
-Fw_Learned_RetryAfter(const struct fw_learned *l, double chance)
+Fw_ServiceStats_RetryAfter(const struct fw_service_stats *l, double chance)
 {
     double fraction = FW_RETRY_MIN_FRACTION +
                       (FW_RETRY_MAX_FRACTION - FW_RETRY_MIN_FRACTION) * chance;
 
-    return CLAMP((int64_t)(l->run_us.mean * fraction), FW_RETRY_MIN_US,
+    return CLAMP((int64_t)(l->stream_us.mean * fraction), FW_RETRY_MIN_US,
                  FW_RETRY_MAX_US);
 }
--- a/src/decide/learned.h
+++ b/src/decide/service_stats.h
@@ -5,7 +5,7 @@
 #include "base/limits.h"
 #include "decide/length.h"
 #include "decide/mean.h"
-#include "decide/readers.h"
+#include "decide/prefill_pool.h"
 
 /**
  * struct fw_service_stats - moving statistics of one service.
@@ -20,43 +20,45 @@
  * @report_requested_us: when an engine was last asked for the tokens and
  *     events of its streams; 0 for never
  */
-struct fw_learned {
+struct fw_service_stats {
     char service[FW_NAME_MAX];
     struct fw_length_model length;
-    struct fw_moving_mean run_us;
+    struct fw_moving_mean stream_us;
     struct fw_moving_mean decode_tokens_per_us;
     struct fw_moving_mean prefill_us_per_token;
     struct fw_moving_mean prefill_delay_us;
     struct fw_moving_mean first_event_us;
-    struct fw_prefill_load reading;
+    struct fw_prefill_load prefill_load;
     int64_t report_requested_us;
 };
 
 void
-Fw_Learned_Init(struct fw_learned *l, const char *service);
+Fw_ServiceStats_Init(struct fw_service_stats *l, const char *service);
 /* Records a prefill's duration; @tokens: queued there, its own included. */
 void
-Fw_Learned_NoteRead(struct fw_learned *l, int64_t tokens, int64_t took_us);
+Fw_ServiceStats_NotePrefill(struct fw_service_stats *l, int64_t tokens,
+                            int64_t took_us);
 /* Predicted time in us to prefill @tokens, all those queued included. */
 int64_t
-Fw_Learned_ReadTime(const struct fw_learned *l, int64_t tokens);
+Fw_ServiceStats_PrefillTime(const struct fw_service_stats *l, int64_t tokens);
 /* Time in us to wait beyond the prediction before trying another engine. */
 int64_t
-Fw_Learned_ReadSlack(const struct fw_learned *l);
+Fw_ServiceStats_PrefillSlack(const struct fw_service_stats *l);
 /*
  * Longest time in us that a request may be queued for a reservation.
  * @objective_us: objective of its route, 0 for none
  */
 int64_t
-Fw_Learned_QueueTime(const struct fw_learned *l, int64_t objective_us);
+Fw_ServiceStats_QueueLimit(const struct fw_service_stats *l,
+                           int64_t objective_us);
 /*
  * Time in us before a reservation is requested again of an engine that
  * rejected one while @running streams ran there.
  */
 int64_t
-Fw_Learned_FullTime(const struct fw_learned *l, int running);
+Fw_ServiceStats_FullBackoff(const struct fw_service_stats *l, int running);
 /* Retry-After in us for a rejected stream; @chance: random, from 0 to 1. */
 int64_t
-Fw_Learned_RetryAfter(const struct fw_learned *l, double chance);
+Fw_ServiceStats_RetryAfter(const struct fw_service_stats *l, double chance);
 
 #endif
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <syslog.h>
 
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 static void
 add_metrics(struct fw_fleet *f, struct fw_metrics *metrics)
--- a/src/fleet/fleet_cmd.c
+++ b/src/fleet/fleet_cmd.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 /* Nonzero when @le is among the members of its region that this instance keeps
  * track of. The choice differs by instance, which spreads the load. */
--- a/src/fleet/rumour.c
+++ b/src/fleet/gossip.c
@@ -9,7 +9,7 @@
 #include <syslog.h>
 
 #include "base/fault.h"
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 #define RETRANSMIT_FACTOR 3
 
--- a/src/fleet/member_query.c
+++ b/src/fleet/member_query.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 const struct fw_member *
 Fw_Fleet_Pick(const struct fw_fleet *f, uint64_t key, int rank)
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -8,7 +8,7 @@
 #include <syslog.h>
 
 #include "base/hash.h"
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 #define DEAD_PINGS_PER_TICK 16
 
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -11,7 +11,7 @@
 #include <syslog.h>
 
 #include "base/hash.h"
-#include "fleet/role_slot.h"
+#include "fleet/role_internal.h"
 
 struct fw_roles *
 Fw_Roles_New(const struct fw_self *self, int partitions,
@@ -269,7 +269,8 @@
             .wait_us = -1,
         };
         g_strlcpy(rec.holder, r->self.name, sizeof(rec.holder));
-        if (s->claimed_us && now_us < s->claimed_us + FW_ROLE_FRESH_US) {
+        if (s->claimed_us &&
+            now_us < s->claimed_us + FW_ROLE_VIEW_MAX_AGE_US) {
             continue;
         }
         if (r->draining ? needs_handover(r, fleet, s, now_us, &rec)
@@ -308,7 +309,7 @@
     /* A claim based on an old view would likely be void. */
     if (r->append_ticket || now_us < r->next_append_us ||
         now_us < r->start_us + FW_ROLE_START_DELAY_US ||
-        now_us - r->view_us >= FW_ROLE_FRESH_US) {
+        now_us - r->view_us >= FW_ROLE_VIEW_MAX_AGE_US) {
         return;
     }
     append_claims(r, fleet, now_us, out);
--- a/src/fleet/role.h
+++ b/src/fleet/role.h
@@ -19,7 +19,7 @@
 #include "core/types.h"
 #include "fleet/fleet.h"
 
-#define FW_ROLE_FRESH_US (5 * FW_SEC)
+#define FW_ROLE_VIEW_MAX_AGE_US (5 * FW_SEC)
 #define FW_ROLE_DRIFT_PPM 1000 /* bound on the drift between clocks */
 
 /** struct fw_roles - all roles, as read from the log. */
@@ -97,6 +97,6 @@
 Fw_Roles_Key(enum fw_role_kind kind, int partition);
 /* Return: partition that @name is hashed to. */
 int
-Fw_Roles_Partition(const struct fw_roles *r, const char *name);
+Fw_Roles_PartitionOf(const struct fw_roles *r, const char *name);
 
 #endif
--- a/src/fleet/role_query.c
+++ b/src/fleet/role_query.c
@@ -4,7 +4,7 @@
 
 #include "base/fault.h"
 #include "base/hash.h"
-#include "fleet/role_slot.h"
+#include "fleet/role_internal.h"
 
 struct fw_role_slot *
 Fw_Role_Slot(const struct fw_roles *r, enum fw_role_kind kind, int partition)
@@ -45,7 +45,7 @@
     }
     /* Stops a holder that was paused or cut off and may have been replaced.
      * The wait of a new holder relies on this. */
-    if (now_us - r->view_us >= FW_ROLE_FRESH_US &&
+    if (now_us - r->view_us >= FW_ROLE_VIEW_MAX_AGE_US &&
         !FW_FAULT("role-stale-read")) {
         return -ESTALE;
     }
@@ -117,7 +117,7 @@
 }
 
 int
-Fw_Roles_Partition(const struct fw_roles *r, const char *name)
+Fw_Roles_PartitionOf(const struct fw_roles *r, const char *name)
 {
     return (int)(Fw_Hash_Str(name) % (uint64_t)r->partitions);
 }
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -6,7 +6,7 @@
 #include <syslog.h>
 
 #include "base/fault.h"
-#include "fleet/role_slot.h"
+#include "fleet/role_internal.h"
 
 char *
 Fw_Role_Format(const struct fw_role_record *rec)
@@ -110,7 +110,7 @@
         return now_us + Fw_Role_WithDrift(rec->wait_us);
     }
     return now_us +
-           Fw_Role_WithDrift(FW_ROLE_FRESH_US + r->wait_us[rec->kind]);
+           Fw_Role_WithDrift(FW_ROLE_VIEW_MAX_AGE_US + r->wait_us[rec->kind]);
 }
 
 void
--- a/src/limit/handover.c
+++ b/src/limit/handover.c
@@ -6,7 +6,7 @@
  */
 #include <string.h>
 
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 #define OFFER_INTERVAL_US (150 * FW_MSEC)
 
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "base/fault.h"
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 #define RETRY_DELAY_MAX_US (3 * FW_SEC)
 
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "base/fault.h"
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 int64_t
 Fw_Ledger_MaxLeaseUs(const struct fw_limit *l)
--- a/src/limit/renew.c
+++ b/src/limit/ledger_renew.c
@@ -5,7 +5,7 @@
 #include <errno.h>
 #include <string.h>
 
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 /* Part of a team's rate leased out by demand; the rest stays unleased. */
 #define LEASED_PART_MAX 0.75
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "base/fault.h"
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 static void
 add_metric(struct fw_metrics *metrics, struct fw_metric *m, const char *name,
@@ -150,7 +150,7 @@
     if (!s) {
         s = g_new0(struct fw_team_share, 1);
         g_strlcpy(s->name, team, sizeof(s->name));
-        s->partition = Fw_Roles_Partition(l->roles, team);
+        s->partition = Fw_Roles_PartitionOf(l->roles, team);
         s->removed = 1;
         s->grants = g_array_new(FALSE, TRUE, sizeof(struct fw_lease_grant));
         s->unleased.at_us = now_us;
@@ -256,7 +256,7 @@
     g_hash_table_iter_init(&it, cfg->teams);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_team *team = value;
-        int p = Fw_Roles_Partition(l->roles, team->name);
+        int p = Fw_Roles_PartitionOf(l->roles, team->name);
         if (l->partitions[p].ledger || Fw_TeamShare_Find(l, team->name)) {
             Fw_Ledger_AddTeam(l, Fw_TeamShare_Get(l, team, now_us), now_us);
         }
--- a/src/limit/limit.h
+++ b/src/limit/limit.h
@@ -45,15 +45,16 @@
  * suffice, else after peers were asked in turn, within a bounded time.
  */
 void
-Fw_Limit_Ask(struct fw_limit *l, const struct fw_team *team, uint64_t ticket,
-             int64_t tokens, int64_t now_us, struct fw_actions *out);
+Fw_Limit_Request(struct fw_limit *l, const struct fw_team *team,
+                 uint64_t ticket, int64_t tokens, int64_t now_us,
+                 struct fw_actions *out);
 /* Return: nonzero when a result was stored in @ans, 0 when none is left. */
 int
 Fw_Limit_TakeAnswer(struct fw_limit *l, struct fw_limit_answer *ans);
 /* Cancels a request without a result; tokens collected for it, or granted
  * later, are returned. */
 void
-Fw_Limit_Forget(struct fw_limit *l, uint64_t ticket);
+Fw_Limit_Cancel(struct fw_limit *l, uint64_t ticket);
 /* Returns @tokens that a finished request was granted but did not use. */
 void
 Fw_Limit_Refund(struct fw_limit *l, const struct fw_team *team, int64_t tokens,
--- a/src/limit/serve.c
+++ b/src/limit/peer_grant.c
@@ -1,7 +1,7 @@
 /* Grants to peers, and returns of tokens. */
 #include <string.h>
 
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 static void
 expire_grants(struct fw_limit *l, int64_t now_us)
--- a/src/limit/ask.c
+++ b/src/limit/token_request.c
@@ -6,7 +6,7 @@
  */
 #include <string.h>
 
-#include "limit/share.h"
+#include "limit/limit_internal.h"
 
 /* Ends the reservations, since all tokens are spent now. Peers are told of
  * large grants only; small ones expire there. */
@@ -227,8 +227,9 @@
 }
 
 void
-Fw_Limit_Ask(struct fw_limit *l, const struct fw_team *team, uint64_t ticket,
-             int64_t tokens, int64_t now_us, struct fw_actions *out)
+Fw_Limit_Request(struct fw_limit *l, const struct fw_team *team,
+                 uint64_t ticket, int64_t tokens, int64_t now_us,
+                 struct fw_actions *out)
 {
     struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
     struct fw_token_request *a = g_new0(struct fw_token_request, 1);
@@ -329,7 +330,7 @@
 }
 
 void
-Fw_Limit_Forget(struct fw_limit *l, uint64_t ticket)
+Fw_Limit_Cancel(struct fw_limit *l, uint64_t ticket)
 {
     struct fw_list *pos;
 
--- a/src/node/upkeep.c
+++ b/src/node/maintenance.c
@@ -131,7 +131,7 @@
         node->configured_us = now_us;
     }
     node->warm = now_us - node->configured_us >= FW_WARM_UP_MAX_US ||
-                 (leaders_known(node) && Fw_Router_Heard(node->router));
+                 (leaders_known(node) && Fw_Router_IsReady(node->router));
     Fw_Actions_Wake(out, now_us + FW_WARM_UP_CHECK_US);
 }
 
--- a/src/order/order.c
+++ b/src/order/order.c
@@ -80,7 +80,7 @@
 may_act(const struct fw_orders *o, const char *pool, int64_t now_us,
         uint64_t *fence)
 {
-    int partition = Fw_Roles_Partition(o->roles, pool);
+    int partition = Fw_Roles_PartitionOf(o->roles, pool);
 
     return Fw_Roles_MayAct(o->roles, FW_ROLE_ORDER, partition, now_us, fence);
 }
--- a/src/relay/acts.c
+++ b/src/relay/actions.c
@@ -4,13 +4,13 @@
 #include "relay/relay_internal.h"
 
 void
-Fw_Acts_Init(struct fw_rl_acts *acts)
+Fw_RelayActions_Init(struct fw_rl_actions *acts)
 {
-    acts->all = g_array_new(FALSE, TRUE, sizeof(struct fw_rl_act));
+    acts->all = g_array_new(FALSE, TRUE, sizeof(struct fw_rl_action));
 }
 
 void
-Fw_Acts_Clear(struct fw_rl_acts *acts)
+Fw_RelayActions_Clear(struct fw_rl_actions *acts)
 {
     if (acts->all) {
         g_array_unref(acts->all);
@@ -18,13 +18,13 @@
     }
 }
 
-struct fw_rl_act *
-Fw_Acts_Add(struct fw_rl_acts *acts, enum fw_rl_act_kind kind)
+struct fw_rl_action *
+Fw_RelayActions_Add(struct fw_rl_actions *acts, enum fw_rl_action_kind kind)
 {
-    struct fw_rl_act *a;
+    struct fw_rl_action *a;
 
     g_array_set_size(acts->all, acts->all->len + 1);
-    a = &g_array_index(acts->all, struct fw_rl_act, acts->all->len - 1);
+    a = &g_array_index(acts->all, struct fw_rl_action, acts->all->len - 1);
     a->kind = kind;
     return a;
 }
@@ -34,14 +34,14 @@
  * the line stays valid JSON.
  */
 static void
-wrap_truncated_text(char text[FW_RL_LOG_TEXT])
+wrap_truncated_text(char text[FW_RL_LOG_TEXT_MAX])
 {
     static const char head[] = "\"cut_off\":\"";
     size_t at = sizeof(head) - 1;
     char *copy = g_strdup(text);
 
     memcpy(text, head, at);
-    for (const char *p = copy; *p && at < FW_RL_LOG_TEXT - 2; p++) {
+    for (const char *p = copy; *p && at < FW_RL_LOG_TEXT_MAX - 2; p++) {
         text[at++] = *p == '"' || *p == '\\' ? '\'' : *p;
     }
     text[at++] = '"';
@@ -50,23 +50,23 @@
 }
 
 void
-Fw_Acts_Log(struct fw_rl_acts *acts, const struct fw_relay *r, int severity,
-            const char *event, const char *fmt, ...)
+Fw_RelayActions_Log(struct fw_rl_actions *acts, const struct fw_relay *r,
+                    int severity, const char *event, const char *fmt, ...)
 {
-    struct fw_rl_act *a;
+    struct fw_rl_action *a;
     va_list ap;
     int n;
 
     if (severity > r->opts.log_level) {
         return;
     }
-    a = Fw_Acts_Add(acts, FW_RL_DO_LOG);
+    a = Fw_RelayActions_Add(acts, FW_RL_DO_LOG);
     a->u.log.severity = severity;
     a->u.log.event = event;
     va_start(ap, fmt);
     n = vsnprintf(a->u.log.text, sizeof(a->u.log.text), fmt, ap);
     va_end(ap);
-    if (n >= FW_RL_LOG_TEXT) {
+    if (n >= FW_RL_LOG_TEXT_MAX) {
         wrap_truncated_text(a->u.log.text);
     }
 }
--- a/src/relay/allowance.c
+++ b/src/relay/allowance.c
@@ -88,7 +88,7 @@
     int64_t over = r->opts.overage_ppm * FW_OVERAGE_PERMILLE / 1000;
     int64_t rate = t->rate + t->rate * over / 1000000;
     int64_t burst =
-        t->burst + r->opts.tolerance * FW_TOLERANCE_PERMILLE / 1000;
+        t->burst + r->opts.tolerance_tokens * FW_TOLERANCE_PERMILLE / 1000;
 
     if (p->rate == rate && p->burst == burst) {
         return;
@@ -128,7 +128,7 @@
 
 void
 Fw_Allowance_ApplyRules(struct fw_relay *r, int64_t now_us,
-                        struct fw_rl_acts *out)
+                        struct fw_rl_actions *out)
 {
     for (guint i = 0; i < r->rules->teams->len; i++) {
         const struct fw_rl_team_rule *t =
@@ -137,10 +137,10 @@
         if (t->rate > 0) {
             find_or_add_bucket(r, t, now_us);
         }
-        Fw_Acts_Log(out, r, LOG_DEBUG, "team_limit",
-                    "\"team\":\"%s\",\"rate\":%" G_GINT64_FORMAT
-                    ",\"burst\":%" G_GINT64_FORMAT,
-                    t->name, t->rate, t->burst);
+        Fw_RelayActions_Log(out, r, LOG_DEBUG, "team_limit",
+                            "\"team\":\"%s\",\"rate\":%" G_GINT64_FORMAT
+                            ",\"burst\":%" G_GINT64_FORMAT,
+                            t->name, t->rate, t->burst);
     }
 }
 
@@ -152,7 +152,7 @@
 required_level(const struct fw_relay *r, const struct fw_rl_allowance *p,
                int64_t cost)
 {
-    int64_t part = r->opts.tolerance * FW_OVERDRAFT_PERMILLE / 1000;
+    int64_t part = r->opts.tolerance_tokens * FW_OVERDRAFT_PERMILLE / 1000;
     double overdraft = (double)part * p->fleet_share;
 
     if ((double)cost * FW_SMALL_COST_DIVISOR <= overdraft) {
@@ -165,15 +165,15 @@
 static void
 schedule_messages(struct fw_relay *r, const struct fw_rl_allowance *p)
 {
-    int64_t known = r->x.is_hub ? p->sent : p->reported;
-    int64_t unsent = p->spent + p->leaves - known;
+    int64_t known = r->x.is_hub ? p->digest_spent : p->report_spent;
+    int64_t unsent = p->spent + p->leaf_spent - known;
 
     if (p->level >= FW_SEND_SOON_LEVEL * capacity(p)) {
         return;
     }
-    r->x.wants = 1;
-    r->x.wants_delta |= (double)unsent > FW_SEND_AT_ONCE_SPENT * capacity(p);
-    r->x.wants_push |=
+    r->x.send_soon = 1;
+    r->x.delta_pending |= (double)unsent > FW_SEND_AT_ONCE_SPENT * capacity(p);
+    r->x.push_pending |=
         r->x.is_hub && p->level < FW_PUSH_TO_LEAVES_LEVEL * capacity(p);
 }
 
@@ -202,7 +202,7 @@
 }
 
 void
-Fw_Allowance_Return(struct fw_relay *r, const char *team, int64_t cost)
+Fw_Allowance_Refund(struct fw_relay *r, const char *team, int64_t cost)
 {
     struct fw_rl_allowance *p = find_bucket(r, Fw_Hash_Str(team));
 
@@ -213,8 +213,8 @@
 }
 
 void
-Fw_Allowance_Others(struct fw_relay *r, uint64_t hash, int64_t tokens,
-                    int64_t level, int64_t now_us)
+Fw_Allowance_NoteHubSpending(struct fw_relay *r, uint64_t hash, int64_t tokens,
+                             int64_t level, int64_t now_us)
 {
     struct fw_rl_allowance *p = find_bucket(r, hash);
 
@@ -223,7 +223,7 @@
     }
     /* Refill before subtracting: a full bucket earns nothing meanwhile. */
     refill(r, p, now_us);
-    r->x.wants_push |=
+    r->x.push_pending |=
         tokens > 0 && p->level < FW_PUSH_TO_LEAVES_LEVEL * capacity(p);
     if (!p->adopted && now_us - p->created_us < FW_ADOPT_US) {
         p->adopted = 1;
@@ -237,8 +237,8 @@
 }
 
 void
-Fw_Allowance_Leaf(struct fw_relay *r, uint64_t hash, int64_t tokens,
-                  int64_t now_us)
+Fw_Allowance_NoteLeafSpending(struct fw_relay *r, uint64_t hash,
+                              int64_t tokens, int64_t now_us)
 {
     struct fw_rl_allowance *p = find_bucket(r, hash);
 
@@ -247,7 +247,7 @@
     }
     refill(r, p, now_us);
     p->level = MIN(p->level - (double)tokens, capacity(p));
-    p->leaves += tokens;
+    p->leaf_spent += tokens;
     schedule_messages(r, p);
 }
 
@@ -262,8 +262,8 @@
 }
 
 void
-Fw_Allowance_Hub(struct fw_relay *r, const struct fw_rl_level *level,
-                 int64_t now_us)
+Fw_Allowance_ApplyHubLevel(struct fw_relay *r,
+                           const struct fw_rl_hub_level *level, int64_t now_us)
 {
     struct fw_rl_allowance *p = find_bucket(r, level->hash);
     double left;
@@ -271,14 +271,14 @@
     if (!p) {
         return;
     }
-    left = (double)(level->level - (p->spent - level->counted));
-    if (level->may_rise || left < p->level) {
+    left = (double)(level->level - (p->spent - level->acknowledged));
+    if (level->is_current || left < p->level) {
         set_level(r, p, left, now_us);
     }
 }
 
 void
-Fw_Allowance_Counted(struct fw_relay *r, int64_t now_us)
+Fw_Allowance_AcknowledgeReport(struct fw_relay *r, int64_t now_us)
 {
     GHashTableIter it;
     gpointer v;
@@ -287,9 +287,9 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct fw_rl_allowance *p = v;
 
-        p->counted = p->reported;
+        p->acknowledged = p->report_spent;
         refill(r, p, now_us);
-        set_level(r, p, capacity(p) - (double)(p->spent - p->reported),
+        set_level(r, p, capacity(p) - (double)(p->spent - p->report_spent),
                   now_us);
     }
 }
@@ -303,8 +303,8 @@
 }
 
 void
-Fw_Allowance_Explain(const struct fw_relay *r, const char *team,
-                     int64_t *level, int *part_permille)
+Fw_Allowance_Describe(const struct fw_relay *r, const char *team,
+                      int64_t *level, int *part_permille)
 {
     const struct fw_rl_allowance *p = find_bucket(r, Fw_Hash_Str(team));
 
--- a/src/relay/call.c
+++ b/src/relay/call.c
@@ -8,9 +8,9 @@
 #include "relay/relay_internal.h"
 
 struct fw_rl_op *
-Fw_Call_Ask(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-            struct fw_rl_up_call *up, int64_t until_us, int64_t now_us,
-            struct fw_rl_acts *out)
+Fw_Call_Upstream(struct fw_relay *r, struct fw_rl_call *c,
+                 struct fw_rl_server *s, struct fw_rl_upstream_call *up,
+                 int64_t until_us, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_op *op = g_new0(struct fw_rl_op, 1);
 
@@ -19,14 +19,14 @@
     op->call = c;
     op->server = Fw_Servers_Ref(s);
     op->sent_us = now_us;
-    op->until_us = until_us;
+    op->deadline_us = until_us;
     Fw_List_Append(&r->op_list, &op->link);
     g_hash_table_insert(r->ops, &op->xid, op);
     up->xid = op->xid;
     up->call = c ? c->id : 0;
-    g_strlcpy(up->addr, s->e.addr, sizeof(up->addr));
-    g_strlcpy(up->server, s->e.id, sizeof(up->server));
-    Fw_Acts_Add(out, FW_RL_DO_ASK)->u.ask = *up;
+    g_strlcpy(up->addr, s->entry.addr, sizeof(up->addr));
+    g_strlcpy(up->server, s->entry.id, sizeof(up->server));
+    Fw_RelayActions_Add(out, FW_RL_DO_CALL)->u.ask = *up;
     if (c) {
         c->op = op;
     }
@@ -51,48 +51,49 @@
  */
 static void
 free_at_engine(struct fw_relay *r, struct fw_rl_server *s,
-               enum fw_rl_up_kind kind, const char *name, int64_t now_us,
-               struct fw_rl_acts *out)
+               enum fw_rl_upstream_kind kind, const char *name, int64_t now_us,
+               struct fw_rl_actions *out)
 {
-    struct fw_rl_up_call up = {.kind = kind,
-                               .urgency = -1,
-                               .whole = 1,
-                               .reuse_us = FW_RL_REUSE_US,
-                               .connect_us = FW_RL_CONNECT_US};
+    struct fw_rl_upstream_call up = {.kind = kind,
+                                     .priority = -1,
+                                     .buffer_response = 1,
+                                     .reuse_us = FW_RL_REUSE_US,
+                                     .connect_us = FW_RL_CONNECT_TIMEOUT_US};
 
     if (s->gone) {
         return;
     }
-    g_strlcpy(kind == FW_RL_UP_DROP_HOLD ? up.hold : up.kv, name,
+    g_strlcpy(kind == FW_RL_UP_RELEASE ? up.reservation : up.kv_handle, name,
               FW_RL_KEY_MAX);
-    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_RL_HOUSEKEEPING_US, now_us, out);
+    Fw_Call_Upstream(r, NULL, s, &up, now_us + FW_RL_RELEASE_TIMEOUT_US,
+                     now_us, out);
 }
 
 void
-Fw_Call_ReadDone(struct fw_rl_call *c)
+Fw_Call_EndPrefill(struct fw_rl_call *c)
 {
-    if (c->reading && c->reader) {
-        c->reader->reading -= c->ask.tokens_in;
-        c->reading = 0;
+    if (c->is_prefilling && c->prefill_server) {
+        c->prefill_server->prefill_tokens -= c->info.tokens_in;
+        c->is_prefilling = 0;
     }
 }
 
 static void
 leave_prefill_engine(struct fw_rl_call *c)
 {
-    Fw_Call_ReadDone(c);
-    if (c->reader) {
-        Fw_Servers_Unref(c->reader);
-        c->reader = NULL;
+    Fw_Call_EndPrefill(c);
+    if (c->prefill_server) {
+        Fw_Servers_Unref(c->prefill_server);
+        c->prefill_server = NULL;
     }
 }
 
 void
-Fw_Call_LeaveServer(struct fw_rl_call *c)
+Fw_Call_DetachServer(struct fw_rl_call *c)
 {
     if (c->server) {
         c->server->running--;
-        c->server->reserved -= c->need;
+        c->server->kv_tokens -= c->kv_tokens;
         Fw_Servers_Unref(c->server);
         c->server = NULL;
     }
@@ -101,130 +102,135 @@
 /* A prefill that is still in progress has no KV cache to free yet. */
 void
 Fw_Call_Release(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-                struct fw_rl_acts *out)
+                struct fw_rl_actions *out)
 {
     if (c->op) {
-        Fw_Acts_Add(out, FW_RL_DO_STOP_ASK)->u.xid = c->op->xid;
+        Fw_RelayActions_Add(out, FW_RL_DO_CANCEL_CALL)->u.xid = c->op->xid;
         Fw_Op_End(r, c->op);
     }
-    if (c->kv[0] && c->reader) {
-        free_at_engine(r, c->reader, FW_RL_UP_DROP_KV, c->kv, now_us, out);
+    if (c->kv_handle[0] && c->prefill_server) {
+        free_at_engine(r, c->prefill_server, FW_RL_UP_FREE_KV, c->kv_handle,
+                       now_us, out);
     }
-    if (c->hold[0] && c->server) {
-        free_at_engine(r, c->server, FW_RL_UP_DROP_HOLD, c->hold, now_us, out);
+    if (c->reservation[0] && c->server) {
+        free_at_engine(r, c->server, FW_RL_UP_RELEASE, c->reservation, now_us,
+                       out);
     }
-    c->kv[0] = 0;
-    c->hold[0] = 0;
+    c->kv_handle[0] = 0;
+    c->reservation[0] = 0;
     leave_prefill_engine(c);
-    Fw_Call_LeaveServer(c);
+    Fw_Call_DetachServer(c);
 }
 
 void
 Fw_Call_End(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-            struct fw_rl_acts *out)
+            struct fw_rl_actions *out)
 {
     Fw_Call_Release(r, c, now_us, out);
     if (c->item.team) {
         Fw_Queue_Remove(&r->queue, &c->item);
     }
-    if (c->ran == FW_RAN_NO && c->paid) {
-        Fw_Allowance_Return(r, c->team, c->cost);
+    if (c->ran == FW_RAN_NO && c->is_charged) {
+        Fw_Allowance_Refund(r, c->team, c->cost);
     }
     g_hash_table_remove(r->calls, &c->id);
     Fw_List_Remove(&c->link);
     g_free(c);
     if (r->queue.n) {
-        Fw_Stream_Pump(r, now_us, out);
+        Fw_Stream_PlaceQueued(r, now_us, out);
     }
 }
 
 void
-Fw_Call_Refuse(struct fw_relay *r, struct fw_rl_call *c, int status,
+Fw_Call_Reject(struct fw_relay *r, struct fw_rl_call *c, int status,
                int64_t retry_us, const char *reason, int64_t now_us,
-               struct fw_rl_acts *out)
+               struct fw_rl_actions *out)
 {
-    struct fw_rl_act *a;
+    struct fw_rl_action *a;
 
     /* 429 and 503 guarantee that the request has not run and will not. */
     if (c->ran != FW_RAN_NO && (status == 503 || status == 429)) {
         status = 502;
     }
-    Fw_Relay_CountReason(r, reason);
+    Fw_Relay_CountRejection(r, reason);
     if (status == 502 || status == 504) {
         retry_us = 0;
         r->n.failed.value++;
     }
     else {
-        r->n.refused.value++;
-    }
-    Fw_Acts_Log(out, r, LOG_WARNING, "refused",
-                "\"id\":\"%s\",\"route\":\"%s\",\"team\":\"%s\","
-                "\"status\":%d,\"reason\":\"%s\",\"ran\":\"%s\","
-                "\"cost\":%" G_GINT64_FORMAT ","
-                "\"tries\":%d,\"after_ms\":%" G_GINT64_FORMAT
-                ",\"retry_ms\":%" G_GINT64_FORMAT,
-                c->ask.id, c->route.name, c->team, status, reason,
-                Fw_Ran_Name(c->ran), c->cost, c->tries,
-                Fw_Relay_Ms(now_us - c->opened_us), Fw_Relay_Ms(retry_us));
-    a = Fw_Acts_Add(out, FW_RL_DO_REFUSE);
-    a->u.refuse = (struct fw_rl_refusal){.call = c->id,
-                                         .status = status,
-                                         .retry_us = retry_us,
-                                         .reason = reason,
-                                         .ran = c->ran};
+        r->n.rejected.value++;
+    }
+    Fw_RelayActions_Log(out, r, LOG_WARNING, "refused",
+                        "\"id\":\"%s\",\"route\":\"%s\",\"team\":\"%s\","
+                        "\"status\":%d,\"reason\":\"%s\",\"ran\":\"%s\","
+                        "\"cost\":%" G_GINT64_FORMAT ","
+                        "\"tries\":%d,\"after_ms\":%" G_GINT64_FORMAT
+                        ",\"retry_ms\":%" G_GINT64_FORMAT,
+                        c->info.id, c->route.name, c->team, status, reason,
+                        Fw_Ran_Name(c->ran), c->cost, c->attempts,
+                        Fw_Relay_UsToMs(now_us - c->opened_us),
+                        Fw_Relay_UsToMs(retry_us));
+    a = Fw_RelayActions_Add(out, FW_RL_DO_REJECT);
+    a->u.refuse = (struct fw_rl_rejection){.call = c->id,
+                                           .status = status,
+                                           .retry_us = retry_us,
+                                           .reason = reason,
+                                           .ran = c->ran};
     Fw_Call_End(r, c, now_us, out);
 }
 
 void
-Fw_Call_Pass(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-             struct fw_rl_acts *out)
+Fw_Call_Forward(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+                struct fw_rl_actions *out)
 {
-    struct fw_rl_act *a = Fw_Acts_Add(out, FW_RL_DO_PASS);
+    struct fw_rl_action *a = Fw_RelayActions_Add(out, FW_RL_DO_FORWARD);
 
     a->u.pass.call = c->id;
     a->u.pass.xid = c->op->xid;
-    c->passed = 1;
-    c->first_us = now_us;
+    c->is_forwarded = 1;
+    c->response_us = now_us;
     c->ran = FW_RAN_YES;
-    Fw_Histogram_Add(&r->n.first_s, now_us - c->opened_us);
-    r->n.passed.value++;
+    Fw_Histogram_Add(&r->n.response_s, now_us - c->opened_us);
+    r->n.forwarded.value++;
 }
 
 /* Milliseconds from @c's arrival to @us, or -1 if @us is unset. */
 static int64_t
 ms_since_arrival(const struct fw_rl_call *c, int64_t us)
 {
-    return us ? Fw_Relay_Ms(us - c->opened_us) : -1;
+    return us ? Fw_Relay_UsToMs(us - c->opened_us) : -1;
 }
 
 /* Sampled by the request's id: all its log lines are kept, or none. */
 int
-Fw_Call_Severity(const struct fw_relay *r, const struct fw_rl_call *c)
+Fw_Call_LogSeverity(const struct fw_relay *r, const struct fw_rl_call *c)
 {
     uint64_t sample = (uint64_t)MAX(r->opts.log_sample, 1);
 
-    return Fw_Hash_Str(c->ask.id) % sample == 0 ? LOG_INFO : LOG_DEBUG;
+    return Fw_Hash_Str(c->info.id) % sample == 0 ? LOG_INFO : LOG_DEBUG;
 }
 
 void
 Fw_Call_Finish(struct fw_relay *r, struct fw_rl_call *c, int whole,
-               int64_t now_us, struct fw_rl_acts *out)
+               int64_t now_us, struct fw_rl_actions *out)
 {
     if (whole) {
-        Fw_Histogram_Add(&r->n.whole_s, now_us - c->opened_us);
+        Fw_Histogram_Add(&r->n.total_s, now_us - c->opened_us);
     }
     else {
-        r->n.cut.value++;
+        r->n.aborted.value++;
     }
-    Fw_Acts_Log(
+    Fw_RelayActions_Log(
         out, r, whole ? LOG_INFO : LOG_WARNING, whole ? "answered" : "cut",
         "\"id\":\"%s\",\"route\":\"%s\",\"server\":\"%s\","
         "\"tries\":%d,\"room_ms\":%" G_GINT64_FORMAT
         ",\"sent_ms\":%" G_GINT64_FORMAT ",\"first_ms\":%" G_GINT64_FORMAT
         ",\"took_ms\":%" G_GINT64_FORMAT,
-        c->ask.id, c->route.name, c->server ? c->server->e.id : "", c->tries,
-        ms_since_arrival(c, c->room_us), ms_since_arrival(c, c->run_us),
-        ms_since_arrival(c, c->first_us), Fw_Relay_Ms(now_us - c->opened_us));
-    Fw_Acts_Add(out, whole ? FW_RL_DO_FINISH : FW_RL_DO_CUT)->u.call = c->id;
+        c->info.id, c->route.name, c->server ? c->server->entry.id : "",
+        c->attempts, ms_since_arrival(c, c->reserved_us),
+        ms_since_arrival(c, c->sent_us), ms_since_arrival(c, c->response_us),
+        Fw_Relay_UsToMs(now_us - c->opened_us));
+    Fw_RelayActions_Add(out, whole ? FW_RL_DO_FINISH : FW_RL_DO_ABORT)
+        ->u.call = c->id;
     Fw_Call_End(r, c, now_us, out);
 }
--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -18,13 +18,13 @@
 static int64_t
 total_spent(const struct fw_rl_allowance *p)
 {
-    return p->spent + p->leaves;
+    return p->spent + p->leaf_spent;
 }
 
 static int
 should_send(const struct fw_rl_allowance *p, int only_unsent)
 {
-    return !only_unsent || total_spent(p) != p->sent;
+    return !only_unsent || total_spent(p) != p->digest_spent;
 }
 
 void
@@ -50,16 +50,16 @@
         msgpack_pack_uint64(pk, p->hash);
         msgpack_pack_int64(pk, total_spent(p));
         msgpack_pack_int64(pk, (int64_t)p->level);
-        p->sent = total_spent(p);
-        p->counted = p->spent;
+        p->digest_spent = total_spent(p);
+        p->acknowledged = p->spent;
     }
 }
 
 void
-Fw_Delta_Placed(struct fw_relay *r, struct fw_rl_server *s)
+Fw_Delta_NotePlacement(struct fw_relay *r, struct fw_rl_server *s)
 {
-    s->unsent = 1;
-    r->x.wants_delta = 1;
+    s->is_unsent = 1;
+    r->x.delta_pending = 1;
 }
 
 void
@@ -94,8 +94,8 @@
         int64_t *previous = Fw_Rows_LookupOrAdd(m->spent, hash, 0);
         int64_t spent = Fw_Rows_Cell(rows, i, 1);
 
-        Fw_Allowance_Others(r, hash, is_first ? 0 : spent - *previous,
-                            Fw_Rows_Cell(rows, i, 2), now_us);
+        Fw_Allowance_NoteHubSpending(r, hash, is_first ? 0 : spent - *previous,
+                                     Fw_Rows_Cell(rows, i, 2), now_us);
         *previous = spent;
     }
 }
@@ -121,14 +121,15 @@
         Fw_Unpack_U64(o, 2, &boot) || Fw_Unpack_U64(o, 3, &seq)) {
         return -EBADMSG;
     }
-    spent = Fw_Rows_Of(o, 4, 3);
-    load = Fw_Rows_Of(o, 5, 6);
+    spent = Fw_Rows_Unpack(o, 4, 3);
+    load = Fw_Rows_Unpack(o, 5, 6);
     if (!spent || !load) {
         return -EBADMSG;
     }
     m = Fw_Members_Find(r, name);
     if (!r->x.is_hub || !m || boot != m->boot || seq <= m->digest_seq ||
-        !m->digest_us || now_us - m->digest_us >= Fw_Members_TimeoutUs(r)) {
+        !m->last_digest_us ||
+        now_us - m->last_digest_us >= Fw_Members_TimeoutUs(r)) {
         return 0;
     }
     m->digest_seq = seq;
--- a/src/relay/digest.c
+++ b/src/relay/digest.c
@@ -14,7 +14,7 @@
 static int
 is_current_leaf(const struct fw_rl_member *m)
 {
-    return m->last_report_us && m->last_report_us >= m->digest_us;
+    return m->last_report_us && m->last_report_us >= m->last_digest_us;
 }
 
 /* Packs each leaf with the time since its last message. */
@@ -36,7 +36,7 @@
         if (is_current_leaf(m)) {
             msgpack_pack_array(pk, 2);
             msgpack_pack_uint64(pk, m->hash);
-            msgpack_pack_int64(pk, MAX(now_us - m->heard_us, 0));
+            msgpack_pack_int64(pk, MAX(now_us - m->last_message_us, 0));
         }
     }
 }
@@ -78,7 +78,7 @@
         Fw_Unpack_U64(o, 5, &d->seq)) {
         return -EBADMSG;
     }
-    d->leaves = Fw_Rows_Of(o, 11, 2);
+    d->leaves = Fw_Rows_Unpack(o, 11, 2);
     return d->leaves ? Fw_Message_ReadCommonRows(o, 6, &d->common) : -EBADMSG;
 }
 
@@ -108,7 +108,7 @@
     if (!r->x.is_hub) {
         return;
     }
-    Fw_Rows_ReplaceTable(&m->reading, d->common.prefill_rates);
+    Fw_Rows_ReplaceTable(&m->prefill_rates, d->common.prefill_rates);
     Fw_Delta_ApplySpent(r, m, is_first, d->common.spent, now_us);
     Fw_Load_Replace(r, m, d->common.load, FW_RL_SCOPE_OTHER, now_us);
     Fw_Rows_ReplaceTable(&m->strikes, d->common.strikes);
@@ -127,17 +127,17 @@
     struct fw_rl_member *m = Fw_Message_FindOrAddSender(r, &d->from, now_us);
     int is_first;
 
-    if (!m || (m->heard_us && is_stale(m, d))) {
+    if (!m || (m->last_message_us && is_stale(m, d))) {
         return 0;
     }
-    is_first =
-        !m->digest_us || now_us - m->digest_us >= Fw_Members_TimeoutUs(r);
+    is_first = !m->last_digest_us ||
+               now_us - m->last_digest_us >= Fw_Members_TimeoutUs(r);
     if (d->from.boot != m->boot && m->spent) {
         g_hash_table_remove_all(m->spent);
     }
     m->digest_seq = d->seq;
     Fw_Message_ApplySender(r, m, &d->from, addr, now_us);
-    m->digest_us = now_us;
+    m->last_digest_us = now_us;
     m->last_report_us = 0;
     apply_common_rows(r, m, d, is_first, now_us);
     Fw_Message_ApplyStoreState(r, m, d->common.store_state, now_us);
--- a/src/relay/exchange.c
+++ b/src/relay/exchange.c
@@ -66,7 +66,8 @@
 send_to_matching(struct fw_relay *r,
                  int (*matches)(struct fw_relay *, struct fw_rl_member *,
                                 int64_t),
-                 const GByteArray *msg, int64_t now_us, struct fw_rl_mail *out)
+                 const GByteArray *msg, int64_t now_us,
+                 struct fw_rl_outbox *out)
 {
     GBytes *data = g_bytes_new(msg->data, msg->len);
     struct fw_list *pos;
@@ -96,7 +97,7 @@
 }
 
 static void
-send_digest(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+send_digest(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
     GByteArray *msg = g_byte_array_new();
     struct fw_list *pos;
@@ -111,21 +112,21 @@
 }
 
 static void
-send_delta(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+send_delta(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
     GByteArray *msg = g_byte_array_new();
     int n;
 
     Fw_Delta_Write(r, now_us, msg);
     n = send_to_matching(r, is_reachable_hub, msg, now_us, out);
-    r->x.wants_delta = 0;
+    r->x.delta_pending = 0;
     r->x.next_delta_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
     g_byte_array_unref(msg);
 }
 
 /* A reply is written for each leaf, as it holds what was counted of it. */
 static void
-push_to_leaves(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+push_to_leaves(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
     struct fw_list *pos;
     int n = 0;
@@ -142,7 +143,7 @@
             n++;
         }
     }
-    r->x.wants_push = 0;
+    r->x.push_pending = 0;
     r->x.next_push_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
 }
 
@@ -150,7 +151,7 @@
 send_hub_list(struct fw_relay *r,
               int (*matches)(struct fw_relay *, struct fw_rl_member *,
                              int64_t),
-              int64_t now_us, struct fw_rl_mail *out)
+              int64_t now_us, struct fw_rl_outbox *out)
 {
     GByteArray *msg = g_byte_array_new();
 
@@ -162,20 +163,20 @@
 static void
 schedule_next_send(struct fw_relay *r, int64_t now_us)
 {
-    r->x.wants = 0;
-    r->x.next_send_us = now_us + r->opts.digest_every_us;
-    r->x.earliest_send_us = now_us + r->opts.digest_every_us / 2;
+    r->x.send_soon = 0;
+    r->x.next_send_us = now_us + r->opts.digest_period_us;
+    r->x.earliest_send_us = now_us + r->opts.digest_period_us / 2;
 }
 
 static int
 is_send_due(const struct fw_relay *r, int64_t now_us)
 {
     return now_us >= r->x.next_send_us ||
-           (r->x.wants && now_us >= r->x.earliest_send_us);
+           (r->x.send_soon && now_us >= r->x.earliest_send_us);
 }
 
 static void
-act_as_hub(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+act_as_hub(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
     struct fw_rl_exchange *x = &r->x;
 
@@ -183,10 +184,10 @@
         schedule_next_send(r, now_us);
         send_digest(r, now_us, out);
     }
-    else if (x->wants_delta && now_us >= x->next_delta_us) {
+    else if (x->delta_pending && now_us >= x->next_delta_us) {
         send_delta(r, now_us, out);
     }
-    if (x->wants_push && now_us >= x->next_push_us) {
+    if (x->push_pending && now_us >= x->next_push_us) {
         push_to_leaves(r, now_us, out);
     }
     if (now_us >= x->next_hub_list_us) {
@@ -219,10 +220,10 @@
 }
 
 static void
-act_as_leaf(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+act_as_leaf(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
     struct fw_rl_exchange *x = &r->x;
-    int send_early = (x->wants || x->wants_delta) &&
+    int send_early = (x->send_soon || x->delta_pending) &&
                      now_us - x->report_sent_us >= FW_REPORT_INTERVAL_MIN_US;
     GByteArray *msg;
 
@@ -236,7 +237,7 @@
         }
     }
     schedule_next_send(r, now_us);
-    x->wants_delta = 0;
+    x->delta_pending = 0;
     if (x->is_hub) {
         return;
     }
@@ -254,7 +255,7 @@
 }
 
 int
-Fw_Exchange_Awaits(struct fw_relay *r, int64_t since_us, int64_t now_us)
+Fw_Exchange_ShouldWait(struct fw_relay *r, int64_t since_us, int64_t now_us)
 {
     const struct fw_rl_member *hub = r->x.hub;
 
@@ -263,12 +264,13 @@
         now_us - since_us >= FW_PLACEMENT_WAIT_MAX_US) {
         return 0;
     }
-    r->x.wants_delta = 1;
+    r->x.delta_pending = 1;
     return 1;
 }
 
 void
-Fw_Relay_Exchange(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out)
+Fw_Relay_WriteMessages(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_outbox *out)
 {
     if (is_send_due(r, now_us)) {
         Fw_Hubs_UpdateRoles(r, now_us);
@@ -283,7 +285,7 @@
 }
 
 int64_t
-Fw_Relay_ExchangeDue(const struct fw_relay *r)
+Fw_Relay_NextMessageUs(const struct fw_relay *r)
 {
     return r->x.next_send_us;
 }
@@ -294,7 +296,7 @@
  */
 static void
 send_initial_state(struct fw_relay *r, const char *addr, int with_digest,
-                   int64_t now_us, struct fw_rl_mail *out)
+                   int64_t now_us, struct fw_rl_outbox *out)
 {
     GByteArray *msg = g_byte_array_new();
 
@@ -306,7 +308,7 @@
     Fw_HubList_Write(r, now_us, msg);
     Fw_Outbox_Add(out, addr, msg);
     g_byte_array_set_size(msg, 0);
-    if (Fw_Learned_Write(r, msg)) {
+    if (Fw_ServiceStats_Write(r, msg)) {
         Fw_Outbox_Add(out, addr, msg);
     }
     g_byte_array_unref(msg);
@@ -314,7 +316,7 @@
 
 static int
 handle_report(struct fw_relay *r, const msgpack_object *o, const char *addr,
-              int64_t now_us, struct fw_rl_mail *out)
+              int64_t now_us, struct fw_rl_outbox *out)
 {
     GByteArray *reply = g_byte_array_new();
     int rc = Fw_Report_Read(r, o, addr, now_us, reply);
@@ -328,7 +330,7 @@
 
 static int
 handle_message(struct fw_relay *r, const msgpack_object *o, const char *addr,
-               int64_t now_us, struct fw_rl_mail *out)
+               int64_t now_us, struct fw_rl_outbox *out)
 {
     int rc = Fw_Digest_Read(r, o, addr, now_us);
     int is_digest = rc >= 0;
@@ -344,7 +346,7 @@
     }
     if (Fw_Reply_Read(r, o, now_us) == 0 || Fw_Delta_Read(r, o, now_us) == 0 ||
         Fw_HubList_Read(r, o, addr, now_us) == 0 ||
-        Fw_Learned_Read(r, o) == 0) {
+        Fw_ServiceStats_Read(r, o) == 0) {
         return 0;
     }
     return Fw_StoreSync_Read(r, o, addr, now_us, out);
@@ -352,7 +354,7 @@
 
 int
 Fw_Relay_ReadMessage(struct fw_relay *r, const char *addr, const void *data,
-                     size_t len, int64_t now_us, struct fw_rl_mail *out)
+                     size_t len, int64_t now_us, struct fw_rl_outbox *out)
 {
     msgpack_unpacked u;
     int rc = -EBADMSG;
--- a/src/relay/hub_list.c
+++ b/src/relay/hub_list.c
@@ -30,7 +30,8 @@
 is_live_hub(const struct fw_relay *r, const struct fw_rl_member *m,
             int64_t now_us)
 {
-    return m->digest_us && now_us - m->digest_us < Fw_Members_TimeoutUs(r);
+    return m->last_digest_us &&
+           now_us - m->last_digest_us < Fw_Members_TimeoutUs(r);
 }
 
 void
--- a/src/relay/hubs.c
+++ b/src/relay/hubs.c
@@ -175,7 +175,8 @@
                  int64_t now_us)
 {
     return (m->is_ranked_hub && !Fw_Hubs_IsLeaf(r, m, now_us)) ||
-           (m->digest_us && now_us - m->digest_us < FW_ACTING_TIMEOUT_US);
+           (m->last_digest_us &&
+            now_us - m->last_digest_us < FW_ACTING_TIMEOUT_US);
 }
 
 static int
--- a/src/relay/load.c
+++ b/src/relay/load.c
@@ -40,10 +40,10 @@
     struct load_total *s = find_or_add_total(r, row->hash);
 
     s->by_scope[scope].to_stage[row->load.to_stage] += sign;
-    s->by_scope[scope].n_unreachable += sign * row->load.unreachable;
+    s->by_scope[scope].n_unreachable += sign * row->load.n_unreachable;
     s->by_scope[scope].running += sign * row->load.running;
-    s->by_scope[scope].reserved_tokens += sign * row->load.reserved;
-    s->by_scope[scope].prefill_tokens += sign * row->load.reading;
+    s->by_scope[scope].reserved_tokens += sign * row->load.kv_tokens;
+    s->by_scope[scope].prefill_tokens += sign * row->load.prefill_tokens;
     s->changed |= scope == FW_RL_SCOPE_LEAF;
 }
 
@@ -65,13 +65,13 @@
     return (struct fw_rl_load_row){
         .hash = (uint64_t)Fw_Rows_Cell(rows, i, 0),
         .load = {.running = (int)Fw_Rows_Cell(rows, i, 1),
-                 .reserved = Fw_Rows_Cell(rows, i, 2),
-                 .reading = Fw_Rows_Cell(rows, i, 3),
+                 .kv_tokens = Fw_Rows_Cell(rows, i, 2),
+                 .prefill_tokens = Fw_Rows_Cell(rows, i, 3),
                  .to_stage = stage == FW_RL_STAGE_PREFILL ||
                                      stage == FW_RL_STAGE_DECODE
                                  ? (enum fw_rl_stage)stage
                                  : FW_RL_STAGE_NONE,
-                 .unreachable = (int)Fw_Rows_Cell(rows, i, 5)}};
+                 .n_unreachable = (int)Fw_Rows_Cell(rows, i, 5)}};
 }
 
 /* Requests and prefill tokens of @m on all servers. */
@@ -86,7 +86,7 @@
             &g_array_index(m->load_rows, struct fw_rl_load_row, i);
 
         *running += row->load.running;
-        *prefill_tokens += row->load.reading;
+        *prefill_tokens += row->load.prefill_tokens;
     }
 }
 
@@ -104,7 +104,7 @@
     m->load_scope = scope;
     Fw_Load_Merge(r, m, rows, now_us);
     sum_load(m, &running[1], &prefill_tokens[1]);
-    r->x.wants_delta |=
+    r->x.delta_pending |=
         scope == FW_RL_SCOPE_LEAF &&
         (running[1] > running[0] || prefill_tokens[1] > prefill_tokens[0]);
 }
@@ -148,8 +148,8 @@
 }
 
 void
-Fw_Load_Of(const struct fw_relay *r, uint64_t hash, enum fw_rl_scope scope,
-           struct fw_rl_load *out)
+Fw_Load_GetTotal(const struct fw_relay *r, uint64_t hash,
+                 enum fw_rl_scope scope, struct fw_rl_load *out)
 {
     const struct load_total *s = g_hash_table_lookup(r->loads, &hash);
 
@@ -157,10 +157,10 @@
     if (!s) {
         return;
     }
-    out->unreachable = s->by_scope[scope].n_unreachable;
+    out->n_unreachable = s->by_scope[scope].n_unreachable;
     out->running = s->by_scope[scope].running;
-    out->reserved = s->by_scope[scope].reserved_tokens;
-    out->reading = s->by_scope[scope].prefill_tokens;
+    out->kv_tokens = s->by_scope[scope].reserved_tokens;
+    out->prefill_tokens = s->by_scope[scope].prefill_tokens;
     for (int k = FW_RL_STAGE_PREFILL; k <= FW_RL_STAGE_DECODE; k++) {
         if (s->by_scope[scope].to_stage[k] > 0) {
             out->to_stage = (enum fw_rl_stage)k;
@@ -183,10 +183,10 @@
     if (sign > 0 && more->to_stage != FW_RL_STAGE_NONE) {
         to->to_stage = more->to_stage;
     }
-    to->unreachable += sign * more->unreachable;
+    to->n_unreachable += sign * more->n_unreachable;
     to->running += sign * more->running;
-    to->reserved += sign * more->reserved;
-    to->reading += sign * more->reading;
+    to->kv_tokens += sign * more->kv_tokens;
+    to->prefill_tokens += sign * more->prefill_tokens;
 }
 
 int
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -30,11 +30,11 @@
 static struct known_instance *
 find_or_add_instance(struct fw_relay *r, uint64_t hash)
 {
-    struct known_instance *s = g_hash_table_lookup(r->census, &hash);
+    struct known_instance *s = g_hash_table_lookup(r->known_instances, &hash);
 
     if (!s) {
         s = g_new0(struct known_instance, 1);
-        g_hash_table_insert(r->census, Fw_Rows_NewKey(hash), s);
+        g_hash_table_insert(r->known_instances, Fw_Rows_NewKey(hash), s);
     }
     return s;
 }
@@ -42,7 +42,7 @@
 int64_t
 Fw_Members_TimeoutUs(const struct fw_relay *r)
 {
-    return FW_RL_PEER_TIMEOUT_PERIODS * r->opts.digest_every_us;
+    return FW_RL_PEER_TIMEOUT_PERIODS * r->opts.digest_period_us;
 }
 
 void
@@ -63,10 +63,10 @@
 drop_reported_state(struct fw_relay *r, struct fw_rl_member *m)
 {
     m->last_report_us = 0;
-    m->digest_us = 0;
+    m->last_digest_us = 0;
     Fw_Load_Drop(r, m);
     g_clear_pointer(&m->strikes, g_hash_table_destroy);
-    g_clear_pointer(&m->reading, g_hash_table_destroy);
+    g_clear_pointer(&m->prefill_rates, g_hash_table_destroy);
 }
 
 void
@@ -78,7 +78,7 @@
         return;
     }
     m = find_or_add_instance(r, hash)->member;
-    if (m && m != r->x.hub && m->heard_us < seen_us) {
+    if (m && m != r->x.hub && m->last_message_us < seen_us) {
         drop_reported_state(r, m);
     }
     Fw_Members_NoteSeen(r, hash, seen_us);
@@ -88,7 +88,8 @@
 Fw_Members_Find(const struct fw_relay *r, const char *name)
 {
     uint64_t hash = Fw_Hash_Str(name);
-    const struct known_instance *s = g_hash_table_lookup(r->census, &hash);
+    const struct known_instance *s =
+        g_hash_table_lookup(r->known_instances, &hash);
 
     return s ? s->member : NULL;
 }
@@ -115,7 +116,7 @@
     if (m->unreachable_since_us) {
         r->x.next_hub_list_us = 0; /* leaves may return to it */
     }
-    m->heard_us = now_us;
+    m->last_message_us = now_us;
     m->awaiting_since_us = 0;
     m->unreachable_since_us = 0;
     Fw_Members_NoteSeen(r, m->hash, now_us);
@@ -132,7 +133,7 @@
     Fw_List_Remove(&m->link);
     g_clear_pointer(&m->spent, g_hash_table_destroy);
     g_clear_pointer(&m->strikes, g_hash_table_destroy);
-    g_clear_pointer(&m->reading, g_hash_table_destroy);
+    g_clear_pointer(&m->prefill_rates, g_hash_table_destroy);
     g_free(m);
 }
 
@@ -158,7 +159,7 @@
     if (!m) {
         m = Fw_Members_Add(r, peer->name, now_us);
     }
-    if (!m->heard_us) {
+    if (!m->last_message_us) {
         g_strlcpy(m->addr, peer->addr, sizeof(m->addr));
         m->domain = Fw_Hash_Str(peer->domain);
         m->cpu_ppm = peer->cpu_ppm;
@@ -174,7 +175,8 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (m->heard_us && now_us - m->heard_us < FW_RL_ISOLATED_US) {
+        if (m->last_message_us &&
+            now_us - m->last_message_us < FW_RL_ISOLATION_TIMEOUT_US) {
             return 0;
         }
     }
@@ -187,7 +189,7 @@
 {
     const struct known_instance *s = find_or_add_instance(r, m->hash);
 
-    return s->seen_us && now_us - s->seen_us < FW_RL_ISOLATED_US;
+    return s->seen_us && now_us - s->seen_us < FW_RL_ISOLATION_TIMEOUT_US;
 }
 
 static void
@@ -199,17 +201,17 @@
 
     r->x.counted_us = now_us;
     r->x.recount = 0;
-    r->x.count = 1;
-    r->x.in_touch = 1;
-    g_hash_table_iter_init(&it, r->census);
+    r->x.n_instances = 1;
+    r->x.n_live = 1;
+    g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct known_instance *s = v;
 
         if (s->is_expired) {
             continue;
         }
-        r->x.count++;
-        r->x.in_touch += s->seen_us && now_us - s->seen_us < timeout_us;
+        r->x.n_instances++;
+        r->x.n_live += s->seen_us && now_us - s->seen_us < timeout_us;
     }
 }
 
@@ -224,16 +226,16 @@
     int has_hub = !x->is_hub && x->hub;
 
     if (has_hub && now_us - x->counted_us >= Fw_Members_TimeoutUs(r)) {
-        x->in_touch = 1;
+        x->n_live = 1;
     }
     else if (!has_hub &&
              (x->recount || now_us - x->counted_us >= FW_COUNT_AGE_MAX_US)) {
         count_instances(r, now_us);
     }
     if (n_live) {
-        *n_live = x->in_touch;
+        *n_live = x->n_live;
     }
-    return x->count;
+    return x->n_instances;
 }
 
 /*
@@ -244,9 +246,9 @@
 is_expired(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
 {
     int64_t seen_us =
-        MAX(find_or_add_instance(r, m->hash)->seen_us, m->heard_us);
+        MAX(find_or_add_instance(r, m->hash)->seen_us, m->last_message_us);
 
-    return ((r->x.is_hub && m->heard_us) || m->unreachable_since_us) &&
+    return ((r->x.is_hub && m->last_message_us) || m->unreachable_since_us) &&
            now_us - MAX(seen_us, m->added_us) >= FW_MEMBER_EXPIRY_US;
 }
 
@@ -256,7 +258,7 @@
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, r->census);
+    g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct known_instance *s = v;
 
@@ -269,7 +271,7 @@
 }
 
 void
-Fw_Members_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Members_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -281,8 +283,9 @@
             Fw_Load_Drop(r, m);
         }
         if (is_expired(r, m, now_us)) {
-            Fw_Acts_Log(out, r, LOG_NOTICE, "member_gone",
-                        "\"member\":\"%s\",\"addr\":\"%s\"", m->name, m->addr);
+            Fw_RelayActions_Log(out, r, LOG_NOTICE, "member_gone",
+                                "\"member\":\"%s\",\"addr\":\"%s\"", m->name,
+                                m->addr);
             member_free(r, m);
         }
     }
--- a/src/relay/share.c
+++ b/src/relay/message.c
@@ -55,11 +55,11 @@
 Fw_Message_ReadCommonRows(const msgpack_object *o, uint32_t i,
                           struct fw_rl_common_rows *out)
 {
-    out->prefill_rates = Fw_Rows_Of(o, i, 2);
-    out->spent = Fw_Rows_Of(o, i + 1, 3);
-    out->load = Fw_Rows_Of(o, i + 2, 6);
-    out->strikes = Fw_Rows_Of(o, i + 3, 2);
-    out->store_state = Fw_Rows_Of(o, i + 4, FW_RL_WATCH_WIDTH);
+    out->prefill_rates = Fw_Rows_Unpack(o, i, 2);
+    out->spent = Fw_Rows_Unpack(o, i + 1, 3);
+    out->load = Fw_Rows_Unpack(o, i + 2, 6);
+    out->strikes = Fw_Rows_Unpack(o, i + 3, 2);
+    out->store_state = Fw_Rows_Unpack(o, i + 4, FW_RL_STORE_STATE_COLUMNS);
     return out->prefill_rates && out->spent && out->load && out->strikes &&
                    out->store_state && out->store_state->size == 1
                ? 0
@@ -77,20 +77,20 @@
 {
     struct fw_rl_load part;
 
-    *out = (struct fw_rl_load){.to_stage = Fw_Servers_Switching(s, now_us)
-                                               ? s->to_stage
-                                               : FW_RL_STAGE_NONE,
-                               .unreachable = now_us < s->suspect_us,
-                               .running = s->running,
-                               .reserved = s->reserved,
-                               .reading = s->reading};
+    *out = (struct fw_rl_load){
+        .to_stage = Fw_Servers_IsChangingStage(s, now_us) ? s->target_stage
+                                                          : FW_RL_STAGE_NONE,
+        .n_unreachable = now_us < s->backoff_until_us,
+        .running = s->running,
+        .kv_tokens = s->kv_tokens,
+        .prefill_tokens = s->prefill_tokens};
     if (!r->x.is_hub) {
         return;
     }
-    Fw_Load_Of(r, s->hash, FW_RL_SCOPE_LEAF, &part);
+    Fw_Load_GetTotal(r, s->hash, FW_RL_SCOPE_LEAF, &part);
     Fw_Load_Add(out, &part, 1);
     if (to) {
-        Fw_Load_Of(r, s->hash, FW_RL_SCOPE_OTHER, &part);
+        Fw_Load_GetTotal(r, s->hash, FW_RL_SCOPE_OTHER, &part);
         Fw_Load_Add(out, &part, 1);
         Fw_Load_GetMember(to, s->hash, &part);
         Fw_Load_Add(out, &part, -1);
@@ -100,8 +100,8 @@
 static int
 is_empty(const struct fw_rl_load *l)
 {
-    return l->to_stage == FW_RL_STAGE_NONE && !l->unreachable && !l->running &&
-           !l->reserved && !l->reading;
+    return l->to_stage == FW_RL_STAGE_NONE && !l->n_unreachable &&
+           !l->running && !l->kv_tokens && !l->prefill_tokens;
 }
 
 static void
@@ -110,10 +110,10 @@
     msgpack_pack_array(pk, 6);
     msgpack_pack_uint64(pk, hash);
     msgpack_pack_int64(pk, l->running);
-    msgpack_pack_int64(pk, l->reserved);
-    msgpack_pack_int64(pk, l->reading);
+    msgpack_pack_int64(pk, l->kv_tokens);
+    msgpack_pack_int64(pk, l->prefill_tokens);
     msgpack_pack_int64(pk, (int64_t)l->to_stage);
-    msgpack_pack_int64(pk, l->unreachable);
+    msgpack_pack_int64(pk, l->n_unreachable);
 }
 
 void
@@ -130,8 +130,8 @@
         int changed = 1;
 
         if (!to) {
-            changed = Fw_Load_TestAndClearChanged(r, s->hash) | s->unsent;
-            s->unsent = 0;
+            changed = Fw_Load_TestAndClearChanged(r, s->hash) | s->is_unsent;
+            s->is_unsent = 0;
         }
         compute_load(r, s, to, now_us, &row.load);
         if (only_changed ? changed : !is_empty(&row.load)) {
@@ -212,18 +212,19 @@
     GHashTable *rates = Fw_Rows_NewTable();
     struct fw_list *pos;
 
-    for (guint i = 0; i < r->learned->len; i++) {
-        const struct fw_learned *l = g_ptr_array_index(r->learned, i);
+    for (guint i = 0; i < r->service_stats->len; i++) {
+        const struct fw_service_stats *l =
+            g_ptr_array_index(r->service_stats, i);
 
         *Fw_Rows_LookupOrAdd(rates, Fw_Hash_Str(l->service), 0) +=
-            (int64_t)Fw_Reading_Rate(&l->reading, now_us);
+            (int64_t)Fw_PrefillLoad_Rate(&l->prefill_load, now_us);
     }
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
         if (r->x.is_hub && Fw_Hubs_IsLeaf(r, m, now_us)) {
-            add_counts(rates, m->reading);
+            add_counts(rates, m->prefill_rates);
         }
     }
     pack_counts(pk, rates);
@@ -234,13 +235,13 @@
                           int64_t now_us)
 {
     msgpack_pack_array(pk, 1);
-    msgpack_pack_array(pk, FW_RL_WATCH_WIDTH);
+    msgpack_pack_array(pk, FW_RL_STORE_STATE_COLUMNS);
     msgpack_pack_int(pk, Fw_Relay_ReadsStore(r, now_us));
-    msgpack_pack_int(pk, r->watch.store_lost);
+    msgpack_pack_int(pk, r->store_sync.store_lost);
     msgpack_pack_uint64(pk, Fw_StoreSync_RulesEnd(r));
-    msgpack_pack_uint64(pk, r->watch.list_offset);
+    msgpack_pack_uint64(pk, r->store_sync.list_offset);
     msgpack_pack_uint64(pk, Fw_StoreSync_ServerListHash(r));
-    msgpack_pack_int64(pk, MAX(now_us - r->fresh_us, 0));
+    msgpack_pack_int64(pk, MAX(now_us - r->rules_fresh_us, 0));
 }
 
 void
@@ -250,7 +251,7 @@
     int unreachable = Fw_Rows_Cell(rows, 0, 1) != 0;
 
     if (m->store_unreachable && !unreachable) {
-        r->store_back_us = now_us; /* expired entries may return soon */
+        r->store_recovered_us = now_us; /* expired entries may return soon */
     }
     m->store_unreachable = unreachable;
     m->reads_store = (int)Fw_Rows_Cell(rows, 0, 0);
--- a/src/relay/metrics.c
+++ b/src/relay/metrics.c
@@ -12,23 +12,23 @@
         int gauge;
     } rows[] = {
         {&r->n.requests, "fw_requests_total", "Requests of callers", 0},
-        {&r->n.passed, "fw_requests_passed_total",
+        {&r->n.forwarded, "fw_requests_passed_total",
          "Requests whose answer from an upstream was passed on", 0},
-        {&r->n.refused, "fw_requests_refused_total",
+        {&r->n.rejected, "fw_requests_refused_total",
          "Requests refused that surely did not run", 0},
         {&r->n.failed, "fw_requests_failed_total",
          "Requests answered 502 or 504: they may have run", 0},
-        {&r->n.left, "fw_requests_left_total",
+        {&r->n.abandoned, "fw_requests_left_total",
          "Requests whose caller left before the answer", 0},
-        {&r->n.cut, "fw_requests_cut_total",
+        {&r->n.aborted, "fw_requests_cut_total",
          "Answers that broke off after they had begun", 0},
-        {&r->n.repeats, "fw_repeats_total",
+        {&r->n.retries, "fw_repeats_total",
          "Requests sent to a further server", 0},
-        {&r->n.holds, "fw_reservations_total", "Reservations asked of engines",
-         0},
-        {&r->n.holds_refused, "fw_reservations_refused_total",
+        {&r->n.reservations, "fw_reservations_total",
+         "Reservations asked of engines", 0},
+        {&r->n.reservations_rejected, "fw_reservations_refused_total",
          "Reservations that engines refused", 0},
-        {&r->n.reads, "fw_prefills_total", "Prompts sent to be read", 0},
+        {&r->n.prefills, "fw_prefills_total", "Prompts sent to be read", 0},
         {&r->n.open, "fw_requests_open", "Requests not answered yet", 1},
         {&r->n.queued, "fw_requests_queued",
          "Requests waiting for room at an engine", 1},
@@ -53,11 +53,11 @@
     } times[] = {
         {&r->n.queued_s, "fw_phase_queue_seconds",
          "From a generation's arrival until an engine has room"},
-        {&r->n.read_s, "fw_phase_prefill_seconds",
+        {&r->n.prefill_s, "fw_phase_prefill_seconds",
          "From then until its prompt is read"},
-        {&r->n.first_s, "fw_phase_first_seconds",
+        {&r->n.response_s, "fw_phase_first_seconds",
          "From a request's arrival until its answer begins"},
-        {&r->n.whole_s, "fw_phase_whole_seconds",
+        {&r->n.total_s, "fw_phase_whole_seconds",
          "From a request's arrival until its answer is whole"},
     };
 
@@ -75,7 +75,7 @@
 }
 
 void
-Fw_Relay_CountReason(struct fw_relay *r, const char *reason)
+Fw_Relay_CountRejection(struct fw_relay *r, const char *reason)
 {
     char labels[sizeof(r->n.labels[0])];
     int i;
@@ -87,7 +87,7 @@
             return;
         }
     }
-    if (i == FW_RL_REASONS_MAX) {
+    if (i == FW_RL_REJECT_REASONS_MAX) {
         return; /* still counted in the total */
     }
     g_strlcpy(r->n.labels[i], labels, sizeof(r->n.labels[i]));
@@ -111,12 +111,12 @@
         const struct fw_rl_server *s =
             FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        usable += Fw_Servers_Usable(s, now_us);
-        reserved += s->reserved;
+        usable += Fw_Servers_IsUsable(s, now_us);
+        reserved += s->kv_tokens;
     }
     r->n.open.value = g_hash_table_size(r->calls);
     r->n.queued.value = r->queue.n;
-    r->n.rules_age_ms.value = Fw_Relay_Ms(now_us - r->fresh_us);
+    r->n.rules_age_ms.value = Fw_Relay_UsToMs(now_us - r->rules_fresh_us);
     r->n.servers_usable.value = usable;
     r->n.tokens_reserved.value = reserved;
     r->n.role_held.value =
--- a/src/relay/open.c
+++ b/src/relay/open.c
@@ -55,12 +55,13 @@
 }
 
 static int64_t
-allowance_cost(const struct fw_rl_team_rule *t, const struct fw_rl_ask *ask)
+allowance_cost(const struct fw_rl_team_rule *t,
+               const struct fw_rl_request_info *ask)
 {
     if (t->by_request) {
         return 1;
     }
-    return ask->tokens_in >= 0 ? ask->tokens_in + ask->tokens_out
+    return ask->tokens_in >= 0 ? ask->tokens_in + ask->tokens_out_max
                                : t->plain_cost;
 }
 
@@ -79,14 +80,14 @@
 }
 
 static struct fw_rl_call *
-call_new(struct fw_relay *r, uint64_t id, const struct fw_rl_ask *ask,
+call_new(struct fw_relay *r, uint64_t id, const struct fw_rl_request_info *ask,
          int64_t now_us)
 {
     struct fw_rl_call *c = g_new0(struct fw_rl_call, 1);
 
     c->id = id;
-    c->ask = *ask;
-    sanitize_id(c->ask.id);
+    c->info = *ask;
+    sanitize_id(c->info.id);
     c->opened_us = now_us;
     c->deadline_us = INT64_MAX;
     Fw_List_Append(&r->call_list, &c->link);
@@ -101,8 +102,8 @@
     int64_t left =
         c->route.timeout_us ? c->route.timeout_us : FW_DEFAULT_TIMEOUT_US;
 
-    if (c->ask.left_us > 0) {
-        left = MIN(left, c->ask.left_us);
+    if (c->info.timeout_us > 0) {
+        left = MIN(left, c->info.timeout_us);
     }
     c->deadline_us = now_us + left;
 }
@@ -113,9 +114,9 @@
  * known to have been the newest within the configured staleness limit.
  */
 int
-Fw_Relay_KeysFresh(const struct fw_relay *r, int64_t now_us)
+Fw_Relay_AreKeysFresh(const struct fw_relay *r, int64_t now_us)
 {
-    return r->rules && now_us - r->fresh_us < r->opts.key_stale_us;
+    return r->rules && now_us - r->rules_fresh_us < r->opts.key_stale_us;
 }
 
 /*
@@ -124,73 +125,74 @@
  * serve them. Otherwise the others are likely to be stale as well.
  */
 int64_t
-Fw_Relay_UnreadyRetry(struct fw_relay *r, int64_t now_us)
+Fw_Relay_StaleRetryUs(struct fw_relay *r, int64_t now_us)
 {
     int in_touch;
     int count = Fw_Members_Count(r, now_us, &in_touch);
 
-    return in_touch * 2 < count || Fw_Watch_IsBehind(r, now_us)
+    return in_touch * 2 < count || Fw_StoreSync_IsBehind(r, now_us)
                ? FW_RETRY_ELSEWHERE_US
                : FW_RETRY_NO_CONFIG_US;
 }
 
 int
-Fw_Relay_SendsAway(const struct fw_relay *r, int64_t now_us)
+Fw_Relay_ShedsConnections(const struct fw_relay *r, int64_t now_us)
 {
-    return !Fw_Relay_Ready(r, now_us) ||
-           now_us - r->fresh_us > FW_CONFIG_AGE_SHED_US;
+    return !Fw_Relay_IsReady(r, now_us) ||
+           now_us - r->rules_fresh_us > FW_CONFIG_AGE_SHED_US;
 }
 
 int
 Fw_Relay_MayServe(const struct fw_relay *r, const struct fw_rl_call *c,
                   int64_t now_us)
 {
-    return c->route.anonymous || Fw_Relay_KeysFresh(r, now_us);
+    return c->route.anonymous || Fw_Relay_AreKeysFresh(r, now_us);
 }
 
 static void
 log_allowance(const struct fw_relay *r, const struct fw_rl_call *c,
-              struct fw_rl_acts *out)
+              struct fw_rl_actions *out)
 {
     int64_t level;
     int part;
 
-    Fw_Allowance_Explain(r, c->team, &level, &part);
-    Fw_Acts_Log(out, r, LOG_NOTICE, "allowance_short",
-                "\"id\":\"%s\",\"team\":\"%s\",\"cost\":%" G_GINT64_FORMAT
-                ",\"level\":%" G_GINT64_FORMAT ",\"part_permille\":%d",
-                c->ask.id, c->team, c->cost, level, part);
+    Fw_Allowance_Describe(r, c->team, &level, &part);
+    Fw_RelayActions_Log(
+        out, r, LOG_NOTICE, "allowance_short",
+        "\"id\":\"%s\",\"team\":\"%s\",\"cost\":%" G_GINT64_FORMAT
+        ",\"level\":%" G_GINT64_FORMAT ",\"part_permille\":%d",
+        c->info.id, c->team, c->cost, level, part);
 }
 
 /* Return: nonzero if admitted, 0 if the request was refused and freed. */
 static int
 admit_team(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-           struct fw_rl_acts *out)
+           struct fw_rl_actions *out)
 {
-    const struct fw_rl_team_rule *t = Fw_Rules_Team(r->rules, c->ask.key);
+    const struct fw_rl_team_rule *t = Fw_Rules_Team(r->rules, c->info.key);
     int64_t retry_us;
 
-    memset(c->ask.key, 0, sizeof(c->ask.key));
-    if (!Fw_Relay_KeysFresh(r, now_us)) {
-        Fw_Call_Refuse(r, c, 503, Fw_Relay_UnreadyRetry(r, now_us),
+    memset(c->info.key, 0, sizeof(c->info.key));
+    if (!Fw_Relay_AreKeysFresh(r, now_us)) {
+        Fw_Call_Reject(r, c, 503, Fw_Relay_StaleRetryUs(r, now_us),
                        "configuration_stale", now_us, out);
         return 0;
     }
     if (!t) {
-        Fw_Call_Refuse(r, c, 401, 0, "unknown_key", now_us, out);
+        Fw_Call_Reject(r, c, 401, 0, "unknown_key", now_us, out);
         return 0;
     }
     g_strlcpy(c->team, t->name, sizeof(c->team));
     if (t->priority >= 0) {
-        c->urgency = t->priority;
+        c->priority = t->priority;
     }
-    c->cost = allowance_cost(t, &c->ask);
+    c->cost = allowance_cost(t, &c->info);
     if (!Fw_Allowance_Take(r, t, c->cost, now_us, &retry_us)) {
         log_allowance(r, c, out);
-        Fw_Call_Refuse(r, c, 429, retry_us, "over_allowance", now_us, out);
+        Fw_Call_Reject(r, c, 429, retry_us, "over_allowance", now_us, out);
         return 0;
     }
-    c->paid = 1;
+    c->is_charged = 1;
     return 1;
 }
 
@@ -203,7 +205,7 @@
 must_refuse_draining(const struct fw_relay *r, const struct fw_rl_call *c,
                      int64_t now_us)
 {
-    int64_t left = r->drain_us + r->opts.grace_us - now_us;
+    int64_t left = r->drain_start_us + r->opts.grace_us - now_us;
 
     return r->draining && left < (c->route.generates ? FW_DRAIN_MIN_STREAM_US
                                                      : FW_DRAIN_MIN_PLAIN_US);
@@ -211,13 +213,13 @@
 
 static void
 dispatch(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-         struct fw_rl_acts *out)
+         struct fw_rl_actions *out)
 {
     const struct fw_rl_service_rule *s =
         Fw_Rules_Service(r->rules, c->service);
 
-    Fw_Budget_Request(r, c->service, now_us);
-    if (c->route.generates && s && s->engines && c->ask.tokens_in >= 0) {
+    Fw_RetryBudget_NoteRequest(r, c->service, now_us);
+    if (c->route.generates && s && s->has_engines && c->info.tokens_in >= 0) {
         Fw_Stream_Open(r, c, now_us, out);
     }
     else {
@@ -226,58 +228,60 @@
 }
 
 void
-Fw_Relay_Open(struct fw_relay *r, uint64_t call, const struct fw_rl_ask *ask,
-              int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_Open(struct fw_relay *r, uint64_t call,
+              const struct fw_rl_request_info *ask, int64_t now_us,
+              struct fw_rl_actions *out)
 {
     struct fw_rl_call *c = call_new(r, call, ask, now_us);
     const struct fw_rl_route_rule *route;
 
     if (!r->rules) {
-        Fw_Call_Refuse(r, c, 503, FW_RETRY_NO_CONFIG_US, "no_configuration",
+        Fw_Call_Reject(r, c, 503, FW_RETRY_NO_CONFIG_US, "no_configuration",
                        now_us, out);
         return;
     }
     route = Fw_Rules_Route(r->rules, ask->host, ask->path);
     if (!route) {
-        Fw_Call_Refuse(r, c, 404, 0, "no_route", now_us, out);
+        Fw_Call_Reject(r, c, 404, 0, "no_route", now_us, out);
         return;
     }
     c->route = *route;
-    c->urgency = route->priority;
+    c->priority = route->priority;
     g_strlcpy(c->service, choose_service(route, ask->id), sizeof(c->service));
     set_deadline(c, now_us);
     if (must_refuse_draining(r, c, now_us)) {
-        Fw_Call_Refuse(r, c, 503, FW_RETRY_ELSEWHERE_US, "stopping", now_us,
+        Fw_Call_Reject(r, c, 503, FW_RETRY_ELSEWHERE_US, "stopping", now_us,
                        out);
         return;
     }
     if (route->anonymous) {
-        memset(c->ask.key, 0, sizeof(c->ask.key));
+        memset(c->info.key, 0, sizeof(c->info.key));
     }
     else if (!admit_team(r, c, now_us, out)) {
         return;
     }
-    if (Fw_Poison_Count(r, ask->digest, now_us) >= FW_POISON_CRASHES_MAX) {
-        Fw_Call_Refuse(r, c, 503, FW_RETRY_POISON_US, "poison", now_us, out);
+    if (Fw_Poison_CountStrikes(r, ask->body_digest, now_us) >=
+        FW_POISON_CRASHES_MAX) {
+        Fw_Call_Reject(r, c, 503, FW_RETRY_POISON_US, "poison", now_us, out);
         return;
     }
     dispatch(r, c, now_us, out);
 }
 
 void
-Fw_Relay_Gone(struct fw_relay *r, uint64_t call, int64_t now_us,
-              struct fw_rl_acts *out)
+Fw_Relay_CallerLeft(struct fw_relay *r, uint64_t call, int64_t now_us,
+                    struct fw_rl_actions *out)
 {
     struct fw_rl_call *c = g_hash_table_lookup(r->calls, &call);
 
     if (!c) {
         return;
     }
-    r->n.left.value++;
-    Fw_Acts_Log(out, r, LOG_NOTICE, "caller_left",
-                "\"id\":\"%s\",\"route\":\"%s\",\"state\":%d,"
-                "\"after_ms\":%" G_GINT64_FORMAT,
-                c->ask.id, c->route.name, (int)c->state,
-                Fw_Relay_Ms(now_us - c->opened_us));
+    r->n.abandoned.value++;
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "caller_left",
+                        "\"id\":\"%s\",\"route\":\"%s\",\"state\":%d,"
+                        "\"after_ms\":%" G_GINT64_FORMAT,
+                        c->info.id, c->route.name, (int)c->state,
+                        Fw_Relay_UsToMs(now_us - c->opened_us));
     Fw_Call_End(r, c, now_us, out);
 }
--- a/src/relay/mail.c
+++ b/src/relay/outbox.c
@@ -2,13 +2,13 @@
 #include "relay/relay_internal.h"
 
 void
-Fw_Mail_Init(struct fw_rl_mail *outbox)
+Fw_Outbox_Init(struct fw_rl_outbox *outbox)
 {
     outbox->all = g_ptr_array_new_with_free_func(g_free);
 }
 
 void
-Fw_Mail_Clear(struct fw_rl_mail *outbox)
+Fw_Outbox_Clear(struct fw_rl_outbox *outbox)
 {
     for (guint i = 0; i < outbox->all->len; i++) {
         struct fw_rl_datagram *d = g_ptr_array_index(outbox->all, i);
@@ -19,7 +19,8 @@
 }
 
 void
-Fw_Outbox_AddShared(struct fw_rl_mail *outbox, const char *addr, GBytes *data)
+Fw_Outbox_AddShared(struct fw_rl_outbox *outbox, const char *addr,
+                    GBytes *data)
 {
     struct fw_rl_datagram *d = g_new0(struct fw_rl_datagram, 1);
 
@@ -29,7 +30,7 @@
 }
 
 void
-Fw_Outbox_Add(struct fw_rl_mail *outbox, const char *addr,
+Fw_Outbox_Add(struct fw_rl_outbox *outbox, const char *addr,
               const GByteArray *msg)
 {
     GBytes *data = g_bytes_new(msg->data, msg->len);
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -39,10 +39,10 @@
  */
 struct fw_rl_load {
     enum fw_rl_stage to_stage;
-    int unreachable;
+    int n_unreachable;
     int running;
-    int64_t reserved;
-    int64_t reading;
+    int64_t kv_tokens;
+    int64_t prefill_tokens;
 };
 
 /** struct fw_rl_load_row - load of one server; @hash: of its id. */
@@ -99,8 +99,8 @@
     uint64_t boot;
     uint64_t digest_seq;
     int64_t added_us;
-    int64_t heard_us;
-    int64_t digest_us;
+    int64_t last_message_us;
+    int64_t last_digest_us;
     int64_t last_report_us;
     int64_t awaiting_since_us;
     int64_t unreachable_since_us;
@@ -114,7 +114,7 @@
     enum fw_rl_scope load_scope;
     int64_t load_us;
     GHashTable *strikes;
-    GHashTable *reading;
+    GHashTable *prefill_rates;
     int reads_store;
     int store_unreachable;
     uint64_t rules_end;
@@ -155,11 +155,11 @@
     int64_t next_push_us;
     int64_t next_hub_list_us;
     int64_t next_announce_us;
-    int wants;
-    int wants_delta;
-    int wants_push;
-    int count;
-    int in_touch;
+    int send_soon;
+    int delta_pending;
+    int push_pending;
+    int n_instances;
+    int n_live;
     int64_t counted_us;
     int recount;
     int64_t load_as_of_us;
@@ -186,7 +186,7 @@
 /* Time without a message after which a peer isn't live. */
 int64_t
 Fw_Members_TimeoutUs(const struct fw_relay *r);
-/* Has this instance or a hub seen @m within FW_RL_ISOLATED_US? */
+/* Has this instance or a hub seen @m within FW_RL_ISOLATION_TIMEOUT_US? */
 int
 Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
                         int64_t now_us);
@@ -195,7 +195,7 @@
 Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *n_live);
 /* Drops load that is out of date and members that have expired. */
 void
-Fw_Members_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Members_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out);
 void
 Fw_Members_Clear(struct fw_relay *r);
 
@@ -239,8 +239,8 @@
 Fw_Load_Drop(struct fw_relay *r, struct fw_rl_member *m);
 /* Sum of the peers' load in @scope of the server whose id has @hash. */
 void
-Fw_Load_Of(const struct fw_relay *r, uint64_t hash, enum fw_rl_scope scope,
-           struct fw_rl_load *out);
+Fw_Load_GetTotal(const struct fw_relay *r, uint64_t hash,
+                 enum fw_rl_scope scope, struct fw_rl_load *out);
 /* Load in the rows of @m of the server whose id has @hash. */
 void
 Fw_Load_GetMember(const struct fw_rl_member *m, uint64_t hash,
@@ -265,7 +265,7 @@
  * Element @i of @o if it is an array of rows of @width integers each, or NULL.
  */
 const msgpack_object_array *
-Fw_Rows_Of(const msgpack_object *o, uint32_t i, uint32_t width);
+Fw_Rows_Unpack(const msgpack_object *o, uint32_t i, uint32_t width);
 /* Column @k of row @i; @rows was checked by Fw_Rows_Unpack. */
 int64_t
 Fw_Rows_Cell(const msgpack_object_array *rows, uint32_t i, int k);
@@ -365,7 +365,7 @@
 Fw_Message_PackStoreState(struct fw_relay *r, msgpack_packer *pk,
                           int64_t now_us);
 /* Columns of the row that Fw_Message_PackStoreState packs. */
-#define FW_RL_WATCH_WIDTH 6
+#define FW_RL_STORE_STATE_COLUMNS 6
 /* Updates how far @m has read the store. */
 void
 Fw_Message_ApplyStoreState(struct fw_relay *r, struct fw_rl_member *m,
@@ -404,7 +404,7 @@
                     const msgpack_object_array *rows, int64_t now_us);
 /* Records that work was placed on @s, to be sent in the next delta. */
 void
-Fw_Delta_Placed(struct fw_relay *r, struct fw_rl_server *s);
+Fw_Delta_NotePlacement(struct fw_relay *r, struct fw_rl_server *s);
 
 /* report.c */
 void
@@ -433,10 +433,11 @@
 /* outbox.c */
 /* Adds a message whose @data several recipients share. */
 void
-Fw_Outbox_AddShared(struct fw_rl_mail *outbox, const char *addr, GBytes *data);
+Fw_Outbox_AddShared(struct fw_rl_outbox *outbox, const char *addr,
+                    GBytes *data);
 /* Adds a copy of @msg. */
 void
-Fw_Outbox_Add(struct fw_rl_mail *outbox, const char *addr,
+Fw_Outbox_Add(struct fw_rl_outbox *outbox, const char *addr,
               const GByteArray *msg);
 
 /* exchange.c */
@@ -445,7 +446,7 @@
  * hub has sent newer load? Requests a report if so.
  */
 int
-Fw_Exchange_Awaits(struct fw_relay *r, int64_t since_us, int64_t now_us);
+Fw_Exchange_ShouldWait(struct fw_relay *r, int64_t since_us, int64_t now_us);
 
 /* store_sync.c */
 /* Records @m as a source if its configuration or server list is newer. */
@@ -459,14 +460,14 @@
 Fw_StoreSync_ServerListHash(const struct fw_relay *r);
 /* Has a recently heard instance a newer configuration than this one? */
 int
-Fw_Watch_IsBehind(const struct fw_relay *r, int64_t now_us);
+Fw_StoreSync_IsBehind(const struct fw_relay *r, int64_t now_us);
 /* Sends a query to an instance that reads the store, if one is due. */
 void
 Fw_StoreSync_SendQuery(struct fw_relay *r, int64_t now_us,
-                       struct fw_rl_mail *out);
+                       struct fw_rl_outbox *out);
 /* Return: 0, or -EBADMSG if @o is neither a valid query nor an answer. */
 int
 Fw_StoreSync_Read(struct fw_relay *r, const msgpack_object *o,
-                  const char *addr, int64_t now_us, struct fw_rl_mail *out);
+                  const char *addr, int64_t now_us, struct fw_rl_outbox *out);
 
 #endif
--- a/src/relay/place.c
+++ b/src/relay/place.c
@@ -43,7 +43,7 @@
 #define FW_SAME_DOMAIN_BONUS_US (15 * FW_MSEC)
 
 int
-Fw_Call_Tried(const struct fw_rl_call *c, const struct fw_rl_server *s)
+Fw_Call_HasTried(const struct fw_rl_call *c, const struct fw_rl_server *s)
 {
     for (int i = 0; i < c->n_tried; i++) {
         if (c->tried[i] == s->hash) {
@@ -59,14 +59,14 @@
 {
     struct fw_rl_load peers;
 
-    *out = (struct fw_rl_load){.to_stage = Fw_Servers_Switching(s, now_us)
-                                               ? s->to_stage
-                                               : FW_RL_STAGE_NONE,
-                               .running = s->running,
-                               .reserved = s->reserved,
-                               .reading = s->reading};
+    *out = (struct fw_rl_load){
+        .to_stage = Fw_Servers_IsChangingStage(s, now_us) ? s->target_stage
+                                                          : FW_RL_STAGE_NONE,
+        .running = s->running,
+        .kv_tokens = s->kv_tokens,
+        .prefill_tokens = s->prefill_tokens};
     for (int scope = 0; scope < FW_RL_SCOPES; scope++) {
-        Fw_Load_Of(r, s->hash, (enum fw_rl_scope)scope, &peers);
+        Fw_Load_GetTotal(r, s->hash, (enum fw_rl_scope)scope, &peers);
         Fw_Load_Add(out, &peers, 1);
     }
 }
@@ -74,7 +74,7 @@
 static int
 runs_service(const struct fw_rl_server *s, const struct fw_rl_call *c)
 {
-    return strcmp(s->e.service, c->service) == 0;
+    return strcmp(s->entry.service, c->service) == 0;
 }
 
 /* Score under the random and least-loaded policies; lower is better. */
@@ -89,14 +89,15 @@
 static double
 plain_score(struct fw_relay *r, const struct fw_rl_server *s)
 {
-    double response_us = s->took_us > 0 ? s->took_us : FW_DEFAULT_RESPONSE_US;
-    double load_factor = 1.0 + (double)s->running / MAX(s->e.slots, 1);
+    double response_us =
+        s->latency_us > 0 ? s->latency_us : FW_DEFAULT_RESPONSE_US;
+    double load_factor = 1.0 + (double)s->running / MAX(s->entry.slots, 1);
 
     if (r->opts.policy != FW_RL_POLICY_FULL) {
         return 1 + baseline_score(r, s->running);
     }
     return response_us * load_factor * load_factor *
-           (1.0 + FW_ERROR_RATE_WEIGHT * s->errors) *
+           (1.0 + FW_ERROR_RATE_WEIGHT * s->error_rate) *
            (1.0 + g_rand_double_range(r->rand, 0, FW_SCORE_JITTER));
 }
 
@@ -115,14 +116,14 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
         double score;
 
-        if (!runs_service(s, c) || s->gone || s->e.draining) {
+        if (!runs_service(s, c) || s->gone || s->entry.draining) {
             continue;
         }
         score = plain_score(r, s);
-        if (Fw_Call_Tried(c, s)) {
+        if (Fw_Call_HasTried(c, s)) {
             score *= 100;
         }
-        if (now_us < s->suspect_us) {
+        if (now_us < s->backoff_until_us) {
             score *= 1000;
         }
         if (!best || score < best_score) {
@@ -137,23 +138,24 @@
 static double
 max_running(const struct fw_rl_server *s, int64_t objective_us)
 {
-    double response_us = s->work_us > 0 ? s->work_us : FW_DEFAULT_RESPONSE_US;
+    double response_us =
+        s->service_us > 0 ? s->service_us : FW_DEFAULT_RESPONSE_US;
     double per_slot =
         FW_OBJECTIVE_FRACTION * (double)objective_us / response_us;
 
-    return s->e.slots * MAX(per_slot, FW_MIN_REQUESTS_PER_SLOT);
+    return s->entry.slots * MAX(per_slot, FW_MIN_REQUESTS_PER_SLOT);
 }
 
 int
-Fw_Place_IsCrowded(struct fw_relay *r, const struct fw_rl_call *c,
-                   const struct fw_rl_server *s, int64_t now_us)
+Fw_Place_IsOverloaded(struct fw_relay *r, const struct fw_rl_call *c,
+                      const struct fw_rl_server *s, int64_t now_us)
 {
     struct fw_rl_load l;
     double limit;
     double reject_probability;
 
     if (r->opts.policy != FW_RL_POLICY_FULL || c->route.objective_us <= 0 ||
-        s->e.slots <= 0) {
+        s->entry.slots <= 0) {
         return 0;
     }
     Fw_Place_Load(r, s, now_us, &l);
@@ -170,7 +172,7 @@
 static int
 is_changing_stage(const struct fw_rl_server *s, const struct fw_rl_load *l)
 {
-    return l->to_stage != FW_RL_STAGE_NONE && l->to_stage != s->e.stage;
+    return l->to_stage != FW_RL_STAGE_NONE && l->to_stage != s->entry.stage;
 }
 
 /*
@@ -180,7 +182,7 @@
 static int
 is_unreachable(const struct fw_rl_load *l)
 {
-    return l->unreachable >= 2;
+    return l->n_unreachable >= 2;
 }
 
 /*
@@ -192,12 +194,12 @@
           const struct fw_rl_engine_spec *spec, const struct fw_rl_call *c,
           int64_t now_us)
 {
-    const struct fw_learned *known = Fw_Learned_Of(r, c->service);
+    const struct fw_service_stats *known = Fw_ServiceStats_Get(r, c->service);
     struct fw_rl_load l;
 
     Fw_Place_Load(r, s, now_us, &l);
-    if (now_us - s->full_us < Fw_Learned_FullTime(known, l.running) &&
-        c->need >= s->full_tokens) {
+    if (now_us - s->full_us < Fw_ServiceStats_FullBackoff(known, l.running) &&
+        c->kv_tokens >= s->full_tokens) {
         return -1;
     }
     if (l.running >= spec->slots || is_changing_stage(s, &l) ||
@@ -208,15 +210,17 @@
         return (int64_t)(FW_BASELINE_SCORE_SCALE *
                          (spec->slots - baseline_score(r, l.running)));
     }
-    return spec->kv_tokens - l.reserved - c->need -
-           Fw_Memory_Spare(&c->answer, c->ask.tokens_out, l.running + 1);
+    return spec->kv_tokens - l.kv_tokens - c->kv_tokens -
+           Fw_Memory_Headroom(&c->length, c->info.tokens_out_max,
+                              l.running + 1);
 }
 
 static int
 can_decode(const struct fw_rl_server *s, int64_t now_us)
 {
-    return s->e.stage == FW_RL_STAGE_DECODE &&
-           !Fw_Servers_Switching(s, now_us) && Fw_Servers_Usable(s, now_us);
+    return s->entry.stage == FW_RL_STAGE_DECODE &&
+           !Fw_Servers_IsChangingStage(s, now_us) &&
+           Fw_Servers_IsUsable(s, now_us);
 }
 
 /** struct sample - two engines drawn at random from @n, with their scores. */
@@ -275,7 +279,7 @@
     struct sample drawn = {0};
     struct fw_list *pos;
 
-    if (!rule || !rule->engines) {
+    if (!rule || !rule->has_engines) {
         return NULL;
     }
     FW_LIST_EACH (pos, &r->servers) {
@@ -283,7 +287,7 @@
         int64_t left;
 
         if (!runs_service(s, c) || !can_decode(s, now_us) ||
-            Fw_Call_Tried(c, s)) {
+            Fw_Call_HasTried(c, s)) {
             continue;
         }
         left = room_left(r, s, &rule->engine, c, now_us);
@@ -305,19 +309,19 @@
     struct fw_rl_load l;
     int64_t us;
 
-    if (!runs_service(s, c) || s->e.stage != FW_RL_STAGE_PREFILL ||
-        Fw_Servers_Switching(s, now_us) || Fw_Call_Tried(c, s) ||
+    if (!runs_service(s, c) || s->entry.stage != FW_RL_STAGE_PREFILL ||
+        Fw_Servers_IsChangingStage(s, now_us) || Fw_Call_HasTried(c, s) ||
         now_us - s->full_us < FW_PREFILL_BACKOFF_US ||
-        !Fw_Servers_Usable(s, now_us)) {
+        !Fw_Servers_IsUsable(s, now_us)) {
         return -1;
     }
     Fw_Place_Load(r, s, now_us, &l);
     if (is_changing_stage(s, &l) || is_unreachable(&l)) {
         return -1;
     }
-    us = Fw_Learned_ReadTime(Fw_Learned_Of(r, c->service),
-                             l.reading + c->ask.tokens_in);
-    if (c->server && strcmp(s->e.domain, c->server->e.domain) == 0) {
+    us = Fw_ServiceStats_PrefillTime(Fw_ServiceStats_Get(r, c->service),
+                                     l.prefill_tokens + c->info.tokens_in);
+    if (c->server && strcmp(s->entry.domain, c->server->entry.domain) == 0) {
         us -= FW_SAME_DOMAIN_BONUS_US;
     }
     return MAX(us, 0);
@@ -329,8 +333,8 @@
  * to it until the next digest.
  */
 struct fw_rl_server *
-Fw_Place_Read(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us,
-              int64_t *wait_us)
+Fw_Place_Prefill(struct fw_relay *r, const struct fw_rl_call *c,
+                 int64_t now_us, int64_t *wait_us)
 {
     struct sample drawn = {0};
     struct fw_list *pos;
--- a/src/relay/plain.c
+++ b/src/relay/plain.c
@@ -28,70 +28,73 @@
 is_retryable(const struct fw_rl_call *c)
 {
     return c->route.kind == FW_RL_IDEMPOTENT ||
-           (c->route.kind == FW_RL_STREAM && c->route.resumable && !c->passed);
+           (c->route.kind == FW_RL_STREAM && c->route.resumable &&
+            !c->is_forwarded);
 }
 
 static void
 refuse_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
-                  int64_t now_us, struct fw_rl_acts *out)
+                  int64_t now_us, struct fw_rl_actions *out)
 {
     int64_t retry_us =
         g_rand_int_range(r->rand, FW_RETRY_FULL_MIN_US, FW_RETRY_FULL_MAX_US);
 
-    Fw_Call_Refuse(r, c, 503, retry_us, reason, now_us, out);
+    Fw_Call_Reject(r, c, 503, retry_us, reason, now_us, out);
 }
 
 /* Starts an attempt at @s, which must not be NULL. */
 static void
 send_attempt(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-             int64_t now_us, struct fw_rl_acts *out)
+             int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_op *op;
-    struct fw_rl_up_call up = {
+    struct fw_rl_upstream_call up = {
         .kind = FW_RL_UP_RUN,
-        .left_us = c->deadline_us - now_us,
-        .urgency = -1,
-        .whole = c->route.kind != FW_RL_STREAM,
-        .connect_us = FW_RL_CONNECT_US,
-        .reuse_us = is_retryable(c) ? FW_RL_REUSE_US : FW_RL_REUSE_ONCE_US,
+        .timeout_us = c->deadline_us - now_us,
+        .priority = -1,
+        .buffer_response = c->route.kind != FW_RL_STREAM,
+        .connect_us = FW_RL_CONNECT_TIMEOUT_US,
+        .reuse_us =
+            is_retryable(c) ? FW_RL_REUSE_US : FW_RL_REUSE_NON_IDEMPOTENT_US,
     };
     int64_t timeout_at_us = c->deadline_us;
     struct fw_rl_load load;
 
     Fw_Place_Load(r, s, now_us, &load);
-    if (is_retryable(c) && c->tries + 1 < c->route.attempts) {
+    if (is_retryable(c) && c->attempts + 1 < c->route.attempts) {
         timeout_at_us = MIN(timeout_at_us, now_us + FW_ATTEMPT_TIMEOUT_US);
     }
     c->server = Fw_Servers_Ref(s);
     c->server->running++;
-    c->state = FW_RL_RUN;
-    c->run_us = now_us;
-    c->tries++;
+    c->state = FW_RL_RUNNING;
+    c->sent_us = now_us;
+    c->attempts++;
     if (c->n_tried < FW_RL_TRIED_MAX) {
         c->tried[c->n_tried++] = s->hash;
     }
     g_strlcpy(up.team, c->team, sizeof(up.team));
-    op = Fw_Call_Ask(r, c, s, &up, timeout_at_us, now_us, out);
-    op->found_slot = load.running < s->e.slots;
-    Fw_Acts_Log(out, r, Fw_Call_Severity(r, c), "sent",
-                "\"id\":\"%s\",\"route\":\"%s\",\"team\":\"%s\","
-                "\"cost\":%" G_GINT64_FORMAT ",\"server\":\"%s\","
-                "\"try\":%d,\"running\":%d,\"left_ms\":%" G_GINT64_FORMAT,
-                c->ask.id, c->route.name, c->team, c->cost, s->e.id, c->tries,
-                s->running, Fw_Relay_Ms(up.left_us));
+    op = Fw_Call_Upstream(r, c, s, &up, timeout_at_us, now_us, out);
+    op->had_free_slot = load.running < s->entry.slots;
+    Fw_RelayActions_Log(
+        out, r, Fw_Call_LogSeverity(r, c), "sent",
+        "\"id\":\"%s\",\"route\":\"%s\",\"team\":\"%s\","
+        "\"cost\":%" G_GINT64_FORMAT ",\"server\":\"%s\","
+        "\"try\":%d,\"running\":%d,\"left_ms\":%" G_GINT64_FORMAT,
+        c->info.id, c->route.name, c->team, c->cost, s->entry.id, c->attempts,
+        s->running, Fw_Relay_UsToMs(up.timeout_us));
 }
 
 void
 Fw_Plain_Send(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-              struct fw_rl_acts *out)
+              struct fw_rl_actions *out)
 {
     struct fw_rl_server *s = Fw_Place_Plain(r, c, now_us);
 
     if (!s) {
-        Fw_Call_Refuse(r, c, 503, FW_RETRY_NO_SERVER_US, "no_server", now_us,
+        Fw_Call_Reject(r, c, 503, FW_RETRY_NO_SERVER_US, "no_server", now_us,
                        out);
     }
-    else if (Fw_Place_IsCrowded(r, c, s, now_us)) {
+    else if (Fw_Place_IsOverloaded(r, c, s, now_us)) {
         refuse_overloaded(r, c, "servers_crowded", now_us, out);
     }
     else {
@@ -115,8 +118,8 @@
         return NULL;
     }
     s = Fw_Place_Plain(r, c, now_us);
-    if (!s || Fw_Place_IsCrowded(r, c, s, now_us) ||
-        !Fw_Budget_Repeat(r, c->service, 1, now_us)) {
+    if (!s || Fw_Place_IsOverloaded(r, c, s, now_us) ||
+        !Fw_RetryBudget_Take(r, c->service, 1, now_us)) {
         return NULL;
     }
     return s;
@@ -124,13 +127,13 @@
 
 static void
 retry(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *next,
-      const char *reason, int64_t now_us, struct fw_rl_acts *out)
+      const char *reason, int64_t now_us, struct fw_rl_actions *out)
 {
-    Fw_Acts_Log(
+    Fw_RelayActions_Log(
         out, r, LOG_NOTICE, "sent_again",
         "\"id\":\"%s\",\"why\":\"%s\",\"server\":\"%s\",\"ran\":\"%s\"",
-        c->ask.id, reason, c->server->e.id, Fw_Ran_Name(c->ran));
-    Fw_Call_LeaveServer(c);
+        c->info.id, reason, c->server->entry.id, Fw_Ran_Name(c->ran));
+    Fw_Call_DetachServer(c);
     send_attempt(r, c, next, now_us, out);
 }
 
@@ -138,28 +141,28 @@
 may_retry(const struct fw_rl_call *c)
 {
     return (is_retryable(c) || FW_FAULT("once-sent-again")) &&
-           c->tries < c->route.attempts;
+           c->attempts < c->route.attempts;
 }
 
 void
-Fw_Plain_Answered(struct fw_relay *r, struct fw_rl_op *op,
-                  const struct fw_rl_up_answer *ans, int64_t now_us,
-                  struct fw_rl_acts *out)
+Fw_Plain_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
+                        const struct fw_rl_upstream_response *ans,
+                        int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_call *c = op->call;
     int64_t took_us = now_us - op->sent_us;
     struct fw_rl_server *next;
 
-    if (c->passed) {
+    if (c->is_forwarded) {
         Fw_Call_Finish(r, c, 1, now_us, out);
         return;
     }
     if (ans->not_run) {
-        Fw_Servers_Served(op->server, ans->moved, -1);
-        if (ans->moved) {
-            Fw_Servers_Missed(op->server, now_us);
+        Fw_Servers_NoteResponse(op->server, ans->wrong_server, -1);
+        if (ans->wrong_server) {
+            Fw_Servers_NoteUnreachable(op->server, now_us);
         }
-        c->tries--; /* not an attempt: it did not run */
+        c->attempts--; /* not an attempt: it did not run */
         Fw_Op_End(r, op);
         next = take_retry_server(r, c, now_us);
         if (next) {
@@ -171,45 +174,45 @@
         return;
     }
     c->ran = FW_RAN_YES;
-    Fw_Servers_Served(op->server, ans->status >= 500, took_us);
-    if (op->found_slot) {
-        Fw_Servers_Worked(op->server, took_us);
+    Fw_Servers_NoteResponse(op->server, ans->status >= 500, took_us);
+    if (op->had_free_slot) {
+        Fw_Servers_NoteServiceTime(op->server, took_us);
     }
     next = ans->status >= 500 && may_retry(c) ? take_retry_server(r, c, now_us)
                                               : NULL;
     if (next) {
-        Fw_Acts_Add(out, FW_RL_DO_STOP_ASK)->u.xid = op->xid;
+        Fw_RelayActions_Add(out, FW_RL_DO_CANCEL_CALL)->u.xid = op->xid;
         Fw_Op_End(r, op);
         retry(r, c, next, "server error", now_us, out);
         return;
     }
-    Fw_Call_Pass(r, c, now_us, out);
+    Fw_Call_Forward(r, c, now_us, out);
     Fw_Call_Finish(r, c, 1, now_us, out);
 }
 
 void
-Fw_Plain_Failed(struct fw_relay *r, struct fw_rl_op *op, int err, int sent,
-                int64_t now_us, struct fw_rl_acts *out)
+Fw_Plain_HandleFailure(struct fw_relay *r, struct fw_rl_op *op, int err,
+                       int sent, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_call *c = op->call;
     struct fw_rl_server *s = op->server;
     struct fw_rl_server *next;
 
     if (!sent) {
-        Fw_Servers_Missed(s, now_us);
+        Fw_Servers_NoteUnreachable(s, now_us);
         if (err == -ECONNREFUSED) {
             Fw_Poison_ServerLost(r, s, now_us, out);
         }
     }
     else {
-        Fw_Servers_Served(s, 1,
-                          err == -ETIMEDOUT ? FW_ATTEMPT_TIMEOUT_US : -1);
+        Fw_Servers_NoteResponse(
+            s, 1, err == -ETIMEDOUT ? FW_ATTEMPT_TIMEOUT_US : -1);
         if (err != -ETIMEDOUT) {
-            Fw_Poison_CutOff(r, c->ask.digest, s, now_us);
+            Fw_Poison_NoteDisconnect(r, c->info.body_digest, s, now_us);
         }
     }
     Fw_Op_End(r, op);
-    if (c->passed) {
+    if (c->is_forwarded) {
         Fw_Call_Finish(r, c, 0, now_us, out);
         return;
     }
@@ -217,7 +220,7 @@
         c->ran = MAX(c->ran, FW_RAN_MAYBE);
     }
     else {
-        c->tries--;
+        c->attempts--;
     }
     next = !sent || may_retry(c) ? take_retry_server(r, c, now_us) : NULL;
     if (next) {
@@ -226,10 +229,10 @@
         return;
     }
     if (now_us >= c->deadline_us) {
-        Fw_Call_Refuse(r, c, c->ran == FW_RAN_NO ? 503 : 504,
+        Fw_Call_Reject(r, c, c->ran == FW_RAN_NO ? 503 : 504,
                        FW_RETRY_NO_SERVER_US, "timeout", now_us, out);
         return;
     }
-    Fw_Call_Refuse(r, c, c->ran == FW_RAN_NO ? 503 : 502,
+    Fw_Call_Reject(r, c, c->ran == FW_RAN_NO ? 503 : 502,
                    FW_RETRY_NO_SERVER_US, "upstream_lost", now_us, out);
 }
--- a/src/relay/poison.c
+++ b/src/relay/poison.c
@@ -16,15 +16,15 @@
 #define FW_STRIKE_TTL_US (120 * FW_SEC)
 
 void
-Fw_Poison_CutOff(struct fw_relay *r, uint64_t digest,
-                 const struct fw_rl_server *s, int64_t now_us)
+Fw_Poison_NoteDisconnect(struct fw_relay *r, uint64_t digest,
+                         const struct fw_rl_server *s, int64_t now_us)
 {
     struct fw_rl_crash_suspect *q =
         &r->crash_suspects[r->n_crash_suspects++ % FW_RL_CRASH_SUSPECTS_MAX];
 
     *q = (struct fw_rl_crash_suspect){.digest = digest,
                                       .server =
-                                          s->hash ^ (uint64_t)s->e.born_ms,
+                                          s->hash ^ (uint64_t)s->entry.born_ms,
                                       .at_us = now_us};
 }
 
@@ -50,9 +50,9 @@
 
 void
 Fw_Poison_ServerLost(struct fw_relay *r, const struct fw_rl_server *s,
-                     int64_t now_us, struct fw_rl_acts *out)
+                     int64_t now_us, struct fw_rl_actions *out)
 {
-    uint64_t server = s->hash ^ (uint64_t)s->e.born_ms;
+    uint64_t server = s->hash ^ (uint64_t)s->entry.born_ms;
     int n = MIN(r->n_crash_suspects, FW_RL_CRASH_SUSPECTS_MAX);
 
     for (int i = 0; i < n; i++) {
@@ -66,15 +66,16 @@
         k = find_or_add_strike(r, q->digest);
         k->count++;
         k->at_us = now_us;
-        Fw_Acts_Log(out, r, LOG_WARNING, "strike",
-                    "\"digest\":\"%016" G_GINT64_MODIFIER
-                    "x\",\"count\":%d,\"server\":\"%s\"",
-                    q->digest, k->count, s->e.id);
+        Fw_RelayActions_Log(out, r, LOG_WARNING, "strike",
+                            "\"digest\":\"%016" G_GINT64_MODIFIER
+                            "x\",\"count\":%d,\"server\":\"%s\"",
+                            q->digest, k->count, s->entry.id);
     }
 }
 
 int
-Fw_Poison_Count(const struct fw_relay *r, uint64_t digest, int64_t now_us)
+Fw_Poison_CountStrikes(const struct fw_relay *r, uint64_t digest,
+                       int64_t now_us)
 {
     struct fw_list *pos;
     int n = 0;
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -24,20 +24,20 @@
     r->hash = Fw_Hash_Str(opts->name);
     r->start_us = now_us;
     r->x.is_hub = 1;
-    r->x.count = 1;
-    r->x.in_touch = 1;
+    r->x.n_instances = 1;
+    r->x.n_live = 1;
     r->rand = g_rand_new_with_seed(opts->seed);
-    r->fresh_us = now_us - opts->key_stale_us;
+    r->rules_fresh_us = now_us - opts->key_stale_us;
     r->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
     r->ops = g_hash_table_new(g_int64_hash, g_int64_equal);
     r->allowances =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    r->census =
+    r->known_instances =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
     r->loads =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
     r->retry_budgets = g_ptr_array_new_with_free_func(g_free);
-    r->learned = g_ptr_array_new_with_free_func(g_free);
+    r->service_stats = g_ptr_array_new_with_free_func(g_free);
     Fw_List_Init(&r->servers);
     Fw_List_Init(&r->call_list);
     Fw_List_Init(&r->op_list);
@@ -51,12 +51,12 @@
 void
 Fw_Relay_Free(struct fw_relay *r)
 {
-    struct fw_rl_acts out;
+    struct fw_rl_actions out;
 
     if (!r) {
         return;
     }
-    Fw_Acts_Init(&out);
+    Fw_RelayActions_Init(&out);
     Fw_Rules_Unref(r->rules);
     r->rules = NULL;
     while (!Fw_List_Empty(&r->call_list)) {
@@ -67,17 +67,17 @@
     while (!Fw_List_Empty(&r->op_list)) {
         Fw_Op_End(r, FW_LIST_ENTRY(r->op_list.next, struct fw_rl_op, link));
     }
-    Fw_Acts_Clear(&out);
+    Fw_RelayActions_Clear(&out);
     Fw_Servers_Clear(r);
     Fw_Members_Clear(r);
     Fw_Queue_Clear(&r->queue);
     g_hash_table_destroy(r->calls);
     g_hash_table_destroy(r->ops);
     g_hash_table_destroy(r->allowances);
-    g_hash_table_destroy(r->census);
+    g_hash_table_destroy(r->known_instances);
     g_hash_table_destroy(r->loads);
     g_ptr_array_unref(r->retry_budgets);
-    g_ptr_array_unref(r->learned);
+    g_ptr_array_unref(r->service_stats);
     g_rand_free(r->rand);
     g_free(r);
 }
@@ -86,8 +86,8 @@
 Fw_Relay_SetOpts(struct fw_relay *r, const struct fw_relay_opts *opts)
 {
     r->opts = *opts;
-    if (r->opts.digest_every_us <= 0) {
-        r->opts.digest_every_us = FW_DIGEST_PERIOD_US;
+    if (r->opts.digest_period_us <= 0) {
+        r->opts.digest_period_us = FW_DIGEST_PERIOD_US;
     }
 }
 
@@ -98,12 +98,12 @@
 }
 
 void
-Fw_Relay_Rules(struct fw_relay *r, struct fw_rl_rules *rules, uint64_t offset,
-               int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_SetRules(struct fw_relay *r, struct fw_rl_rules *rules,
+                  uint64_t offset, int64_t now_us, struct fw_rl_actions *out)
 {
     if (!rules) {
-        Fw_Acts_Log(out, r, LOG_ERR, "configuration_unreadable",
-                    "\"offset\":%" G_GUINT64_FORMAT, offset);
+        Fw_RelayActions_Log(out, r, LOG_ERR, "configuration_unreadable",
+                            "\"offset\":%" G_GUINT64_FORMAT, offset);
         return;
     }
     /* Never go back to an older configuration. */
@@ -115,20 +115,20 @@
     r->rules = Fw_Rules_Ref(rules);
     r->rules_offset = offset;
     r->n.version.value = rules->version;
-    Fw_Acts_Log(out, r, LOG_NOTICE, "configuration",
-                "\"version\":%" G_GINT64_FORMAT
-                ",\"offset\":%" G_GUINT64_FORMAT
-                ",\"routes\":%u,\"services\":%u,\"teams\":%u",
-                rules->version, offset, rules->routes->len,
-                rules->services->len, rules->teams->len);
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "configuration",
+                        "\"version\":%" G_GINT64_FORMAT
+                        ",\"offset\":%" G_GUINT64_FORMAT
+                        ",\"routes\":%u,\"services\":%u,\"teams\":%u",
+                        rules->version, offset, rules->routes->len,
+                        rules->services->len, rules->teams->len);
     Fw_Allowance_ApplyRules(r, now_us, out);
-    Fw_Stream_Pump(r, now_us, out);
+    Fw_Stream_PlaceQueued(r, now_us, out);
 }
 
 void
-Fw_Relay_Fresh(struct fw_relay *r, int64_t as_of_us)
+Fw_Relay_SetFreshAsOf(struct fw_relay *r, int64_t as_of_us)
 {
-    r->fresh_us = MAX(r->fresh_us, as_of_us);
+    r->rules_fresh_us = MAX(r->rules_fresh_us, as_of_us);
 }
 
 static struct fw_rl_op *
@@ -140,13 +140,13 @@
 static int
 is_stream(const struct fw_rl_op *op)
 {
-    return op->call->need > 0;
+    return op->call->kv_tokens > 0;
 }
 
 void
-Fw_Relay_Begun(struct fw_relay *r, uint64_t xid,
-               const struct fw_rl_up_answer *ans, int64_t now_us,
-               struct fw_rl_acts *out)
+Fw_Relay_ResponseBegan(struct fw_relay *r, uint64_t xid,
+                       const struct fw_rl_upstream_response *ans,
+                       int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_op *op = find_op(r, xid);
 
@@ -154,22 +154,23 @@
         return;
     }
     /* The server has consumed the reservation and the KV cache. */
-    op->call->hold[0] = 0;
-    op->call->kv[0] = 0;
+    op->call->reservation[0] = 0;
+    op->call->kv_handle[0] = 0;
     op->server->rejected_runs = 0;
-    Fw_Servers_Served(op->server, ans->status >= 500,
-                      is_stream(op) ? -1 : now_us - op->sent_us);
-    if (is_stream(op) && op->call->room_us) {
-        Fw_Mean_Update(&Fw_Learned_Of(r, op->call->service)->first_event_us,
-                       (double)(now_us - op->call->room_us));
+    Fw_Servers_NoteResponse(op->server, ans->status >= 500,
+                            is_stream(op) ? -1 : now_us - op->sent_us);
+    if (is_stream(op) && op->call->reserved_us) {
+        Fw_Mean_Update(
+            &Fw_ServiceStats_Get(r, op->call->service)->first_event_us,
+            (double)(now_us - op->call->reserved_us));
     }
-    Fw_Call_Pass(r, op->call, now_us, out);
+    Fw_Call_Forward(r, op->call, now_us, out);
 }
 
 void
-Fw_Relay_Answered(struct fw_relay *r, uint64_t xid,
-                  const struct fw_rl_up_answer *ans, int64_t now_us,
-                  struct fw_rl_acts *out)
+Fw_Relay_ResponseEnded(struct fw_relay *r, uint64_t xid,
+                       const struct fw_rl_upstream_response *ans,
+                       int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_op *op = find_op(r, xid);
 
@@ -180,40 +181,41 @@
         Fw_StageOrder_HandleResponse(r, op, ans, now_us, out);
     }
     else if (is_stream(op)) {
-        Fw_Stream_Answered(r, op, ans, now_us, out);
+        Fw_Stream_HandleResponse(r, op, ans, now_us, out);
     }
     else {
-        Fw_Plain_Answered(r, op, ans, now_us, out);
+        Fw_Plain_HandleResponse(r, op, ans, now_us, out);
     }
 }
 
 void
-Fw_Relay_Failed(struct fw_relay *r, uint64_t xid, int err, int sent,
-                int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_UpstreamFailed(struct fw_relay *r, uint64_t xid, int err, int sent,
+                        int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_op *op = find_op(r, xid);
 
     if (!op) {
         return;
     }
-    Fw_Acts_Log(out, r, LOG_NOTICE, "upstream_failed",
-                "\"id\":\"%s\",\"server\":\"%s\",\"kind\":%d,\"error\":%d,"
-                "\"sent\":%d,\"after_ms\":%" G_GINT64_FORMAT,
-                op->call ? op->call->ask.id : "", op->server->e.id,
-                (int)op->kind, err, sent, Fw_Relay_Ms(now_us - op->sent_us));
+    Fw_RelayActions_Log(
+        out, r, LOG_NOTICE, "upstream_failed",
+        "\"id\":\"%s\",\"server\":\"%s\",\"kind\":%d,\"error\":%d,"
+        "\"sent\":%d,\"after_ms\":%" G_GINT64_FORMAT,
+        op->call ? op->call->info.id : "", op->server->entry.id, (int)op->kind,
+        err, sent, Fw_Relay_UsToMs(now_us - op->sent_us));
     if (!op->call) {
         Fw_StageOrder_HandleFailure(r, op, out);
     }
     else if (is_stream(op)) {
-        Fw_Stream_Failed(r, op, err, sent, now_us, out);
+        Fw_Stream_HandleFailure(r, op, err, sent, now_us, out);
     }
     else {
-        Fw_Plain_Failed(r, op, err, sent, now_us, out);
+        Fw_Plain_HandleFailure(r, op, err, sent, now_us, out);
     }
 }
 
 static void
-tick_ops(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+tick_ops(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_list *pos = r->op_list.next;
 
@@ -221,13 +223,13 @@
         struct fw_rl_op *op = FW_LIST_ENTRY(pos, struct fw_rl_op, link);
         uint64_t xid = op->xid;
 
-        if (now_us < op->until_us ||
-            (op->call && op->until_us >= op->call->deadline_us)) {
+        if (now_us < op->deadline_us ||
+            (op->call && op->deadline_us >= op->call->deadline_us)) {
             pos = pos->next;
             continue;
         }
-        Fw_Acts_Add(out, FW_RL_DO_STOP_ASK)->u.xid = xid;
-        Fw_Relay_Failed(r, xid, -ETIMEDOUT, 1, now_us, out);
+        Fw_RelayActions_Add(out, FW_RL_DO_CANCEL_CALL)->u.xid = xid;
+        Fw_Relay_UpstreamFailed(r, xid, -ETIMEDOUT, 1, now_us, out);
         pos = r->op_list.next; /* the failure may have changed the list */
     }
 }
@@ -240,31 +242,32 @@
 
 static void
 tick_call(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-          struct fw_rl_acts *out)
+          struct fw_rl_actions *out)
 {
     if (is_overdue(c, now_us)) {
         int sent = c->op && c->op->kind == FW_RL_UP_RUN;
 
-        if (c->passed) {
+        if (c->is_forwarded) {
             Fw_Call_Finish(r, c, 0, now_us, out);
             return;
         }
         c->ran = sent ? MAX(c->ran, FW_RAN_MAYBE) : c->ran;
-        Fw_Call_Refuse(r, c, c->ran == FW_RAN_NO ? 503 : 504, FW_SEC,
+        Fw_Call_Reject(r, c, c->ran == FW_RAN_NO ? 503 : 504, FW_SEC,
                        "timeout", now_us, out);
         return;
     }
-    if (c->need) {
-        Fw_Need_Grow(r, c, now_us);
+    if (c->kv_tokens) {
+        Fw_KvDemand_Update(r, c, now_us);
     }
-    if (c->need && c->state == FW_RL_QUEUED && now_us >= c->queue_until_us) {
-        Fw_Call_Refuse(r, c, 503, Fw_Stream_RetryAfter(r, c), "no_room",
+    if (c->kv_tokens && c->state == FW_RL_QUEUED &&
+        now_us >= c->queue_until_us) {
+        Fw_Call_Reject(r, c, 503, Fw_Stream_RetryAfter(r, c), "no_room",
                        now_us, out);
     }
 }
 
 void
-Fw_Relay_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -276,48 +279,50 @@
     }
     Fw_Members_Tick(r, now_us, out);
     Fw_StageOrder_Tick(r, now_us, out);
-    Fw_Learned_Tick(r, now_us, out);
-    Fw_Stream_Pump(r, now_us, out);
+    Fw_ServiceStats_Tick(r, now_us, out);
+    Fw_Stream_PlaceQueued(r, now_us, out);
     Fw_Relay_UpdateGauges(r, now_us);
 }
 
 void
-Fw_Relay_Place(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_PlaceQueued(struct fw_relay *r, int64_t now_us,
+                     struct fw_rl_actions *out)
 {
     if (r->queue.n) {
-        Fw_Stream_Pump(r, now_us, out);
+        Fw_Stream_PlaceQueued(r, now_us, out);
     }
 }
 
 int64_t
-Fw_Relay_Wake(const struct fw_relay *r, int64_t now_us)
+Fw_Relay_NextTickUs(const struct fw_relay *r, int64_t now_us)
 {
     int64_t tick_us =
         now_us + (r->queue.n ? FW_TICK_BUSY_US : FW_TICK_IDLE_US);
 
-    return CLAMP(Fw_Relay_ExchangeDue(r), now_us + FW_MSEC, tick_us);
+    return CLAMP(Fw_Relay_NextMessageUs(r), now_us + FW_MSEC, tick_us);
 }
 
 void
-Fw_Relay_Drain(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_Drain(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out)
 {
     if (r->draining) {
         return;
     }
     r->draining = 1;
-    r->drain_us = now_us;
-    Fw_Acts_Log(out, r, LOG_NOTICE, "draining", "\"open\":%u",
-                g_hash_table_size(r->calls));
+    r->drain_start_us = now_us;
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "draining", "\"open\":%u",
+                        g_hash_table_size(r->calls));
 }
 
 int
-Fw_Relay_Ready(const struct fw_relay *r, int64_t now_us)
+Fw_Relay_IsReady(const struct fw_relay *r, int64_t now_us)
 {
-    return !r->draining && r->list_known && Fw_Relay_KeysFresh(r, now_us);
+    return !r->draining && r->has_server_list &&
+           Fw_Relay_AreKeysFresh(r, now_us);
 }
 
 const struct fw_rl_rules *
-Fw_Relay_InForce(const struct fw_relay *r)
+Fw_Relay_CurrentRules(const struct fw_relay *r)
 {
     return r->rules;
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -14,14 +14,14 @@
 struct fw_relay;
 
 /** enum fw_rl_upstream_kind - operation requested of an upstream. */
-enum fw_rl_up_kind {
+enum fw_rl_upstream_kind {
     FW_RL_UP_RUN,       /* run the caller's request */
     FW_RL_UP_PREFILL,   /* prefill the prompt and keep its KV cache */
-    FW_RL_UP_HOLD,      /* reserve a slot and KV cache memory */
-    FW_RL_UP_DROP_HOLD, /* release a reservation */
-    FW_RL_UP_DROP_KV,   /* free the KV cache of a prefill */
+    FW_RL_UP_RESERVE,   /* reserve a slot and KV cache memory */
+    FW_RL_UP_RELEASE,   /* release a reservation */
+    FW_RL_UP_FREE_KV,   /* free the KV cache of a prefill */
     FW_RL_UP_REPORT,    /* report the engine's state and streams */
-    FW_RL_UP_STAGE,     /* change the engine's stage */
+    FW_RL_UP_SET_STAGE, /* change the engine's stage */
 };
 
 /**
@@ -48,30 +48,30 @@
  * @expected_orders: number of orders that the engine must have accepted so
  *     far for this one to be valid (SET_STAGE)
  */
-struct fw_rl_up_call {
-    enum fw_rl_up_kind kind;
+struct fw_rl_upstream_call {
+    enum fw_rl_upstream_kind kind;
     uint64_t xid;
     uint64_t call;
     char addr[FW_URL_MAX];
     char server[FW_NAME_MAX];
-    int64_t left_us;
+    int64_t timeout_us;
     char team[FW_NAME_MAX];
-    int urgency;
-    int whole;
+    int priority;
+    int buffer_response;
     int64_t reuse_us;
     int64_t connect_us;
-    char hold[FW_RL_KEY_MAX];
+    char reservation[FW_RL_KEY_MAX];
     char kv_addr[FW_URL_MAX];
-    char kv[FW_RL_KEY_MAX];
+    char kv_handle[FW_RL_KEY_MAX];
     int64_t tokens;
     int64_t ttl_us;
     enum fw_rl_stage stage;
     uint64_t fence;
-    int64_t expected;
+    int64_t expected_orders;
 };
 
 /* Maximum number of streams read from an engine's report. */
-#define FW_RL_RUNS_MAX 32
+#define FW_RL_STREAM_REPORTS_MAX 32
 
 /**
  * struct fw_rl_stream_report - a stream as its engine reports it.
@@ -79,7 +79,7 @@
  * @tokens: tokens in the KV cache, prompt included
  * @events: events generated so far
  */
-struct fw_rl_run {
+struct fw_rl_stream_report {
     uint64_t id;
     int64_t tokens;
     int64_t events;
@@ -98,29 +98,29 @@
  *     reported (REPORT)
  * @streams: streams running at the engine (REPORT)
  */
-struct fw_rl_up_answer {
+struct fw_rl_upstream_response {
     int status;
     int not_run;
-    int moved;
-    char name[FW_RL_KEY_MAX];
+    int wrong_server;
+    char handle[FW_RL_KEY_MAX];
     int64_t events;
     enum fw_rl_stage stage;
-    int busy;
+    int changing_stage;
     int64_t orders;
-    int n_runs;
-    struct fw_rl_run runs[FW_RL_RUNS_MAX];
+    int n_streams;
+    struct fw_rl_stream_report streams[FW_RL_STREAM_REPORTS_MAX];
 };
 
 /** enum fw_rl_action_kind - tag of struct fw_rl_action. */
-enum fw_rl_act_kind {
-    FW_RL_DO_REFUSE,   /* answer the caller with an error response */
-    FW_RL_DO_PASS,     /* forward the response of @xid as it arrives */
-    FW_RL_DO_FINISH,   /* end the forwarded response */
-    FW_RL_DO_CUT,      /* abort the forwarded response */
-    FW_RL_DO_ASK,      /* call an upstream */
-    FW_RL_DO_STOP_ASK, /* cancel the call @xid to an upstream */
-    FW_RL_DO_LEAD,     /* append a claim of the order role to the log */
-    FW_RL_DO_FORGET,   /* close idle connections to @addr */
+enum fw_rl_action_kind {
+    FW_RL_DO_REJECT,      /* answer the caller with an error response */
+    FW_RL_DO_FORWARD,     /* forward the response of @xid as it arrives */
+    FW_RL_DO_FINISH,      /* end the forwarded response */
+    FW_RL_DO_ABORT,       /* abort the forwarded response */
+    FW_RL_DO_CALL,        /* call an upstream */
+    FW_RL_DO_CANCEL_CALL, /* cancel the call @xid to an upstream */
+    FW_RL_DO_CLAIM_ROLE,  /* append a claim of the order role to the log */
+    FW_RL_DO_CLOSE_IDLE,  /* close idle connections to @addr */
     FW_RL_DO_LOG,
 };
 
@@ -130,7 +130,7 @@
  * @reason: string literal; also the value of the metric's label
  * @ran: whether the request was run
  */
-struct fw_rl_refusal {
+struct fw_rl_rejection {
     uint64_t call;
     int status;
     int64_t retry_us;
@@ -139,7 +139,7 @@
 };
 
 /* Fits a request id, a route, a team and two servers; longer text is cut. */
-#define FW_RL_LOG_TEXT 640
+#define FW_RL_LOG_TEXT_MAX 640
 
 /**
  * struct fw_rl_log_line - a structured log line.
@@ -150,7 +150,7 @@
 struct fw_rl_log_line {
     int severity;
     const char *event;
-    char text[FW_RL_LOG_TEXT];
+    char text[FW_RL_LOG_TEXT_MAX];
 };
 
 /**
@@ -158,16 +158,16 @@
  * @u: argument, by @kind; for FW_RL_DO_CLAIM_ROLE, @u.lead_end is the log
  *     offset at which the claim must be appended
  */
-struct fw_rl_act {
-    enum fw_rl_act_kind kind;
+struct fw_rl_action {
+    enum fw_rl_action_kind kind;
     union {
-        struct fw_rl_refusal refuse;
+        struct fw_rl_rejection refuse;
         struct {
             uint64_t call;
             uint64_t xid;
         } pass;
         uint64_t call; /* FINISH, ABORT */
-        struct fw_rl_up_call ask;
+        struct fw_rl_upstream_call ask;
         uint64_t xid; /* CANCEL_CALL */
         uint64_t lead_end;
         char addr[FW_URL_MAX];
@@ -176,8 +176,8 @@
 };
 
 /** struct fw_rl_actions - actions in order; the shell frees them. */
-struct fw_rl_acts {
-    GArray *all; /* of struct fw_rl_act */
+struct fw_rl_actions {
+    GArray *all; /* of struct fw_rl_action */
 };
 
 /** enum fw_rl_policy - load balancing policy. */
@@ -225,16 +225,16 @@
     int64_t retry_window_us;
     int64_t key_stale_us;
     enum fw_rl_policy policy;
-    int64_t queue_us;
+    int64_t queue_limit_us;
     int reserve_permille;
-    int64_t read_here_us;
+    int64_t local_prefill_us;
     int prefill_permille;
     int64_t overage_ppm;
-    int64_t tolerance;
+    int64_t tolerance_tokens;
     int64_t lease_us;
     int64_t grace_us;
     int64_t cpu_ppm;
-    int64_t digest_every_us;
+    int64_t digest_period_us;
     int log_level;
     int log_sample;
 };
@@ -249,72 +249,74 @@
 Fw_Relay_Metrics(struct fw_relay *r);
 
 void
-Fw_Acts_Init(struct fw_rl_acts *acts);
+Fw_RelayActions_Init(struct fw_rl_actions *acts);
 void
-Fw_Acts_Clear(struct fw_rl_acts *acts);
+Fw_RelayActions_Clear(struct fw_rl_actions *acts);
 
 /* A caller's request was received; @call is its id until it has ended. */
 void
-Fw_Relay_Open(struct fw_relay *r, uint64_t call, const struct fw_rl_ask *ask,
-              int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_Open(struct fw_relay *r, uint64_t call,
+              const struct fw_rl_request_info *ask, int64_t now_us,
+              struct fw_rl_actions *out);
 /* The caller has disconnected. */
 void
-Fw_Relay_Gone(struct fw_relay *r, uint64_t call, int64_t now_us,
-              struct fw_rl_acts *out);
+Fw_Relay_CallerLeft(struct fw_relay *r, uint64_t call, int64_t now_us,
+                    struct fw_rl_actions *out);
 
 /* The headers of an unbuffered response were received (FW_RL_UP_RUN only). */
 void
-Fw_Relay_Begun(struct fw_relay *r, uint64_t xid,
-               const struct fw_rl_up_answer *ans, int64_t now_us,
-               struct fw_rl_acts *out);
+Fw_Relay_ResponseBegan(struct fw_relay *r, uint64_t xid,
+                       const struct fw_rl_upstream_response *ans,
+                       int64_t now_us, struct fw_rl_actions *out);
 /* A response was received completely. */
 void
-Fw_Relay_Answered(struct fw_relay *r, uint64_t xid,
-                  const struct fw_rl_up_answer *ans, int64_t now_us,
-                  struct fw_rl_acts *out);
+Fw_Relay_ResponseEnded(struct fw_relay *r, uint64_t xid,
+                       const struct fw_rl_upstream_response *ans,
+                       int64_t now_us, struct fw_rl_actions *out);
 /*
  * A call to an upstream failed.
  * @err: negative errno
  * @sent: part of the request may have reached the upstream
  */
 void
-Fw_Relay_Failed(struct fw_relay *r, uint64_t xid, int err, int sent,
-                int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_UpstreamFailed(struct fw_relay *r, uint64_t xid, int err, int sent,
+                        int64_t now_us, struct fw_rl_actions *out);
 
 /*
  * Sets the configuration read at the log's @offset if it is newer than the
  * current one; takes a reference. @rules is NULL if it was invalid.
  */
 void
-Fw_Relay_Rules(struct fw_relay *r, struct fw_rl_rules *rules, uint64_t offset,
-               int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_SetRules(struct fw_relay *r, struct fw_rl_rules *rules,
+                  uint64_t offset, int64_t now_us, struct fw_rl_actions *out);
 /* The current configuration was the newest in the store at @as_of_us. */
 void
-Fw_Relay_Fresh(struct fw_relay *r, int64_t as_of_us);
+Fw_Relay_SetFreshAsOf(struct fw_relay *r, int64_t as_of_us);
 /* Adds or updates a server; @entry is NULL if it is no longer listed. */
 void
-Fw_Relay_Server(struct fw_relay *r, const char *id,
-                const struct fw_rl_server_entry *entry, int64_t now_us,
-                struct fw_rl_acts *out);
+Fw_Relay_UpdateServer(struct fw_relay *r, const char *id,
+                      const struct fw_rl_server_entry *entry, int64_t now_us,
+                      struct fw_rl_actions *out);
 /*
  * Enclose a complete listing of the servers; those not updated in between are
  * removed.
  */
 void
-Fw_Relay_ListBegin(struct fw_relay *r);
+Fw_Relay_BeginServerList(struct fw_relay *r);
 void
-Fw_Relay_ListEnd(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_EndServerList(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_actions *out);
 /* The store has stopped answering. */
 void
-Fw_Relay_StoreLost(struct fw_relay *r);
+Fw_Relay_StoreUnreachable(struct fw_relay *r);
 /* The store answers again. */
 void
-Fw_Relay_StoreBack(struct fw_relay *r, int64_t now_us);
+Fw_Relay_StoreRecovered(struct fw_relay *r, int64_t now_us);
 
 /** enum fw_rl_claim_result - outcome of a claim of the order role. */
-enum fw_rl_claim {
-    FW_RL_CLAIM_MADE,    /* the claim was appended to the log */
-    FW_RL_CLAIM_TAKEN,   /* another claim was appended first */
+enum fw_rl_claim_result {
+    FW_RL_CLAIM_WON,     /* the claim was appended to the log */
+    FW_RL_CLAIM_LOST,    /* another claim was appended first */
     FW_RL_CLAIM_UNKNOWN, /* the log did not answer */
 };
 
@@ -323,8 +325,8 @@
  * @offset: offset of the claim if it was appended, otherwise the log's end
  */
 void
-Fw_Relay_Lead(struct fw_relay *r, enum fw_rl_claim claim, uint64_t offset,
-              int64_t sent_us, int64_t now_us);
+Fw_Relay_ClaimEnded(struct fw_relay *r, enum fw_rl_claim_result claim,
+                    uint64_t offset, int64_t sent_us, int64_t now_us);
 
 /** struct fw_rl_datagram - a message to the instance at @addr. */
 struct fw_rl_datagram {
@@ -332,25 +334,27 @@
     GBytes *data;
 };
 
-/** struct fw_rl_mail - outgoing messages, of struct fw_rl_datagram. */
-struct fw_rl_mail {
+/** struct fw_rl_outbox - outgoing messages, of struct fw_rl_datagram. */
+struct fw_rl_outbox {
     GPtrArray *all;
 };
 
 void
-Fw_Mail_Init(struct fw_rl_mail *mail);
+Fw_Outbox_Init(struct fw_rl_outbox *mail);
 /* Frees the messages. */
 void
-Fw_Mail_Clear(struct fw_rl_mail *mail);
+Fw_Outbox_Clear(struct fw_rl_outbox *mail);
 /* Appends the messages to other instances that are due. */
 void
-Fw_Relay_Exchange(struct fw_relay *r, int64_t now_us, struct fw_rl_mail *out);
+Fw_Relay_WriteMessages(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_outbox *out);
 /* Requests reservations for queued requests as far as engines have room. */
 void
-Fw_Relay_Place(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_PlaceQueued(struct fw_relay *r, int64_t now_us,
+                     struct fw_rl_actions *out);
 /* Time at which Fw_Relay_WriteMessages() must be called again. */
 int64_t
-Fw_Relay_ExchangeDue(const struct fw_relay *r);
+Fw_Relay_NextMessageUs(const struct fw_relay *r);
 /*
  * Handles a message from another instance at @addr and appends replies to
  * @out. Return: 1 if the sender is new or was out of touch, 0 otherwise,
@@ -358,24 +362,24 @@
  */
 int
 Fw_Relay_ReadMessage(struct fw_relay *r, const char *addr, const void *data,
-                     size_t len, int64_t now_us, struct fw_rl_mail *out);
+                     size_t len, int64_t now_us, struct fw_rl_outbox *out);
 /* Whether this instance reads the store itself rather than rely on others. */
 int
 Fw_Relay_ReadsStore(const struct fw_relay *r, int64_t now_us);
 /* Long-poll timeout in us of a configuration read, at most @base_us. */
 int64_t
-Fw_Relay_RulesWait(struct fw_relay *r, int64_t base_us, int64_t now_us);
+Fw_Relay_RulesPollUs(struct fw_relay *r, int64_t base_us, int64_t now_us);
 /*
  * Whether another instance knows a newer configuration, or newer servers.
  * @addr receives its address. Each such notice is returned only once.
  */
 int
-Fw_Relay_TakeWantRules(struct fw_relay *r, char addr[FW_URL_MAX]);
+Fw_Relay_TakeRulesSource(struct fw_relay *r, char addr[FW_URL_MAX]);
 int
-Fw_Relay_TakeWantList(struct fw_relay *r, char addr[FW_URL_MAX]);
+Fw_Relay_TakeServerListSource(struct fw_relay *r, char addr[FW_URL_MAX]);
 /* The servers' entries were read up to the log's @offset. */
 void
-Fw_Relay_ListOffset(struct fw_relay *r, uint64_t offset);
+Fw_Relay_SetServerListOffset(struct fw_relay *r, uint64_t offset);
 /**
  * struct fw_rl_peer - registration of another instance.
  * @domain: its failure domain
@@ -394,30 +398,31 @@
                    int64_t now_us);
 /* All registered instances have been added with Fw_Relay_AddMember(). */
 void
-Fw_Relay_MembersEnd(struct fw_relay *r, int64_t now_us);
+Fw_Relay_EndMemberList(struct fw_relay *r, int64_t now_us);
 /* Whether no message of any other instance was received recently. */
 int
 Fw_Relay_IsIsolated(const struct fw_relay *r, int64_t now_us);
 
 /* Starts draining: the instance is no longer ready. */
 void
-Fw_Relay_Drain(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_Drain(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out);
 /* Handles timeouts and periodic work. */
 void
-Fw_Relay_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Relay_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out);
 /* Time of the next call of Fw_Relay_Tick(). */
 int64_t
-Fw_Relay_Wake(const struct fw_relay *r, int64_t now_us);
+Fw_Relay_NextTickUs(const struct fw_relay *r, int64_t now_us);
 int
-Fw_Relay_Ready(const struct fw_relay *r, int64_t now_us);
+Fw_Relay_IsReady(const struct fw_relay *r, int64_t now_us);
 /* Whether to close callers' connections so that they reconnect elsewhere. */
 int
-Fw_Relay_SendsAway(const struct fw_relay *r, int64_t now_us);
+Fw_Relay_ShedsConnections(const struct fw_relay *r, int64_t now_us);
 /* Whether new requests may be sent to the server @id. */
 int
-Fw_Relay_Usable(const struct fw_relay *r, const char *id, int64_t now_us);
+Fw_Relay_IsServerUsable(const struct fw_relay *r, const char *id,
+                        int64_t now_us);
 /* Returns the current configuration, NULL if there is none; borrowed. */
 const struct fw_rl_rules *
-Fw_Relay_InForce(const struct fw_relay *r);
+Fw_Relay_CurrentRules(const struct fw_relay *r);
 
 #endif
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -5,7 +5,7 @@
 #include <msgpack.h>
 #include <syslog.h>
 
-#include "decide/learned.h"
+#include "decide/service_stats.h"
 #include "relay/peers.h"
 #include "relay/relay.h"
 #include "route/queue.h"
@@ -16,20 +16,20 @@
  * Maximum idle time of a connection reused for a request that must not be
  * retried: if the connection has died meanwhile, the request is lost with it.
  */
-#define FW_RL_REUSE_ONCE_US (1 * FW_SEC)
+#define FW_RL_REUSE_NON_IDEMPOTENT_US (1 * FW_SEC)
 /* Maximum idle time of a connection reused for any other request. */
 #define FW_RL_REUSE_US (60 * FW_SEC)
 /* A server that does not accept a connection in time is unreachable. */
-#define FW_RL_CONNECT_US (250 * FW_MSEC)
+#define FW_RL_CONNECT_TIMEOUT_US (250 * FW_MSEC)
 /* Timeout for releasing a reservation or KV cache, which expire anyway. */
-#define FW_RL_HOUSEKEEPING_US (1 * FW_SEC)
+#define FW_RL_RELEASE_TIMEOUT_US (1 * FW_SEC)
 /*
  * Time after the store's recovery during which unlisted servers are kept, so
  * that live ones can renew their entries. See servers.c.
  */
 #define FW_RL_RELIST_GRACE_US (2200 * FW_MSEC)
 /* An instance without messages from any peer for this long is isolated. */
-#define FW_RL_ISOLATED_US (3 * FW_SEC)
+#define FW_RL_ISOLATION_TIMEOUT_US (3 * FW_SEC)
 
 /**
  * struct fw_rl_server - one process of a server, until it ends.
@@ -60,27 +60,27 @@
  */
 struct fw_rl_server {
     struct fw_list link;
-    struct fw_rl_server_entry e;
+    struct fw_rl_server_entry entry;
     uint64_t hash;
     int refs;
     int gone;
     int listed;
     int64_t removal_us;
     int running;
-    int64_t reserved;
-    int64_t reading;
+    int64_t kv_tokens;
+    int64_t prefill_tokens;
     int64_t full_us;
     int64_t full_tokens;
-    int64_t suspect_us;
+    int64_t backoff_until_us;
     int consecutive_backoffs;
     int timeouts;
     int rejected_runs;
-    double errors;
-    double took_us;
-    double work_us;
-    enum fw_rl_stage to_stage;
+    double error_rate;
+    double latency_us;
+    double service_us;
+    enum fw_rl_stage target_stage;
     int64_t stage_change_until_us;
-    int unsent;
+    int is_unsent;
 };
 
 /**
@@ -108,16 +108,16 @@
     double fleet_share;
     int64_t at_us;
     int64_t spent;
-    int64_t leaves;
-    int64_t sent;
-    int64_t counted;
-    int64_t reported;
+    int64_t leaf_spent;
+    int64_t digest_spent;
+    int64_t acknowledged;
+    int64_t report_spent;
     int64_t created_us;
     int adopted;
 };
 
 /**
- * struct fw_rl_watch - state of following the store; see watch.c.
+ * struct fw_rl_store_sync - state of following the store; see watch.c.
  * @query_us: when the pending query to another instance was sent
  * @nonce: nonce of the pending query, 0 for none
  * @last_nonce: nonce of the last query
@@ -127,13 +127,13 @@
  * @store_lost: the store does not answer this instance
  * @members_known: the registered instances were read from the store
  */
-struct fw_rl_watch {
-    int64_t asked_us;
+struct fw_rl_store_sync {
+    int64_t query_us;
     uint64_t nonce;
     uint64_t last_nonce;
     uint64_t list_offset;
-    char rules_from[FW_URL_MAX];
-    char list_from[FW_URL_MAX];
+    char rules_source[FW_URL_MAX];
+    char list_source[FW_URL_MAX];
     int store_lost;
     int members_known;
 };
@@ -154,11 +154,11 @@
     int retries[FW_RL_RETRY_BUDGET_SLOTS];
 };
 
-enum fw_rl_state {
-    FW_RL_QUEUED, /* waiting for an engine with enough memory */
-    FW_RL_HOLD,   /* a reservation was requested of an engine */
-    FW_RL_READ,   /* a prefill engine prefills the prompt */
-    FW_RL_RUN,    /* sent to the server that generates the response */
+enum fw_rl_call_state {
+    FW_RL_QUEUED,     /* waiting for an engine with enough memory */
+    FW_RL_RESERVING,  /* a reservation was requested of an engine */
+    FW_RL_PREFILLING, /* a prefill engine prefills the prompt */
+    FW_RL_RUNNING,    /* sent to the server that generates the response */
 };
 
 /**
@@ -195,34 +195,34 @@
 struct fw_rl_call {
     struct fw_list link;
     uint64_t id;
-    struct fw_rl_ask ask;
+    struct fw_rl_request_info info;
     struct fw_rl_route_rule route;
     char service[FW_NAME_MAX];
     char team[FW_NAME_MAX];
-    int urgency;
-    enum fw_rl_state state;
+    int priority;
+    enum fw_rl_call_state state;
     int64_t opened_us;
     int64_t deadline_us;
-    int64_t queue_us;
+    int64_t queue_limit_us;
     int64_t queue_until_us;
     int64_t cost;
-    int paid;
-    int64_t need;
-    struct fw_length_guess answer;
-    int64_t hold_tokens;
-    int64_t ahead;
+    int is_charged;
+    int64_t kv_tokens;
+    struct fw_length_estimate length;
+    int64_t reservation_tokens;
+    int64_t prefill_queue_tokens;
     struct fw_rl_server *server;
-    struct fw_rl_server *reader;
-    char hold[FW_RL_KEY_MAX];
-    char kv[FW_RL_KEY_MAX];
+    struct fw_rl_server *prefill_server;
+    char reservation[FW_RL_KEY_MAX];
+    char kv_handle[FW_RL_KEY_MAX];
     char kv_addr[FW_URL_MAX];
-    int reading;
-    int64_t room_us;
-    int64_t run_us;
-    int64_t first_us;
+    int is_prefilling;
+    int64_t reserved_us;
+    int64_t sent_us;
+    int64_t response_us;
     struct fw_rl_op *op;
-    int tries;
-    int passed;
+    int attempts;
+    int is_forwarded;
     enum fw_ran ran;
     uint64_t tried[FW_RL_TRIED_MAX];
     int n_tried;
@@ -239,12 +239,12 @@
 struct fw_rl_op {
     struct fw_list link;
     uint64_t xid;
-    enum fw_rl_up_kind kind;
+    enum fw_rl_upstream_kind kind;
     struct fw_rl_call *call;
     struct fw_rl_server *server;
     int64_t sent_us;
-    int64_t until_us;
-    int found_slot;
+    int64_t deadline_us;
+    int had_free_slot;
     int is_calibration;
 };
 
@@ -296,13 +296,13 @@
 };
 
 static inline int64_t
-Fw_Relay_Ms(int64_t us)
+Fw_Relay_UsToMs(int64_t us)
 {
     return us / FW_MSEC;
 }
 
 /* Maximum number of reasons with a counter of their own. */
-#define FW_RL_REASONS_MAX 24
+#define FW_RL_REJECT_REASONS_MAX 24
 
 /**
  * struct fw_rl_metrics - metrics of the relay; see metrics.c for the others.
@@ -315,15 +315,15 @@
  */
 struct fw_rl_metrics {
     struct fw_metric requests;
-    struct fw_metric passed;
-    struct fw_metric refused;
+    struct fw_metric forwarded;
+    struct fw_metric rejected;
     struct fw_metric failed;
-    struct fw_metric left;
-    struct fw_metric cut;
-    struct fw_metric repeats;
-    struct fw_metric holds;
-    struct fw_metric holds_refused;
-    struct fw_metric reads;
+    struct fw_metric abandoned;
+    struct fw_metric aborted;
+    struct fw_metric retries;
+    struct fw_metric reservations;
+    struct fw_metric reservations_rejected;
+    struct fw_metric prefills;
     struct fw_metric open;
     struct fw_metric queued;
     struct fw_metric members;
@@ -332,13 +332,13 @@
     struct fw_metric servers_usable;
     struct fw_metric tokens_reserved;
     struct fw_metric role_held;
-    struct fw_metric reasons[FW_RL_REASONS_MAX];
-    char labels[FW_RL_REASONS_MAX][FW_NAME_MAX + 16];
+    struct fw_metric reasons[FW_RL_REJECT_REASONS_MAX];
+    char labels[FW_RL_REJECT_REASONS_MAX][FW_NAME_MAX + 16];
     int n_reasons;
     struct fw_histogram queued_s;
-    struct fw_histogram read_s;
-    struct fw_histogram first_s;
-    struct fw_histogram whole_s;
+    struct fw_histogram prefill_s;
+    struct fw_histogram response_s;
+    struct fw_histogram total_s;
 };
 
 /**
@@ -353,7 +353,7 @@
  * @calls: request id to struct fw_rl_call
  * @ops: xid to struct fw_rl_op
  * @hash: hash of this instance's name
- * @census: hash of an instance's name to when it was last in touch
+ * @known_instances: hash of an instance's name to when it was last in touch
  * @loads: hash of a server's id to the load of other instances there
  * @allowances: hash of a team's name to struct fw_rl_allowance
  * @retry_budgets: struct fw_rl_retry_budget
@@ -373,9 +373,9 @@
     struct fw_rl_metrics n;
     struct fw_rl_rules *rules;
     uint64_t rules_offset;
-    int64_t fresh_us;
-    int64_t store_back_us;
-    int list_known;
+    int64_t rules_fresh_us;
+    int64_t store_recovered_us;
+    int has_server_list;
     struct fw_list servers;
     GHashTable *calls;
     struct fw_list call_list;
@@ -386,7 +386,7 @@
     struct fw_list members;
     struct fw_rl_exchange x;
     uint64_t hash;
-    GHashTable *census;
+    GHashTable *known_instances;
     GHashTable *loads;
     GHashTable *allowances;
     GPtrArray *retry_budgets;
@@ -395,37 +395,37 @@
     struct fw_rl_strike strikes[FW_RL_STRIKES_MAX];
     int n_strikes;
     struct fw_rl_order_lease order_lease;
-    struct fw_rl_watch watch;
-    GPtrArray *learned;
+    struct fw_rl_store_sync store_sync;
+    GPtrArray *service_stats;
     uint64_t digest_seq;
     int64_t stage_check_us;
     int stages_settled;
     int64_t imbalance_since_us;
     int draining;
-    int64_t drain_us;
+    int64_t drain_start_us;
 };
 
 /* actions.c */
 /* Appends an action. The pointer is valid until the next one is added. */
-struct fw_rl_act *
-Fw_Acts_Add(struct fw_rl_acts *acts, enum fw_rl_act_kind kind);
+struct fw_rl_action *
+Fw_RelayActions_Add(struct fw_rl_actions *acts, enum fw_rl_action_kind kind);
 /*
  * Appends a log line if the log level includes @severity.
  * @event: string literal
  * @fmt: JSON members without braces
  */
 void
-Fw_Acts_Log(struct fw_rl_acts *acts, const struct fw_relay *r, int severity,
-            const char *event, const char *fmt, ...)
+Fw_RelayActions_Log(struct fw_rl_actions *acts, const struct fw_relay *r,
+                    int severity, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 5, 6)));
 
 /* servers.c */
 /* The server rejected a run that had a reservation there. */
 void
-Fw_Servers_Refused(struct fw_rl_server *s, int64_t now_us);
+Fw_Servers_NoteRejectedRun(struct fw_rl_server *s, int64_t now_us);
 /* The server accepted a call and did not answer in time. */
 void
-Fw_Servers_Silent(struct fw_rl_server *s, int64_t now_us);
+Fw_Servers_NoteTimeout(struct fw_rl_server *s, int64_t now_us);
 struct fw_rl_server *
 Fw_Servers_Find(const struct fw_relay *r, const char *id);
 struct fw_rl_server *
@@ -434,26 +434,27 @@
 Fw_Servers_Unref(struct fw_rl_server *s);
 /* Whether new requests may be sent to the server. */
 int
-Fw_Servers_Usable(const struct fw_rl_server *s, int64_t now_us);
+Fw_Servers_IsUsable(const struct fw_rl_server *s, int64_t now_us);
 /* Whether the server is changing its stage. */
 int
-Fw_Servers_Switching(const struct fw_rl_server *s, int64_t now_us);
+Fw_Servers_IsChangingStage(const struct fw_rl_server *s, int64_t now_us);
 /* Starts a backoff, longer each time until the server responds. */
 void
-Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us);
+Fw_Servers_NoteUnreachable(struct fw_rl_server *s, int64_t now_us);
 /*
  * The server has responded.
  * @failed: the response was a failure
  * @latency_us: response time, -1 to leave the mean as it is
  */
 void
-Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t latency_us);
+Fw_Servers_NoteResponse(struct fw_rl_server *s, int failed,
+                        int64_t latency_us);
 /* The server has responded to a request that found a free slot there. */
 void
-Fw_Servers_Worked(struct fw_rl_server *s, int64_t took_us);
+Fw_Servers_NoteServiceTime(struct fw_rl_server *s, int64_t took_us);
 /* Removes unlisted servers whose grace period is over. */
 void
-Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out);
 void
 Fw_Servers_Clear(struct fw_relay *r);
 
@@ -466,8 +467,8 @@
  * result is random, with a probability that grows with the load.
  */
 int
-Fw_Place_IsCrowded(struct fw_relay *r, const struct fw_rl_call *c,
-                   const struct fw_rl_server *s, int64_t now_us);
+Fw_Place_IsOverloaded(struct fw_relay *r, const struct fw_rl_call *c,
+                      const struct fw_rl_server *s, int64_t now_us);
 /* Chooses a decode engine with enough free memory for @c, or NULL. */
 struct fw_rl_server *
 Fw_Place_Decode(struct fw_relay *r, const struct fw_rl_call *c,
@@ -477,15 +478,15 @@
  * @wait_us: receives the predicted time until the prompt is prefilled
  */
 struct fw_rl_server *
-Fw_Place_Read(struct fw_relay *r, const struct fw_rl_call *c, int64_t now_us,
-              int64_t *wait_us);
+Fw_Place_Prefill(struct fw_relay *r, const struct fw_rl_call *c,
+                 int64_t now_us, int64_t *wait_us);
 /* Load at @s of all instances together. */
 void
 Fw_Place_Load(const struct fw_relay *r, const struct fw_rl_server *s,
               int64_t now_us, struct fw_rl_load *out);
 /* Whether @c must avoid @s, which it has tried before. */
 int
-Fw_Call_Tried(const struct fw_rl_call *c, const struct fw_rl_server *s);
+Fw_Call_HasTried(const struct fw_rl_call *c, const struct fw_rl_server *s);
 
 /* call.c */
 /*
@@ -494,9 +495,9 @@
  * @up: the call; ids and address are filled in
  */
 struct fw_rl_op *
-Fw_Call_Ask(struct fw_relay *r, struct fw_rl_call *c, struct fw_rl_server *s,
-            struct fw_rl_up_call *up, int64_t until_us, int64_t now_us,
-            struct fw_rl_acts *out);
+Fw_Call_Upstream(struct fw_relay *r, struct fw_rl_call *c,
+                 struct fw_rl_server *s, struct fw_rl_upstream_call *up,
+                 int64_t until_us, int64_t now_us, struct fw_rl_actions *out);
 /* Frees @op; a response that arrives later is ignored. */
 void
 Fw_Op_End(struct fw_relay *r, struct fw_rl_op *op);
@@ -505,42 +506,42 @@
  * run is replaced by 502 if it may have run.
  */
 void
-Fw_Call_Refuse(struct fw_relay *r, struct fw_rl_call *c, int status,
+Fw_Call_Reject(struct fw_relay *r, struct fw_rl_call *c, int status,
                int64_t retry_us, const char *reason, int64_t now_us,
-               struct fw_rl_acts *out);
+               struct fw_rl_actions *out);
 /* Frees @c and what it holds; its response has ended or has no recipient. */
 void
 Fw_Call_End(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-            struct fw_rl_acts *out);
+            struct fw_rl_actions *out);
 /* Cancels @c's pending call and releases its reservation and KV cache. */
 void
 Fw_Call_Release(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-                struct fw_rl_acts *out);
+                struct fw_rl_actions *out);
 /* Starts forwarding the response of @c's pending call. */
 void
-Fw_Call_Pass(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-             struct fw_rl_acts *out);
+Fw_Call_Forward(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+                struct fw_rl_actions *out);
 /* Detaches @c from its server without releasing its reservation there. */
 void
-Fw_Call_LeaveServer(struct fw_rl_call *c);
+Fw_Call_DetachServer(struct fw_rl_call *c);
 /* Removes @c's prompt from the load of its prefill engine. */
 void
-Fw_Call_ReadDone(struct fw_rl_call *c);
+Fw_Call_EndPrefill(struct fw_rl_call *c);
 /* Severity of @c's log lines that report no problem; depends on sampling. */
 int
-Fw_Call_Severity(const struct fw_relay *r, const struct fw_rl_call *c);
+Fw_Call_LogSeverity(const struct fw_relay *r, const struct fw_rl_call *c);
 /* Ends the forwarded response of @c, complete if @whole, else aborted. */
 void
 Fw_Call_Finish(struct fw_relay *r, struct fw_rl_call *c, int whole,
-               int64_t now_us, struct fw_rl_acts *out);
+               int64_t now_us, struct fw_rl_actions *out);
 
 /* open.c */
 /* Whether callers' keys may be accepted; see open.c. */
 int
-Fw_Relay_KeysFresh(const struct fw_relay *r, int64_t now_us);
+Fw_Relay_AreKeysFresh(const struct fw_relay *r, int64_t now_us);
 /* Retry-After in us for requests rejected because keys are stale. */
 int64_t
-Fw_Relay_UnreadyRetry(struct fw_relay *r, int64_t now_us);
+Fw_Relay_StaleRetryUs(struct fw_relay *r, int64_t now_us);
 /* Whether @c may still be sent to a server; checked again before sending. */
 int
 Fw_Relay_MayServe(const struct fw_relay *r, const struct fw_rl_call *c,
@@ -549,29 +550,30 @@
 /* plain.c */
 void
 Fw_Plain_Send(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-              struct fw_rl_acts *out);
+              struct fw_rl_actions *out);
 void
-Fw_Plain_Answered(struct fw_relay *r, struct fw_rl_op *op,
-                  const struct fw_rl_up_answer *ans, int64_t now_us,
-                  struct fw_rl_acts *out);
+Fw_Plain_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
+                        const struct fw_rl_upstream_response *ans,
+                        int64_t now_us, struct fw_rl_actions *out);
 void
-Fw_Plain_Failed(struct fw_relay *r, struct fw_rl_op *op, int err, int sent,
-                int64_t now_us, struct fw_rl_acts *out);
+Fw_Plain_HandleFailure(struct fw_relay *r, struct fw_rl_op *op, int err,
+                       int sent, int64_t now_us, struct fw_rl_actions *out);
 
 /* stream.c */
 void
 Fw_Stream_Open(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
-               struct fw_rl_acts *out);
+               struct fw_rl_actions *out);
 /* Requests reservations for queued requests while an engine has room. */
 void
-Fw_Stream_Pump(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_Stream_PlaceQueued(struct fw_relay *r, int64_t now_us,
+                      struct fw_rl_actions *out);
 void
-Fw_Stream_Answered(struct fw_relay *r, struct fw_rl_op *op,
-                   const struct fw_rl_up_answer *ans, int64_t now_us,
-                   struct fw_rl_acts *out);
+Fw_Stream_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
+                         const struct fw_rl_upstream_response *ans,
+                         int64_t now_us, struct fw_rl_actions *out);
 void
-Fw_Stream_Failed(struct fw_relay *r, struct fw_rl_op *op, int err, int sent,
-                 int64_t now_us, struct fw_rl_acts *out);
+Fw_Stream_HandleFailure(struct fw_relay *r, struct fw_rl_op *op, int err,
+                        int sent, int64_t now_us, struct fw_rl_actions *out);
 /* Retry-After in us for a rejected stream. */
 int64_t
 Fw_Stream_RetryAfter(struct fw_relay *r, const struct fw_rl_call *c);
@@ -579,41 +581,42 @@
 /* kv_demand.c */
 /* Updates the expected KV cache use of @c, also in its server's total. */
 void
-Fw_Need_Grow(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us);
+Fw_KvDemand_Update(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us);
 /* KV cache tokens to reserve for @c at an engine. */
 int64_t
-Fw_Need_Hold(const struct fw_relay *r, const struct fw_rl_call *c);
+Fw_KvDemand_Reservation(const struct fw_relay *r, const struct fw_rl_call *c);
 /* Updates the statistics after a complete stream of @events events. */
 void
-Fw_Need_NoteRun(struct fw_relay *r, const struct fw_rl_call *c, int64_t events,
-                int64_t now_us);
+Fw_KvDemand_NoteStreamEnd(struct fw_relay *r, const struct fw_rl_call *c,
+                          int64_t events, int64_t now_us);
 
 /* service_stats.c */
 /* Returns the statistics of @service, created with initial values if new. */
-struct fw_learned *
-Fw_Learned_Of(const struct fw_relay *r, const char *service);
+struct fw_service_stats *
+Fw_ServiceStats_Get(const struct fw_relay *r, const char *service);
 /* Requests reports from engines to learn the tokens per event. */
 void
-Fw_Learned_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_ServiceStats_Tick(struct fw_relay *r, int64_t now_us,
+                     struct fw_rl_actions *out);
 /* Updates the tokens per event from a report of an engine of @service. */
 void
-Fw_Learned_TakeRuns(struct fw_relay *r, const char *service,
-                    const struct fw_rl_up_answer *ans);
+Fw_ServiceStats_ApplyReport(struct fw_relay *r, const char *service,
+                            const struct fw_rl_upstream_response *ans);
 /*
  * Appends a message with all length models to @out, for an instance that has
  * just started. Return: nonzero if there are any.
  */
 int
-Fw_Learned_Write(const struct fw_relay *r, GByteArray *out);
+Fw_ServiceStats_Write(const struct fw_relay *r, GByteArray *out);
 /* Imports the models of such a message. Return: 0 or -EBADMSG. */
 int
-Fw_Learned_Read(struct fw_relay *r, const msgpack_object *o);
+Fw_ServiceStats_Read(struct fw_relay *r, const msgpack_object *o);
 
 /* allowance.c */
 /* Creates or resizes the buckets after a change of the configuration. */
 void
 Fw_Allowance_ApplyRules(struct fw_relay *r, int64_t now_us,
-                        struct fw_rl_acts *out);
+                        struct fw_rl_actions *out);
 /*
  * Takes @cost from a team's bucket. Return: nonzero if it was taken, otherwise
  * @retry_us receives when to retry.
@@ -623,22 +626,22 @@
                   int64_t cost, int64_t now_us, int64_t *retry_us);
 /* Level of the bucket in tokens and fleet_share, to log a rejection. */
 void
-Fw_Allowance_Explain(const struct fw_relay *r, const char *team,
-                     int64_t *level, int *part_permille);
+Fw_Allowance_Describe(const struct fw_relay *r, const char *team,
+                      int64_t *level, int *part_permille);
 /* Returns the cost of a request that did not run. */
 void
-Fw_Allowance_Return(struct fw_relay *r, const char *team, int64_t cost);
+Fw_Allowance_Refund(struct fw_relay *r, const char *team, int64_t cost);
 /*
  * Another hub and its leaves have spent @tokens more of the team with @hash;
  * @level is the level of the bucket there.
  */
 void
-Fw_Allowance_Others(struct fw_relay *r, uint64_t hash, int64_t tokens,
-                    int64_t level, int64_t now_us);
+Fw_Allowance_NoteHubSpending(struct fw_relay *r, uint64_t hash, int64_t tokens,
+                             int64_t level, int64_t now_us);
 /* A leaf of this hub has spent @tokens more of the team with @hash. */
 void
-Fw_Allowance_Leaf(struct fw_relay *r, uint64_t hash, int64_t tokens,
-                  int64_t now_us);
+Fw_Allowance_NoteLeafSpending(struct fw_relay *r, uint64_t hash,
+                              int64_t tokens, int64_t now_us);
 
 /**
  * struct fw_rl_hub_level - level of a team's bucket as sent by the hub.
@@ -648,23 +651,24 @@
  * @is_current: answers the last report; other messages may be outdated, and
  *     can only lower the level
  */
-struct fw_rl_level {
+struct fw_rl_hub_level {
     uint64_t hash;
     int64_t level;
-    int64_t counted;
-    int may_rise;
+    int64_t acknowledged;
+    int is_current;
 };
 
 /* Adopts the level of the hub, less what it has not counted yet. */
 void
-Fw_Allowance_Hub(struct fw_relay *r, const struct fw_rl_level *level,
-                 int64_t now_us);
+Fw_Allowance_ApplyHubLevel(struct fw_relay *r,
+                           const struct fw_rl_hub_level *level,
+                           int64_t now_us);
 /*
  * The hub has counted the last report. All buckets are set to full, less what
  * was spent since the report: the hub's reply lists only those not full.
  */
 void
-Fw_Allowance_Counted(struct fw_relay *r, int64_t now_us);
+Fw_Allowance_AcknowledgeReport(struct fw_relay *r, int64_t now_us);
 /* Whether the bucket is full, up to rounding. */
 int
 Fw_Allowance_IsFull(struct fw_relay *r, struct fw_rl_allowance *p,
@@ -673,43 +677,46 @@
 /* retry_budget.c */
 /* Counts a request, which adds to the budget of its service. */
 void
-Fw_Budget_Request(struct fw_relay *r, const char *service, int64_t now_us);
+Fw_RetryBudget_NoteRequest(struct fw_relay *r, const char *service,
+                           int64_t now_us);
 /* Takes @n retries. Return: nonzero if the budget allowed them. */
 int
-Fw_Budget_Repeat(struct fw_relay *r, const char *service, int n,
-                 int64_t now_us);
+Fw_RetryBudget_Take(struct fw_relay *r, const char *service, int n,
+                    int64_t now_us);
 
 /* poison.c */
 /* The connection to @s broke while it ran the request with @digest. */
 void
-Fw_Poison_CutOff(struct fw_relay *r, uint64_t digest,
-                 const struct fw_rl_server *s, int64_t now_us);
+Fw_Poison_NoteDisconnect(struct fw_relay *r, uint64_t digest,
+                         const struct fw_rl_server *s, int64_t now_us);
 /*
  * @s has ended. Adds a strike to each request whose connection to it broke
  * shortly before.
  */
 void
 Fw_Poison_ServerLost(struct fw_relay *r, const struct fw_rl_server *s,
-                     int64_t now_us, struct fw_rl_acts *out);
+                     int64_t now_us, struct fw_rl_actions *out);
 /* Strikes of the request with @digest, counted by all instances. */
 int
-Fw_Poison_Count(const struct fw_relay *r, uint64_t digest, int64_t now_us);
+Fw_Poison_CountStrikes(const struct fw_relay *r, uint64_t digest,
+                       int64_t now_us);
 
 /* stage_order.c */
 void
-Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out);
+Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us,
+                   struct fw_rl_actions *out);
 void
 Fw_StageOrder_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
-                             const struct fw_rl_up_answer *ans, int64_t now_us,
-                             struct fw_rl_acts *out);
+                             const struct fw_rl_upstream_response *ans,
+                             int64_t now_us, struct fw_rl_actions *out);
 void
 Fw_StageOrder_HandleFailure(struct fw_relay *r, struct fw_rl_op *op,
-                            struct fw_rl_acts *out);
+                            struct fw_rl_actions *out);
 
 /* metrics.c */
 /* Counts an error response by its @reason. */
 void
-Fw_Relay_CountReason(struct fw_relay *r, const char *reason);
+Fw_Relay_CountRejection(struct fw_relay *r, const char *reason);
 /* Updates the gauges that are derived from other state. */
 void
 Fw_Relay_UpdateGauges(struct fw_relay *r, int64_t now_us);
--- a/src/relay/reply.c
+++ b/src/relay/reply.c
@@ -106,11 +106,11 @@
         Fw_Unpack_U64(o, 5, &p->report_seq)) {
         return -EBADMSG;
     }
-    p->counts = Fw_Rows_Of(o, 6, 2);
-    p->levels = Fw_Rows_Of(o, 7, 3);
-    p->load = Fw_Rows_Of(o, 8, 6);
-    p->strikes = Fw_Rows_Of(o, 9, 2);
-    p->store_state = Fw_Rows_Of(o, 10, FW_RL_WATCH_WIDTH);
+    p->counts = Fw_Rows_Unpack(o, 6, 2);
+    p->levels = Fw_Rows_Unpack(o, 7, 3);
+    p->load = Fw_Rows_Unpack(o, 8, 6);
+    p->strikes = Fw_Rows_Unpack(o, 9, 2);
+    p->store_state = Fw_Rows_Unpack(o, 10, FW_RL_STORE_STATE_COLUMNS);
     return p->counts && p->levels && p->load && p->strikes && p->store_state &&
                    p->counts->size == 1 && p->store_state->size == 1
                ? 0
@@ -125,16 +125,16 @@
 apply_levels(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
     if (p->report_seq) {
-        Fw_Allowance_Counted(r, now_us);
+        Fw_Allowance_AcknowledgeReport(r, now_us);
     }
     for (uint32_t i = 0; i < p->levels->size; i++) {
-        struct fw_rl_level level = {
+        struct fw_rl_hub_level level = {
             .hash = (uint64_t)Fw_Rows_Cell(p->levels, i, 0),
             .level = Fw_Rows_Cell(p->levels, i, 1),
-            .counted = Fw_Rows_Cell(p->levels, i, 2),
-            .may_rise = p->report_seq != 0};
+            .acknowledged = Fw_Rows_Cell(p->levels, i, 2),
+            .is_current = p->report_seq != 0};
 
-        Fw_Allowance_Hub(r, &level, now_us);
+        Fw_Allowance_ApplyHubLevel(r, &level, now_us);
     }
 }
 
@@ -174,7 +174,7 @@
     }
     if (r->rules && (uint64_t)Fw_Rows_Cell(p->store_state, 0, 2) ==
                         Fw_StoreSync_RulesEnd(r)) {
-        Fw_Relay_Fresh(r, from_us - age_us);
+        Fw_Relay_SetFreshAsOf(r, from_us - age_us);
     }
 }
 
@@ -184,7 +184,7 @@
 {
     hub->unreachable_since_us = now_us;
     Fw_Hubs_UpdateRoles(r, now_us);
-    r->x.wants = 1;
+    r->x.send_soon = 1;
 }
 
 int
@@ -209,8 +209,9 @@
         leave_hub(r, hub, now_us);
         return 0;
     }
-    r->x.count = (int)Fw_Rows_Cell(p.counts, 0, 0);
-    r->x.in_touch = (int)CLAMP(Fw_Rows_Cell(p.counts, 0, 1), 1, r->x.count);
+    r->x.n_instances = (int)Fw_Rows_Cell(p.counts, 0, 0);
+    r->x.n_live =
+        (int)CLAMP(Fw_Rows_Cell(p.counts, 0, 1), 1, r->x.n_instances);
     r->x.counted_us = now_us;
     apply_levels(r, &p, now_us);
     if (p.report_seq) {
--- a/src/relay/report.c
+++ b/src/relay/report.c
@@ -31,12 +31,12 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct fw_rl_allowance *p = v;
 
-        p->reported = p->spent;
+        p->report_spent = p->spent;
         if (p->spent) {
             msgpack_pack_array(pk, 3);
             msgpack_pack_uint64(pk, p->hash);
             msgpack_pack_int64(pk, p->spent);
-            msgpack_pack_int64(pk, p->counted);
+            msgpack_pack_int64(pk, p->acknowledged);
         }
     }
 }
@@ -93,7 +93,7 @@
             FW_FAULT("leaf-uncounted") ? spent : Fw_Rows_Cell(rows, i, 2);
         int64_t *previous = Fw_Rows_LookupOrAdd(m->spent, hash, counted);
 
-        Fw_Allowance_Leaf(r, hash, spent - *previous, now_us);
+        Fw_Allowance_NoteLeafSpending(r, hash, spent - *previous, now_us);
         *previous = spent;
     }
 }
@@ -130,8 +130,8 @@
     m->report_seq = p->seq;
     Fw_Message_ApplySender(r, m, &p->from, addr, now_us);
     m->last_report_us = now_us;
-    m->digest_us = 0;
-    Fw_Rows_ReplaceTable(&m->reading, p->common.prefill_rates);
+    m->last_digest_us = 0;
+    Fw_Rows_ReplaceTable(&m->prefill_rates, p->common.prefill_rates);
     apply_spent(r, m, p->common.spent, now_us);
     Fw_Load_Replace(r, m, p->common.load, FW_RL_SCOPE_LEAF, now_us);
     Fw_Rows_ReplaceTable(&m->strikes, p->common.strikes);
