--- a/src/relay/budget.c
+++ b/src/relay/retry_budget.c
@@ -41,7 +41,8 @@
 }
 
 void
-Fw_Budget_Request(struct fw_relay *r, const char *service, int64_t now_us)
+Fw_RetryBudget_NoteRequest(struct fw_relay *r, const char *service,
+                           int64_t now_us)
 {
     struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
 
@@ -49,8 +50,8 @@
 }
 
 int
-Fw_Budget_Repeat(struct fw_relay *r, const char *service, int n,
-                 int64_t now_us)
+Fw_RetryBudget_Take(struct fw_relay *r, const char *service, int n,
+                    int64_t now_us)
 {
     struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
     int instances = Fw_Members_Count(r, now_us, NULL);
@@ -71,6 +72,6 @@
         return 0;
     }
     b->retries[b->slot % FW_RL_RETRY_BUDGET_SLOTS] += n;
-    r->n.repeats.value += n;
+    r->n.retries.value += n;
     return 1;
 }
--- a/src/relay/rows.c
+++ b/src/relay/rows.c
@@ -12,7 +12,7 @@
 }
 
 const msgpack_object_array *
-Fw_Rows_Of(const msgpack_object *o, uint32_t i, uint32_t width)
+Fw_Rows_Unpack(const msgpack_object *o, uint32_t i, uint32_t width)
 {
     const msgpack_object *rows = Fw_Unpack_Array(o, i);
     int64_t ignored;
--- a/src/relay/servers.c
+++ b/src/relay/servers.c
@@ -34,7 +34,7 @@
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (strcmp(s->e.id, id) == 0) {
+        if (strcmp(s->entry.id, id) == 0) {
             return s;
         }
     }
@@ -58,32 +58,34 @@
 }
 
 int
-Fw_Servers_Usable(const struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_IsUsable(const struct fw_rl_server *s, int64_t now_us)
 {
-    return !s->gone && !s->e.draining && now_us >= s->suspect_us;
+    return !s->gone && !s->entry.draining && now_us >= s->backoff_until_us;
 }
 
 int
-Fw_Relay_Usable(const struct fw_relay *r, const char *id, int64_t now_us)
+Fw_Relay_IsServerUsable(const struct fw_relay *r, const char *id,
+                        int64_t now_us)
 {
     const struct fw_rl_server *s = Fw_Servers_Find(r, id);
 
-    return s && Fw_Servers_Usable(s, now_us);
+    return s && Fw_Servers_IsUsable(s, now_us);
 }
 
 int
-Fw_Servers_Switching(const struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_IsChangingStage(const struct fw_rl_server *s, int64_t now_us)
 {
-    return now_us < s->stage_change_until_us && s->e.stage != s->to_stage;
+    return now_us < s->stage_change_until_us &&
+           s->entry.stage != s->target_stage;
 }
 
 void
-Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_NoteUnreachable(struct fw_rl_server *s, int64_t now_us)
 {
     int doublings = MIN(s->consecutive_backoffs, FW_BACKOFF_DOUBLINGS_MAX);
 
     s->consecutive_backoffs++;
-    s->suspect_us = now_us + (FW_BACKOFF_US << doublings);
+    s->backoff_until_us = now_us + (FW_BACKOFF_US << doublings);
 }
 
 /*
@@ -91,11 +93,11 @@
  * each would take an engine's memory out of use.
  */
 void
-Fw_Servers_Silent(struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_NoteTimeout(struct fw_rl_server *s, int64_t now_us)
 {
     s->timeouts++;
     if (s->timeouts >= FW_TIMEOUTS_MAX) {
-        Fw_Servers_Missed(s, now_us);
+        Fw_Servers_NoteUnreachable(s, now_us);
     }
 }
 
@@ -105,52 +107,54 @@
  * another cause, such as an expired KV cache.
  */
 void
-Fw_Servers_Refused(struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_NoteRejectedRun(struct fw_rl_server *s, int64_t now_us)
 {
     s->rejected_runs++;
     if (s->rejected_runs >= FW_REJECTED_RUNS_MAX) {
-        Fw_Servers_Missed(s, now_us);
+        Fw_Servers_NoteUnreachable(s, now_us);
     }
 }
 
 void
-Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t latency_us)
+Fw_Servers_NoteResponse(struct fw_rl_server *s, int failed, int64_t latency_us)
 {
     s->consecutive_backoffs = 0;
     s->timeouts = 0;
-    s->errors += FW_MEAN_WEIGHT * ((failed ? 1.0 : 0.0) - s->errors);
+    s->error_rate += FW_MEAN_WEIGHT * ((failed ? 1.0 : 0.0) - s->error_rate);
     if (latency_us >= 0) {
-        s->took_us = s->took_us == 0
-                         ? (double)latency_us
-                         : s->took_us + FW_MEAN_WEIGHT *
-                                            ((double)latency_us - s->took_us);
+        s->latency_us =
+            s->latency_us == 0
+                ? (double)latency_us
+                : s->latency_us +
+                      FW_MEAN_WEIGHT * ((double)latency_us - s->latency_us);
     }
 }
 
 void
-Fw_Servers_Worked(struct fw_rl_server *s, int64_t took_us)
+Fw_Servers_NoteServiceTime(struct fw_rl_server *s, int64_t took_us)
 {
     double took = (double)took_us;
 
-    s->work_us = s->work_us == 0
-                     ? took
-                     : s->work_us + FW_MEAN_WEIGHT * (took - s->work_us);
+    s->service_us =
+        s->service_us == 0
+            ? took
+            : s->service_us + FW_MEAN_WEIGHT * (took - s->service_us);
 }
 
 static void
-close_idle_connections(const struct fw_rl_server *s, struct fw_rl_acts *out)
+close_idle_connections(const struct fw_rl_server *s, struct fw_rl_actions *out)
 {
-    g_strlcpy(Fw_Acts_Add(out, FW_RL_DO_FORGET)->u.addr, s->e.addr,
-              FW_URL_MAX);
+    g_strlcpy(Fw_RelayActions_Add(out, FW_RL_DO_CLOSE_IDLE)->u.addr,
+              s->entry.addr, FW_URL_MAX);
 }
 
 static void
 remove_server(struct fw_relay *r, struct fw_rl_server *s, const char *why,
-              int64_t now_us, struct fw_rl_acts *out)
+              int64_t now_us, struct fw_rl_actions *out)
 {
-    Fw_Acts_Log(out, r, LOG_NOTICE, "server_gone",
-                "\"server\":\"%s\",\"addr\":\"%s\",\"why\":\"%s\"", s->e.id,
-                s->e.addr, why);
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "server_gone",
+                        "\"server\":\"%s\",\"addr\":\"%s\",\"why\":\"%s\"",
+                        s->entry.id, s->entry.addr, why);
     Fw_Poison_ServerLost(r, s, now_us, out);
     close_idle_connections(s, out);
     s->gone = 1;
@@ -160,19 +164,19 @@
 
 static void
 add_server(struct fw_relay *r, const struct fw_rl_server_entry *e,
-           struct fw_rl_acts *out)
+           struct fw_rl_actions *out)
 {
     struct fw_rl_server *s = g_new0(struct fw_rl_server, 1);
 
-    s->e = *e;
+    s->entry = *e;
     s->refs = 1;
     s->listed = 1;
     s->hash = Fw_Hash_Str(e->id);
     Fw_List_Append(&r->servers, &s->link);
-    Fw_Acts_Log(out, r, LOG_NOTICE, "server_seen",
-                "\"server\":\"%s\",\"addr\":\"%s\",\"service\":\"%s\","
-                "\"domain\":\"%s\",\"stage\":%d",
-                e->id, e->addr, e->service, e->domain, (int)e->stage);
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "server_seen",
+                        "\"server\":\"%s\",\"addr\":\"%s\",\"service\":\"%s\","
+                        "\"domain\":\"%s\",\"stage\":%d",
+                        e->id, e->addr, e->service, e->domain, (int)e->stage);
 }
 
 /* An unknown start time matches any. */
@@ -187,17 +191,17 @@
 
 static void
 update_server(struct fw_relay *r, struct fw_rl_server *s,
-              const struct fw_rl_server_entry *e, struct fw_rl_acts *out)
+              const struct fw_rl_server_entry *e, struct fw_rl_actions *out)
 {
-    if (e->draining != s->e.draining || e->stage != s->e.stage) {
-        Fw_Acts_Log(out, r, LOG_NOTICE, "server_changed",
-                    "\"server\":\"%s\",\"draining\":%d,\"stage\":%d", e->id,
-                    e->draining, (int)e->stage);
+    if (e->draining != s->entry.draining || e->stage != s->entry.stage) {
+        Fw_RelayActions_Log(out, r, LOG_NOTICE, "server_changed",
+                            "\"server\":\"%s\",\"draining\":%d,\"stage\":%d",
+                            e->id, e->draining, (int)e->stage);
     }
-    if (e->draining && !s->e.draining) {
+    if (e->draining && !s->entry.draining) {
         close_idle_connections(s, out);
     }
-    s->e = *e;
+    s->entry = *e;
     s->listed = 1;
     s->removal_us = 0;
 }
@@ -205,18 +209,18 @@
 static int
 is_in_relist_grace(const struct fw_relay *r, int64_t now_us)
 {
-    return r->store_back_us &&
-           now_us - r->store_back_us < FW_RL_RELIST_GRACE_US;
+    return r->store_recovered_us &&
+           now_us - r->store_recovered_us < FW_RL_RELIST_GRACE_US;
 }
 
 /* Removes a server that is no longer listed, or schedules its removal. */
 static void
 remove_unlisted(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
-                struct fw_rl_acts *out)
+                struct fw_rl_actions *out)
 {
     if (is_in_relist_grace(r, now_us)) {
         if (!s->removal_us) {
-            s->removal_us = r->store_back_us + FW_RL_RELIST_GRACE_US;
+            s->removal_us = r->store_recovered_us + FW_RL_RELIST_GRACE_US;
         }
         return;
     }
@@ -224,9 +228,9 @@
 }
 
 void
-Fw_Relay_Server(struct fw_relay *r, const char *id,
-                const struct fw_rl_server_entry *entry, int64_t now_us,
-                struct fw_rl_acts *out)
+Fw_Relay_UpdateServer(struct fw_relay *r, const char *id,
+                      const struct fw_rl_server_entry *entry, int64_t now_us,
+                      struct fw_rl_actions *out)
 {
     struct fw_rl_server *s = Fw_Servers_Find(r, id);
 
@@ -236,7 +240,7 @@
         }
         return;
     }
-    if (s && !is_same_process(&s->e, entry)) {
+    if (s && !is_same_process(&s->entry, entry)) {
         remove_server(r, s, "started anew", now_us, out);
         s = NULL;
     }
@@ -246,11 +250,11 @@
     else {
         add_server(r, entry, out);
     }
-    Fw_Stream_Pump(r, now_us, out);
+    Fw_Stream_PlaceQueued(r, now_us, out);
 }
 
 void
-Fw_Relay_ListBegin(struct fw_relay *r)
+Fw_Relay_BeginServerList(struct fw_relay *r)
 {
     struct fw_list *pos;
 
@@ -260,12 +264,13 @@
 }
 
 void
-Fw_Relay_ListEnd(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_EndServerList(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    r->list_known = 1;
+    r->has_server_list = 1;
     FW_LIST_EACH_SAFE (pos, tmp, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
@@ -276,20 +281,20 @@
 }
 
 void
-Fw_Relay_StoreLost(struct fw_relay *r)
+Fw_Relay_StoreUnreachable(struct fw_relay *r)
 {
-    r->watch.store_lost = 1;
+    r->store_sync.store_lost = 1;
 }
 
 void
-Fw_Relay_StoreBack(struct fw_relay *r, int64_t now_us)
+Fw_Relay_StoreRecovered(struct fw_relay *r, int64_t now_us)
 {
-    r->watch.store_lost = 0;
-    r->store_back_us = now_us;
+    r->store_sync.store_lost = 0;
+    r->store_recovered_us = now_us;
 }
 
 void
-Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
--- a/src/relay/learned.c
+++ b/src/relay/service_stats.c
@@ -25,20 +25,20 @@
 /* Columns of a row: hash of the service's name, then its parameters. */
 #define FW_PARAMS_ROW_WIDTH (1 + FW_LENGTH_PARAMS)
 
-struct fw_learned *
-Fw_Learned_Of(const struct fw_relay *r, const char *service)
+struct fw_service_stats *
+Fw_ServiceStats_Get(const struct fw_relay *r, const char *service)
 {
-    struct fw_learned *l;
+    struct fw_service_stats *l;
 
-    for (guint i = 0; i < r->learned->len; i++) {
-        l = g_ptr_array_index(r->learned, i);
+    for (guint i = 0; i < r->service_stats->len; i++) {
+        l = g_ptr_array_index(r->service_stats, i);
         if (strcmp(l->service, service) == 0) {
             return l;
         }
     }
-    l = g_new(struct fw_learned, 1);
-    Fw_Learned_Init(l, service);
-    g_ptr_array_add(r->learned, l);
+    l = g_new(struct fw_service_stats, 1);
+    Fw_ServiceStats_Init(l, service);
+    g_ptr_array_add(r->service_stats, l);
     return l;
 }
 
@@ -53,8 +53,8 @@
         const struct fw_rl_call *c =
             FW_LIST_ENTRY(pos, struct fw_rl_call, link);
 
-        if (c->need && c->passed && c->server && !c->server->gone &&
-            now_us - c->first_us >= FW_REPORT_MIN_AGE_US &&
+        if (c->kv_tokens && c->is_forwarded && c->server && !c->server->gone &&
+            now_us - c->response_us >= FW_REPORT_MIN_AGE_US &&
             strcmp(c->service, service) == 0) {
             return c->server;
         }
@@ -67,16 +67,17 @@
  * an approximation, if they are sent at all.
  */
 void
-Fw_Learned_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_ServiceStats_Tick(struct fw_relay *r, int64_t now_us,
+                     struct fw_rl_actions *out)
 {
-    struct fw_rl_up_call up = {.kind = FW_RL_UP_REPORT,
-                               .urgency = -1,
-                               .whole = 1,
-                               .reuse_us = FW_RL_REUSE_US,
-                               .connect_us = FW_RL_CONNECT_US};
-
-    for (guint i = 0; i < r->learned->len; i++) {
-        struct fw_learned *l = g_ptr_array_index(r->learned, i);
+    struct fw_rl_upstream_call up = {.kind = FW_RL_UP_REPORT,
+                                     .priority = -1,
+                                     .buffer_response = 1,
+                                     .reuse_us = FW_RL_REUSE_US,
+                                     .connect_us = FW_RL_CONNECT_TIMEOUT_US};
+
+    for (guint i = 0; i < r->service_stats->len; i++) {
+        struct fw_service_stats *l = g_ptr_array_index(r->service_stats, i);
         struct fw_rl_server *s;
 
         if (l->length.n < FW_REPORT_MIN_ANSWERS ||
@@ -87,8 +88,8 @@
         s = find_server_to_report(r, l->service, now_us);
         if (s) {
             l->report_requested_us = now_us;
-            Fw_Call_Ask(r, NULL, s, &up, now_us + FW_RL_HOUSEKEEPING_US,
-                        now_us, out)
+            Fw_Call_Upstream(r, NULL, s, &up,
+                             now_us + FW_RL_RELEASE_TIMEOUT_US, now_us, out)
                 ->is_calibration = 1;
         }
     }
@@ -103,7 +104,7 @@
         const struct fw_rl_call *c =
             FW_LIST_ENTRY(pos, struct fw_rl_call, link);
 
-        if (c->need && Fw_Hash_Str(c->ask.id) == id) {
+        if (c->kv_tokens && Fw_Hash_Str(c->info.id) == id) {
             return c;
         }
     }
@@ -111,41 +112,42 @@
 }
 
 void
-Fw_Learned_TakeRuns(struct fw_relay *r, const char *service,
-                    const struct fw_rl_up_answer *ans)
+Fw_ServiceStats_ApplyReport(struct fw_relay *r, const char *service,
+                            const struct fw_rl_upstream_response *ans)
 {
     int64_t tokens = 0;
     int64_t events = 0;
 
-    for (int i = 0; i < ans->n_runs; i++) {
-        const struct fw_rl_run *run = &ans->runs[i];
+    for (int i = 0; i < ans->n_streams; i++) {
+        const struct fw_rl_stream_report *run = &ans->streams[i];
         const struct fw_rl_call *c = find_call(r, run->id);
 
-        if (c && c->ask.last_event < 0 &&
+        if (c && c->info.last_event_id < 0 &&
             run->events >= FW_REPORT_MIN_EVENTS &&
-            run->tokens > c->ask.tokens_in) {
-            tokens += run->tokens - c->ask.tokens_in;
+            run->tokens > c->info.tokens_in) {
+            tokens += run->tokens - c->info.tokens_in;
             events += run->events;
         }
     }
-    Fw_Length_SetTokensPerEvent(&Fw_Learned_Of(r, service)->length, tokens,
-                                events);
+    Fw_Length_SetTokensPerEvent(&Fw_ServiceStats_Get(r, service)->length,
+                                tokens, events);
 }
 
 int
-Fw_Learned_Write(const struct fw_relay *r, GByteArray *out)
+Fw_ServiceStats_Write(const struct fw_relay *r, GByteArray *out)
 {
     msgpack_packer pk;
 
-    if (!r->learned->len) {
+    if (!r->service_stats->len) {
         return 0;
     }
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, 2);
     msgpack_pack_int(&pk, FW_FORM_SERVICE_STATS);
-    msgpack_pack_array(&pk, r->learned->len);
-    for (guint i = 0; i < r->learned->len; i++) {
-        const struct fw_learned *l = g_ptr_array_index(r->learned, i);
+    msgpack_pack_array(&pk, r->service_stats->len);
+    for (guint i = 0; i < r->service_stats->len; i++) {
+        const struct fw_service_stats *l =
+            g_ptr_array_index(r->service_stats, i);
         double params[FW_LENGTH_PARAMS];
 
         Fw_Length_Export(&l->length, params);
@@ -173,12 +175,12 @@
         for (int k = 0; k < FW_LENGTH_PARAMS; k++) {
             params[k] = (double)Fw_Rows_Cell(rows, i, k + 1) / FW_PARAM_SCALE;
         }
-        Fw_Length_Import(&Fw_Learned_Of(r, service)->length, params);
+        Fw_Length_Import(&Fw_ServiceStats_Get(r, service)->length, params);
     }
 }
 
 int
-Fw_Learned_Read(struct fw_relay *r, const msgpack_object *o)
+Fw_ServiceStats_Read(struct fw_relay *r, const msgpack_object *o)
 {
     const msgpack_object_array *rows;
     uint64_t form;
@@ -187,7 +189,7 @@
         Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_SERVICE_STATS) {
         return -EBADMSG;
     }
-    rows = Fw_Rows_Of(o, 1, FW_PARAMS_ROW_WIDTH);
+    rows = Fw_Rows_Unpack(o, 1, FW_PARAMS_ROW_WIDTH);
     if (!rows) {
         return -EBADMSG;
     }
@@ -195,7 +197,7 @@
         const struct fw_rl_service_rule *s =
             g_ptr_array_index(r->rules->services, i);
 
-        if (s->engines) {
+        if (s->has_engines) {
             import_params(r, s->name, rows);
         }
     }
--- a/src/relay/order.c
+++ b/src/relay/stage_order.c
@@ -43,11 +43,11 @@
 find_engine_rule(const struct fw_relay *r, const struct fw_rl_server *s,
                  const struct fw_rl_service_rule **rule)
 {
-    if (s->gone || s->e.draining || s->e.stage == FW_RL_STAGE_NONE) {
+    if (s->gone || s->entry.draining || s->entry.stage == FW_RL_STAGE_NONE) {
         return 0;
     }
-    *rule = Fw_Rules_Service(r->rules, s->e.service);
-    return *rule && (*rule)->engines;
+    *rule = Fw_Rules_Service(r->rules, s->entry.service);
+    return *rule && (*rule)->has_engines;
 }
 
 /*
@@ -66,7 +66,7 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (m->digest_us && now_us - m->digest_us < FW_SEC &&
+        if (m->last_digest_us && now_us - m->last_digest_us < FW_SEC &&
             strcmp(m->name, r->opts.name) < 0) {
             return 0;
         }
@@ -95,18 +95,18 @@
 
 /* Prompt tokens per second that all instances in touch receive. */
 static double
-total_prefill_rate(const struct fw_relay *r, const struct fw_learned *stats,
-                   int64_t now_us)
+total_prefill_rate(const struct fw_relay *r,
+                   const struct fw_service_stats *stats, int64_t now_us)
 {
     uint64_t hash = Fw_Hash_Str(stats->service);
-    double sum = Fw_Reading_Rate(&stats->reading, now_us);
+    double sum = Fw_PrefillLoad_Rate(&stats->prefill_load, now_us);
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
-        if (now_us - m->heard_us < FW_PEER_LOAD_TTL_US) {
-            sum += (double)Fw_Rows_Lookup(m->reading, hash);
+        if (now_us - m->last_message_us < FW_PEER_LOAD_TTL_US) {
+            sum += (double)Fw_Rows_Lookup(m->prefill_rates, hash);
         }
     }
     return sum;
@@ -116,10 +116,10 @@
 target_pool_size(const struct fw_relay *r, const char *service, int engines,
                  int prefill_engines, int64_t now_us)
 {
-    const struct fw_learned *stats = Fw_Learned_Of(r, service);
+    const struct fw_service_stats *stats = Fw_ServiceStats_Get(r, service);
     double prior_engines = engines * r->opts.prefill_permille / 1000.0;
     double busy_engines = Fw_PrefillPool_BusyEngines(
-        &stats->reading, total_prefill_rate(r, stats, now_us),
+        &stats->prefill_load, total_prefill_rate(r, stats, now_us),
         stats->prefill_us_per_token.mean, prior_engines, now_us);
 
     /* No hysteresis before the first assignment. */
@@ -131,7 +131,8 @@
 static enum fw_rl_stage
 future_stage(const struct fw_rl_server *s, int64_t now_us)
 {
-    return Fw_Servers_Switching(s, now_us) ? s->to_stage : s->e.stage;
+    return Fw_Servers_IsChangingStage(s, now_us) ? s->target_stage
+                                                 : s->entry.stage;
 }
 
 static enum fw_rl_stage
@@ -160,7 +161,7 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (find_engine_rule(r, s, &rule) &&
-            strcmp(s->e.service, service) == 0) {
+            strcmp(s->entry.service, service) == 0) {
             engines++;
             prefill_engines += future_stage(s, now_us) == FW_RL_STAGE_PREFILL;
         }
@@ -174,8 +175,9 @@
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (find_engine_rule(r, s, &rule) &&
-            strcmp(s->e.service, service) == 0 && s->e.stage != *to &&
-            !Fw_Servers_Switching(s, now_us) && Fw_Servers_Usable(s, now_us) &&
+            strcmp(s->entry.service, service) == 0 && s->entry.stage != *to &&
+            !Fw_Servers_IsChangingStage(s, now_us) &&
+            Fw_Servers_IsUsable(s, now_us) &&
             (!best || s->hash > best->hash)) {
             best = s;
         }
@@ -191,8 +193,9 @@
         const struct fw_rl_service_rule *rule =
             g_ptr_array_index(r->rules->services, i);
         struct fw_rl_server *s =
-            rule->engines ? next_change_of_service(r, rule->name, now_us, to)
-                          : NULL;
+            rule->has_engines
+                ? next_change_of_service(r, rule->name, now_us, to)
+                : NULL;
 
         if (s) {
             return s;
@@ -203,40 +206,43 @@
 
 static void
 request_report(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
-               struct fw_rl_acts *out)
+               struct fw_rl_actions *out)
 {
-    struct fw_rl_up_call up = {.kind = FW_RL_UP_REPORT,
-                               .urgency = -1,
-                               .whole = 1,
-                               .reuse_us = FW_RL_REUSE_US,
-                               .connect_us = FW_RL_CONNECT_US};
-
-    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_TIMEOUT_US, now_us, out);
+    struct fw_rl_upstream_call up = {.kind = FW_RL_UP_REPORT,
+                                     .priority = -1,
+                                     .buffer_response = 1,
+                                     .reuse_us = FW_RL_REUSE_US,
+                                     .connect_us = FW_RL_CONNECT_TIMEOUT_US};
+
+    Fw_Call_Upstream(r, NULL, s, &up, now_us + FW_ORDER_TIMEOUT_US, now_us,
+                     out);
 }
 
 /* Orders a change if this instance still holds the order role. */
 static void
 send_order(struct fw_relay *r, struct fw_rl_server *s, enum fw_rl_stage to,
-           int64_t orders, int64_t now_us, struct fw_rl_acts *out)
+           int64_t orders, int64_t now_us, struct fw_rl_actions *out)
 {
-    struct fw_rl_up_call up = {.kind = FW_RL_UP_STAGE,
-                               .urgency = -1,
-                               .whole = 1,
-                               .connect_us = FW_RL_CONNECT_US,
-                               .stage = to,
-                               .fence = r->order_lease.fence,
-                               .expected = orders};
+    struct fw_rl_upstream_call up = {.kind = FW_RL_UP_SET_STAGE,
+                                     .priority = -1,
+                                     .buffer_response = 1,
+                                     .connect_us = FW_RL_CONNECT_TIMEOUT_US,
+                                     .stage = to,
+                                     .fence = r->order_lease.fence,
+                                     .expected_orders = orders};
 
     if (!holds_role(r, now_us)) {
         return;
     }
-    Fw_Acts_Log(out, r, LOG_NOTICE, "order",
-                "\"server\":\"%s\",\"stage\":%d,\"fence\":%" G_GUINT64_FORMAT
-                ",\"expected\":%" G_GINT64_FORMAT,
-                s->e.id, (int)to, up.fence, orders);
-    Fw_Call_Ask(r, NULL, s, &up, now_us + FW_ORDER_TIMEOUT_US, now_us, out);
+    Fw_RelayActions_Log(
+        out, r, LOG_NOTICE, "order",
+        "\"server\":\"%s\",\"stage\":%d,\"fence\":%" G_GUINT64_FORMAT
+        ",\"expected\":%" G_GINT64_FORMAT,
+        s->entry.id, (int)to, up.fence, orders);
+    Fw_Call_Upstream(r, NULL, s, &up, now_us + FW_ORDER_TIMEOUT_US, now_us,
+                     out);
     /* No further order for this engine until the outcome is known. */
-    s->to_stage = to;
+    s->target_stage = to;
     s->stage_change_until_us = now_us + FW_ORDER_LATE_US;
 }
 
@@ -245,7 +251,8 @@
  * have ordered changes that are not complete.
  */
 static void
-request_all_reports(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+request_all_reports(struct fw_relay *r, int64_t now_us,
+                    struct fw_rl_actions *out)
 {
     const struct fw_rl_service_rule *rule;
     struct fw_list *pos;
@@ -263,12 +270,13 @@
 }
 
 void
-Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_StageOrder_Tick(struct fw_relay *r, int64_t now_us,
+                   struct fw_rl_actions *out)
 {
     enum fw_rl_stage to;
     struct fw_rl_server *s;
 
-    if (!r->rules || !r->list_known || r->draining ||
+    if (!r->rules || !r->has_server_list || r->draining ||
         now_us < r->stage_check_us) {
         return;
     }
@@ -277,7 +285,7 @@
         return;
     }
     r->stage_check_us = now_us + FW_STAGE_CHECK_PERIOD_US;
-    if (!should_give_orders(r, now_us) || !Fw_Relay_KeysFresh(r, now_us)) {
+    if (!should_give_orders(r, now_us) || !Fw_Relay_AreKeysFresh(r, now_us)) {
         return;
     }
     s = next_change(r, now_us, &to);
@@ -301,24 +309,25 @@
     }
     else if (is_role_free(r, now_us)) {
         r->order_lease.claim_pending = 1;
-        Fw_Acts_Add(out, FW_RL_DO_LEAD)->u.lead_end = r->order_lease.log_end;
+        Fw_RelayActions_Add(out, FW_RL_DO_CLAIM_ROLE)->u.lead_end =
+            r->order_lease.log_end;
     }
 }
 
 void
-Fw_Relay_Lead(struct fw_relay *r, enum fw_rl_claim claim, uint64_t offset,
-              int64_t sent_us, int64_t now_us)
+Fw_Relay_ClaimEnded(struct fw_relay *r, enum fw_rl_claim_result claim,
+                    uint64_t offset, int64_t sent_us, int64_t now_us)
 {
     r->order_lease.claim_pending = 0;
     switch (claim) {
-    case FW_RL_CLAIM_MADE:
+    case FW_RL_CLAIM_WON:
         r->order_lease.fence = offset + 1;
         r->order_lease.log_end = offset + 1;
         r->order_lease.expires_us = sent_us + r->opts.lease_us;
         r->order_lease.reports_requested = 0;
         r->stage_check_us = now_us;
         break;
-    case FW_RL_CLAIM_TAKEN:
+    case FW_RL_CLAIM_LOST:
         r->order_lease.fence = 0;
         r->order_lease.log_end = offset;
         break;
@@ -330,17 +339,18 @@
 
 static void
 handle_report(struct fw_relay *r, struct fw_rl_server *s,
-              const struct fw_rl_up_answer *ans, int64_t now_us,
-              struct fw_rl_acts *out)
+              const struct fw_rl_upstream_response *ans, int64_t now_us,
+              struct fw_rl_actions *out)
 {
     enum fw_rl_stage to = FW_RL_STAGE_NONE;
     struct fw_rl_server *next;
 
-    if (ans->status == 200 && ans->busy && !Fw_Servers_Switching(s, now_us)) {
-        s->to_stage = other_stage(s->e.stage);
+    if (ans->status == 200 && ans->changing_stage &&
+        !Fw_Servers_IsChangingStage(s, now_us)) {
+        s->target_stage = other_stage(s->entry.stage);
         s->stage_change_until_us = now_us + FW_ORDER_LATE_US;
     }
-    if (ans->status != 200 || ans->busy || ans->orders < 0 ||
+    if (ans->status != 200 || ans->changing_stage || ans->orders < 0 ||
         now_us < r->order_lease.reports_until_us) {
         return;
     }
@@ -352,17 +362,19 @@
 
 static void
 handle_order_response(struct fw_relay *r, struct fw_rl_server *s,
-                      const struct fw_rl_up_answer *ans, int64_t now_us,
-                      struct fw_rl_acts *out)
+                      const struct fw_rl_upstream_response *ans,
+                      int64_t now_us, struct fw_rl_actions *out)
 {
     const struct fw_rl_service_rule *rule =
-        r->rules ? Fw_Rules_Service(r->rules, s->e.service) : NULL;
+        r->rules ? Fw_Rules_Service(r->rules, s->entry.service) : NULL;
 
-    Fw_Acts_Log(out, r, LOG_NOTICE, "ordered",
-                "\"server\":\"%s\",\"status\":%d", s->e.id, ans->status);
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "ordered",
+                        "\"server\":\"%s\",\"status\":%d", s->entry.id,
+                        ans->status);
     if (ans->status == 202 || ans->status == 200) {
-        s->stage_change_until_us =
-            now_us + (rule ? rule->engine.switch_us : 0) + FW_LIST_DELAY_US;
+        s->stage_change_until_us = now_us +
+                                   (rule ? rule->engine.stage_change_us : 0) +
+                                   FW_LIST_DELAY_US;
         r->stage_check_us = now_us;
         return;
     }
@@ -377,21 +389,21 @@
 
 void
 Fw_StageOrder_HandleResponse(struct fw_relay *r, struct fw_rl_op *op,
-                             const struct fw_rl_up_answer *ans, int64_t now_us,
-                             struct fw_rl_acts *out)
+                             const struct fw_rl_upstream_response *ans,
+                             int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_rl_server *s = Fw_Servers_Ref(op->server);
-    enum fw_rl_up_kind kind = op->kind;
+    enum fw_rl_upstream_kind kind = op->kind;
     int about_runs = op->is_calibration;
 
     Fw_Op_End(r, op);
     if (kind == FW_RL_UP_REPORT) {
-        Fw_Learned_TakeRuns(r, s->e.service, ans);
+        Fw_ServiceStats_ApplyReport(r, s->entry.service, ans);
     }
     if (kind == FW_RL_UP_REPORT && !about_runs) {
         handle_report(r, s, ans, now_us, out);
     }
-    else if (kind == FW_RL_UP_STAGE) {
+    else if (kind == FW_RL_UP_SET_STAGE) {
         handle_order_response(r, s, ans, now_us, out);
     }
     Fw_Servers_Unref(s);
@@ -399,11 +411,11 @@
 
 void
 Fw_StageOrder_HandleFailure(struct fw_relay *r, struct fw_rl_op *op,
-                            struct fw_rl_acts *out)
+                            struct fw_rl_actions *out)
 {
-    if (op->kind == FW_RL_UP_STAGE) {
-        Fw_Acts_Log(out, r, LOG_WARNING, "order_unanswered",
-                    "\"server\":\"%s\"", op->server->e.id);
+    if (op->kind == FW_RL_UP_SET_STAGE) {
+        Fw_RelayActions_Log(out, r, LOG_WARNING, "order_unanswered",
+                            "\"server\":\"%s\"", op->server->entry.id);
     }
     Fw_Op_End(r, op);
 }
--- a/src/relay/watch.c
+++ b/src/relay/store_sync.c
@@ -44,7 +44,8 @@
 static int
 is_live(const struct fw_rl_member *m, int64_t now_us)
 {
-    return m->heard_us && now_us - m->heard_us < FW_READER_TIMEOUT_US;
+    return m->last_message_us &&
+           now_us - m->last_message_us < FW_READER_TIMEOUT_US;
 }
 
 /*
@@ -57,7 +58,7 @@
 {
     int64_t wait_us = r->x.is_hub ? FW_MEMBER_LIST_WAIT_US : FW_HUB_WAIT_US;
 
-    return !(r->watch.members_known && r->x.is_hub) &&
+    return !(r->store_sync.members_known && r->x.is_hub) &&
            now_us - r->start_us < wait_us;
 }
 
@@ -67,21 +68,21 @@
     struct fw_list *pos;
     int readers_before = 0;
 
-    if (!r->rules || !r->list_known) {
+    if (!r->rules || !r->has_server_list) {
         return !waits_after_start(r, now_us);
     }
     if (!r->x.is_hub) {
         return Fw_Relay_IsIsolated(r, now_us);
     }
-    if (now_us - r->fresh_us > FW_STORE_STALE_US) {
+    if (now_us - r->rules_fresh_us > FW_STORE_STALE_US) {
         return 1;
     }
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        readers_before += m->digest_us &&
-                          now_us - m->digest_us < FW_READER_TIMEOUT_US &&
+        readers_before += m->last_digest_us &&
+                          now_us - m->last_digest_us < FW_READER_TIMEOUT_US &&
                           !m->store_unreachable && m->hash < r->hash;
     }
     return readers_before < FW_STORE_READERS;
@@ -93,7 +94,7 @@
  * instances that query it is older by the time of a query.
  */
 int64_t
-Fw_Relay_RulesWait(struct fw_relay *r, int64_t base_us, int64_t now_us)
+Fw_Relay_RulesPollUs(struct fw_relay *r, int64_t base_us, int64_t now_us)
 {
     return Fw_Members_Count(r, now_us, NULL) <= FW_STORE_READERS ? base_us
                                                                  : base_us / 2;
@@ -115,10 +116,11 @@
     FW_LIST_EACH (pos, &r->servers) {
         const struct fw_rl_server *s =
             FW_LIST_ENTRY(pos, struct fw_rl_server, link);
-        uint64_t seed = (uint64_t)s->e.born_ms * 8 +
-                        (uint64_t)s->e.draining * 4 + (uint64_t)s->e.stage;
+        uint64_t seed = (uint64_t)s->entry.born_ms * 8 +
+                        (uint64_t)s->entry.draining * 4 +
+                        (uint64_t)s->entry.stage;
 
-        sum += Fw_Hash_Bytes(s->e.id, strlen(s->e.id), seed);
+        sum += Fw_Hash_Bytes(s->entry.id, strlen(s->entry.id), seed);
     }
     return sum;
 }
@@ -127,16 +129,16 @@
 Fw_StoreSync_NoteMember(struct fw_relay *r, const struct fw_rl_member *m)
 {
     if (m->rules_end > Fw_StoreSync_RulesEnd(r)) {
-        g_strlcpy(r->watch.rules_from, m->addr, FW_URL_MAX);
+        g_strlcpy(r->store_sync.rules_source, m->addr, FW_URL_MAX);
     }
-    if (m->list_offset > r->watch.list_offset &&
+    if (m->list_offset > r->store_sync.list_offset &&
         m->list_hash != Fw_StoreSync_ServerListHash(r)) {
-        g_strlcpy(r->watch.list_from, m->addr, FW_URL_MAX);
+        g_strlcpy(r->store_sync.list_source, m->addr, FW_URL_MAX);
     }
 }
 
 int
-Fw_Watch_IsBehind(const struct fw_relay *r, int64_t now_us)
+Fw_StoreSync_IsBehind(const struct fw_relay *r, int64_t now_us)
 {
     struct fw_list *pos;
 
@@ -163,28 +165,28 @@
 }
 
 int
-Fw_Relay_TakeWantRules(struct fw_relay *r, char addr[FW_URL_MAX])
+Fw_Relay_TakeRulesSource(struct fw_relay *r, char addr[FW_URL_MAX])
 {
-    return take_addr(r->watch.rules_from, addr);
+    return take_addr(r->store_sync.rules_source, addr);
 }
 
 int
-Fw_Relay_TakeWantList(struct fw_relay *r, char addr[FW_URL_MAX])
+Fw_Relay_TakeServerListSource(struct fw_relay *r, char addr[FW_URL_MAX])
 {
-    return take_addr(r->watch.list_from, addr);
+    return take_addr(r->store_sync.list_source, addr);
 }
 
 void
-Fw_Relay_MembersEnd(struct fw_relay *r, int64_t now_us)
+Fw_Relay_EndMemberList(struct fw_relay *r, int64_t now_us)
 {
-    r->watch.members_known = 1;
+    r->store_sync.members_known = 1;
     Fw_Hubs_UpdateRoles(r, now_us);
 }
 
 void
-Fw_Relay_ListOffset(struct fw_relay *r, uint64_t offset)
+Fw_Relay_SetServerListOffset(struct fw_relay *r, uint64_t offset)
 {
-    r->watch.list_offset = offset;
+    r->store_sync.list_offset = offset;
 }
 
 /* A random live member that polls the store, or NULL. */
@@ -208,7 +210,7 @@
 
 void
 Fw_StoreSync_SendQuery(struct fw_relay *r, int64_t now_us,
-                       struct fw_rl_mail *out)
+                       struct fw_rl_outbox *out)
 {
     struct fw_rl_member *m;
     GByteArray *msg;
@@ -217,31 +219,32 @@
     int64_t interval_us =
         r->x.is_hub ? FW_QUERY_INTERVAL_HUB_US : FW_QUERY_INTERVAL_LEAF_US;
 
-    if (now_us - r->watch.asked_us < interval_us ||
-        (!r->x.is_hub && now_us - r->fresh_us < FW_QUERY_WHEN_STALE_US) ||
+    if (now_us - r->store_sync.query_us < interval_us ||
+        (!r->x.is_hub &&
+         now_us - r->rules_fresh_us < FW_QUERY_WHEN_STALE_US) ||
         (Fw_Relay_ReadsStore(r, now_us) &&
-         now_us - r->fresh_us < FW_QUERY_WHEN_STALE_US)) {
+         now_us - r->rules_fresh_us < FW_QUERY_WHEN_STALE_US)) {
         return;
     }
     m = pick_reader(r, now_us);
     if (!m) {
         return;
     }
-    r->watch.asked_us = now_us;
-    r->watch.nonce = ++r->watch.last_nonce;
+    r->store_sync.query_us = now_us;
+    r->store_sync.nonce = ++r->store_sync.last_nonce;
     msg = g_byte_array_new();
     Fw_Pack_Begin(&pk, msg);
     msgpack_pack_array(&pk, 3);
     msgpack_pack_int(&pk, FW_MSG_TYPE_QUERY);
     msgpack_pack_uint64(&pk, r->opts.boot);
-    msgpack_pack_uint64(&pk, r->watch.nonce);
+    msgpack_pack_uint64(&pk, r->store_sync.nonce);
     Fw_Outbox_Add(out, m->addr, msg);
     g_byte_array_unref(msg);
 }
 
 static void
 send_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
-            int64_t now_us, struct fw_rl_mail *out)
+            int64_t now_us, struct fw_rl_outbox *out)
 {
     GByteArray *reply;
     msgpack_packer pk;
@@ -256,7 +259,7 @@
     msgpack_pack_uint64(&pk, f[1].via.u64);
     msgpack_pack_uint64(&pk, f[2].via.u64);
     msgpack_pack_uint64(&pk, Fw_StoreSync_RulesEnd(r));
-    msgpack_pack_uint64(&pk, (uint64_t)MAX(now_us - r->fresh_us, 0));
+    msgpack_pack_uint64(&pk, (uint64_t)MAX(now_us - r->rules_fresh_us, 0));
     Fw_Outbox_Add(out, addr, reply);
     g_byte_array_unref(reply);
 }
@@ -265,20 +268,20 @@
 apply_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
              int64_t now_us)
 {
-    int64_t from_us = r->watch.asked_us;
+    int64_t from_us = r->store_sync.query_us;
 
-    if (f[1].via.u64 != r->opts.boot || f[2].via.u64 != r->watch.nonce) {
+    if (f[1].via.u64 != r->opts.boot || f[2].via.u64 != r->store_sync.nonce) {
         return; /* not to the last query */
     }
-    r->watch.nonce = 0;
+    r->store_sync.nonce = 0;
     if (f[3].via.u64 > Fw_StoreSync_RulesEnd(r)) {
-        g_strlcpy(r->watch.rules_from, addr, FW_URL_MAX);
+        g_strlcpy(r->store_sync.rules_source, addr, FW_URL_MAX);
     }
     else if (f[3].via.u64 == Fw_StoreSync_RulesEnd(r)) {
         if (FW_FAULT("fresh-from-arrival")) {
             from_us = now_us;
         }
-        Fw_Relay_Fresh(r, from_us - (int64_t)f[4].via.u64);
+        Fw_Relay_SetFreshAsOf(r, from_us - (int64_t)f[4].via.u64);
     }
 }
 
@@ -295,7 +298,7 @@
 
 int
 Fw_StoreSync_Read(struct fw_relay *r, const msgpack_object *o,
-                  const char *addr, int64_t now_us, struct fw_rl_mail *out)
+                  const char *addr, int64_t now_us, struct fw_rl_outbox *out)
 {
     const msgpack_object_array *a = &o->via.array;
 
--- a/src/relay/types.h
+++ b/src/relay/types.h
@@ -18,9 +18,9 @@
 #define FW_RL_KEY_MAX 128
 
 /** enum fw_rl_route_kind - whether requests of a route may be retried. */
-enum fw_rl_kind {
+enum fw_rl_route_kind {
     FW_RL_IDEMPOTENT,
-    FW_RL_ONCE,   /* retried only if it certainly did not run */
+    FW_RL_NON_IDEMPOTENT, /* retried only if it certainly did not run */
     FW_RL_STREAM, /* event stream; retried only if the route is resumable */
 };
 
@@ -47,10 +47,10 @@
     char name[FW_NAME_MAX];
     char host[FW_URL_MAX];
     char prefix[FW_URL_MAX];
-    enum fw_rl_kind kind;
+    enum fw_rl_route_kind kind;
     int64_t timeout_us;
     int64_t objective_us;
-    int64_t gap_us;
+    int64_t event_gap_us;
     int attempts;
     int priority;
     int anonymous;
@@ -71,9 +71,9 @@
 struct fw_rl_engine_spec {
     int slots;
     int64_t kv_tokens;
-    int64_t handle_us;
-    int64_t hold_us;
-    int64_t switch_us;
+    int64_t kv_ttl_us;
+    int64_t reservation_ttl_us;
+    int64_t stage_change_us;
 };
 
 /**
@@ -84,7 +84,7 @@
     char name[FW_NAME_MAX];
     char health[FW_URL_MAX];
     int max_conns;
-    int engines;
+    int has_engines;
     struct fw_rl_engine_spec engine;
 };
 
@@ -185,7 +185,7 @@
     int draining;
     enum fw_rl_stage stage;
     int64_t born_ms;
-    int64_t cold_us;
+    int64_t warmup_us;
 };
 
 /**
@@ -201,17 +201,17 @@
  * @last_event_id: continue an interrupted stream after this event; -1 for none
  * @body_digest: hash of method, target and body, to recognize poison requests
  */
-struct fw_rl_ask {
+struct fw_rl_request_info {
     char id[FW_ID_MAX];
     char host[FW_URL_MAX];
     char path[256];
     char key[FW_RL_KEY_MAX];
-    int64_t left_us;
+    int64_t timeout_us;
     int64_t tokens_in;
-    int64_t tokens_out;
-    int64_t hint_out;
-    int64_t last_event;
-    uint64_t digest;
+    int64_t tokens_out_max;
+    int64_t tokens_out_hint;
+    int64_t last_event_id;
+    uint64_t body_digest;
 };
 
 #endif
--- a/src/relayd/acts.c
+++ b/src/relayd/acts.c
@@ -19,7 +19,7 @@
 }
 
 static void
-refuse(struct fw_relayd *d, const struct fw_rl_refusal *r)
+refuse(struct fw_relayd *d, const struct fw_rl_rejection *r)
 {
     struct fw_caller_rec *c = caller_named(d, r->call);
     struct fw_http_caller *caller;
@@ -70,31 +70,31 @@
 }
 
 static void
-do_one(struct fw_relayd *d, const struct fw_rl_act *a)
+do_one(struct fw_relayd *d, const struct fw_rl_action *a)
 {
     switch (a->kind) {
-    case FW_RL_DO_REFUSE:
+    case FW_RL_DO_REJECT:
         refuse(d, &a->u.refuse);
         break;
-    case FW_RL_DO_PASS:
+    case FW_RL_DO_FORWARD:
         pass(d, a->u.pass.call, a->u.pass.xid);
         break;
     case FW_RL_DO_FINISH:
         finish(d, a->u.call, 1);
         break;
-    case FW_RL_DO_CUT:
+    case FW_RL_DO_ABORT:
         finish(d, a->u.call, 0);
         break;
-    case FW_RL_DO_ASK:
+    case FW_RL_DO_CALL:
         Fw_Up_Start(d, &a->u.ask);
         break;
-    case FW_RL_DO_STOP_ASK:
+    case FW_RL_DO_CANCEL_CALL:
         Fw_Up_Stop(d, a->u.xid);
         break;
-    case FW_RL_DO_LEAD:
+    case FW_RL_DO_CLAIM_ROLE:
         Fw_Store_Claim(d->store, a->u.lead_end);
         break;
-    case FW_RL_DO_FORGET:
+    case FW_RL_DO_CLOSE_IDLE:
         Fw_Pool_Forget(d->pool, a->u.addr);
         break;
     case FW_RL_DO_LOG:
@@ -104,23 +104,24 @@
 }
 
 void
-Fw_Relayd_CarryOut(struct fw_relayd *d, struct fw_rl_acts *acts)
+Fw_Relayd_CarryOut(struct fw_relayd *d, struct fw_rl_actions *acts)
 {
     for (;;) {
         uint64_t *xid;
 
         for (guint i = 0; i < acts->all->len; i++) {
-            do_one(d, &g_array_index(acts->all, struct fw_rl_act, i));
+            do_one(d, &g_array_index(acts->all, struct fw_rl_action, i));
         }
         g_array_set_size(acts->all, 0);
         xid = g_queue_pop_head(&d->failed);
         if (!xid) {
             break;
         }
-        Fw_Relay_Failed(d->relay, *xid, -ECONNREFUSED, 0, Fw_Conn_Now(), acts);
+        Fw_Relay_UpstreamFailed(d->relay, *xid, -ECONNREFUSED, 0,
+                                Fw_Conn_Now(), acts);
         Fw_Up_Stop(d, *xid);
         g_free(xid);
     }
-    Fw_Acts_Clear(acts);
+    Fw_RelayActions_Clear(acts);
     Fw_Peer_Send(d);
 }
--- a/src/relayd/peers.c
+++ b/src/relayd/peers.c
@@ -50,13 +50,13 @@
     for (guint i = 0; i < d->mail.all->len; i++) {
         send_to(d, g_ptr_array_index(d->mail.all, i));
     }
-    Fw_Mail_Clear(&d->mail);
+    Fw_Outbox_Clear(&d->mail);
 }
 
 void
 Fw_Peer_Send(struct fw_relayd *d)
 {
-    Fw_Relay_Exchange(d->relay, Fw_Conn_Now(), &d->mail);
+    Fw_Relay_WriteMessages(d->relay, Fw_Conn_Now(), &d->mail);
     send_all(d);
 }
 
@@ -64,10 +64,10 @@
 static void
 place(struct fw_relayd *d)
 {
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Place(d->relay, Fw_Conn_Now(), &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_PlaceQueued(d->relay, Fw_Conn_Now(), &acts);
     Fw_Relayd_CarryOut(d, &acts);
 }
 
@@ -137,7 +137,7 @@
     GSocketAddress *at = Fw_Addr_Parse(d->opts.peers);
     int ok;
 
-    Fw_Mail_Init(&d->mail);
+    Fw_Outbox_Init(&d->mail);
     add_metrics(d);
     if (!at) {
         return -EINVAL;
@@ -167,7 +167,7 @@
     }
     g_clear_object(&d->peers);
     if (d->mail.all) {
-        Fw_Mail_Clear(&d->mail);
+        Fw_Outbox_Clear(&d->mail);
         g_clear_pointer(&d->mail.all, g_ptr_array_unref);
     }
 }
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -28,8 +28,8 @@
     struct fw_relayd *d = ctx;
     int64_t now = Fw_Conn_Now();
     struct fw_caller_rec *c;
-    struct fw_rl_acts acts;
-    struct fw_rl_ask ask;
+    struct fw_rl_actions acts;
+    struct fw_rl_request_info ask;
 
     if (Fw_Platform_ReadAsk(head, body, &ask)) {
         Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
@@ -50,8 +50,8 @@
      * but those that are open stay: their callers would be refused again and
      * again.
      */
-    Fw_Server_SendAway(d->callers, Fw_Relay_SendsAway(d->relay, now));
-    Fw_Acts_Init(&acts);
+    Fw_Server_SendAway(d->callers, Fw_Relay_ShedsConnections(d->relay, now));
+    Fw_RelayActions_Init(&acts);
     Fw_Relay_Open(d->relay, c->id, &ask, now, &acts);
     Fw_Relayd_CarryOut(d, &acts);
 }
@@ -61,7 +61,7 @@
 {
     struct fw_relayd *d = ctx;
     struct fw_caller_rec *c = g_hash_table_lookup(d->by_caller, caller);
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     uint64_t call;
 
     if (!c) {
@@ -70,8 +70,8 @@
     call = c->id;
     g_hash_table_remove(d->by_caller, caller);
     g_hash_table_remove(d->by_call, &call);
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Gone(d->relay, call, Fw_Conn_Now(), &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_CallerLeft(d->relay, call, Fw_Conn_Now(), &acts);
     Fw_Relayd_CarryOut(d, &acts);
 }
 
@@ -110,7 +110,7 @@
 static void
 follow_limits(struct fw_relayd *d)
 {
-    const struct fw_rl_rules *r = Fw_Relay_InForce(d->relay);
+    const struct fw_rl_rules *r = Fw_Relay_CurrentRules(d->relay);
     struct fw_http_limits l = {
         .header_bytes = 16384,
         .body_bytes = 4 << 20,
@@ -190,14 +190,14 @@
 void
 Fw_Relayd_Drain(struct fw_relayd *d)
 {
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     if (d->drain_us) {
         return;
     }
     d->drain_us = Fw_Conn_Now();
     Fw_Server_Drain(d->callers);
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     Fw_Relay_Drain(d->relay, d->drain_us, &acts);
     Fw_Relayd_CarryOut(d, &acts);
 }
@@ -253,11 +253,11 @@
 {
     struct fw_relayd *d = data;
     int64_t now = Fw_Conn_Now();
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     note_pause(d, now);
 
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     Fw_Relay_Tick(d->relay, now, &acts);
     Fw_Relayd_CarryOut(d, &acts);
     Fw_Pool_Tick(d->pool, now);
@@ -271,7 +271,8 @@
     check_over(d, now);
     Fw_Note_Flush();
     g_source_set_ready_time(d->timer, g_get_monotonic_time() +
-                                          Fw_Relay_Wake(d->relay, now) - now);
+                                          Fw_Relay_NextTickUs(d->relay, now) -
+                                          now);
     return G_SOURCE_CONTINUE;
 }
 
@@ -372,13 +373,13 @@
 int
 Fw_Relayd_Ready(const struct fw_relayd *d)
 {
-    return Fw_Relay_Ready(d->relay, Fw_Conn_Now());
+    return Fw_Relay_IsReady(d->relay, Fw_Conn_Now());
 }
 
 int
 Fw_Relayd_Usable(const struct fw_relayd *d, const char *id)
 {
-    return Fw_Relay_Usable(d->relay, id, Fw_Conn_Now());
+    return Fw_Relay_IsServerUsable(d->relay, id, Fw_Conn_Now());
 }
 
 int
--- a/src/relayd/relayd_internal.h
+++ b/src/relayd/relayd_internal.h
@@ -33,10 +33,10 @@
     struct fw_relayd *d;
     uint64_t xid;
     uint64_t call;
-    enum fw_rl_up_kind kind;
+    enum fw_rl_upstream_kind kind;
     char request_id[FW_ID_MAX];
     struct fw_exchange *x;
-    struct fw_rl_up_answer ans;
+    struct fw_rl_upstream_response ans;
     GString *fields;
     int64_t length;
     GByteArray *body;
@@ -60,7 +60,7 @@
     struct fw_http_server *handover; /* to other instances */
     GSocket *peers;
     GSource *peers_source;
-    struct fw_rl_mail mail;
+    struct fw_rl_outbox mail;
     struct fw_metric digests_unsent;
     struct fw_metric sent;
     struct fw_metric sent_bytes;
@@ -88,7 +88,7 @@
 void
 Fw_Up_AddMetrics(struct fw_relayd *d);
 void
-Fw_Up_Start(struct fw_relayd *d, const struct fw_rl_up_call *c);
+Fw_Up_Start(struct fw_relayd *d, const struct fw_rl_upstream_call *c);
 void
 Fw_Up_Stop(struct fw_relayd *d, uint64_t xid);
 void
@@ -100,7 +100,7 @@
 /* acts.c */
 /* Carries out what the core wants, and what follows from that. */
 void
-Fw_Relayd_CarryOut(struct fw_relayd *d, struct fw_rl_acts *acts);
+Fw_Relayd_CarryOut(struct fw_relayd *d, struct fw_rl_actions *acts);
 
 /* store.c */
 struct fw_store *
@@ -120,7 +120,7 @@
  */
 void
 Fw_Store_Take(struct fw_relayd *d, enum fw_topic topic, GHashTable *newest,
-              const struct fw_records *got, struct fw_rl_acts *acts);
+              const struct fw_records *got, struct fw_rl_actions *acts);
 
 /* peers.c */
 int
--- a/src/relayd/settings.c
+++ b/src/relayd/settings.c
@@ -78,7 +78,8 @@
                out.relay.retry_window_us),
     {"limits", "overage", FW_INI_DECIMAL, "0", 0, 1000000,
      FW_AT(out.relay.overage_ppm), NULL},
-    FW_FLOOR("limits", "tolerance", "0", 0, 1000000000, out.relay.tolerance),
+    FW_FLOOR("limits", "tolerance", "0", 0, 1000000000,
+             out.relay.tolerance_tokens),
     FW_FLOOR("limits", "lease-ms", "3000", 100, 600000, lease_ms),
     FW_SECONDS("limits", "grace-s", "8", 1, 3600, out.relay.grace_us),
     FW_INT("peers", "digest-every-ms", "150", 10, 10000, digest_every_ms),
@@ -101,16 +102,16 @@
     *out = v->out;
     r->key_stale_us = v->revocation_ms * FW_STALE_PERMILLE;
     r->policy = (enum fw_rl_policy)v->policy;
-    r->queue_us = v->queue_ms * FW_MSEC;
+    r->queue_limit_us = v->queue_ms * FW_MSEC;
     r->reserve_permille = (int)v->reserve_permille;
-    r->read_here_us = v->read_here_ms * FW_MSEC;
+    r->local_prefill_us = v->read_here_ms * FW_MSEC;
     r->prefill_permille = (int)v->prefill_permille;
     r->lease_us = v->lease_ms * FW_MSEC;
     r->log_level = (int)v->log_level;
     r->log_sample = (int)v->log_sample;
     out->rules_wait_us = v->rules_wait_ms * FW_MSEC;
     out->servers_every_us = v->servers_every_ms * FW_MSEC;
-    r->digest_every_us = v->digest_every_ms * FW_MSEC;
+    r->digest_period_us = v->digest_every_ms * FW_MSEC;
     out->log_bytes = v->log_kb * 1024;
 }
 
--- a/src/relayd/store.c
+++ b/src/relayd/store.c
@@ -140,10 +140,10 @@
     }
     switch (f->topic) {
     case FW_TOPIC_RULES:
-        return must || Fw_Relay_TakeWantRules(r, f->peer) ||
+        return must || Fw_Relay_TakeRulesSource(r, f->peer) ||
                Fw_Relay_ReadsStore(r, now);
     case FW_TOPIC_SERVERS:
-        return must || Fw_Relay_TakeWantList(r, f->peer) ||
+        return must || Fw_Relay_TakeServerListSource(r, f->peer) ||
                Fw_Relay_ReadsStore(r, now);
     case FW_TOPIC_LEAD:
         return f->value != NULL;
@@ -171,7 +171,7 @@
 Fw_Store_Tick(struct fw_store *s, int64_t now_us)
 {
     s->rules.wait_us =
-        Fw_Relay_RulesWait(s->d->relay, s->d->opts.rules_wait_us, now_us);
+        Fw_Relay_RulesPollUs(s->d->relay, s->d->opts.rules_wait_us, now_us);
     s->servers.every_us = s->d->opts.servers_every_us;
     tick(&s->rules, now_us);
     tick(&s->servers, now_us);
--- a/src/relayd/store_answer.c
+++ b/src/relayd/store_answer.c
@@ -26,7 +26,7 @@
                    (int64_t)((now - s->lost_us) / FW_MSEC));
         Fw_Note_Log(LOG_NOTICE, "store_back", "away_ms", ms, NULL);
         s->lost_us = 0;
-        Fw_Relay_StoreBack(s->d->relay, now);
+        Fw_Relay_StoreRecovered(s->d->relay, now);
     }
 }
 
@@ -47,7 +47,7 @@
     if (!s->lost_us) {
         s->lost_us = now;
         Fw_Note_Log(LOG_WARNING, "store_lost", "why", why, NULL);
-        Fw_Relay_StoreLost(s->d->relay);
+        Fw_Relay_StoreUnreachable(s->d->relay);
     }
     f->next_us = now + pause;
 }
@@ -55,7 +55,7 @@
 /* Pages are not a snapshot: what changes meanwhile is read afterwards. */
 static void
 took_newest(struct fw_follow *f, const struct fw_records *got,
-            struct fw_rl_acts *acts)
+            struct fw_rl_actions *acts)
 {
     struct fw_relayd *d = f->store->d;
 
@@ -65,7 +65,7 @@
             g_hash_table_remove_all(f->newest);
         }
         if (f->topic == FW_TOPIC_SERVERS) {
-            Fw_Relay_ListBegin(d->relay);
+            Fw_Relay_BeginServerList(d->relay);
         }
     }
     Fw_Store_Take(f->store->d, f->topic, f->newest, got, acts);
@@ -82,11 +82,11 @@
     f->from = f->page_end;
     f->step = FW_STEP_READ;
     if (f->topic == FW_TOPIC_SERVERS) {
-        Fw_Relay_ListEnd(d->relay, Fw_Conn_Now(), acts);
-        Fw_Relay_ListOffset(d->relay, f->from);
+        Fw_Relay_EndServerList(d->relay, Fw_Conn_Now(), acts);
+        Fw_Relay_SetServerListOffset(d->relay, f->from);
     }
     if (f->topic == FW_TOPIC_MEMBERS) {
-        Fw_Relay_MembersEnd(d->relay, Fw_Conn_Now());
+        Fw_Relay_EndMemberList(d->relay, Fw_Conn_Now());
         f->step = FW_STEP_NEWEST;
         f->next_us = Fw_Conn_Now() + FW_MEMBERS_EVERY_US;
     }
@@ -94,13 +94,13 @@
 
 static void
 took_read(struct fw_follow *f, const struct fw_records *got,
-          struct fw_rl_acts *acts)
+          struct fw_rl_actions *acts)
 {
     Fw_Store_Take(f->store->d, f->topic, f->newest, got, acts);
     f->from = got->next;
     f->next_us = f->from < got->end ? 0 : f->sent_us + f->every_us;
     if (f->topic == FW_TOPIC_SERVERS) {
-        Fw_Relay_ListOffset(f->store->d->relay, f->from);
+        Fw_Relay_SetServerListOffset(f->store->d->relay, f->from);
     }
 }
 
@@ -111,19 +111,19 @@
     int64_t now = Fw_Conn_Now();
 
     if (f->topic == FW_TOPIC_LEAD) {
-        enum fw_rl_claim c = got->status == 200   ? FW_RL_CLAIM_MADE
-                             : got->status == 412 ? FW_RL_CLAIM_TAKEN
-                                                  : FW_RL_CLAIM_UNKNOWN;
+        enum fw_rl_claim_result c = got->status == 200   ? FW_RL_CLAIM_WON
+                                    : got->status == 412 ? FW_RL_CLAIM_LOST
+                                                         : FW_RL_CLAIM_UNKNOWN;
 
         char offset[24];
 
         g_snprintf(offset, sizeof(offset), "%" G_GUINT64_FORMAT,
-                   c == FW_RL_CLAIM_MADE ? got->first : got->end);
+                   c == FW_RL_CLAIM_WON ? got->first : got->end);
         Fw_Note_Log(LOG_NOTICE,
-                    c == FW_RL_CLAIM_MADE ? "role_taken" : "role_not_taken",
+                    c == FW_RL_CLAIM_WON ? "role_taken" : "role_not_taken",
                     "offset", offset, NULL);
-        Fw_Relay_Lead(r, c, c == FW_RL_CLAIM_MADE ? got->first : got->end,
-                      f->sent_us, now);
+        Fw_Relay_ClaimEnded(r, c, c == FW_RL_CLAIM_WON ? got->first : got->end,
+                            f->sent_us, now);
         g_clear_pointer(&f->value, g_free);
         return;
     }
@@ -135,7 +135,7 @@
 /* What was read of the store meanwhile may be newer. */
 static void
 took_peers(struct fw_follow *f, const struct fw_records *got,
-           struct fw_rl_acts *acts)
+           struct fw_rl_actions *acts)
 {
     if (got->end > f->from) {
         f->paging = 0;
@@ -159,13 +159,13 @@
 on_peer_end(struct fw_follow *f)
 {
     struct fw_records got;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     if (f->status != 200) {
         peer_failed(f, "refused");
         return;
     }
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     if (Fw_Handover_Read(f->body->data, f->body->len, &got)) {
         peer_failed(f, "an answer that can't be read");
     }
@@ -198,7 +198,7 @@
 
 static void
 answered(struct fw_follow *f, const struct fw_records *got,
-         struct fw_rl_acts *acts)
+         struct fw_rl_actions *acts)
 {
     reached(f->store);
     Fw_Store_Count(f, FW_OUTCOME_OK);
@@ -228,7 +228,7 @@
      */
     if (f->topic == FW_TOPIC_RULES && !f->paging &&
         f->next_us <= f->sent_us + f->every_us) {
-        Fw_Relay_Fresh(f->store->d->relay, f->sent_us);
+        Fw_Relay_SetFreshAsOf(f->store->d->relay, f->sent_us);
     }
 }
 
@@ -237,8 +237,8 @@
 {
     if (f->topic == FW_TOPIC_LEAD && f->value) {
         g_clear_pointer(&f->value, g_free);
-        Fw_Relay_Lead(f->store->d->relay, FW_RL_CLAIM_UNKNOWN, 0, f->sent_us,
-                      Fw_Conn_Now());
+        Fw_Relay_ClaimEnded(f->store->d->relay, FW_RL_CLAIM_UNKNOWN, 0,
+                            f->sent_us, Fw_Conn_Now());
     }
 }
 
@@ -263,7 +263,7 @@
 void
 Fw_Follow_Ended(struct fw_follow *f)
 {
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_records got;
 
     if (f->peer[0]) {
@@ -278,7 +278,7 @@
         claim_failed(f);
         return;
     }
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     if (decode(f, &got)) {
         missed(f, FW_OUTCOME_UNREADABLE, "an answer that can't be read");
         claim_failed(f);
--- a/src/relayd/store_take.c
+++ b/src/relayd/store_take.c
@@ -8,7 +8,7 @@
 
 static void
 take_rules(struct fw_relayd *d, const struct fw_record *rec,
-           struct fw_rl_acts *acts)
+           struct fw_rl_actions *acts)
 {
     const char *why = "dropped";
     struct fw_rl_rules *rules = NULL;
@@ -22,22 +22,22 @@
     if (!rules) {
         Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
     }
-    Fw_Relay_Rules(d->relay, rules, rec->offset, Fw_Conn_Now(), acts);
+    Fw_Relay_SetRules(d->relay, rules, rec->offset, Fw_Conn_Now(), acts);
     Fw_Rules_Unref(rules);
 }
 
 static void
 take_server(struct fw_relayd *d, const struct fw_record *rec,
-            struct fw_rl_acts *acts)
+            struct fw_rl_actions *acts)
 {
     struct fw_rl_server_entry e;
     int64_t now = Fw_Conn_Now();
 
     if (!rec->value) {
-        Fw_Relay_Server(d->relay, rec->key, NULL, now, acts);
+        Fw_Relay_UpdateServer(d->relay, rec->key, NULL, now, acts);
     }
     else if (Fw_Platform_ReadServer(rec->key, rec->value, rec->len, &e) == 0) {
-        Fw_Relay_Server(d->relay, rec->key, &e, now, acts);
+        Fw_Relay_UpdateServer(d->relay, rec->key, &e, now, acts);
     }
     else {
         Fw_Note_Log(LOG_WARNING, "entry_unreadable", "server", rec->key, NULL);
@@ -66,7 +66,7 @@
 
 void
 Fw_Store_Take(struct fw_relayd *d, enum fw_topic topic, GHashTable *newest,
-              const struct fw_records *got, struct fw_rl_acts *acts)
+              const struct fw_records *got, struct fw_rl_actions *acts)
 {
     for (guint i = 0; i < got->all->len; i++) {
         const struct fw_record *rec =
--- a/src/relayd/up.c
+++ b/src/relayd/up.c
@@ -83,11 +83,12 @@
 tell_begun(struct fw_up_rec *rec)
 {
     struct fw_relayd *d = rec->d;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     rec->begun = 1;
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Begun(d->relay, rec->xid, &rec->ans, Fw_Conn_Now(), &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_ResponseBegan(d->relay, rec->xid, &rec->ans, Fw_Conn_Now(),
+                           &acts);
     Fw_Relayd_CarryOut(d, &acts);
 }
 
@@ -146,18 +147,18 @@
     struct fw_relayd *d = rec->d;
     uint64_t xid = rec->xid;
     int64_t now = Fw_Conn_Now();
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     rec->x = NULL;
     rec->done = 1;
     rec->ans.events = rec->events.n;
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     if (Fw_Platform_ReadBody(rec->kind, rec->body->data, rec->body->len,
                              &rec->ans)) {
-        Fw_Relay_Failed(d->relay, xid, -EBADMSG, 1, now, &acts);
+        Fw_Relay_UpstreamFailed(d->relay, xid, -EBADMSG, 1, now, &acts);
     }
     else {
-        Fw_Relay_Answered(d->relay, xid, &rec->ans, now, &acts);
+        Fw_Relay_ResponseEnded(d->relay, xid, &rec->ans, now, &acts);
     }
     Fw_Relayd_CarryOut(d, &acts);
     Fw_Up_Stop(d, xid);
@@ -169,12 +170,12 @@
     struct fw_up_rec *rec = ctx;
     struct fw_relayd *d = rec->d;
     uint64_t xid = rec->xid;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     rec->x = NULL;
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Failed(d->relay, xid, err, sent == FW_SENT_SOME, Fw_Conn_Now(),
-                    &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_UpstreamFailed(d->relay, xid, err, sent == FW_SENT_SOME,
+                            Fw_Conn_Now(), &acts);
     Fw_Relayd_CarryOut(d, &acts);
     Fw_Up_Stop(d, xid);
 }
@@ -187,7 +188,7 @@
 };
 
 void
-Fw_Up_Start(struct fw_relayd *d, const struct fw_rl_up_call *c)
+Fw_Up_Start(struct fw_relayd *d, const struct fw_rl_upstream_call *c)
 {
     struct fw_caller_rec *from = g_hash_table_lookup(d->by_call, &c->call);
     struct fw_exchange_opts how = {.reuse_us = c->reuse_us,
@@ -201,7 +202,7 @@
     rec->xid = c->xid;
     rec->call = c->call;
     rec->kind = c->kind;
-    rec->whole = c->whole;
+    rec->whole = c->buffer_response;
     rec->length = -1;
     rec->body = g_byte_array_new();
     g_hash_table_insert(d->ups, &rec->xid, rec);
--- a/src/request/run.c
+++ b/src/request/attempt.c
@@ -10,7 +10,7 @@
                    int64_t now_us, struct fw_actions *out)
 {
     const char *avoid[FW_ATTEMPTS_MAX + 1] = {NULL};
-    struct fw_route_ask ask = {
+    struct fw_route_request ask = {
         .ticket = rq->ticket,
         .prompt = rq->body,
         .prompt_tokens = rq->prompt_tokens + rq->piece_ends->len,
@@ -30,8 +30,8 @@
     g_strlcpy(ask.model, rq->model, sizeof(ask.model));
     rq->stage = FW_STAGE_QUEUE;
     rq->stage_deadline_us = 0;
-    Fw_Route_Ask(rs->deps.router, Fw_Fold_Config(rs->deps.fold), &ask, now_us,
-                 out);
+    Fw_Route_Submit(rs->deps.router, Fw_Fold_Config(rs->deps.fold), &ask,
+                    now_us, out);
 }
 
 /* Text that an attempt prefills: the prompt and the output emitted so far. */
@@ -118,8 +118,8 @@
     up = Fw_Config_Upstream(cfg, ans->prefill);
     if (!up || !Fw_Config_Upstream(cfg, ans->decode)) {
         /* The engine was removed from the configuration after the choice. */
-        Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_CANCELLED, NULL,
-                      now_us, out);
+        Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_CANCELLED,
+                            NULL, now_us, out);
         Fw_Request_Enqueue(rs, rq, now_us, out);
         return;
     }
@@ -149,9 +149,9 @@
     rq->ran = FW_RAN_YES;
     rq->cached_tokens = ev->u.kv.cached_tokens;
     g_strlcpy(rq->kv_id, ev->u.kv.kv, sizeof(rq->kv_id));
-    Fw_Route_NoteCached(rs->deps.router, rq->ticket, rq->cached_tokens);
-    Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_PREFILLED, NULL, now_us,
-                  out);
+    Fw_Route_SetCachedTokens(rs->deps.router, rq->ticket, rq->cached_tokens);
+    Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_PREFILLED, NULL,
+                        now_us, out);
     Fw_Request_Trace(rs, rq, now_us, "prefilled %" PRId64 ", cached %" PRId64,
                      ev->u.kv.tokens, ev->u.kv.cached_tokens);
     im = &start_call(rs, rq, FW_UP_IMPORT, to, FW_IMPORT_TIMEOUT_US, out)
@@ -176,8 +176,8 @@
         return;
     }
     rq->transfer_us = ev->u.transfer_us;
-    Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_IMPORTED, NULL, now_us,
-                  out);
+    Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_IMPORTED, NULL,
+                        now_us, out);
     Fw_Request_Trace(rs, rq, now_us, "transferred in %" PRId64 " us",
                      rq->transfer_us);
     rq->stage = FW_STAGE_DECODE;
--- a/src/request/fail.c
+++ b/src/request/fail.c
@@ -77,8 +77,8 @@
     if (rq->stage == FW_STAGE_IMPORT || rq->stage == FW_STAGE_DECODE) {
         Fw_Request_SendCancel(rs, rq->decode, seq, out);
     }
-    Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_CANCELLED, NULL, now_us,
-                  out);
+    Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_CANCELLED, NULL,
+                        now_us, out);
     g_hash_table_remove(rs->by_seq, &rq->seq);
     rq->seq = 0;
 }
@@ -90,11 +90,11 @@
     mark_running_call(rq);
     switch (rq->stage) {
     case FW_STAGE_BUDGET:
-        Fw_Limit_Forget(rs->deps.limit, rq->ticket);
+        Fw_Limit_Cancel(rs->deps.limit, rq->ticket);
         break;
     case FW_STAGE_QUEUE:
-        Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_CANCELLED, NULL,
-                      now_us, out);
+        Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_CANCELLED,
+                            NULL, now_us, out);
         break;
     case FW_STAGE_PREFILL:
     case FW_STAGE_IMPORT:
--- a/src/request/open.c
+++ b/src/request/open.c
@@ -221,8 +221,8 @@
     }
     rq->stage = FW_STAGE_BUDGET;
     rq->granted_tokens = rq->prompt_tokens + rq->max_tokens;
-    Fw_Limit_Ask(rs->deps.limit, team, rq->ticket, rq->granted_tokens, now_us,
-                 out);
+    Fw_Limit_Request(rs->deps.limit, team, rq->ticket, rq->granted_tokens,
+                     now_us, out);
 }
 
 void
--- a/src/request/pieces.c
+++ b/src/request/pieces.c
@@ -97,8 +97,8 @@
 {
     Fw_Request_Trace(rs, rq, now_us, "complete after %u pieces",
                      rq->piece_ends->len);
-    Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_DONE, NULL, now_us,
-                  out);
+    Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_DONE, NULL,
+                        now_us, out);
     /* The engine frees a completed request itself; nothing to cancel. */
     g_hash_table_remove(rs->by_seq, &rq->seq);
     rq->seq = 0;
@@ -116,8 +116,8 @@
             Fw_Request_Trace(rs, rq, now_us, "first piece");
         }
         Fw_Request_AddPiece(rq, ev->u.token.index, ev->u.token.text);
-        Fw_Route_Step(rs->deps.router, rq->ticket, FW_STEP_TOKEN, NULL, now_us,
-                      out);
+        Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_TOKEN, NULL,
+                            now_us, out);
         Fw_Subscriber_Flush(rs, rq, out);
         return;
     case FW_UP_DONE:
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -83,9 +83,9 @@
         g_strlcpy(rq->failed_upstreams[rq->n_failed_upstreams++], upstream,
                   FW_NAME_MAX);
     }
-    Fw_Route_Step(rs->deps.router, rq->ticket,
-                  engine_refused(ev) ? FW_STEP_REFUSED : FW_STEP_LOST,
-                  upstream, now_us, out);
+    Fw_Route_ReportStep(rs->deps.router, rq->ticket,
+                        engine_refused(ev) ? FW_STEP_REFUSED : FW_STEP_FAILED,
+                        upstream, now_us, out);
     g_hash_table_remove(rs->by_seq, &rq->seq);
     rq->seq = 0;
     rq->resumes = 0;
@@ -131,7 +131,7 @@
                         FW_SEC, now_us, out);
         return;
     }
-    if (!Fw_Route_MayRetry(rs->deps.router, now_us)) {
+    if (!Fw_Route_SpendRetry(rs->deps.router, now_us)) {
         Fw_Request_Fail(rs, rq, 503, "retry_budget",
                         "too many retries are under way", FW_SEC, now_us, out);
         return;
--- a/src/request/service.c
+++ b/src/request/service.c
@@ -238,7 +238,7 @@
                   FW_NAME_MAX);
     }
     if (rq->attempts < FW_SERVICE_ATTEMPTS_MAX &&
-        Fw_Route_MayRetry(rs->deps.router, now_us)) {
+        Fw_Route_SpendRetry(rs->deps.router, now_us)) {
         rs->counters.retried.value++;
         send_to_server(rs, rq, now_us, out);
         return;
@@ -255,8 +255,9 @@
     const struct fw_up_answer *a = &ev->u.answer;
 
     Fw_Request_ClearOp(rs, rq);
-    Fw_Route_ServerResult(rs->deps.router, rq->decode, ev->phase == FW_UP_DONE,
-                          now_us - rq->sent_us, now_us);
+    Fw_Route_ReportServerResult(rs->deps.router, rq->decode,
+                                ev->phase == FW_UP_DONE, now_us - rq->sent_us,
+                                now_us);
     if (ev->phase == FW_UP_DONE) {
         if (!rq->idempotent) {
             Fw_Idem_Finish(rs->deps.idem, rq->ticket, FW_RAN_YES, a->status,
--- a/src/route/pick.c
+++ b/src/route/baseline.c
@@ -173,8 +173,8 @@
 }
 
 void
-Fw_Route_ServerResult(struct fw_router *r, const char *upstream, int ok,
-                      int64_t took_us, int64_t now_us)
+Fw_Route_ReportServerResult(struct fw_router *r, const char *upstream, int ok,
+                            int64_t took_us, int64_t now_us)
 {
     struct fw_engine *e = Fw_Engine_Get(r, upstream);
 
--- a/src/route/coord_query.c
+++ b/src/route/coord_query.c
@@ -69,7 +69,7 @@
 }
 
 int
-Fw_Router_Heard(const struct fw_router *r)
+Fw_Router_IsReady(const struct fw_router *r)
 {
     for (guint i = 0; i < r->engine_list->len; i++) {
         const struct fw_engine *e = r->engine_list->pdata[i];
--- a/src/route/book.c
+++ b/src/route/coord_reserve.c
@@ -29,7 +29,7 @@
 static void
 reserve_prefill(struct fw_router *r, struct fw_engine *e,
                 const struct fw_upstream *u, uint64_t owner, uint64_t round_id,
-                const struct fw_route_item *item, int64_t now_us,
+                const struct fw_reserve_item *item, int64_t now_us,
                 struct fw_reserve_result *result)
 {
     struct fw_coord *c = e->coord;
@@ -87,7 +87,7 @@
 
 static void
 reserve_decode(struct fw_engine *e, uint64_t owner, uint64_t round_id,
-               const struct fw_route_item *item, int64_t now_us,
+               const struct fw_reserve_item *item, int64_t now_us,
                struct fw_reserve_result *result)
 {
     struct fw_coord *c = e->coord;
@@ -126,7 +126,7 @@
 void
 Fw_Coord_Reserve(struct fw_router *r, const struct fw_config *cfg,
                  uint64_t owner, uint64_t round_id,
-                 const struct fw_route_item *item, int64_t now_us,
+                 const struct fw_reserve_item *item, int64_t now_us,
                  struct fw_reserve_result *result, struct fw_actions *out)
 {
     struct fw_engine *e = Fw_Engine_Find(r, item->engine);
--- a/src/route/pump.c
+++ b/src/route/dispatch.c
@@ -40,7 +40,7 @@
     }
     return mq->grant_interval_us *
            (Fw_Queue_CountAhead(&mq->queue, job->queue_item.team_name,
-                                job->queue_item.latest_us) +
+                                job->queue_item.latest_start_us) +
             1);
 }
 
@@ -48,9 +48,9 @@
 refuse(struct fw_router *r, struct fw_job *job, int64_t wait_us,
        int64_t now_us, struct fw_actions *out)
 {
-    Fw_Grant_Refuse(
-        r, job, "overloaded",
-        Fw_Admit_RetryAfterUs(wait_us, job->queue_item.latest_us - now_us));
+    Fw_Grant_Refuse(r, job, "overloaded",
+                    Fw_Admit_RetryAfterUs(
+                        wait_us, job->queue_item.latest_start_us - now_us));
     Fw_Grant_FreeJob(r, job, now_us, out);
 }
 
@@ -71,7 +71,7 @@
 
 void
 Fw_Dispatch_Enqueue(struct fw_router *r, const struct fw_config *cfg,
-                    struct fw_job *job, const struct fw_route_ask *req,
+                    struct fw_job *job, const struct fw_route_request *req,
                     int64_t now_us, struct fw_actions *out)
 {
     struct fw_model_queue *mq = job->model_queue;
@@ -88,10 +88,10 @@
         Fw_Grant_FreeJob(r, job, now_us, out);
         return;
     }
-    job->queue_item.latest_us = compute_latest_start_us(r, job);
+    job->queue_item.latest_start_us = compute_latest_start_us(r, job);
     job->queue_item.tokens = job->prompt_tokens + job->max_tokens;
     wait_us = queue_wait_us(mq, job);
-    if (now_us + wait_us > job->queue_item.latest_us) {
+    if (now_us + wait_us > job->queue_item.latest_start_us) {
         refuse(r, job, wait_us, now_us, out);
         return;
     }
@@ -106,13 +106,14 @@
 {
     struct fw_queue_item *it;
 
-    while ((it = Fw_Queue_Earliest(&mq->queue)) && it->latest_us < now_us) {
+    while ((it = Fw_Queue_Earliest(&mq->queue)) &&
+           it->latest_start_us < now_us) {
         struct fw_job *job = job_from_item(it);
 
         refuse(r, job, queue_wait_us(mq, job), now_us, out);
     }
     if (it) {
-        Fw_Actions_Wake(out, it->latest_us + 1);
+        Fw_Actions_Wake(out, it->latest_start_us + 1);
     }
 }
 
--- a/src/route/queue.h
+++ b/src/route/queue.h
@@ -15,14 +15,14 @@
 /**
  * struct fw_queue_item - embedded in the object that is queued.
  * @team: NULL while not queued
- * @latest_us: latest time at which the item is still worth starting
+ * @latest_start_us: latest time at which the item is still worth starting
  * @tokens: cost charged to the team
  */
 struct fw_queue_item {
     struct fw_list link;
     struct fw_queue_team *team;
     char team_name[FW_NAME_MAX];
-    int64_t latest_us;
+    int64_t latest_start_us;
     int64_t tokens;
 };
 
--- a/src/route/queue_cmd.c
+++ b/src/route/queue_cmd.c
@@ -47,7 +47,7 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &t->items) {
-        if (FW_LIST_ENTRY(pos, struct fw_queue_item, link)->latest_us >=
+        if (FW_LIST_ENTRY(pos, struct fw_queue_item, link)->latest_start_us >=
             before_us) {
             break;
         }
@@ -60,7 +60,7 @@
 void
 Fw_Queue_Put(struct fw_queue *q, struct fw_queue_item *it)
 {
-    insert_item(get_team(q, it->team_name), it, it->latest_us + 1);
+    insert_item(get_team(q, it->team_name), it, it->latest_start_us + 1);
     q->n++;
 }
 
@@ -107,7 +107,7 @@
 {
     struct fw_queue_team *t = get_team(q, it->team_name);
 
-    insert_item(t, it, it->latest_us);
+    insert_item(t, it, it->latest_start_us);
     q->n++;
     t->deficit += it->tokens;
     Fw_List_Remove(&t->link);
--- a/src/route/queue_query.c
+++ b/src/route/queue_query.c
@@ -11,8 +11,8 @@
 
     if (own) {
         FW_LIST_EACH (pos, &own->items) {
-            if (FW_LIST_ENTRY(pos, struct fw_queue_item, link)->latest_us >
-                latest_us) {
+            if (FW_LIST_ENTRY(pos, struct fw_queue_item, link)
+                    ->latest_start_us > latest_us) {
                 break;
             }
             before++;
@@ -43,7 +43,7 @@
         struct fw_queue_item *it =
             FW_LIST_ENTRY(t->items.next, struct fw_queue_item, link);
 
-        if (!first || it->latest_us < first->latest_us) {
+        if (!first || it->latest_start_us < first->latest_start_us) {
             first = it;
         }
     }
--- a/src/route/seek.c
+++ b/src/route/reserve.c
@@ -23,12 +23,12 @@
 
 static void
 fill_item(const struct fw_config *cfg, const struct fw_job *job,
-          const struct fw_reservation *res, struct fw_route_item *it)
+          const struct fw_reservation *res, struct fw_reserve_item *it)
 {
     const struct fw_upstream *p =
         g_hash_table_lookup(cfg->upstreams, job->prefill.engine->name);
 
-    *it = (struct fw_route_item){
+    *it = (struct fw_reserve_item){
         .engine = res->engine->id,
         .is_prefill = is_prefill(job, res),
         .exclusive = job->exclusive,
@@ -116,7 +116,7 @@
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
     struct fw_route_reserve *body = &msg.u.route.u.want;
 
-    msg.u.route.kind = FW_ROUTE_ASK;
+    msg.u.route.kind = FW_ROUTE_RESERVE;
     body->ask = job->round_id;
     for (int i = 0; i < n; i++) {
         fill_item(cfg, job, res[i], &body->item[body->n++]);
@@ -145,7 +145,7 @@
             open[n++] = both[i];
         }
         else {
-            struct fw_route_item item;
+            struct fw_reserve_item item;
             struct fw_reserve_result result;
 
             fill_item(cfg, job, both[i], &item);
@@ -202,7 +202,7 @@
 grant_or_refuse(struct fw_router *r, struct fw_job *job, int64_t now_us,
                 struct fw_actions *out)
 {
-    if (now_us + job->prefill.wait_us > job->queue_item.latest_us) {
+    if (now_us + job->prefill.wait_us > job->queue_item.latest_start_us) {
         refuse(r, job, "overloaded", now_us, out);
         return;
     }
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -163,9 +163,9 @@
 }
 
 void
-Fw_Route_Ask(struct fw_router *r, const struct fw_config *cfg,
-             const struct fw_route_ask *req, int64_t now_us,
-             struct fw_actions *out)
+Fw_Route_Submit(struct fw_router *r, const struct fw_config *cfg,
+                const struct fw_route_request *req, int64_t now_us,
+                struct fw_actions *out)
 {
     struct fw_job *job = g_hash_table_lookup(r->jobs, &req->ticket);
 
@@ -223,8 +223,9 @@
 }
 
 void
-Fw_Route_Step(struct fw_router *r, uint64_t ticket, enum fw_route_step step,
-              const char *upstream, int64_t now_us, struct fw_actions *out)
+Fw_Route_ReportStep(struct fw_router *r, uint64_t ticket,
+                    enum fw_route_step step, const char *upstream,
+                    int64_t now_us, struct fw_actions *out)
 {
     struct fw_job *job = g_hash_table_lookup(r->jobs, &ticket);
 
@@ -249,7 +250,7 @@
                                        now_us);
         Fw_Grant_FreeJob(r, job, now_us, out);
         break;
-    case FW_STEP_LOST:
+    case FW_STEP_FAILED:
         record_failure(r, job, upstream, now_us);
         Fw_Grant_FreeJob(r, job, now_us, out);
         break;
@@ -261,7 +262,7 @@
 }
 
 void
-Fw_Route_NoteCached(struct fw_router *r, uint64_t ticket, int64_t tokens)
+Fw_Route_SetCachedTokens(struct fw_router *r, uint64_t ticket, int64_t tokens)
 {
     struct fw_job *job = g_hash_table_lookup(r->jobs, &ticket);
 
@@ -271,7 +272,7 @@
 }
 
 int
-Fw_Route_MayRetry(struct fw_router *r, int64_t now_us)
+Fw_Route_SpendRetry(struct fw_router *r, int64_t now_us)
 {
     int allowed = Fw_Retry_Spend(&r->retry);
 
@@ -326,7 +327,7 @@
     if (!m) {
         return;
     }
-    msg.u.route.kind = FW_ROUTE_ANSWER;
+    msg.u.route.kind = FW_ROUTE_REPLY;
     reply->ask = req->ask;
     for (int i = 0; i < req->n; i++) {
         Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), req->ask, &req->item[i],
@@ -355,11 +356,11 @@
 {
     Fw_Index_Sync(r, cfg);
     switch (msg->kind) {
-    case FW_ROUTE_ASK:
+    case FW_ROUTE_RESERVE:
         Fw_Engine_MarkLeaving(r, &msg->u.want.leaving, now_us);
         on_reserve(r, cfg, from, &msg->u.want, now_us, out);
         break;
-    case FW_ROUTE_ANSWER:
+    case FW_ROUTE_REPLY:
         Fw_Engine_MarkLeaving(r, &msg->u.reply.leaving, now_us);
         Fw_Reserve_OnReply(r, cfg, &msg->u.reply, now_us, out);
         Fw_Dispatch_Run(r, cfg, now_us, out);
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -38,7 +38,7 @@
 };
 
 /**
- * struct fw_route_ask - a request to be routed.
+ * struct fw_route_request - a request to be routed.
  * @ticket: identifies the request in later calls
  * @prompt: for the prefix cache, may be NULL
  * @max_tokens: output tokens at most
@@ -46,10 +46,10 @@
  *               fw_route_opts apply then
  * @arrived_us: when the attempt began; the targets count from it
  * @avoid: upstreams that failed this request before; NULL-terminated, or NULL
- * @alone: use only engines that run nothing else, for a request that may
+ * @exclusive: use only engines that run nothing else, for a request that may
  *         crash its engine
  */
-struct fw_route_ask {
+struct fw_route_request {
     uint64_t ticket;
     char team[FW_NAME_MAX];
     char model[FW_NAME_MAX];
@@ -68,7 +68,7 @@
  * @code: machine-readable reason of the refusal
  * @retry_after_us: for a refusal, when the caller should try again
  * @prefill, @decode: names of the engines
- * @why: cost of the pair and of the next best, for traces
+ * @explanation: cost of the pair and of the next best, for traces
  */
 struct fw_route_answer {
     uint64_t ticket;
@@ -86,7 +86,7 @@
     FW_STEP_IMPORTED,  /* the decode engine has the KV */
     FW_STEP_TOKEN,     /* output received */
     FW_STEP_DONE,      /* completed, the decode slot is free */
-    FW_STEP_LOST,      /* an engine failed or timed out */
+    FW_STEP_FAILED,    /* an engine failed or timed out */
     FW_STEP_REFUSED,   /* an engine rejected it before starting */
     FW_STEP_CANCELLED, /* the caller left or the request was abandoned */
 };
@@ -104,28 +104,29 @@
 /* Queues a request, or answers it at once; a request with the same ticket is
  * dropped first. See Fw_Route_TakeAnswer(). */
 void
-Fw_Route_Ask(struct fw_router *r, const struct fw_config *cfg,
-             const struct fw_route_ask *req, int64_t now_us,
-             struct fw_actions *out);
+Fw_Route_Submit(struct fw_router *r, const struct fw_config *cfg,
+                const struct fw_route_request *req, int64_t now_us,
+                struct fw_actions *out);
 /* Takes the next answer. Return: 0 if there is none. */
 int
 Fw_Route_TakeAnswer(struct fw_router *r, struct fw_route_answer *ans);
 /**
- * Fw_Route_Step - reports progress of the request @ticket. DONE and the later
- * steps release its engines and end it; unknown tickets are ignored.
- * @upstream: for FW_STEP_LOST, the engine that failed; NULL otherwise
+ * Fw_Route_ReportStep - reports progress of the request @ticket. DONE and the
+ * later steps release its engines and end it; unknown tickets are ignored.
+ * @upstream: for FW_STEP_FAILED, the engine that failed; NULL otherwise
  */
 void
-Fw_Route_Step(struct fw_router *r, uint64_t ticket, enum fw_route_step step,
-              const char *upstream, int64_t now_us, struct fw_actions *out);
+Fw_Route_ReportStep(struct fw_router *r, uint64_t ticket,
+                    enum fw_route_step step, const char *upstream,
+                    int64_t now_us, struct fw_actions *out);
 /* Sets how many prompt tokens the prefill engine found in its cache, before
  * FW_STEP_PREFILLED is reported. */
 void
-Fw_Route_NoteCached(struct fw_router *r, uint64_t ticket, int64_t tokens);
+Fw_Route_SetCachedTokens(struct fw_router *r, uint64_t ticket, int64_t tokens);
 /* Takes one retry from the budget. Return: nonzero if one was available. */
 int
-Fw_Route_MayRetry(struct fw_router *r, int64_t now_us);
-/* Picks a server of a plain service; @avoid as in struct fw_route_ask.
+Fw_Route_SpendRetry(struct fw_router *r, int64_t now_us);
+/* Picks a server of a plain service; @avoid as in struct fw_route_request.
  * Return: owned by @cfg; NULL if there is none. */
 const struct fw_upstream *
 Fw_Route_PickServer(struct fw_router *r, const struct fw_config *cfg,
@@ -134,8 +135,8 @@
 /* Reports the outcome of a call to a plain service, for the circuit breaker;
  * @took_us is read only if @ok. */
 void
-Fw_Route_ServerResult(struct fw_router *r, const char *upstream, int ok,
-                      int64_t took_us, int64_t now_us);
+Fw_Route_ReportServerResult(struct fw_router *r, const char *upstream, int ok,
+                            int64_t took_us, int64_t now_us);
 
 void
 Fw_Router_Tick(struct fw_router *r, const struct fw_config *cfg,
@@ -157,7 +158,7 @@
 /* Nonzero while there are engines and every one that this instance
  * coordinates has a load report. */
 int
-Fw_Router_Heard(const struct fw_router *r);
+Fw_Router_IsReady(const struct fw_router *r);
 /* Nonzero if @upstream is leaving by the platform's list or by its own load
  * report. */
 int
--- a/src/route/route_msg.c
+++ b/src/route/route_msg.c
@@ -14,7 +14,7 @@
 }
 
 static void
-pack_item(msgpack_packer *pk, const struct fw_route_item *it)
+pack_item(msgpack_packer *pk, const struct fw_reserve_item *it)
 {
     msgpack_pack_array(pk, 9);
     msgpack_pack_uint64(pk, it->engine);
@@ -32,7 +32,7 @@
 pack_reserve(msgpack_packer *pk, const struct fw_route_reserve *w)
 {
     msgpack_pack_array(pk, 4);
-    msgpack_pack_int(pk, FW_ROUTE_ASK);
+    msgpack_pack_int(pk, FW_ROUTE_RESERVE);
     msgpack_pack_uint64(pk, w->ask);
     msgpack_pack_array(pk, (size_t)w->n);
     for (int i = 0; i < w->n; i++) {
@@ -45,7 +45,7 @@
 pack_reply(msgpack_packer *pk, const struct fw_route_reply *p)
 {
     msgpack_pack_array(pk, 5);
-    msgpack_pack_int(pk, FW_ROUTE_ANSWER);
+    msgpack_pack_int(pk, FW_ROUTE_REPLY);
     msgpack_pack_uint64(pk, p->ask);
     msgpack_pack_array(pk, (size_t)p->n);
     for (int i = 0; i < p->n; i++) {
@@ -72,10 +72,10 @@
 Fw_Route_PackMsg(msgpack_packer *pk, const struct fw_route_msg *msg)
 {
     switch (msg->kind) {
-    case FW_ROUTE_ASK:
+    case FW_ROUTE_RESERVE:
         pack_reserve(pk, &msg->u.want);
         return;
-    case FW_ROUTE_ANSWER:
+    case FW_ROUTE_REPLY:
         pack_reply(pk, &msg->u.reply);
         return;
     case FW_ROUTE_RELEASE:
@@ -130,7 +130,7 @@
 }
 
 static int
-unpack_item(const msgpack_object *o, struct fw_route_item *it)
+unpack_item(const msgpack_object *o, struct fw_reserve_item *it)
 {
     int64_t prefill;
     int64_t alone;
@@ -226,9 +226,9 @@
     switch (kind) {
     case FW_ROUTE_NONE:
         return 0;
-    case FW_ROUTE_ASK:
+    case FW_ROUTE_RESERVE:
         return unpack_reserve(obj, &msg->u.want);
-    case FW_ROUTE_ANSWER:
+    case FW_ROUTE_REPLY:
         return unpack_reply(obj, &msg->u.reply);
     case FW_ROUTE_RELEASE:
         if (Fw_Unpack_U64(obj, 1, &msg->u.release.ask) ||
--- a/src/route/route_msg.h
+++ b/src/route/route_msg.h
@@ -22,8 +22,8 @@
 /** enum fw_route_msg_kind - message type, a wire value. */
 enum fw_route_msg_kind {
     FW_ROUTE_NONE,
-    FW_ROUTE_ASK,
-    FW_ROUTE_ANSWER,
+    FW_ROUTE_RESERVE,
+    FW_ROUTE_REPLY,
     FW_ROUTE_RELEASE,
 };
 
@@ -47,17 +47,17 @@
 };
 
 /**
- * struct fw_route_item - the reservation requested on one engine.
+ * struct fw_reserve_item - the reservation requested on one engine.
  * @is_prefill: nonzero for a prefill, 0 for a decode slot
  * @exclusive: no other request may run on the engine meanwhile
  * @serving: hash of "model@version" or "model@version+adapter"
  * @tokens: prompt tokens; for a decode slot, output tokens in addition
  * @need_us: decode: time from now until the KV has arrived
- * @from: decode: hash of the prefill engine's failure domain
+ * @from_domain: decode: hash of the prefill engine's failure domain
  * @transfer_us: decode: expected time of the KV transfer from that domain
  * @prefixes: prefill: prefixes of the prompt
  */
-struct fw_route_item {
+struct fw_reserve_item {
     uint64_t engine;
     int is_prefill;
     int exclusive;
@@ -70,10 +70,10 @@
 };
 
 /**
- * struct fw_reserve_result - the reply to one struct fw_route_item.
+ * struct fw_reserve_result - the reply to one struct fw_reserve_item.
  * @wait_us: if granted, the time until prefill begins, or until the KV link
  *           is free; if full, the time after which to try again
- * @cached: prefill: prompt tokens expected in the engine's prefix cache
+ * @cached_tokens: prefill: prompt tokens expected in the engine's prefix cache
  * @free_slots: decode: free slots left after this reservation
  */
 struct fw_reserve_result {
@@ -87,7 +87,7 @@
 /**
  * struct fw_route_load - load of an engine that the sender coordinates.
  * @wait_us: time until a new prefill would begin
- * @free: free decode slots
+ * @free_slots: free decode slots
  */
 struct fw_route_load {
     uint64_t engine;
@@ -106,18 +106,18 @@
 
 /**
  * struct fw_route_reserve - a request for reservations.
- * @ask: the sender's number for the round of reservations
+ * @round_id: the sender's number for the round of reservations
  */
 struct fw_route_reserve {
     uint64_t ask;
     int n;
-    struct fw_route_item item[FW_ROUTE_ITEMS_MAX];
+    struct fw_reserve_item item[FW_ROUTE_ITEMS_MAX];
     struct fw_route_leaving leaving;
 };
 
 /**
  * struct fw_route_reply - results for a struct fw_route_reserve.
- * @ask: the round of the request
+ * @round_id: the round of the request
  */
 struct fw_route_reply {
     uint64_t ask;
@@ -130,8 +130,8 @@
 
 /**
  * struct fw_route_release - releases one reservation.
- * @ask: the round in which it was requested
- * @cached: for a computed prefill, prompt tokens found in the cache;
+ * @round_id: the round in which it was requested
+ * @cached_tokens: for a computed prefill, prompt tokens found in the cache;
  *          -1 for a prefill that was not started, and for a decode slot
  */
 struct fw_route_release {
--- a/src/route/router.h
+++ b/src/route/router.h
@@ -135,7 +135,7 @@
 #define FW_JOB_DENIED_MAX 6
 
 /**
- * struct fw_job - a request in the router; see struct fw_route_ask for the
+ * struct fw_job - a request in the router; see struct fw_route_request for the
  * fields taken from there.
  * @round_id: identifies its last round of reservations to coordinators
  * @round_sent_us: when reservations were last requested from peers
@@ -355,7 +355,7 @@
 void
 Fw_Coord_Reserve(struct fw_router *r, const struct fw_config *cfg,
                  uint64_t owner, uint64_t round_id,
-                 const struct fw_route_item *item, int64_t now_us,
+                 const struct fw_reserve_item *item, int64_t now_us,
                  struct fw_reserve_result *result, struct fw_actions *out);
 /* Ends a reservation; @cached_tokens as in struct fw_route_release. */
 void
@@ -454,7 +454,7 @@
 /* Queues @job, refuses it, or with a baseline policy answers it at once. */
 void
 Fw_Dispatch_Enqueue(struct fw_router *r, const struct fw_config *cfg,
-                    struct fw_job *job, const struct fw_route_ask *req,
+                    struct fw_job *job, const struct fw_route_request *req,
                     int64_t now_us, struct fw_actions *out);
 /* Refuses expired requests and starts rounds for others. */
 void
--- a/tests/decide/test_decide.c
+++ b/tests/decide/test_decide.c
@@ -2,8 +2,8 @@
 #include <check.h>
 #include <math.h>
 
-#include "decide/learned.h"
 #include "decide/memory.h"
+#include "decide/service_stats.h"
 #include "tests/base/suite.h"
 
 #define FW_MAX_TOKENS 2000
@@ -57,16 +57,16 @@
         double out =
             MIN(w->mean * log_normal_factor(rand, w->spread), FW_MAX_TOKENS);
         int64_t hint = draw_hint(rand, w, out);
-        struct fw_length_guess g;
+        struct fw_length_estimate g;
 
-        Fw_Length_Guess(&l, hint, FW_MAX_TOKENS, &g);
+        Fw_Length_Estimate(&l, hint, FW_MAX_TOKENS, &g);
         if (i >= FW_ANSWERS / 2) {
             sum += (g.mean - out) * (g.mean - out);
-            Fw_Length_Guess(&none, hint, FW_MAX_TOKENS, &g);
+            Fw_Length_Estimate(&none, hint, FW_MAX_TOKENS, &g);
             sum_prior += (g.mean - out) * (g.mean - out);
         }
-        Fw_Length_Note(&l, hint, FW_MAX_TOKENS,
-                       (int64_t)ceil(out / FW_EVENT_TOKENS));
+        Fw_Length_Update(&l, hint, FW_MAX_TOKENS,
+                         (int64_t)ceil(out / FW_EVENT_TOKENS));
     }
     g_rand_free(rand);
     *prior = sqrt(sum_prior / (FW_ANSWERS / 2.0));
@@ -95,12 +95,12 @@
 START_TEST(without_estimates_prediction_leans_high)
 {
     struct fw_length_model l = {0};
-    struct fw_length_guess g;
+    struct fw_length_estimate g;
 
     for (int i = 0; i < 60; i++) {
-        Fw_Length_Note(&l, -1, FW_MAX_TOKENS, i % 2 ? 20 : 100);
+        Fw_Length_Update(&l, -1, FW_MAX_TOKENS, i % 2 ? 20 : 100);
     }
-    Fw_Length_Guess(&l, -1, FW_MAX_TOKENS, &g);
+    Fw_Length_Estimate(&l, -1, FW_MAX_TOKENS, &g);
     ck_assert_double_ge(g.mean, 0.5 * FW_MAX_TOKENS);
     ck_assert_double_le(g.mean, 0.8 * FW_MAX_TOKENS);
 }
@@ -110,15 +110,15 @@
 START_TEST(prediction_follows_a_changed_workload)
 {
     struct fw_length_model l = {0};
-    struct fw_length_guess g;
+    struct fw_length_estimate g;
 
     for (int i = 0; i < 300; i++) {
-        Fw_Length_Note(&l, 260, FW_MAX_TOKENS, 20);
+        Fw_Length_Update(&l, 260, FW_MAX_TOKENS, 20);
     }
     for (int i = 0; i < 150; i++) {
-        Fw_Length_Note(&l, 780, FW_MAX_TOKENS, 60);
+        Fw_Length_Update(&l, 780, FW_MAX_TOKENS, 60);
     }
-    Fw_Length_Guess(&l, 780, FW_MAX_TOKENS, &g);
+    Fw_Length_Estimate(&l, 780, FW_MAX_TOKENS, &g);
     ck_assert_double_eq_tol(g.mean, 780, 120);
 }
 END_TEST
@@ -129,21 +129,21 @@
     double params[FW_LENGTH_PARAMS];
     struct fw_length_model l = {0};
     struct fw_length_model imported = {0};
-    struct fw_length_guess a;
-    struct fw_length_guess b;
+    struct fw_length_estimate a;
+    struct fw_length_estimate b;
 
     for (int i = 0; i < 40; i++) {
-        Fw_Length_Note(&l, 130 + i, FW_MAX_TOKENS, 10 + i % 3);
+        Fw_Length_Update(&l, 130 + i, FW_MAX_TOKENS, 10 + i % 3);
     }
     Fw_Length_Export(&l, params);
     Fw_Length_Import(&imported, params);
-    Fw_Length_Guess(&l, 150, FW_MAX_TOKENS, &a);
-    Fw_Length_Guess(&imported, 150, FW_MAX_TOKENS, &b);
+    Fw_Length_Estimate(&l, 150, FW_MAX_TOKENS, &a);
+    Fw_Length_Estimate(&imported, 150, FW_MAX_TOKENS, &b);
     ck_assert_double_eq(a.mean, b.mean);
     params[0] += 1;
     params[2] = -1;
     Fw_Length_Import(&imported, params);
-    Fw_Length_Guess(&imported, 150, FW_MAX_TOKENS, &b);
+    Fw_Length_Estimate(&imported, 150, FW_MAX_TOKENS, &b);
     ck_assert_double_eq(a.mean, b.mean);
 }
 END_TEST
@@ -151,7 +151,7 @@
 /* A stream's accounted memory grows with it, up to its maximum. */
 START_TEST(stream_memory_grows_with_generated_tokens)
 {
-    struct fw_length_guess g = {.mean = 800, .dev = 0};
+    struct fw_length_estimate g = {.mean = 800, .dev = 0};
 
     ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MAX_TOKENS, 0), 3400);
     ck_assert_int_eq(Fw_Memory_StreamTokens(3000, &g, FW_MAX_TOKENS, 300),
@@ -166,16 +166,16 @@
 /* Headroom grows with the length, the variance and the number of streams. */
 START_TEST(headroom_follows_uncertainty)
 {
-    struct fw_length_guess sure = {.mean = 900, .dev = 50};
-    struct fw_length_guess vague = {.mean = 900, .dev = 700};
-    struct fw_length_guess longer = {.mean = 1900, .dev = 50};
-
-    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 12),
-                     Fw_Memory_Spare(&vague, FW_MAX_TOKENS, 12));
-    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 12),
-                     Fw_Memory_Spare(&longer, FW_MAX_TOKENS, 12));
-    ck_assert_int_lt(Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 12),
-                     Fw_Memory_Spare(&sure, FW_MAX_TOKENS, 48));
+    struct fw_length_estimate sure = {.mean = 900, .dev = 50};
+    struct fw_length_estimate vague = {.mean = 900, .dev = 700};
+    struct fw_length_estimate longer = {.mean = 1900, .dev = 50};
+
+    ck_assert_int_lt(Fw_Memory_Headroom(&sure, FW_MAX_TOKENS, 12),
+                     Fw_Memory_Headroom(&vague, FW_MAX_TOKENS, 12));
+    ck_assert_int_lt(Fw_Memory_Headroom(&sure, FW_MAX_TOKENS, 12),
+                     Fw_Memory_Headroom(&longer, FW_MAX_TOKENS, 12));
+    ck_assert_int_lt(Fw_Memory_Headroom(&sure, FW_MAX_TOKENS, 12),
+                     Fw_Memory_Headroom(&sure, FW_MAX_TOKENS, 48));
 }
 END_TEST
 
@@ -191,9 +191,9 @@
         int burst = i >= 600 && i < 700;
 
         now += 100 * FW_MSEC;
-        Fw_Reading_Note(&r, i >= 1500 ? 9000 : burst ? 6000 : 3000, now);
+        Fw_PrefillLoad_Add(&r, i >= 1500 ? 9000 : burst ? 6000 : 3000, now);
         pool_size = Fw_PrefillPool_TargetSize(
-            Fw_PrefillPool_BusyEngines(&r, Fw_Reading_Rate(&r, now), 30, 1,
+            Fw_PrefillPool_BusyEngines(&r, Fw_PrefillLoad_Rate(&r, now), 30, 1,
                                        now),
             9, pool_size);
         ck_assert(i >= 1500 || pool_size == 3);
@@ -207,25 +207,25 @@
 /* Queue limit, prefill prediction and Retry-After follow measured times. */
 START_TEST(time_limits_follow_measured_times)
 {
-    struct fw_learned slow;
-    struct fw_learned quick;
+    struct fw_service_stats slow;
+    struct fw_service_stats quick;
 
-    Fw_Learned_Init(&slow, "s");
-    Fw_Learned_Init(&quick, "s");
+    Fw_ServiceStats_Init(&slow, "s");
+    Fw_ServiceStats_Init(&quick, "s");
     for (int i = 0; i < 60; i++) {
         Fw_Mean_Update(&slow.first_event_us, 400.0 * FW_MSEC);
         Fw_Mean_Update(&quick.first_event_us, 40.0 * FW_MSEC);
-        Fw_Mean_Update(&slow.run_us, 8.0 * FW_SEC);
-        Fw_Learned_NoteRead(&quick, 3000, 30 * FW_MSEC);
+        Fw_Mean_Update(&slow.stream_us, 8.0 * FW_SEC);
+        Fw_ServiceStats_NotePrefill(&quick, 3000, 30 * FW_MSEC);
     }
-    ck_assert_int_lt(Fw_Learned_QueueTime(&slow, 900 * FW_MSEC),
+    ck_assert_int_lt(Fw_ServiceStats_QueueLimit(&slow, 900 * FW_MSEC),
                      510 * FW_MSEC);
-    ck_assert_int_gt(Fw_Learned_QueueTime(&quick, 900 * FW_MSEC),
+    ck_assert_int_gt(Fw_ServiceStats_QueueLimit(&quick, 900 * FW_MSEC),
                      800 * FW_MSEC);
-    ck_assert_int_ge(Fw_Learned_ReadTime(&quick, 6000), 55 * FW_MSEC);
-    ck_assert_int_le(Fw_Learned_ReadTime(&quick, 6000), 65 * FW_MSEC);
-    ck_assert_int_ge(Fw_Learned_RetryAfter(&slow, 0), 3 * FW_SEC);
-    ck_assert_int_lt(Fw_Learned_RetryAfter(&quick, 0), 2 * FW_SEC);
+    ck_assert_int_ge(Fw_ServiceStats_PrefillTime(&quick, 6000), 55 * FW_MSEC);
+    ck_assert_int_le(Fw_ServiceStats_PrefillTime(&quick, 6000), 65 * FW_MSEC);
+    ck_assert_int_ge(Fw_ServiceStats_RetryAfter(&slow, 0), 3 * FW_SEC);
+    ck_assert_int_lt(Fw_ServiceStats_RetryAfter(&quick, 0), 2 * FW_SEC);
 }
 END_TEST
 
--- a/tests/fleet/play.c
+++ b/tests/fleet/fleet_script.c
@@ -1,4 +1,4 @@
-#include "tests/fleet/play.h"
+#include "tests/fleet/fleet_script.h"
 
 #include <check.h>
 #include <errno.h>
--- a/tests/fleet/test_fleet.c
+++ b/tests/fleet/test_fleet.c
@@ -6,7 +6,7 @@
 
 #include "core/msg.h"
 #include "tests/base/suite.h"
-#include "tests/fleet/play.h"
+#include "tests/fleet/fleet_script.h"
 
 #define START_THREE "start 1\nstart 2\nstart 3\nrun 5000\n"
 
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -5,7 +5,7 @@
 
 #include "limit/bucket.h"
 #include "tests/base/suite.h"
-#include "tests/fleet/play.h"
+#include "tests/fleet/fleet_script.h"
 
 #define START_SIX                                                             \
     "start 1\nstart 2\nstart 3\nstart 4\nstart 5\nstart 6\nrun 15000\n"
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -18,7 +18,7 @@
 START_TEST(a_request_is_decoded)
 {
     struct fw_http_head h;
-    struct fw_rl_ask a;
+    struct fw_rl_request_info a;
 
     head_of(FW_HEAD "Request-Id: 9c\r\nAuthorization: bearer key1\r\n"
                     "Deadline-Ms: 1500\r\nToken-Counts: 1460, 80\r\n"
@@ -29,11 +29,11 @@
     ck_assert_str_eq(a.host, "h.example");
     ck_assert_str_eq(a.path, "/a/b");
     ck_assert_str_eq(a.key, "key1");
-    ck_assert_int_eq(a.left_us, 1500 * FW_MSEC);
+    ck_assert_int_eq(a.timeout_us, 1500 * FW_MSEC);
     ck_assert_int_eq(a.tokens_in, 1460);
-    ck_assert_int_eq(a.tokens_out, 80);
-    ck_assert_int_eq(a.hint_out, 44);
-    ck_assert_int_eq(a.last_event, 7);
+    ck_assert_int_eq(a.tokens_out_max, 80);
+    ck_assert_int_eq(a.tokens_out_hint, 44);
+    ck_assert_int_eq(a.last_event_id, 7);
     Fw_Http_ClearHead(&h);
 }
 END_TEST
@@ -51,7 +51,7 @@
 {
     char *text = g_strdup_printf(FW_HEAD "%s\r\n", bad_fields[_i]);
     struct fw_http_head h;
-    struct fw_rl_ask a;
+    struct fw_rl_request_info a;
 
     head_of(text, &h);
     ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), -EBADMSG);
@@ -69,7 +69,7 @@
         "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n"};
     char *text = g_strdup_printf(FW_HEAD "%s\r\n", fields[_i]);
     struct fw_http_head h;
-    struct fw_rl_ask a;
+    struct fw_rl_request_info a;
 
     head_of(text, &h);
     ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), 0);
@@ -81,15 +81,15 @@
 
 START_TEST(a_call_is_written_with_the_routers_own_fields)
 {
-    struct fw_rl_up_call c = {.kind = FW_RL_UP_RUN,
-                              .addr = "10.0.0.1:80",
-                              .server = "i-1",
-                              .team = "t",
-                              .left_us = 1234567,
-                              .urgency = 3,
-                              .hold = "H",
-                              .kv_addr = "10.0.0.2:80",
-                              .kv = "K"};
+    struct fw_rl_upstream_call c = {.kind = FW_RL_UP_RUN,
+                                    .addr = "10.0.0.1:80",
+                                    .server = "i-1",
+                                    .team = "t",
+                                    .timeout_us = 1234567,
+                                    .priority = 3,
+                                    .reservation = "H",
+                                    .kv_addr = "10.0.0.2:80",
+                                    .kv_handle = "K"};
     GString *out = g_string_new(NULL);
     struct fw_http_head h;
     GBytes *body;
@@ -120,11 +120,11 @@
 
 /* Calls of the router's own. */
 static const struct {
-    struct fw_rl_up_call call;
+    struct fw_rl_upstream_call call;
     const char *head;
     const char *body;
 } calls[] = {
-    {{.kind = FW_RL_UP_HOLD,
+    {{.kind = FW_RL_UP_RESERVE,
       .addr = "a:1",
       .server = "i",
       .tokens = 32,
@@ -133,23 +133,29 @@
      "Content-Type: application/json\r\nContent-Length: 26\r\n"
      "Expect-Instance: i\r\n\r\n",
      "{\"Tokens\":32,\"TtlMs\":2000}"},
-    {{.kind = FW_RL_UP_DROP_HOLD, .addr = "a:1", .server = "i", .hold = "H"},
+    {{.kind = FW_RL_UP_RELEASE,
+      .addr = "a:1",
+      .server = "i",
+      .reservation = "H"},
      "DELETE /-/hold-drop/H HTTP/1.1\r\nHost: a:1\r\n"
      "Expect-Instance: i\r\n\r\n",
      NULL},
-    {{.kind = FW_RL_UP_DROP_KV, .addr = "a:1", .server = "i", .kv = "K"},
+    {{.kind = FW_RL_UP_FREE_KV,
+      .addr = "a:1",
+      .server = "i",
+      .kv_handle = "K"},
      "DELETE /-/kv-handle/K HTTP/1.1\r\nHost: a:1\r\n"
      "Expect-Instance: i\r\n\r\n",
      NULL},
     {{.kind = FW_RL_UP_REPORT, .addr = "a:1", .server = "i"},
      "GET /-/report HTTP/1.1\r\nHost: a:1\r\nExpect-Instance: i\r\n\r\n",
      NULL},
-    {{.kind = FW_RL_UP_STAGE,
+    {{.kind = FW_RL_UP_SET_STAGE,
       .addr = "a:1",
       .server = "i",
       .stage = FW_RL_STAGE_PREFILL,
       .fence = 41,
-      .expected = 2},
+      .expected_orders = 2},
      "POST /-/order HTTP/1.1\r\nHost: a:1\r\n"
      "Content-Type: application/json\r\nContent-Length: 84\r\n"
      "Expect-Instance: i\r\n\r\n",
@@ -182,14 +188,14 @@
 
 /* Answers' bodies: @want is the name read, NULL for an error. */
 static const struct {
-    enum fw_rl_up_kind kind;
+    enum fw_rl_upstream_kind kind;
     const char *body;
     const char *want;
 } bodies[] = {
-    {FW_RL_UP_HOLD, "{\"Hold\":\"h1\"}", "h1"},
-    {FW_RL_UP_HOLD, "{\"Hold\":7}", NULL},
-    {FW_RL_UP_HOLD, "{\"Hold\":\"\"}", NULL},
-    {FW_RL_UP_HOLD, "nonsense", NULL},
+    {FW_RL_UP_RESERVE, "{\"Hold\":\"h1\"}", "h1"},
+    {FW_RL_UP_RESERVE, "{\"Hold\":7}", NULL},
+    {FW_RL_UP_RESERVE, "{\"Hold\":\"\"}", NULL},
+    {FW_RL_UP_RESERVE, "nonsense", NULL},
     {FW_RL_UP_PREFILL, "{\"HandleId\":\"k1\",\"Tokens\":5,\"Version\":1}",
      "k1"},
     {FW_RL_UP_PREFILL, "{\"Tokens\":5}", NULL},
@@ -201,7 +207,7 @@
 
 START_TEST(the_body_of_an_answer_is_decoded)
 {
-    struct fw_rl_up_answer a = {.status = 200};
+    struct fw_rl_upstream_response a = {.status = 200};
     int rc = Fw_Platform_ReadBody(bodies[_i].kind, bodies[_i].body,
                                   strlen(bodies[_i].body), &a);
 
@@ -210,7 +216,7 @@
         return;
     }
     ck_assert_int_eq(rc, 0);
-    ck_assert_str_eq(a.name, bodies[_i].want);
+    ck_assert_str_eq(a.handle, bodies[_i].want);
 }
 END_TEST
 
@@ -220,15 +226,15 @@
     static const char text[] =
         "{\"Stage\":\"decode\",\"Busy\":false,\"Sequence\":2,\"Runs\":["
         "[\"r1\",3400,31,5],[\"r2\",12],7,[[],1,2,3],[\"r3\",900,0,5]]}";
-    struct fw_rl_up_answer a = {.status = 200};
+    struct fw_rl_upstream_response a = {.status = 200};
 
     ck_assert_int_eq(
         Fw_Platform_ReadBody(FW_RL_UP_REPORT, text, strlen(text), &a), 0);
-    ck_assert_int_eq(a.n_runs, 2);
-    ck_assert_uint_eq(a.runs[0].id, Fw_Hash_Str("r1"));
-    ck_assert_int_eq(a.runs[0].tokens, 3400);
-    ck_assert_int_eq(a.runs[0].events, 31);
-    ck_assert_uint_eq(a.runs[1].id, Fw_Hash_Str("r3"));
+    ck_assert_int_eq(a.n_streams, 2);
+    ck_assert_uint_eq(a.streams[0].id, Fw_Hash_Str("r1"));
+    ck_assert_int_eq(a.streams[0].tokens, 3400);
+    ck_assert_int_eq(a.streams[0].events, 31);
+    ck_assert_uint_eq(a.streams[1].id, Fw_Hash_Str("r3"));
 }
 END_TEST
 
@@ -268,7 +274,7 @@
     ck_assert_ptr_null(Fw_Rules_Route(rules, "a.example", "/x"));
     ck_assert_ptr_null(Fw_Rules_Route(rules, "b.example", "/x/"));
     ck_assert_int_eq(Fw_Rules_Service(rules, "e")->engine.kv_tokens, 107196);
-    ck_assert_int_eq(Fw_Rules_Service(rules, "e")->engine.handle_us, 500000);
+    ck_assert_int_eq(Fw_Rules_Service(rules, "e")->engine.kv_ttl_us, 500000);
     ck_assert_str_eq(Fw_Rules_Team(rules, "k")->name, "t");
     ck_assert_ptr_null(Fw_Rules_Team(rules, "K"));
     ck_assert_int_eq(rules->body_bytes, 99);
@@ -317,7 +323,7 @@
     ck_assert_int_eq(e.draining, 1);
     ck_assert_int_eq(e.stage, FW_RL_STAGE_PREFILL);
     ck_assert_int_eq(e.born_ms, 1700000000000);
-    ck_assert_int_eq(e.cold_us, 1500000);
+    ck_assert_int_eq(e.warmup_us, 1500000);
 }
 END_TEST
 
--- a/tests/relay/engines.c
+++ b/tests/relay/engines.c
@@ -45,7 +45,7 @@
     uint64_t xid;
     int64_t at_ms;
     int is_begin;
-    struct fw_rl_up_answer ans;
+    struct fw_rl_upstream_response ans;
 };
 
 /**
@@ -56,7 +56,7 @@
     const struct fw_load_plan *plan;
     struct fw_load_result *res;
     struct fw_relay *r;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     GRand *rand;
     GArray *streams;
     GArray *replies;
@@ -125,7 +125,7 @@
     return sum;
 }
 
-static struct fw_rl_up_answer *
+static struct fw_rl_upstream_response *
 add_reply(struct world *w, uint64_t xid, int64_t at_ms, int is_begin)
 {
     struct reply p = {.xid = xid, .at_ms = at_ms, .is_begin = is_begin};
@@ -136,10 +136,10 @@
 }
 
 static void
-reserve(struct world *w, const struct fw_rl_up_call *u, int engine)
+reserve(struct world *w, const struct fw_rl_upstream_call *u, int engine)
 {
     struct stream *s = find_stream(w, u->call);
-    struct fw_rl_up_answer *a = add_reply(w, u->xid, w->now_ms + 2, 0);
+    struct fw_rl_upstream_response *a = add_reply(w, u->xid, w->now_ms + 2, 0);
 
     if (engine_tokens(w, engine) + u->tokens > w->plan->shape.kv_tokens) {
         a->status = 503;
@@ -148,23 +148,24 @@
     }
     s->engine = engine;
     s->reserved_tokens = u->tokens;
-    g_strlcpy(a->name, "h", sizeof(a->name));
+    g_strlcpy(a->handle, "h", sizeof(a->handle));
 }
 
 static void
-prefill_prompt(struct world *w, const struct fw_rl_up_call *u, int engine)
+prefill_prompt(struct world *w, const struct fw_rl_upstream_call *u,
+               int engine)
 {
     const struct stream *s = find_stream(w, u->call);
     int64_t from = MAX(w->prefill_end_ms[engine], w->now_ms);
 
     w->prefill_end_ms[engine] =
         from + (int64_t)((double)s->in / w->plan->shape.prefill_tokens_per_ms);
-    g_strlcpy(add_reply(w, u->xid, w->prefill_end_ms[engine], 0)->name, "k",
+    g_strlcpy(add_reply(w, u->xid, w->prefill_end_ms[engine], 0)->handle, "k",
               FW_RL_KEY_MAX);
 }
 
 static void
-run_stream(struct world *w, const struct fw_rl_up_call *u)
+run_stream(struct world *w, const struct fw_rl_upstream_call *u)
 {
     struct stream *s = find_stream(w, u->call);
 
@@ -177,34 +178,35 @@
 }
 
 static void
-report_streams(struct world *w, const struct fw_rl_up_call *u, int engine)
+report_streams(struct world *w, const struct fw_rl_upstream_call *u,
+               int engine)
 {
-    struct fw_rl_up_answer *a = add_reply(w, u->xid, w->now_ms + 2, 0);
+    struct fw_rl_upstream_response *a = add_reply(w, u->xid, w->now_ms + 2, 0);
 
     for (guint i = 0; i < w->streams->len; i++) {
         const struct stream *s = &g_array_index(w->streams, struct stream, i);
-        struct fw_rl_run *run = &a->runs[a->n_runs];
+        struct fw_rl_stream_report *run = &a->streams[a->n_streams];
         char id[FW_ID_MAX];
 
         if (s->engine != engine || s->ends_ms <= w->now_ms ||
-            a->n_runs == FW_RL_RUNS_MAX) {
+            a->n_streams == FW_RL_STREAM_REPORTS_MAX) {
             continue;
         }
         format_id(s, id);
         run->id = Fw_Hash_Str(id);
         run->tokens = stream_tokens(w, s);
         run->events = (run->tokens - s->in) / FW_EVENT_TOKENS;
-        a->n_runs++;
+        a->n_streams++;
     }
 }
 
 static void
-handle_call(struct world *w, const struct fw_rl_up_call *u)
+handle_call(struct world *w, const struct fw_rl_upstream_call *u)
 {
     int engine = u->server[1] - 'a';
 
     switch (u->kind) {
-    case FW_RL_UP_HOLD:
+    case FW_RL_UP_RESERVE:
         reserve(w, u, engine);
         break;
     case FW_RL_UP_PREFILL:
@@ -216,9 +218,9 @@
     case FW_RL_UP_REPORT:
         report_streams(w, u, engine);
         break;
-    case FW_RL_UP_DROP_HOLD:
-    case FW_RL_UP_DROP_KV:
-    case FW_RL_UP_STAGE:
+    case FW_RL_UP_RELEASE:
+    case FW_RL_UP_FREE_KV:
+    case FW_RL_UP_SET_STAGE:
         break;
     }
 }
@@ -227,12 +229,13 @@
 carry_out_actions(struct world *w)
 {
     for (guint i = 0; i < w->acts.all->len; i++) {
-        struct fw_rl_act a = g_array_index(w->acts.all, struct fw_rl_act, i);
+        struct fw_rl_action a =
+            g_array_index(w->acts.all, struct fw_rl_action, i);
 
-        if (a.kind == FW_RL_DO_ASK) {
+        if (a.kind == FW_RL_DO_CALL) {
             handle_call(w, &a.u.ask);
         }
-        else if (a.kind == FW_RL_DO_REFUSE) {
+        else if (a.kind == FW_RL_DO_REJECT) {
             w->res->rejected++;
             find_stream(w, a.u.refuse.call)->is_over = 1;
         }
@@ -249,8 +252,8 @@
     const struct fw_load_shape *h = &w->plan->shape;
     struct stream s = {
         .call = w->streams->len + 1, .asked_ms = w->now_ms, .engine = -1};
-    struct fw_rl_ask q = {
-        .host = "h", .path = "/g/x", .key = "k", .last_event = -1};
+    struct fw_rl_request_info q = {
+        .host = "h", .path = "/g/x", .key = "k", .last_event_id = -1};
 
     s.in = MIN((int64_t)log_normal(w->rand, h->mean_prompt, h->spread),
                (int64_t)(h->mean_prompt * FW_MAX_PROMPT_FACTOR));
@@ -258,15 +261,15 @@
                 h->max_answer);
     format_id(&s, q.id);
     q.tokens_in = s.in;
-    q.tokens_out = h->max_answer;
-    q.hint_out =
+    q.tokens_out_max = h->max_answer;
+    q.tokens_out_hint =
         h->hint_spread < 0
             ? -1
             : (int64_t)log_normal(w->rand, (double)s.out, h->hint_spread);
     g_array_append_val(w->streams, s);
     w->res->requests++;
     if (w->plan->fixed_model) {
-        Fw_Learned_Of(w->r, "llm")->length = *w->plan->fixed_model;
+        Fw_ServiceStats_Get(w->r, "llm")->length = *w->plan->fixed_model;
     }
     Fw_Relay_Open(w->r, s.call, &q, now_us(w), &w->acts);
     carry_out_actions(w);
@@ -313,10 +316,10 @@
         g_array_remove_index(w->replies, i);
         if (p.is_begin) {
             record_first_event(w, p.xid);
-            Fw_Relay_Begun(w->r, p.xid, &p.ans, now_us(w), &w->acts);
+            Fw_Relay_ResponseBegan(w->r, p.xid, &p.ans, now_us(w), &w->acts);
         }
         else {
-            Fw_Relay_Answered(w->r, p.xid, &p.ans, now_us(w), &w->acts);
+            Fw_Relay_ResponseEnded(w->r, p.xid, &p.ans, now_us(w), &w->acts);
         }
         carry_out_actions(w);
         i = 0;
@@ -402,16 +405,16 @@
     g_strlcpy(route->prefix, "/g/", sizeof(route->prefix));
     g_strlcpy(route->targets[0].service, "llm", FW_NAME_MAX);
     g_strlcpy(s->name, "llm", sizeof(s->name));
-    s->engines = 1;
+    s->has_engines = 1;
     s->engine =
         (struct fw_rl_engine_spec){.slots = w->plan->shape.slots,
                                    .kv_tokens = w->plan->shape.kv_tokens,
-                                   .hold_us = 2 * FW_SEC};
+                                   .reservation_ttl_us = 2 * FW_SEC};
     g_strlcpy(t->name, "t", sizeof(t->name));
     t->priority = -1;
     Fw_Rules_AddKey(rules, "k", t);
     Fw_Rules_Index(rules);
-    Fw_Relay_Rules(w->r, rules, 1, now_us(w), &w->acts);
+    Fw_Relay_SetRules(w->r, rules, 1, now_us(w), &w->acts);
     Fw_Rules_Unref(rules);
     for (int i = 0; i < w->plan->decode_engines + w->plan->prefill_engines;
          i++) {
@@ -423,7 +426,7 @@
         g_strlcpy(e.service, "llm", sizeof(e.service));
         e.stage = i < w->plan->decode_engines ? FW_RL_STAGE_DECODE
                                               : FW_RL_STAGE_PREFILL;
-        Fw_Relay_Server(w->r, e.id, &e, now_us(w), &w->acts);
+        Fw_Relay_UpdateServer(w->r, e.id, &e, now_us(w), &w->acts);
     }
     g_array_set_size(w->acts.all, 0);
 }
@@ -450,8 +453,8 @@
                                  .retry_extra = 100,
                                  .key_stale_us = 4 * FW_SEC,
                                  .policy = plan->policy,
-                                 .queue_us = 650 * FW_MSEC,
-                                 .read_here_us = 600 * FW_MSEC,
+                                 .queue_limit_us = 650 * FW_MSEC,
+                                 .local_prefill_us = 600 * FW_MSEC,
                                  .reserve_permille = plan->reserve_permille,
                                  .prefill_permille = 100,
                                  .lease_us = 3 * FW_SEC,
@@ -463,10 +466,10 @@
     w.streams = g_array_new(FALSE, TRUE, sizeof(struct stream));
     w.replies = g_array_new(FALSE, TRUE, sizeof(struct reply));
     w.r = Fw_Relay_New(&opts, now_us(&w));
-    Fw_Acts_Init(&w.acts);
+    Fw_RelayActions_Init(&w.acts);
     set_up_relay(&w);
     for (; w.now_ms < plan->end_ms + 9000; w.now_ms += FW_STEP_MS) {
-        Fw_Relay_Fresh(w.r, now_us(&w));
+        Fw_Relay_SetFreshAsOf(w.r, now_us(&w));
         generate_arrivals(&w);
         deliver(&w);
         if (w.now_ms % FW_TICK_MS == 0) {
@@ -475,7 +478,7 @@
             carry_out_actions(&w);
         }
     }
-    Fw_Acts_Clear(&w.acts);
+    Fw_RelayActions_Clear(&w.acts);
     Fw_Relay_Free(w.r);
     g_array_unref(w.streams);
     g_array_unref(w.replies);
--- a/tests/relay/plain_servers.c
+++ b/tests/relay/plain_servers.c
@@ -16,7 +16,7 @@
  */
 struct plain_world {
     struct fw_relay *r;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_plain_load *res;
     GRand *rand;
     GArray *works;
@@ -44,15 +44,15 @@
 }
 
 static void
-handle_call(struct plain_world *f, const struct fw_rl_up_call *u)
+handle_call(struct plain_world *f, const struct fw_rl_upstream_call *u)
 {
     int server = u->server[1] - '0';
     int64_t *slot = &f->free_ms[server][0];
-    struct fw_rl_up_answer full = {.status = 503, .not_run = 1};
+    struct fw_rl_upstream_response full = {.status = 503, .not_run = 1};
     struct work w = {.xid = u->xid, .server = server};
 
     if (queue_length(f, server) >= FW_PLAIN_QUEUE) {
-        Fw_Relay_Answered(f->r, u->xid, &full, now_us(f), &f->acts);
+        Fw_Relay_ResponseEnded(f->r, u->xid, &full, now_us(f), &f->acts);
         return;
     }
     for (int i = 1; i < FW_PLAIN_SLOTS; i++) {
@@ -78,12 +78,13 @@
 carry_out_actions(struct plain_world *f)
 {
     for (guint i = 0; i < f->acts.all->len; i++) {
-        struct fw_rl_act a = g_array_index(f->acts.all, struct fw_rl_act, i);
+        struct fw_rl_action a =
+            g_array_index(f->acts.all, struct fw_rl_action, i);
 
-        if (a.kind == FW_RL_DO_ASK) {
+        if (a.kind == FW_RL_DO_CALL) {
             handle_call(f, &a.u.ask);
         }
-        else if (a.kind == FW_RL_DO_REFUSE) {
+        else if (a.kind == FW_RL_DO_REJECT) {
             f->res->rejected++;
         }
         else if (a.kind == FW_RL_DO_FINISH) {
@@ -96,7 +97,8 @@
 static void
 send_request(struct plain_world *f)
 {
-    struct fw_rl_ask q = {.host = "h", .path = "/p/x", .tokens_in = -1};
+    struct fw_rl_request_info q = {
+        .host = "h", .path = "/p/x", .tokens_in = -1};
     uint64_t call = (uint64_t)f->res->requests++;
 
     f->asked_ms[call] = f->now_ms;
@@ -107,7 +109,7 @@
 static void
 deliver(struct plain_world *f)
 {
-    struct fw_rl_up_answer ok = {.status = 200};
+    struct fw_rl_upstream_response ok = {.status = 200};
 
     for (guint i = 0; i < f->works->len;) {
         struct work w = g_array_index(f->works, struct work, i);
@@ -117,7 +119,7 @@
             continue;
         }
         g_array_remove_index(f->works, i);
-        Fw_Relay_Answered(f->r, w.xid, &ok, now_us(f), &f->acts);
+        Fw_Relay_ResponseEnded(f->r, w.xid, &ok, now_us(f), &f->acts);
         carry_out_actions(f);
     }
 }
@@ -129,7 +131,7 @@
     struct fw_rl_route_rule *route = Fw_Rules_AddRoute(rules);
 
     rules->version = 1;
-    *route = (struct fw_rl_route_rule){.kind = FW_RL_ONCE,
+    *route = (struct fw_rl_route_rule){.kind = FW_RL_NON_IDEMPOTENT,
                                        .timeout_us = 4 * FW_SEC,
                                        .objective_us =
                                            FW_PLAIN_OBJECTIVE_MS * FW_MSEC,
@@ -141,7 +143,7 @@
     g_strlcpy(route->targets[0].service, "server", FW_NAME_MAX);
     g_strlcpy(Fw_Rules_AddService(rules)->name, "server", FW_NAME_MAX);
     Fw_Rules_Index(rules);
-    Fw_Relay_Rules(f->r, rules, 1, now_us(f), &f->acts);
+    Fw_Relay_SetRules(f->r, rules, 1, now_us(f), &f->acts);
     Fw_Rules_Unref(rules);
     for (int i = 0; i < FW_PLAIN_SERVERS; i++) {
         struct fw_rl_server_entry e = {.slots = FW_PLAIN_SLOTS, .born_ms = 1};
@@ -149,7 +151,7 @@
         g_snprintf(e.id, sizeof(e.id), "s%d", i);
         g_snprintf(e.addr, sizeof(e.addr), "s%d:1", i);
         g_strlcpy(e.service, "server", sizeof(e.service));
-        Fw_Relay_Server(f->r, e.id, &e, now_us(f), &f->acts);
+        Fw_Relay_UpdateServer(f->r, e.id, &e, now_us(f), &f->acts);
     }
     g_array_set_size(f->acts.all, 0);
 }
@@ -170,7 +172,7 @@
     f.works = g_array_new(FALSE, TRUE, sizeof(struct work));
     f.asked_ms = g_new0(int64_t, ms + 1);
     f.r = Fw_Relay_New(&opts, now_us(&f));
-    Fw_Acts_Init(&f.acts);
+    Fw_RelayActions_Init(&f.acts);
     set_up_relay(&f);
     for (; f.now_ms < ms + 5000; f.now_ms++) {
         if (f.now_ms < ms && g_rand_double(f.rand) < per_s / 1000) {
@@ -178,7 +180,7 @@
         }
         deliver(&f);
     }
-    Fw_Acts_Clear(&f.acts);
+    Fw_RelayActions_Clear(&f.acts);
     Fw_Relay_Free(f.r);
     g_array_unref(f.works);
     g_free(f.asked_ms);
--- a/tests/relay/script.c
+++ b/tests/relay/script.c
@@ -36,37 +36,39 @@
 #include <check.h>
 #include <string.h>
 
-#include "tests/relay/play.h"
+#include "tests/relay/script_internal.h"
 
 static const char *const call_kind_names[] = {
     "run", "prefill", "hold", "drop-hold", "drop-kv", "report", "stage"};
 
 static void
-print_ask(GString *out, const struct fw_rl_up_call *c)
+print_ask(GString *out, const struct fw_rl_upstream_call *c)
 {
     g_string_append_printf(out, "  ask %d %s %s", (int)c->xid,
                            call_kind_names[c->kind], c->server);
     if (c->call) {
         g_string_append_printf(out, " for %d", (int)c->call);
     }
-    if (c->kind == FW_RL_UP_HOLD) {
+    if (c->kind == FW_RL_UP_RESERVE) {
         g_string_append_printf(out, " tokens=%d", (int)c->tokens);
     }
-    if (c->hold[0]) {
-        g_string_append_printf(out, " hold=%s", c->hold);
+    if (c->reservation[0]) {
+        g_string_append_printf(out, " hold=%s", c->reservation);
     }
-    if (c->kv[0]) {
-        g_string_append_printf(out, " kv=%s", c->kv);
+    if (c->kv_handle[0]) {
+        g_string_append_printf(out, " kv=%s", c->kv_handle);
     }
     if (c->team[0]) {
         g_string_append_printf(out, " team=%s", c->team);
     }
     if (c->kind == FW_RL_UP_RUN) {
-        g_string_append_printf(out, " left=%d", (int)(c->left_us / FW_MSEC));
+        g_string_append_printf(out, " left=%d",
+                               (int)(c->timeout_us / FW_MSEC));
     }
-    if (c->kind == FW_RL_UP_STAGE) {
+    if (c->kind == FW_RL_UP_SET_STAGE) {
         g_string_append_printf(out, " to=%d fence=%d expected=%d",
-                               (int)c->stage, (int)c->fence, (int)c->expected);
+                               (int)c->stage, (int)c->fence,
+                               (int)c->expected_orders);
     }
     g_string_append_c(out, '\n');
 }
@@ -82,38 +84,38 @@
 }
 
 static void
-print_act(struct relay_script_run *run, const struct fw_rl_act *a)
+print_act(struct relay_script_run *run, const struct fw_rl_action *a)
 {
     GString *out = run->out;
 
     switch (a->kind) {
-    case FW_RL_DO_REFUSE:
+    case FW_RL_DO_REJECT:
         g_string_append_printf(
             out, "  refuse %d %d %s ran=%s%s\n", (int)a->u.refuse.call,
             a->u.refuse.status, a->u.refuse.reason,
             Fw_Ran_Name(a->u.refuse.ran), retry_delay(a->u.refuse.retry_us));
         break;
-    case FW_RL_DO_PASS:
+    case FW_RL_DO_FORWARD:
         g_string_append_printf(out, "  pass %d from %d\n", (int)a->u.pass.call,
                                (int)a->u.pass.xid);
         break;
     case FW_RL_DO_FINISH:
         g_string_append_printf(out, "  finish %d\n", (int)a->u.call);
         break;
-    case FW_RL_DO_CUT:
+    case FW_RL_DO_ABORT:
         g_string_append_printf(out, "  cut %d\n", (int)a->u.call);
         break;
-    case FW_RL_DO_ASK:
+    case FW_RL_DO_CALL:
         print_ask(out, &a->u.ask);
         break;
-    case FW_RL_DO_STOP_ASK:
+    case FW_RL_DO_CANCEL_CALL:
         g_string_append_printf(out, "  stop %d\n", (int)a->u.xid);
         break;
-    case FW_RL_DO_LEAD:
+    case FW_RL_DO_CLAIM_ROLE:
         g_string_append_printf(out, "  claim at %d\n", (int)a->u.lead_end);
         run->claim_sent_us = run->now_us;
         break;
-    case FW_RL_DO_FORGET:
+    case FW_RL_DO_CLOSE_IDLE:
         g_string_append_printf(out, "  forget %s\n", a->u.addr);
         break;
     case FW_RL_DO_LOG:
@@ -128,11 +130,11 @@
 static void
 do_open(struct relay_script_run *run)
 {
-    struct fw_rl_ask ask = {
+    struct fw_rl_request_info ask = {
         .tokens_in = Fw_RelayScript_GetNumber(run, "in", -1),
-        .tokens_out = Fw_RelayScript_GetNumber(run, "out", -1),
-        .hint_out = -1,
-        .last_event = -1};
+        .tokens_out_max = Fw_RelayScript_GetNumber(run, "out", -1),
+        .tokens_out_hint = -1,
+        .last_event_id = -1};
     const char *key = Fw_RelayScript_GetString(run, "key");
     const char *id = Fw_RelayScript_GetString(run, "id");
 
@@ -140,25 +142,25 @@
     g_strlcpy(ask.path, run->word[2], sizeof(ask.path));
     g_strlcpy(ask.key, key ? key : "", sizeof(ask.key));
     g_strlcpy(ask.id, id ? id : run->word[1], sizeof(ask.id));
-    ask.left_us = Fw_RelayScript_GetNumber(run, "left_ms", 0) * FW_MSEC;
-    ask.digest = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
+    ask.timeout_us = Fw_RelayScript_GetNumber(run, "left_ms", 0) * FW_MSEC;
+    ask.body_digest = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
     Fw_Relay_Open(run->r, Fw_RelayScript_GetArg(run, 1), &ask, run->now_us,
                   &run->acts);
 }
 
-static struct fw_rl_up_answer
+static struct fw_rl_upstream_response
 answer_of(const struct relay_script_run *run)
 {
-    struct fw_rl_up_answer ans = {
+    struct fw_rl_upstream_response ans = {
         .status = (int)Fw_RelayScript_GetArg(run, 2),
         .orders = Fw_RelayScript_GetNumber(run, "orders", -1)};
     const char *name = Fw_RelayScript_GetString(run, "name");
     const char *stage = Fw_RelayScript_GetString(run, "stage");
 
-    g_strlcpy(ans.name, name ? name : "", sizeof(ans.name));
-    ans.moved = Fw_RelayScript_HasWord(run, "moved");
-    ans.not_run = ans.moved || Fw_RelayScript_HasWord(run, "not-run");
-    ans.busy = Fw_RelayScript_HasWord(run, "busy");
+    g_strlcpy(ans.handle, name ? name : "", sizeof(ans.handle));
+    ans.wrong_server = Fw_RelayScript_HasWord(run, "moved");
+    ans.not_run = ans.wrong_server || Fw_RelayScript_HasWord(run, "not-run");
+    ans.changing_stage = Fw_RelayScript_HasWord(run, "busy");
     ans.stage = g_strcmp0(stage, "prefill") == 0 ? FW_RL_STAGE_PREFILL
                                                  : FW_RL_STAGE_DECODE;
     return ans;
@@ -171,7 +173,8 @@
 
     ck_assert_ptr_nonnull(s);
     g_string_append_printf(run->out, "  running=%d reserved=%d reading=%d\n",
-                           s->running, (int)s->reserved, (int)s->reading);
+                           s->running, (int)s->kv_tokens,
+                           (int)s->prefill_tokens);
 }
 
 static void
@@ -183,60 +186,60 @@
 static void
 do_fresh(struct relay_script_run *run)
 {
-    Fw_Relay_Fresh(run->r,
-                   (int64_t)Fw_RelayScript_GetArg(run, 1) * FW_MSEC + FW_SEC);
+    Fw_Relay_SetFreshAsOf(
+        run->r, (int64_t)Fw_RelayScript_GetArg(run, 1) * FW_MSEC + FW_SEC);
 }
 
 static void
 do_unlisted(struct relay_script_run *run)
 {
-    Fw_Relay_Server(run->r, run->word[1], NULL, run->now_us, &run->acts);
+    Fw_Relay_UpdateServer(run->r, run->word[1], NULL, run->now_us, &run->acts);
 }
 
 static void
 do_store_back(struct relay_script_run *run)
 {
-    Fw_Relay_StoreBack(run->r, run->now_us);
+    Fw_Relay_StoreRecovered(run->r, run->now_us);
 }
 
 static void
 do_list(struct relay_script_run *run)
 {
-    Fw_Relay_ListEnd(run->r, run->now_us, &run->acts);
+    Fw_Relay_EndServerList(run->r, run->now_us, &run->acts);
 }
 
 static void
 do_gone(struct relay_script_run *run)
 {
-    Fw_Relay_Gone(run->r, Fw_RelayScript_GetArg(run, 1), run->now_us,
-                  &run->acts);
+    Fw_Relay_CallerLeft(run->r, Fw_RelayScript_GetArg(run, 1), run->now_us,
+                        &run->acts);
 }
 
 static void
 do_begun(struct relay_script_run *run)
 {
-    struct fw_rl_up_answer ans = answer_of(run);
+    struct fw_rl_upstream_response ans = answer_of(run);
 
-    Fw_Relay_Begun(run->r, Fw_RelayScript_GetArg(run, 1), &ans, run->now_us,
-                   &run->acts);
+    Fw_Relay_ResponseBegan(run->r, Fw_RelayScript_GetArg(run, 1), &ans,
+                           run->now_us, &run->acts);
 }
 
 static void
 do_answer(struct relay_script_run *run)
 {
-    struct fw_rl_up_answer ans = answer_of(run);
+    struct fw_rl_upstream_response ans = answer_of(run);
 
-    Fw_Relay_Answered(run->r, Fw_RelayScript_GetArg(run, 1), &ans, run->now_us,
-                      &run->acts);
+    Fw_Relay_ResponseEnded(run->r, Fw_RelayScript_GetArg(run, 1), &ans,
+                           run->now_us, &run->acts);
 }
 
 static void
 do_fail(struct relay_script_run *run)
 {
-    Fw_Relay_Failed(run->r, Fw_RelayScript_GetArg(run, 1),
-                    -(int)Fw_RelayScript_GetArg(run, 2),
-                    Fw_RelayScript_HasWord(run, "sent"), run->now_us,
-                    &run->acts);
+    Fw_Relay_UpstreamFailed(run->r, Fw_RelayScript_GetArg(run, 1),
+                            -(int)Fw_RelayScript_GetArg(run, 2),
+                            Fw_RelayScript_HasWord(run, "sent"), run->now_us,
+                            &run->acts);
 }
 
 static void
@@ -255,7 +258,7 @@
 do_ready(struct relay_script_run *run)
 {
     g_string_append_printf(run->out, "  ready=%d\n",
-                           Fw_Relay_Ready(run->r, run->now_us));
+                           Fw_Relay_IsReady(run->r, run->now_us));
 }
 
 static void
@@ -319,7 +322,7 @@
         run_command(run, line);
     }
     for (guint i = 0; i < run->acts.all->len; i++) {
-        print_act(run, &g_array_index(run->acts.all, struct fw_rl_act, i));
+        print_act(run, &g_array_index(run->acts.all, struct fw_rl_action, i));
     }
     g_array_set_size(run->acts.all, 0);
     g_strfreev(words);
@@ -340,15 +343,15 @@
                                       .retry_extra = 100,
                                       .retry_window_us = 10 * FW_SEC,
                                       .key_stale_us = 4 * FW_SEC,
-                                      .queue_us = 500 * FW_MSEC,
+                                      .queue_limit_us = 500 * FW_MSEC,
                                       .reserve_permille = 1000,
-                                      .read_here_us = 600 * FW_MSEC,
+                                      .local_prefill_us = 600 * FW_MSEC,
                                       .prefill_permille = 50,
                                       .lease_us = 3 * FW_SEC,
                                       .grace_us = 8 * FW_SEC,
                                       .log_level = LOG_DEBUG};
     run.r = Fw_Relay_New(&run.opts, run.now_us);
-    Fw_Acts_Init(&run.acts);
+    Fw_RelayActions_Init(&run.acts);
     for (char **l = lines; *l; l++) {
         if (!g_str_has_prefix(*l, "  ")) {
             run_line(&run, *l);
@@ -357,7 +360,7 @@
     ck_assert_msg(strcmp(run.out->str, s->text) == 0,
                   "%s\n--- wanted\n%s--- got\n%s", s->name, s->text,
                   run.out->str);
-    Fw_Acts_Clear(&run.acts);
+    Fw_RelayActions_Clear(&run.acts);
     Fw_Relay_Free(run.r);
     g_string_free(run.out, TRUE);
     g_strfreev(lines);
--- a/tests/relay/play_words.c
+++ b/tests/relay/script_args.c
@@ -2,7 +2,7 @@
 #include <check.h>
 #include <string.h>
 
-#include "tests/relay/play.h"
+#include "tests/relay/script_internal.h"
 
 const char *
 Fw_RelayScript_GetString(const struct relay_script_run *run, const char *key)
--- a/tests/relay/play.h
+++ b/tests/relay/script_internal.h
@@ -17,7 +17,7 @@
  */
 struct relay_script_run {
     struct fw_relay *r;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_relay_opts opts;
     GString *out;
     int64_t now_us;
--- a/tests/relay/play_world.c
+++ b/tests/relay/script_world.c
@@ -5,11 +5,11 @@
 
 #include "base/hash.h"
 #include "core/pack.h"
-#include "tests/relay/play.h"
+#include "tests/relay/script_internal.h"
 
 static void
 add_route(struct relay_script_run *run, struct fw_rl_rules *rules,
-          const char *prefix, enum fw_rl_kind kind, const char *service)
+          const char *prefix, enum fw_rl_route_kind kind, const char *service)
 {
     struct fw_rl_route_rule *r = Fw_Rules_AddRoute(rules);
 
@@ -44,19 +44,19 @@
     rules->version = (int64_t)Fw_RelayScript_GetArg(run, 1);
     add_route(run, rules, "/read/", FW_RL_IDEMPOTENT, "plain");
     add_route(run, rules, "/open/", FW_RL_IDEMPOTENT, "plain");
-    add_route(run, rules, "/order/", FW_RL_ONCE, "plain");
+    add_route(run, rules, "/order/", FW_RL_NON_IDEMPOTENT, "plain");
     add_route(run, rules, "/gen/", FW_RL_STREAM, "llm");
     add_route(run, rules, "/resume/", FW_RL_STREAM, "llm");
     g_strlcpy(Fw_Rules_AddService(rules)->name, "plain", FW_NAME_MAX);
     s = Fw_Rules_AddService(rules);
     g_strlcpy(s->name, "llm", FW_NAME_MAX);
-    s->engines = 1;
+    s->has_engines = 1;
     s->engine = (struct fw_rl_engine_spec){
         .slots = (int)Fw_RelayScript_GetNumber(run, "slots", 8),
         .kv_tokens = Fw_RelayScript_GetNumber(run, "kv", 20000),
-        .handle_us = 500 * FW_MSEC,
-        .hold_us = 2 * FW_SEC,
-        .switch_us = 6 * FW_SEC};
+        .kv_ttl_us = 500 * FW_MSEC,
+        .reservation_ttl_us = 2 * FW_SEC,
+        .stage_change_us = 6 * FW_SEC};
     for (int i = 0; i < Fw_RelayScript_GetNumber(run, "keys", 2); i++) {
         struct fw_rl_team_rule *t = Fw_Rules_AddTeam(rules);
 
@@ -84,7 +84,7 @@
                                                     : FW_RL_STAGE_NONE;
     e.draining = Fw_RelayScript_HasWord(run, "draining");
     e.born_ms = Fw_RelayScript_GetNumber(run, "born", 1);
-    Fw_Relay_Server(run->r, e.id, &e, run->now_us, &run->acts);
+    Fw_Relay_UpdateServer(run->r, e.id, &e, run->now_us, &run->acts);
 }
 
 /*
@@ -96,7 +96,7 @@
             int64_t spent, int64_t level)
 {
     GByteArray *msg = g_byte_array_new();
-    struct fw_rl_mail mail;
+    struct fw_rl_outbox mail;
     msgpack_packer pk;
 
     Fw_Pack_Begin(&pk, msg);
@@ -118,17 +118,17 @@
     msgpack_pack_array(&pk, 0);
     msgpack_pack_array(&pk, 0);
     msgpack_pack_array(&pk, 1);
-    msgpack_pack_array(&pk, FW_RL_WATCH_WIDTH);
+    msgpack_pack_array(&pk, FW_RL_STORE_STATE_COLUMNS);
     msgpack_pack_int(&pk, 1);
-    for (int i = 1; i < FW_RL_WATCH_WIDTH; i++) {
+    for (int i = 1; i < FW_RL_STORE_STATE_COLUMNS; i++) {
         msgpack_pack_uint64(&pk, 0);
     }
     msgpack_pack_array(&pk, 0);
-    Fw_Mail_Init(&mail);
+    Fw_Outbox_Init(&mail);
     ck_assert_int_ge(Fw_Relay_ReadMessage(run->r, "127.0.0.9:1", msg->data,
                                           msg->len, run->now_us, &mail),
                      0);
-    Fw_Mail_Clear(&mail);
+    Fw_Outbox_Clear(&mail);
     g_ptr_array_unref(mail.all);
     g_byte_array_unref(msg);
 }
@@ -138,8 +138,8 @@
 {
     struct fw_rl_rules *rules = make_rules(run);
 
-    Fw_Relay_Rules(run->r, rules, (uint64_t)rules->version, run->now_us,
-                   &run->acts);
+    Fw_Relay_SetRules(run->r, rules, (uint64_t)rules->version, run->now_us,
+                      &run->acts);
     Fw_Rules_Unref(rules);
 }
 
@@ -148,15 +148,17 @@
 {
     struct fw_relay_opts *o = &run->opts;
 
-    o->queue_us = Fw_RelayScript_GetNumber(run, "queue_ms", 500) * FW_MSEC;
+    o->queue_limit_us =
+        Fw_RelayScript_GetNumber(run, "queue_ms", 500) * FW_MSEC;
     o->key_stale_us =
         Fw_RelayScript_GetNumber(run, "stale_ms", 4000) * FW_MSEC;
     o->reserve_permille = (int)Fw_RelayScript_GetNumber(run, "reserve", 1000);
     o->prefill_permille = (int)Fw_RelayScript_GetNumber(run, "prefill", 50);
     o->retry_extra = Fw_RelayScript_GetNumber(run, "extra", 100);
-    o->read_here_us = Fw_RelayScript_GetNumber(run, "here_ms", 600) * FW_MSEC;
+    o->local_prefill_us =
+        Fw_RelayScript_GetNumber(run, "here_ms", 600) * FW_MSEC;
     o->log_sample = (int)Fw_RelayScript_GetNumber(run, "sample", 1);
-    o->tolerance = Fw_RelayScript_GetNumber(run, "tolerance", 0);
+    o->tolerance_tokens = Fw_RelayScript_GetNumber(run, "tolerance", 0);
     o->lease_us = Fw_RelayScript_GetNumber(run, "lease_ms", 3000) * FW_MSEC;
     Fw_Relay_SetOpts(run->r, o);
 }
@@ -164,13 +166,13 @@
 void
 Fw_RelayScript_DoLead(struct relay_script_run *run)
 {
-    enum fw_rl_claim c = Fw_RelayScript_HasWord(run, "made") ? FW_RL_CLAIM_MADE
-                         : Fw_RelayScript_HasWord(run, "taken")
-                             ? FW_RL_CLAIM_TAKEN
-                             : FW_RL_CLAIM_UNKNOWN;
+    enum fw_rl_claim_result c =
+        Fw_RelayScript_HasWord(run, "made")    ? FW_RL_CLAIM_WON
+        : Fw_RelayScript_HasWord(run, "taken") ? FW_RL_CLAIM_LOST
+                                               : FW_RL_CLAIM_UNKNOWN;
 
-    Fw_Relay_Lead(run->r, c, Fw_RelayScript_GetArg(run, 2), run->claim_sent_us,
-                  run->now_us);
+    Fw_Relay_ClaimEnded(run->r, c, Fw_RelayScript_GetArg(run, 2),
+                        run->claim_sent_us, run->now_us);
 }
 
 void
--- a/tests/relay/test_digest.c
+++ b/tests/relay/test_digest.c
@@ -50,9 +50,9 @@
     struct fw_relay_opts opts = {
         .name = "n1", .boot = 1, .retry_window_us = 1};
     struct fw_relay *r = Fw_Relay_New(&opts, FW_SEC);
-    struct fw_rl_mail mail;
+    struct fw_rl_outbox mail;
 
-    Fw_Mail_Init(&mail);
+    Fw_Outbox_Init(&mail);
     ck_assert_msg(Fw_Relay_ReadMessage(
                       r, "127.0.0.9:1", invalid_messages[_i].bytes,
                       invalid_messages[_i].len, FW_SEC, &mail) == -EBADMSG,
@@ -71,7 +71,7 @@
     struct fw_rl_rules *rules;
     const struct fw_rl_team_rule *team;
     GByteArray *msg;
-    struct fw_rl_mail mail;
+    struct fw_rl_outbox mail;
 };
 
 #define FW_NOW_US (10 * FW_SEC)
@@ -82,14 +82,14 @@
 {
     struct fw_relay_opts opts = {
         .boot = 1, .retry_window_us = 1, .key_stale_us = 4 * FW_SEC};
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_relay *r;
 
     g_strlcpy(opts.name, name, sizeof(opts.name));
     r = Fw_Relay_New(&opts, FW_SEC);
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Rules(r, rules, 1, FW_SEC, &acts);
-    Fw_Acts_Clear(&acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_SetRules(r, rules, 1, FW_SEC, &acts);
+    Fw_RelayActions_Clear(&acts);
     return r;
 }
 
@@ -99,7 +99,7 @@
     ck_assert_int_ge(Fw_Relay_ReadMessage(p->to, "127.0.0.9:1", p->msg->data,
                                           p->msg->len, FW_NOW_US, &p->mail),
                      0);
-    Fw_Mail_Clear(&p->mail);
+    Fw_Outbox_Clear(&p->mail);
 }
 
 static int
@@ -125,7 +125,7 @@
     p->from = make_relay("n1", p->rules);
     p->to = make_relay("n2", p->rules);
     p->msg = g_byte_array_new();
-    Fw_Mail_Init(&p->mail);
+    Fw_Outbox_Init(&p->mail);
     Fw_Digest_Write(p->from, FW_NOW_US, p->msg);
     deliver(p);
     g_byte_array_set_size(p->msg, 0);
@@ -135,7 +135,7 @@
 pair_clear(struct instance_pair *p)
 {
     g_byte_array_unref(p->msg);
-    Fw_Mail_Clear(&p->mail);
+    Fw_Outbox_Clear(&p->mail);
     g_ptr_array_unref(p->mail.all);
     Fw_Relay_Free(p->from);
     Fw_Relay_Free(p->to);
@@ -149,7 +149,7 @@
 
     pair_init(&p);
     ck_assert(try_spend(p.from, &p));
-    ck_assert(p.from->x.wants_delta);
+    ck_assert(p.from->x.delta_pending);
     Fw_Delta_Write(p.from, FW_NOW_US, p.msg);
     deliver(&p);
     ck_assert(!try_spend(p.to, &p));
@@ -169,7 +169,7 @@
     g_byte_array_append(p.msg, first->data, first->len);
     deliver(&p);
     deliver(&p);
-    Fw_Allowance_Return(p.to, "t", 2000);
+    Fw_Allowance_Refund(p.to, "t", 2000);
     ck_assert(try_spend(p.to, &p));
     g_byte_array_unref(first);
     pair_clear(&p);
@@ -184,25 +184,25 @@
                                    .addr = "e1:1",
                                    .stage = FW_RL_STAGE_DECODE};
     struct fw_rl_server *s;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_rl_load load;
     struct instance_pair p;
 
     pair_init(&p);
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Server(p.from, e.id, &e, FW_NOW_US, &acts);
-    Fw_Relay_Server(p.to, e.id, &e, FW_NOW_US, &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_UpdateServer(p.from, e.id, &e, FW_NOW_US, &acts);
+    Fw_Relay_UpdateServer(p.to, e.id, &e, FW_NOW_US, &acts);
     s = Fw_Servers_Find(p.from, "e1");
     s->running = 1;
-    s->reserved = 7000;
-    Fw_Delta_Placed(p.from, s);
-    ck_assert(p.from->x.wants_delta);
+    s->kv_tokens = 7000;
+    Fw_Delta_NotePlacement(p.from, s);
+    ck_assert(p.from->x.delta_pending);
     Fw_Delta_Write(p.from, FW_NOW_US, p.msg);
     deliver(&p);
     Fw_Place_Load(p.to, Fw_Servers_Find(p.to, "e1"), FW_NOW_US, &load);
     ck_assert_int_eq(load.running, 1);
-    ck_assert_int_eq(load.reserved, 7000);
-    Fw_Acts_Clear(&acts);
+    ck_assert_int_eq(load.kv_tokens, 7000);
+    Fw_RelayActions_Clear(&acts);
     pair_clear(&p);
 }
 END_TEST
@@ -220,27 +220,27 @@
     struct instance_pair p;
 
     pair_init(&p);
-    Fw_Relay_Fresh(p.to, FW_NOW_US);
+    Fw_Relay_SetFreshAsOf(p.to, FW_NOW_US);
     Fw_StoreSync_SendQuery(p.to, FW_NOW_US + FW_SEC, &p.mail);
     ck_assert_uint_eq(p.mail.all->len, 0);
     Fw_Digest_Write(p.from, later_us, p.msg);
     Fw_Relay_ReadMessage(p.to, "127.0.0.9:1", p.msg->data, p.msg->len,
                          later_us, &p.mail);
-    Fw_Mail_Clear(&p.mail);
+    Fw_Outbox_Clear(&p.mail);
     Fw_StoreSync_SendQuery(p.to, later_us, &p.mail);
     ck_assert_uint_eq(p.mail.all->len, 1);
     d = g_ptr_array_index(p.mail.all, 0);
     ck_assert_str_eq(d->addr, "127.0.0.9:1");
     data = g_bytes_get_data(d->data, &len);
-    Fw_Relay_Fresh(p.from, later_us - FW_SEC);
+    Fw_Relay_SetFreshAsOf(p.from, later_us - FW_SEC);
     Fw_Relay_ReadMessage(p.from, "127.0.0.8:1", data, len, later_us, &p.mail);
     ck_assert_uint_eq(p.mail.all->len, 2);
     d = g_ptr_array_index(p.mail.all, 1);
     ck_assert_str_eq(d->addr, "127.0.0.8:1");
     data = g_bytes_get_data(d->data, &len);
     Fw_Relay_ReadMessage(p.to, "127.0.0.9:1", data, len, later_us, &p.mail);
-    ck_assert(Fw_Relay_KeysFresh(p.to, later_us + 2 * FW_SEC));
-    ck_assert(!Fw_Relay_KeysFresh(p.to, later_us + 3 * FW_SEC));
+    ck_assert(Fw_Relay_AreKeysFresh(p.to, later_us + 2 * FW_SEC));
+    ck_assert(!Fw_Relay_AreKeysFresh(p.to, later_us + 3 * FW_SEC));
     pair_clear(&p);
 }
 END_TEST
--- a/tests/relay/test_events.c
+++ b/tests/relay/test_events.c
@@ -368,19 +368,19 @@
 {
     struct fw_relay_opts opts = {.retry_window_us = 1, .log_level = 7};
     struct fw_relay *r = Fw_Relay_New(&opts, FW_SEC);
-    char long_name[FW_RL_LOG_TEXT + 1];
-    struct fw_rl_acts acts;
+    char long_name[FW_RL_LOG_TEXT_MAX + 1];
+    struct fw_rl_actions acts;
     const char *text;
 
     memset(long_name, 'n', sizeof(long_name) - 1);
     long_name[sizeof(long_name) - 1] = 0;
-    Fw_Acts_Init(&acts);
-    Fw_Acts_Log(&acts, r, 6, "e", "\"id\":\"%s\"", long_name);
-    text = g_array_index(acts.all, struct fw_rl_act, 0).u.log.text;
+    Fw_RelayActions_Init(&acts);
+    Fw_RelayActions_Log(&acts, r, 6, "e", "\"id\":\"%s\"", long_name);
+    text = g_array_index(acts.all, struct fw_rl_action, 0).u.log.text;
     ck_assert(g_str_has_prefix(text, "\"cut_off\":\"'id':'nnn"));
     ck_assert(g_str_has_suffix(text, "nnn\""));
-    ck_assert_uint_lt(strlen(text), FW_RL_LOG_TEXT);
-    Fw_Acts_Clear(&acts);
+    ck_assert_uint_lt(strlen(text), FW_RL_LOG_TEXT_MAX);
+    Fw_RelayActions_Clear(&acts);
     Fw_Relay_Free(r);
 }
 END_TEST
--- a/tests/relay/test_hubs.c
+++ b/tests/relay/test_hubs.c
@@ -40,8 +40,9 @@
         struct fw_rl_server_entry e = {
             .id = FW_SERVER, .service = "llm", .slots = 8, .born_ms = 1};
 
-        Fw_Relay_Server(g->f.sites[i].relay, e.id, &e,
-                        Fw_RelayFleet_Now(&g->f, i), &g->f.sites[i].acts);
+        Fw_Relay_UpdateServer(g->f.sites[i].relay, e.id, &e,
+                              Fw_RelayFleet_Now(&g->f, i),
+                              &g->f.sites[i].acts);
     }
     Fw_RelayFleet_Advance(&g->f, 3 * FW_SEC);
 }
@@ -102,7 +103,7 @@
     reset_counters(&g);
     for (int s = 0; s < 3; s++) {
         for (int i = 0; i < FW_LARGE; i++) {
-            Fw_Relay_Fresh(relay_at(&g, i), Fw_RelayFleet_Now(&g.f, i));
+            Fw_Relay_SetFreshAsOf(relay_at(&g, i), Fw_RelayFleet_Now(&g.f, i));
         }
         Fw_RelayFleet_Advance(&g.f, FW_SEC);
     }
@@ -158,7 +159,7 @@
     }
     Fw_RelayFleet_Advance(&g.f, 400 * FW_MSEC);
     for (int i = 0; i < 40; i++) {
-        Fw_Allowance_Explain(relay_at(&g, i), "t", &level, &part_permille);
+        Fw_Allowance_Describe(relay_at(&g, i), "t", &level, &part_permille);
         ck_assert_int_eq(part_permille, 1000);
         ck_assert_int_le(level, 100000 + 14400 + 5000 - 15 * FW_COST);
     }
@@ -189,12 +190,12 @@
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 400 * FW_MSEC);
     other = find_by_role(&g, 1, hub == find_by_role(&g, 1, 0) ? hub + 1 : 0);
-    Fw_Allowance_Explain(relay_at(&g, other), "t", &before, &part_permille);
+    Fw_Allowance_Describe(relay_at(&g, other), "t", &before, &part_permille);
     g.f.sites[hub].isolated = 1;
     ck_assert(Fw_Allowance_Take(relay_at(&g, leaf), g.team, FW_COST,
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 1500 * FW_MSEC);
-    Fw_Allowance_Explain(relay_at(&g, other), "t", &after, &part_permille);
+    Fw_Allowance_Describe(relay_at(&g, other), "t", &after, &part_permille);
     ck_assert_str_ne(relay_at(&g, leaf)->x.hub->name, g.f.sites[hub].name);
     /* Refilled for up to two seconds, less the one request. */
     ck_assert_int_le(after, before - FW_COST + 2 * 10500);
@@ -254,8 +255,8 @@
 static int
 may_place(struct fleet_fixture *g, int i, int64_t since_us)
 {
-    return !Fw_Exchange_Awaits(relay_at(g, i), since_us,
-                               Fw_RelayFleet_Now(&g->f, i));
+    return !Fw_Exchange_ShouldWait(relay_at(g, i), since_us,
+                                   Fw_RelayFleet_Now(&g->f, i));
 }
 
 /* Guards against leaves that overload an engine because of stale load. */
@@ -275,8 +276,8 @@
         Fw_RelayFleet_Advance(&g.f, 20 * FW_MSEC);
     }
     Fw_Servers_Find(relay_at(&g, other), FW_SERVER)->running = 5;
-    Fw_Delta_Placed(relay_at(&g, other),
-                    Fw_Servers_Find(relay_at(&g, other), FW_SERVER));
+    Fw_Delta_NotePlacement(relay_at(&g, other),
+                           Fw_Servers_Find(relay_at(&g, other), FW_SERVER));
     Fw_RelayFleet_Send(&g.f, other);
     Fw_RelayFleet_Advance(&g.f, 80 * FW_MSEC);
     since = Fw_RelayFleet_Now(&g.f, leaf);
@@ -371,17 +372,17 @@
     struct fw_relay_opts o = {.retry_window_us = 1};
     struct fw_rl_rules *rules = Fw_Rules_New();
     struct fw_rl_service_rule *s = Fw_Rules_AddService(rules);
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_relay *r;
 
     g_strlcpy(o.name, name, sizeof(o.name));
     r = Fw_Relay_New(&o, FW_SEC);
     rules->version = 1;
     g_strlcpy(s->name, "llm", sizeof(s->name));
-    s->engines = 1;
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Rules(r, rules, 1, FW_SEC, &acts);
-    Fw_Acts_Clear(&acts);
+    s->has_engines = 1;
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_SetRules(r, rules, 1, FW_SEC, &acts);
+    Fw_RelayActions_Clear(&acts);
     Fw_Rules_Unref(rules);
     return r;
 }
@@ -392,24 +393,26 @@
     struct fw_relay *old = make_relay("n1");
     struct fw_relay *fresh = make_relay("n2");
     GByteArray *msg = g_byte_array_new();
-    struct fw_length_guess a;
-    struct fw_length_guess b;
+    struct fw_length_estimate a;
+    struct fw_length_estimate b;
 
-    ck_assert(!Fw_Learned_Write(old, msg));
+    ck_assert(!Fw_ServiceStats_Write(old, msg));
     for (int i = 0; i < 30; i++) {
-        Fw_Length_Note(&Fw_Learned_Of(old, "llm")->length, 300 + i, 2000,
-                       23 + i % 4);
+        Fw_Length_Update(&Fw_ServiceStats_Get(old, "llm")->length, 300 + i,
+                         2000, 23 + i % 4);
     }
-    ck_assert(Fw_Learned_Write(old, msg));
+    ck_assert(Fw_ServiceStats_Write(old, msg));
     ck_assert_int_lt(Fw_Relay_ReadMessage(fresh, "10.0.0.1:1", msg->data,
                                           msg->len - 1, FW_SEC, NULL),
                      0);
-    ck_assert_double_eq(Fw_Learned_Of(fresh, "llm")->length.n, 0);
+    ck_assert_double_eq(Fw_ServiceStats_Get(fresh, "llm")->length.n, 0);
     ck_assert_int_eq(Fw_Relay_ReadMessage(fresh, "10.0.0.1:1", msg->data,
                                           msg->len, FW_SEC, NULL),
                      0);
-    Fw_Length_Guess(&Fw_Learned_Of(old, "llm")->length, 310, 2000, &a);
-    Fw_Length_Guess(&Fw_Learned_Of(fresh, "llm")->length, 310, 2000, &b);
+    Fw_Length_Estimate(&Fw_ServiceStats_Get(old, "llm")->length, 310, 2000,
+                       &a);
+    Fw_Length_Estimate(&Fw_ServiceStats_Get(fresh, "llm")->length, 310, 2000,
+                       &b);
     ck_assert_double_eq_tol(a.mean, b.mean, 0.5);
     ck_assert_double_eq_tol(a.dev, b.dev, 0.5);
     g_byte_array_unref(msg);
--- a/tests/relay/test_load.c
+++ b/tests/relay/test_load.c
@@ -240,15 +240,15 @@
     struct fw_relay *r = Fw_Relay_New(&opts, FW_SEC);
     struct fw_rl_rules *rules = Fw_Rules_New();
     struct fw_rl_service_rule *service = Fw_Rules_AddService(rules);
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     rules->version = 1;
     g_strlcpy(service->name, "llm", sizeof(service->name));
-    service->engines = 1;
+    service->has_engines = 1;
     service->engine =
         (struct fw_rl_engine_spec){.slots = 48, .kv_tokens = 100000};
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Rules(r, rules, 1, FW_SEC, &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_SetRules(r, rules, 1, FW_SEC, &acts);
     Fw_Rules_Unref(rules);
     for (int i = 0; i < FW_FLEET_ENGINES; i++) {
         struct fw_rl_server_entry e = {.slots = 48,
@@ -257,16 +257,16 @@
         g_snprintf(e.id, sizeof(e.id), "e%d", i);
         g_snprintf(e.addr, sizeof(e.addr), "e%d:1", i);
         g_strlcpy(e.service, "llm", sizeof(e.service));
-        Fw_Relay_Server(r, e.id, &e, FW_SEC, &acts);
+        Fw_Relay_UpdateServer(r, e.id, &e, FW_SEC, &acts);
     }
-    Fw_Acts_Clear(&acts);
+    Fw_RelayActions_Clear(&acts);
     return r;
 }
 
 /* Guards against choosing only among a fixed number of engines. */
 START_TEST(all_engines_of_a_large_fleet_are_used)
 {
-    struct fw_rl_call c = {.service = "llm", .need = 1000};
+    struct fw_rl_call c = {.service = "llm", .kv_tokens = 1000};
     struct fw_relay *r = large_fleet();
     GHashTable *used = g_hash_table_new(g_direct_hash, g_direct_equal);
 
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -372,7 +372,7 @@
     ck_assert_int_eq(pipe(fds), 0);
     ck_assert_int_eq(fcntl(fds[0], F_SETFL, O_NONBLOCK), 0);
     Fw_World_Make(&w);
-    w.opts.relay.digest_every_us = 20 * FW_MSEC;
+    w.opts.relay.digest_period_us = 20 * FW_MSEC;
     Fw_World_Start(&w);
     Fw_Note_SetupBounded("n1", fds[1], 65536);
     e.fd = fds[0];
--- a/tests/route/test_policy.c
+++ b/tests/route/test_policy.c
@@ -264,7 +264,7 @@
 
     g_strlcpy(it->team_name, team, sizeof(it->team_name));
     it->tokens = tokens;
-    it->latest_us = latest;
+    it->latest_start_us = latest;
     Fw_Queue_Put(q, it);
     return it;
 }
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -287,7 +287,7 @@
     int n_wrong = 0;
 
     for (int i = 0; i < 3; i++) {
-        Fw_Route_ServerResult(s->router[0], "s0", 0, 0, s->now_us);
+        Fw_Route_ReportServerResult(s->router[0], "s0", 0, 0, s->now_us);
     }
     for (int i = 0; i < 50; i++) {
         const struct fw_upstream *u = Fw_Route_PickServer(
@@ -306,11 +306,11 @@
 START_TEST(exclusive_request_shares_no_engine)
 {
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
-    struct fw_route_ask req = {.ticket = 1,
-                               .prompt_tokens = 100,
-                               .max_tokens = 10,
-                               .arrived_us = s->now_us,
-                               .alone = 1};
+    struct fw_route_request req = {.ticket = 1,
+                                   .prompt_tokens = 100,
+                                   .max_tokens = 10,
+                                   .arrived_us = s->now_us,
+                                   .alone = 1};
     struct fw_actions out;
 
     route_env_engine(s, "d0")->busy = 1;
@@ -319,7 +319,7 @@
     g_strlcpy(req.team, "a", sizeof(req.team));
     g_strlcpy(req.model, "m", sizeof(req.model));
     Fw_Actions_Init(&out);
-    Fw_Route_Ask(s->router[0], s->cfg, &req, s->now_us, &out);
+    Fw_Route_Submit(s->router[0], s->cfg, &req, s->now_us, &out);
     Fw_Actions_Clear(&out);
     stage_run(s, 50 * FW_MSEC);
     ck_assert_msg(strstr(s->seen->str, "> d1\n"), "%s", s->seen->str);
