--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -1,11 +1,11 @@
-/* Calls that may not be repeated: making, ending and events. */
+/* Setup, teardown and event dispatch of the idempotency subsystem. */
 #include "idem/idem.h"
 
 #include <string.h>
 
 #include "idem/idem_internal.h"
 
-#define SEQ_BITS 20 /* calls of one process in a millisecond, at most */
+#define SEQ_BITS 20 /* numbers per millisecond of boot time */
 
 static void
 add_metric(struct fw_metrics *metrics, struct fw_metric *m, const char *name,
@@ -17,13 +17,13 @@
 }
 
 static void
-init_part(struct fw_idem_part *p, int number)
+init_part(struct fw_idem_partition *p, int number)
 {
     g_snprintf(p->stream, sizeof(p->stream), FW_STREAM_IDEM "-%d", number);
     Fw_Idem_InitTable(&p->table);
-    Fw_List_Init(&p->waiting);
-    Fw_List_Init(&p->flight);
-    Fw_List_Init(&p->joining);
+    Fw_List_Init(&p->queued);
+    Fw_List_Init(&p->in_flight);
+    Fw_List_Init(&p->waiters);
 }
 
 struct fw_idem *
@@ -36,37 +36,38 @@
     c->fleet = fleet;
     c->partitions = MAX(partitions, 1);
     c->start_us = -1;
-    /* A reply to the process that had this name before must find nobody:
-     * taken for ours, its right to run would be used for another call. */
+    /* Numbers are not reused after a restart: a reply meant for the previous
+     * process must not grant a claim of this one. */
     c->seq = (self->boot & UINT32_MAX) << SEQ_BITS;
-    c->parts = g_new0(struct fw_idem_part, c->partitions);
+    c->parts = g_new0(struct fw_idem_partition, c->partitions);
     for (int i = 0; i < c->partitions; i++) {
         init_part(&c->parts[i], i);
     }
     Fw_List_Init(&c->calls);
     Fw_List_Init(&c->outcomes);
     add_metric(metrics, &c->opened, "fw_idem_opened_total",
-               "Calls that may not be repeated");
-    add_metric(metrics, &c->refused, "fw_idem_unavailable_total",
-               "Of these, refused because the log could not be used");
+               "Claims for calls that are not idempotent");
+    add_metric(metrics, &c->unavailable, "fw_idem_unavailable_total",
+               "Claims rejected because the log was not usable");
     add_metric(metrics, &c->too_old, "fw_idem_too_old_total",
-               "Of these, refused because records of the key may be gone");
-    add_metric(metrics, &c->batches, "fw_idem_appends_total",
+               "Claims rejected because records of the key may be deleted");
+    add_metric(metrics, &c->appends, "fw_idem_appends_total",
                "Appends to the idempotency streams");
     add_metric(metrics, &c->records, "fw_idem_records_total",
-               "Records in these appends");
-    add_metric(metrics, &c->lost, "fw_idem_lost_answers_total",
-               "Appends whose answer was lost and that were read back");
-    add_metric(metrics, &c->loaded, "fw_idem_loads_total",
-               "Partitions read from their oldest record on");
+               "Records appended to the idempotency streams");
+    add_metric(metrics, &c->lost_answers, "fw_idem_lost_answers_total",
+               "Appends with unknown result, resolved by reading back");
+    add_metric(metrics, &c->loads, "fw_idem_loads_total",
+               "Partitions loaded from their oldest record");
     return c;
 }
 
 static void
-free_items(struct fw_list *head)
+free_requests(struct fw_list *head)
 {
     while (!Fw_List_Empty(head)) {
-        Fw_Idem_FreeItem(FW_LIST_ENTRY(head->next, struct fw_idem_item, link));
+        Fw_Idem_FreeRequest(
+            FW_LIST_ENTRY(head->next, struct fw_idem_request, link));
     }
 }
 
@@ -78,15 +79,15 @@
             FW_LIST_ENTRY(c->calls.next, struct fw_idem_call, link);
 
         Fw_List_Remove(&k->link);
-        g_clear_pointer(&k->ans.body, g_bytes_unref);
+        g_clear_pointer(&k->answer.body, g_bytes_unref);
         g_free(k);
     }
     while (!Fw_List_Empty(&c->outcomes)) {
-        struct fw_idem_outcome *o =
-            FW_LIST_ENTRY(c->outcomes.next, struct fw_idem_outcome, link);
+        struct fw_idem_pending_outcome *o = FW_LIST_ENTRY(
+            c->outcomes.next, struct fw_idem_pending_outcome, link);
 
         Fw_List_Remove(&o->link);
-        Fw_Idem_ClearRecord(&o->finish.rec);
+        Fw_Idem_ClearRecord(&o->msg.rec);
         g_free(o);
     }
 }
@@ -99,35 +100,33 @@
     }
     free_calls(c);
     for (int i = 0; i < c->partitions; i++) {
-        free_items(&c->parts[i].waiting);
-        free_items(&c->parts[i].flight);
-        free_items(&c->parts[i].joining);
+        free_requests(&c->parts[i].queued);
+        free_requests(&c->parts[i].in_flight);
+        free_requests(&c->parts[i].waiters);
         Fw_Idem_ClearTable(&c->parts[i].table);
     }
     g_free(c->parts);
     g_free(c);
 }
 
-/*
- * A partition whose coordinator has just started is read before anyone asks,
- * one a tick, so that the first caller need not wait for it.
- */
+/* Loads the partitions coordinated here, at most one a second, so that the
+ * first claim after a start need not wait for the read. */
 static void
-warm_up(struct fw_idem *c, int64_t now_us, struct fw_actions *out)
+preload(struct fw_idem *c, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_idem_part *p;
+    struct fw_idem_partition *p;
     const struct fw_member *m;
 
-    if (now_us < c->warm_us || c->warm_next >= c->partitions) {
+    if (now_us < c->next_preload_us || c->next_preload >= c->partitions) {
         return;
     }
-    p = &c->parts[c->warm_next++];
+    p = &c->parts[c->next_preload++];
     m = Fw_Idem_Coordinator(c, p);
-    if (p->phase == FW_IDEM_COLD && m && Fw_Fleet_IsSelf(c->fleet, m)) {
+    if (p->phase == FW_IDEM_UNLOADED && m && Fw_Fleet_IsSelf(c->fleet, m)) {
         p->phase = FW_IDEM_LOADING;
-        Fw_Idem_PartRead(c, p, out);
+        Fw_Idem_StartRead(c, p, out);
     }
-    c->warm_us = now_us + FW_SEC;
+    c->next_preload_us = now_us + FW_SEC;
 }
 
 void
@@ -135,17 +134,17 @@
 {
     if (c->start_us < 0) {
         c->start_us = now_us;
-        c->warm_us = now_us + FW_IDEM_WARM_US;
+        c->next_preload_us = now_us + FW_IDEM_PRELOAD_DELAY_US;
     }
-    warm_up(c, now_us, out);
-    if (c->warm_next < c->partitions) {
-        Fw_Actions_Wake(out, c->warm_us);
+    preload(c, now_us, out);
+    if (c->next_preload < c->partitions) {
+        Fw_Actions_Wake(out, c->next_preload_us);
     }
     Fw_Idem_TickCalls(c, now_us, out);
     for (int i = 0; i < c->partitions; i++) {
-        if (c->parts[i].phase != FW_IDEM_COLD ||
-            !Fw_List_Empty(&c->parts[i].waiting)) {
-            Fw_Idem_PartRun(c, &c->parts[i], now_us, out);
+        if (c->parts[i].phase != FW_IDEM_UNLOADED ||
+            !Fw_List_Empty(&c->parts[i].queued)) {
+            Fw_Idem_RunPartition(c, &c->parts[i], now_us, out);
         }
     }
 }
@@ -155,37 +154,37 @@
               const struct fw_idem_msg *msg, int64_t now_us,
               struct fw_actions *out)
 {
-    struct fw_idem_reply reply;
+    struct fw_idem_claim_reply reply;
 
     switch (msg->kind) {
-    case FW_IDEM_OPEN:
-        Fw_Idem_PartOpen(c, from, &msg->u.open, now_us, out);
+    case FW_IDEM_CLAIM:
+        Fw_Idem_OnClaim(c, from, &msg->u.claim, now_us, out);
         break;
-    case FW_IDEM_REPLY:
+    case FW_IDEM_CLAIM_REPLY:
         reply = msg->u.reply;
         reply.body = reply.body ? g_bytes_ref(reply.body) : NULL;
-        Fw_Idem_OnReply(c, &reply, now_us, out);
+        Fw_Idem_OnClaimReply(c, &reply, now_us, out);
         break;
-    case FW_IDEM_FINISH:
-        Fw_Idem_PartFinish(c, from, &msg->u.finish, now_us, out);
+    case FW_IDEM_OUTCOME:
+        Fw_Idem_OnOutcome(c, from, &msg->u.outcome, now_us, out);
         break;
     case FW_IDEM_FINISHED:
-        Fw_Idem_OnFinished(c, msg->u.finished);
+        Fw_Idem_OnOutcomeAck(c, msg->u.outcome_ack);
         break;
     }
 }
 
-static struct fw_idem_item *
-fetching(struct fw_idem_part *p, uint64_t ticket)
+static struct fw_idem_request *
+find_fetch(struct fw_idem_partition *p, uint64_t ticket)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &p->joining) {
-        struct fw_idem_item *it =
-            FW_LIST_ENTRY(pos, struct fw_idem_item, link);
+    FW_LIST_EACH (pos, &p->waiters) {
+        struct fw_idem_request *rq =
+            FW_LIST_ENTRY(pos, struct fw_idem_request, link);
 
-        if (it->fetch == ticket) {
-            return it;
+        if (rq->fetch_ticket == ticket) {
+            return rq;
         }
     }
     return NULL;
@@ -196,17 +195,17 @@
                   int64_t now_us, struct fw_actions *out)
 {
     for (int i = 0; i < c->partitions; i++) {
-        struct fw_idem_part *p = &c->parts[i];
-        struct fw_idem_item *it;
+        struct fw_idem_partition *p = &c->parts[i];
+        struct fw_idem_request *rq;
 
         if (p->ticket == r->ticket) {
             p->ticket = 0;
-            Fw_Idem_PartRecords(c, p, r, now_us, out);
+            Fw_Idem_FinishRead(c, p, r, now_us, out);
             return;
         }
-        it = fetching(p, r->ticket);
-        if (it) {
-            Fw_Idem_Fetched(c, p, it, r, now_us, out);
+        rq = find_fetch(p, r->ticket);
+        if (rq) {
+            Fw_Idem_FinishFetch(c, p, rq, r, now_us, out);
             return;
         }
     }
@@ -219,7 +218,7 @@
     for (int i = 0; i < c->partitions; i++) {
         if (c->parts[i].ticket == a->ticket) {
             c->parts[i].ticket = 0;
-            Fw_Idem_PartAppended(c, &c->parts[i], a, now_us, out);
+            Fw_Idem_FinishAppend(c, &c->parts[i], a, now_us, out);
             return;
         }
     }
--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -1,9 +1,10 @@
 /*
- * At most one execution of calls that may not be repeated.
+ * At-most-once execution of service calls that are not idempotent.
  *
- * An intent record {service, team, idempotency key, instance, boot} is
- * appended to the log before the call; the lowest offset wins. See
- * docs/design/idempotency.md.
+ * Before a call is sent, an intent record with a digest of service, team and
+ * idempotency key is appended to a log stream. The owner of the intent with
+ * the lowest offset may send the call; all other attempts get the recorded
+ * outcome or an error.
  */
 #ifndef FW_IDEM_IDEM_H
 #define FW_IDEM_IDEM_H
@@ -16,8 +17,11 @@
 #include "fleet/fleet.h"
 
 /**
- * struct fw_idem_answer - @body is owned by the taker.
- * @retry_after_us: for UNAVAILABLE
+ * struct fw_idem_answer - answer to a claim.
+ * @ticket: as given to Fw_Idem_Claim
+ * @status, @content_type: recorded response, for FW_IDEM_RECORDED
+ * @body: recorded response body, owned by the caller; may be NULL
+ * @retry_after_us: when to retry, for FW_IDEM_NOT_RUN and FW_IDEM_UNAVAILABLE
  */
 struct fw_idem_answer {
     uint64_t ticket;
@@ -28,41 +32,45 @@
     int64_t retry_after_us;
 };
 
-/** struct fw_idem - calls opened here and partitions coordinated here. */
+/** struct fw_idem - claims made here and partitions coordinated here. */
 struct fw_idem;
 
+/* @self, @fleet and @metrics are borrowed. */
 struct fw_idem *
 Fw_Idem_New(const struct fw_self *self, const struct fw_fleet *fleet,
             int partitions, struct fw_metrics *metrics);
 void
 Fw_Idem_Free(struct fw_idem *c);
 
-/* Asks for the right to run the call; the answer may take a log append. */
+/* Claims the right to run a call; the answer comes by Fw_Idem_TakeAnswer. */
 void
 Fw_Idem_Open(struct fw_idem *c, uint64_t ticket, const char *service,
              const char *team, const char *idem_key, uint64_t body_hash,
              int64_t now_us, struct fw_actions *out);
+/* Return: 1 when an answer was moved to @ans, 0 when there is none. */
 int
 Fw_Idem_TakeAnswer(struct fw_idem *c, struct fw_idem_answer *ans);
 /**
- * Fw_Idem_MayRun - asked right before the send.
+ * Fw_Idem_BeginRun - uses up a granted claim, right before the send.
  *
- * Return: 0 once per ticket; -EALREADY a second time; -ESTALE when the holder
- * was paused so long that the call is no longer his to run.
+ * Return: 0 once per ticket; -EALREADY when the claim was not granted or is
+ * already used; -ESTALE when the grant has expired.
  */
 int
 Fw_Idem_MayRun(struct fw_idem *c, uint64_t ticket, int64_t now_us);
 /**
- * Fw_Idem_Finish - records the outcome for callers who come back.
- * @ran: no, when the send surely never began
+ * Fw_Idem_Finish - ends a claim and records its outcome for later attempts.
+ * @ran: FW_RAN_NO only when the send certainly never began
+ * @content_type: may be NULL
+ * @body: may be NULL; a reference is taken
  */
 void
 Fw_Idem_Finish(struct fw_idem *c, uint64_t ticket, enum fw_ran ran, int status,
                const char *content_type, GBytes *body, int64_t now_us,
                struct fw_actions *out);
 
-/* Nonzero while the outcome of a call that may have run, made here or by a
- * peer, is still to be appended. */
+/* Nonzero while an outcome of a call that ran or may have run, from this
+ * instance or a peer, is not yet in the log. */
 int
 Fw_Idem_Busy(const struct fw_idem *c);
 
--- a/src/idem/idem_query.c
+++ b/src/idem/idem_query.c
@@ -1,4 +1,4 @@
-/* What the idempotency subsystem can tell without changing anything. */
+/* Read-only queries of the idempotency subsystem. */
 #include <string.h>
 
 #include "base/fault.h"
@@ -7,24 +7,24 @@
 
 #define KEY_TIME_DIGITS 13 /* milliseconds in decimal, until the year 2286 */
 #define UUID_LEN 36
-#define UUID_VERSION_AT 14
+#define UUID_VERSION_INDEX 14
 
-/* Without a record of "not run" its key can't be used again, but the caller
- * has been told so; it must not hold up a planned stop while the log is down.
- */
+/* Without a record of "not run" the key can't be used again, but that must
+ * not delay a shutdown while the log is down. */
 static int
-matters(const struct fw_idem_record *rec)
+must_be_recorded(const struct fw_idem_record *rec)
 {
     return rec->kind == FW_IDEM_REC_OUTCOME && rec->ran != FW_RAN_NO;
 }
 
 static int
-any_matters(const struct fw_list *items)
+has_required_outcome(const struct fw_list *items)
 {
     const struct fw_list *pos;
 
     FW_LIST_EACH (pos, items) {
-        if (matters(&FW_LIST_ENTRY(pos, struct fw_idem_item, link)->rec)) {
+        if (must_be_recorded(
+                &FW_LIST_ENTRY(pos, struct fw_idem_request, link)->rec)) {
             return 1;
         }
     }
@@ -37,16 +37,16 @@
     const struct fw_list *pos;
 
     FW_LIST_EACH (pos, &c->outcomes) {
-        const struct fw_idem_outcome *o =
-            FW_LIST_ENTRY(pos, struct fw_idem_outcome, link);
+        const struct fw_idem_pending_outcome *o =
+            FW_LIST_ENTRY(pos, struct fw_idem_pending_outcome, link);
 
-        if (matters(&o->finish.rec)) {
+        if (must_be_recorded(&o->msg.rec)) {
             return 1;
         }
     }
     for (int i = 0; i < c->partitions; i++) {
-        if (any_matters(&c->parts[i].waiting) ||
-            any_matters(&c->parts[i].flight)) {
+        if (has_required_outcome(&c->parts[i].queued) ||
+            has_required_outcome(&c->parts[i].in_flight)) {
             return 1;
         }
     }
@@ -61,20 +61,20 @@
     return MAX((int64_t)c->self->boot + run_us / FW_MSEC, 1);
 }
 
-struct fw_idem_part *
-Fw_Idem_PartOf(struct fw_idem *c, const char *digest)
+struct fw_idem_partition *
+Fw_Idem_FindPartition(struct fw_idem *c, const char *digest)
 {
     return &c->parts[Fw_Hash_Str(digest) % (uint64_t)c->partitions];
 }
 
 const struct fw_member *
-Fw_Idem_Coordinator(const struct fw_idem *c, const struct fw_idem_part *p)
+Fw_Idem_Coordinator(const struct fw_idem *c, const struct fw_idem_partition *p)
 {
     return Fw_Fleet_Pick(c->fleet, Fw_Hash_Str(p->stream), 0);
 }
 
 int
-Fw_Idem_Regions(const struct fw_idem *c)
+Fw_Idem_CountRegions(const struct fw_idem *c)
 {
     GPtrArray *all = Fw_Fleet_Members(c->fleet);
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
@@ -92,24 +92,24 @@
 }
 
 int64_t
-Fw_Idem_RetryAfter(const struct fw_idem *c, const struct fw_idem_part *p,
+Fw_Idem_RetryAfter(const struct fw_idem *c, const struct fw_idem_partition *p,
                    uint64_t op, int64_t now_us)
 {
-    /* Callers who were refused together must not come back together. */
+    /* Jitter, so that callers rejected together do not retry together. */
     int64_t spread =
         (int64_t)(Fw_Hash_Weight(op, c->self->name) % (uint64_t)FW_SEC);
 
     return MAX(p->retry_us - now_us, FW_SEC) + spread;
 }
 
-/* Twelve hex digits of a UUID of version 7 (RFC 9562) are its time. */
+/* The first 48 bits of a version 7 UUID (RFC 9562) are its time. */
 static int64_t
-uuid_time(const char *key)
+parse_uuid_time(const char *key)
 {
     char hex[13];
 
     if (strlen(key) != UUID_LEN || key[8] != '-' || key[13] != '-' ||
-        key[UUID_VERSION_AT] != '7') {
+        key[UUID_VERSION_INDEX] != '7') {
         return 0;
     }
     memcpy(hex, key, 8);
@@ -122,30 +122,29 @@
 }
 
 int64_t
-Fw_Idem_KeyTime(const char *key)
+Fw_Idem_ParseKeyTime(const char *key)
 {
     if (strspn(key, "0123456789") == KEY_TIME_DIGITS &&
         key[KEY_TIME_DIGITS] == '-') {
         return g_ascii_strtoll(key, NULL, 10);
     }
-    return uuid_time(key);
+    return parse_uuid_time(key);
 }
 
 /*
- * Once records of a partition have aged out, a key without a record is
- * either new or forgotten, and running a forgotten one would be the second
- * time. A key that carries its time tells which.
+ * Once records of a partition have been deleted, a key without a record may be
+ * one that has run before. Only the time in the key tells whether it is new.
  */
 int
-Fw_Idem_KeyKnown(const struct fw_idem *c, const struct fw_idem_table *t,
-                 int64_t issued_ms, int64_t now_us)
+Fw_Idem_IsKeyRetained(const struct fw_idem *c, const struct fw_idem_table *t,
+                      int64_t key_time_ms, int64_t now_us)
 {
     if (t->horizon_ms == 0 || FW_FAULT("idem-forgets")) {
         return 1;
     }
-    if (t->horizon_ms < 0 || issued_ms == 0 ||
-        issued_ms > Fw_Idem_WallMs(c, now_us) + FW_IDEM_SKEW_MS) {
+    if (t->horizon_ms < 0 || key_time_ms == 0 ||
+        key_time_ms > Fw_Idem_WallMs(c, now_us) + FW_IDEM_CLOCK_SKEW_MS) {
         return 0;
     }
-    return issued_ms >= t->horizon_ms + 2 * (int64_t)FW_IDEM_SKEW_MS;
+    return key_time_ms >= t->horizon_ms + 2 * (int64_t)FW_IDEM_CLOCK_SKEW_MS;
 }
--- a/src/idem/part_read.c
+++ b/src/idem/part_read.c
@@ -1,218 +1,219 @@
-/* A coordinated partition: what the log answers. */
+/* Server side of a partition: completion of log operations. */
 #include <errno.h>
 #include <string.h>
 
 #include "idem/idem_internal.h"
 
 void
-Fw_Idem_PartRead(struct fw_idem *c, struct fw_idem_part *p,
-                 struct fw_actions *out)
+Fw_Idem_StartRead(struct fw_idem *c, struct fw_idem_partition *p,
+                  struct fw_actions *out)
 {
     p->ticket = Fw_Idem_NewOp(c);
-    Fw_Actions_Read(out, p->ticket, p->stream, p->table.next, FW_IDEM_READ_MAX,
-                    0);
+    Fw_Actions_Read(out, p->ticket, p->stream, p->table.next_offset,
+                    FW_IDEM_READ_RECORDS_MAX, 0);
 }
 
 static void
-put_back(struct fw_idem_part *p, int tried)
+requeue_batch(struct fw_idem_partition *p, int append_sent)
 {
-    while (!Fw_List_Empty(&p->flight)) {
-        struct fw_idem_item *it =
-            FW_LIST_ENTRY(p->flight.next, struct fw_idem_item, link);
+    while (!Fw_List_Empty(&p->in_flight)) {
+        struct fw_idem_request *rq =
+            FW_LIST_ENTRY(p->in_flight.next, struct fw_idem_request, link);
 
-        it->tried |= tried;
-        Fw_List_Remove(&it->link);
-        Fw_List_Append(&p->waiting, &it->link);
+        rq->append_sent |= append_sent;
+        Fw_List_Remove(&rq->link);
+        Fw_List_Append(&p->queued, &rq->link);
     }
 }
 
 static void
-tell_finished(struct fw_idem *c, const struct fw_idem_item *it,
-              struct fw_actions *out)
+send_outcome_ack(struct fw_idem *c, const struct fw_idem_request *rq,
+                 struct fw_actions *out)
 {
-    const struct fw_member *m = Fw_Fleet_Find(c->fleet, it->from);
+    const struct fw_member *m = Fw_Fleet_Find(c->fleet, rq->requester);
     struct fw_msg msg = {.area = FW_AREA_IDEM};
 
-    if (!it->from[0]) {
-        Fw_Idem_OnFinished(c, it->op);
+    if (!rq->requester[0]) {
+        Fw_Idem_OnOutcomeAck(c, rq->op);
         return;
     }
     if (m) {
         msg.u.idem.kind = FW_IDEM_FINISHED;
-        msg.u.idem.u.finished = it->op;
+        msg.u.idem.u.outcome_ack = rq->op;
         Fw_Actions_Send(out, m->name, m->addr, &msg);
     }
 }
 
 /*
- * The table reaches beyond the append. What was not read back has not been
- * appended by then, but may be on its way still: no second record is
- * written for it, and the asker is told.
+ * Completes the batch in flight once the table covers its append. Records that
+ * were not read back may still arrive late, so they are not appended again:
+ * claims are rejected, and outcomes are retried by their requester.
  */
 static void
-land(struct fw_idem *c, struct fw_idem_part *p, int64_t now_us,
-     struct fw_actions *out)
+complete_batch(struct fw_idem *c, struct fw_idem_partition *p, int64_t now_us,
+               struct fw_actions *out)
 {
     p->phase = FW_IDEM_READY;
-    while (!Fw_List_Empty(&p->flight)) {
-        struct fw_idem_item *it =
-            FW_LIST_ENTRY(p->flight.next, struct fw_idem_item, link);
+    while (!Fw_List_Empty(&p->in_flight)) {
+        struct fw_idem_request *rq =
+            FW_LIST_ENTRY(p->in_flight.next, struct fw_idem_request, link);
 
-        if (it->rec.kind == FW_IDEM_REC_INTENT) {
-            if (it->seen) {
-                Fw_Idem_Decide(c, p, it, now_us, out);
+        if (rq->rec.kind == FW_IDEM_REC_INTENT) {
+            if (rq->in_log) {
+                Fw_Idem_Decide(c, p, rq, now_us, out);
             }
             else {
-                Fw_Idem_Refuse(c, p, it, now_us, out);
+                Fw_Idem_Reject(c, p, rq, now_us, out);
             }
             continue;
         }
-        if (it->rec.kind == FW_IDEM_REC_OUTCOME && it->seen) {
-            tell_finished(c, it, out);
+        if (rq->rec.kind == FW_IDEM_REC_OUTCOME && rq->in_log) {
+            send_outcome_ack(c, rq, out);
         }
-        Fw_Idem_FreeItem(it);
+        Fw_Idem_FreeRequest(rq);
     }
-    Fw_Idem_PartRun(c, p, now_us, out);
+    Fw_Idem_RunPartition(c, p, now_us, out);
 }
 
 void
-Fw_Idem_PartAppended(struct fw_idem *c, struct fw_idem_part *p,
+Fw_Idem_FinishAppend(struct fw_idem *c, struct fw_idem_partition *p,
                      const struct fw_log_appended *a, int64_t now_us,
                      struct fw_actions *out)
 {
     struct fw_list *pos;
 
     if (a->err == -EAGAIN) {
-        put_back(p, 0);
+        requeue_batch(p, 0);
         p->phase = FW_IDEM_READY;
-        Fw_Idem_PartFail(c, p, now_us);
-        Fw_Idem_PartRun(c, p, now_us, out);
+        Fw_Idem_BackOff(c, p, now_us);
+        Fw_Idem_RunPartition(c, p, now_us, out);
         return;
     }
     if (a->err) {
-        c->lost.value++;
-        FW_LIST_EACH (pos, &p->flight) {
-            FW_LIST_ENTRY(pos, struct fw_idem_item, link)->tried = 1;
+        c->lost_answers.value++;
+        FW_LIST_EACH (pos, &p->in_flight) {
+            FW_LIST_ENTRY(pos, struct fw_idem_request, link)->append_sent = 1;
         }
-        p->want = 0;
-        p->phase = FW_IDEM_SETTLING;
-        Fw_Idem_PartRead(c, p, out);
+        p->target_offset = 0;
+        p->phase = FW_IDEM_READING_BACK;
+        Fw_Idem_StartRead(c, p, out);
         return;
     }
     p->failures = 0;
-    p->want = a->first;
-    FW_LIST_EACH (pos, &p->flight) {
-        FW_LIST_ENTRY(pos, struct fw_idem_item, link)->tried = 1;
-        p->want++;
-    }
-    if (a->first != p->table.next) {
-        /* Another coordinator has appended in between. */
-        p->phase = FW_IDEM_SETTLING;
-        Fw_Idem_PartRead(c, p, out);
+    p->target_offset = a->first;
+    FW_LIST_EACH (pos, &p->in_flight) {
+        FW_LIST_ENTRY(pos, struct fw_idem_request, link)->append_sent = 1;
+        p->target_offset++;
+    }
+    if (a->first != p->table.next_offset) {
+        /* Another instance has appended to the stream in between. */
+        p->phase = FW_IDEM_READING_BACK;
+        Fw_Idem_StartRead(c, p, out);
         return;
     }
-    FW_LIST_EACH (pos, &p->flight) {
-        struct fw_idem_item *it =
-            FW_LIST_ENTRY(pos, struct fw_idem_item, link);
+    FW_LIST_EACH (pos, &p->in_flight) {
+        struct fw_idem_request *rq =
+            FW_LIST_ENTRY(pos, struct fw_idem_request, link);
 
-        it->seen = 1;
-        Fw_Idem_FoldRecord(&p->table, &it->rec);
+        rq->in_log = 1;
+        Fw_Idem_ApplyRecord(&p->table, &rq->rec);
     }
-    land(c, p, now_us, out);
+    complete_batch(c, p, now_us, out);
 }
 
 static void
-mark_seen(struct fw_idem_part *p, const struct fw_idem_record *rec)
+mark_in_log(struct fw_idem_partition *p, const struct fw_idem_record *rec)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &p->flight) {
-        struct fw_idem_item *it =
-            FW_LIST_ENTRY(pos, struct fw_idem_item, link);
+    FW_LIST_EACH (pos, &p->in_flight) {
+        struct fw_idem_request *rq =
+            FW_LIST_ENTRY(pos, struct fw_idem_request, link);
 
-        if (it->rec.kind == rec->kind &&
-            strcmp(it->rec.owner, rec->owner) == 0) {
-            it->seen = 1;
+        if (rq->rec.kind == rec->kind &&
+            strcmp(rq->rec.owner, rec->owner) == 0) {
+            rq->in_log = 1;
         }
     }
 }
 
 static void
-fold(struct fw_idem_part *p, const struct fw_log_records *r)
+apply_records(struct fw_idem_partition *p, const struct fw_log_records *r)
 {
     struct fw_idem_record rec;
 
     for (int i = 0; i < r->n; i++) {
         if (Fw_Idem_ParseRecord(r->records[i], &rec)) {
-            p->table.next++; /* none of ours: a later form, or a mistake */
+            p->table.next_offset++; /* unknown version, or malformed */
             continue;
         }
-        Fw_Idem_FoldRecord(&p->table, &rec);
-        mark_seen(p, &rec);
+        Fw_Idem_ApplyRecord(&p->table, &rec);
+        mark_in_log(p, &rec);
         Fw_Idem_ClearRecord(&rec);
     }
-    Fw_Idem_Trim(&p->table, MIN(r->oldest, p->table.next));
+    Fw_Idem_TrimTable(&p->table, MIN(r->oldest, p->table.next_offset));
 }
 
-/* Nonzero when the records go on from where the table ends. */
+/* Resets the table when the stream was truncated or when records that it lacks
+ * were deleted. Return: nonzero when @r continues where the table ends. */
 static int
-goes_on(struct fw_idem_part *p, const struct fw_log_records *r)
+align_table(struct fw_idem_partition *p, const struct fw_log_records *r)
 {
-    if (r->end < p->table.next) {
-        Fw_Idem_ResetTable(&p->table, 1); /* the log has lost its end */
-        p->want = 0;
+    if (r->end < p->table.next_offset) {
+        Fw_Idem_ResetTable(&p->table, 1); /* the log was truncated */
+        p->target_offset = 0;
         return 0;
     }
-    if (r->first > p->table.next) {
+    if (r->first > p->table.next_offset) {
         Fw_Idem_ResetTable(&p->table, r->first);
     }
-    return r->first == p->table.next;
+    return r->first == p->table.next_offset;
 }
 
 static void
-loaded(struct fw_idem *c, struct fw_idem_part *p, int64_t now_us)
+finish_load(struct fw_idem *c, struct fw_idem_partition *p, int64_t now_us)
 {
     if (p->table.horizon_ms < 0) {
-        /* Nothing is left of older records: they may be as young as now. */
+        /* All records were deleted; the newest may be as recent as now. */
         p->table.horizon_ms = Fw_Idem_WallMs(c, now_us);
-        p->mark_us = now_us;
+        p->next_mark_us = now_us;
     }
     else {
-        p->mark_us = now_us + FW_IDEM_MARK_US;
+        p->next_mark_us = now_us + FW_IDEM_MARK_INTERVAL_US;
     }
-    c->loaded.value++;
+    c->loads.value++;
     p->phase = FW_IDEM_READY;
 }
 
 void
-Fw_Idem_PartRecords(struct fw_idem *c, struct fw_idem_part *p,
-                    const struct fw_log_records *r, int64_t now_us,
-                    struct fw_actions *out)
+Fw_Idem_FinishRead(struct fw_idem *c, struct fw_idem_partition *p,
+                   const struct fw_log_records *r, int64_t now_us,
+                   struct fw_actions *out)
 {
-    if (r->err || !goes_on(p, r)) {
-        Fw_Idem_PartFail(c, p, now_us);
-        Fw_Idem_PartRun(c, p, now_us, out);
+    if (r->err || !align_table(p, r)) {
+        Fw_Idem_BackOff(c, p, now_us);
+        Fw_Idem_RunPartition(c, p, now_us, out);
         return;
     }
-    p->tail_us = now_us + FW_IDEM_TAIL_US;
-    fold(p, r);
-    if (p->table.next < r->end && r->n > 0) {
-        Fw_Idem_PartRead(c, p, out);
+    p->next_poll_us = now_us + FW_IDEM_IDLE_POLL_INTERVAL_US;
+    apply_records(p, r);
+    if (p->table.next_offset < r->end && r->n > 0) {
+        Fw_Idem_StartRead(c, p, out);
         return;
     }
-    if (p->table.next < MAX(r->end, p->want)) {
-        /* An answer older than the append: a store that reads behind. */
-        Fw_Idem_PartFail(c, p, now_us);
-        Fw_Idem_PartRun(c, p, now_us, out);
+    if (p->table.next_offset < MAX(r->end, p->target_offset)) {
+        /* A stale read, from before the append. */
+        Fw_Idem_BackOff(c, p, now_us);
+        Fw_Idem_RunPartition(c, p, now_us, out);
         return;
     }
     p->failures = 0;
     if (p->phase == FW_IDEM_LOADING) {
-        loaded(c, p, now_us);
+        finish_load(c, p, now_us);
     }
-    else if (p->phase == FW_IDEM_SETTLING) {
-        land(c, p, now_us, out);
+    else if (p->phase == FW_IDEM_READING_BACK) {
+        complete_batch(c, p, now_us, out);
         return;
     }
-    Fw_Idem_PartRun(c, p, now_us, out);
+    Fw_Idem_RunPartition(c, p, now_us, out);
 }
--- a/src/idem/record.c
+++ b/src/idem/record.c
@@ -29,7 +29,7 @@
     add_str(b, "ran", Fw_Ran_Name(rec->ran));
     add_int(b, "status", rec->status);
     add_str(b, "type", rec->content_type);
-    if (rec->cut || len > FW_IDEM_BODY_MAX) {
+    if (rec->body_omitted || len > FW_IDEM_BODY_BYTES_MAX) {
         add_int(b, "cut", 1);
         return;
     }
@@ -134,7 +134,7 @@
     }
     rec->ran = (enum fw_ran)ran;
     rec->status = (int)status;
-    rec->cut = json_object_has_member(o, "cut");
+    rec->body_omitted = json_object_has_member(o, "cut");
     if (body) {
         data = g_base64_decode(body, &len);
         rec->body = g_bytes_new_take(data, len);
@@ -199,7 +199,7 @@
 {
     GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
 
-    /* The NULs keep "ab"+"c" apart from "a"+"bc". */
+    /* The NULs separate the fields, so that "ab"+"c" differs from "a"+"bc". */
     g_checksum_update(sum, (const guchar *)service,
                       (gssize)strlen(service) + 1);
     g_checksum_update(sum, (const guchar *)team, (gssize)strlen(team) + 1);
--- a/tests/idem/test_idem.c
+++ b/tests/idem/test_idem.c
@@ -302,7 +302,7 @@
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(keys); i++) {
-        ck_assert_int_eq(Fw_Idem_KeyTime(keys[i].key), keys[i].ms);
+        ck_assert_int_eq(Fw_Idem_ParseKeyTime(keys[i].key), keys[i].ms);
     }
 }
 END_TEST
