--- a/src/order/order.c
+++ b/src/order/order.c
@@ -1,4 +1,4 @@
-/* The engines held here, polled and given orders. */
+/* Tracks the engines managed here, polls them and sends orders. */
 #include "order/order.h"
 
 #include <errno.h>
@@ -21,13 +21,14 @@
                                  .help = "Orders sent to engines."};
     o->failed = (struct fw_metric){
         .name = "fw_orders_failed_total",
-        .help = "Orders that were refused or whose answer was lost."};
+        .help = "Orders that failed or whose answer was lost."};
     o->fenced = (struct fw_metric){
         .name = "fw_orders_fenced_total",
-        .help = "Orders refused for an old fencing number."};
-    o->pending = (struct fw_metric){.name = "fw_orders_pending",
-                                    .help = "Engines here not as configured.",
-                                    .is_gauge = 1};
+        .help = "Orders rejected for a stale fencing number."};
+    o->pending = (struct fw_metric){
+        .name = "fw_orders_pending",
+        .help = "Engines managed here that are not as configured.",
+        .is_gauge = 1};
     if (metrics) {
         Fw_Metrics_Add(metrics, &o->sent);
         Fw_Metrics_Add(metrics, &o->failed);
@@ -38,7 +39,7 @@
 }
 
 static void
-drop_engine(struct fw_order_engine *e)
+free_engine(struct fw_order_engine *e)
 {
     Fw_List_Remove(&e->link);
     g_free(e);
@@ -54,7 +55,7 @@
         return;
     }
     FW_LIST_EACH_SAFE (pos, tmp, &o->engines) {
-        drop_engine(FW_LIST_ENTRY(pos, struct fw_order_engine, link));
+        free_engine(FW_LIST_ENTRY(pos, struct fw_order_engine, link));
     }
     g_rand_free(o->rand);
     g_free(o);
@@ -77,19 +78,19 @@
 }
 
 static int
-may_act(const struct fw_orders *o, const char *pool, int64_t now_us,
-        uint64_t *fence)
+check_role(const struct fw_orders *o, const char *pool, int64_t now_us,
+           uint64_t *fence)
 {
     int partition = Fw_Roles_Partition(o->roles, pool);
 
     return Fw_Roles_MayAct(o->roles, FW_ROLE_ORDER, partition, now_us, fence);
 }
 
-/* An engine newly held, or whose configuration changed, is polled within a
- * while drawn at random, so that a hundred are not asked at once. */
+/* Adds or updates an engine. One that is new or whose configuration changed is
+ * polled after a random delay, to spread the polls. */
 static void
-hold_engine(struct fw_orders *o, const struct fw_config *cfg,
-            const struct fw_upstream *up, int64_t now_us)
+update_engine(struct fw_orders *o, const struct fw_config *cfg,
+              const struct fw_upstream *up, int64_t now_us)
 {
     struct fw_order_engine *e = find_engine(o, up->name);
     uint64_t version =
@@ -103,21 +104,24 @@
     }
     if (e->version != version) {
         e->version = version;
-        e->due_us = now_us + g_rand_int_range(o->rand, 0, FW_ORDER_RECHECK_US);
+        e->next_poll_us =
+            now_us +
+            g_rand_int_range(o->rand, 0, FW_ORDER_RECHECK_INTERVAL_US);
     }
     if (strcmp(e->pool, up->pool) != 0) {
         g_strlcpy(e->pool, up->pool, sizeof(e->pool));
     }
     e->drained = up->drained;
-    e->held = 1;
+    e->owned = 1;
 }
 
-/* Which engines are ours; the others are forgotten, with what is under way:
- * the next holder looks for itself. */
+/* Updates the set of engines from the configuration and the roles held. The
+ * calls under way to removed engines are forgotten; their new holder polls
+ * them. */
 static void
 sync_engines(struct fw_orders *o, const struct fw_config *cfg, int64_t now_us)
 {
-    GPtrArray *held = g_ptr_array_new();
+    GPtrArray *owned = g_ptr_array_new();
     GHashTableIter it;
     void *value;
     struct fw_list *pos;
@@ -127,28 +131,28 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_upstream *up = value;
 
-        /* Kept while the log can't be read, so that what is known of orders
-         * under way is not forgotten; sending is checked for itself. */
+        /* Only -EPERM removes an engine: while the log can't be read, the
+         * state of orders under way is kept. Sends check the role again. */
         if (up->role != FW_ROLE_SERVICE && Fw_Config_Pool(cfg, up->pool) &&
-            may_act(o, up->pool, now_us, NULL) != -EPERM) {
-            g_ptr_array_add(held, (void *)up);
+            check_role(o, up->pool, now_us, NULL) != -EPERM) {
+            g_ptr_array_add(owned, (void *)up);
         }
     }
     FW_LIST_EACH (pos, &o->engines) {
-        FW_LIST_ENTRY(pos, struct fw_order_engine, link)->held = 0;
+        FW_LIST_ENTRY(pos, struct fw_order_engine, link)->owned = 0;
     }
-    for (unsigned i = 0; i < held->len; i++) {
-        hold_engine(o, cfg, g_ptr_array_index(held, i), now_us);
+    for (unsigned i = 0; i < owned->len; i++) {
+        update_engine(o, cfg, g_ptr_array_index(owned, i), now_us);
     }
     FW_LIST_EACH_SAFE (pos, tmp, &o->engines) {
         struct fw_order_engine *e =
             FW_LIST_ENTRY(pos, struct fw_order_engine, link);
 
-        if (!e->held) {
-            drop_engine(e);
+        if (!e->owned) {
+            free_engine(e);
         }
     }
-    g_ptr_array_unref(held);
+    g_ptr_array_unref(owned);
 }
 
 static struct fw_up_start *
@@ -178,18 +182,18 @@
     }
     start = start_call(o, up, e, FW_UP_LOAD, out);
     start->timeout_us = FW_ORDER_POLL_TIMEOUT_US;
-    e->call = FW_ORDER_POLL;
+    e->call = FW_ORDER_CALL_POLL;
 }
 
 static void
-note_order(const struct fw_order_engine *e, uint64_t fence,
-           struct fw_actions *out)
+log_order(const struct fw_order_engine *e, uint64_t fence,
+          struct fw_actions *out)
 {
     char text[24];
 
     g_snprintf(text, sizeof(text), "%" G_GUINT64_FORMAT, fence);
     Fw_Actions_Note(out, LOG_NOTICE, "order_sent", "upstream", e->name,
-                    "order", e->last_text, "fence", text, NULL);
+                    "order", e->last_order_text, "fence", text, NULL);
 }
 
 static void
@@ -201,27 +205,28 @@
 
     start->u.order = *order;
     start->u.order.ttl_us = FW_ORDER_TTL_US;
-    start->timeout_us = FW_ORDER_LOAD_TIMEOUT_US;
-    e->call = FW_ORDER_SENT;
-    e->last = start->u.order;
-    g_snprintf(e->last_text, sizeof(e->last_text), "%s %s%s%s%s%s%s",
-               Fw_Order_OpName(order->op), order->model,
+    start->timeout_us = FW_ORDER_TIMEOUT_US;
+    e->call = FW_ORDER_CALL_ORDER;
+    e->last_order = start->u.order;
+    g_snprintf(e->last_order_text, sizeof(e->last_order_text),
+               "%s %s%s%s%s%s%s", Fw_Order_OpName(order->op), order->model,
                order->version[0] ? "@" : "", order->version,
                order->adapter[0] ? "+" : "", order->adapter, order->role);
-    g_snprintf(e->state, sizeof(e->state), "%.90s", e->last_text);
+    g_snprintf(e->state, sizeof(e->state), "%.90s", e->last_order_text);
     o->sent.value++;
-    note_order(e, order->fence, out);
+    log_order(e, order->fence, out);
 }
 
 /*
- * A holder that was paused past its lease would give an order that the next
- * holder has since made wrong. The role is asked in the same step in which
- * the order goes out; what stays in the network longer is dropped by the
- * engine, by fencing number or time to live.
+ * The role is checked in the same step that sends the order, so that an
+ * instance that was paused sends none after its role has passed on. Orders
+ * delayed in the network are dropped by the engine, by fencing number or time
+ * to live.
  */
 void
-Fw_Order_Act(struct fw_orders *o, const struct fw_config *cfg,
-             struct fw_order_engine *e, int64_t now_us, struct fw_actions *out)
+Fw_Order_SendNext(struct fw_orders *o, const struct fw_config *cfg,
+                  struct fw_order_engine *e, int64_t now_us,
+                  struct fw_actions *out)
 {
     const struct fw_upstream *up = Fw_Config_Upstream(cfg, e->name);
     const struct fw_pool *pool = up ? Fw_Config_Pool(cfg, up->pool) : NULL;
@@ -233,19 +238,20 @@
     if (!pool || up->role == FW_ROLE_SERVICE) {
         return;
     }
-    counts = Fw_Order_Count(o, up->pool, now_us);
+    counts = Fw_Order_CountEngines(o, up->pool, now_us);
     if (!Fw_Order_Plan(pool, up, e, &counts, &order, e->state,
                        sizeof(e->state))) {
         return;
     }
-    if (now_us < e->hold_us) {
-        g_strlcpy(e->state, "waits: an earlier order may still come",
+    if (now_us < e->hold_until_us) {
+        g_strlcpy(e->state, "waits: an earlier order may still arrive",
                   sizeof(e->state));
         return;
     }
-    rc = may_act(o, up->pool, now_us, &fence);
+    rc = check_role(o, up->pool, now_us, &fence);
     if (rc && !FW_FAULT("order-without-role")) {
-        g_strlcpy(e->state, "the role is not ours now", sizeof(e->state));
+        g_strlcpy(e->state, "order role not held or not confirmed",
+                  sizeof(e->state));
         return;
     }
     order.fence = fence;
@@ -272,21 +278,21 @@
 {
     struct fw_list *pos;
 
-    if (now_us < o->sync_us) {
-        Fw_Actions_Wake(out, o->sync_us);
+    if (now_us < o->next_sync_us) {
+        Fw_Actions_Wake(out, o->next_sync_us);
         return;
     }
-    o->sync_us = now_us + FW_ORDER_SYNC_US;
+    o->next_sync_us = now_us + FW_ORDER_SYNC_INTERVAL_US;
     sync_engines(o, cfg, now_us);
     FW_LIST_EACH (pos, &o->engines) {
         struct fw_order_engine *e =
             FW_LIST_ENTRY(pos, struct fw_order_engine, link);
 
-        if (e->call == FW_ORDER_IDLE && now_us >= e->due_us &&
-            may_act(o, e->pool, now_us, NULL) == 0) {
+        if (e->call == FW_ORDER_CALL_NONE && now_us >= e->next_poll_us &&
+            check_role(o, e->pool, now_us, NULL) == 0) {
             poll_engine(o, cfg, e, out);
         }
     }
     count_pending(o);
-    Fw_Actions_Wake(out, o->sync_us);
+    Fw_Actions_Wake(out, o->next_sync_us);
 }
--- a/src/order/order_internal.h
+++ b/src/order/order_internal.h
@@ -1,4 +1,4 @@
-/* Shared inside src/order only. */
+/* Declarations private to src/order. */
 #ifndef FW_ORDER_INTERNAL_H
 #define FW_ORDER_INTERNAL_H
 
@@ -6,57 +6,63 @@
 
 #include "order/order.h"
 
-#define FW_ORDER_SYNC_US (1 * FW_SEC)
-#define FW_ORDER_POLL_US (30 * FW_SEC)   /* an engine that is as it should */
-#define FW_ORDER_RECHECK_US (2 * FW_SEC) /* one that is not, or was silent */
-#define FW_ORDER_FRESH_US (90 * FW_SEC)  /* a report counts for so long */
+/* Update of the set of engines, and check for polls that are due. */
+#define FW_ORDER_SYNC_INTERVAL_US (1 * FW_SEC)
+#define FW_ORDER_POLL_INTERVAL_US (30 * FW_SEC)
+/* Poll of an engine that is not as configured or did not answer. */
+#define FW_ORDER_RECHECK_INTERVAL_US (2 * FW_SEC)
+/* Engines with an older report do not count as serving. */
+#define FW_ORDER_REPORT_MAX_AGE_US (90 * FW_SEC)
 #define FW_ORDER_POLL_TIMEOUT_US (5 * FW_SEC)
-#define FW_ORDER_LOAD_TIMEOUT_US (900 * FW_SEC) /* weights take minutes */
-#define FW_ORDER_LOADS_MAX                                                    \
-    1 /* at once in a pool: the store's rate is shared */
+/* Loading weights can take minutes. */
+#define FW_ORDER_TIMEOUT_US (900 * FW_SEC)
+/* Per pool: concurrent loads share the bandwidth of the weight store. */
+#define FW_ORDER_LOADS_MAX 1
 
-/** enum fw_order_call - what is under way with an engine. */
+/** enum fw_order_call - call under way to an engine. */
 enum fw_order_call {
-    FW_ORDER_IDLE,
-    FW_ORDER_POLL,
-    FW_ORDER_SENT,
+    FW_ORDER_CALL_NONE,
+    FW_ORDER_CALL_POLL,
+    FW_ORDER_CALL_ORDER,
 };
 
 /**
- * struct fw_order_engine - one engine of a partition held here.
+ * struct fw_order_engine - an engine managed by this instance.
  * @op: number of the call under way, 0 for none
- * @due_us: next poll
- * @hold_us: no order before: one whose fate is not known may still come
- * @report_us: when @report came, 0 before the first
- * @last: the order under way or sent last
- * @drained: an operator took it out of choice: it serves nobody
- * @version: of its configuration and its pool's, when last looked at
- * @held: still ours, set at each sync
+ * @hold_until_us: no order is sent before, after one that was fenced or may
+ *                 still arrive
+ * @report_us: when @report was received; 0 when there is none or an order has
+ *             ended since
+ * @last_order: the order under way, or else the last one
+ * @state: order under way, reason why there is none, or "as configured"
+ * @version: newest version of the upstream's and the pool's configuration, at
+ *           the last sync
+ * @drained: taken out of service by an operator
+ * @owned: in a pool that this instance manages, set at each sync
  */
 struct fw_order_engine {
     char name[FW_NAME_MAX];
     char pool[FW_NAME_MAX];
     enum fw_order_call call;
     uint64_t op;
-    int64_t due_us;
-    int64_t hold_us;
+    int64_t next_poll_us;
+    int64_t hold_until_us;
     int64_t report_us;
     struct fw_up_report report;
-    struct fw_up_order last;
-    char last_text[FW_MODELREF_MAX + 48];
+    struct fw_up_order last_order;
+    char last_order_text[FW_MODELREF_MAX + 48];
     char state[96];
     uint64_t version;
     int drained;
-    int held;
+    int owned;
     struct fw_list link;
 };
 
-/** struct fw_orders - see order.h. */
 struct fw_orders {
     const struct fw_roles *roles;
     GRand *rand;
     uint64_t seq;
-    int64_t sync_us;
+    int64_t next_sync_us;
     struct fw_list engines;
     struct fw_metric sent;
     struct fw_metric failed;
@@ -65,8 +71,9 @@
 };
 
 /**
- * struct fw_order_counts - engines of a pool by role, from fresh reports.
- * @loads: model loads under way
+ * struct fw_order_counts - engines of a pool.
+ * @prefill, @decode: engines that serve in this role by their reports
+ * @loads: loads of models or adapters under way
  */
 struct fw_order_counts {
     int prefill;
@@ -75,14 +82,15 @@
 };
 
 struct fw_order_counts
-Fw_Order_Count(const struct fw_orders *o, const char *pool, int64_t now_us);
+Fw_Order_CountEngines(const struct fw_orders *o, const char *pool,
+                      int64_t now_us);
 
 /**
- * Fw_Order_Plan - the next order for @e, if any.
- * @order: kind, model, version, adapter and role are filled
- * @why: what is awaited, or "as configured"; @size bytes
+ * Fw_Order_Plan - chooses the next order for @e.
+ * @order: filled except for @fence and @ttl_us
+ * @why: buffer of @size bytes for the reason when there is no order
  *
- * Return: 1 when @order is to be sent, 0 when there is nothing to do now.
+ * Return: 1 when @order is to be sent, else 0.
  */
 int
 Fw_Order_Plan(const struct fw_pool *pool, const struct fw_upstream *up,
@@ -92,10 +100,11 @@
 
 const char *
 Fw_Order_OpName(enum fw_order_op op);
-/* Sends what is due to @e, if the role allows it at this moment. */
+/* Sends the next order to @e if there is one and the role is held; otherwise
+ * sets the state to the reason. */
 void
-Fw_Order_Act(struct fw_orders *o, const struct fw_config *cfg,
-             struct fw_order_engine *e, int64_t now_us,
-             struct fw_actions *out);
+Fw_Order_SendNext(struct fw_orders *o, const struct fw_config *cfg,
+                  struct fw_order_engine *e, int64_t now_us,
+                  struct fw_actions *out);
 
 #endif
--- a/src/order/order_query.c
+++ b/src/order/order_query.c
@@ -1,11 +1,12 @@
-/* Questions to the orders. */
+/* Read-only queries of engines and their orders. */
 #include <string.h>
 
 #include "order/order_internal.h"
 
-/* Silent, leaving and drained engines don't count: they serve nobody. */
+/* Counts no engine that is unreachable, leaving or drained. */
 struct fw_order_counts
-Fw_Order_Count(const struct fw_orders *o, const char *pool, int64_t now_us)
+Fw_Order_CountEngines(const struct fw_orders *o, const char *pool,
+                      int64_t now_us)
 {
     struct fw_order_counts n = {.loads = 0};
     const struct fw_list *pos;
@@ -17,16 +18,17 @@
         if (strcmp(e->pool, pool) != 0) {
             continue;
         }
-        n.loads +=
-            e->call == FW_ORDER_SENT && (e->last.op == FW_ORDER_LOAD_MODEL ||
-                                         e->last.op == FW_ORDER_LOAD_ADAPTER);
-        if (!e->report_us || now_us > e->report_us + FW_ORDER_FRESH_US ||
+        n.loads += e->call == FW_ORDER_CALL_ORDER &&
+                   (e->last_order.op == FW_ORDER_LOAD_MODEL ||
+                    e->last_order.op == FW_ORDER_LOAD_ADAPTER);
+        if (!e->report_us ||
+            now_us > e->report_us + FW_ORDER_REPORT_MAX_AGE_US ||
             e->report.leaving || e->drained) {
             continue;
         }
-        /* One that changes role, or may yet, counts for neither. */
-        if (e->last.op == FW_ORDER_SET_ROLE &&
-            (e->call == FW_ORDER_SENT || now_us < e->hold_us)) {
+        /* An engine whose role is changing, or may be, has neither role. */
+        if (e->last_order.op == FW_ORDER_SET_ROLE &&
+            (e->call == FW_ORDER_CALL_ORDER || now_us < e->hold_until_us)) {
             continue;
         }
         n.prefill += strcmp(e->report.role, "prefill") == 0;
@@ -47,8 +49,8 @@
         struct fw_order_row r = {.engine = e->name,
                                  .pool = e->pool,
                                  .state = e->state,
-                                 .last = e->last_text,
-                                 .fence = e->last.fence};
+                                 .last = e->last_order_text,
+                                 .fence = e->last_order.fence};
 
         row(&r, ctx);
     }
--- a/src/order/plan.c
+++ b/src/order/plan.c
@@ -1,4 +1,5 @@
-/* What an engine lacks, one order at a time. Nothing here has effects. */
+/* Chooses the next order from an engine's report and the configuration. No
+ * side effects. */
 #include <string.h>
 
 #include "base/fault.h"
@@ -14,7 +15,7 @@
 }
 
 static int
-holds(const struct fw_up_report *r, const char *ref)
+has_model(const struct fw_up_report *r, const char *ref)
 {
     for (int i = 0; i < r->n_models; i++) {
         if (strcmp(r->models[i], ref) == 0) {
@@ -24,9 +25,9 @@
     return 0;
 }
 
-/* "model@version", with "+adapter" when @adapter is set and there is one. */
+/* Writes "model@version", and "+adapter" if @adapter is set and @s has one. */
 static void
-ref_of(const struct fw_serving *s, int adapter, char *ref)
+format_ref(const struct fw_serving *s, int adapter, char *ref)
 {
     g_snprintf(ref, FW_MODELREF_MAX, "%s@%s%s%s", s->model, s->version,
                adapter && s->adapter[0] ? "+" : "", adapter ? s->adapter : "");
@@ -51,14 +52,14 @@
     for (int i = 0; i < pool->n_serves; i++) {
         const struct fw_serving *s = &pool->serves[i];
 
-        ref_of(s, 0, ref);
-        if (!holds(&e->report, ref)) {
+        format_ref(s, 0, ref);
+        if (!has_model(&e->report, ref)) {
             set_order(order, FW_ORDER_LOAD_MODEL, s);
             order->adapter[0] = '\0';
             return 1;
         }
-        ref_of(s, 1, ref);
-        if (!holds(&e->report, ref)) {
+        format_ref(s, 1, ref);
+        if (!has_model(&e->report, ref)) {
             set_order(order, FW_ORDER_LOAD_ADAPTER, s);
             return 1;
         }
@@ -66,15 +67,15 @@
     return 0;
 }
 
-/* Nonzero when the pool wants @ref, also as the base of an adapter. */
+/* Nonzero when @ref is configured, also as the base model of an adapter. */
 static int
-wanted(const struct fw_pool *pool, const char *ref)
+is_wanted(const struct fw_pool *pool, const char *ref)
 {
     char want[FW_MODELREF_MAX];
 
     for (int i = 0; i < pool->n_serves; i++) {
         for (int adapter = 0; adapter < 2; adapter++) {
-            ref_of(&pool->serves[i], adapter, want);
+            format_ref(&pool->serves[i], adapter, want);
             if (strcmp(want, ref) == 0) {
                 return 1;
             }
@@ -83,7 +84,7 @@
     return 0;
 }
 
-/* "model@version+adapter" taken apart; 0 when it is no such text. */
+/* Parses "model@version+adapter". Return: nonzero on success. */
 static int
 split_ref(const char *ref, struct fw_serving *s)
 {
@@ -102,8 +103,8 @@
     return ok;
 }
 
-/* Adapters go before the model that they stand on. A pool that names nothing
- * takes nothing away: an emptied list is more likely a mistake. */
+/* Unloads adapters before their base model. An empty list of models unloads
+ * nothing, as it is more likely a mistake. */
 static int
 plan_unload(const struct fw_pool *pool, const struct fw_order_engine *e,
             struct fw_up_order *order)
@@ -113,8 +114,8 @@
             const char *ref = e->report.models[i];
             struct fw_serving s;
 
-            if (wanted(pool, ref) || (strchr(ref, '+') != NULL) != adapter ||
-                !split_ref(ref, &s)) {
+            if (is_wanted(pool, ref) ||
+                (strchr(ref, '+') != NULL) != adapter || !split_ref(ref, &s)) {
                 continue;
             }
             set_order(
@@ -133,13 +134,13 @@
 }
 
 /*
- * A pool without any engine of a role serves nobody. The engine that leaves a
- * role is counted out first, and the least number is one even where the
- * configuration says none.
+ * Nonzero when enough other engines serve the present role of @e: the
+ * configured minimum, and at least one. @counts has no drained engines, so @e
+ * is subtracted only if it is not drained.
  */
 static int
-may_leave(const struct fw_pool *pool, const struct fw_order_engine *e,
-          const struct fw_order_counts *counts)
+may_leave_role(const struct fw_pool *pool, const struct fw_order_engine *e,
+               const struct fw_order_counts *counts)
 {
     const char *role = e->report.role;
     int have = strcmp(role, "prefill") == 0 ? counts->prefill : counts->decode;
@@ -149,7 +150,7 @@
     return have - !e->drained >= MAX(min, 1) || FW_FAULT("order-empties-pool");
 }
 
-/* What an engine is doing must not be cut off. */
+/* Role changes and unloads wait for this, so as not to abort requests. */
 static int
 is_idle(const struct fw_up_report *r)
 {
@@ -165,7 +166,7 @@
     const char *role = role_name(up->role);
 
     if (e->report.leaving) {
-        g_strlcpy(why, "leaving: no orders", size);
+        g_strlcpy(why, "engine is leaving: no orders", size);
         return 0;
     }
     if (plan_load(pool, e, order)) {
@@ -176,7 +177,7 @@
         return 1;
     }
     if (strcmp(e->report.role, role) != 0) {
-        if (!may_leave(pool, e, counts)) {
+        if (!may_leave_role(pool, e, counts)) {
             g_snprintf(why, size, "kept: one of the last %s engines",
                        e->report.role);
             return 0;
