--- a/tests/idem/test_idem.c
+++ b/tests/idem/test_idem.c
@@ -1,4 +1,4 @@
-/* Calls that may not be repeated: what callers and the service see. */
+/* At-most-once execution of calls that are not idempotent. */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "idem/idem_internal.h"
 #include "tests/base/suite.h"
 
-/** struct script - @run: one command a line, @seen: the lines expected. */
+/** struct script - @run: one command per line; @seen: the expected trace. */
 struct script {
     const char *name;
     int sites;
@@ -106,7 +106,7 @@
     g_strfreev(w);
 }
 
-/* Return: the breach found, or an empty string; to be freed. */
+/* Return: the violation found or an empty string, to be freed. */
 static char *
 play(const struct script *s, GString *trace)
 {
@@ -125,82 +125,81 @@
 }
 
 static const struct script scripts[] = {
-    /* A caller gives an order and, not sure of it, gives it again. */
+    /* A caller repeats a call that has completed. */
     {"a repeat gets the recorded answer", 2,
      "call 0 k buy\nrun 1000\ncall 0 k buy\nrun 1000",
      "1 sent\n2 recorded done\n"},
-    /* The balancer sends the repeat to another instance. */
+    /* The repeat reaches another instance. */
     {"also through another instance", 2,
      "call 0 k buy\nrun 1000\ncall 1 k buy\nrun 1000",
      "1 sent\n2 recorded done\n"},
-    /* An impatient caller repeats while the first call is still running. */
+    /* Repeats arrive while the first call is still running. */
     {"two instances, one key at once", 3,
      "call 0 k buy\ncall 1 k buy\ncall 2 k buy\nrun 3000",
      "2 sent\n1 recorded done\n3 recorded done\n"},
-    /* A program uses one key for two orders; the second would be lost
-     * without a word if it got the answer of the first. */
+    /* One key for two different calls: the second must not get the outcome
+     * of the first. */
     {"same key, other body", 2,
      "call 0 k buy\nrun 1000\ncall 1 k sell\nrun 1000",
      "1 sent\n2 mismatch\n"},
-    /* The log carries out an append and its answer gets lost; taken for a
-     * failure, the order would stand in the log and never run. */
+    /* The append succeeds but its answer is lost; taken for a failure, the
+     * intent would stay in the log and the call would never run. */
     {"the append's answer is lost", 2,
      "log lose\ncall 0 k buy\nrun 8000\ncall 1 k buy\nrun 1000",
      "1 sent\n2 recorded done\n"},
-    /* The append gets lost on its way, so nobody knows whether it arrived;
-     * it did not. */
+    /* The append never reaches the log, and its result is unknown. */
     {"the append is lost", 2,
      "log drop\ncall 0 k buy\nrun 8000\ncall 1 k buy\nrun 1000",
      "1 unavailable\n2 sent\n"},
-    /* The append is lost and arrives long after its caller was told that
-     * the order did not run; the key must not be blocked by it. */
+    /* The append arrives after its caller was told that the call did not
+     * run; the late intent must not block the key. */
     {"the append arrives late", 2,
      "log late\ncall 0 k buy\nrun 12000\ncall 1 k buy\nrun 3000",
      "1 unavailable\n2 sent\n"},
-    /* The log is down for a while: callers are told "not run" and when to
-     * come back, and the same key works afterwards. */
+    /* During a log outage callers get "unavailable" and a time to retry at;
+     * the same key works afterwards. */
     {"the log is down", 2,
      "log down\ncall 0 k buy\nrun 6000\ncall 1 k buy\nrun 6000\nlog up\n"
      "run 12000\ncall 0 k buy\nrun 2000",
      "1 unavailable\n2 unavailable\n3 sent\n"},
-    /* An order has run, then the log goes down: its repeat may not be told
-     * "not run". */
+    /* The log goes down after a call has run: a repeat must not be told
+     * that it was not run. */
     {"the log is down for a repeat", 1,
      "call 0 k buy\nrun 1000\nlog down\ncall 0 k buy\nrun 6000",
      "1 sent\n2 maybe\n"},
-    /* The log answers slowly; the order waits and then runs once. */
+    /* A slow log delays the call, which runs once. */
     {"the log is slow", 2,
      "log slow 600\ncall 0 k buy\nrun 6000\ncall 1 k buy\nrun 6000",
      "1 sent\n2 recorded done\n"},
-    /* The server takes the order and its answer is lost: nobody knows, and
-     * saying "not run" would have the caller order again. */
+    /* The service runs the call but its answer is lost: "not run" would
+     * make the caller repeat it. */
     {"the answer is lost after the effect", 2,
      "service loses\ncall 0 k buy\nrun 1000\nservice answers\n"
      "call 1 k buy\nrun 3000",
      "1 sent\n2 maybe\n"},
-    /* No server could be reached. The record says so, and the caller may
-     * come back with the same key. */
+    /* The service was unreachable: the attempt is recorded as not run and
+     * the caller may retry with the same key. */
     {"the send never began", 2,
      "service refuses\ncall 0 k buy\nrun 1000\nservice answers\n"
      "call 1 k buy\nrun 3000",
      "1 not begun\n2 sent\n"},
-    /* The instance dies right after it has sent the order. */
+    /* The instance dies after it has sent the call. */
     {"the sender dies", 2,
      "call 0 k buy\nrun 15\nkill 0\nrun 500\ncall 1 k buy\nrun 3000",
      "1 sent\n2 maybe\n"},
-    /* The process stands still between the record and the send; when it
-     * goes on, its caller has long gone to another instance. */
+    /* The process is paused between intent and send, and its caller retries
+     * at another instance: the first must not send when it resumes. */
     {"the holder is paused", 2,
      "log slow 100\ncall 0 k buy\nrun 50\npause 0 60000\nrun 10000\n"
      "call 1 k buy\nrun 60000\ncall 1 k buy\nrun 3000",
      "2 maybe\n1 may not run: stale\n3 sent\n"},
-    /* Every peer is cut off: each instance asks the log by itself. */
+    /* Without reachable peers each instance appends to the log itself. */
     {"no peer can be reached", 3,
      "cut 0\ncut 1\ncut 2\ncall 0 k buy\ncall 1 k buy\ncall 2 k buy\n"
      "run 5000",
      "2 sent\n1 recorded done\n3 recorded done\n"},
-    /* Months later a forgotten job gives an old order once more. Its record
-     * has aged out, and only the time in its key tells it from a new one. */
+    /* A call is repeated after its record was deleted: only the time in the
+     * key shows that it is not new. */
     {"older than retention", 2,
      "log retain 4\ncall 0 old@0 buy\nrun 1000\ncall 0 a@0 buy\n"
      "run 1000\ncall 0 b@0 buy\nrun 1000\ncall 0 c@0 buy\nrun 1000\n"
@@ -209,8 +208,8 @@
      "call 1 plain buy\nrun 1000\ncall 1 new@0 buy\nrun 1000",
      "1 sent\n2 sent\n3 sent\n4 sent\n5 sent\n6 sent\n7 sent\n"
      "8 too old\n9 too old\n10 sent\n"},
-    /* A caller's clock is a day ahead. Its key would look new even after
-     * its record is gone. */
+    /* A key from a clock that is a day ahead would still look new after its
+     * record was deleted. */
     {"a key from the future", 1,
      "log retain 2\ncall 0 a buy\nrun 1000\ncall 0 b buy\nrun 1000\n"
      "call 0 c buy\nrun 1000\ncall 0 d buy\nrun 200000\n"
@@ -233,8 +232,8 @@
 }
 END_TEST
 
-/* The script about retention tells nothing unless it fails without the
- * protection. */
+/* The environment must detect a call that runs twice because the check against
+ * deleted records is disabled. */
 START_TEST(retention_is_checked)
 {
     const struct script s = {
@@ -255,10 +254,9 @@
 }
 END_TEST
 
-/* Four hundred orders a second would be eight hundred appends, more than the
- * log takes from everyone together; gathered, they stay below their share and
- * none waits until its caller gives up. */
-START_TEST(appends_keep_to_their_rate)
+/* 400 calls a second need 800 records; batched, they must stay within the
+ * append rate limit without any claim timing out. */
+START_TEST(append_rate_is_limited)
 {
     GString *trace = g_string_new(NULL);
     struct fw_idem_env b;
@@ -286,7 +284,7 @@
 }
 END_TEST
 
-START_TEST(keys_may_carry_their_time)
+START_TEST(key_time_is_parsed)
 {
     static const struct {
         const char *key;
@@ -307,9 +305,9 @@
 }
 END_TEST
 
-/* Records of others, of a later form, or broken ones must not stop a reader.
+/* Records that are malformed or of an unknown version must not stop a reader.
  */
-START_TEST(bad_records_are_passed_over)
+START_TEST(malformed_records_are_rejected)
 {
     static const char *const texts[] = {
         "",
@@ -329,7 +327,7 @@
 }
 END_TEST
 
-START_TEST(a_record_comes_back_whole)
+START_TEST(record_round_trips)
 {
     struct fw_idem_record in = {.kind = FW_IDEM_REC_OUTCOME,
                                 .at_ms = 5,
@@ -360,9 +358,9 @@
 
     tcase_add_loop_test(tc, scripted, 0, G_N_ELEMENTS(scripts));
     tcase_add_test(tc, retention_is_checked);
-    tcase_add_test(tc, appends_keep_to_their_rate);
-    tcase_add_test(tc, keys_may_carry_their_time);
-    tcase_add_test(tc, bad_records_are_passed_over);
-    tcase_add_test(tc, a_record_comes_back_whole);
+    tcase_add_test(tc, append_rate_is_limited);
+    tcase_add_test(tc, key_time_is_parsed);
+    tcase_add_test(tc, malformed_records_are_rejected);
+    tcase_add_test(tc, record_round_trips);
     return Fw_Suite_Run(tc);
 }
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -1,5 +1,4 @@
-/* Orders to engines: what they lack, who may give it, and what goes wrong on
- * the way. */
+/* Orders to engines: planning, role checks, and lost or delayed orders. */
 #include <check.h>
 #include <string.h>
 
@@ -8,16 +7,16 @@
 #include "tests/base/suite.h"
 
 struct plan_case {
-    const char *role;   /* configured */
-    const char *has;    /* role it has */
-    const char *models; /* it has */
+    const char *role; /* configured */
+    const char *reported_role;
+    const char *reported_models; /* separated by blanks */
     int busy;
     int drained;
     struct fw_order_counts counts;
-    const char *order; /* or why there is none */
+    const char *expected; /* part of the order, or of the reason for none */
 };
 
-/* The pool wants m@2 and m@2+a, of each role one engine at least. */
+/* The pool serves m@2 and m@2+a, with a minimum of one engine per role. */
 static const struct plan_case plans[] = {
     {"decode", "decode", "m@2 m@2+a", 9, 0, {2, 2, 0}, "as configured"},
     {"decode", "decode", "", 9, 0, {2, 2, 0}, "load_model m@2"},
@@ -43,9 +42,9 @@
 static void
 fill_engine(struct fw_order_engine *e, const struct plan_case *c)
 {
-    char **names = g_strsplit(c->models, " ", -1);
+    char **names = g_strsplit(c->reported_models, " ", -1);
 
-    g_strlcpy(e->report.role, c->has, sizeof(e->report.role));
+    g_strlcpy(e->report.role, c->reported_role, sizeof(e->report.role));
     e->report.busy = c->busy;
     e->drained = c->drained;
     for (int i = 0; names[i]; i++) {
@@ -57,9 +56,9 @@
     g_strfreev(names);
 }
 
-/* An engine that runs requests, or is the last of its role, must stay as it
- * is: callers would see cut answers, or no engine at all. */
-START_TEST(each_engine_gets_the_order_it_lacks)
+/* A busy engine must not unload models or change role, and the last engine of
+ * a role must keep it: requests would be aborted, or find no engine. */
+START_TEST(plan_chooses_next_order)
 {
     const struct fw_pool pool = {.prefill_min = 1,
                                  .decode_min = 1,
@@ -85,7 +84,8 @@
         else {
             got = g_strdup(why);
         }
-        ck_assert_msg(strstr(got, c->order) != NULL, "plan %zu: %s", i, got);
+        ck_assert_msg(strstr(got, c->expected) != NULL, "plan %zu: %s", i,
+                      got);
         g_free(got);
     }
 }
@@ -100,7 +100,7 @@
     g_free(got);
 }
 
-START_TEST(engines_are_brought_to_what_the_pool_says)
+START_TEST(engines_converge_to_pool_configuration)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
 
@@ -118,12 +118,12 @@
 }
 END_TEST
 
-/* The weight store's rate is shared: three loads at once take three times as
- * long each, and the pool has none of the three for all that while. */
+/* Concurrent loads share the bandwidth of the weight store, and would take all
+ * their engines out of service for longer. */
 START_TEST(a_pool_loads_one_model_at_a_time)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
-    int most = 0;
+    int max_under_way = 0;
 
     Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "");
     Fw_OrderEnv_Engine(y, "e2", "decode", "decode", "");
@@ -132,9 +132,9 @@
     Fw_OrderEnv_Start(y, 0);
     for (int i = 0; i < 600; i++) {
         Fw_OrderEnv_Run(y, 100 * FW_MSEC);
-        most = MAX(most, Fw_OrderEnv_OrdersUnderWay(y));
+        max_under_way = MAX(max_under_way, Fw_OrderEnv_OrdersUnderWay(y));
     }
-    ck_assert_int_eq(most, 1);
+    ck_assert_int_eq(max_under_way, 1);
     for (int i = 0; i < 3; i++) {
         ck_assert_int_eq(y->engines[i].n_models, 1);
     }
@@ -142,12 +142,9 @@
 }
 END_TEST
 
-/*
- * A holder is paused past its lease while it has work to give; another takes
- * the role. The first must not give its order when it goes on: an engine that
- * checks nothing would carry it out over the newer one.
- */
-START_TEST(a_holder_paused_past_its_lease_gives_no_order)
+/* A holder that resumes after its lease has expired must send no order: an
+ * engine without fencing would execute it. */
+START_TEST(paused_holder_sends_no_order_after_lease)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
     struct fw_order_env_engine *e =
@@ -173,9 +170,9 @@
 }
 END_TEST
 
-/* Two instances each believe to be alone and both want the role. The log's
- * order names one, and only that one gives orders. */
-START_TEST(of_two_holders_one_gives_orders)
+/* Two instances take the role at once: only the one whose record is first in
+ * the log may send orders. */
+START_TEST(one_of_two_candidates_sends_orders)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
     char *text;
@@ -194,12 +191,9 @@
 }
 END_TEST
 
-/*
- * An order is stuck on its way while its sender is replaced. It reaches the
- * engine after the next holder's: an engine that checks fencing numbers
- * refuses it, one that does not drops it by its time to live.
- */
-START_TEST(an_old_order_that_comes_late_has_no_effect)
+/* An order of the previous holder that arrives after one of the new holder is
+ * rejected by its fencing number, or dropped by its time to live. */
+START_TEST(late_order_of_old_holder_has_no_effect)
 {
     for (int checks = 0; checks < 2; checks++) {
         struct fw_order_env *y = Fw_OrderEnv_New();
@@ -229,9 +223,9 @@
 }
 END_TEST
 
-/* Without the log a holder can't know whether it still is one. Engines stay
- * as they are, which serves callers better than two who give orders. */
-START_TEST(with_the_log_down_no_orders_are_given)
+/* While the log is down a holder can't confirm its role, so it must not send
+ * orders. */
+START_TEST(no_orders_while_log_is_down)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
     struct fw_order_env_engine *e =
@@ -251,9 +245,9 @@
 }
 END_TEST
 
-/* The engine loads, and its answer is lost. The holder must find out by
- * looking, and not load again or give up on the engine. */
-START_TEST(a_lost_answer_is_settled_by_looking)
+/* When the answer to an order is lost, the holder must learn the result by
+ * polling and not repeat the order. */
+START_TEST(lost_answer_is_resolved_by_poll)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
 
@@ -267,9 +261,9 @@
 }
 END_TEST
 
-/* The configuration wants all engines in one role. The last of the other
- * stays, or the pool would answer nobody; a silent engine is no help. */
-START_TEST(the_last_engine_of_a_role_stays)
+/* The configuration puts all engines in one role: the last reachable one of
+ * the other role must stay, or the pool could serve no requests. */
+START_TEST(last_engine_of_a_role_stays)
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
     struct fw_order_env_engine *silent;
@@ -293,14 +287,14 @@
     TCase *tc = Fw_Suite_New("order");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, each_engine_gets_the_order_it_lacks);
-    tcase_add_test(tc, engines_are_brought_to_what_the_pool_says);
+    tcase_add_test(tc, plan_chooses_next_order);
+    tcase_add_test(tc, engines_converge_to_pool_configuration);
     tcase_add_test(tc, a_pool_loads_one_model_at_a_time);
-    tcase_add_test(tc, a_holder_paused_past_its_lease_gives_no_order);
-    tcase_add_test(tc, of_two_holders_one_gives_orders);
-    tcase_add_test(tc, an_old_order_that_comes_late_has_no_effect);
-    tcase_add_test(tc, with_the_log_down_no_orders_are_given);
-    tcase_add_test(tc, a_lost_answer_is_settled_by_looking);
-    tcase_add_test(tc, the_last_engine_of_a_role_stays);
+    tcase_add_test(tc, paused_holder_sends_no_order_after_lease);
+    tcase_add_test(tc, one_of_two_candidates_sends_orders);
+    tcase_add_test(tc, late_order_of_old_holder_has_no_effect);
+    tcase_add_test(tc, no_orders_while_log_is_down);
+    tcase_add_test(tc, lost_answer_is_resolved_by_poll);
+    tcase_add_test(tc, last_engine_of_a_role_stays);
     return Fw_Suite_Run(tc);
 }
