--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -4,7 +4,7 @@
  * Before a call is sent, an intent record with a digest of service, team and
  * idempotency key is appended to a log stream. The owner of the intent with
  * the lowest offset may send the call; all other attempts get the recorded
- * outcome or an error.
+ * outcome or an error. See docs/design/idempotency.md.
  */
 #ifndef FW_IDEM_IDEM_H
 #define FW_IDEM_IDEM_H
--- a/src/idem/idem_internal.h
+++ b/src/idem/idem_internal.h
@@ -50,8 +50,8 @@
  * @op: operation number of the requester
  * @key_time_ms: time in the idempotency key, 0 for none
  * @deadline_us: the requester waits no longer than this
- * @wait_until_us: end of the wait for an earlier attempt's outcome, 0 while
- *                 there is none
+ * @wait_until_us: end of the wait for an earlier attempt's outcome or for
+ *                 the read of its record, 0 while there is none
  * @fetch_ticket: log ticket of the read of a recorded outcome, 0 for none
  * @in_log: the record was found in the log
  * @append_sent: an append with the record may have reached the log
@@ -239,7 +239,8 @@
 Fw_Idem_Reject(struct fw_idem *c, struct fw_idem_partition *p,
                struct fw_idem_request *rq, int64_t now_us,
                struct fw_actions *out);
-/* Answers @rq with the recorded outcome read from the log, and frees it. */
+/* Answers @rq with the outcome in @r, or as outcome unknown if @r does not
+ * have it, and frees it. */
 void
 Fw_Idem_FinishFetch(struct fw_idem *c, struct fw_idem_partition *p,
                     struct fw_idem_request *rq, const struct fw_log_records *r,
--- a/src/order/order.h
+++ b/src/order/order.h
@@ -6,7 +6,7 @@
  * only instance that sends orders to its engines. The holder keeps a minimum
  * of engines in each role and limits the model loads under way. The role is
  * checked before each order, and the order carries the role's fencing number
- * and a time to live.
+ * and a time to live. See docs/design/orders.md.
  */
 #ifndef FW_ORDER_ORDER_H
 #define FW_ORDER_ORDER_H
