--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -46,19 +46,19 @@
     Fw_List_Init(&c->calls);
     Fw_List_Init(&c->outcomes);
     add_metric(metrics, &c->opened, "fw_idem_opened_total",
-               "Claims for calls that are not idempotent");
+               "Calls that may not be repeated");
     add_metric(metrics, &c->unavailable, "fw_idem_unavailable_total",
-               "Claims rejected because the log was not usable");
+               "Of these, refused because the log could not be used");
     add_metric(metrics, &c->too_old, "fw_idem_too_old_total",
-               "Claims rejected because records of the key may be deleted");
+               "Of these, refused because records of the key may be gone");
     add_metric(metrics, &c->appends, "fw_idem_appends_total",
                "Appends to the idempotency streams");
     add_metric(metrics, &c->records, "fw_idem_records_total",
-               "Records appended to the idempotency streams");
+               "Records in these appends");
     add_metric(metrics, &c->lost_answers, "fw_idem_lost_answers_total",
-               "Appends with unknown result, resolved by reading back");
+               "Appends whose answer was lost and that were read back");
     add_metric(metrics, &c->loads, "fw_idem_loads_total",
-               "Partitions loaded from their oldest record");
+               "Partitions read from their oldest record on");
     return c;
 }
 
--- a/src/order/order.c
+++ b/src/order/order.c
@@ -21,14 +21,13 @@
                                  .help = "Orders sent to engines."};
     o->failed = (struct fw_metric){
         .name = "fw_orders_failed_total",
-        .help = "Orders that failed or whose answer was lost."};
+        .help = "Orders that were refused or whose answer was lost."};
     o->fenced = (struct fw_metric){
         .name = "fw_orders_fenced_total",
-        .help = "Orders rejected for a stale fencing number."};
-    o->pending = (struct fw_metric){
-        .name = "fw_orders_pending",
-        .help = "Engines managed here that are not as configured.",
-        .is_gauge = 1};
+        .help = "Orders refused for an old fencing number."};
+    o->pending = (struct fw_metric){.name = "fw_orders_pending",
+                                    .help = "Engines here not as configured.",
+                                    .is_gauge = 1};
     if (metrics) {
         Fw_Metrics_Add(metrics, &o->sent);
         Fw_Metrics_Add(metrics, &o->failed);
@@ -244,14 +243,13 @@
         return;
     }
     if (now_us < e->hold_until_us) {
-        g_strlcpy(e->state, "waits: an earlier order may still arrive",
+        g_strlcpy(e->state, "waits: an earlier order may still come",
                   sizeof(e->state));
         return;
     }
     rc = check_role(o, up->pool, now_us, &fence);
     if (rc && !FW_FAULT("order-without-role")) {
-        g_strlcpy(e->state, "order role not held or not confirmed",
-                  sizeof(e->state));
+        g_strlcpy(e->state, "the role is not ours now", sizeof(e->state));
         return;
     }
     order.fence = fence;
--- a/src/order/order_up.c
+++ b/src/order/order_up.c
@@ -26,7 +26,7 @@
             int64_t now_us, struct fw_actions *out)
 {
     if (ev->phase == FW_UP_FAILED) {
-        g_strlcpy(e->state, "poll failed", sizeof(e->state));
+        g_strlcpy(e->state, "does not answer", sizeof(e->state));
         e->next_poll_us = now_us + FW_ORDER_RECHECK_INTERVAL_US;
         return;
     }
@@ -75,14 +75,14 @@
     if (ev->status == 409) {
         o->fenced.value++;
         e->hold_until_us = now_us + FW_ROLE_FRESH_US;
-        g_strlcpy(e->state, "rejected: stale fencing number",
+        g_strlcpy(e->state, "refused: a newer holder gives orders",
                   sizeof(e->state));
         return;
     }
     if (ev->ran != FW_RAN_NO) {
         e->hold_until_us = now_us + FW_ORDER_TTL_US;
     }
-    g_strlcpy(e->state, "last order failed", sizeof(e->state));
+    g_strlcpy(e->state, "the last order failed", sizeof(e->state));
 }
 
 void
--- a/src/order/plan.c
+++ b/src/order/plan.c
@@ -166,7 +166,7 @@
     const char *role = role_name(up->role);
 
     if (e->report.leaving) {
-        g_strlcpy(why, "engine is leaving: no orders", size);
+        g_strlcpy(why, "leaving: no orders", size);
         return 0;
     }
     if (plan_load(pool, e, order)) {
