--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -19,7 +19,7 @@
  */
 static int
 check_versions(const struct fw_state *st, const struct fw_change *ch,
-               struct fw_why *why)
+               struct fw_why *err)
 {
     for (int i = 0; i < ch->n; i++) {
         const struct fw_item *item = &ch->items[i];
@@ -29,11 +29,11 @@
         if (now == item->was || FW_FAULT("config-no-compare")) {
             continue;
         }
-        Fw_Why_Set(why,
-                   "%s %.64s: made on version %" G_GUINT64_FORMAT
-                   ", in force is %" G_GUINT64_FORMAT "%s%s",
-                   Fw_Item_KindName(item->kind), item->name, item->was, now,
-                   by ? " by " : "", by ? by->who : "");
+        Fw_ConfigError_Set(err,
+                           "%s %.64s: made on version %" G_GUINT64_FORMAT
+                           ", in force is %" G_GUINT64_FORMAT "%s%s",
+                           Fw_Item_KindName(item->kind), item->name, item->was,
+                           now, by ? " by " : "", by ? by->who : "");
         return -ESTALE;
     }
     return 0;
@@ -55,25 +55,27 @@
 
 static int
 check_key(const struct fw_state *st, const struct fw_change *ch,
-          const struct fw_key *key, struct fw_why *why)
+          const struct fw_key *key, struct fw_why *err)
 {
     const struct fw_key *old = g_hash_table_lookup(st->cfg->keys, key->digest);
 
     if (old && old->withdrawn && !key->withdrawn &&
         !FW_FAULT("config-key-comes-back")) {
-        Fw_Why_Set(why,
-                   "key %.12s...: withdrawn at version %" G_GUINT64_FORMAT
-                   " for good; give a new key",
-                   key->digest, old->version);
+        Fw_ConfigError_Set(
+            err,
+            "key %.12s...: withdrawn at version %" G_GUINT64_FORMAT
+            " for good; give a new key",
+            key->digest, old->version);
         return -EINVAL;
     }
     if (old && strcmp(old->team, key->team) != 0) {
-        Fw_Why_Set(why, "key %.12s...: is of team %s; give a new key",
-                   key->digest, old->team);
+        Fw_ConfigError_Set(err, "key %.12s...: is of team %s; give a new key",
+                           key->digest, old->team);
         return -EINVAL;
     }
     if (!key->withdrawn && !team_after(st->cfg, ch, key->team)) {
-        Fw_Why_Set(why, "key %.12s...: no team %s", key->digest, key->team);
+        Fw_ConfigError_Set(err, "key %.12s...: no team %s", key->digest,
+                           key->team);
         return -EINVAL;
     }
     return 0;
@@ -96,7 +98,7 @@
 /* Without any operator nobody could put anything right again. */
 static int
 check_operators(const struct fw_state *st, const struct fw_change *ch,
-                struct fw_why *why)
+                struct fw_why *err)
 {
     unsigned before = operators_in_force(st->cfg);
     unsigned after = before;
@@ -113,7 +115,7 @@
         after += !item->removed && !item->u.oper->withdrawn;
     }
     if (before > 0 && after == 0) {
-        Fw_Why_Set(why, "no operator would be left");
+        Fw_ConfigError_Set(err, "no operator would be left");
         return -EINVAL;
     }
     return 0;
@@ -121,7 +123,7 @@
 
 static int
 check_counts(const struct fw_state *st, const struct fw_change *ch,
-             struct fw_why *why)
+             struct fw_why *err)
 {
     unsigned more[FW_ITEM_KINDS] = {0};
 
@@ -131,8 +133,9 @@
         more[item->kind] += item->was == 0;
         if (Fw_Config_ItemCount(st->cfg, item->kind) + more[item->kind] >
             count_max[item->kind]) {
-            Fw_Why_Set(why, "more than %u of kind %s", count_max[item->kind],
-                       Fw_Item_KindName(item->kind));
+            Fw_ConfigError_Set(err, "more than %u of kind %s",
+                               count_max[item->kind],
+                               Fw_Item_KindName(item->kind));
             return -EINVAL;
         }
     }
@@ -141,40 +144,42 @@
 
 static int
 check_meaning(const struct fw_state *st, const struct fw_change *ch,
-              struct fw_why *why)
+              struct fw_why *err)
 {
-    if (ch->base && ch->base + FW_BASE_AGE_MAX < st->cfg->offset) {
-        Fw_Why_Set(why, "made on version %" G_GUINT64_FORMAT ": too old",
-                   ch->base);
+    if (ch->base_version &&
+        ch->base_version + FW_BASE_AGE_MAX_RECORDS < st->cfg->offset) {
+        Fw_ConfigError_Set(err,
+                           "made on version %" G_GUINT64_FORMAT ": too old",
+                           ch->base_version);
         return -EINVAL;
     }
     for (int i = 0; i < ch->n; i++) {
         if (ch->items[i].kind == FW_ITEM_KEY &&
-            check_key(st, ch, ch->items[i].u.key, why)) {
+            check_key(st, ch, ch->items[i].u.key, err)) {
             return -EINVAL;
         }
     }
-    if (check_operators(st, ch, why)) {
+    if (check_operators(st, ch, err)) {
         return -EINVAL;
     }
-    return check_counts(st, ch, why);
+    return check_counts(st, ch, err);
 }
 
 enum fw_change_verdict
-Fw_State_Judge(const struct fw_state *st, const struct fw_change *ch,
-               struct fw_why *why)
+Fw_ConfigState_Evaluate(const struct fw_state *st, const struct fw_change *ch,
+                        struct fw_why *err)
 {
-    const struct fw_seen *seen = Fw_State_Seen(st, ch->id);
+    const struct fw_seen *seen = Fw_ConfigState_FindOutcome(st, ch->id);
 
     if (seen && !FW_FAULT("config-no-ids")) {
-        Fw_Why_Set(why, "id seen at version %" G_GUINT64_FORMAT ": %s",
-                   seen->offset, Fw_Change_VerdictName(seen->verdict));
+        Fw_ConfigError_Set(err, "id seen at version %" G_GUINT64_FORMAT ": %s",
+                           seen->offset, Fw_Change_VerdictName(seen->verdict));
         return FW_CHANGE_DUPLICATE;
     }
-    if (check_versions(st, ch, why)) {
+    if (check_versions(st, ch, err)) {
         return FW_CHANGE_CONFLICT;
     }
-    if (check_meaning(st, ch, why)) {
+    if (check_meaning(st, ch, err)) {
         return FW_CHANGE_INVALID;
     }
     return FW_CHANGE_ACCEPTED;
@@ -184,7 +189,7 @@
 values_before(const struct fw_state *st, const struct fw_change *ch)
 {
     JsonArray *arr = json_array_new();
-    int n = MIN(ch->n, FW_AUDIT_ITEMS);
+    int n = MIN(ch->n, FW_AUDIT_CHANGE_ITEMS_MAX);
 
     for (int i = 0; i < n; i++) {
         const struct fw_item *item = &ch->items[i];
@@ -235,15 +240,16 @@
 
     json_object_set_int_member(o, "offset", (int64_t)offset);
     json_object_set_string_member(o, "id", ch->id);
-    json_object_set_string_member(o, "who", ch->who);
-    json_object_set_string_member(o, "at", ch->at);
+    json_object_set_string_member(o, "who", ch->author);
+    json_object_set_string_member(o, "at", ch->timestamp);
     json_object_set_string_member(o, "verdict",
                                   Fw_Change_VerdictName(res->verdict));
     json_object_set_string_member(o, "why", res->why.text);
     json_object_set_array_member(o, "items", items);
-    json_object_set_int_member(o, "more", MAX(0, ch->n - FW_AUDIT_ITEMS));
+    json_object_set_int_member(o, "more",
+                               MAX(0, ch->n - FW_AUDIT_CHANGE_ITEMS_MAX));
     json_node_take_object(node, o);
-    Fw_Audit_Add(&st->audit, offset, ch->who, json_to_string(node, FALSE));
+    Fw_Audit_Add(&st->audit, offset, ch->author, json_to_string(node, FALSE));
     json_node_unref(node);
 }
 
@@ -258,14 +264,15 @@
     GHashTableIter it;
     void *value;
 
-    if (cfg->offset % FW_PRUNE_EVERY != 0) {
+    if (cfg->offset % FW_KEY_PRUNE_INTERVAL_RECORDS != 0) {
         return;
     }
     g_hash_table_iter_init(&it, cfg->keys);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_key *key = value;
 
-        if (key->withdrawn && key->version + FW_BASE_AGE_MAX < cfg->offset) {
+        if (key->withdrawn &&
+            key->version + FW_BASE_AGE_MAX_RECORDS < cfg->offset) {
             g_hash_table_iter_remove(&it);
         }
     }
@@ -281,9 +288,9 @@
 
     *res = (struct fw_change_result){.verdict = FW_CHANGE_INVALID};
     if (Fw_Change_Parse(text, &ch, &res->why) == 0) {
-        res->verdict = Fw_State_Judge(st, &ch, &res->why);
+        res->verdict = Fw_ConfigState_Evaluate(st, &ch, &res->why);
     }
-    else if (ch.id[0] && Fw_State_Seen(st, ch.id)) {
+    else if (ch.id[0] && Fw_ConfigState_FindOutcome(st, ch.id)) {
         res->verdict = FW_CHANGE_DUPLICATE;
     }
     items = res->verdict == FW_CHANGE_INVALID && ch.n == 0
@@ -297,11 +304,11 @@
     values_after(st, items);
     record_audit(st, offset, &ch, res, items);
     if (ch.id[0] && res->verdict != FW_CHANGE_DUPLICATE) {
-        Fw_State_See(st, ch.id, offset, res->verdict);
+        Fw_ConfigState_RecordOutcome(st, ch.id, offset, res->verdict);
     }
     st->cfg->offset = offset + 1;
     prune_keys(st->cfg);
     g_strlcpy(res->id, ch.id, sizeof(res->id));
-    g_strlcpy(res->who, ch.who, sizeof(res->who));
+    g_strlcpy(res->author, ch.author, sizeof(res->author));
     Fw_Change_Clear(&ch);
 }
--- a/src/config/audit.c
+++ b/src/config/audit.c
@@ -48,7 +48,7 @@
     Fw_List_Append(&a->all, &e->link);
     a->n++;
     a->bytes += entry_bytes(e);
-    while (a->n > FW_AUDIT_ENTRIES || a->bytes > FW_AUDIT_BYTES) {
+    while (a->n > FW_AUDIT_ENTRIES_MAX || a->bytes > FW_AUDIT_BYTES_MAX) {
         drop_oldest(a);
     }
 }
--- a/src/config/audit.h
+++ b/src/config/audit.h
@@ -12,9 +12,10 @@
 #include "base/limits.h"
 #include "base/list.h"
 
-#define FW_AUDIT_ENTRIES 2048
-#define FW_AUDIT_BYTES ((size_t)1024 * 1024)
-#define FW_AUDIT_ITEMS 8 /* shown of one change; the rest is counted */
+#define FW_AUDIT_ENTRIES_MAX 2048
+#define FW_AUDIT_BYTES_MAX ((size_t)1024 * 1024)
+#define FW_AUDIT_CHANGE_ITEMS_MAX                                             \
+    8 /* shown of one change; the rest is counted */
 
 /**
  * struct fw_audit_entry - one record's fate.
--- a/src/config/change.h
+++ b/src/config/change.h
@@ -28,7 +28,7 @@
 };
 
 void
-Fw_Why_Set(struct fw_why *why, const char *fmt, ...)
+Fw_ConfigError_Set(struct fw_why *err, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
 /** enum fw_item_kind - kinds of items; the order is that of the listings. */
@@ -84,13 +84,13 @@
 
 /**
  * struct fw_change - one record.
- * @base: version that it was made on as a whole, 0 for none
+ * @base_version: version that it was made on as a whole, 0 for none
  */
 struct fw_change {
     char id[FW_CHANGE_ID_MAX];
-    char who[FW_NAME_MAX];
-    char at[FW_CHANGE_AT_MAX];
-    uint64_t base;
+    char author[FW_NAME_MAX];
+    char timestamp[FW_CHANGE_AT_MAX];
+    uint64_t base_version;
     int n;
     struct fw_item *items;
 };
@@ -98,14 +98,14 @@
 /**
  * Fw_Change_Parse - reads a record's text.
  *
- * Return: 0 or -EINVAL with @why; then @ch still holds id, who and at where
+ * Return: 0 or -EINVAL with @err; then @ch still holds id, who and at where
  * these could be read, for the audit trail. Fw_Change_Clear in both cases.
  */
 int
-Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *why);
+Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *err);
 /* Reads one {"kind","name","was","value"}; the same on error. */
 int
-Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *why);
+Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *err);
 void
 Fw_Item_Clear(struct fw_item *item);
 void
--- a/src/config/change_parse.c
+++ b/src/config/change_parse.c
@@ -11,7 +11,7 @@
 
 /* What a record held may be cut inside a character. */
 void
-Fw_Why_Clean(char *text)
+Fw_ConfigError_Sanitize(char *text)
 {
     for (char *p = text; *p; p++) {
         if (!g_ascii_isprint(*p)) {
@@ -21,14 +21,14 @@
 }
 
 void
-Fw_Why_Set(struct fw_why *why, const char *fmt, ...)
+Fw_ConfigError_Set(struct fw_why *err, const char *fmt, ...)
 {
     va_list ap;
 
     va_start(ap, fmt);
-    g_vsnprintf(why->text, sizeof(why->text), fmt, ap);
+    g_vsnprintf(err->text, sizeof(err->text), fmt, ap);
     va_end(ap);
-    Fw_Why_Clean(why->text);
+    Fw_ConfigError_Sanitize(err->text);
 }
 
 const char *
@@ -87,7 +87,7 @@
 }
 
 static int
-item_name(struct fw_item *item, const char *name, struct fw_why *why)
+item_name(struct fw_item *item, const char *name, struct fw_why *err)
 {
     int ok = item->kind == FW_ITEM_KEY ? Fw_Digest_Valid(name)
                                        : Fw_Name_Valid(name);
@@ -96,12 +96,13 @@
         ok = strcmp(name, "on-withdraw") == 0;
     }
     if (!ok) {
-        Fw_Why_Set(why, "%s: name is %.64s, allowed: %s",
-                   Fw_Item_KindName(item->kind), name,
-                   item->kind == FW_ITEM_KEY ? "SHA-256 in lower-case hex"
-                   : item->kind == FW_ITEM_SETTING
-                       ? "on-withdraw"
-                       : "1 to 47 of letters, digits and . _ - : /");
+        Fw_ConfigError_Set(err, "%s: name is %.64s, allowed: %s",
+                           Fw_Item_KindName(item->kind), name,
+                           item->kind == FW_ITEM_KEY
+                               ? "SHA-256 in lower-case hex"
+                           : item->kind == FW_ITEM_SETTING
+                               ? "on-withdraw"
+                               : "1 to 47 of letters, digits and . _ - : /");
         return -EINVAL;
     }
     g_strlcpy(item->name, name, sizeof(item->name));
@@ -109,15 +110,15 @@
 }
 
 static int
-parse_setting(struct fw_item *item, JsonObject *value, struct fw_why *why)
+parse_setting(struct fw_item *item, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {"value", NULL};
     static const char *const words[] = {"cut", "finish", NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = item->name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = item->name};
     int word = 0;
 
-    if (Fw_Field_Only(&r, known) ||
-        Fw_Field_Word(&r, "value", words, -1, &word)) {
+    if (Fw_Field_RejectUnknown(&r, known) ||
+        Fw_Field_Enum(&r, "value", words, -1, &word)) {
         return -EINVAL;
     }
     item->u.setting = (enum fw_on_withdraw)word;
@@ -125,29 +126,29 @@
 }
 
 static int
-parse_value(struct fw_item *item, JsonObject *value, struct fw_why *why)
+parse_value(struct fw_item *item, JsonObject *value, struct fw_why *err)
 {
     switch (item->kind) {
     case FW_ITEM_TEAM:
-        item->u.team = Fw_Team_Parse(item->name, value, why);
+        item->u.team = Fw_Team_Parse(item->name, value, err);
         break;
     case FW_ITEM_KEY:
-        item->u.key = Fw_Key_Parse(item->name, value, why);
+        item->u.key = Fw_Key_Parse(item->name, value, err);
         break;
     case FW_ITEM_UPSTREAM:
-        item->u.upstream = Fw_Upstream_Parse(item->name, value, why);
+        item->u.upstream = Fw_Upstream_Parse(item->name, value, err);
         break;
     case FW_ITEM_POOL:
-        item->u.pool = Fw_Pool_Parse(item->name, value, why);
+        item->u.pool = Fw_Pool_Parse(item->name, value, err);
         break;
     case FW_ITEM_SERVICE:
-        item->u.service = Fw_Service_Parse(item->name, value, why);
+        item->u.service = Fw_Service_Parse(item->name, value, err);
         break;
     case FW_ITEM_OPERATOR:
-        item->u.oper = Fw_Operator_Parse(item->name, value, why);
+        item->u.oper = Fw_Operator_Parse(item->name, value, err);
         break;
     case FW_ITEM_SETTING:
-        return parse_setting(item, value, why);
+        return parse_setting(item, value, err);
     case FW_ITEM_KINDS:
         return -EINVAL;
     }
@@ -156,11 +157,11 @@
 
 /* Keys stay as withdrawn, so that no old sheet brings one back. */
 static int
-parse_removal(struct fw_item *item, struct fw_why *why)
+parse_removal(struct fw_item *item, struct fw_why *err)
 {
     if (item->kind == FW_ITEM_KEY || item->kind == FW_ITEM_SETTING) {
-        Fw_Why_Set(why, "%s: a %s can't be removed", item->name,
-                   Fw_Item_KindName(item->kind));
+        Fw_ConfigError_Set(err, "%s: a %s can't be removed", item->name,
+                           Fw_Item_KindName(item->kind));
         return -EINVAL;
     }
     item->removed = 1;
@@ -168,10 +169,10 @@
 }
 
 int
-Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *why)
+Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *err)
 {
     static const char *const known[] = {"kind", "name", "was", "value", NULL};
-    struct fw_field_reader r = {.obj = obj, .why = why, .where = "item"};
+    struct fw_field_reader r = {.obj = obj, .err = err, .where = "item"};
     char name[FW_ITEM_NAME_MAX];
     int64_t was = 0;
     int kind = 0;
@@ -180,30 +181,30 @@
                                         "setting", NULL};
     JsonNode *value = json_object_get_member(obj, "value");
 
-    if (Fw_Field_Only(&r, known) ||
-        Fw_Field_Word(&r, "kind", kinds, -1, &kind) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
+        Fw_Field_Enum(&r, "kind", kinds, -1, &kind) ||
         Fw_Field_Text(&r, "name", name, sizeof(name)) ||
         Fw_Field_Int(&r, "was", 0, INT64_MAX, -1, &was)) {
         return -EINVAL;
     }
     item->kind = (enum fw_item_kind)kind;
     item->was = (uint64_t)was;
-    if (item_name(item, name, why)) {
+    if (item_name(item, name, err)) {
         return -EINVAL;
     }
     if (value && JSON_NODE_HOLDS_NULL(value)) {
-        return parse_removal(item, why);
+        return parse_removal(item, err);
     }
     if (!value || !JSON_NODE_HOLDS_OBJECT(value)) {
-        Fw_Why_Set(why, "%s %.64s: value is no object",
-                   Fw_Item_KindName(item->kind), item->name);
+        Fw_ConfigError_Set(err, "%s %.64s: value is no object",
+                           Fw_Item_KindName(item->kind), item->name);
         return -EINVAL;
     }
-    return parse_value(item, json_node_get_object(value), why);
+    return parse_value(item, json_node_get_object(value), err);
 }
 
 static int
-parse_items(JsonArray *arr, struct fw_change *ch, struct fw_why *why)
+parse_items(JsonArray *arr, struct fw_change *ch, struct fw_why *err)
 {
     unsigned n = json_array_get_length(arr);
     GHashTable *seen;
@@ -216,16 +217,16 @@
         struct fw_item *item = &ch->items[i];
 
         if (!JSON_NODE_HOLDS_OBJECT(node)) {
-            Fw_Why_Set(why, "item %u is no object", i + 1);
+            Fw_ConfigError_Set(err, "item %u is no object", i + 1);
             rc = -EINVAL;
             break;
         }
-        rc = Fw_Item_Parse(json_node_get_object(node), item, why);
+        rc = Fw_Item_Parse(json_node_get_object(node), item, err);
         if (rc == 0 &&
             !g_hash_table_add(
                 seen, g_strdup_printf("%d %s", item->kind, item->name))) {
-            Fw_Why_Set(why, "%s %.64s is listed twice",
-                       Fw_Item_KindName(item->kind), item->name);
+            Fw_ConfigError_Set(err, "%s %.64s is listed twice",
+                               Fw_Item_KindName(item->kind), item->name);
             rc = -EINVAL;
         }
         ch->n++;
@@ -235,33 +236,34 @@
 }
 
 static int
-parse_record(JsonObject *obj, struct fw_change *ch, struct fw_why *why)
+parse_record(JsonObject *obj, struct fw_change *ch, struct fw_why *err)
 {
     static const char *const known[] = {"v",    "id",    "who", "at",
                                         "base", "items", NULL};
-    struct fw_field_reader r = {.obj = obj, .why = why, .where = "record"};
+    struct fw_field_reader r = {.obj = obj, .err = err, .where = "record"};
     JsonArray *items;
     int64_t v;
     int64_t base = 0;
 
     if (Fw_Field_Text(&r, "id", ch->id, sizeof(ch->id)) ||
-        Fw_Field_Name(&r, "who", NULL, ch->who) ||
-        Fw_Field_Text(&r, "at", ch->at, sizeof(ch->at)) ||
-        Fw_Field_Only(&r, known) || Fw_Field_Int(&r, "v", 1, 1, -1, &v) ||
+        Fw_Field_Name(&r, "who", NULL, ch->author) ||
+        Fw_Field_Text(&r, "at", ch->timestamp, sizeof(ch->timestamp)) ||
+        Fw_Field_RejectUnknown(&r, known) ||
+        Fw_Field_Int(&r, "v", 1, 1, -1, &v) ||
         Fw_Field_Int(&r, "base", 0, INT64_MAX, 0, &base) ||
         Fw_Field_Array(&r, "items", FW_CHANGE_ITEMS_MAX, &items)) {
         return -EINVAL;
     }
-    ch->base = (uint64_t)base;
+    ch->base_version = (uint64_t)base;
     if (!items || json_array_get_length(items) == 0) {
-        Fw_Why_Set(why, "record: no items");
+        Fw_ConfigError_Set(err, "record: no items");
         return -EINVAL;
     }
-    return parse_items(items, ch, why);
+    return parse_items(items, ch, err);
 }
 
 int
-Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *why)
+Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *err)
 {
     JsonParser *parser = NULL;
     JsonObject *obj;
@@ -273,11 +275,12 @@
         parser = Fw_Json_LoadObject(text, len, &obj);
     }
     if (!parser) {
-        Fw_Why_Set(why, "record: not a JSON object of at most %zu bytes",
-                   FW_CHANGE_BYTES_MAX);
+        Fw_ConfigError_Set(err,
+                           "record: not a JSON object of at most %zu bytes",
+                           FW_CHANGE_BYTES_MAX);
         return -EINVAL;
     }
-    rc = parse_record(obj, ch, why);
+    rc = parse_record(obj, ch, err);
     g_object_unref(parser);
     return rc;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -62,8 +62,8 @@
     FW_FENCING_IGNORED,
 };
 
-/** struct fw_link - the way from a prefill domain to this upstream. */
-struct fw_link {
+/** struct fw_kv_link - the way from a prefill domain to this upstream. */
+struct fw_kv_link {
     char domain[FW_NAME_MAX];
     int64_t bytes_per_s;
 };
@@ -87,7 +87,7 @@
     int64_t prefill_rate;
     int drained;
     int n_links;
-    struct fw_link links[FW_UPSTREAM_LINKS_MAX];
+    struct fw_kv_link links[FW_UPSTREAM_LINKS_MAX];
 };
 
 /** struct fw_serving - a model version, with an adapter or none. */
--- a/src/config/config_internal.h
+++ b/src/config/config_internal.h
@@ -8,34 +8,35 @@
 #include "config/config.h"
 
 void
-Fw_Why_Clean(char *text);
+Fw_ConfigError_Sanitize(char *text);
 void
 Fw_Team_Free(struct fw_team *team);
 
 /* Reads a JSON value into a new item; on error nothing is allocated. */
 struct fw_team *
-Fw_Team_Parse(const char *name, JsonObject *value, struct fw_why *why);
+Fw_Team_Parse(const char *name, JsonObject *value, struct fw_why *err);
 struct fw_key *
-Fw_Key_Parse(const char *name, JsonObject *value, struct fw_why *why);
+Fw_Key_Parse(const char *name, JsonObject *value, struct fw_why *err);
 struct fw_upstream *
-Fw_Upstream_Parse(const char *name, JsonObject *value, struct fw_why *why);
+Fw_Upstream_Parse(const char *name, JsonObject *value, struct fw_why *err);
 struct fw_pool *
-Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_why *why);
+Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_why *err);
 struct fw_service *
-Fw_Service_Parse(const char *name, JsonObject *value, struct fw_why *why);
+Fw_Service_Parse(const char *name, JsonObject *value, struct fw_why *err);
 struct fw_operator *
-Fw_Operator_Parse(const char *name, JsonObject *value, struct fw_why *why);
+Fw_Operator_Parse(const char *name, JsonObject *value, struct fw_why *err);
 
 /* Checked readers of one member; see field.c. */
 struct fw_field_reader {
     JsonObject *obj;
-    struct fw_why *why;
+    struct fw_why *err;
     const char *where;
 };
 
 /* Refuses a member that is not in @known (NULL-terminated). */
 int
-Fw_Field_Only(const struct fw_field_reader *r, const char *const *known);
+Fw_Field_RejectUnknown(const struct fw_field_reader *r,
+                       const char *const *known);
 /* @dflt is taken when the member is missing; -1 there makes it required. */
 int
 Fw_Field_Int(const struct fw_field_reader *r, const char *name, int64_t min,
@@ -54,7 +55,7 @@
 Fw_Field_Digest(const struct fw_field_reader *r, const char *name, char *out);
 /* One of @words (NULL-terminated); the index goes to @out. */
 int
-Fw_Field_Word(const struct fw_field_reader *r, const char *name,
+Fw_Field_Enum(const struct fw_field_reader *r, const char *name,
               const char *const *words, int dflt, int *out);
 /* The array or NULL when missing; -EINVAL when it is no array or too long. */
 int
--- a/src/config/config_msg.c
+++ b/src/config/config_msg.c
@@ -10,16 +10,16 @@
 Fw_Config_PackMsg(msgpack_packer *pk, const struct fw_config_msg *msg)
 {
     switch (msg->kind) {
-    case FW_CONFIG_NONE:
+    case FW_CONFIG_MSG_UP_TO_DATE:
         msgpack_pack_array(pk, 1);
-        msgpack_pack_int(pk, FW_CONFIG_NONE);
+        msgpack_pack_int(pk, FW_CONFIG_MSG_UP_TO_DATE);
         break;
-    case FW_CONFIG_ASK:
+    case FW_CONFIG_MSG_PART_REQUEST:
         msgpack_pack_array(pk, 4);
-        msgpack_pack_int(pk, FW_CONFIG_ASK);
-        msgpack_pack_uint64(pk, msg->u.ask.have);
-        Fw_Pack_Str(pk, msg->u.ask.snap);
-        msgpack_pack_uint32(pk, msg->u.ask.k);
+        msgpack_pack_int(pk, FW_CONFIG_MSG_PART_REQUEST);
+        msgpack_pack_uint64(pk, msg->u.ask.next_offset);
+        Fw_Pack_Str(pk, msg->u.ask.snapshot_id);
+        msgpack_pack_uint32(pk, msg->u.ask.part);
         break;
     case FW_CONFIG_PART:
         msgpack_pack_array(pk, 2);
@@ -30,16 +30,16 @@
 }
 
 static int
-unpack_ask(const msgpack_object *obj, struct fw_config_ask *ask)
+unpack_ask(const msgpack_object *obj, struct fw_config_part_request *ask)
 {
     uint64_t k;
 
-    if (Fw_Unpack_U64(obj, 1, &ask->have) ||
-        Fw_Unpack_Str(obj, 2, ask->snap, sizeof(ask->snap)) ||
+    if (Fw_Unpack_U64(obj, 1, &ask->next_offset) ||
+        Fw_Unpack_Str(obj, 2, ask->snapshot_id, sizeof(ask->snapshot_id)) ||
         Fw_Unpack_U64(obj, 3, &k) || k > UINT32_MAX) {
         return -EBADMSG;
     }
-    ask->k = (uint32_t)k;
+    ask->part = (uint32_t)k;
     return 0;
 }
 
@@ -71,9 +71,9 @@
     }
     msg->kind = (enum fw_config_msg_kind)kind;
     switch (kind) {
-    case FW_CONFIG_NONE:
+    case FW_CONFIG_MSG_UP_TO_DATE:
         return 0;
-    case FW_CONFIG_ASK:
+    case FW_CONFIG_MSG_PART_REQUEST:
         return unpack_ask(obj, &msg->u.ask);
     case FW_CONFIG_PART:
         return unpack_part(obj, msg);
@@ -88,5 +88,5 @@
     if (msg->kind == FW_CONFIG_PART) {
         g_free(msg->u.part);
     }
-    msg->kind = FW_CONFIG_NONE;
+    msg->kind = FW_CONFIG_MSG_UP_TO_DATE;
 }
--- a/src/config/config_msg.h
+++ b/src/config/config_msg.h
@@ -11,28 +11,29 @@
 
 /** enum fw_config_msg_kind - a wire value. */
 enum fw_config_msg_kind {
-    FW_CONFIG_NONE, /* answer: nothing newer here */
-    FW_CONFIG_ASK,  /* a part of the state, if it is newer than mine */
+    FW_CONFIG_MSG_UP_TO_DATE,   /* answer: nothing newer here */
+    FW_CONFIG_MSG_PART_REQUEST, /* a part of the state, if it is newer than
+                                   mine */
     FW_CONFIG_PART, /* answer; late while the state is being written */
 };
 
 /**
- * struct fw_config_ask - asks for one part.
- * @have: offset up to which the asker has folded
- * @snap: snapshot being taken, empty to begin
- * @k: part wanted
+ * struct fw_config_part_request - asks for one part.
+ * @next_offset: offset up to which the asker has folded
+ * @snapshot_id: snapshot being taken, empty to begin
+ * @part: part wanted
  */
-struct fw_config_ask {
-    uint64_t have;
-    char snap[FW_NAME_MAX];
-    uint32_t k;
+struct fw_config_part_request {
+    uint64_t next_offset;
+    char snapshot_id[FW_NAME_MAX];
+    uint32_t part;
 };
 
 /** struct fw_config_msg - tagged by @kind. */
 struct fw_config_msg {
     enum fw_config_msg_kind kind;
     union {
-        struct fw_config_ask ask;
+        struct fw_config_part_request ask;
         char *part; /* as in stream "snapshot"; owned */
     } u;
 };
--- a/src/config/field.c
+++ b/src/config/field.c
@@ -11,12 +11,12 @@
 {
     char *found = node ? json_to_string(node, FALSE) : g_strdup("nothing");
 
-    Fw_Why_Set(r->why, "%s: %s is %.40s, allowed: %s", r->where, name, found,
-               allowed);
-    g_strlcpy(r->why->member, name, sizeof(r->why->member));
-    g_strlcpy(r->why->found, found, sizeof(r->why->found));
-    g_strlcpy(r->why->allowed, allowed, sizeof(r->why->allowed));
-    Fw_Why_Clean(r->why->found);
+    Fw_ConfigError_Set(r->err, "%s: %s is %.40s, allowed: %s", r->where, name,
+                       found, allowed);
+    g_strlcpy(r->err->member, name, sizeof(r->err->member));
+    g_strlcpy(r->err->found, found, sizeof(r->err->found));
+    g_strlcpy(r->err->allowed, allowed, sizeof(r->err->allowed));
+    Fw_ConfigError_Sanitize(r->err->found);
     g_free(found);
     return -EINVAL;
 }
@@ -29,7 +29,8 @@
 }
 
 int
-Fw_Field_Only(const struct fw_field_reader *r, const char *const *known)
+Fw_Field_RejectUnknown(const struct fw_field_reader *r,
+                       const char *const *known)
 {
     JsonObjectIter it;
     const char *name;
@@ -37,7 +38,8 @@
     json_object_iter_init(&it, r->obj);
     while (json_object_iter_next(&it, &name, NULL)) {
         if (!g_strv_contains(known, name)) {
-            Fw_Why_Set(r->why, "%s: unknown member %.40s", r->where, name);
+            Fw_ConfigError_Set(r->err, "%s: unknown member %.40s", r->where,
+                               name);
             return -EINVAL;
         }
     }
@@ -144,7 +146,7 @@
 }
 
 int
-Fw_Field_Word(const struct fw_field_reader *r, const char *name,
+Fw_Field_Enum(const struct fw_field_reader *r, const char *name,
               const char *const *words, int dflt, int *out)
 {
     JsonNode *node = json_object_get_member(r->obj, name);
--- a/src/config/fold.h
+++ b/src/config/fold.h
@@ -49,7 +49,7 @@
 /* The verdict that a change would get now. */
 enum fw_change_verdict
 Fw_Fold_Judge(const struct fw_fold *f, const struct fw_change *ch,
-              struct fw_why *why);
+              struct fw_why *err);
 
 /* Age of the last successful read of the log in microseconds. */
 int64_t
--- a/src/config/fold_cmd.c
+++ b/src/config/fold_cmd.c
@@ -35,7 +35,7 @@
          .help = "1 while the log lacks the record after ours.",
          .is_gauge = 1},
     };
-    struct fw_fold_metrics *m = &f->m;
+    struct fw_replica_metrics *m = &f->metrics;
     struct fw_metric *const to[] = {
         &m->offset,       &m->verdicts[0],   &m->verdicts[1], &m->verdicts[2],
         &m->verdicts[3],  &m->read_failures, &m->adopted_log, &m->adopted_peer,
@@ -58,12 +58,12 @@
 
     g_strlcpy(f->instance, instance, sizeof(f->instance));
     f->rand = g_rand_new_with_seed(seed);
-    f->st = Fw_State_New();
-    f->fresh_us = now_us;
+    f->state = Fw_State_New();
+    f->last_success_us = now_us;
     f->read_due_us = now_us;
-    f->backoff_us = FW_FOLD_BACKOFF_MIN_US;
+    f->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
     add_metrics(f, metrics);
-    Fw_Fold_FindStart(f);
+    Fw_ConfigReplica_StartSearch(f);
     return f;
 }
 
@@ -73,18 +73,18 @@
     if (!f) {
         return;
     }
-    Fw_State_Free(f->st);
-    Fw_State_Free(f->find.best);
-    Fw_Snap_Reset(&f->find.parts);
-    Fw_Snap_FreeText(f->write.text);
-    Fw_Fold_PeerClear(f);
+    Fw_State_Free(f->state);
+    Fw_State_Free(f->search.newest);
+    Fw_Snapshot_Reset(&f->search.assembler);
+    Fw_Snap_FreeText(f->writer.snapshot);
+    Fw_ConfigReplica_ResetPeer(f);
     Fw_Snap_FreeText(f->peer.served);
     g_rand_free(f->rand);
     g_free(f);
 }
 
 uint64_t
-Fw_Fold_Ticket(struct fw_fold *f)
+Fw_ConfigReplica_NewTicket(struct fw_fold *f)
 {
     return Fw_Owner_Number(FW_OWNER_CONFIG, ++f->seq);
 }
@@ -95,26 +95,26 @@
  * it as a key that works again. So only a newer state is taken.
  */
 int
-Fw_Fold_Adopt(struct fw_fold *f, struct fw_state *st, const char *source,
-              struct fw_actions *out)
+Fw_ConfigReplica_Install(struct fw_fold *f, struct fw_state *st,
+                         const char *source, struct fw_actions *out)
 {
     char at[24];
 
-    if (st->cfg->offset <= f->st->cfg->offset &&
+    if (st->cfg->offset <= f->state->cfg->offset &&
         !FW_FAULT("config-adopt-older")) {
         Fw_State_Free(st);
         return 0;
     }
-    Fw_State_Free(f->st);
-    f->st = st;
+    Fw_State_Free(f->state);
+    f->state = st;
     f->gap = 0;
-    f->m.gap.value = 0;
-    f->m.offset.value = (int64_t)st->cfg->offset - 1;
+    f->metrics.gap.value = 0;
+    f->metrics.offset.value = (int64_t)st->cfg->offset - 1;
     if (strcmp(source, "log") == 0) {
-        f->m.adopted_log.value++;
+        f->metrics.adopted_log.value++;
     }
     else {
-        f->m.adopted_peer.value++;
+        f->metrics.adopted_peer.value++;
     }
     g_snprintf(at, sizeof(at), "%" G_GUINT64_FORMAT, st->cfg->offset - 1);
     Fw_Actions_Note(out, LOG_NOTICE, "config_adopted", "source", source,
@@ -131,7 +131,7 @@
 
     g_snprintf(at, sizeof(at), "%" G_GUINT64_FORMAT, offset);
     Fw_Actions_Note(out, severity, "config_change", "offset", at, "id",
-                    res->id, "who", res->who, "verdict",
+                    res->id, "who", res->author, "verdict",
                     Fw_Change_VerdictName(res->verdict), "why", res->why.text,
                     NULL);
 }
@@ -145,31 +145,31 @@
         struct fw_change_result res;
         uint64_t offset = r->first + (uint64_t)i;
 
-        if (offset != f->st->cfg->offset) {
+        if (offset != f->state->cfg->offset) {
             continue;
         }
-        Fw_State_Apply(f->st, r->records[i], &res);
-        f->m.verdicts[res.verdict].value++;
+        Fw_State_Apply(f->state, r->records[i], &res);
+        f->metrics.verdicts[res.verdict].value++;
         note_result(offset, &res, out);
     }
-    f->m.offset.value = (int64_t)f->st->cfg->offset - 1;
+    f->metrics.offset.value = (int64_t)f->state->cfg->offset - 1;
 }
 
 void
-Fw_Fold_Backoff(struct fw_fold *f, int64_t now_us)
+Fw_ConfigReplica_BackOff(struct fw_fold *f, int64_t now_us)
 {
     /* Spread, so that a log that comes back is not met by all at once. */
     f->read_due_us =
         now_us + g_rand_int_range(f->rand, (gint32)(f->backoff_us / 2),
                                   (gint32)(f->backoff_us * 3 / 2));
-    f->backoff_us = MIN(f->backoff_us * 2, FW_FOLD_BACKOFF_MAX_US);
+    f->backoff_us = MIN(f->backoff_us * 2, FW_REPLICA_BACKOFF_MAX_US);
 }
 
 static void
 read_failed(struct fw_fold *f, int64_t now_us)
 {
-    f->m.read_failures.value++;
-    Fw_Fold_Backoff(f, now_us);
+    f->metrics.read_failures.value++;
+    Fw_ConfigReplica_BackOff(f, now_us);
 }
 
 /* The log dropped records that were never read here. What is in force stays
@@ -182,29 +182,29 @@
         Fw_Actions_Note(out, LOG_ERR, "config_gap", NULL);
     }
     f->gap = 1;
-    f->m.gap.value = 1;
-    f->oldest = r->oldest;
-    Fw_Fold_FindStart(f);
-    Fw_Fold_Backoff(f, now_us);
+    f->metrics.gap.value = 1;
+    f->oldest_offset = r->oldest;
+    Fw_ConfigReplica_StartSearch(f);
+    Fw_ConfigReplica_BackOff(f, now_us);
 }
 
 static void
 follow(struct fw_fold *f, const struct fw_log_records *r, int64_t now_us,
        struct fw_actions *out)
 {
-    uint64_t have = f->st->cfg->offset;
+    uint64_t have = f->state->cfg->offset;
 
     if (MAX(r->first, r->oldest) > have && r->end > have) {
         note_gap(f, r, now_us, out);
         return;
     }
     f->gap = 0;
-    f->m.gap.value = 0;
-    f->oldest = r->oldest;
-    f->backoff_us = FW_FOLD_BACKOFF_MIN_US;
+    f->metrics.gap.value = 0;
+    f->oldest_offset = r->oldest;
+    f->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
     f->read_due_us = now_us;
     fold_records(f, r, out);
-    if (f->st->cfg->offset >= r->end) {
+    if (f->state->cfg->offset >= r->end) {
         f->ready = 1;
     }
 }
@@ -218,11 +218,11 @@
         read_failed(f, now_us);
         return;
     }
-    if (f->phase != FW_FOLD_FOLLOW) {
-        Fw_Fold_FindRecords(f, r, now_us, out);
+    if (f->phase != FW_REPLICA_FOLLOW) {
+        Fw_ConfigReplica_OnSearchRecords(f, r, now_us, out);
         return;
     }
-    f->fresh_us = r->sent_us;
+    f->last_success_us = r->sent_us;
     follow(f, r, now_us, out);
 }
 
@@ -233,8 +233,8 @@
     if (f->read_ticket && r->ticket == f->read_ticket) {
         on_read(f, r, now_us, out);
     }
-    else if (f->write.ticket && r->ticket == f->write.ticket) {
-        Fw_Fold_WriteRecords(f, r, now_us);
+    else if (f->writer.ticket && r->ticket == f->writer.ticket) {
+        Fw_ConfigReplica_OnWriterRecords(f, r, now_us);
     }
     Fw_Fold_Tick(f, now_us, out);
 }
@@ -243,8 +243,8 @@
 Fw_Fold_OnAppended(struct fw_fold *f, const struct fw_log_appended *a,
                    int64_t now_us, struct fw_actions *out)
 {
-    if (f->write.ticket && a->ticket == f->write.ticket) {
-        Fw_Fold_WriteAppended(f, a, now_us);
+    if (f->writer.ticket && a->ticket == f->writer.ticket) {
+        Fw_ConfigReplica_OnWriterAppended(f, a, now_us);
     }
     Fw_Fold_Tick(f, now_us, out);
 }
@@ -252,28 +252,31 @@
 static void
 send_read(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
 {
-    f->read_ticket = Fw_Fold_Ticket(f);
+    f->read_ticket = Fw_ConfigReplica_NewTicket(f);
     f->read_sent_us = now_us;
-    if (f->phase != FW_FOLD_FOLLOW) {
-        Fw_Fold_FindSend(f, out);
+    if (f->phase != FW_REPLICA_FOLLOW) {
+        Fw_ConfigReplica_SendSearchRead(f, out);
         return;
     }
-    Fw_Actions_Read(out, f->read_ticket, FW_STREAM_CONFIG, f->st->cfg->offset,
-                    FW_FOLD_BATCH, FW_FOLD_WAIT_US);
+    Fw_Actions_Read(out, f->read_ticket, FW_STREAM_CONFIG,
+                    f->state->cfg->offset, FW_REPLICA_READ_RECORDS_MAX,
+                    FW_REPLICA_READ_WAIT_US);
 }
 
 void
 Fw_Fold_Tick(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
 {
-    if (f->read_ticket && now_us >= f->read_sent_us + FW_FOLD_LOST_US) {
+    if (f->read_ticket &&
+        now_us >= f->read_sent_us + FW_REPLICA_READ_TIMEOUT_US) {
         f->read_ticket = 0;
         read_failed(f, now_us);
     }
     if (!f->read_ticket && now_us >= f->read_due_us) {
         send_read(f, now_us, out);
     }
-    Fw_Actions_Wake(out, f->read_ticket ? f->read_sent_us + FW_FOLD_LOST_US
-                                        : f->read_due_us);
-    Fw_Fold_PeerTick(f, now_us, out);
-    Fw_Fold_WriteTick(f, now_us, out);
+    Fw_Actions_Wake(out, f->read_ticket
+                             ? f->read_sent_us + FW_REPLICA_READ_TIMEOUT_US
+                             : f->read_due_us);
+    Fw_ConfigReplica_TickPeer(f, now_us, out);
+    Fw_ConfigReplica_TickWriter(f, now_us, out);
 }
--- a/src/config/fold_find.c
+++ b/src/config/fold_find.c
@@ -11,113 +11,118 @@
 #include "config/fold_internal.h"
 
 void
-Fw_Fold_FindStart(struct fw_fold *f)
+Fw_ConfigReplica_StartSearch(struct fw_fold *f)
 {
-    struct fw_fold_find *s = &f->find;
+    struct fw_replica_search *s = &f->search;
 
-    f->phase = FW_FOLD_BOUNDS;
-    Fw_Snap_Reset(&s->parts);
-    Fw_State_Free(s->best);
-    s->best = NULL;
-    s->window = FW_FIND_WINDOW;
+    f->phase = FW_REPLICA_READ_BOUNDS;
+    Fw_Snapshot_Reset(&s->assembler);
+    Fw_State_Free(s->newest);
+    s->newest = NULL;
+    s->window_records = FW_SEARCH_WINDOW_RECORDS;
 }
 
 void
-Fw_Fold_FindSend(struct fw_fold *f, struct fw_actions *out)
+Fw_ConfigReplica_SendSearchRead(struct fw_fold *f, struct fw_actions *out)
 {
-    uint64_t from = f->phase == FW_FOLD_BOUNDS ? 1 : f->find.from;
-    int max = f->phase == FW_FOLD_BOUNDS ? 1 : FW_FIND_BATCH;
+    uint64_t from =
+        f->phase == FW_REPLICA_READ_BOUNDS ? 1 : f->search.next_offset;
+    int max =
+        f->phase == FW_REPLICA_READ_BOUNDS ? 1 : FW_SEARCH_READ_RECORDS_MAX;
 
     Fw_Actions_Read(out, f->read_ticket, FW_STREAM_SNAPSHOT, from, max, 0);
 }
 
 static void
-open_window(struct fw_fold_find *s)
+open_window(struct fw_replica_search *s)
 {
-    s->start = s->end > s->window ? s->end - s->window : 1;
-    s->start = MAX(s->start, s->oldest);
-    s->from = s->start;
-    Fw_Snap_Reset(&s->parts);
+    s->window_start = s->end_offset > s->window_records
+                          ? s->end_offset - s->window_records
+                          : 1;
+    s->window_start = MAX(s->window_start, s->oldest_offset);
+    s->next_offset = s->window_start;
+    Fw_Snapshot_Reset(&s->assembler);
 }
 
 static void
 take_parts(struct fw_fold *f, const struct fw_log_records *r,
            struct fw_actions *out)
 {
-    struct fw_fold_find *s = &f->find;
+    struct fw_replica_search *s = &f->search;
 
     for (int i = 0; i < r->n; i++) {
         struct fw_state *st = NULL;
-        struct fw_snap_head head;
-        int rc = Fw_Snap_Feed(&s->parts, r->records[i], &st, NULL);
+        struct fw_snapshot_header head;
+        int rc = Fw_Snap_Feed(&s->assembler, r->records[i], &st, NULL);
 
-        if (rc == -EBADMSG && r->first + (uint64_t)i != s->start) {
-            f->m.snap_refused.value++;
+        if (rc == -EBADMSG && r->first + (uint64_t)i != s->window_start) {
+            f->metrics.snap_refused.value++;
             Fw_Actions_Note(out, LOG_NOTICE, "snapshot_refused", NULL);
         }
         if (rc != 1) {
             continue;
         }
-        if (s->best && s->best->cfg->offset >= st->cfg->offset) {
+        if (s->newest && s->newest->cfg->offset >= st->cfg->offset) {
             Fw_State_Free(st);
             continue;
         }
-        Fw_State_Free(s->best);
-        s->best = st;
-        Fw_Snap_ParseHead(r->records[i], &head);
-        s->best_first = r->first + (uint64_t)i + 1 - head.n;
+        Fw_State_Free(s->newest);
+        s->newest = st;
+        Fw_Snapshot_ParseHeader(r->records[i], &head);
+        s->newest_first = r->first + (uint64_t)i + 1 - head.n_parts;
     }
 }
 
 static void
 found(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_fold_find *s = &f->find;
+    struct fw_replica_search *s = &f->search;
 
-    f->write.known = s->best->cfg->offset;
-    f->write.known_us = now_us;
-    f->write.known_first = s->best_first;
-    Fw_Fold_Adopt(f, s->best, "log", out);
-    s->best = NULL;
-    Fw_Snap_Reset(&s->parts);
-    f->phase = FW_FOLD_FOLLOW;
+    f->writer.newest = s->newest->cfg->offset;
+    f->writer.newest_us = now_us;
+    f->writer.newest_first = s->newest_first;
+    Fw_ConfigReplica_Install(f, s->newest, "log", out);
+    s->newest = NULL;
+    Fw_Snapshot_Reset(&s->assembler);
+    f->phase = FW_REPLICA_FOLLOW;
 }
 
 static void
 window_done(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_fold_find *s = &f->find;
+    struct fw_replica_search *s = &f->search;
 
-    if (s->best) {
+    if (s->newest) {
         found(f, now_us, out);
         return;
     }
-    if (s->start > s->oldest) {
-        s->window *= 4;
+    if (s->window_start > s->oldest_offset) {
+        s->window_records *= 4;
         open_window(s);
         return;
     }
-    f->phase = FW_FOLD_FOLLOW;
+    f->phase = FW_REPLICA_FOLLOW;
 }
 
 void
-Fw_Fold_FindRecords(struct fw_fold *f, const struct fw_log_records *r,
-                    int64_t now_us, struct fw_actions *out)
+Fw_ConfigReplica_OnSearchRecords(struct fw_fold *f,
+                                 const struct fw_log_records *r,
+                                 int64_t now_us, struct fw_actions *out)
 {
-    struct fw_fold_find *s = &f->find;
+    struct fw_replica_search *s = &f->search;
 
-    if (f->phase == FW_FOLD_BOUNDS) {
-        s->oldest = MAX(r->oldest, 1);
-        s->end = r->end;
+    if (f->phase == FW_REPLICA_READ_BOUNDS) {
+        s->oldest_offset = MAX(r->oldest, 1);
+        s->end_offset = r->end;
         open_window(s);
-        f->phase = FW_FOLD_FIND;
+        f->phase = FW_REPLICA_SEARCH;
     }
     else {
         take_parts(f, r, out);
         /* Moves on also when records aged out under the search. */
-        s->from = r->n > 0 ? r->first + (uint64_t)r->n : s->end;
+        s->next_offset = r->n > 0 ? r->first + (uint64_t)r->n : s->end_offset;
     }
-    if (s->from >= s->end) {
+    if (s->next_offset >= s->end_offset) {
         window_done(f, now_us, out);
     }
 }
--- a/src/config/fold_internal.h
+++ b/src/config/fold_internal.h
@@ -5,45 +5,50 @@
 #include "config/fold.h"
 #include "config/snapshot.h"
 
-#define FW_FOLD_WAIT_US (2 * FW_SEC)  /* the log holds a read back so long */
-#define FW_FOLD_LOST_US (10 * FW_SEC) /* a read without answer is given up */
-#define FW_FOLD_BACKOFF_MIN_US (200 * FW_MSEC)
-#define FW_FOLD_BACKOFF_MAX_US (5 * FW_SEC)
-#define FW_FOLD_BATCH 256 /* records asked for at once */
+#define FW_REPLICA_READ_WAIT_US                                               \
+    (2 * FW_SEC) /* the log holds a read back so long */
+#define FW_REPLICA_READ_TIMEOUT_US                                            \
+    (10 * FW_SEC) /* a read without answer is given up */
+#define FW_REPLICA_BACKOFF_MIN_US (200 * FW_MSEC)
+#define FW_REPLICA_BACKOFF_MAX_US (5 * FW_SEC)
+#define FW_REPLICA_READ_RECORDS_MAX 256 /* records asked for at once */
 
 /* The newest whole snapshot is looked for in a window before the end that
  * grows until one is found. */
-#define FW_FIND_BATCH 4
-#define FW_FIND_WINDOW 256
+#define FW_SEARCH_READ_RECORDS_MAX 4
+#define FW_SEARCH_WINDOW_RECORDS 256
 
 /* When the writer appends a snapshot, see snap_due in fold_write.c. */
-#define FW_SNAP_EVERY 500
-#define FW_SNAP_AGE_US (21600 * FW_SEC)
-#define FW_SNAP_CHECK_US (300 * FW_SEC)
-#define FW_SNAP_GROUP 8 /* parts in one append */
-#define FW_SNAP_RETRY_US (2 * FW_SEC)
+#define FW_SNAPSHOT_INTERVAL_RECORDS 500
+#define FW_SNAPSHOT_AGE_MAX_US (21600 * FW_SEC)
+#define FW_SNAPSHOT_CHECK_INTERVAL_US (300 * FW_SEC)
+#define FW_SNAPSHOT_APPEND_PARTS_MAX 8 /* parts in one append */
+#define FW_SNAPSHOT_RETRY_DELAY_US (2 * FW_SEC)
 /* Rows written at once, about a millisecond's work, and the pause between. */
-#define FW_SNAP_ROWS 256
-#define FW_SNAP_STEP_US (5 * FW_MSEC)
-#define FW_SNAP_RESTARTS 5 /* by changes, then it is written in one go */
-#define FW_SNAP_SPREAD_US (20 * FW_SEC) /* between writers of the regions */
+#define FW_SNAPSHOT_STEP_ROWS 256
+#define FW_SNAPSHOT_STEP_INTERVAL_US (5 * FW_MSEC)
+#define FW_SNAPSHOT_RESTARTS_MAX                                              \
+    5 /* by changes, then it is written in one go */
+#define FW_SNAPSHOT_JITTER_MAX_US                                             \
+    (20 * FW_SEC) /* between writers of the regions */
 
 /* Peers are asked once the log has been silent for so long. */
-#define FW_PEER_STALE_US (5 * FW_SEC)
-#define FW_PEER_RESEND_US (1 * FW_SEC)
-#define FW_PEER_READY_US (30 * FW_SEC) /* between peers, once configured */
-#define FW_PEER_TRIES 5
-#define FW_PEER_SERVE_US (30 * FW_SEC)
-
-/** enum fw_fold_phase - what the reads are for. */
-enum fw_fold_phase {
-    FW_FOLD_BOUNDS, /* where stream "snapshot" begins and ends */
-    FW_FOLD_FIND,   /* its newest whole snapshot */
-    FW_FOLD_FOLLOW, /* the records after it */
+#define FW_PEER_REQUEST_STALENESS_US (5 * FW_SEC)
+#define FW_PEER_RESEND_INTERVAL_US (1 * FW_SEC)
+#define FW_PEER_READY_INTERVAL_US                                             \
+    (30 * FW_SEC) /* between peers, once configured */
+#define FW_PEER_RETRIES_MAX 5
+#define FW_PEER_SNAPSHOT_KEEP_US (30 * FW_SEC)
+
+/** enum fw_replica_phase - what the reads are for. */
+enum fw_replica_phase {
+    FW_REPLICA_READ_BOUNDS, /* where stream "snapshot" begins and ends */
+    FW_REPLICA_SEARCH,      /* its newest whole snapshot */
+    FW_REPLICA_FOLLOW,      /* the records after it */
 };
 
-/** struct fw_fold_metrics - counters of the fold. */
-struct fw_fold_metrics {
+/** struct fw_replica_metrics - counters of the fold. */
+struct fw_replica_metrics {
     struct fw_metric offset;
     struct fw_metric verdicts[4]; /* by enum fw_change_verdict */
     struct fw_metric read_failures;
@@ -55,74 +60,75 @@
 };
 
 /**
- * struct fw_fold_find - search for the newest whole snapshot.
- * @oldest, @end: of the stream, when the search began
- * @from: next offset to read
- * @start: where the window began
- * @window: its length
- * @best: newest whole one so far, or NULL
- * @best_first: offset of its first part, at most
+ * struct fw_replica_search - search for the newest whole snapshot.
+ * @oldest_offset, @end_offset: of the stream, when the search began
+ * @next_offset: next offset to read
+ * @window_start: where the window began
+ * @window_records: its length
+ * @newest: newest whole one so far, or NULL
+ * @newest_first: offset of its first part, at most
  */
-struct fw_fold_find {
-    uint64_t oldest;
-    uint64_t end;
-    uint64_t from;
-    uint64_t start;
-    uint64_t window;
-    struct fw_state *best;
-    uint64_t best_first;
-    struct fw_snap_collector parts;
+struct fw_replica_search {
+    uint64_t oldest_offset;
+    uint64_t end_offset;
+    uint64_t next_offset;
+    uint64_t window_start;
+    uint64_t window_records;
+    struct fw_state *newest;
+    uint64_t newest_first;
+    struct fw_snap_collector assembler;
 };
 
 /**
- * struct fw_fold_write - this instance as writer of snapshots.
- * @on: it is the one that writes
- * @known: offset of the newest whole snapshot known in the log, 0 for none
- * @known_us: when it was seen first
- * @known_first: offset of its first part
- * @half_end: end of the stream when its last part was seen to be no last one
+ * struct fw_replica_writer - this instance as writer of snapshots.
+ * @enabled: it is the one that writes
+ * @newest: offset of the newest whole snapshot known in the log, 0 for none
+ * @newest_us: when it was seen first
+ * @newest_first: offset of its first part
+ * @incomplete_end: end of the stream when its last part was seen to be no last
+ * one
  * @check_due_us: when the stream's end is looked at next
- * @tail: offset to look at, 0: ask for the bounds first
+ * @tail_offset: offset to look at, 0: ask for the bounds first
  * @ticket: of the read or append under way, 0 for none
  * @sent_us: when it was sent
- * @text: snapshot being appended, or NULL; @next: its next part
- * @due_us: when the next group may go
+ * @snapshot: snapshot being appended, or NULL; @next_part: its next part
+ * @append_due_us: when the next group may go
  * @restarts: how often a change came while it was written
- * @begin_us: when a snapshot that is due is begun, 0 while none is
+ * @begin_due_us: when a snapshot that is due is begun, 0 while none is
  */
-struct fw_fold_write {
-    int on;
-    uint64_t known;
-    int64_t known_us;
-    uint64_t known_first;
-    uint64_t half_end;
+struct fw_replica_writer {
+    int enabled;
+    uint64_t newest;
+    int64_t newest_us;
+    uint64_t newest_first;
+    uint64_t incomplete_end;
     int64_t check_due_us;
-    uint64_t tail;
+    uint64_t tail_offset;
     uint64_t ticket;
     int64_t sent_us;
-    struct fw_snap_text *text;
-    unsigned next;
-    int64_t due_us;
-    int64_t begin_us;
+    struct fw_snap_text *snapshot;
+    unsigned next_part;
+    int64_t append_due_us;
+    int64_t begin_due_us;
     int restarts;
 };
 
 /**
- * struct fw_fold_peer - state from and for peers.
+ * struct fw_replica_peer - state from and for peers.
  * @name, @addr: who is asked, empty for nobody
- * @id: snapshot being taken, empty before its first part
+ * @snapshot_id: snapshot being taken, empty before its first part
  * @offset: of that snapshot
  * @served: last snapshot made for others, kept until @served_until_us
  */
-struct fw_fold_peer {
+struct fw_replica_peer {
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
-    char id[FW_CHANGE_ID_MAX];
+    char snapshot_id[FW_CHANGE_ID_MAX];
     uint64_t offset;
-    unsigned next;
-    int64_t asked_us;
-    int tries;
-    struct fw_snap_collector parts;
+    unsigned next_part;
+    int64_t request_sent_us;
+    int retries;
+    struct fw_snap_collector assembler;
     struct fw_snap_text *served;
     int served_restarts;
     int64_t served_until_us;
@@ -133,78 +139,84 @@
  * @read_ticket: of the read under way, 0 for none
  * @read_sent_us: when it was sent
  * @read_due_us: when the next may be sent
- * @fresh_us: when the last read that succeeded was sent
- * @oldest: oldest record that the configuration log still has
+ * @last_success_us: when the last read that succeeded was sent
+ * @oldest_offset: oldest record that the configuration log still has
  * @gap: the log no longer has the record after ours
  */
 struct fw_fold {
     char instance[FW_NAME_MAX];
     GRand *rand;
-    struct fw_state *st;
+    struct fw_state *state;
     int ready;
-    enum fw_fold_phase phase;
+    enum fw_replica_phase phase;
     uint64_t seq;
     uint64_t read_ticket;
     int64_t read_sent_us;
     int64_t read_due_us;
-    int64_t fresh_us;
+    int64_t last_success_us;
     int64_t backoff_us;
-    uint64_t oldest;
+    uint64_t oldest_offset;
     int gap;
-    struct fw_fold_find find;
-    struct fw_fold_write write;
-    struct fw_fold_peer peer;
-    struct fw_fold_metrics m;
+    struct fw_replica_search search;
+    struct fw_replica_writer writer;
+    struct fw_replica_peer peer;
+    struct fw_replica_metrics metrics;
 };
 
 uint64_t
-Fw_Fold_Ticket(struct fw_fold *f);
+Fw_ConfigReplica_NewTicket(struct fw_fold *f);
 /**
- * Fw_Fold_StepText - goes on with a snapshot of what is in force.
- * @text: begun under @prefix when it points to NULL, or anew when a change
+ * Fw_ConfigReplica_StepSnapshot - goes on with a snapshot of what is in force.
+ * @snapshot: begun under @prefix when it points to NULL, or anew when a change
  *        came between
  * @restarts: counts those
  *
  * Return: nonzero when it is whole.
  */
 int
-Fw_Fold_StepText(struct fw_fold *f, struct fw_snap_text **text, char prefix,
-                 int *restarts);
+Fw_ConfigReplica_StepSnapshot(struct fw_fold *f, struct fw_snap_text **text,
+                              char prefix, int *restarts);
 /* Sends the next read later, and later again after each failure. */
 void
-Fw_Fold_Backoff(struct fw_fold *f, int64_t now_us);
+Fw_ConfigReplica_BackOff(struct fw_fold *f, int64_t now_us);
 /**
- * Fw_Fold_Adopt - puts @st in force if it is newer; frees it otherwise.
+ * Fw_ConfigReplica_Install - puts @state in force if it is newer; frees it
+ * otherwise.
  *
  * Return: nonzero when it is in force now.
  */
 int
-Fw_Fold_Adopt(struct fw_fold *f, struct fw_state *st, const char *source,
-              struct fw_actions *out);
+Fw_ConfigReplica_Install(struct fw_fold *f, struct fw_state *st,
+                         const char *source, struct fw_actions *out);
 
 /* fold_find.c */
 void
-Fw_Fold_FindStart(struct fw_fold *f);
+Fw_ConfigReplica_StartSearch(struct fw_fold *f);
 void
-Fw_Fold_FindSend(struct fw_fold *f, struct fw_actions *out);
+Fw_ConfigReplica_SendSearchRead(struct fw_fold *f, struct fw_actions *out);
 void
-Fw_Fold_FindRecords(struct fw_fold *f, const struct fw_log_records *r,
-                    int64_t now_us, struct fw_actions *out);
+Fw_ConfigReplica_OnSearchRecords(struct fw_fold *f,
+                                 const struct fw_log_records *r,
+                                 int64_t now_us, struct fw_actions *out);
 
 /* fold_write.c */
 void
-Fw_Fold_WriteTick(struct fw_fold *f, int64_t now_us, struct fw_actions *out);
+Fw_ConfigReplica_TickWriter(struct fw_fold *f, int64_t now_us,
+                            struct fw_actions *out);
 void
-Fw_Fold_WriteRecords(struct fw_fold *f, const struct fw_log_records *r,
-                     int64_t now_us);
+Fw_ConfigReplica_OnWriterRecords(struct fw_fold *f,
+                                 const struct fw_log_records *r,
+                                 int64_t now_us);
 void
-Fw_Fold_WriteAppended(struct fw_fold *f, const struct fw_log_appended *a,
-                      int64_t now_us);
+Fw_ConfigReplica_OnWriterAppended(struct fw_fold *f,
+                                  const struct fw_log_appended *a,
+                                  int64_t now_us);
 
 /* fold_peer.c */
 void
-Fw_Fold_PeerTick(struct fw_fold *f, int64_t now_us, struct fw_actions *out);
+Fw_ConfigReplica_TickPeer(struct fw_fold *f, int64_t now_us,
+                          struct fw_actions *out);
 void
-Fw_Fold_PeerClear(struct fw_fold *f);
+Fw_ConfigReplica_ResetPeer(struct fw_fold *f);
 
 #endif
--- a/src/config/fold_peer.c
+++ b/src/config/fold_peer.c
@@ -14,79 +14,83 @@
 int
 Fw_Fold_WantsPeer(const struct fw_fold *f, int64_t now_us)
 {
-    int64_t pause = f->ready && !f->gap ? FW_PEER_READY_US : FW_PEER_RESEND_US;
+    int64_t pause = f->ready && !f->gap ? FW_PEER_READY_INTERVAL_US
+                                        : FW_PEER_RESEND_INTERVAL_US;
 
-    if (f->peer.name[0] || now_us < f->peer.asked_us + pause) {
+    if (f->peer.name[0] || now_us < f->peer.request_sent_us + pause) {
         return 0;
     }
-    return f->gap || Fw_Fold_StaleUs(f, now_us) >= FW_PEER_STALE_US;
+    return f->gap ||
+           Fw_Fold_StaleUs(f, now_us) >= FW_PEER_REQUEST_STALENESS_US;
 }
 
 void
-Fw_Fold_PeerClear(struct fw_fold *f)
+Fw_ConfigReplica_ResetPeer(struct fw_fold *f)
 {
-    struct fw_fold_peer *p = &f->peer;
+    struct fw_replica_peer *p = &f->peer;
 
-    Fw_Snap_Reset(&p->parts);
+    Fw_Snapshot_Reset(&p->assembler);
     p->name[0] = '\0';
-    p->id[0] = '\0';
+    p->snapshot_id[0] = '\0';
     p->offset = 0;
-    p->next = 0;
-    p->tries = 0;
+    p->next_part = 0;
+    p->retries = 0;
 }
 
 static void
 send_ask(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_fold_peer *p = &f->peer;
+    struct fw_replica_peer *p = &f->peer;
     struct fw_msg msg = {.area = FW_AREA_CONFIG};
 
-    msg.u.config.kind = FW_CONFIG_ASK;
-    msg.u.config.u.ask.have = f->st->cfg->offset;
-    msg.u.config.u.ask.k = p->next;
-    g_strlcpy(msg.u.config.u.ask.snap, p->id, sizeof(msg.u.config.u.ask.snap));
-    p->asked_us = now_us;
+    msg.u.config.kind = FW_CONFIG_MSG_PART_REQUEST;
+    msg.u.config.u.ask.next_offset = f->state->cfg->offset;
+    msg.u.config.u.ask.part = p->next_part;
+    g_strlcpy(msg.u.config.u.ask.snapshot_id, p->snapshot_id,
+              sizeof(msg.u.config.u.ask.snapshot_id));
+    p->request_sent_us = now_us;
     Fw_Actions_Send(out, p->name, p->addr, &msg);
-    Fw_Actions_Wake(out, now_us + FW_PEER_RESEND_US);
+    Fw_Actions_Wake(out, now_us + FW_PEER_RESEND_INTERVAL_US);
 }
 
 void
 Fw_Fold_AskPeer(struct fw_fold *f, const char *peer, const char *addr,
                 int64_t now_us, struct fw_actions *out)
 {
-    struct fw_fold_peer *p = &f->peer;
+    struct fw_replica_peer *p = &f->peer;
 
     if (!Fw_Fold_WantsPeer(f, now_us)) {
         return;
     }
-    Fw_Fold_PeerClear(f);
+    Fw_ConfigReplica_ResetPeer(f);
     g_strlcpy(p->name, peer, sizeof(p->name));
     g_strlcpy(p->addr, addr, sizeof(p->addr));
     send_ask(f, now_us, out);
 }
 
 void
-Fw_Fold_PeerTick(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+Fw_ConfigReplica_TickPeer(struct fw_fold *f, int64_t now_us,
+                          struct fw_actions *out)
 {
-    struct fw_fold_peer *p = &f->peer;
+    struct fw_replica_peer *p = &f->peer;
 
     if (p->served && now_us >= p->served_until_us) {
         Fw_Snap_FreeText(p->served);
         p->served = NULL;
     }
     if (p->served && p->served->writer) {
-        Fw_Fold_StepText(f, &p->served, 'p', &p->served_restarts);
-        Fw_Actions_Wake(out, now_us + FW_SNAP_STEP_US);
+        Fw_ConfigReplica_StepSnapshot(f, &p->served, 'p', &p->served_restarts);
+        Fw_Actions_Wake(out, now_us + FW_SNAPSHOT_STEP_INTERVAL_US);
     }
     if (!p->name[0]) {
         return;
     }
-    if (now_us < p->asked_us + FW_PEER_RESEND_US) {
-        Fw_Actions_Wake(out, p->asked_us + FW_PEER_RESEND_US);
+    if (now_us < p->request_sent_us + FW_PEER_RESEND_INTERVAL_US) {
+        Fw_Actions_Wake(out, p->request_sent_us + FW_PEER_RESEND_INTERVAL_US);
         return;
     }
-    if (++p->tries > FW_PEER_TRIES) {
-        Fw_Fold_PeerClear(f);
+    if (++p->retries > FW_PEER_RETRIES_MAX) {
+        Fw_ConfigReplica_ResetPeer(f);
         return;
     }
     send_ask(f, now_us, out);
@@ -94,31 +98,32 @@
 
 static void
 answer_ask(struct fw_fold *f, const char *from, const char *addr,
-           const struct fw_config_ask *ask, int64_t now_us,
+           const struct fw_config_part_request *ask, int64_t now_us,
            struct fw_actions *out)
 {
-    struct fw_fold_peer *p = &f->peer;
+    struct fw_replica_peer *p = &f->peer;
     struct fw_msg msg = {.area = FW_AREA_CONFIG};
-    unsigned k = ask->k;
+    unsigned k = ask->part;
 
-    if (f->st->cfg->offset <= ask->have) {
-        msg.u.config.kind = FW_CONFIG_NONE;
+    if (f->state->cfg->offset <= ask->next_offset) {
+        msg.u.config.kind = FW_CONFIG_MSG_UP_TO_DATE;
         Fw_Actions_Send(out, from, addr, &msg);
         return;
     }
-    if (!p->served || p->served->head.offset <= ask->have) {
+    if (!p->served || p->served->head.offset <= ask->next_offset) {
         Fw_Snap_FreeText(p->served);
         p->served = NULL;
         p->served_restarts = 0;
-        Fw_Fold_StepText(f, &p->served, 'p', &p->served_restarts);
+        Fw_ConfigReplica_StepSnapshot(f, &p->served, 'p', &p->served_restarts);
     }
-    p->served_until_us = now_us + FW_PEER_SERVE_US;
-    Fw_Actions_Wake(out, p->served->writer ? now_us + FW_SNAP_STEP_US
-                                           : p->served_until_us);
+    p->served_until_us = now_us + FW_PEER_SNAPSHOT_KEEP_US;
+    Fw_Actions_Wake(out, p->served->writer
+                             ? now_us + FW_SNAPSHOT_STEP_INTERVAL_US
+                             : p->served_until_us);
     if (p->served->writer) {
         return; /* asked again in a second, when it is written */
     }
-    if (strcmp(ask->snap, p->served->head.id) != 0) {
+    if (strcmp(ask->snapshot_id, p->served->head.id) != 0) {
         k = 0;
     }
     if (k >= p->served->parts->len) {
@@ -133,32 +138,32 @@
 take_part(struct fw_fold *f, const char *from, const char *part,
           int64_t now_us, struct fw_actions *out)
 {
-    struct fw_fold_peer *p = &f->peer;
-    struct fw_snap_head head;
+    struct fw_replica_peer *p = &f->peer;
+    struct fw_snapshot_header head;
     struct fw_state *st = NULL;
     int rc;
 
-    if (strcmp(p->name, from) != 0 || Fw_Snap_ParseHead(part, &head) ||
-        head.offset <= f->st->cfg->offset) {
+    if (strcmp(p->name, from) != 0 || Fw_Snapshot_ParseHeader(part, &head) ||
+        head.offset <= f->state->cfg->offset) {
         return;
     }
-    if (strcmp(p->id, head.id) != 0) {
-        Fw_Snap_Reset(&p->parts);
+    if (strcmp(p->snapshot_id, head.id) != 0) {
+        Fw_Snapshot_Reset(&p->assembler);
     }
-    rc = Fw_Snap_Feed(&p->parts, part, &st, &p->next);
+    rc = Fw_Snap_Feed(&p->assembler, part, &st, &p->next_part);
     if (rc < 0) {
-        f->m.snap_refused.value++;
-        Fw_Fold_PeerClear(f);
+        f->metrics.snap_refused.value++;
+        Fw_ConfigReplica_ResetPeer(f);
         return;
     }
-    g_strlcpy(p->id, head.id, sizeof(p->id));
-    p->tries = 0;
+    g_strlcpy(p->snapshot_id, head.id, sizeof(p->snapshot_id));
+    p->retries = 0;
     if (rc == 0) {
         send_ask(f, now_us, out);
         return;
     }
-    Fw_Fold_PeerClear(f);
-    if (Fw_Fold_Adopt(f, st, "peer", out)) {
+    Fw_ConfigReplica_ResetPeer(f);
+    if (Fw_ConfigReplica_Install(f, st, "peer", out)) {
         f->ready = 1;
     }
 }
@@ -169,12 +174,12 @@
               struct fw_actions *out)
 {
     switch (msg->kind) {
-    case FW_CONFIG_NONE:
+    case FW_CONFIG_MSG_UP_TO_DATE:
         if (strcmp(f->peer.name, from) == 0) {
-            Fw_Fold_PeerClear(f);
+            Fw_ConfigReplica_ResetPeer(f);
         }
         break;
-    case FW_CONFIG_ASK:
+    case FW_CONFIG_MSG_PART_REQUEST:
         answer_ask(f, from, addr, &msg->u.ask, now_us, out);
         break;
     case FW_CONFIG_PART:
--- a/src/config/fold_query.c
+++ b/src/config/fold_query.c
@@ -4,7 +4,7 @@
 const struct fw_config *
 Fw_Fold_Config(const struct fw_fold *f)
 {
-    return f->st->cfg;
+    return f->state->cfg;
 }
 
 int
@@ -16,24 +16,24 @@
 const struct fw_seen *
 Fw_Fold_Seen(const struct fw_fold *f, const char *id)
 {
-    return Fw_State_Seen(f->st, id);
+    return Fw_ConfigState_FindOutcome(f->state, id);
 }
 
 const struct fw_audit *
 Fw_Fold_Audit(const struct fw_fold *f)
 {
-    return &f->st->audit;
+    return &f->state->audit;
 }
 
 int64_t
 Fw_Fold_StaleUs(const struct fw_fold *f, int64_t now_us)
 {
-    return now_us - f->fresh_us;
+    return now_us - f->last_success_us;
 }
 
 enum fw_change_verdict
 Fw_Fold_Judge(const struct fw_fold *f, const struct fw_change *ch,
-              struct fw_why *why)
+              struct fw_why *err)
 {
-    return Fw_State_Judge(f->st, ch, why);
+    return Fw_ConfigState_Evaluate(f->state, ch, err);
 }
--- a/src/config/snap_read.c
+++ b/src/config/snap_read.c
@@ -8,10 +8,10 @@
 #include "config/snapshot.h"
 
 static int
-head_fields(JsonObject *obj, struct fw_snap_head *head)
+head_fields(JsonObject *obj, struct fw_snapshot_header *head)
 {
-    struct fw_why why;
-    struct fw_field_reader r = {.obj = obj, .why = &why, .where = "snapshot"};
+    struct fw_why err;
+    struct fw_field_reader r = {.obj = obj, .err = &err, .where = "snapshot"};
     int64_t v;
     int64_t offset;
     int64_t k;
@@ -21,20 +21,20 @@
     if (Fw_Field_Int(&r, "v", 1, 1, -1, &v) ||
         Fw_Field_Text(&r, "snap", head->id, sizeof(head->id)) ||
         Fw_Field_Int(&r, "offset", 1, INT64_MAX, -1, &offset) ||
-        Fw_Field_Int(&r, "k", 0, FW_SNAP_PARTS_MAX - 1, -1, &k) ||
-        Fw_Field_Int(&r, "n", 1, FW_SNAP_PARTS_MAX, -1, &n) ||
+        Fw_Field_Int(&r, "k", 0, FW_SNAPSHOT_PARTS_MAX - 1, -1, &k) ||
+        Fw_Field_Int(&r, "n", 1, FW_SNAPSHOT_PARTS_MAX, -1, &n) ||
         Fw_Field_Text(&r, "hash", hash, sizeof(hash)) || k >= n) {
         return -EBADMSG;
     }
     head->offset = (uint64_t)offset;
-    head->k = (unsigned)k;
-    head->n = (unsigned)n;
+    head->part = (unsigned)k;
+    head->n_parts = (unsigned)n;
     head->hash = g_ascii_strtoull(hash, NULL, 16);
     return 0;
 }
 
 int
-Fw_Snap_ParseHead(const char *part, struct fw_snap_head *head)
+Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *head)
 {
     const char *end = strchr(part, '\n');
     JsonParser *parser;
@@ -51,42 +51,42 @@
 }
 
 static void
-drop(struct fw_snap_reader *r)
+drop(struct fw_snapshot_assembly *r)
 {
     Fw_State_Free(r->st);
-    *r = (struct fw_snap_reader){.st = NULL};
+    *r = (struct fw_snapshot_assembly){.st = NULL};
 }
 
 void
-Fw_Snap_Reset(struct fw_snap_collector *c)
+Fw_Snapshot_Reset(struct fw_snap_collector *c)
 {
-    for (int i = 0; i < FW_SNAP_READERS; i++) {
+    for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
         drop(&c->readers[i]);
     }
 }
 
 /* The reader of @head's snapshot; a new one only for its first part. */
-static struct fw_snap_reader *
-reader_of(struct fw_snap_collector *c, const struct fw_snap_head *head)
+static struct fw_snapshot_assembly *
+reader_of(struct fw_snap_collector *c, const struct fw_snapshot_header *head)
 {
-    struct fw_snap_reader *pick = &c->readers[0];
+    struct fw_snapshot_assembly *pick = &c->readers[0];
 
-    for (int i = 0; i < FW_SNAP_READERS; i++) {
-        struct fw_snap_reader *r = &c->readers[i];
+    for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
+        struct fw_snapshot_assembly *r = &c->readers[i];
 
         if (r->st && strcmp(r->head.id, head->id) == 0) {
             return r;
         }
-        if (!r->st || (pick->st && r->used < pick->used)) {
+        if (!r->st || (pick->st && r->last_feed < pick->last_feed)) {
             pick = r;
         }
     }
-    if (head->k != 0) {
+    if (head->part != 0) {
         return NULL;
     }
     drop(pick);
     pick->head = *head;
-    pick->chain = head->offset;
+    pick->hash = head->offset;
     pick->st = Fw_State_New();
     return pick;
 }
@@ -103,7 +103,8 @@
         Fw_Field_Int(r, "value", 0, FW_CHANGE_DUPLICATE, -1, &verdict)) {
         return -EBADMSG;
     }
-    Fw_State_See(st, id, (uint64_t)offset, (enum fw_change_verdict)verdict);
+    Fw_ConfigState_RecordOutcome(st, id, (uint64_t)offset,
+                                 (enum fw_change_verdict)verdict);
     return 0;
 }
 
@@ -127,9 +128,9 @@
 static int
 read_row(struct fw_state *st, const char *row, size_t len)
 {
-    struct fw_why why;
+    struct fw_why err;
     struct fw_item item = {.kind = FW_ITEM_TEAM};
-    struct fw_field_reader r = {.why = &why, .where = "snapshot"};
+    struct fw_field_reader r = {.err = &err, .where = "snapshot"};
     JsonParser *parser = Fw_Json_LoadObject(row, len, &r.obj);
     char kind[16];
     int rc;
@@ -148,7 +149,7 @@
         rc = read_audit(st, &r);
     }
     else {
-        rc = Fw_Item_Parse(r.obj, &item, &why);
+        rc = Fw_Item_Parse(r.obj, &item, &err);
         if (rc == 0 && !item.removed) {
             Fw_Config_Put(st->cfg, &item, item.was);
         }
@@ -173,28 +174,30 @@
 }
 
 static int
-same_snapshot(const struct fw_snap_head *a, const struct fw_snap_head *b)
+same_snapshot(const struct fw_snapshot_header *a,
+              const struct fw_snapshot_header *b)
 {
-    return a->offset == b->offset && a->n == b->n && a->hash == b->hash;
+    return a->offset == b->offset && a->n_parts == b->n_parts &&
+           a->hash == b->hash;
 }
 
 static int
-feed(struct fw_snap_reader *r, const struct fw_snap_head *head,
+feed(struct fw_snapshot_assembly *r, const struct fw_snapshot_header *head,
      const char *body)
 {
-    if (head->k < r->next) {
+    if (head->part < r->next_part) {
         return 0; /* sent again after a lost answer */
     }
-    if (head->k != r->next || !same_snapshot(head, &r->head) ||
+    if (head->part != r->next_part || !same_snapshot(head, &r->head) ||
         read_rows(r->st, body)) {
         return -EBADMSG;
     }
-    r->chain = Fw_Hash_Bytes(body, strlen(body), r->chain);
-    r->next++;
-    if (r->next < r->head.n) {
+    r->hash = Fw_Hash_Bytes(body, strlen(body), r->hash);
+    r->next_part++;
+    if (r->next_part < r->head.n_parts) {
         return 0;
     }
-    if (r->chain != r->head.hash && !FW_FAULT("snapshot-no-hash")) {
+    if (r->hash != r->head.hash && !FW_FAULT("snapshot-no-hash")) {
         return -EBADMSG;
     }
     return 1;
@@ -204,21 +207,21 @@
 Fw_Snap_Feed(struct fw_snap_collector *c, const char *part,
              struct fw_state **st, unsigned *next)
 {
-    struct fw_snap_head head;
-    struct fw_snap_reader *r;
+    struct fw_snapshot_header head;
+    struct fw_snapshot_assembly *r;
     int rc;
 
-    if (Fw_Snap_ParseHead(part, &head)) {
+    if (Fw_Snapshot_ParseHeader(part, &head)) {
         return -EBADMSG;
     }
     r = reader_of(c, &head);
     if (!r) {
         return -EBADMSG;
     }
-    r->used = ++c->feeds;
+    r->last_feed = ++c->feeds;
     rc = feed(r, &head, strchr(part, '\n') + 1);
     if (next) {
-        *next = r->next;
+        *next = r->next_part;
     }
     if (rc == 1) {
         *st = r->st;
--- a/src/config/snap_write.c
+++ b/src/config/snap_write.c
@@ -6,52 +6,52 @@
 #include "config/snapshot.h"
 
 /**
- * struct fw_snap_writer - see snapshot.h.
+ * struct fw_snapshot_writer - see snapshot.h.
  * @kind: items being written; FW_ITEM_KINDS: ids seen, then the audit trail
  * @names: of the items of @kind, borrowed while the state stays as it is
- * @at: next of them, or of the ids
- * @entry: next of the audit trail, NULL before it
+ * @next: next of them, or of the ids
+ * @next_entry: next of the audit trail, NULL before it
  * @bodies: GString *, rows of the parts so far
  * @body: of the part being filled
  */
-struct fw_snap_writer {
+struct fw_snapshot_writer {
     int kind;
     GPtrArray *names;
-    unsigned at;
-    const struct fw_list *entry;
+    unsigned next;
+    const struct fw_list *next_entry;
     GPtrArray *bodies;
     GString *body;
-    uint64_t chain;
+    uint64_t hash;
 };
 
 static void
-close_part(struct fw_snap_writer *w)
+close_part(struct fw_snapshot_writer *w)
 {
     if (w->body->len == 0) {
         return;
     }
-    w->chain = Fw_Hash_Bytes(w->body->str, w->body->len, w->chain);
+    w->hash = Fw_Hash_Bytes(w->body->str, w->body->len, w->hash);
     g_ptr_array_add(w->bodies, w->body);
-    w->body = g_string_sized_new(FW_SNAP_PART_BYTES);
+    w->body = g_string_sized_new(FW_SNAPSHOT_PART_BYTES);
 }
 
 /* @value is JSON. Kind and name need no escapes by their rules. */
 static void
-add_row(struct fw_snap_writer *w, const char *kind, const char *name,
+add_row(struct fw_snapshot_writer *w, const char *kind, const char *name,
         uint64_t version, const char *value)
 {
     g_string_append_printf(w->body,
                            "{\"kind\":\"%s\",\"name\":\"%s\","
                            "\"was\":%" G_GUINT64_FORMAT ",\"value\":%s}\n",
                            kind, name, version, value);
-    if (w->body->len >= FW_SNAP_PART_BYTES) {
+    if (w->body->len >= FW_SNAPSHOT_PART_BYTES) {
         close_part(w);
     }
 }
 
 /* Each of these writes one row and returns 0 when it has none left. */
 static int
-item_row(struct fw_snap_writer *w, const struct fw_config *cfg)
+item_row(struct fw_snapshot_writer *w, const struct fw_config *cfg)
 {
     enum fw_item_kind kind = (enum fw_item_kind)w->kind;
     const char *name;
@@ -60,14 +60,14 @@
 
     if (!w->names) {
         w->names = Fw_Config_ItemNames(cfg, kind);
-        w->at = 0;
+        w->next = 0;
     }
-    if (w->at == w->names->len) {
+    if (w->next == w->names->len) {
         g_clear_pointer(&w->names, g_ptr_array_unref);
-        w->at = 0;
+        w->next = 0;
         return 0;
     }
-    name = g_ptr_array_index(w->names, w->at++);
+    name = g_ptr_array_index(w->names, w->next++);
     node = Fw_Config_ItemValue(cfg, kind, name);
     value = json_to_string(node, FALSE);
     add_row(w, Fw_Item_KindName(kind), name,
@@ -78,17 +78,19 @@
 }
 
 static int
-seen_row(struct fw_snap_writer *w, const struct fw_state *st)
+seen_row(struct fw_snapshot_writer *w, const struct fw_state *st)
 {
-    unsigned first = (st->seen_next + FW_SEEN_MAX - st->seen_n) % FW_SEEN_MAX;
+    unsigned first =
+        (st->next_outcome + FW_CHANGE_OUTCOMES_MAX - st->n_outcomes) %
+        FW_CHANGE_OUTCOMES_MAX;
     const struct fw_seen *s;
     char verdict[8];
     char *id;
 
-    if (w->at == st->seen_n) {
+    if (w->next == st->n_outcomes) {
         return 0;
     }
-    s = &st->seen[(first + w->at++) % FW_SEEN_MAX];
+    s = &st->outcomes[(first + w->next++) % FW_CHANGE_OUTCOMES_MAX];
     id = g_strescape(s->id, NULL);
     g_snprintf(verdict, sizeof(verdict), "%d", s->verdict);
     add_row(w, "seen", id, s->offset, verdict);
@@ -97,24 +99,24 @@
 }
 
 static int
-audit_row(struct fw_snap_writer *w, const struct fw_audit *audit)
+audit_row(struct fw_snapshot_writer *w, const struct fw_audit *audit)
 {
     const struct fw_audit_entry *e;
 
-    if (!w->entry) {
-        w->entry = audit->all.next;
+    if (!w->next_entry) {
+        w->next_entry = audit->all.next;
     }
-    if (w->entry == &audit->all) {
+    if (w->next_entry == &audit->all) {
         return 0;
     }
-    e = FW_LIST_ENTRY(w->entry, struct fw_audit_entry, link);
+    e = FW_LIST_ENTRY(w->next_entry, struct fw_audit_entry, link);
     add_row(w, "audit", e->who, e->offset, e->text);
-    w->entry = w->entry->next;
+    w->next_entry = w->next_entry->next;
     return 1;
 }
 
 static int
-next_row(struct fw_snap_writer *w, const struct fw_state *st)
+next_row(struct fw_snapshot_writer *w, const struct fw_state *st)
 {
     while (w->kind < FW_ITEM_KINDS) {
         if (item_row(w, st->cfg)) {
@@ -126,7 +128,7 @@
 }
 
 static void
-free_writer(struct fw_snap_writer *w)
+free_writer(struct fw_snapshot_writer *w)
 {
     if (!w) {
         return;
@@ -142,16 +144,16 @@
 
 /* The heads name count and hash of all, so they come last. */
 static void
-add_heads(struct fw_snap_text *text, struct fw_snap_writer *w)
+add_heads(struct fw_snap_text *text, struct fw_snapshot_writer *w)
 {
-    text->head.n = w->bodies->len;
-    text->head.hash = w->chain;
+    text->head.n_parts = w->bodies->len;
+    text->head.hash = w->hash;
     for (unsigned k = 0; k < w->bodies->len; k++) {
         GString *body = g_ptr_array_index(w->bodies, k);
         char *head = g_strdup_printf(
             "{\"v\":1,\"snap\":\"%s\",\"offset\":%" G_GUINT64_FORMAT
             ",\"k\":%u,\"n\":%u,\"hash\":\"%016" G_GINT64_MODIFIER "x\"}\n",
-            text->head.id, text->head.offset, k, text->head.n,
+            text->head.id, text->head.offset, k, text->head.n_parts,
             text->head.hash);
 
         g_string_prepend(body, head);
@@ -165,13 +167,13 @@
 static void
 finish(struct fw_snap_text *text)
 {
-    struct fw_snap_writer *w = text->writer;
+    struct fw_snapshot_writer *w = text->writer;
 
     close_part(w);
     if (w->bodies->len == 0) {
         /* An empty state is one part without rows. */
         g_ptr_array_add(w->bodies, g_string_new(NULL));
-        w->chain = Fw_Hash_Bytes("", 0, w->chain);
+        w->hash = Fw_Hash_Bytes("", 0, w->hash);
     }
     add_heads(text, w);
     free_writer(w);
@@ -179,24 +181,24 @@
 }
 
 struct fw_snap_text *
-Fw_Snap_Begin(const struct fw_state *st, const char *id)
+Fw_Snapshot_Begin(const struct fw_state *st, const char *id)
 {
     struct fw_snap_text *text = g_new0(struct fw_snap_text, 1);
-    struct fw_snap_writer *w = g_new0(struct fw_snap_writer, 1);
+    struct fw_snapshot_writer *w = g_new0(struct fw_snapshot_writer, 1);
 
     g_strlcpy(text->head.id, id, sizeof(text->head.id));
     text->head.offset = st->cfg->offset;
     text->parts = g_ptr_array_new_with_free_func(g_free);
     text->writer = w;
     w->bodies = g_ptr_array_new();
-    w->body = g_string_sized_new(FW_SNAP_PART_BYTES);
-    w->chain = st->cfg->offset;
+    w->body = g_string_sized_new(FW_SNAPSHOT_PART_BYTES);
+    w->hash = st->cfg->offset;
     return text;
 }
 
 int
-Fw_Snap_Step(struct fw_snap_text *text, const struct fw_state *st,
-             unsigned rows)
+Fw_Snapshot_Step(struct fw_snap_text *text, const struct fw_state *st,
+                 unsigned rows)
 {
     if (!text->writer) {
         return 1;
@@ -216,9 +218,9 @@
 struct fw_snap_text *
 Fw_Snap_Write(const struct fw_state *st, const char *id)
 {
-    struct fw_snap_text *text = Fw_Snap_Begin(st, id);
+    struct fw_snap_text *text = Fw_Snapshot_Begin(st, id);
 
-    Fw_Snap_Step(text, st, UINT_MAX);
+    Fw_Snapshot_Step(text, st, UINT_MAX);
     return text;
 }
 
--- a/src/config/snapshot.h
+++ b/src/config/snapshot.h
@@ -12,23 +12,24 @@
 
 #include "config/state.h"
 
-#define FW_SNAP_PART_BYTES ((size_t)32 * 1024) /* rows of one part, about */
-#define FW_SNAP_PARTS_MAX 4096
+#define FW_SNAPSHOT_PART_BYTES                                                \
+    ((size_t)32 * 1024) /* rows of one part, about */
+#define FW_SNAPSHOT_PARTS_MAX 4096
 
 /**
- * struct fw_snap_head - first line of a part.
+ * struct fw_snapshot_header - first line of a part.
  * @offset: the state is that before the record at this offset
  */
-struct fw_snap_head {
+struct fw_snapshot_header {
     char id[FW_CHANGE_ID_MAX];
     uint64_t offset;
-    unsigned k;
-    unsigned n;
+    unsigned part;
+    unsigned n_parts;
     uint64_t hash;
 };
 
-/** struct fw_snap_writer - where the writing of a snapshot stands. */
-struct fw_snap_writer;
+/** struct fw_snapshot_writer - where the writing of a snapshot stands. */
+struct fw_snapshot_writer;
 
 /**
  * struct fw_snap_text - a snapshot as texts.
@@ -37,10 +38,10 @@
  * @writer: NULL once it is whole
  */
 struct fw_snap_text {
-    struct fw_snap_head head; /* k is unused */
+    struct fw_snapshot_header head; /* k is unused */
     GPtrArray *parts;
     size_t bytes;
-    struct fw_snap_writer *writer;
+    struct fw_snapshot_writer *writer;
 };
 
 /*
@@ -48,17 +49,17 @@
  * that would hold up every stream of tokens, so it is written row by row.
  */
 struct fw_snap_text *
-Fw_Snap_Begin(const struct fw_state *st, const char *id);
+Fw_Snapshot_Begin(const struct fw_state *st, const char *id);
 /**
- * Fw_Snap_Step - writes up to @rows more rows.
+ * Fw_Snapshot_Step - writes up to @rows more rows.
  * @st: the state it was begun with
  *
  * Return: 1 when whole, 0 when not yet, -ESTALE when @st has moved on: then
  * the text is of no use.
  */
 int
-Fw_Snap_Step(struct fw_snap_text *text, const struct fw_state *st,
-             unsigned rows);
+Fw_Snapshot_Step(struct fw_snap_text *text, const struct fw_state *st,
+                 unsigned rows);
 /* The whole in one go. */
 struct fw_snap_text *
 Fw_Snap_Write(const struct fw_state *st, const char *id);
@@ -67,17 +68,18 @@
 
 /* Return: 0 or -EBADMSG. */
 int
-Fw_Snap_ParseHead(const char *part, struct fw_snap_head *head);
+Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *head);
 
-#define FW_SNAP_READERS 2
+#define FW_SNAPSHOT_ASSEMBLIES_MAX 2
 
-/** struct fw_snap_reader - one snapshot being put together, part by part. */
-struct fw_snap_reader {
-    struct fw_snap_head head;
-    unsigned next;
-    uint64_t chain;
+/** struct fw_snapshot_assembly - one snapshot being put together, part by
+ * part. */
+struct fw_snapshot_assembly {
+    struct fw_snapshot_header head;
+    unsigned next_part;
+    uint64_t hash;
     struct fw_state *st; /* NULL: free */
-    uint64_t used;       /* when last fed, in feeds */
+    uint64_t last_feed;  /* when last fed, in feeds */
 };
 
 /**
@@ -87,16 +89,16 @@
  * reader here.
  */
 struct fw_snap_collector {
-    struct fw_snap_reader readers[FW_SNAP_READERS];
+    struct fw_snapshot_assembly readers[FW_SNAPSHOT_ASSEMBLIES_MAX];
     uint64_t feeds;
 };
 
 void
-Fw_Snap_Reset(struct fw_snap_collector *c);
+Fw_Snapshot_Reset(struct fw_snap_collector *c);
 /**
  * Fw_Snap_Feed - takes one part.
  * @st: the state, when this part made a snapshot whole; then the caller's
- * @next: part wanted next of the same snapshot; may be NULL
+ * @next_part: part wanted next of the same snapshot; may be NULL
  *
  * Return: 1 when whole, 0 when more is wanted, -EBADMSG when the part is of
  * no use (then its snapshot is dropped).
--- a/src/config/state.c
+++ b/src/config/state.c
@@ -18,8 +18,8 @@
 
     st->cfg = Fw_Config_New();
     Fw_Audit_Init(&st->audit);
-    st->seen = g_new0(struct fw_seen, FW_SEEN_MAX);
-    st->seen_by_id = g_hash_table_new(g_str_hash, g_str_equal);
+    st->outcomes = g_new0(struct fw_seen, FW_CHANGE_OUTCOMES_MAX);
+    st->outcomes_by_id = g_hash_table_new(g_str_hash, g_str_equal);
     return st;
 }
 
@@ -31,45 +31,48 @@
     }
     Fw_Config_Free(st->cfg);
     Fw_Audit_Clear(&st->audit);
-    g_hash_table_unref(st->seen_by_id);
-    g_free(st->seen);
+    g_hash_table_unref(st->outcomes_by_id);
+    g_free(st->outcomes);
     g_free(st);
 }
 
 void
-Fw_State_See(struct fw_state *st, const char *id, uint64_t offset,
-             enum fw_change_verdict verdict)
+Fw_ConfigState_RecordOutcome(struct fw_state *st, const char *id,
+                             uint64_t offset, enum fw_change_verdict verdict)
 {
-    struct fw_seen *s = &st->seen[st->seen_next];
+    struct fw_seen *s = &st->outcomes[st->next_outcome];
 
-    if (st->seen_n == FW_SEEN_MAX) {
-        g_hash_table_remove(st->seen_by_id, s->id);
+    if (st->n_outcomes == FW_CHANGE_OUTCOMES_MAX) {
+        g_hash_table_remove(st->outcomes_by_id, s->id);
     }
     else {
-        st->seen_n++;
+        st->n_outcomes++;
     }
     g_strlcpy(s->id, id, sizeof(s->id));
     s->offset = offset;
     s->verdict = verdict;
-    g_hash_table_replace(st->seen_by_id, s->id, s);
-    st->seen_next = (st->seen_next + 1) % FW_SEEN_MAX;
+    g_hash_table_replace(st->outcomes_by_id, s->id, s);
+    st->next_outcome = (st->next_outcome + 1) % FW_CHANGE_OUTCOMES_MAX;
 }
 
 const struct fw_seen *
-Fw_State_Seen(const struct fw_state *st, const char *id)
+Fw_ConfigState_FindOutcome(const struct fw_state *st, const char *id)
 {
-    return g_hash_table_lookup(st->seen_by_id, id);
+    return g_hash_table_lookup(st->outcomes_by_id, id);
 }
 
 uint64_t
 Fw_State_Digest(const struct fw_state *st)
 {
     uint64_t h = Fw_Config_Digest(st->cfg) + st->cfg->offset;
-    unsigned at = (st->seen_next + FW_SEEN_MAX - st->seen_n) % FW_SEEN_MAX;
+    unsigned at =
+        (st->next_outcome + FW_CHANGE_OUTCOMES_MAX - st->n_outcomes) %
+        FW_CHANGE_OUTCOMES_MAX;
     const struct fw_list *pos;
 
-    for (unsigned i = 0; i < st->seen_n; i++) {
-        const struct fw_seen *s = &st->seen[(at + i) % FW_SEEN_MAX];
+    for (unsigned i = 0; i < st->n_outcomes; i++) {
+        const struct fw_seen *s =
+            &st->outcomes[(at + i) % FW_CHANGE_OUTCOMES_MAX];
 
         h = Fw_Hash_Bytes(s->id, strlen(s->id),
                           h + s->offset * 4 + s->verdict);
--- a/src/config/state.h
+++ b/src/config/state.h
@@ -12,11 +12,11 @@
  * Ids kept: a record sent again after a lost answer comes within minutes, and
  * 4,096 changes are more than a day's at 3,400 changes a day.
  */
-#define FW_SEEN_MAX 4096
+#define FW_CHANGE_OUTCOMES_MAX 4096
 /* A change made on a version older than this many records is refused, and a
  * withdrawn key is kept for as long: so none comes back by an old sheet. */
-#define FW_BASE_AGE_MAX 100000
-#define FW_PRUNE_EVERY 4096
+#define FW_BASE_AGE_MAX_RECORDS 100000
+#define FW_KEY_PRUNE_INTERVAL_RECORDS 4096
 
 /** enum fw_change_verdict - what the fold made of a record. */
 enum fw_change_verdict {
@@ -37,22 +37,22 @@
 };
 
 /**
- * struct fw_state - @seen is a ring of FW_SEEN_MAX.
- * @seen_next: place of the next id in the ring
+ * struct fw_state - @outcomes is a ring of FW_CHANGE_OUTCOMES_MAX.
+ * @next_outcome: place of the next id in the ring
  */
 struct fw_state {
     struct fw_config *cfg;
     struct fw_audit audit;
-    struct fw_seen *seen;
-    unsigned seen_n;
-    unsigned seen_next;
-    GHashTable *seen_by_id;
+    struct fw_seen *outcomes;
+    unsigned n_outcomes;
+    unsigned next_outcome;
+    GHashTable *outcomes_by_id;
 };
 
 /** struct fw_change_result - verdict on one record. */
 struct fw_change_result {
     char id[FW_CHANGE_ID_MAX];
-    char who[FW_NAME_MAX];
+    char author[FW_NAME_MAX];
     enum fw_change_verdict verdict;
     struct fw_why why;
 };
@@ -73,14 +73,14 @@
                struct fw_change_result *res);
 /* The verdict that @ch would get now; nothing is changed. */
 enum fw_change_verdict
-Fw_State_Judge(const struct fw_state *st, const struct fw_change *ch,
-               struct fw_why *why);
+Fw_ConfigState_Evaluate(const struct fw_state *st, const struct fw_change *ch,
+                        struct fw_why *err);
 /* Remembers an id, dropping the oldest when the ring is full. */
 void
-Fw_State_See(struct fw_state *st, const char *id, uint64_t offset,
-             enum fw_change_verdict verdict);
+Fw_ConfigState_RecordOutcome(struct fw_state *st, const char *id,
+                             uint64_t offset, enum fw_change_verdict verdict);
 const struct fw_seen *
-Fw_State_Seen(const struct fw_state *st, const char *id);
+Fw_ConfigState_FindOutcome(const struct fw_state *st, const char *id);
 /* Equal for equal states: configuration, ids and audit trail. */
 uint64_t
 Fw_State_Digest(const struct fw_state *st);
--- a/src/config/value_parse.c
+++ b/src/config/value_parse.c
@@ -27,8 +27,9 @@
             JSON_NODE_HOLDS_VALUE(node) ? json_node_get_string(node) : NULL;
 
         if (!s || !Fw_ModelName_Valid(s)) {
-            Fw_Why_Set(r->why, "%s: models: name %u is not a model's name",
-                       r->where, i + 1);
+            Fw_ConfigError_Set(r->err,
+                               "%s: models: name %u is not a model's name",
+                               r->where, i + 1);
             return -EINVAL;
         }
         team->models[team->n_models++] = g_ref_string_new_intern(s);
@@ -37,16 +38,16 @@
 }
 
 struct fw_team *
-Fw_Team_Parse(const char *name, JsonObject *value, struct fw_why *why)
+Fw_Team_Parse(const char *name, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {"rate", "burst", "priority", "models",
                                         NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = name};
     struct fw_team *team = g_new0(struct fw_team, 1);
     int64_t priority = 0;
 
     g_strlcpy(team->name, name, sizeof(team->name));
-    if (Fw_Field_Only(&r, known) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Int(&r, "rate", 0, FW_TOKENS_MAX, -1, &team->rate) ||
         Fw_Field_Int(&r, "burst", 0, FW_TOKENS_MAX, -1, &team->burst) ||
         Fw_Field_Int(&r, "priority", 0, 9, 0, &priority) ||
@@ -59,14 +60,14 @@
 }
 
 struct fw_key *
-Fw_Key_Parse(const char *name, JsonObject *value, struct fw_why *why)
+Fw_Key_Parse(const char *name, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {"team", "withdrawn", NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = name};
     struct fw_key *key = g_new0(struct fw_key, 1);
 
     g_strlcpy(key->digest, name, sizeof(key->digest));
-    if (Fw_Field_Only(&r, known) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Name(&r, "team", NULL, key->team) ||
         Fw_Field_Bool(&r, "withdrawn", &key->withdrawn)) {
         g_free(key);
@@ -87,11 +88,11 @@
     }
     n = arr ? json_array_get_length(arr) : 0;
     for (unsigned i = 0; i < n; i++) {
-        struct fw_field_reader e = {.why = r->why, .where = r->where};
-        struct fw_link *link = &up->links[up->n_links++];
+        struct fw_field_reader e = {.err = r->err, .where = r->where};
+        struct fw_kv_link *link = &up->links[up->n_links++];
 
         e.obj = Fw_Field_Element(r, arr, i, "links");
-        if (!e.obj || Fw_Field_Only(&e, known) ||
+        if (!e.obj || Fw_Field_RejectUnknown(&e, known) ||
             Fw_Field_Name(&e, "domain", NULL, link->domain) ||
             Fw_Field_Int(&e, "bytes_per_s", 1, INT64_MAX, -1,
                          &link->bytes_per_s)) {
@@ -102,12 +103,12 @@
 }
 
 struct fw_upstream *
-Fw_Upstream_Parse(const char *name, JsonObject *value, struct fw_why *why)
+Fw_Upstream_Parse(const char *name, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {
         "pool",  "url",          "domain",  "role",  "fencing",
         "slots", "prefill_rate", "drained", "links", NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = name};
     struct fw_upstream *up = g_new0(struct fw_upstream, 1);
     int64_t slots = 0;
     int role = 0;
@@ -115,12 +116,12 @@
 
     g_strlcpy(up->name, name, sizeof(up->name));
     /* An upstream that nobody vouches for is taken to ignore fencing. */
-    if (Fw_Field_Only(&r, known) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Name(&r, "pool", NULL, up->pool) ||
         Fw_Field_Text(&r, "url", up->url, sizeof(up->url)) ||
         Fw_Field_Name(&r, "domain", "", up->domain) ||
-        Fw_Field_Word(&r, "role", roles, -1, &role) ||
-        Fw_Field_Word(&r, "fencing", fencings, FW_FENCING_IGNORED, &fencing) ||
+        Fw_Field_Enum(&r, "role", roles, -1, &role) ||
+        Fw_Field_Enum(&r, "fencing", fencings, FW_FENCING_IGNORED, &fencing) ||
         Fw_Field_Int(&r, "slots", 0, 100000, 0, &slots) ||
         Fw_Field_Int(&r, "prefill_rate", 0, FW_TOKENS_MAX, 0,
                      &up->prefill_rate) ||
@@ -130,8 +131,9 @@
     }
     if (!g_str_has_prefix(up->url, "http://") &&
         !g_str_has_prefix(up->url, "https://")) {
-        Fw_Why_Set(why, "%s: url is %.60s, allowed: http:// or https://", name,
-                   up->url);
+        Fw_ConfigError_Set(err,
+                           "%s: url is %.60s, allowed: http:// or https://",
+                           name, up->url);
         g_free(up);
         return NULL;
     }
@@ -153,11 +155,11 @@
     }
     n = arr ? json_array_get_length(arr) : 0;
     for (unsigned i = 0; i < n; i++) {
-        struct fw_field_reader e = {.why = r->why, .where = r->where};
+        struct fw_field_reader e = {.err = r->err, .where = r->where};
         struct fw_serving *s = &pool->serves[pool->n_serves++];
 
         e.obj = Fw_Field_Element(r, arr, i, "serves");
-        if (!e.obj || Fw_Field_Only(&e, known) ||
+        if (!e.obj || Fw_Field_RejectUnknown(&e, known) ||
             Fw_Field_Name(&e, "model", NULL, s->model) ||
             Fw_Field_Name(&e, "version", NULL, s->version) ||
             Fw_Field_Name(&e, "adapter", "", s->adapter)) {
@@ -168,17 +170,17 @@
 }
 
 struct fw_pool *
-Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_why *why)
+Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {"kv_bytes_per_token", "prefill_min",
                                         "decode_min", "serves", NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = name};
     struct fw_pool *pool = g_new0(struct fw_pool, 1);
     int64_t prefill = 0;
     int64_t decode = 0;
 
     g_strlcpy(pool->name, name, sizeof(pool->name));
-    if (Fw_Field_Only(&r, known) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Int(&r, "kv_bytes_per_token", 0, INT32_MAX, 0,
                      &pool->kv_bytes_per_token) ||
         Fw_Field_Int(&r, "prefill_min", 0, 10000, 1, &prefill) ||
@@ -193,30 +195,30 @@
 }
 
 struct fw_service *
-Fw_Service_Parse(const char *name, JsonObject *value, struct fw_why *why)
+Fw_Service_Parse(const char *name, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {"calls", NULL};
     static const char *const call[] = {"method", "path", "idempotent", NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = name};
     struct fw_service *svc = g_new0(struct fw_service, 1);
     JsonArray *arr;
     unsigned n;
 
     g_strlcpy(svc->name, name, sizeof(svc->name));
-    if (Fw_Field_Only(&r, known) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Array(&r, "calls", FW_SERVICE_CALLS_MAX, &arr)) {
         g_free(svc);
         return NULL;
     }
     n = arr ? json_array_get_length(arr) : 0;
     for (unsigned i = 0; i < n; i++) {
-        struct fw_field_reader e = {.why = why, .where = name};
+        struct fw_field_reader e = {.err = err, .where = name};
         struct fw_service_call *c = &svc->calls[svc->n_calls++];
         int method = 0;
 
         e.obj = Fw_Field_Element(&r, arr, i, "calls");
-        if (!e.obj || Fw_Field_Only(&e, call) ||
-            Fw_Field_Word(&e, "method", methods, -1, &method) ||
+        if (!e.obj || Fw_Field_RejectUnknown(&e, call) ||
+            Fw_Field_Enum(&e, "method", methods, -1, &method) ||
             Fw_Field_Text(&e, "path", c->path, sizeof(c->path)) ||
             Fw_Field_Bool(&e, "idempotent", &c->idempotent)) {
             g_free(svc);
@@ -228,14 +230,14 @@
 }
 
 struct fw_operator *
-Fw_Operator_Parse(const char *name, JsonObject *value, struct fw_why *why)
+Fw_Operator_Parse(const char *name, JsonObject *value, struct fw_why *err)
 {
     static const char *const known[] = {"digest", "withdrawn", NULL};
-    struct fw_field_reader r = {.obj = value, .why = why, .where = name};
+    struct fw_field_reader r = {.obj = value, .err = err, .where = name};
     struct fw_operator *op = g_new0(struct fw_operator, 1);
 
     g_strlcpy(op->name, name, sizeof(op->name));
-    if (Fw_Field_Only(&r, known) ||
+    if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Digest(&r, "digest", op->digest) ||
         Fw_Field_Bool(&r, "withdrawn", &op->withdrawn)) {
         g_free(op);
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -111,10 +111,10 @@
 }
 
 void
-Fw_Rig_AgeOut(struct fw_rig_stream *s, uint64_t keep)
+Fw_Rig_Expire(struct fw_rig_stream *s, uint64_t keep)
 {
     if (s->records->len > keep) {
-        s->gone = s->records->len - keep;
+        s->n_expired = s->records->len - keep;
     }
 }
 
@@ -130,7 +130,7 @@
     struct fw_action *a;
 
     while ((a = Fw_Actions_Take(out))) {
-        Fw_Rig_Carry(rig, i, a);
+        Fw_Rig_Execute(rig, i, a);
     }
 }
 
@@ -141,7 +141,7 @@
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .err = err,
                                .sent_us = p->sent_us,
-                               .oldest = s->gone + 1,
+                               .oldest = s->n_expired + 1,
                                .end = s->records->len + 1};
     struct fw_actions out;
 
@@ -166,7 +166,7 @@
             continue;
         }
         s = stream_of(rig, p->read.stream);
-        if (rig->down || rig->cut[i]) {
+        if (rig->down || rig->partitioned[i]) {
             answer_read(rig, i, p, -EIO);
         }
         else if (p->read.from <= s->records->len ||
@@ -198,7 +198,7 @@
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
-    if (rig->down || rig->cut[i]) {
+    if (rig->down || rig->partitioned[i]) {
         done.err = -EAGAIN;
     }
     if (!done.err && rig->drop_appends > 0) {
@@ -244,7 +244,7 @@
                   MSGPACK_UNPACK_SUCCESS);
     g_assert_true(Fw_Msg_Unpack(&msg.data, &got) == 0);
     Fw_Actions_Init(&out);
-    if (!rig->cut[i] && !rig->cut[to]) {
+    if (!rig->partitioned[i] && !rig->partitioned[to]) {
         Fw_Fold_OnMsg(rig->folds[to], from, "addr", &got.u.config, rig->now,
                       &out);
         do_actions(rig, to, &out);
@@ -311,7 +311,7 @@
 }
 
 void
-Fw_Rig_Carry(struct fw_rig *rig, int i, struct fw_action *a)
+Fw_Rig_Execute(struct fw_rig *rig, int i, struct fw_action *a)
 {
     int n;
 
@@ -368,7 +368,7 @@
 }
 
 int
-Fw_Rig_Notes(const struct fw_rig *rig, const char *event)
+Fw_Rig_CountNotes(const struct fw_rig *rig, const char *event)
 {
     return GPOINTER_TO_INT(g_hash_table_lookup(rig->notes, event));
 }
--- a/tests/config/rig.h
+++ b/tests/config/rig.h
@@ -12,10 +12,10 @@
 #define FW_RIG_MAX 9
 #define FW_RIG_STEP_US (50 * FW_MSEC)
 
-/** struct fw_rig_stream - offsets start at 1; @gone have aged out. */
+/** struct fw_rig_stream - offsets start at 1; @n_expired have aged out. */
 struct fw_rig_stream {
     GPtrArray *records;
-    uint64_t gone;
+    uint64_t n_expired;
 };
 
 /** struct fw_rig_read - a read that waits for records. */
@@ -34,7 +34,7 @@
 
 /**
  * struct fw_rig - @n folds and their log.
- * @cut: the fold at this index reaches neither log nor peers
+ * @partitioned: the fold at this index reaches neither log nor peers
  * @down: nobody reaches the log
  * @lose_appends: so many appends take effect without an answer
  * @drop_appends: so many have no effect and no answer
@@ -46,7 +46,7 @@
     int n;
     struct fw_fold *folds[FW_RIG_MAX];
     struct fw_rig_read reads[FW_RIG_MAX][4];
-    int cut[FW_RIG_MAX];
+    int partitioned[FW_RIG_MAX];
     int down;
     int lose_appends;
     int drop_appends;
@@ -75,12 +75,12 @@
                uint64_t was);
 /* Drops all but the last @keep records of @s. */
 void
-Fw_Rig_AgeOut(struct fw_rig_stream *s, uint64_t keep);
+Fw_Rig_Expire(struct fw_rig_stream *s, uint64_t keep);
 void
 Fw_Rig_Run(struct fw_rig *rig, int64_t us);
 /* Hands one action of fold @i to the log or a peer; frees it. */
 void
-Fw_Rig_Carry(struct fw_rig *rig, int i, struct fw_action *a);
+Fw_Rig_Execute(struct fw_rig *rig, int i, struct fw_action *a);
 /* A call of an operator at instance @i, with @key; @body may be NULL. */
 void
 Fw_Rig_Call(struct fw_rig *rig, int i, uint64_t call, const char *method,
@@ -92,6 +92,6 @@
 int64_t
 Fw_Rig_Rate(const struct fw_rig *rig, int i, const char *name);
 int
-Fw_Rig_Notes(const struct fw_rig *rig, const char *event);
+Fw_Rig_CountNotes(const struct fw_rig *rig, const char *event);
 
 #endif
--- a/tests/config/test_mutation.c
+++ b/tests/config/test_mutation.c
@@ -123,7 +123,7 @@
             ck_assert(Fw_State_Digest(got) == Fw_State_Digest(st));
         }
         Fw_State_Free(got);
-        Fw_Snap_Reset(&c);
+        Fw_Snapshot_Reset(&c);
         g_free(text);
     }
     Fw_Snap_FreeText(snap);
--- a/tests/config/test_snapshot.c
+++ b/tests/config/test_snapshot.c
@@ -117,7 +117,7 @@
         }
         g_free(part);
     }
-    Fw_Snap_Reset(&c);
+    Fw_Snapshot_Reset(&c);
     return st;
 }
 
@@ -166,7 +166,7 @@
         Fw_State_Free(got);
     }
     ck_assert_int_eq(whole, 2);
-    Fw_Snap_Reset(&c);
+    Fw_Snapshot_Reset(&c);
     Fw_Snap_FreeText(a);
     Fw_Snap_FreeText(b);
     Fw_State_Free(st);
@@ -187,7 +187,7 @@
     Fw_Rig_Run(rig, 30 * FW_SEC);
     ck_assert_uint_eq(rig->snapshot.records->len, 1);
     Fw_Rig_SetRate(rig, "c3", "a", 3, 1);
-    Fw_Rig_AgeOut(&rig->config, 1);
+    Fw_Rig_Expire(&rig->config, 1);
     Fw_Rig_Restart(rig, 1);
     Fw_Rig_Run(rig, 5 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 3);
@@ -213,8 +213,8 @@
     rig->lose_appends = 2;
     Fw_Rig_Run(rig, 40 * FW_SEC);
     ck_assert_uint_eq(rig->snapshot.records->len, 3);
-    Fw_Rig_AgeOut(&rig->snapshot, 0);
-    Fw_Rig_AgeOut(&rig->config, 0);
+    Fw_Rig_Expire(&rig->snapshot, 0);
+    Fw_Rig_Expire(&rig->config, 0);
     Fw_Rig_Run(rig, 700 * FW_SEC);
     ck_assert_uint_ge(rig->snapshot.records->len, 4);
     Fw_Rig_Restart(rig, 1);
@@ -242,7 +242,7 @@
         Fw_Rig_Append(&rig->snapshot, g_ptr_array_index(half->parts, k));
     }
     Fw_Rig_SetRate(rig, "c2", "a", 2, 1);
-    Fw_Rig_AgeOut(&rig->config, 1);
+    Fw_Rig_Expire(&rig->config, 1);
     Fw_Rig_Restart(rig, 1);
     Fw_Rig_Run(rig, 5 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 2);
@@ -273,16 +273,16 @@
     Fw_Rig_SetRate(rig, "c2", "a", 2, 1);
     Fw_Rig_Run(rig, 3 * FW_SEC);
     Fw_Fold_SetWriter(rig->folds[0], 0);
-    rig->cut[1] = 1;
+    rig->partitioned[1] = 1;
     Fw_Rig_SetRate(rig, "c3", "a", 3, 2);
     Fw_Rig_SetRate(rig, "c4", "a", 4, 3);
     Fw_Rig_Run(rig, 10 * FW_SEC);
-    Fw_Rig_AgeOut(&rig->config, 1);
+    Fw_Rig_Expire(&rig->config, 1);
     Fw_Rig_Append(&rig->snapshot, old);
-    rig->cut[1] = 0;
+    rig->partitioned[1] = 0;
     Fw_Rig_Run(rig, 20 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 2);
-    ck_assert_int_eq(Fw_Rig_Notes(rig, "config_gap"), 1);
+    ck_assert_int_eq(Fw_Rig_CountNotes(rig, "config_gap"), 1);
     Fw_Fold_SetWriter(rig->folds[0], 1);
     Fw_Rig_Run(rig, 400 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 4);
@@ -301,7 +301,7 @@
     Fw_Actions_Init(&out);
     Fw_Fold_AskPeer(rig->folds[i], peer, "addr", rig->now, &out);
     while ((a = Fw_Actions_Take(&out))) {
-        Fw_Rig_Carry(rig, i, a);
+        Fw_Rig_Execute(rig, i, a);
     }
 }
 
@@ -323,11 +323,11 @@
         Fw_Rig_SetRate(rig, id, team, i, 0);
     }
     Fw_Rig_Run(rig, 5 * FW_SEC);
-    rig->cut[2] = 1;
+    rig->partitioned[2] = 1;
     Fw_Rig_SetRate(rig, "c-last", "t0", 99, 1);
     Fw_Rig_Run(rig, 3 * FW_SEC);
     rig->down = 1;
-    rig->cut[2] = 0;
+    rig->partitioned[2] = 0;
     Fw_Rig_Restart(rig, 1);
     Fw_Rig_Run(rig, 6 * FW_SEC);
     ck_assert(!Fw_Fold_Ready(rig->folds[1]));
