--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -5,7 +5,7 @@
 #include "base/fault.h"
 #include "config/state.h"
 
-static const unsigned count_max[FW_ITEM_KINDS] = {
+static const unsigned items_max[FW_ITEM_KINDS] = {
     [FW_ITEM_TEAM] = 50000,     [FW_ITEM_KEY] = 200000,
     [FW_ITEM_UPSTREAM] = 10000, [FW_ITEM_POOL] = 1000,
     [FW_ITEM_SERVICE] = 1000,   [FW_ITEM_OPERATOR] = 1000,
@@ -41,8 +41,8 @@
 
 /* The team as it will be after @ch. */
 static int
-team_after(const struct fw_config *cfg, const struct fw_change *ch,
-           const char *name)
+team_exists_after(const struct fw_config *cfg, const struct fw_change *ch,
+                  const char *name)
 {
     for (int i = 0; i < ch->n; i++) {
         if (ch->items[i].kind == FW_ITEM_TEAM &&
@@ -73,7 +73,7 @@
                            key->digest, old->team);
         return -EINVAL;
     }
-    if (!key->withdrawn && !team_after(st->cfg, ch, key->team)) {
+    if (!key->withdrawn && !team_exists_after(st->cfg, ch, key->team)) {
         Fw_ConfigError_Set(err, "key %.12s...: no team %s", key->digest,
                            key->team);
         return -EINVAL;
@@ -82,7 +82,7 @@
 }
 
 static unsigned
-operators_in_force(const struct fw_config *cfg)
+count_operators(const struct fw_config *cfg)
 {
     GHashTableIter it;
     void *value;
@@ -100,7 +100,7 @@
 check_operators(const struct fw_state *st, const struct fw_change *ch,
                 struct fw_why *err)
 {
-    unsigned before = operators_in_force(st->cfg);
+    unsigned before = count_operators(st->cfg);
     unsigned after = before;
 
     for (int i = 0; i < ch->n; i++) {
@@ -125,16 +125,16 @@
 check_counts(const struct fw_state *st, const struct fw_change *ch,
              struct fw_why *err)
 {
-    unsigned more[FW_ITEM_KINDS] = {0};
+    unsigned added[FW_ITEM_KINDS] = {0};
 
     for (int i = 0; i < ch->n; i++) {
         const struct fw_item *item = &ch->items[i];
 
-        more[item->kind] += item->was == 0;
-        if (Fw_Config_ItemCount(st->cfg, item->kind) + more[item->kind] >
-            count_max[item->kind]) {
+        added[item->kind] += item->was == 0;
+        if (Fw_Config_ItemCount(st->cfg, item->kind) + added[item->kind] >
+            items_max[item->kind]) {
             Fw_ConfigError_Set(err, "more than %u of kind %s",
-                               count_max[item->kind],
+                               items_max[item->kind],
                                Fw_Item_KindName(item->kind));
             return -EINVAL;
         }
@@ -143,8 +143,8 @@
 }
 
 static int
-check_meaning(const struct fw_state *st, const struct fw_change *ch,
-              struct fw_why *err)
+check_change(const struct fw_state *st, const struct fw_change *ch,
+             struct fw_why *err)
 {
     if (ch->base_version &&
         ch->base_version + FW_BASE_AGE_MAX_RECORDS < st->cfg->offset) {
@@ -179,7 +179,7 @@
     if (check_versions(st, ch, err)) {
         return FW_CHANGE_CONFLICT;
     }
-    if (check_meaning(st, ch, err)) {
+    if (check_change(st, ch, err)) {
         return FW_CHANGE_INVALID;
     }
     return FW_CHANGE_ACCEPTED;
@@ -259,7 +259,7 @@
  * instances drop the same ones.
  */
 static void
-prune_keys(struct fw_config *cfg)
+prune_withdrawn_keys(struct fw_config *cfg)
 {
     GHashTableIter it;
     void *value;
@@ -307,7 +307,7 @@
         Fw_ConfigState_RecordOutcome(st, ch.id, offset, res->verdict);
     }
     st->cfg->offset = offset + 1;
-    prune_keys(st->cfg);
+    prune_withdrawn_keys(st->cfg);
     g_strlcpy(res->id, ch.id, sizeof(res->id));
     g_strlcpy(res->author, ch.author, sizeof(res->author));
     Fw_Change_Clear(&ch);
--- a/src/config/audit.h
+++ b/src/config/audit.h
@@ -1,7 +1,7 @@
 /*
- * The audit trail: what became of every record of the configuration log, the
- * refused ones too. A bounded ring; the same on every instance, since it is
- * part of the fold and of its snapshots.
+ * Audit trail: the verdict on each record of the configuration log, accepted
+ * or not. It is bounded, part of the replicated state and stored in
+ * snapshots, so its content is identical on all instances.
  */
 #ifndef FW_CONFIG_AUDIT_H
 #define FW_CONFIG_AUDIT_H
@@ -15,10 +15,12 @@
 #define FW_AUDIT_ENTRIES_MAX 2048
 #define FW_AUDIT_BYTES_MAX ((size_t)1024 * 1024)
 #define FW_AUDIT_CHANGE_ITEMS_MAX                                             \
-    8 /* shown of one change; the rest is counted */
+    8 /* listed per change; the rest is counted */
 
 /**
- * struct fw_audit_entry - one record's fate.
+ * struct fw_audit_entry - verdict on one record.
+ * @offset: offset of the record
+ * @author: operator who made the change
  * @text: JSON {"offset","id","who","at","verdict","why",
  *        "items":[{"kind","name","before","after"}],"more"}
  */
@@ -29,7 +31,11 @@
     struct fw_list link;
 };
 
-/** struct fw_audit - oldest first; see audit.c. */
+/**
+ * struct fw_audit - audit trail.
+ * @entries: list of struct fw_audit_entry, oldest first
+ * @bytes: memory that the entries take
+ */
 struct fw_audit {
     struct fw_list all;
     unsigned n;
@@ -40,10 +46,13 @@
 Fw_Audit_Init(struct fw_audit *a);
 void
 Fw_Audit_Clear(struct fw_audit *a);
-/* @text is taken over; the oldest entries go when the ring is full. */
+/*
+ * Takes ownership of @text. Drops the oldest entries beyond
+ * FW_AUDIT_ENTRIES_MAX or FW_AUDIT_BYTES_MAX.
+ */
 void
 Fw_Audit_Add(struct fw_audit *a, uint64_t offset, const char *who, char *text);
-/* The entry of the record at @offset, or NULL. */
+/* Returns the entry of the record at @offset, or NULL. */
 const struct fw_audit_entry *
 Fw_Audit_Find(const struct fw_audit *a, uint64_t offset);
 
--- a/src/config/change.h
+++ b/src/config/change.h
@@ -1,6 +1,6 @@
 /*
- * One change of the configuration: a record of stream "config", read and
- * checked. docs/design/config-log.md describes the form.
+ * Parser of configuration changes: each record of stream "config" holds one
+ * change as JSON. docs/design/config-log.md describes the format.
  */
 #ifndef FW_CONFIG_CHANGE_H
 #define FW_CONFIG_CHANGE_H
@@ -12,13 +12,19 @@
 #define FW_CHANGE_ID_MAX 40
 #define FW_CHANGE_AT_MAX 32
 #define FW_ITEM_NAME_MAX FW_DIGEST_HEX
-/* Bounds of one record: larger ones are invalid on every instance alike. */
+/*
+ * Limits of one record. They have to be the same on all instances, which
+ * would otherwise reach different verdicts.
+ */
 #define FW_CHANGE_BYTES_MAX ((size_t)4 * 1024 * 1024)
 #define FW_CHANGE_ITEMS_MAX 20000
 
 /**
- * struct fw_why - reason of a refusal, for people.
- * @member, @found, @allowed: where one member of a value is at fault
+ * struct fw_config_error - why a change was rejected.
+ * @text: message for the operator, printable ASCII
+ * @member: name of the offending JSON member, empty if no single one is
+ * @found: its value as JSON, truncated
+ * @allowed: the values it accepts
  */
 struct fw_why {
     char text[200];
@@ -31,7 +37,7 @@
 Fw_ConfigError_Set(struct fw_why *err, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
-/** enum fw_item_kind - kinds of items; the order is that of the listings. */
+/** enum fw_item_kind - kinds of items, in the order of listings. */
 enum fw_item_kind {
     FW_ITEM_TEAM,
     FW_ITEM_KEY,
@@ -45,25 +51,25 @@
 
 const char *
 Fw_Item_KindName(enum fw_item_kind kind);
-/* Return: the kind or FW_ITEM_KINDS. */
+/* Returns FW_ITEM_KINDS when @name is not the name of a kind. */
 enum fw_item_kind
 Fw_Item_KindOf(const char *name);
-/* 1 to 47 of A-Z a-z 0-9 . _ - : / and beginning with no punctuation. */
+/* 1 to 47 characters of A-Z a-z 0-9 . _ - : / with a letter or digit first. */
 int
 Fw_Name_Valid(const char *name);
-/* A model, or a model and adapter as "model+adapter". */
+/* "model" or "model+adapter", both of them valid names. */
 int
 Fw_ModelName_Valid(const char *name);
-/* 64 lower-case hex digits. */
+/* A SHA-256 digest as 64 lower-case hex digits. */
 int
 Fw_Digest_Valid(const char *digest);
 
 /**
- * struct fw_item - new value of one item.
- * @was: offset of the record that last changed it, 0 for none
- * @removed: nonzero: no value, the item goes
- *
- * The value belongs to the item until it is moved into a configuration.
+ * struct fw_item - new value of one item, or its removal.
+ * @name: name of the item; of a key, its digest
+ * @expected_version: version that the change replaces, 0 if the item is new
+ * @removed: nonzero to remove the item; it then has no value
+ * @u: the value, owned by the item until Fw_Config_PutItem moves it
  */
 struct fw_item {
     enum fw_item_kind kind;
@@ -83,8 +89,13 @@
 };
 
 /**
- * struct fw_change - one record.
- * @base_version: version that it was made on as a whole, 0 for none
+ * struct fw_change - one change of the configuration.
+ * @id: unique id, by which a record that was sent twice is recognized
+ * @author: operator who made the change
+ * @timestamp: time as given by the author, not interpreted
+ * @base_version: version of the configuration that the change was made from,
+ *                0 if not given
+ * @n: number of items
  */
 struct fw_change {
     char id[FW_CHANGE_ID_MAX];
@@ -96,14 +107,20 @@
 };
 
 /**
- * Fw_Change_Parse - reads a record's text.
+ * Fw_Change_Parse - parses and checks the text of a record.
  *
- * Return: 0 or -EINVAL with @err; then @ch still holds id, who and at where
- * these could be read, for the audit trail. Fw_Change_Clear in both cases.
+ * On error @ch holds those of id, author and timestamp that could be parsed,
+ * for the audit trail. The caller calls Fw_Change_Clear in either case.
+ *
+ * Return: 0, or -EINVAL with the reason in @err.
  */
 int
 Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *err);
-/* Reads one {"kind","name","was","value"}; the same on error. */
+/*
+ * Parses one object {"kind","name","was","value"}. Returns 0, or -EINVAL with
+ * the reason in @err. @item has to be zeroed before; the caller calls
+ * Fw_Item_Clear in either case.
+ */
 int
 Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *err);
 void
@@ -111,23 +128,29 @@
 void
 Fw_Change_Clear(struct fw_change *ch);
 
-/* Version of an item in force, 0 when there is none. */
+/* Offset of the record that last set the item, 0 if there is no such item. */
 uint64_t
 Fw_Config_ItemVersion(const struct fw_config *cfg, enum fw_item_kind kind,
                       const char *name);
-/* Its value as in a record, a new node; NULL when there is none. */
+/*
+ * The item's value as in a record, NULL if there is no such item. The caller
+ * owns the node.
+ */
 JsonNode *
 Fw_Config_ItemValue(const struct fw_config *cfg, enum fw_item_kind kind,
                     const char *name);
-/* Names of all items of a kind, sorted; borrowed strings. */
+/*
+ * Sorted names of all items of a kind. The caller owns the array, @cfg the
+ * strings.
+ */
 GPtrArray *
 Fw_Config_ItemNames(const struct fw_config *cfg, enum fw_item_kind kind);
 unsigned
 Fw_Config_ItemCount(const struct fw_config *cfg, enum fw_item_kind kind);
-/* Moves the value of @item into @cfg under @version. */
+/* Moves the value of @item into @cfg, or removes the item from it. */
 void
 Fw_Config_Put(struct fw_config *cfg, struct fw_item *item, uint64_t version);
-/* Digest of everything in force: equal states, equal digests. */
+/* Digest of all items and their versions, to compare configurations. */
 uint64_t
 Fw_Config_Digest(const struct fw_config *cfg);
 
--- a/src/config/change_parse.c
+++ b/src/config/change_parse.c
@@ -49,7 +49,7 @@
 }
 
 static int
-name_ok(const char *name, size_t len)
+name_is_valid(const char *name, size_t len)
 {
     if (len == 0 || len >= FW_NAME_MAX || !g_ascii_isalnum(name[0])) {
         return 0;
@@ -65,7 +65,7 @@
 int
 Fw_Name_Valid(const char *name)
 {
-    return name_ok(name, strlen(name));
+    return name_is_valid(name, strlen(name));
 }
 
 int
@@ -76,7 +76,8 @@
     if (!plus) {
         return Fw_Name_Valid(name);
     }
-    return name_ok(name, (size_t)(plus - name)) && Fw_Name_Valid(plus + 1);
+    return name_is_valid(name, (size_t)(plus - name)) &&
+           Fw_Name_Valid(plus + 1);
 }
 
 int
@@ -87,7 +88,7 @@
 }
 
 static int
-item_name(struct fw_item *item, const char *name, struct fw_why *err)
+parse_item_name(struct fw_item *item, const char *name, struct fw_why *err)
 {
     int ok = item->kind == FW_ITEM_KEY ? Fw_Digest_Valid(name)
                                        : Fw_Name_Valid(name);
@@ -189,7 +190,7 @@
     }
     item->kind = (enum fw_item_kind)kind;
     item->was = (uint64_t)was;
-    if (item_name(item, name, err)) {
+    if (parse_item_name(item, name, err)) {
         return -EINVAL;
     }
     if (value && JSON_NODE_HOLDS_NULL(value)) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,6 +1,6 @@
 /*
- * The configuration in force: what the fold of the log yields. Changing it is
- * the fold's business (config/fold.h); these are its types and queries.
+ * Types and queries of the current configuration. It is built from the
+ * configuration log by config/replica.h, which alone changes it.
  */
 #ifndef FW_CONFIG_CONFIG_H
 #define FW_CONFIG_CONFIG_H
@@ -17,13 +17,13 @@
 #define FW_POOL_SERVES_MAX 16
 
 /**
- * struct fw_team - a team and its share.
+ * struct fw_team - a team and its rate limit.
  * @version: offset of the record that last changed it
- * @rate: tokens a second over the whole fleet
- * @burst: tokens
- * @priority: 0 to 9, larger first, handed to the engines
- * @models: names of the models it may use; none listed means all. Interned
- *          (GRefString), since 12,000 teams name the same few models
+ * @rate: limit in tokens per second over the whole fleet
+ * @burst: size of the token bucket
+ * @priority: 0 (lowest) to 9, passed on to the engines
+ * @models: names of the models it may use; an empty list allows all. Interned
+ *          (GRefString), since thousands of teams name the same few models
  */
 struct fw_team {
     char name[FW_NAME_MAX];
@@ -35,13 +35,16 @@
     char *models[FW_TEAM_MODELS_MAX];
 };
 
-/** enum fw_on_withdraw - what becomes of running work of a key. */
+/**
+ * enum fw_on_withdraw - what happens to the running requests of a key that is
+ * withdrawn.
+ */
 enum fw_on_withdraw {
     FW_WITHDRAW_CUT,
     FW_WITHDRAW_FINISH,
 };
 
-/** struct fw_key - a key by digest; the key itself is never kept. */
+/** struct fw_key - API key, stored only as its SHA-256 digest. */
 struct fw_key {
     char digest[FW_DIGEST_HEX];
     char team[FW_NAME_MAX];
@@ -49,31 +52,33 @@
     int withdrawn;
 };
 
-/** enum fw_up_role - what an upstream is for. */
+/** enum fw_upstream_role - kind of work that an upstream does. */
 enum fw_up_role {
     FW_ROLE_PREFILL,
     FW_ROLE_DECODE,
     FW_ROLE_SERVICE,
 };
 
-/** enum fw_fencing - whether an upstream refuses old fencing numbers. */
+/** enum fw_fencing - whether an upstream rejects stale fencing tokens. */
 enum fw_fencing {
     FW_FENCING_CHECKED,
     FW_FENCING_IGNORED,
 };
 
-/** struct fw_kv_link - the way from a prefill domain to this upstream. */
+/** struct fw_kv_link - bandwidth for KV transfers from a failure domain. */
 struct fw_kv_link {
     char domain[FW_NAME_MAX];
     int64_t bytes_per_s;
 };
 
 /**
- * struct fw_upstream - an engine or a plain service's server.
- * @pool: the pool it belongs to; of a plain service, the service's name
- * @slots: requests it decodes at once
- * @prefill_rate: tokens a second it prefills
- * @drained: an operator took it out of choice
+ * struct fw_upstream - an engine, or a server of a plain service.
+ * @version: offset of the record that last changed it
+ * @pool: its pool, or the name of the plain service
+ * @domain: its failure domain, empty if not given
+ * @slots: number of requests it decodes concurrently
+ * @prefill_rate: prefill tokens per second
+ * @drained: nonzero if an operator excluded it from new requests
  */
 struct fw_upstream {
     char name[FW_NAME_MAX];
@@ -90,7 +95,7 @@
     struct fw_kv_link links[FW_UPSTREAM_LINKS_MAX];
 };
 
-/** struct fw_serving - a model version, with an adapter or none. */
+/** struct fw_served_model - model version; @adapter is empty for none. */
 struct fw_serving {
     char model[FW_NAME_MAX];
     char version[FW_NAME_MAX];
@@ -98,9 +103,11 @@
 };
 
 /**
- * struct fw_pool - engines that serve the same models.
- * @kv_bytes_per_token: size of the KV of one token
- * @prefill_min, @decode_min: engines of each role never gone below
+ * struct fw_pool - group of engines that serve the same models.
+ * @version: offset of the record that last changed it
+ * @kv_bytes_per_token: size of the KV cache of one token
+ * @prefill_min: minimum number of engines in the prefill role
+ * @decode_min: minimum number of engines in the decode role
  */
 struct fw_pool {
     char name[FW_NAME_MAX];
@@ -112,14 +119,14 @@
     struct fw_serving serves[FW_POOL_SERVES_MAX];
 };
 
-/** struct fw_service_call - @method and @path (no query) of one call. */
+/** struct fw_service_call - allowed call; @path is without query string. */
 struct fw_service_call {
     char method[16];
     char path[64];
     int idempotent;
 };
 
-/** struct fw_service - a plain service; calls not listed are refused. */
+/** struct fw_service - plain HTTP service; only @calls are allowed. */
 struct fw_service {
     char name[FW_NAME_MAX];
     uint64_t version;
@@ -127,7 +134,7 @@
     struct fw_service_call calls[FW_SERVICE_CALLS_MAX];
 };
 
-/** struct fw_operator - who may change things; by digest of their key. */
+/** struct fw_operator - operator, identified by the digest of their key. */
 struct fw_operator {
     char name[FW_NAME_MAX];
     char digest[FW_DIGEST_HEX];
@@ -136,12 +143,13 @@
 };
 
 /**
- * struct fw_config - everything in force.
- * @offset: the log has been folded up to here (exclusive), 1 at first
- * @on_withdraw: what becomes of running work of a withdrawn key
- * @on_withdraw_version: offset of the record that last set it, 0 for none
+ * struct fw_config - current configuration.
+ * @next_offset: offset of the first log record not yet applied; 1 initially
+ * @on_withdraw: what happens to running requests of a withdrawn key
+ * @on_withdraw_version: offset of the record that last set @on_withdraw, 0 if
+ *                       it was never set
  *
- * The tables map name (of keys: digest) to the struct.
+ * The tables map the item's name (for keys, the digest) to its struct.
  */
 struct fw_config {
     uint64_t offset;
@@ -157,13 +165,16 @@
 
 struct fw_config *
 Fw_Config_New(void);
-/* A team made by hand (g_new0) names its models by g_ref_string_new_intern. */
+/*
+ * Frees all items too. Models of a team have to be GRefStrings, made by
+ * g_ref_string_new_intern.
+ */
 void
 Fw_Config_Free(struct fw_config *cfg);
 
 const struct fw_team *
 Fw_Config_Team(const struct fw_config *cfg, const char *name);
-/* The team of bearer key @key, or NULL when it is unknown or withdrawn. */
+/* The team of API key @key, NULL when the key is unknown or withdrawn. */
 const struct fw_team *
 Fw_Config_KeyTeam(const struct fw_config *cfg, const char *key);
 const struct fw_upstream *
@@ -172,14 +183,14 @@
 Fw_Config_Pool(const struct fw_config *cfg, const char *name);
 const struct fw_service *
 Fw_Config_Service(const struct fw_config *cfg, const char *name);
-/* The listed call, @path with or without a query; NULL when not listed. */
+/* Ignores the query string of @path. Returns NULL for a call not allowed. */
 const struct fw_service_call *
 Fw_Config_ServiceCall(const struct fw_service *svc, const char *method,
                       const char *path);
-/* The operator of @key, or NULL when it is unknown or withdrawn. */
+/* The operator with key @key, NULL when it is unknown or withdrawn. */
 const struct fw_operator *
 Fw_Config_Operator(const struct fw_config *cfg, const char *key);
-/* Nonzero when @team may use @model. */
+/* Nonzero when @team may use @model ("name" or "name+adapter"). */
 int
 Fw_Config_TeamMay(const struct fw_team *team, const char *model);
 /* Nonzero when some pool serves @model ("name" or "name+adapter"). */
--- a/src/config/config_msg.c
+++ b/src/config/config_msg.c
@@ -17,9 +17,9 @@
     case FW_CONFIG_MSG_PART_REQUEST:
         msgpack_pack_array(pk, 4);
         msgpack_pack_int(pk, FW_CONFIG_MSG_PART_REQUEST);
-        msgpack_pack_uint64(pk, msg->u.ask.next_offset);
-        Fw_Pack_Str(pk, msg->u.ask.snapshot_id);
-        msgpack_pack_uint32(pk, msg->u.ask.part);
+        msgpack_pack_uint64(pk, msg->u.request.next_offset);
+        Fw_Pack_Str(pk, msg->u.request.snapshot_id);
+        msgpack_pack_uint32(pk, msg->u.request.part);
         break;
     case FW_CONFIG_PART:
         msgpack_pack_array(pk, 2);
@@ -30,16 +30,17 @@
 }
 
 static int
-unpack_ask(const msgpack_object *obj, struct fw_config_part_request *ask)
+unpack_part_request(const msgpack_object *obj,
+                    struct fw_config_part_request *req)
 {
     uint64_t k;
 
-    if (Fw_Unpack_U64(obj, 1, &ask->next_offset) ||
-        Fw_Unpack_Str(obj, 2, ask->snapshot_id, sizeof(ask->snapshot_id)) ||
+    if (Fw_Unpack_U64(obj, 1, &req->next_offset) ||
+        Fw_Unpack_Str(obj, 2, req->snapshot_id, sizeof(req->snapshot_id)) ||
         Fw_Unpack_U64(obj, 3, &k) || k > UINT32_MAX) {
         return -EBADMSG;
     }
-    ask->part = (uint32_t)k;
+    req->part = (uint32_t)k;
     return 0;
 }
 
@@ -74,7 +75,7 @@
     case FW_CONFIG_MSG_UP_TO_DATE:
         return 0;
     case FW_CONFIG_MSG_PART_REQUEST:
-        return unpack_ask(obj, &msg->u.ask);
+        return unpack_part_request(obj, &msg->u.request);
     case FW_CONFIG_PART:
         return unpack_part(obj, msg);
     default:
--- a/src/config/config_msg.h
+++ b/src/config/config_msg.h
@@ -1,4 +1,4 @@
-/* Messages of the config subsystem between instances. */
+/* Messages by which an instance fetches the configuration from a peer. */
 #ifndef FW_CONFIG_MSG_H
 #define FW_CONFIG_MSG_H
 
@@ -7,21 +7,20 @@
 
 #include "base/limits.h"
 
-#define FW_CONFIG_PART_MAX (1024 * 1024) /* bytes of a part's text */
+#define FW_CONFIG_PART_MAX (1024 * 1024) /* bytes of a snapshot part */
 
-/** enum fw_config_msg_kind - a wire value. */
+/** enum fw_config_msg_kind - kind of message; the values are on the wire. */
 enum fw_config_msg_kind {
-    FW_CONFIG_MSG_UP_TO_DATE,   /* answer: nothing newer here */
-    FW_CONFIG_MSG_PART_REQUEST, /* a part of the state, if it is newer than
-                                   mine */
-    FW_CONFIG_PART, /* answer; late while the state is being written */
+    FW_CONFIG_MSG_UP_TO_DATE,   /* response: no newer state */
+    FW_CONFIG_MSG_PART_REQUEST, /* request */
+    FW_CONFIG_PART,             /* response */
 };
 
 /**
- * struct fw_config_part_request - asks for one part.
- * @next_offset: offset up to which the asker has folded
- * @snapshot_id: snapshot being taken, empty to begin
- * @part: part wanted
+ * struct fw_config_part_request - request for one part of a snapshot.
+ * @next_offset: the sender's next log offset; only a newer state is sent
+ * @snapshot_id: id of the snapshot, empty for the first request
+ * @part: index of the part, from 0
  */
 struct fw_config_part_request {
     uint64_t next_offset;
@@ -33,14 +32,17 @@
 struct fw_config_msg {
     enum fw_config_msg_kind kind;
     union {
-        struct fw_config_part_request ask;
-        char *part; /* as in stream "snapshot"; owned */
+        struct fw_config_part_request request;
+        char *part; /* as in stream "snapshot"; owned by the message */
     } u;
 };
 
 void
 Fw_Config_PackMsg(msgpack_packer *pk, const struct fw_config_msg *msg);
-/* Return: 0 or -EBADMSG; then nothing needs clearing. */
+/*
+ * Returns 0 or -EBADMSG. After success the caller clears @msg by
+ * Fw_Config_ClearMsg.
+ */
 int
 Fw_Config_UnpackMsg(const msgpack_object *obj, struct fw_config_msg *msg);
 void
--- a/src/config/config_query.c
+++ b/src/config/config_query.c
@@ -97,7 +97,7 @@
 }
 
 static int
-serving_is(const struct fw_serving *s, const char *model)
+serves_model(const struct fw_serving *s, const char *model)
 {
     size_t len = strlen(s->model);
 
@@ -121,7 +121,7 @@
         const struct fw_pool *pool = value;
 
         for (int i = 0; i < pool->n_serves; i++) {
-            if (serving_is(&pool->serves[i], model)) {
+            if (serves_model(&pool->serves[i], model)) {
                 return 1;
             }
         }
--- a/src/config/field.c
+++ b/src/config/field.c
@@ -6,7 +6,7 @@
 
 /* Text of a member for a message, bounded. */
 static int
-refuse(const struct fw_field_reader *r, const char *name, JsonNode *node,
+reject(const struct fw_field_reader *r, const char *name, JsonNode *node,
        const char *allowed)
 {
     char *found = node ? json_to_string(node, FALSE) : g_strdup("nothing");
@@ -22,7 +22,7 @@
 }
 
 static int
-is_type(JsonNode *node, GType type)
+holds_type(JsonNode *node, GType type)
 {
     return JSON_NODE_HOLDS_VALUE(node) &&
            json_node_get_value_type(node) == type;
@@ -60,12 +60,12 @@
         *out = dflt;
         return 0;
     }
-    if (!node || !is_type(node, G_TYPE_INT64)) {
-        return refuse(r, name, node, allowed);
+    if (!node || !holds_type(node, G_TYPE_INT64)) {
+        return reject(r, name, node, allowed);
     }
     *out = json_node_get_int(node);
     if (*out < min || *out > max) {
-        return refuse(r, name, node, allowed);
+        return reject(r, name, node, allowed);
     }
     return 0;
 }
@@ -79,8 +79,8 @@
     if (!node) {
         return 0;
     }
-    if (!is_type(node, G_TYPE_BOOLEAN)) {
-        return refuse(r, name, node, "true, false");
+    if (!holds_type(node, G_TYPE_BOOLEAN)) {
+        return reject(r, name, node, "true, false");
     }
     *out = json_node_get_boolean(node);
     return 0;
@@ -94,11 +94,12 @@
     const char *s = dflt;
 
     if (node) {
-        s = is_type(node, G_TYPE_STRING) ? json_node_get_string(node) : NULL;
+        s = holds_type(node, G_TYPE_STRING) ? json_node_get_string(node)
+                                            : NULL;
     }
     /* An empty string stands for none where none is allowed. */
     if (!s || (!Fw_Name_Valid(s) && !(dflt && s[0] == '\0'))) {
-        return refuse(r, name, node,
+        return reject(r, name, node,
                       "1 to 47 of letters, digits and . _ - : /");
     }
     g_strlcpy(out, s, FW_NAME_MAX);
@@ -112,16 +113,16 @@
     JsonNode *node = json_object_get_member(r->obj, name);
     const char *s;
 
-    if (!node || !is_type(node, G_TYPE_STRING)) {
-        return refuse(r, name, node, "a text");
+    if (!node || !holds_type(node, G_TYPE_STRING)) {
+        return reject(r, name, node, "a text");
     }
     s = json_node_get_string(node);
     if (s[0] == '\0' || strlen(s) >= size) {
-        return refuse(r, name, node, "a text of fitting length");
+        return reject(r, name, node, "a text of fitting length");
     }
     for (const char *p = s; *p; p++) {
         if (!g_ascii_isgraph(*p)) {
-            return refuse(r, name, node, "ASCII without blanks");
+            return reject(r, name, node, "ASCII without blanks");
         }
     }
     g_strlcpy(out, s, size);
@@ -134,12 +135,12 @@
     JsonNode *node = json_object_get_member(r->obj, name);
     const char *s;
 
-    if (!node || !is_type(node, G_TYPE_STRING)) {
-        return refuse(r, name, node, "64 hex digits");
+    if (!node || !holds_type(node, G_TYPE_STRING)) {
+        return reject(r, name, node, "64 hex digits");
     }
     s = json_node_get_string(node);
     if (!Fw_Digest_Valid(s)) {
-        return refuse(r, name, node, "64 hex digits in lower case");
+        return reject(r, name, node, "64 hex digits in lower case");
     }
     g_strlcpy(out, s, FW_DIGEST_HEX);
     return 0;
@@ -157,7 +158,7 @@
         *out = dflt;
         return 0;
     }
-    if (node && is_type(node, G_TYPE_STRING)) {
+    if (node && holds_type(node, G_TYPE_STRING)) {
         const char *s = json_node_get_string(node);
 
         for (int i = 0; words[i]; i++) {
@@ -168,7 +169,7 @@
         }
     }
     allowed = g_strjoinv(", ", (char **)words);
-    rc = refuse(r, name, node, allowed);
+    rc = reject(r, name, node, allowed);
     g_free(allowed);
     return rc;
 }
@@ -187,7 +188,7 @@
     g_snprintf(allowed, sizeof(allowed), "a list of at most %u", max);
     if (!JSON_NODE_HOLDS_ARRAY(node) ||
         json_array_get_length(json_node_get_array(node)) > max) {
-        return refuse(r, name, node, allowed);
+        return reject(r, name, node, allowed);
     }
     *out = json_node_get_array(node);
     return 0;
@@ -200,7 +201,7 @@
     JsonNode *node = json_array_get_element(arr, i);
 
     if (!JSON_NODE_HOLDS_OBJECT(node)) {
-        refuse(r, name, node, "a list of objects");
+        reject(r, name, node, "a list of objects");
         return NULL;
     }
     return json_node_get_object(node);
--- a/src/config/fold_cmd.c
+++ b/src/config/fold_cmd.c
@@ -7,7 +7,7 @@
 #include "core/types.h"
 
 static void
-add_metrics(struct fw_fold *f, struct fw_metrics *metrics)
+add_metrics(struct fw_fold *rep, struct fw_metrics *metrics)
 {
     static const struct fw_metric all[] = {
         {.name = "fw_config_version",
@@ -35,7 +35,7 @@
          .help = "1 while the log lacks the record after ours.",
          .is_gauge = 1},
     };
-    struct fw_replica_metrics *m = &f->metrics;
+    struct fw_replica_metrics *m = &rep->metrics;
     struct fw_metric *const to[] = {
         &m->offset,       &m->verdicts[0],   &m->verdicts[1], &m->verdicts[2],
         &m->verdicts[3],  &m->read_failures, &m->adopted_log, &m->adopted_peer,
@@ -54,39 +54,39 @@
 Fw_Fold_New(const char *instance, uint32_t seed, struct fw_metrics *metrics,
             int64_t now_us)
 {
-    struct fw_fold *f = g_new0(struct fw_fold, 1);
+    struct fw_fold *rep = g_new0(struct fw_fold, 1);
 
-    g_strlcpy(f->instance, instance, sizeof(f->instance));
-    f->rand = g_rand_new_with_seed(seed);
-    f->state = Fw_State_New();
-    f->last_success_us = now_us;
-    f->read_due_us = now_us;
-    f->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
-    add_metrics(f, metrics);
-    Fw_ConfigReplica_StartSearch(f);
-    return f;
+    g_strlcpy(rep->instance, instance, sizeof(rep->instance));
+    rep->rand = g_rand_new_with_seed(seed);
+    rep->state = Fw_State_New();
+    rep->last_success_us = now_us;
+    rep->read_due_us = now_us;
+    rep->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
+    add_metrics(rep, metrics);
+    Fw_ConfigReplica_StartSearch(rep);
+    return rep;
 }
 
 void
-Fw_Fold_Free(struct fw_fold *f)
+Fw_Fold_Free(struct fw_fold *rep)
 {
-    if (!f) {
+    if (!rep) {
         return;
     }
-    Fw_State_Free(f->state);
-    Fw_State_Free(f->search.newest);
-    Fw_Snapshot_Reset(&f->search.assembler);
-    Fw_Snap_FreeText(f->writer.snapshot);
-    Fw_ConfigReplica_ResetPeer(f);
-    Fw_Snap_FreeText(f->peer.served);
-    g_rand_free(f->rand);
-    g_free(f);
+    Fw_State_Free(rep->state);
+    Fw_State_Free(rep->search.newest);
+    Fw_Snapshot_Reset(&rep->search.assembler);
+    Fw_Snap_FreeText(rep->writer.snapshot);
+    Fw_ConfigReplica_ResetPeer(rep);
+    Fw_Snap_FreeText(rep->peer.served);
+    g_rand_free(rep->rand);
+    g_free(rep);
 }
 
 uint64_t
-Fw_ConfigReplica_NewTicket(struct fw_fold *f)
+Fw_ConfigReplica_NewTicket(struct fw_fold *rep)
 {
-    return Fw_Owner_Number(FW_OWNER_CONFIG, ++f->seq);
+    return Fw_Owner_Number(FW_OWNER_CONFIG, ++rep->seq);
 }
 
 /*
@@ -95,26 +95,26 @@
  * it as a key that works again. So only a newer state is taken.
  */
 int
-Fw_ConfigReplica_Install(struct fw_fold *f, struct fw_state *st,
+Fw_ConfigReplica_Install(struct fw_fold *rep, struct fw_state *st,
                          const char *source, struct fw_actions *out)
 {
     char at[24];
 
-    if (st->cfg->offset <= f->state->cfg->offset &&
+    if (st->cfg->offset <= rep->state->cfg->offset &&
         !FW_FAULT("config-adopt-older")) {
         Fw_State_Free(st);
         return 0;
     }
-    Fw_State_Free(f->state);
-    f->state = st;
-    f->gap = 0;
-    f->metrics.gap.value = 0;
-    f->metrics.offset.value = (int64_t)st->cfg->offset - 1;
+    Fw_State_Free(rep->state);
+    rep->state = st;
+    rep->gap = 0;
+    rep->metrics.gap.value = 0;
+    rep->metrics.offset.value = (int64_t)st->cfg->offset - 1;
     if (strcmp(source, "log") == 0) {
-        f->metrics.adopted_log.value++;
+        rep->metrics.adopted_log.value++;
     }
     else {
-        f->metrics.adopted_peer.value++;
+        rep->metrics.adopted_peer.value++;
     }
     g_snprintf(at, sizeof(at), "%" G_GUINT64_FORMAT, st->cfg->offset - 1);
     Fw_Actions_Note(out, LOG_NOTICE, "config_adopted", "source", source,
@@ -123,8 +123,8 @@
 }
 
 static void
-note_result(uint64_t offset, const struct fw_change_result *res,
-            struct fw_actions *out)
+log_result(uint64_t offset, const struct fw_change_result *res,
+           struct fw_actions *out)
 {
     int severity = res->verdict == FW_CHANGE_ACCEPTED ? LOG_INFO : LOG_WARNING;
     char at[24];
@@ -138,145 +138,145 @@
 
 /* Folds what lies at or after our offset; records before it are old news. */
 static void
-fold_records(struct fw_fold *f, const struct fw_log_records *r,
-             struct fw_actions *out)
+apply_records(struct fw_fold *rep, const struct fw_log_records *r,
+              struct fw_actions *out)
 {
     for (int i = 0; i < r->n; i++) {
         struct fw_change_result res;
         uint64_t offset = r->first + (uint64_t)i;
 
-        if (offset != f->state->cfg->offset) {
+        if (offset != rep->state->cfg->offset) {
             continue;
         }
-        Fw_State_Apply(f->state, r->records[i], &res);
-        f->metrics.verdicts[res.verdict].value++;
-        note_result(offset, &res, out);
+        Fw_State_Apply(rep->state, r->records[i], &res);
+        rep->metrics.verdicts[res.verdict].value++;
+        log_result(offset, &res, out);
     }
-    f->metrics.offset.value = (int64_t)f->state->cfg->offset - 1;
+    rep->metrics.offset.value = (int64_t)rep->state->cfg->offset - 1;
 }
 
 void
-Fw_ConfigReplica_BackOff(struct fw_fold *f, int64_t now_us)
+Fw_ConfigReplica_BackOff(struct fw_fold *rep, int64_t now_us)
 {
     /* Spread, so that a log that comes back is not met by all at once. */
-    f->read_due_us =
-        now_us + g_rand_int_range(f->rand, (gint32)(f->backoff_us / 2),
-                                  (gint32)(f->backoff_us * 3 / 2));
-    f->backoff_us = MIN(f->backoff_us * 2, FW_REPLICA_BACKOFF_MAX_US);
+    rep->read_due_us =
+        now_us + g_rand_int_range(rep->rand, (gint32)(rep->backoff_us / 2),
+                                  (gint32)(rep->backoff_us * 3 / 2));
+    rep->backoff_us = MIN(rep->backoff_us * 2, FW_REPLICA_BACKOFF_MAX_US);
 }
 
 static void
-read_failed(struct fw_fold *f, int64_t now_us)
+read_failed(struct fw_fold *rep, int64_t now_us)
 {
-    f->metrics.read_failures.value++;
-    Fw_ConfigReplica_BackOff(f, now_us);
+    rep->metrics.read_failures.value++;
+    Fw_ConfigReplica_BackOff(rep, now_us);
 }
 
 /* The log dropped records that were never read here. What is in force stays
  * so, until a snapshot or a peer gives a newer state. */
 static void
-note_gap(struct fw_fold *f, const struct fw_log_records *r, int64_t now_us,
-         struct fw_actions *out)
+enter_gap(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
+          struct fw_actions *out)
 {
-    if (!f->gap) {
+    if (!rep->gap) {
         Fw_Actions_Note(out, LOG_ERR, "config_gap", NULL);
     }
-    f->gap = 1;
-    f->metrics.gap.value = 1;
-    f->oldest_offset = r->oldest;
-    Fw_ConfigReplica_StartSearch(f);
-    Fw_ConfigReplica_BackOff(f, now_us);
+    rep->gap = 1;
+    rep->metrics.gap.value = 1;
+    rep->oldest_offset = r->oldest;
+    Fw_ConfigReplica_StartSearch(rep);
+    Fw_ConfigReplica_BackOff(rep, now_us);
 }
 
 static void
-follow(struct fw_fold *f, const struct fw_log_records *r, int64_t now_us,
-       struct fw_actions *out)
+follow_log(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
+           struct fw_actions *out)
 {
-    uint64_t have = f->state->cfg->offset;
+    uint64_t have = rep->state->cfg->offset;
 
     if (MAX(r->first, r->oldest) > have && r->end > have) {
-        note_gap(f, r, now_us, out);
+        enter_gap(rep, r, now_us, out);
         return;
     }
-    f->gap = 0;
-    f->metrics.gap.value = 0;
-    f->oldest_offset = r->oldest;
-    f->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
-    f->read_due_us = now_us;
-    fold_records(f, r, out);
-    if (f->state->cfg->offset >= r->end) {
-        f->ready = 1;
+    rep->gap = 0;
+    rep->metrics.gap.value = 0;
+    rep->oldest_offset = r->oldest;
+    rep->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
+    rep->read_due_us = now_us;
+    apply_records(rep, r, out);
+    if (rep->state->cfg->offset >= r->end) {
+        rep->ready = 1;
     }
 }
 
 static void
-on_read(struct fw_fold *f, const struct fw_log_records *r, int64_t now_us,
+on_read(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
         struct fw_actions *out)
 {
-    f->read_ticket = 0;
+    rep->read_ticket = 0;
     if (r->err) {
-        read_failed(f, now_us);
+        read_failed(rep, now_us);
         return;
     }
-    if (f->phase != FW_REPLICA_FOLLOW) {
-        Fw_ConfigReplica_OnSearchRecords(f, r, now_us, out);
+    if (rep->phase != FW_REPLICA_FOLLOW) {
+        Fw_ConfigReplica_OnSearchRecords(rep, r, now_us, out);
         return;
     }
-    f->last_success_us = r->sent_us;
-    follow(f, r, now_us, out);
+    rep->last_success_us = r->sent_us;
+    follow_log(rep, r, now_us, out);
 }
 
 void
-Fw_Fold_OnRecords(struct fw_fold *f, const struct fw_log_records *r,
+Fw_Fold_OnRecords(struct fw_fold *rep, const struct fw_log_records *r,
                   int64_t now_us, struct fw_actions *out)
 {
-    if (f->read_ticket && r->ticket == f->read_ticket) {
-        on_read(f, r, now_us, out);
+    if (rep->read_ticket && r->ticket == rep->read_ticket) {
+        on_read(rep, r, now_us, out);
     }
-    else if (f->writer.ticket && r->ticket == f->writer.ticket) {
-        Fw_ConfigReplica_OnWriterRecords(f, r, now_us);
+    else if (rep->writer.ticket && r->ticket == rep->writer.ticket) {
+        Fw_ConfigReplica_OnWriterRecords(rep, r, now_us);
     }
-    Fw_Fold_Tick(f, now_us, out);
+    Fw_Fold_Tick(rep, now_us, out);
 }
 
 void
-Fw_Fold_OnAppended(struct fw_fold *f, const struct fw_log_appended *a,
+Fw_Fold_OnAppended(struct fw_fold *rep, const struct fw_log_appended *a,
                    int64_t now_us, struct fw_actions *out)
 {
-    if (f->writer.ticket && a->ticket == f->writer.ticket) {
-        Fw_ConfigReplica_OnWriterAppended(f, a, now_us);
+    if (rep->writer.ticket && a->ticket == rep->writer.ticket) {
+        Fw_ConfigReplica_OnWriterAppended(rep, a, now_us);
     }
-    Fw_Fold_Tick(f, now_us, out);
+    Fw_Fold_Tick(rep, now_us, out);
 }
 
 static void
-send_read(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+send_read(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    f->read_ticket = Fw_ConfigReplica_NewTicket(f);
-    f->read_sent_us = now_us;
-    if (f->phase != FW_REPLICA_FOLLOW) {
-        Fw_ConfigReplica_SendSearchRead(f, out);
+    rep->read_ticket = Fw_ConfigReplica_NewTicket(rep);
+    rep->read_sent_us = now_us;
+    if (rep->phase != FW_REPLICA_FOLLOW) {
+        Fw_ConfigReplica_SendSearchRead(rep, out);
         return;
     }
-    Fw_Actions_Read(out, f->read_ticket, FW_STREAM_CONFIG,
-                    f->state->cfg->offset, FW_REPLICA_READ_RECORDS_MAX,
+    Fw_Actions_Read(out, rep->read_ticket, FW_STREAM_CONFIG,
+                    rep->state->cfg->offset, FW_REPLICA_READ_RECORDS_MAX,
                     FW_REPLICA_READ_WAIT_US);
 }
 
 void
-Fw_Fold_Tick(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+Fw_Fold_Tick(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    if (f->read_ticket &&
-        now_us >= f->read_sent_us + FW_REPLICA_READ_TIMEOUT_US) {
-        f->read_ticket = 0;
-        read_failed(f, now_us);
+    if (rep->read_ticket &&
+        now_us >= rep->read_sent_us + FW_REPLICA_READ_TIMEOUT_US) {
+        rep->read_ticket = 0;
+        read_failed(rep, now_us);
     }
-    if (!f->read_ticket && now_us >= f->read_due_us) {
-        send_read(f, now_us, out);
+    if (!rep->read_ticket && now_us >= rep->read_due_us) {
+        send_read(rep, now_us, out);
     }
-    Fw_Actions_Wake(out, f->read_ticket
-                             ? f->read_sent_us + FW_REPLICA_READ_TIMEOUT_US
-                             : f->read_due_us);
-    Fw_ConfigReplica_TickPeer(f, now_us, out);
-    Fw_ConfigReplica_TickWriter(f, now_us, out);
+    Fw_Actions_Wake(out, rep->read_ticket
+                             ? rep->read_sent_us + FW_REPLICA_READ_TIMEOUT_US
+                             : rep->read_due_us);
+    Fw_ConfigReplica_TickPeer(rep, now_us, out);
+    Fw_ConfigReplica_TickWriter(rep, now_us, out);
 }
--- a/src/config/fold_find.c
+++ b/src/config/fold_find.c
@@ -11,11 +11,11 @@
 #include "config/fold_internal.h"
 
 void
-Fw_ConfigReplica_StartSearch(struct fw_fold *f)
+Fw_ConfigReplica_StartSearch(struct fw_fold *rep)
 {
-    struct fw_replica_search *s = &f->search;
+    struct fw_replica_search *s = &rep->search;
 
-    f->phase = FW_REPLICA_READ_BOUNDS;
+    rep->phase = FW_REPLICA_READ_BOUNDS;
     Fw_Snapshot_Reset(&s->assembler);
     Fw_State_Free(s->newest);
     s->newest = NULL;
@@ -23,14 +23,14 @@
 }
 
 void
-Fw_ConfigReplica_SendSearchRead(struct fw_fold *f, struct fw_actions *out)
+Fw_ConfigReplica_SendSearchRead(struct fw_fold *rep, struct fw_actions *out)
 {
     uint64_t from =
-        f->phase == FW_REPLICA_READ_BOUNDS ? 1 : f->search.next_offset;
+        rep->phase == FW_REPLICA_READ_BOUNDS ? 1 : rep->search.next_offset;
     int max =
-        f->phase == FW_REPLICA_READ_BOUNDS ? 1 : FW_SEARCH_READ_RECORDS_MAX;
+        rep->phase == FW_REPLICA_READ_BOUNDS ? 1 : FW_SEARCH_READ_RECORDS_MAX;
 
-    Fw_Actions_Read(out, f->read_ticket, FW_STREAM_SNAPSHOT, from, max, 0);
+    Fw_Actions_Read(out, rep->read_ticket, FW_STREAM_SNAPSHOT, from, max, 0);
 }
 
 static void
@@ -45,18 +45,18 @@
 }
 
 static void
-take_parts(struct fw_fold *f, const struct fw_log_records *r,
+read_parts(struct fw_fold *rep, const struct fw_log_records *r,
            struct fw_actions *out)
 {
-    struct fw_replica_search *s = &f->search;
+    struct fw_replica_search *s = &rep->search;
 
     for (int i = 0; i < r->n; i++) {
         struct fw_state *st = NULL;
-        struct fw_snapshot_header head;
+        struct fw_snapshot_header header;
         int rc = Fw_Snap_Feed(&s->assembler, r->records[i], &st, NULL);
 
         if (rc == -EBADMSG && r->first + (uint64_t)i != s->window_start) {
-            f->metrics.snap_refused.value++;
+            rep->metrics.snap_refused.value++;
             Fw_Actions_Note(out, LOG_NOTICE, "snapshot_refused", NULL);
         }
         if (rc != 1) {
@@ -68,32 +68,32 @@
         }
         Fw_State_Free(s->newest);
         s->newest = st;
-        Fw_Snapshot_ParseHeader(r->records[i], &head);
-        s->newest_first = r->first + (uint64_t)i + 1 - head.n_parts;
+        Fw_Snapshot_ParseHeader(r->records[i], &header);
+        s->newest_first = r->first + (uint64_t)i + 1 - header.n_parts;
     }
 }
 
 static void
-found(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+install_newest(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_search *s = &f->search;
+    struct fw_replica_search *s = &rep->search;
 
-    f->writer.newest = s->newest->cfg->offset;
-    f->writer.newest_us = now_us;
-    f->writer.newest_first = s->newest_first;
-    Fw_ConfigReplica_Install(f, s->newest, "log", out);
+    rep->writer.newest = s->newest->cfg->offset;
+    rep->writer.newest_us = now_us;
+    rep->writer.newest_first = s->newest_first;
+    Fw_ConfigReplica_Install(rep, s->newest, "log", out);
     s->newest = NULL;
     Fw_Snapshot_Reset(&s->assembler);
-    f->phase = FW_REPLICA_FOLLOW;
+    rep->phase = FW_REPLICA_FOLLOW;
 }
 
 static void
-window_done(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+end_window(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_search *s = &f->search;
+    struct fw_replica_search *s = &rep->search;
 
     if (s->newest) {
-        found(f, now_us, out);
+        install_newest(rep, now_us, out);
         return;
     }
     if (s->window_start > s->oldest_offset) {
@@ -101,28 +101,28 @@
         open_window(s);
         return;
     }
-    f->phase = FW_REPLICA_FOLLOW;
+    rep->phase = FW_REPLICA_FOLLOW;
 }
 
 void
-Fw_ConfigReplica_OnSearchRecords(struct fw_fold *f,
+Fw_ConfigReplica_OnSearchRecords(struct fw_fold *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_search *s = &f->search;
+    struct fw_replica_search *s = &rep->search;
 
-    if (f->phase == FW_REPLICA_READ_BOUNDS) {
+    if (rep->phase == FW_REPLICA_READ_BOUNDS) {
         s->oldest_offset = MAX(r->oldest, 1);
         s->end_offset = r->end;
         open_window(s);
-        f->phase = FW_REPLICA_SEARCH;
+        rep->phase = FW_REPLICA_SEARCH;
     }
     else {
-        take_parts(f, r, out);
+        read_parts(rep, r, out);
         /* Moves on also when records aged out under the search. */
         s->next_offset = r->n > 0 ? r->first + (uint64_t)r->n : s->end_offset;
     }
     if (s->next_offset >= s->end_offset) {
-        window_done(f, now_us, out);
+        end_window(rep, now_us, out);
     }
 }
--- a/src/config/fold_internal.h
+++ b/src/config/fold_internal.h
@@ -1,53 +1,60 @@
-/* The fold's state, shared inside src/config only. */
+/* Internal interface of the configuration replica. */
 #ifndef FW_CONFIG_FOLD_INTERNAL_H
 #define FW_CONFIG_FOLD_INTERNAL_H
 
 #include "config/fold.h"
 #include "config/snapshot.h"
 
-#define FW_REPLICA_READ_WAIT_US                                               \
-    (2 * FW_SEC) /* the log holds a read back so long */
-#define FW_REPLICA_READ_TIMEOUT_US                                            \
-    (10 * FW_SEC) /* a read without answer is given up */
+/* How long the log holds a read while there is no new record. */
+#define FW_REPLICA_READ_WAIT_US (2 * FW_SEC)
+#define FW_REPLICA_READ_TIMEOUT_US (10 * FW_SEC) /* of appends too */
 #define FW_REPLICA_BACKOFF_MIN_US (200 * FW_MSEC)
 #define FW_REPLICA_BACKOFF_MAX_US (5 * FW_SEC)
-#define FW_REPLICA_READ_RECORDS_MAX 256 /* records asked for at once */
+#define FW_REPLICA_READ_RECORDS_MAX 256
 
-/* The newest whole snapshot is looked for in a window before the end that
- * grows until one is found. */
+/*
+ * The newest complete snapshot is searched for in a window at the end of
+ * stream "snapshot", which grows until it contains one.
+ */
 #define FW_SEARCH_READ_RECORDS_MAX 4
 #define FW_SEARCH_WINDOW_RECORDS 256
 
-/* When the writer appends a snapshot, see snap_due in fold_write.c. */
+/* When a snapshot is written: see snapshot_is_due in replica_snapshot.c. */
 #define FW_SNAPSHOT_INTERVAL_RECORDS 500
 #define FW_SNAPSHOT_AGE_MAX_US (21600 * FW_SEC)
 #define FW_SNAPSHOT_CHECK_INTERVAL_US (300 * FW_SEC)
-#define FW_SNAPSHOT_APPEND_PARTS_MAX 8 /* parts in one append */
+#define FW_SNAPSHOT_APPEND_PARTS_MAX 8
 #define FW_SNAPSHOT_RETRY_DELAY_US (2 * FW_SEC)
-/* Rows written at once, about a millisecond's work, and the pause between. */
+/* Rows per step, which take about 1 ms, and the interval between steps. */
 #define FW_SNAPSHOT_STEP_ROWS 256
 #define FW_SNAPSHOT_STEP_INTERVAL_US (5 * FW_MSEC)
-#define FW_SNAPSHOT_RESTARTS_MAX                                              \
-    5 /* by changes, then it is written in one go */
-#define FW_SNAPSHOT_JITTER_MAX_US                                             \
-    (20 * FW_SEC) /* between writers of the regions */
+/* After so many restarts by changes a snapshot is written in one step. */
+#define FW_SNAPSHOT_RESTARTS_MAX 5
+/* Random delay, so that mostly one of several writers writes a snapshot. */
+#define FW_SNAPSHOT_JITTER_MAX_US (20 * FW_SEC)
 
-/* Peers are asked once the log has been silent for so long. */
+/* Staleness of the replica from which it asks peers for their state. */
 #define FW_PEER_REQUEST_STALENESS_US (5 * FW_SEC)
 #define FW_PEER_RESEND_INTERVAL_US (1 * FW_SEC)
-#define FW_PEER_READY_INTERVAL_US                                             \
-    (30 * FW_SEC) /* between peers, once configured */
+/* Interval between requests to different peers once the replica is ready. */
+#define FW_PEER_READY_INTERVAL_US (30 * FW_SEC)
 #define FW_PEER_RETRIES_MAX 5
+/* How long a snapshot for peers is kept after the last request. */
 #define FW_PEER_SNAPSHOT_KEEP_US (30 * FW_SEC)
 
-/** enum fw_replica_phase - what the reads are for. */
+/**
+ * enum fw_replica_phase - purpose of the reads.
+ * @FW_REPLICA_READ_BOUNDS: get first and end offset of stream "snapshot"
+ * @FW_REPLICA_SEARCH: find the newest complete snapshot
+ * @FW_REPLICA_FOLLOW: follow the configuration log
+ */
 enum fw_replica_phase {
-    FW_REPLICA_READ_BOUNDS, /* where stream "snapshot" begins and ends */
-    FW_REPLICA_SEARCH,      /* its newest whole snapshot */
-    FW_REPLICA_FOLLOW,      /* the records after it */
+    FW_REPLICA_READ_BOUNDS,
+    FW_REPLICA_SEARCH,
+    FW_REPLICA_FOLLOW,
 };
 
-/** struct fw_replica_metrics - counters of the fold. */
+/** struct fw_replica_metrics - metrics of the replica. */
 struct fw_replica_metrics {
     struct fw_metric offset;
     struct fw_metric verdicts[4]; /* by enum fw_change_verdict */
@@ -60,13 +67,14 @@
 };
 
 /**
- * struct fw_replica_search - search for the newest whole snapshot.
- * @oldest_offset, @end_offset: of the stream, when the search began
+ * struct fw_replica_search - search for the newest complete snapshot.
+ * @oldest_offset: oldest offset of the stream when the search began
+ * @end_offset: end of the stream when the search began, exclusive
  * @next_offset: next offset to read
- * @window_start: where the window began
- * @window_records: its length
- * @newest: newest whole one so far, or NULL
- * @newest_first: offset of its first part, at most
+ * @window_start: first offset of the window
+ * @window_records: length of the window
+ * @newest: newest state found so far, or NULL
+ * @newest_first: upper bound for the offset of its snapshot's first part
  */
 struct fw_replica_search {
     uint64_t oldest_offset;
@@ -80,21 +88,23 @@
 };
 
 /**
- * struct fw_replica_writer - this instance as writer of snapshots.
- * @enabled: it is the one that writes
- * @newest: offset of the newest whole snapshot known in the log, 0 for none
- * @newest_us: when it was seen first
- * @newest_first: offset of its first part
- * @incomplete_end: end of the stream when its last part was seen to be no last
- * one
- * @check_due_us: when the stream's end is looked at next
- * @tail_offset: offset to look at, 0: ask for the bounds first
- * @ticket: of the read or append under way, 0 for none
+ * struct fw_replica_writer - writer of snapshots.
+ * @enabled: nonzero if this instance writes snapshots
+ * @newest: configuration offset of the newest complete snapshot in the log, 0
+ *          if there is none
+ * @newest_us: when that snapshot was first seen
+ * @newest_first: offset of its first part in stream "snapshot"
+ * @incomplete_end: end of the stream when it was last seen to end in an
+ *                  incomplete snapshot
+ * @check_due_us: when to read the last record of the stream next
+ * @tail_offset: offset of that record, 0 if the end is not known yet
+ * @ticket: ticket of the pending read or append, 0 for none
  * @sent_us: when it was sent
- * @snapshot: snapshot being appended, or NULL; @next_part: its next part
- * @append_due_us: when the next group may go
- * @restarts: how often a change came while it was written
- * @begin_due_us: when a snapshot that is due is begun, 0 while none is
+ * @snapshot: snapshot being written or appended, or NULL
+ * @next_part: index of its next part to append
+ * @append_due_us: when the next step or append is due
+ * @begin_due_us: when to begin a snapshot that is due, 0 if none is due
+ * @restarts: how often changes made the snapshot start anew
  */
 struct fw_replica_writer {
     int enabled;
@@ -114,11 +124,17 @@
 };
 
 /**
- * struct fw_replica_peer - state from and for peers.
- * @name, @addr: who is asked, empty for nobody
- * @snapshot_id: snapshot being taken, empty before its first part
- * @offset: of that snapshot
- * @served: last snapshot made for others, kept until @served_until_us
+ * struct fw_replica_peer - state transfer from and to peers.
+ * @name: peer that the state is requested from, empty for none
+ * @addr: its address
+ * @snapshot_id: snapshot being received, empty before its first part
+ * @offset: unused
+ * @next_part: index of the next part to request
+ * @request_sent_us: when the last request was sent
+ * @retries: requests sent again since the last part arrived
+ * @served: snapshot for other instances, or NULL
+ * @served_restarts: how often changes made it start anew
+ * @served_until_us: when it is dropped
  */
 struct fw_replica_peer {
     char name[FW_NAME_MAX];
@@ -135,13 +151,18 @@
 };
 
 /**
- * struct fw_fold - see fold.h.
- * @read_ticket: of the read under way, 0 for none
+ * struct fw_config_replica - see replica.h.
+ * @state: the replicated state
+ * @ready: see Fw_ConfigReplica_IsReady
+ * @seq: number of the last ticket
+ * @read_ticket: ticket of the pending read, 0 for none
  * @read_sent_us: when it was sent
- * @read_due_us: when the next may be sent
- * @last_success_us: when the last read that succeeded was sent
+ * @read_due_us: when the next read is due
+ * @last_success_us: when the last successful read of the configuration log was
+ *                   sent; initially the time of creation
+ * @backoff_us: delay after the next failed read, before jitter
  * @oldest_offset: oldest record that the configuration log still has
- * @gap: the log no longer has the record after ours
+ * @gap: nonzero while the log lacks the next record, which has expired
  */
 struct fw_fold {
     char instance[FW_NAME_MAX];
@@ -163,60 +184,64 @@
     struct fw_replica_metrics metrics;
 };
 
+/* Returns a new ticket for a read or an append. */
 uint64_t
-Fw_ConfigReplica_NewTicket(struct fw_fold *f);
+Fw_ConfigReplica_NewTicket(struct fw_fold *rep);
 /**
- * Fw_ConfigReplica_StepSnapshot - goes on with a snapshot of what is in force.
- * @snapshot: begun under @prefix when it points to NULL, or anew when a change
- *        came between
- * @restarts: counts those
+ * Fw_ConfigReplica_StepSnapshot - writes the next rows of a snapshot.
+ * @snapshot: the snapshot; one is begun if it points to NULL, and begun anew
+ *            if the state has changed
+ * @prefix: first letter of the id of a new snapshot
+ * @restarts: incremented when the snapshot is begun anew
  *
- * Return: nonzero when it is whole.
+ * Return: nonzero when the snapshot is complete.
  */
 int
-Fw_ConfigReplica_StepSnapshot(struct fw_fold *f, struct fw_snap_text **text,
-                              char prefix, int *restarts);
-/* Sends the next read later, and later again after each failure. */
+Fw_ConfigReplica_StepSnapshot(struct fw_fold *rep,
+                              struct fw_snap_text **snapshot, char prefix,
+                              int *restarts);
+/* Delays the next read, exponentially with each failure. */
 void
-Fw_ConfigReplica_BackOff(struct fw_fold *f, int64_t now_us);
+Fw_ConfigReplica_BackOff(struct fw_fold *rep, int64_t now_us);
 /**
- * Fw_ConfigReplica_Install - puts @state in force if it is newer; frees it
- * otherwise.
+ * Fw_ConfigReplica_Install - replaces the state by @state if that is newer.
+ * @state: new state, freed if it is not newer
+ * @source: "log" or "peer", for log and metrics
  *
- * Return: nonzero when it is in force now.
+ * Return: nonzero if @state was installed.
  */
 int
-Fw_ConfigReplica_Install(struct fw_fold *f, struct fw_state *st,
+Fw_ConfigReplica_Install(struct fw_fold *rep, struct fw_state *state,
                          const char *source, struct fw_actions *out);
 
-/* fold_find.c */
+/* replica_search.c */
 void
-Fw_ConfigReplica_StartSearch(struct fw_fold *f);
+Fw_ConfigReplica_StartSearch(struct fw_fold *rep);
 void
-Fw_ConfigReplica_SendSearchRead(struct fw_fold *f, struct fw_actions *out);
+Fw_ConfigReplica_SendSearchRead(struct fw_fold *rep, struct fw_actions *out);
 void
-Fw_ConfigReplica_OnSearchRecords(struct fw_fold *f,
+Fw_ConfigReplica_OnSearchRecords(struct fw_fold *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us, struct fw_actions *out);
 
-/* fold_write.c */
+/* replica_snapshot.c */
 void
-Fw_ConfigReplica_TickWriter(struct fw_fold *f, int64_t now_us,
+Fw_ConfigReplica_TickWriter(struct fw_fold *rep, int64_t now_us,
                             struct fw_actions *out);
 void
-Fw_ConfigReplica_OnWriterRecords(struct fw_fold *f,
+Fw_ConfigReplica_OnWriterRecords(struct fw_fold *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us);
 void
-Fw_ConfigReplica_OnWriterAppended(struct fw_fold *f,
+Fw_ConfigReplica_OnWriterAppended(struct fw_fold *rep,
                                   const struct fw_log_appended *a,
                                   int64_t now_us);
 
-/* fold_peer.c */
+/* replica_peer.c */
 void
-Fw_ConfigReplica_TickPeer(struct fw_fold *f, int64_t now_us,
+Fw_ConfigReplica_TickPeer(struct fw_fold *rep, int64_t now_us,
                           struct fw_actions *out);
 void
-Fw_ConfigReplica_ResetPeer(struct fw_fold *f);
+Fw_ConfigReplica_ResetPeer(struct fw_fold *rep);
 
 #endif
--- a/src/config/fold_peer.c
+++ b/src/config/fold_peer.c
@@ -12,22 +12,22 @@
 #include "config/fold_internal.h"
 
 int
-Fw_Fold_WantsPeer(const struct fw_fold *f, int64_t now_us)
+Fw_Fold_WantsPeer(const struct fw_fold *rep, int64_t now_us)
 {
-    int64_t pause = f->ready && !f->gap ? FW_PEER_READY_INTERVAL_US
-                                        : FW_PEER_RESEND_INTERVAL_US;
+    int64_t pause = rep->ready && !rep->gap ? FW_PEER_READY_INTERVAL_US
+                                            : FW_PEER_RESEND_INTERVAL_US;
 
-    if (f->peer.name[0] || now_us < f->peer.request_sent_us + pause) {
+    if (rep->peer.name[0] || now_us < rep->peer.request_sent_us + pause) {
         return 0;
     }
-    return f->gap ||
-           Fw_Fold_StaleUs(f, now_us) >= FW_PEER_REQUEST_STALENESS_US;
+    return rep->gap ||
+           Fw_Fold_StaleUs(rep, now_us) >= FW_PEER_REQUEST_STALENESS_US;
 }
 
 void
-Fw_ConfigReplica_ResetPeer(struct fw_fold *f)
+Fw_ConfigReplica_ResetPeer(struct fw_fold *rep)
 {
-    struct fw_replica_peer *p = &f->peer;
+    struct fw_replica_peer *p = &rep->peer;
 
     Fw_Snapshot_Reset(&p->assembler);
     p->name[0] = '\0';
@@ -38,48 +38,49 @@
 }
 
 static void
-send_ask(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+send_request(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_peer *p = &f->peer;
+    struct fw_replica_peer *p = &rep->peer;
     struct fw_msg msg = {.area = FW_AREA_CONFIG};
 
     msg.u.config.kind = FW_CONFIG_MSG_PART_REQUEST;
-    msg.u.config.u.ask.next_offset = f->state->cfg->offset;
-    msg.u.config.u.ask.part = p->next_part;
-    g_strlcpy(msg.u.config.u.ask.snapshot_id, p->snapshot_id,
-              sizeof(msg.u.config.u.ask.snapshot_id));
+    msg.u.config.u.request.next_offset = rep->state->cfg->offset;
+    msg.u.config.u.request.part = p->next_part;
+    g_strlcpy(msg.u.config.u.request.snapshot_id, p->snapshot_id,
+              sizeof(msg.u.config.u.request.snapshot_id));
     p->request_sent_us = now_us;
     Fw_Actions_Send(out, p->name, p->addr, &msg);
     Fw_Actions_Wake(out, now_us + FW_PEER_RESEND_INTERVAL_US);
 }
 
 void
-Fw_Fold_AskPeer(struct fw_fold *f, const char *peer, const char *addr,
+Fw_Fold_AskPeer(struct fw_fold *rep, const char *peer, const char *addr,
                 int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_peer *p = &f->peer;
+    struct fw_replica_peer *p = &rep->peer;
 
-    if (!Fw_Fold_WantsPeer(f, now_us)) {
+    if (!Fw_Fold_WantsPeer(rep, now_us)) {
         return;
     }
-    Fw_ConfigReplica_ResetPeer(f);
+    Fw_ConfigReplica_ResetPeer(rep);
     g_strlcpy(p->name, peer, sizeof(p->name));
     g_strlcpy(p->addr, addr, sizeof(p->addr));
-    send_ask(f, now_us, out);
+    send_request(rep, now_us, out);
 }
 
 void
-Fw_ConfigReplica_TickPeer(struct fw_fold *f, int64_t now_us,
+Fw_ConfigReplica_TickPeer(struct fw_fold *rep, int64_t now_us,
                           struct fw_actions *out)
 {
-    struct fw_replica_peer *p = &f->peer;
+    struct fw_replica_peer *p = &rep->peer;
 
     if (p->served && now_us >= p->served_until_us) {
         Fw_Snap_FreeText(p->served);
         p->served = NULL;
     }
     if (p->served && p->served->writer) {
-        Fw_ConfigReplica_StepSnapshot(f, &p->served, 'p', &p->served_restarts);
+        Fw_ConfigReplica_StepSnapshot(rep, &p->served, 'p',
+                                      &p->served_restarts);
         Fw_Actions_Wake(out, now_us + FW_SNAPSHOT_STEP_INTERVAL_US);
     }
     if (!p->name[0]) {
@@ -90,31 +91,32 @@
         return;
     }
     if (++p->retries > FW_PEER_RETRIES_MAX) {
-        Fw_ConfigReplica_ResetPeer(f);
+        Fw_ConfigReplica_ResetPeer(rep);
         return;
     }
-    send_ask(f, now_us, out);
+    send_request(rep, now_us, out);
 }
 
 static void
-answer_ask(struct fw_fold *f, const char *from, const char *addr,
-           const struct fw_config_part_request *ask, int64_t now_us,
+serve_part(struct fw_fold *rep, const char *from, const char *addr,
+           const struct fw_config_part_request *req, int64_t now_us,
            struct fw_actions *out)
 {
-    struct fw_replica_peer *p = &f->peer;
+    struct fw_replica_peer *p = &rep->peer;
     struct fw_msg msg = {.area = FW_AREA_CONFIG};
-    unsigned k = ask->part;
+    unsigned k = req->part;
 
-    if (f->state->cfg->offset <= ask->next_offset) {
+    if (rep->state->cfg->offset <= req->next_offset) {
         msg.u.config.kind = FW_CONFIG_MSG_UP_TO_DATE;
         Fw_Actions_Send(out, from, addr, &msg);
         return;
     }
-    if (!p->served || p->served->head.offset <= ask->next_offset) {
+    if (!p->served || p->served->header.offset <= req->next_offset) {
         Fw_Snap_FreeText(p->served);
         p->served = NULL;
         p->served_restarts = 0;
-        Fw_ConfigReplica_StepSnapshot(f, &p->served, 'p', &p->served_restarts);
+        Fw_ConfigReplica_StepSnapshot(rep, &p->served, 'p',
+                                      &p->served_restarts);
     }
     p->served_until_us = now_us + FW_PEER_SNAPSHOT_KEEP_US;
     Fw_Actions_Wake(out, p->served->writer
@@ -123,7 +125,7 @@
     if (p->served->writer) {
         return; /* asked again in a second, when it is written */
     }
-    if (strcmp(ask->snapshot_id, p->served->head.id) != 0) {
+    if (strcmp(req->snapshot_id, p->served->header.id) != 0) {
         k = 0;
     }
     if (k >= p->served->parts->len) {
@@ -135,55 +137,55 @@
 }
 
 static void
-take_part(struct fw_fold *f, const char *from, const char *part,
-          int64_t now_us, struct fw_actions *out)
+receive_part(struct fw_fold *rep, const char *from, const char *part,
+             int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_peer *p = &f->peer;
-    struct fw_snapshot_header head;
+    struct fw_replica_peer *p = &rep->peer;
+    struct fw_snapshot_header header;
     struct fw_state *st = NULL;
     int rc;
 
-    if (strcmp(p->name, from) != 0 || Fw_Snapshot_ParseHeader(part, &head) ||
-        head.offset <= f->state->cfg->offset) {
+    if (strcmp(p->name, from) != 0 || Fw_Snapshot_ParseHeader(part, &header) ||
+        header.offset <= rep->state->cfg->offset) {
         return;
     }
-    if (strcmp(p->snapshot_id, head.id) != 0) {
+    if (strcmp(p->snapshot_id, header.id) != 0) {
         Fw_Snapshot_Reset(&p->assembler);
     }
     rc = Fw_Snap_Feed(&p->assembler, part, &st, &p->next_part);
     if (rc < 0) {
-        f->metrics.snap_refused.value++;
-        Fw_ConfigReplica_ResetPeer(f);
+        rep->metrics.snap_refused.value++;
+        Fw_ConfigReplica_ResetPeer(rep);
         return;
     }
-    g_strlcpy(p->snapshot_id, head.id, sizeof(p->snapshot_id));
+    g_strlcpy(p->snapshot_id, header.id, sizeof(p->snapshot_id));
     p->retries = 0;
     if (rc == 0) {
-        send_ask(f, now_us, out);
+        send_request(rep, now_us, out);
         return;
     }
-    Fw_ConfigReplica_ResetPeer(f);
-    if (Fw_ConfigReplica_Install(f, st, "peer", out)) {
-        f->ready = 1;
+    Fw_ConfigReplica_ResetPeer(rep);
+    if (Fw_ConfigReplica_Install(rep, st, "peer", out)) {
+        rep->ready = 1;
     }
 }
 
 void
-Fw_Fold_OnMsg(struct fw_fold *f, const char *from, const char *addr,
+Fw_Fold_OnMsg(struct fw_fold *rep, const char *from, const char *addr,
               const struct fw_config_msg *msg, int64_t now_us,
               struct fw_actions *out)
 {
     switch (msg->kind) {
     case FW_CONFIG_MSG_UP_TO_DATE:
-        if (strcmp(f->peer.name, from) == 0) {
-            Fw_ConfigReplica_ResetPeer(f);
+        if (strcmp(rep->peer.name, from) == 0) {
+            Fw_ConfigReplica_ResetPeer(rep);
         }
         break;
     case FW_CONFIG_MSG_PART_REQUEST:
-        answer_ask(f, from, addr, &msg->u.ask, now_us, out);
+        serve_part(rep, from, addr, &msg->u.request, now_us, out);
         break;
     case FW_CONFIG_PART:
-        take_part(f, from, msg->u.part, now_us, out);
+        receive_part(rep, from, msg->u.part, now_us, out);
         break;
     }
 }
--- a/src/config/fold_write.c
+++ b/src/config/fold_write.c
@@ -11,9 +11,9 @@
 #include "config/fold_internal.h"
 
 void
-Fw_Fold_SetWriter(struct fw_fold *f, int writer)
+Fw_Fold_SetWriter(struct fw_fold *rep, int writer)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
 
     if (writer == w->enabled) {
         return;
@@ -35,11 +35,12 @@
  * whatever their number, so that a short retention can't outrun the writer.
  */
 static int
-snap_due(const struct fw_fold *f, int64_t now_us)
+snapshot_is_due(const struct fw_fold *rep, int64_t now_us)
 {
-    const struct fw_replica_writer *w = &f->writer;
-    uint64_t offset = f->state->cfg->offset;
-    uint64_t kept = offset > f->oldest_offset ? offset - f->oldest_offset : 0;
+    const struct fw_replica_writer *w = &rep->writer;
+    uint64_t offset = rep->state->cfg->offset;
+    uint64_t kept =
+        offset > rep->oldest_offset ? offset - rep->oldest_offset : 0;
 
     if (offset <= 1) {
         return 0;
@@ -48,17 +49,17 @@
         now_us >= w->newest_us + FW_SNAPSHOT_AGE_MAX_US) {
         return 1;
     }
-    return f->oldest_offset > 1 && w->newest < f->oldest_offset + kept / 2;
+    return rep->oldest_offset > 1 && w->newest < rep->oldest_offset + kept / 2;
 }
 
 int
-Fw_ConfigReplica_StepSnapshot(struct fw_fold *f, struct fw_snap_text **text,
+Fw_ConfigReplica_StepSnapshot(struct fw_fold *rep, struct fw_snap_text **text,
                               char prefix, int *restarts)
 {
     unsigned rows = *restarts < FW_SNAPSHOT_RESTARTS_MAX
                         ? FW_SNAPSHOT_STEP_ROWS
                         : UINT_MAX;
-    int rc = *text ? Fw_Snapshot_Step(*text, f->state, rows) : -ESTALE;
+    int rc = *text ? Fw_Snapshot_Step(*text, rep->state, rows) : -ESTALE;
     char id[FW_CHANGE_ID_MAX];
 
     if (rc >= 0) {
@@ -68,10 +69,10 @@
     Fw_Snap_FreeText(*text);
     /* The random part keeps two runs under one name apart. */
     g_snprintf(id, sizeof(id), "%c-%" G_GUINT64_FORMAT "-%08x%08x", prefix,
-               f->state->cfg->offset, g_rand_int(f->rand),
-               g_rand_int(f->rand));
-    *text = Fw_Snapshot_Begin(f->state, id);
-    return Fw_Snapshot_Step(*text, f->state, rows);
+               rep->state->cfg->offset, g_rand_int(rep->rand),
+               g_rand_int(rep->rand));
+    *text = Fw_Snapshot_Begin(rep->state, id);
+    return Fw_Snapshot_Step(*text, rep->state, rows);
 }
 
 /*
@@ -80,14 +81,14 @@
  * mostly one of them writes.
  */
 static void
-wait_or_begin(struct fw_fold *f, int64_t now_us)
+delay_or_begin(struct fw_fold *rep, int64_t now_us)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
 
     if (w->begin_due_us == 0) {
         w->begin_due_us =
             now_us + 1 +
-            g_rand_int_range(f->rand, 0, FW_SNAPSHOT_JITTER_MAX_US);
+            g_rand_int_range(rep->rand, 0, FW_SNAPSHOT_JITTER_MAX_US);
         w->check_due_us = w->begin_due_us - 1;
         return;
     }
@@ -96,18 +97,18 @@
         w->append_due_us = now_us;
         w->begin_due_us = 0;
         w->restarts = 0;
-        Fw_ConfigReplica_StepSnapshot(f, &w->snapshot, 's', &w->restarts);
+        Fw_ConfigReplica_StepSnapshot(rep, &w->snapshot, 's', &w->restarts);
     }
 }
 
 static void
-send_group(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+append_parts(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
     unsigned n = MIN(FW_SNAPSHOT_APPEND_PARTS_MAX,
                      w->snapshot->parts->len - w->next_part);
 
-    w->ticket = Fw_ConfigReplica_NewTicket(f);
+    w->ticket = Fw_ConfigReplica_NewTicket(rep);
     w->sent_us = now_us;
     Fw_Actions_Append(
         out, w->ticket, FW_STREAM_SNAPSHOT,
@@ -116,23 +117,23 @@
 }
 
 static void
-send_check(struct fw_fold *f, int64_t now_us, struct fw_actions *out)
+read_tail(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
 
-    w->ticket = Fw_ConfigReplica_NewTicket(f);
+    w->ticket = Fw_ConfigReplica_NewTicket(rep);
     w->sent_us = now_us;
     Fw_Actions_Read(out, w->ticket, FW_STREAM_SNAPSHOT, MAX(w->tail_offset, 1),
                     1, 0);
 }
 
 void
-Fw_ConfigReplica_TickWriter(struct fw_fold *f, int64_t now_us,
+Fw_ConfigReplica_TickWriter(struct fw_fold *rep, int64_t now_us,
                             struct fw_actions *out)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
 
-    if (!w->enabled || !f->ready || f->gap) {
+    if (!w->enabled || !rep->ready || rep->gap) {
         return;
     }
     if (w->ticket && now_us >= w->sent_us + FW_REPLICA_READ_TIMEOUT_US) {
@@ -144,22 +145,22 @@
         return;
     }
     if (!w->snapshot && now_us >= w->check_due_us) {
-        send_check(f, now_us, out);
+        read_tail(rep, now_us, out);
         return;
     }
-    if (!w->snapshot && !snap_due(f, now_us)) {
+    if (!w->snapshot && !snapshot_is_due(rep, now_us)) {
         w->begin_due_us = 0;
     }
     else if (!w->snapshot) {
-        wait_or_begin(f, now_us);
+        delay_or_begin(rep, now_us);
     }
     if (w->snapshot && w->snapshot->writer) {
-        Fw_ConfigReplica_StepSnapshot(f, &w->snapshot, 's', &w->restarts);
+        Fw_ConfigReplica_StepSnapshot(rep, &w->snapshot, 's', &w->restarts);
         w->append_due_us =
             now_us + (w->snapshot->writer ? FW_SNAPSHOT_STEP_INTERVAL_US : 0);
     }
     if (w->snapshot && !w->snapshot->writer && now_us >= w->append_due_us) {
-        send_group(f, now_us, out);
+        append_parts(rep, now_us, out);
         return;
     }
     Fw_Actions_Wake(out, w->snapshot ? w->append_due_us : w->check_due_us);
@@ -170,17 +171,17 @@
 
 /* The stream's last part tells whether a whole snapshot ends there. */
 static void
-look_at_tail(struct fw_fold *f, const struct fw_log_records *r, int64_t now_us)
+check_tail(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us)
 {
-    struct fw_replica_writer *w = &f->writer;
-    struct fw_snapshot_header head;
+    struct fw_replica_writer *w = &rep->writer;
+    struct fw_snapshot_header header;
 
-    if (Fw_Snapshot_ParseHeader(r->records[0], &head) == 0 &&
-        head.part + 1 == head.n_parts) {
-        if (head.offset > w->newest || r->oldest > w->newest_first) {
-            w->newest = head.offset;
+    if (Fw_Snapshot_ParseHeader(r->records[0], &header) == 0 &&
+        header.part + 1 == header.n_parts) {
+        if (header.offset > w->newest || r->oldest > w->newest_first) {
+            w->newest = header.offset;
             w->newest_us = now_us;
-            w->newest_first = r->first + 1 - head.n_parts;
+            w->newest_first = r->first + 1 - header.n_parts;
         }
     }
     else if (w->incomplete_end == r->end) {
@@ -200,11 +201,11 @@
 }
 
 void
-Fw_ConfigReplica_OnWriterRecords(struct fw_fold *f,
+Fw_ConfigReplica_OnWriterRecords(struct fw_fold *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
 
     w->ticket = 0;
     if (r->err) {
@@ -222,16 +223,16 @@
         w->check_due_us = now_us;
         return;
     }
-    look_at_tail(f, r, now_us);
+    check_tail(rep, r, now_us);
     w->check_due_us = now_us + FW_SNAPSHOT_CHECK_INTERVAL_US;
 }
 
 void
-Fw_ConfigReplica_OnWriterAppended(struct fw_fold *f,
+Fw_ConfigReplica_OnWriterAppended(struct fw_fold *rep,
                                   const struct fw_log_appended *a,
                                   int64_t now_us)
 {
-    struct fw_replica_writer *w = &f->writer;
+    struct fw_replica_writer *w = &rep->writer;
 
     w->ticket = 0;
     if (!w->snapshot) {
@@ -251,9 +252,9 @@
     if (w->next_part < w->snapshot->parts->len) {
         return;
     }
-    w->newest = w->snapshot->head.offset;
+    w->newest = w->snapshot->header.offset;
     w->newest_us = now_us;
-    f->metrics.snap_written.value++;
+    rep->metrics.snap_written.value++;
     Fw_Snap_FreeText(w->snapshot);
     w->snapshot = NULL;
 }
--- a/src/config/item_cmd.c
+++ b/src/config/item_cmd.c
@@ -2,7 +2,7 @@
 #include "config/config_internal.h"
 
 static void
-put_in(GHashTable *table, const char *name, void *value)
+replace_in(GHashTable *table, const char *name, void *value)
 {
     /* replace, not insert: the table's key lives inside the value */
     g_hash_table_replace(table, (void *)name, value);
@@ -18,27 +18,27 @@
     switch (item->kind) {
     case FW_ITEM_TEAM:
         item->u.team->version = version;
-        put_in(cfg->teams, item->u.team->name, item->u.team);
+        replace_in(cfg->teams, item->u.team->name, item->u.team);
         break;
     case FW_ITEM_KEY:
         item->u.key->version = version;
-        put_in(cfg->keys, item->u.key->digest, item->u.key);
+        replace_in(cfg->keys, item->u.key->digest, item->u.key);
         break;
     case FW_ITEM_UPSTREAM:
         item->u.upstream->version = version;
-        put_in(cfg->upstreams, item->u.upstream->name, item->u.upstream);
+        replace_in(cfg->upstreams, item->u.upstream->name, item->u.upstream);
         break;
     case FW_ITEM_POOL:
         item->u.pool->version = version;
-        put_in(cfg->pools, item->u.pool->name, item->u.pool);
+        replace_in(cfg->pools, item->u.pool->name, item->u.pool);
         break;
     case FW_ITEM_SERVICE:
         item->u.service->version = version;
-        put_in(cfg->services, item->u.service->name, item->u.service);
+        replace_in(cfg->services, item->u.service->name, item->u.service);
         break;
     case FW_ITEM_OPERATOR:
         item->u.oper->version = version;
-        put_in(cfg->operators, item->u.oper->name, item->u.oper);
+        replace_in(cfg->operators, item->u.oper->name, item->u.oper);
         break;
     case FW_ITEM_SETTING:
         cfg->on_withdraw = item->u.setting;
--- a/src/config/item_query.c
+++ b/src/config/item_query.c
@@ -27,7 +27,7 @@
 }
 
 static void
-put_team(JsonObject *o, const struct fw_team *t)
+add_team_members(JsonObject *o, const struct fw_team *t)
 {
     JsonArray *models = json_array_new();
 
@@ -41,7 +41,7 @@
 }
 
 static void
-put_upstream(JsonObject *o, const struct fw_upstream *u)
+add_upstream_members(JsonObject *o, const struct fw_upstream *u)
 {
     static const char *const roles[] = {"prefill", "decode", "service"};
     static const char *const fencings[] = {"checked", "ignored"};
@@ -66,7 +66,7 @@
 }
 
 static void
-put_pool(JsonObject *o, const struct fw_pool *p)
+add_pool_members(JsonObject *o, const struct fw_pool *p)
 {
     JsonArray *serves = json_array_new();
 
@@ -85,7 +85,7 @@
 }
 
 static void
-put_service(JsonObject *o, const struct fw_service *svc)
+add_service_members(JsonObject *o, const struct fw_service *svc)
 {
     JsonArray *calls = json_array_new();
 
@@ -102,14 +102,14 @@
 }
 
 static void
-put_value(JsonObject *o, enum fw_item_kind kind, const void *value)
+add_value_members(JsonObject *o, enum fw_item_kind kind, const void *value)
 {
     const struct fw_key *key;
     const struct fw_operator *op;
 
     switch (kind) {
     case FW_ITEM_TEAM:
-        put_team(o, value);
+        add_team_members(o, value);
         break;
     case FW_ITEM_KEY:
         key = value;
@@ -117,13 +117,13 @@
         json_object_set_boolean_member(o, "withdrawn", key->withdrawn);
         break;
     case FW_ITEM_UPSTREAM:
-        put_upstream(o, value);
+        add_upstream_members(o, value);
         break;
     case FW_ITEM_POOL:
-        put_pool(o, value);
+        add_pool_members(o, value);
         break;
     case FW_ITEM_SERVICE:
-        put_service(o, value);
+        add_service_members(o, value);
         break;
     case FW_ITEM_OPERATOR:
         op = value;
@@ -162,7 +162,7 @@
             cfg->on_withdraw == FW_WITHDRAW_CUT ? "cut" : "finish");
     }
     else {
-        put_value(o, kind, value);
+        add_value_members(o, kind, value);
     }
     node = json_node_new(JSON_NODE_OBJECT);
     json_node_take_object(node, o);
--- a/src/config/json.c
+++ b/src/config/json.c
@@ -5,7 +5,7 @@
  * would run it out of stack and end the process.
  */
 static int
-too_deep(const char *text, size_t len)
+is_too_deep(const char *text, size_t len)
 {
     int depth = 0;
     int quoted = 0;
@@ -37,7 +37,7 @@
     JsonParser *parser;
     JsonNode *root;
 
-    if (!g_utf8_validate(text, (gssize)len, NULL) || too_deep(text, len)) {
+    if (!g_utf8_validate(text, (gssize)len, NULL) || is_too_deep(text, len)) {
         return NULL;
     }
     parser = json_parser_new();
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,4 +1,4 @@
-/* Untrusted JSON texts. */
+/* Parser of untrusted JSON. */
 #ifndef FW_CONFIG_JSON_H
 #define FW_CONFIG_JSON_H
 
@@ -7,11 +7,11 @@
 #define FW_JSON_DEPTH_MAX 16
 
 /**
- * Fw_Json_LoadObject - parses @len bytes that hold one object.
+ * Fw_Json_LoadObject - parses @len bytes that hold one JSON object.
  * @obj: the object, owned by the parser
  *
- * Return: the parser, to be unreffed; NULL when the text is no UTF-8, no
- * JSON, no object, or nested deeper than FW_JSON_DEPTH_MAX.
+ * Return: the parser, which the caller unrefs, or NULL when the text is not a
+ * JSON object in UTF-8 or nests deeper than FW_JSON_DEPTH_MAX.
  */
 JsonParser *
 Fw_Json_LoadObject(const char *text, size_t len, JsonObject **obj);
--- a/src/config/snap_read.c
+++ b/src/config/snap_read.c
@@ -8,7 +8,7 @@
 #include "config/snapshot.h"
 
 static int
-head_fields(JsonObject *obj, struct fw_snapshot_header *head)
+parse_header_fields(JsonObject *obj, struct fw_snapshot_header *header)
 {
     struct fw_why err;
     struct fw_field_reader r = {.obj = obj, .err = &err, .where = "snapshot"};
@@ -19,22 +19,22 @@
     char hash[17];
 
     if (Fw_Field_Int(&r, "v", 1, 1, -1, &v) ||
-        Fw_Field_Text(&r, "snap", head->id, sizeof(head->id)) ||
+        Fw_Field_Text(&r, "snap", header->id, sizeof(header->id)) ||
         Fw_Field_Int(&r, "offset", 1, INT64_MAX, -1, &offset) ||
         Fw_Field_Int(&r, "k", 0, FW_SNAPSHOT_PARTS_MAX - 1, -1, &k) ||
         Fw_Field_Int(&r, "n", 1, FW_SNAPSHOT_PARTS_MAX, -1, &n) ||
         Fw_Field_Text(&r, "hash", hash, sizeof(hash)) || k >= n) {
         return -EBADMSG;
     }
-    head->offset = (uint64_t)offset;
-    head->part = (unsigned)k;
-    head->n_parts = (unsigned)n;
-    head->hash = g_ascii_strtoull(hash, NULL, 16);
+    header->offset = (uint64_t)offset;
+    header->part = (unsigned)k;
+    header->n_parts = (unsigned)n;
+    header->hash = g_ascii_strtoull(hash, NULL, 16);
     return 0;
 }
 
 int
-Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *head)
+Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *header)
 {
     const char *end = strchr(part, '\n');
     JsonParser *parser;
@@ -45,13 +45,13 @@
     if (!parser) {
         return -EBADMSG;
     }
-    rc = head_fields(obj, head);
+    rc = parse_header_fields(obj, header);
     g_object_unref(parser);
     return rc;
 }
 
 static void
-drop(struct fw_snapshot_assembly *r)
+drop_assembly(struct fw_snapshot_assembly *r)
 {
     Fw_State_Free(r->st);
     *r = (struct fw_snapshot_assembly){.st = NULL};
@@ -61,38 +61,39 @@
 Fw_Snapshot_Reset(struct fw_snap_collector *c)
 {
     for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
-        drop(&c->readers[i]);
+        drop_assembly(&c->assemblies[i]);
     }
 }
 
-/* The reader of @head's snapshot; a new one only for its first part. */
+/* The reader of @header's snapshot; a new one only for its first part. */
 static struct fw_snapshot_assembly *
-reader_of(struct fw_snap_collector *c, const struct fw_snapshot_header *head)
+find_assembly(struct fw_snap_collector *c,
+              const struct fw_snapshot_header *header)
 {
-    struct fw_snapshot_assembly *pick = &c->readers[0];
+    struct fw_snapshot_assembly *pick = &c->assemblies[0];
 
     for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
-        struct fw_snapshot_assembly *r = &c->readers[i];
+        struct fw_snapshot_assembly *r = &c->assemblies[i];
 
-        if (r->st && strcmp(r->head.id, head->id) == 0) {
+        if (r->st && strcmp(r->header.id, header->id) == 0) {
             return r;
         }
         if (!r->st || (pick->st && r->last_feed < pick->last_feed)) {
             pick = r;
         }
     }
-    if (head->part != 0) {
+    if (header->part != 0) {
         return NULL;
     }
-    drop(pick);
-    pick->head = *head;
-    pick->hash = head->offset;
+    drop_assembly(pick);
+    pick->header = *header;
+    pick->hash = header->offset;
     pick->st = Fw_State_New();
     return pick;
 }
 
 static int
-read_seen(struct fw_state *st, const struct fw_field_reader *r)
+read_outcome(struct fw_state *st, const struct fw_field_reader *r)
 {
     char id[FW_CHANGE_ID_MAX];
     int64_t offset;
@@ -143,7 +144,7 @@
         kind[0] = '\0';
     }
     else if (strcmp(kind, "seen") == 0) {
-        rc = read_seen(st, &r);
+        rc = read_outcome(st, &r);
     }
     else if (strcmp(kind, "audit") == 0) {
         rc = read_audit(st, &r);
@@ -174,7 +175,7 @@
 }
 
 static int
-same_snapshot(const struct fw_snapshot_header *a,
+headers_match(const struct fw_snapshot_header *a,
               const struct fw_snapshot_header *b)
 {
     return a->offset == b->offset && a->n_parts == b->n_parts &&
@@ -182,22 +183,22 @@
 }
 
 static int
-feed(struct fw_snapshot_assembly *r, const struct fw_snapshot_header *head,
-     const char *body)
+add_part(struct fw_snapshot_assembly *r,
+         const struct fw_snapshot_header *header, const char *body)
 {
-    if (head->part < r->next_part) {
+    if (header->part < r->next_part) {
         return 0; /* sent again after a lost answer */
     }
-    if (head->part != r->next_part || !same_snapshot(head, &r->head) ||
+    if (header->part != r->next_part || !headers_match(header, &r->header) ||
         read_rows(r->st, body)) {
         return -EBADMSG;
     }
     r->hash = Fw_Hash_Bytes(body, strlen(body), r->hash);
     r->next_part++;
-    if (r->next_part < r->head.n_parts) {
+    if (r->next_part < r->header.n_parts) {
         return 0;
     }
-    if (r->hash != r->head.hash && !FW_FAULT("snapshot-no-hash")) {
+    if (r->hash != r->header.hash && !FW_FAULT("snapshot-no-hash")) {
         return -EBADMSG;
     }
     return 1;
@@ -207,29 +208,29 @@
 Fw_Snap_Feed(struct fw_snap_collector *c, const char *part,
              struct fw_state **st, unsigned *next)
 {
-    struct fw_snapshot_header head;
+    struct fw_snapshot_header header;
     struct fw_snapshot_assembly *r;
     int rc;
 
-    if (Fw_Snapshot_ParseHeader(part, &head)) {
+    if (Fw_Snapshot_ParseHeader(part, &header)) {
         return -EBADMSG;
     }
-    r = reader_of(c, &head);
+    r = find_assembly(c, &header);
     if (!r) {
         return -EBADMSG;
     }
     r->last_feed = ++c->feeds;
-    rc = feed(r, &head, strchr(part, '\n') + 1);
+    rc = add_part(r, &header, strchr(part, '\n') + 1);
     if (next) {
         *next = r->next_part;
     }
     if (rc == 1) {
         *st = r->st;
-        (*st)->cfg->offset = r->head.offset;
+        (*st)->cfg->offset = r->header.offset;
         r->st = NULL;
     }
     if (rc != 0) {
-        drop(r);
+        drop_assembly(r);
     }
     return rc;
 }
--- a/src/config/snap_write.c
+++ b/src/config/snap_write.c
@@ -51,7 +51,7 @@
 
 /* Each of these writes one row and returns 0 when it has none left. */
 static int
-item_row(struct fw_snapshot_writer *w, const struct fw_config *cfg)
+add_item_row(struct fw_snapshot_writer *w, const struct fw_config *cfg)
 {
     enum fw_item_kind kind = (enum fw_item_kind)w->kind;
     const char *name;
@@ -78,7 +78,7 @@
 }
 
 static int
-seen_row(struct fw_snapshot_writer *w, const struct fw_state *st)
+add_outcome_row(struct fw_snapshot_writer *w, const struct fw_state *st)
 {
     unsigned first =
         (st->next_outcome + FW_CHANGE_OUTCOMES_MAX - st->n_outcomes) %
@@ -99,7 +99,7 @@
 }
 
 static int
-audit_row(struct fw_snapshot_writer *w, const struct fw_audit *audit)
+add_audit_row(struct fw_snapshot_writer *w, const struct fw_audit *audit)
 {
     const struct fw_audit_entry *e;
 
@@ -116,15 +116,15 @@
 }
 
 static int
-next_row(struct fw_snapshot_writer *w, const struct fw_state *st)
+add_next_row(struct fw_snapshot_writer *w, const struct fw_state *st)
 {
     while (w->kind < FW_ITEM_KINDS) {
-        if (item_row(w, st->cfg)) {
+        if (add_item_row(w, st->cfg)) {
             return 1;
         }
         w->kind++;
     }
-    return seen_row(w, st) || audit_row(w, &st->audit);
+    return add_outcome_row(w, st) || add_audit_row(w, &st->audit);
 }
 
 static void
@@ -144,20 +144,20 @@
 
 /* The heads name count and hash of all, so they come last. */
 static void
-add_heads(struct fw_snap_text *text, struct fw_snapshot_writer *w)
+add_headers(struct fw_snap_text *text, struct fw_snapshot_writer *w)
 {
-    text->head.n_parts = w->bodies->len;
-    text->head.hash = w->hash;
+    text->header.n_parts = w->bodies->len;
+    text->header.hash = w->hash;
     for (unsigned k = 0; k < w->bodies->len; k++) {
         GString *body = g_ptr_array_index(w->bodies, k);
-        char *head = g_strdup_printf(
+        char *header = g_strdup_printf(
             "{\"v\":1,\"snap\":\"%s\",\"offset\":%" G_GUINT64_FORMAT
             ",\"k\":%u,\"n\":%u,\"hash\":\"%016" G_GINT64_MODIFIER "x\"}\n",
-            text->head.id, text->head.offset, k, text->head.n_parts,
-            text->head.hash);
+            text->header.id, text->header.offset, k, text->header.n_parts,
+            text->header.hash);
 
-        g_string_prepend(body, head);
-        g_free(head);
+        g_string_prepend(body, header);
+        g_free(header);
         text->bytes += body->len;
         g_ptr_array_add(text->parts, g_string_free(body, FALSE));
     }
@@ -175,7 +175,7 @@
         g_ptr_array_add(w->bodies, g_string_new(NULL));
         w->hash = Fw_Hash_Bytes("", 0, w->hash);
     }
-    add_heads(text, w);
+    add_headers(text, w);
     free_writer(w);
     text->writer = NULL;
 }
@@ -186,8 +186,8 @@
     struct fw_snap_text *text = g_new0(struct fw_snap_text, 1);
     struct fw_snapshot_writer *w = g_new0(struct fw_snapshot_writer, 1);
 
-    g_strlcpy(text->head.id, id, sizeof(text->head.id));
-    text->head.offset = st->cfg->offset;
+    g_strlcpy(text->header.id, id, sizeof(text->header.id));
+    text->header.offset = st->cfg->offset;
     text->parts = g_ptr_array_new_with_free_func(g_free);
     text->writer = w;
     w->bodies = g_ptr_array_new();
@@ -203,11 +203,11 @@
     if (!text->writer) {
         return 1;
     }
-    if (st->cfg->offset != text->head.offset) {
+    if (st->cfg->offset != text->header.offset) {
         return -ESTALE;
     }
     for (unsigned i = 0; i < rows; i++) {
-        if (!next_row(text->writer, st)) {
+        if (!add_next_row(text->writer, st)) {
             finish(text);
             return 1;
         }
--- a/src/config/snapshot.h
+++ b/src/config/snapshot.h
@@ -1,24 +1,27 @@
 /*
- * Snapshots of the fold's state in parts: records of stream "snapshot", and
- * what a peer hands over when the log is down.
+ * Snapshots of the replicated state, split into parts. Parts are records of
+ * stream "snapshot", and peers send them while the log is down.
  *
- * A part is a JSON line {"v","snap","offset","k","n","hash"} and rows, one
- * JSON object a line, in the form of a change's items. "hash" is over the
- * rows of all parts, chained, beginning with the offset: a part that is
- * missing, cut or from another snapshot is noticed before anything is used.
+ * A part is a header line {"v","snap","offset","k","n","hash"} and rows, one
+ * JSON object per line, in the format of a change's items. "hash" is a chained
+ * hash over the offset and the rows of all parts. It detects parts that are
+ * truncated or belong to another snapshot before the state is used.
  */
 #ifndef FW_CONFIG_SNAPSHOT_H
 #define FW_CONFIG_SNAPSHOT_H
 
 #include "config/state.h"
 
-#define FW_SNAPSHOT_PART_BYTES                                                \
-    ((size_t)32 * 1024) /* rows of one part, about */
+#define FW_SNAPSHOT_PART_BYTES ((size_t)32 * 1024) /* soft limit on rows */
 #define FW_SNAPSHOT_PARTS_MAX 4096
 
 /**
  * struct fw_snapshot_header - first line of a part.
- * @offset: the state is that before the record at this offset
+ * @id: id of the snapshot
+ * @offset: offset of the first record that the snapshot does not include
+ * @part: index of this part, from 0
+ * @n_parts: number of parts of the snapshot
+ * @hash: chained hash over the rows of all parts
  */
 struct fw_snapshot_header {
     char id[FW_CHANGE_ID_MAX];
@@ -28,83 +31,96 @@
     uint64_t hash;
 };
 
-/** struct fw_snapshot_writer - where the writing of a snapshot stands. */
+/** struct fw_snapshot_writer - progress of writing a snapshot. */
 struct fw_snapshot_writer;
 
 /**
- * struct fw_snap_text - a snapshot as texts.
- * @parts: char *, with their heads; empty until it is whole
- * @bytes: of all parts
- * @writer: NULL once it is whole
+ * struct fw_snapshot - a serialized snapshot.
+ * @header: header that the parts share; its part index is unused
+ * @parts: the parts as strings (char *), none until the snapshot is complete
+ * @bytes: size of all parts
+ * @writer: NULL once the snapshot is complete
  */
 struct fw_snap_text {
-    struct fw_snapshot_header head; /* k is unused */
+    struct fw_snapshot_header header;
     GPtrArray *parts;
     size_t bytes;
     struct fw_snapshot_writer *writer;
 };
 
 /*
- * At 12,000 teams a snapshot takes a tenth of a second to write. In one go
- * that would hold up every stream of tokens, so it is written row by row.
+ * Begins a snapshot. Writing all of it at once takes about 100 ms at 12,000
+ * teams and would stall the event loop, so Fw_Snapshot_Step writes a few rows
+ * at a time.
  */
 struct fw_snap_text *
 Fw_Snapshot_Begin(const struct fw_state *st, const char *id);
 /**
  * Fw_Snapshot_Step - writes up to @rows more rows.
- * @st: the state it was begun with
+ * @st: the state that was given to Fw_Snapshot_Begin
  *
- * Return: 1 when whole, 0 when not yet, -ESTALE when @st has moved on: then
- * the text is of no use.
+ * Return: 1 when the snapshot is complete, 0 when rows are left, -ESTALE when
+ * @st has changed since the snapshot was begun, which can't be completed then.
  */
 int
 Fw_Snapshot_Step(struct fw_snap_text *text, const struct fw_state *st,
                  unsigned rows);
-/* The whole in one go. */
+/* Writes a complete snapshot at once. */
 struct fw_snap_text *
 Fw_Snap_Write(const struct fw_state *st, const char *id);
 void
 Fw_Snap_FreeText(struct fw_snap_text *text);
 
-/* Return: 0 or -EBADMSG. */
+/* Parses the header line of a part. Returns 0 or -EBADMSG. */
 int
-Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *head);
+Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *header);
 
 #define FW_SNAPSHOT_ASSEMBLIES_MAX 2
 
-/** struct fw_snapshot_assembly - one snapshot being put together, part by
- * part. */
+/**
+ * struct fw_snapshot_assembly - snapshot of which some parts were read.
+ * @header: header of its first part
+ * @next_part: index of the next part
+ * @hash: chained hash over the rows so far
+ * @st: state built from the rows so far, NULL for an unused assembly
+ * @last_feed: value of the assembler's @feeds when its last part was read
+ */
 struct fw_snapshot_assembly {
-    struct fw_snapshot_header head;
+    struct fw_snapshot_header header;
     unsigned next_part;
     uint64_t hash;
-    struct fw_state *st; /* NULL: free */
-    uint64_t last_feed;  /* when last fed, in feeds */
+    struct fw_state *st;
+    uint64_t last_feed;
 };
 
 /**
- * struct fw_snap_collector - reads parts in the order of the log.
+ * struct fw_snapshot_assembler - builds states from parts in log order.
+ * @feeds: number of parts fed so far
  *
- * Two writers at once put their parts one between the other; each has its
- * reader here.
+ * Two writers may append at the same time, so that parts of two snapshots
+ * alternate; each snapshot has its own assembly. A zeroed struct is empty.
  */
 struct fw_snap_collector {
-    struct fw_snapshot_assembly readers[FW_SNAPSHOT_ASSEMBLIES_MAX];
+    struct fw_snapshot_assembly assemblies[FW_SNAPSHOT_ASSEMBLIES_MAX];
     uint64_t feeds;
 };
 
+/* Drops all incomplete snapshots. */
 void
 Fw_Snapshot_Reset(struct fw_snap_collector *c);
 /**
- * Fw_Snap_Feed - takes one part.
- * @st: the state, when this part made a snapshot whole; then the caller's
- * @next_part: part wanted next of the same snapshot; may be NULL
+ * Fw_Snapshot_Feed - reads one part.
+ * @st: set to the state when this part completes a snapshot; owned by the
+ *      caller
+ * @next_part: set to the index of the snapshot's next part; may be NULL
+ *
+ * A part that was read before is ignored.
  *
- * Return: 1 when whole, 0 when more is wanted, -EBADMSG when the part is of
- * no use (then its snapshot is dropped).
+ * Return: 1 when the snapshot is complete, 0 when parts are missing, -EBADMSG
+ * when the part is invalid or out of order; its snapshot is dropped then.
  */
 int
 Fw_Snap_Feed(struct fw_snap_collector *c, const char *part,
-             struct fw_state **st, unsigned *next);
+             struct fw_state **st, unsigned *next_part);
 
 #endif
--- a/src/config/state.h
+++ b/src/config/state.h
@@ -1,6 +1,6 @@
 /*
- * State of the fold: the configuration in force, the change ids seen and the
- * audit trail. Everything here is a function of the log up to an offset.
+ * Replicated state: the current configuration, the ids of recent changes and
+ * the audit trail. It depends on nothing but the log up to an offset.
  */
 #ifndef FW_CONFIG_STATE_H
 #define FW_CONFIG_STATE_H
@@ -9,16 +9,24 @@
 #include "config/change.h"
 
 /*
- * Ids kept: a record sent again after a lost answer comes within minutes, and
- * 4,096 changes are more than a day's at 3,400 changes a day.
+ * Number of change ids kept to detect duplicates. A record is sent again
+ * within minutes if at all; 4,096 ids cover more than a day at 3,400 changes a
+ * day.
  */
 #define FW_CHANGE_OUTCOMES_MAX 4096
-/* A change made on a version older than this many records is refused, and a
- * withdrawn key is kept for as long: so none comes back by an old sheet. */
+/*
+ * A change whose base version is more than this many records old is rejected.
+ * Withdrawn keys are kept as long, so that a change made from an old
+ * configuration can't restore them.
+ */
 #define FW_BASE_AGE_MAX_RECORDS 100000
 #define FW_KEY_PRUNE_INTERVAL_RECORDS 4096
 
-/** enum fw_change_verdict - what the fold made of a record. */
+/**
+ * enum fw_change_verdict - result of applying a record; stored in snapshots.
+ * @FW_CHANGE_CONFLICT: an item has another version than the change expects
+ * @FW_CHANGE_DUPLICATE: the id was used by an earlier record
+ */
 enum fw_change_verdict {
     FW_CHANGE_ACCEPTED,
     FW_CHANGE_CONFLICT,
@@ -29,7 +37,7 @@
 const char *
 Fw_Change_VerdictName(enum fw_change_verdict v);
 
-/** struct fw_seen - an id and what became of the first record with it. */
+/** struct fw_change_outcome - id and verdict of the first record with it. */
 struct fw_seen {
     char id[FW_CHANGE_ID_MAX];
     uint64_t offset;
@@ -37,8 +45,11 @@
 };
 
 /**
- * struct fw_state - @outcomes is a ring of FW_CHANGE_OUTCOMES_MAX.
- * @next_outcome: place of the next id in the ring
+ * struct fw_config_state - replicated state.
+ * @outcomes: ring buffer of FW_CHANGE_OUTCOMES_MAX outcomes
+ * @n_outcomes: number of outcomes in the ring
+ * @next_outcome: index at which the next one is written
+ * @outcomes_by_id: the same by id
  */
 struct fw_state {
     struct fw_config *cfg;
@@ -49,7 +60,11 @@
     GHashTable *outcomes_by_id;
 };
 
-/** struct fw_change_result - verdict on one record. */
+/**
+ * struct fw_change_result - result of applying one record.
+ * @id, @author: empty if they could not be parsed
+ * @error: why the change was not accepted
+ */
 struct fw_change_result {
     char id[FW_CHANGE_ID_MAX];
     char author[FW_NAME_MAX];
@@ -63,25 +78,25 @@
 Fw_State_Free(struct fw_state *st);
 
 /**
- * Fw_State_Apply - folds the record at @st->cfg->offset and moves on by one.
+ * Fw_ConfigState_Apply - applies the next record of the log.
+ * @text: the record at offset st->cfg->next_offset
  *
- * Whatever the text is, one offset is consumed and the same verdict comes out
- * on every instance.
+ * Advances the offset by one also when the record is not accepted.
  */
 void
 Fw_State_Apply(struct fw_state *st, const char *text,
                struct fw_change_result *res);
-/* The verdict that @ch would get now; nothing is changed. */
+/* The verdict that @ch would get as the next record; changes nothing. */
 enum fw_change_verdict
 Fw_ConfigState_Evaluate(const struct fw_state *st, const struct fw_change *ch,
                         struct fw_why *err);
-/* Remembers an id, dropping the oldest when the ring is full. */
+/* Stores the verdict on a change, overwriting the oldest when full. */
 void
 Fw_ConfigState_RecordOutcome(struct fw_state *st, const char *id,
                              uint64_t offset, enum fw_change_verdict verdict);
 const struct fw_seen *
 Fw_ConfigState_FindOutcome(const struct fw_state *st, const char *id);
-/* Equal for equal states: configuration, ids and audit trail. */
+/* Digest of configuration, change ids and audit trail. */
 uint64_t
 Fw_State_Digest(const struct fw_state *st);
 
