--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -1,4 +1,4 @@
-/* One record of the log onto the state: checks, verdict, audit trail. */
+/* Application of a record to the state: checks, verdict, audit trail. */
 #include <errno.h>
 #include <string.h>
 
@@ -13,9 +13,8 @@
 };
 
 /*
- * Two operators who change the same item at once would undo each other's
- * work unseen. The second names a version that is no longer in force, and
- * every instance refuses it alike.
+ * Optimistic locking: a change is rejected when an item has another version
+ * than its author saw, so that concurrent changes don't overwrite each other.
  */
 static int
 check_versions(const struct fw_state *st, const struct fw_change *ch,
@@ -39,7 +38,7 @@
     return 0;
 }
 
-/* The team as it will be after @ch. */
+/* Nonzero if team @name exists once @ch is applied. */
 static int
 team_exists_after(const struct fw_config *cfg, const struct fw_change *ch,
                   const char *name)
@@ -95,7 +94,7 @@
     return n;
 }
 
-/* Without any operator nobody could put anything right again. */
+/* Without an operator nobody could change the configuration any more. */
 static int
 check_operators(const struct fw_state *st, const struct fw_change *ch,
                 struct fw_why *err)
@@ -209,7 +208,7 @@
     return arr;
 }
 
-/* What is in force after the change, in the order of @arr. */
+/* Adds the current value to each item of @arr. */
 static void
 values_after(const struct fw_state *st, JsonArray *arr)
 {
@@ -254,9 +253,9 @@
 }
 
 /*
- * Withdrawn keys would pile up for ever. Once no sheet that could name them
- * as valid is accepted any more, they go; at fixed offsets, so that all
- * instances drop the same ones.
+ * Removes withdrawn keys once no accepted change can have a base version from
+ * before the withdrawal. It happens at fixed offsets, so that all instances
+ * remove the same keys.
  */
 static void
 prune_withdrawn_keys(struct fw_config *cfg)
--- a/src/config/change_parse.c
+++ b/src/config/change_parse.c
@@ -1,4 +1,4 @@
-/* A record of the log into a change. Nothing in a record is trusted. */
+/* Parser of change records, which are untrusted. */
 #include <errno.h>
 #include <stdarg.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 static const char *const kind_names[] = {
     "team", "key", "upstream", "pool", "service", "operator", "setting"};
 
-/* What a record held may be cut inside a character. */
+/* Formatting may truncate text inside a UTF-8 sequence. */
 void
 Fw_ConfigError_Sanitize(char *text)
 {
@@ -156,7 +156,10 @@
     return item->u.any ? 0 : -EINVAL;
 }
 
-/* Keys stay as withdrawn, so that no old sheet brings one back. */
+/*
+ * Keys can only be withdrawn: if a key were removed, a change made from an old
+ * configuration could add it again.
+ */
 static int
 parse_removal(struct fw_item *item, struct fw_why *err)
 {
--- a/src/config/config_cmd.c
+++ b/src/config/config_cmd.c
@@ -1,4 +1,4 @@
-/* Making and freeing a configuration and the items in it. */
+/* Creation and destruction of configurations. */
 #include "config/config_internal.h"
 
 void
@@ -19,7 +19,7 @@
     Fw_Team_Free(team);
 }
 
-/* The table's keys are the names inside the items, so they cost nothing. */
+/* The keys point to the names inside the items and are not freed. */
 static GHashTable *
 new_table(GDestroyNotify free_item)
 {
--- a/src/config/config_query.c
+++ b/src/config/config_query.c
@@ -1,4 +1,4 @@
-/* Questions to the configuration in force. */
+/* Lookups in a configuration. */
 #include <string.h>
 
 #include "config/config.h"
@@ -61,7 +61,7 @@
     return NULL;
 }
 
-/* All operators are compared, so that the time tells nothing. */
+/* Compares with all operators, so that the time doesn't depend on the key. */
 const struct fw_operator *
 Fw_Config_Operator(const struct fw_config *cfg, const char *key)
 {
--- a/src/config/field.c
+++ b/src/config/field.c
@@ -1,10 +1,10 @@
-/* Checked readers of JSON members; each failure names member and value. */
+/* Readers of JSON members; errors name the member and its value. */
 #include <errno.h>
 #include <string.h>
 
 #include "config/config_internal.h"
 
-/* Text of a member for a message, bounded. */
+/* Sets the error for member @name, which has value @node or is missing. */
 static int
 reject(const struct fw_field_reader *r, const char *name, JsonNode *node,
        const char *allowed)
@@ -97,7 +97,7 @@
         s = holds_type(node, G_TYPE_STRING) ? json_node_get_string(node)
                                             : NULL;
     }
-    /* An empty string stands for none where none is allowed. */
+    /* Optional names may be empty. */
     if (!s || (!Fw_Name_Valid(s) && !(dflt && s[0] == '\0'))) {
         return reject(r, name, node,
                       "1 to 47 of letters, digits and . _ - : /");
--- a/src/config/fold_cmd.c
+++ b/src/config/fold_cmd.c
@@ -1,4 +1,4 @@
-/* Following the configuration log: one long read at a time. */
+/* Following the configuration log by long polls, one at a time. */
 #include <string.h>
 #include <syslog.h>
 
@@ -90,9 +90,8 @@
 }
 
 /*
- * A snapshot or a peer's state can be older than what is in force here. To go
- * back would bring back withdrawn keys and lift drains; a caller would notice
- * it as a key that works again. So only a newer state is taken.
+ * A snapshot or a peer's state may be older than the current one. Installing
+ * it would revert changes, for example make withdrawn keys valid again.
  */
 int
 Fw_ConfigReplica_Install(struct fw_fold *rep, struct fw_state *st,
@@ -136,7 +135,7 @@
                     NULL);
 }
 
-/* Folds what lies at or after our offset; records before it are old news. */
+/* Applies the records from the next offset on and skips older ones. */
 static void
 apply_records(struct fw_fold *rep, const struct fw_log_records *r,
               struct fw_actions *out)
@@ -158,7 +157,7 @@
 void
 Fw_ConfigReplica_BackOff(struct fw_fold *rep, int64_t now_us)
 {
-    /* Spread, so that a log that comes back is not met by all at once. */
+    /* Jitter, so that instances don't retry all at once. */
     rep->read_due_us =
         now_us + g_rand_int_range(rep->rand, (gint32)(rep->backoff_us / 2),
                                   (gint32)(rep->backoff_us * 3 / 2));
@@ -172,8 +171,10 @@
     Fw_ConfigReplica_BackOff(rep, now_us);
 }
 
-/* The log dropped records that were never read here. What is in force stays
- * so, until a snapshot or a peer gives a newer state. */
+/*
+ * Records expired from the log before they were read. The current state is
+ * kept until a snapshot or a peer provides a newer one.
+ */
 static void
 enter_gap(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
           struct fw_actions *out)
--- a/src/config/fold_find.c
+++ b/src/config/fold_find.c
@@ -1,9 +1,9 @@
 /*
- * The newest whole snapshot of the log.
+ * Search for the newest complete snapshot in the log.
  *
- * Looked for at the start, and when the log no longer has the record after
- * ours. Two windows may be needed: a writer that died left half a snapshot at
- * the end, and the whole one lies before it.
+ * It runs at startup and when the log lacks the next record. More than one
+ * window may be needed, when the stream ends in incomplete snapshots of a
+ * writer that failed.
  */
 #include <errno.h>
 #include <syslog.h>
@@ -119,7 +119,7 @@
     }
     else {
         read_parts(rep, r, out);
-        /* Moves on also when records aged out under the search. */
+        /* Records may have expired since the search began. */
         s->next_offset = r->n > 0 ? r->first + (uint64_t)r->n : s->end_offset;
     }
     if (s->next_offset >= s->end_offset) {
--- a/src/config/fold_peer.c
+++ b/src/config/fold_peer.c
@@ -1,10 +1,10 @@
 /*
- * State from a peer while the log can't be read.
+ * State transfer between peers while the log can't be read.
  *
- * An instance that starts during an outage would refuse every caller until
- * the log is back. It takes the state of a peer instead, part by part, each
- * asked for by itself, so that no queue grows. Only a state that is whole and
- * newer than its own is put in force; a peer that is behind doesn't answer.
+ * An instance that starts during an outage of the log would reject all
+ * callers. It fetches a snapshot from a peer instead, one part per request, so
+ * that send queues stay short. Only a complete state that is newer than its
+ * own is installed; a peer without a newer state says so.
  */
 #include <errno.h>
 #include <string.h>
@@ -123,7 +123,7 @@
                              ? now_us + FW_SNAPSHOT_STEP_INTERVAL_US
                              : p->served_until_us);
     if (p->served->writer) {
-        return; /* asked again in a second, when it is written */
+        return; /* the requester retries after FW_PEER_RESEND_INTERVAL_US */
     }
     if (strcmp(req->snapshot_id, p->served->header.id) != 0) {
         k = 0;
--- a/src/config/fold_query.c
+++ b/src/config/fold_query.c
@@ -1,4 +1,4 @@
-/* Questions to the fold. */
+/* Queries of the replica. */
 #include "config/fold_internal.h"
 
 const struct fw_config *
--- a/src/config/fold_write.c
+++ b/src/config/fold_write.c
@@ -1,7 +1,7 @@
 /*
- * Writing snapshots, so that the configuration outlives the records that the
- * log drops. One instance is told to write; two at once do no harm, since
- * each part names its snapshot and the readers keep them apart.
+ * Writer of snapshots, from which the configuration can be restored after its
+ * records have expired from the log. Several writers at once do no harm: each
+ * part names its snapshot, and readers assemble each of them separately.
  */
 #include <errno.h>
 #include <limits.h>
@@ -29,10 +29,13 @@
 }
 
 /*
- * Due after FW_SNAPSHOT_INTERVAL_RECORDS changes, so that a start reads few
- * records; when the newest one is old or gone, since the log drops snapshots
- * too; and when half of the records that the log still has are not in it,
- * whatever their number, so that a short retention can't outrun the writer.
+ * A snapshot is due
+ * - FW_SNAPSHOT_INTERVAL_RECORDS records after the last one, so that an
+ *   instance reads few records at startup,
+ * - when the last one is old or has expired, since the log drops snapshots
+ * too,
+ * - once records expire, when it lacks more than half of those still in the
+ * log, so that none expires before it is part of a snapshot.
  */
 static int
 snapshot_is_due(const struct fw_fold *rep, int64_t now_us)
@@ -67,7 +70,7 @@
     }
     *restarts += *text != NULL;
     Fw_Snap_FreeText(*text);
-    /* The random part keeps two runs under one name apart. */
+    /* The random part makes ids unique across writers and restarts. */
     g_snprintf(id, sizeof(id), "%c-%" G_GUINT64_FORMAT "-%08x%08x", prefix,
                rep->state->cfg->offset, g_rand_int(rep->rand),
                g_rand_int(rep->rand));
@@ -76,9 +79,9 @@
 }
 
 /*
- * Each region has a writer, and all see the same change that makes a snapshot
- * due. Each waits a random while and looks at the stream's end again, so that
- * mostly one of them writes.
+ * Several writers (one per region) find a snapshot due at the same time. Each
+ * waits for a random delay and then reads the end of the stream again, so that
+ * mostly one of them writes it.
  */
 static void
 delay_or_begin(struct fw_fold *rep, int64_t now_us)
@@ -169,7 +172,7 @@
     }
 }
 
-/* The stream's last part tells whether a whole snapshot ends there. */
+/* Evaluates the last record of the stream: does it complete a snapshot? */
 static void
 check_tail(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us)
 {
@@ -185,11 +188,11 @@
         }
     }
     else if (w->incomplete_end == r->end) {
-        /* Nobody has gone on with it for a whole round: its writer died. */
+        /* No part was added since the last check: the writer failed. */
         w->newest = 0;
     }
     else {
-        /* Somebody may be writing: their snapshot is as good as ours. */
+        /* Another writer may be at work: wait for its snapshot. */
         w->incomplete_end = r->end;
         if (w->begin_due_us) {
             w->begin_due_us = now_us + FW_SNAPSHOT_CHECK_INTERVAL_US + 1;
@@ -239,8 +242,7 @@
         return;
     }
     if (a->err) {
-        /* Sent again also when the answer was lost: a part that stands
-         * twice is passed over by the readers. */
+        /* The append may have taken effect. Readers ignore repeated parts. */
         w->append_due_us = now_us + FW_SNAPSHOT_RETRY_DELAY_US;
         return;
     }
--- a/src/config/item_cmd.c
+++ b/src/config/item_cmd.c
@@ -1,10 +1,10 @@
-/* Items into the configuration. */
+/* Insertion and removal of items. */
 #include "config/config_internal.h"
 
 static void
 replace_in(GHashTable *table, const char *name, void *value)
 {
-    /* replace, not insert: the table's key lives inside the value */
+    /* Unlike insert, replace updates the key, which is part of the value. */
     g_hash_table_replace(table, (void *)name, value);
 }
 
--- a/src/config/item_query.c
+++ b/src/config/item_query.c
@@ -1,4 +1,4 @@
-/* Items of the configuration as JSON, by kind and name. */
+/* Items by kind and name, and their values as JSON. */
 #include <string.h>
 
 #include "config/config_internal.h"
--- a/src/config/json.c
+++ b/src/config/json.c
@@ -1,8 +1,8 @@
 #include "config/json.h"
 
 /*
- * The parser calls itself for each level, so a record of a million brackets
- * would run it out of stack and end the process.
+ * json-glib's parser is recursive: deep nesting would overflow the stack, so
+ * it is rejected before parsing.
  */
 static int
 is_too_deep(const char *text, size_t len)
--- a/src/config/snap_read.c
+++ b/src/config/snap_read.c
@@ -1,4 +1,4 @@
-/* Snapshot parts back into a state. */
+/* Parser of snapshot parts. */
 #include <errno.h>
 #include <string.h>
 
@@ -65,7 +65,11 @@
     }
 }
 
-/* The reader of @header's snapshot; a new one only for its first part. */
+/*
+ * Returns the assembly of @header's snapshot. For its first part, takes an
+ * unused assembly or the least recently used one. Returns NULL for a later
+ * part of an unknown snapshot.
+ */
 static struct fw_snapshot_assembly *
 find_assembly(struct fw_snap_collector *c,
               const struct fw_snapshot_header *header)
@@ -187,7 +191,7 @@
          const struct fw_snapshot_header *header, const char *body)
 {
     if (header->part < r->next_part) {
-        return 0; /* sent again after a lost answer */
+        return 0; /* repeated by the writer after a failed append */
     }
     if (header->part != r->next_part || !headers_match(header, &r->header) ||
         read_rows(r->st, body)) {
--- a/src/config/snap_write.c
+++ b/src/config/snap_write.c
@@ -1,4 +1,4 @@
-/* The state as snapshot parts. */
+/* Writer of snapshot parts. */
 #include <errno.h>
 #include <limits.h>
 #include <string.h>
@@ -7,12 +7,14 @@
 
 /**
  * struct fw_snapshot_writer - see snapshot.h.
- * @kind: items being written; FW_ITEM_KINDS: ids seen, then the audit trail
- * @names: of the items of @kind, borrowed while the state stays as it is
- * @next: next of them, or of the ids
- * @next_entry: next of the audit trail, NULL before it
- * @bodies: GString *, rows of the parts so far
- * @body: of the part being filled
+ * @kind: kind of the items being written; FW_ITEM_KINDS for the outcomes and
+ *        the audit trail, which follow the items
+ * @names: names of the items of @kind, valid while the state is unchanged
+ * @next: index of the next name or outcome
+ * @next_entry: next entry of the audit trail, NULL before the first
+ * @bodies: rows of the parts completed so far (GString *)
+ * @body: rows of the current part
+ * @hash: chained hash over @bodies
  */
 struct fw_snapshot_writer {
     int kind;
@@ -35,7 +37,10 @@
     w->body = g_string_sized_new(FW_SNAPSHOT_PART_BYTES);
 }
 
-/* @value is JSON. Kind and name need no escapes by their rules. */
+/*
+ * @value is JSON. @kind and @name are inserted unescaped: valid names have no
+ * characters that need it, and ids are escaped by the caller.
+ */
 static void
 add_row(struct fw_snapshot_writer *w, const char *kind, const char *name,
         uint64_t version, const char *value)
@@ -49,7 +54,7 @@
     }
 }
 
-/* Each of these writes one row and returns 0 when it has none left. */
+/* Writes the next item of the current kind. Returns 0 when none is left. */
 static int
 add_item_row(struct fw_snapshot_writer *w, const struct fw_config *cfg)
 {
@@ -142,7 +147,7 @@
     g_free(w);
 }
 
-/* The heads name count and hash of all, so they come last. */
+/* Headers contain the number of parts and the hash, which are known last. */
 static void
 add_headers(struct fw_snap_text *text, struct fw_snapshot_writer *w)
 {
@@ -171,7 +176,7 @@
 
     close_part(w);
     if (w->bodies->len == 0) {
-        /* An empty state is one part without rows. */
+        /* The snapshot of an empty state is one part without rows. */
         g_ptr_array_add(w->bodies, g_string_new(NULL));
         w->hash = Fw_Hash_Bytes("", 0, w->hash);
     }
--- a/src/config/state.c
+++ b/src/config/state.c
@@ -1,4 +1,4 @@
-/* Making, freeing and asking the state; apply.c changes it by a record. */
+/* Creation, destruction and queries of the state; see apply.c for changes. */
 #include "config/state.h"
 
 #include <string.h>
--- a/src/config/value_parse.c
+++ b/src/config/value_parse.c
@@ -1,10 +1,10 @@
-/* JSON values of the items into their structs. */
+/* Parsers of the JSON values of items. */
 #include <errno.h>
 #include <string.h>
 
 #include "config/config_internal.h"
 
-#define FW_TOKENS_MAX 1000000000000LL /* a second, over any fleet */
+#define FW_TOKENS_MAX 1000000000000LL /* of rates per second and of bursts */
 
 static const char *const roles[] = {"prefill", "decode", "service", NULL};
 static const char *const fencings[] = {"checked", "ignored", NULL};
@@ -115,7 +115,7 @@
     int fencing = 0;
 
     g_strlcpy(up->name, name, sizeof(up->name));
-    /* An upstream that nobody vouches for is taken to ignore fencing. */
+    /* Without a setting, an upstream is assumed to ignore fencing tokens. */
     if (Fw_Field_RejectUnknown(&r, known) ||
         Fw_Field_Name(&r, "pool", NULL, up->pool) ||
         Fw_Field_Text(&r, "url", up->url, sizeof(up->url)) ||
