--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static char *
-peer_name(int i)
+replica_name(int i)
 {
     return g_strdup_printf("fold%d", i);
 }
@@ -12,7 +12,7 @@
 static struct fw_fold *
 new_fold(const struct fw_rig *rig, int i)
 {
-    char *name = peer_name(i);
+    char *name = replica_name(i);
     struct fw_fold *f = Fw_Fold_New(
         name, (uint32_t)(i + 1 + rig->now / FW_RIG_STEP_US), NULL, rig->now);
 
@@ -33,7 +33,7 @@
 new_operate(struct fw_rig *rig, int i)
 {
     struct fw_self *self = &rig->selves[i];
-    char *name = peer_name(i);
+    char *name = replica_name(i);
 
     g_strlcpy(self->name, name, sizeof(self->name));
     self->boot = 1764748800000;
@@ -125,7 +125,7 @@
 }
 
 static void
-do_actions(struct fw_rig *rig, int i, struct fw_actions *out)
+execute_actions(struct fw_rig *rig, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
@@ -152,7 +152,7 @@
     r.records = (const char *const *)s->records->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
     Fw_Fold_OnRecords(rig->folds[i], &r, rig->now, &out);
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
 static void
@@ -177,7 +177,7 @@
 }
 
 static void
-keep_read(struct fw_rig *rig, int i, const struct fw_log_read *read)
+store_read(struct fw_rig *rig, int i, const struct fw_log_read *read)
 {
     for (int k = 0; k < 4; k++) {
         if (!rig->reads[i][k].open) {
@@ -186,7 +186,7 @@
             return;
         }
     }
-    g_error("more reads at once than expected");
+    g_error("too many pending reads");
 }
 
 static void
@@ -221,10 +221,10 @@
     else {
         Fw_Fold_OnAppended(rig->folds[i], &done, rig->now, &out);
     }
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
-/* Messages go through the wire form, so that it is tested too. */
+/* Delivers a message, encoded and decoded as on the wire. */
 static void
 send_msg(struct fw_rig *rig, int i, const struct fw_peer_send *p)
 {
@@ -233,7 +233,7 @@
     msgpack_unpacked msg;
     struct fw_msg got;
     struct fw_actions out;
-    char *from = peer_name(i);
+    char *from = replica_name(i);
     int to = p->to[4] - '0';
 
     msgpack_sbuffer_init(&buf);
@@ -247,7 +247,7 @@
     if (!rig->partitioned[i] && !rig->partitioned[to]) {
         Fw_Fold_OnMsg(rig->folds[to], from, "addr", &got.u.config, rig->now,
                       &out);
-        do_actions(rig, to, &out);
+        execute_actions(rig, to, &out);
     }
     Fw_Msg_Clear(&got);
     msgpack_unpacked_destroy(&msg);
@@ -263,7 +263,7 @@
 
     Fw_Actions_Init(&out);
     Fw_Operate_AfterFold(rig->operates[i], &view, rig->now, &out);
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
 void
@@ -278,14 +278,14 @@
     c.body = body ? g_bytes_new_static(body, strlen(body)) : NULL;
     Fw_Actions_Init(&out);
     Fw_Operate_Open(rig->operates[i], &view, &c, rig->now, &out);
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
     if (c.body) {
         g_bytes_unref(c.body);
     }
 }
 
 static void
-keep_answer(struct fw_rig *rig, const struct fw_call_answer *a)
+store_answer(struct fw_rig *rig, const struct fw_call_answer *a)
 {
     struct fw_rig_answer *kept = g_new0(struct fw_rig_answer, 1);
     size_t len;
@@ -317,13 +317,13 @@
 
     switch (a->kind) {
     case FW_ACT_LOG_READ:
-        keep_read(rig, i, &a->u.read);
+        store_read(rig, i, &a->u.read);
         break;
     case FW_ACT_LOG_APPEND:
         append(rig, i, &a->u.append);
         break;
     case FW_ACT_CALL_ANSWER:
-        keep_answer(rig, &a->u.answer);
+        store_answer(rig, &a->u.answer);
         break;
     case FW_ACT_PEER_SEND:
         send_msg(rig, i, &a->u.send);
@@ -351,7 +351,7 @@
 
             Fw_Actions_Init(&out);
             Fw_Fold_Tick(rig->folds[i], rig->now, &out);
-            do_actions(rig, i, &out);
+            execute_actions(rig, i, &out);
             serve_reads(rig, i);
             after_fold(rig, i);
         }
--- a/tests/config/rig.h
+++ b/tests/config/rig.h
@@ -1,7 +1,7 @@
 /*
- * Folds around a log in memory, stepped side by side. Reads are held back as
- * the log's answers are; the script takes the log away, lets records age out
- * and loses answers.
+ * Test fixture: configuration replicas with a simulated log and clock. Reads
+ * wait for records as in the real log. Tests can make the log unreachable,
+ * expire its records and lose the results of appends.
  */
 #ifndef FW_TESTS_CONFIG_RIG_H
 #define FW_TESTS_CONFIG_RIG_H
@@ -12,20 +12,24 @@
 #define FW_RIG_MAX 9
 #define FW_RIG_STEP_US (50 * FW_MSEC)
 
-/** struct fw_rig_stream - offsets start at 1; @n_expired have aged out. */
+/**
+ * struct fw_rig_stream - stream of the log.
+ * @records: all records (char *), the first at offset 1
+ * @n_expired: number of records, from the first, that can't be read any more
+ */
 struct fw_rig_stream {
     GPtrArray *records;
     uint64_t n_expired;
 };
 
-/** struct fw_rig_read - a read that waits for records. */
+/** struct fw_rig_read - pending read, if @open. */
 struct fw_rig_read {
     struct fw_log_read read;
     int64_t sent_us;
     int open;
 };
 
-/** struct fw_rig_answer - what the call @call got. */
+/** struct fw_rig_answer - HTTP response to an operator's call. */
 struct fw_rig_answer {
     uint64_t call;
     int status;
@@ -33,14 +37,15 @@
 };
 
 /**
- * struct fw_rig - @n folds and their log.
- * @partitioned: the fold at this index reaches neither log nor peers
- * @down: nobody reaches the log
- * @lose_appends: so many appends take effect without an answer
- * @drop_appends: so many have no effect and no answer
- * @operates: the operators' interface beside each fold
- * @answers: what operators were answered
- * @notes: events of the notes put out, counted by name
+ * struct fw_rig - @n replicas and their log.
+ * @partitioned: nonzero if the replica reaches neither the log nor its peers
+ * @down: nonzero if the log is unreachable for all replicas
+ * @lose_appends: number of next appends that succeed but report an error
+ * @drop_appends: number of next appends that fail
+ * @operates: operator API of each replica
+ * @answers: responses to operators' calls (struct fw_rig_answer *)
+ * @now: simulated time in microseconds
+ * @notes: number of log events by name
  */
 struct fw_rig {
     int n;
@@ -52,7 +57,7 @@
     int drop_appends;
     struct fw_self selves[FW_RIG_MAX];
     struct fw_operate *operates[FW_RIG_MAX];
-    GPtrArray *answers; /* struct fw_rig_answer * */
+    GPtrArray *answers;
     int64_t now;
     struct fw_rig_stream config;
     struct fw_rig_stream snapshot;
@@ -63,34 +68,42 @@
 Fw_Rig_New(int n);
 void
 Fw_Rig_Free(struct fw_rig *rig);
-/* Starts the fold at @i afresh, as a replaced instance does. */
+/* Replaces replica @i by a new, empty one. */
 void
 Fw_Rig_Restart(struct fw_rig *rig, int i);
-/* Return: the record's offset. */
+/* Appends a record and returns its offset. */
 uint64_t
 Fw_Rig_Append(struct fw_rig_stream *s, const char *text);
-/* A change that gives team @name the rate @rate, made on version @was. */
+/*
+ * Appends a change that sets the rate of team @name, expecting version @was.
+ * Returns its offset.
+ */
 uint64_t
 Fw_Rig_SetRate(struct fw_rig *rig, const char *id, const char *name, int rate,
                uint64_t was);
-/* Drops all but the last @keep records of @s. */
+/* Expires all but the last @keep records of @s. */
 void
 Fw_Rig_Expire(struct fw_rig_stream *s, uint64_t keep);
+/* Runs all replicas for @us microseconds of simulated time. */
 void
 Fw_Rig_Run(struct fw_rig *rig, int64_t us);
-/* Hands one action of fold @i to the log or a peer; frees it. */
+/* Executes one action of replica @i and frees it. */
 void
 Fw_Rig_Execute(struct fw_rig *rig, int i, struct fw_action *a);
-/* A call of an operator at instance @i, with @key; @body may be NULL. */
+/*
+ * Calls the operator API of replica @i with API key @key; @body may be NULL.
+ * @call is the number by which the response is found.
+ */
 void
 Fw_Rig_Call(struct fw_rig *rig, int i, uint64_t call, const char *method,
             const char *path, const char *key, const char *body);
-/* What it was answered, or NULL so far. */
+/* The response to @call, NULL until there is one. */
 const struct fw_rig_answer *
 Fw_Rig_Answer(const struct fw_rig *rig, uint64_t call);
-/* Rate of team @name at fold @i, -1 when there is none. */
+/* Rate of team @name at replica @i, -1 when there is no such team. */
 int64_t
 Fw_Rig_Rate(const struct fw_rig *rig, int i, const char *name);
+/* Number of log events named @event. */
 int
 Fw_Rig_CountNotes(const struct fw_rig *rig, const char *event);
 
--- a/tests/config/test_fold.c
+++ b/tests/config/test_fold.c
@@ -1,4 +1,4 @@
-/* The fold of the configuration log: verdicts on records, one by one. */
+/* Verdicts on single records of the configuration log. */
 #include <check.h>
 
 #include "config/fold.h"
@@ -14,7 +14,7 @@
 struct verdict_case {
     const char *record;
     const char *verdict;
-    int64_t rate_after; /* of team a, -1 when there is none */
+    int64_t rate_after; /* of team a, -1 if it doesn't exist */
 };
 
 static const struct verdict_case verdicts[] = {
@@ -43,11 +43,10 @@
 };
 
 /*
- * Records reach the log from several operators, from tools of another
- * version, and by mistake. A caller would notice a wrong verdict as a rate
- * that nobody asked for, or as an instance that stops at a bad record.
+ * Guards against wrong values from conflicting, repeated or malformed records,
+ * and against replicas that stop at one.
  */
-START_TEST(each_record_gets_its_verdict)
+START_TEST(records_get_their_verdicts)
 {
     struct fw_state *st = Fw_State_New();
     struct fw_change_result res;
@@ -74,6 +73,6 @@
 {
     TCase *tc = Fw_Suite_New("fold");
 
-    tcase_add_test(tc, each_record_gets_its_verdict);
+    tcase_add_test(tc, records_get_their_verdicts);
     return Fw_Suite_Run(tc);
 }
--- a/tests/config/test_mutation.c
+++ b/tests/config/test_mutation.c
@@ -1,4 +1,4 @@
-/* Texts and messages spoiled at random, from fixed seeds. */
+/* Fuzz tests of parsers with randomly mutated input, from fixed seeds. */
 #include <check.h>
 #include <errno.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 #include "rig.h"
 #include "tests/base/suite.h"
 
-#define ROUNDS 3000
+#define MUTATIONS 3000
 
 static const char record[] =
     "{\"v\":1,\"id\":\"c1\",\"who\":\"anna\",\"at\":\"t\",\"base\":0,"
@@ -26,9 +26,9 @@
     "\"idempotent\":true}]}},{\"kind\":\"setting\",\"name\":\"on-withdraw\","
     "\"was\":0,\"value\":{\"value\":\"cut\"}}]}";
 
-/* One to four changes: a byte set, a piece doubled or taken out. */
+/* Overwrites, duplicates or deletes bytes, one to four times. */
 static char *
-spoil(GRand *rand, const char *text)
+mutate(GRand *rand, const char *text)
 {
     GString *s = g_string_new(text);
     int n = g_rand_int_range(rand, 1, 5);
@@ -56,18 +56,15 @@
     return g_string_free(s, FALSE);
 }
 
-/*
- * A record is cut, doubled or overwritten on its way. An instance that stops
- * at it stops at each start, since the record is read again; all of them do.
- */
-START_TEST(spoiled_records_get_a_verdict)
+/* A record that stops a replica would stop all of them, at each restart. */
+START_TEST(mutated_records_get_a_verdict)
 {
     GRand *rand = g_rand_new_with_seed(1);
     struct fw_state *st = Fw_State_New();
     struct fw_change_result res;
 
-    for (int i = 0; i < ROUNDS; i++) {
-        char *text = spoil(rand, record);
+    for (int i = 0; i < MUTATIONS; i++) {
+        char *text = mutate(rand, record);
 
         Fw_State_Apply(st, text, &res);
         ck_assert_uint_eq(st->cfg->offset, i + 2);
@@ -78,8 +75,8 @@
 }
 END_TEST
 
-/* A record of a million brackets would run the parser out of stack. */
-START_TEST(deep_records_are_refused)
+/* Deeply nested JSON must not overflow the parser's stack. */
+START_TEST(deeply_nested_records_are_invalid)
 {
     struct fw_state *st = Fw_State_New();
     struct fw_change_result res;
@@ -99,9 +96,9 @@
 }
 END_TEST
 
-/* A part of a snapshot is spoiled in the log or on the way from a peer. What
- * comes out is the state that was written, or nothing. */
-START_TEST(spoiled_snapshots_give_nothing_else)
+/* A corrupt snapshot part must not yield a state other than the written one.
+ */
+START_TEST(mutated_snapshots_yield_no_other_state)
 {
     GRand *rand = g_rand_new_with_seed(2);
     struct fw_state *st = Fw_State_New();
@@ -113,10 +110,10 @@
     ck_assert_int_eq(res.verdict, FW_CHANGE_ACCEPTED);
     snap = Fw_Snap_Write(st, "s-1");
     part = g_ptr_array_index(snap->parts, 0);
-    for (int i = 0; i < ROUNDS; i++) {
+    for (int i = 0; i < MUTATIONS; i++) {
         struct fw_snap_collector c = {.feeds = 0};
         struct fw_state *got = NULL;
-        char *text = spoil(rand, part);
+        char *text = mutate(rand, part);
 
         Fw_Snap_Feed(&c, text, &got, NULL);
         if (got) {
@@ -132,7 +129,8 @@
 }
 END_TEST
 
-START_TEST(spoiled_sheets_give_errors_or_a_plan)
+/* Planning from a corrupt sheet must not crash. */
+START_TEST(mutated_sheets_yield_errors_or_a_plan)
 {
     GRand *rand = g_rand_new_with_seed(3);
     struct fw_rig *rig = Fw_Rig_New(1);
@@ -141,8 +139,8 @@
     Fw_Rig_Append(&rig->config, record);
     Fw_Rig_Run(rig, 3 * FW_SEC);
     sheet = Fw_Sheet_Write(Fw_Fold_Config(rig->folds[0]));
-    for (int i = 0; i < ROUNDS; i++) {
-        char *text = spoil(rand, sheet);
+    for (int i = 0; i < MUTATIONS; i++) {
+        char *text = mutate(rand, sheet);
         struct fw_sheet_plan *plan =
             Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
 
@@ -165,23 +163,24 @@
 
 /* [6, [kind, ...]]; area 6 is the configuration. */
 static const struct message_case messages[] = {
-    {"\x92\x06\x91\x00", 4, 1},             /* nothing newer */
-    {"\x92\x06\x94\x01\x05\xa0\x00", 7, 1}, /* ask */
+    {"\x92\x06\x91\x00", 4, 1},             /* up to date */
+    {"\x92\x06\x94\x01\x05\xa0\x00", 7, 1}, /* part request */
     {"\x92\x06\x92\x02\xa1x", 6, 1},        /* part */
-    {"\x92\x06\x91\x01", 4, 0},             /* ask without members */
-    {"\x92\x06\x94\x01\xff\xa0\x00", 7, 0}, /* offset below zero */
-    {"\x92\x06\x94\x01\x05\xa0\xff", 7, 0}, /* part below zero */
-    {"\x92\x06\x94\x01\x05\x00\x00", 7, 0}, /* name is a number */
+    {"\x92\x06\x91\x01", 4, 0},             /* part request without members */
+    {"\x92\x06\x94\x01\xff\xa0\x00", 7, 0}, /* negative offset */
+    {"\x92\x06\x94\x01\x05\xa0\xff", 7, 0}, /* negative part index */
+    {"\x92\x06\x94\x01\x05\x00\x00", 7, 0}, /* snapshot id is a number */
     {"\x92\x06\x91\x02", 4, 0},             /* part without text */
     {"\x92\x06\x92\x02\x07", 5, 0},         /* text is a number */
     {"\x92\x06\x92\x02\xa2x\x00", 7, 0},    /* NUL in the text */
     {"\x92\x06\x91\x09", 4, 0},             /* unknown kind */
-    {"\x92\x06\x91\xa1x", 5, 0},            /* kind is a text */
+    {"\x92\x06\x91\xa1x", 5, 0},            /* kind is a string */
     {"\x92\x06\x90", 3, 0},                 /* empty */
-    {"\x92\x06\x07", 3, 0},                 /* no array */
+    {"\x92\x06\x07", 3, 0},                 /* not an array */
 };
 
-START_TEST(malformed_messages_are_refused)
+/* Messages from a peer are untrusted; malformed ones are rejected. */
+START_TEST(malformed_messages_are_rejected)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(messages); i++) {
         const struct message_case *c = &messages[i];
@@ -208,10 +207,10 @@
     TCase *tc = Fw_Suite_New("mutation");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, spoiled_records_get_a_verdict);
-    tcase_add_test(tc, deep_records_are_refused);
-    tcase_add_test(tc, spoiled_snapshots_give_nothing_else);
-    tcase_add_test(tc, spoiled_sheets_give_errors_or_a_plan);
-    tcase_add_test(tc, malformed_messages_are_refused);
+    tcase_add_test(tc, mutated_records_get_a_verdict);
+    tcase_add_test(tc, deeply_nested_records_are_invalid);
+    tcase_add_test(tc, mutated_snapshots_yield_no_other_state);
+    tcase_add_test(tc, mutated_sheets_yield_errors_or_a_plan);
+    tcase_add_test(tc, malformed_messages_are_rejected);
     return Fw_Suite_Run(tc);
 }
--- a/tests/config/test_snapshot.c
+++ b/tests/config/test_snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshots, retention, outages at the start, state from a peer. */
+/* Snapshots, retention, state transfer from peers while the log is down. */
 #include <check.h>
 #include <errno.h>
 #include <string.h>
@@ -13,9 +13,9 @@
     return Fw_Config_Digest(Fw_Fold_Config(rig->folds[i]));
 }
 
-/* Teams "t0" ... with keys, enough for several parts. */
+/* Returns a state with teams "t0" and so on, each with a key. */
 static struct fw_state *
-filled(int teams)
+new_state(int teams)
 {
     struct fw_state *st = Fw_State_New();
     struct fw_change_result res;
@@ -37,30 +37,32 @@
 }
 
 enum damage {
-    FW_WHOLE,
-    FW_TWICE,
-    FW_CUT,
-    FW_FLIPPED,
-    FW_MISSING,
-    FW_SWAPPED,
-    FW_OTHER_OFFSET,
-    FW_NO_HEAD,
-    FW_LAST_MISSING,
+    FW_DAMAGE_NONE,
+    FW_DAMAGE_REPEATED,
+    FW_DAMAGE_TRUNCATED,
+    FW_DAMAGE_CHANGED_ROW,
+    FW_DAMAGE_MISSING,
+    FW_DAMAGE_REORDERED,
+    FW_DAMAGE_OTHER_OFFSET,
+    FW_DAMAGE_BAD_HEADER,
+    FW_DAMAGE_LAST_MISSING,
 };
 
 struct damage_case {
     enum damage damage;
-    int whole; /* comes out as a state */
+    int complete; /* a state is expected */
 };
 
 static const struct damage_case damages[] = {
-    {FW_WHOLE, 1},        {FW_TWICE, 1},   {FW_CUT, 0},
-    {FW_FLIPPED, 0},      {FW_MISSING, 0}, {FW_SWAPPED, 0},
-    {FW_OTHER_OFFSET, 0}, {FW_NO_HEAD, 0}, {FW_LAST_MISSING, 0},
+    {FW_DAMAGE_NONE, 1},         {FW_DAMAGE_REPEATED, 1},
+    {FW_DAMAGE_TRUNCATED, 0},    {FW_DAMAGE_CHANGED_ROW, 0},
+    {FW_DAMAGE_MISSING, 0},      {FW_DAMAGE_REORDERED, 0},
+    {FW_DAMAGE_OTHER_OFFSET, 0}, {FW_DAMAGE_BAD_HEADER, 0},
+    {FW_DAMAGE_LAST_MISSING, 0},
 };
 
 static void
-feed(struct fw_snap_collector *c, const char *part, struct fw_state **st)
+feed_part(struct fw_snap_collector *c, const char *part, struct fw_state **st)
 {
     struct fw_state *got = NULL;
 
@@ -88,32 +90,33 @@
     unsigned n = text->parts->len;
 
     for (unsigned k = 0; k < n; k++) {
-        unsigned at = damage == FW_SWAPPED && k > 0 && k < 3 ? 3 - k : k;
+        unsigned at =
+            damage == FW_DAMAGE_REORDERED && k > 0 && k < 3 ? 3 - k : k;
         char *part = g_strdup(g_ptr_array_index(text->parts, at));
 
-        if (k == 1 && damage == FW_CUT) {
+        if (k == 1 && damage == FW_DAMAGE_TRUNCATED) {
             part[strlen(part) / 2] = '\0';
         }
-        if (k == 1 && damage == FW_FLIPPED) {
+        if (k == 1 && damage == FW_DAMAGE_CHANGED_ROW) {
             char *rate = strstr(part, "\"rate\":");
 
             rate[7] = rate[7] == '1' ? '2' : '1';
         }
-        if (k == 1 && damage == FW_NO_HEAD) {
+        if (k == 1 && damage == FW_DAMAGE_BAD_HEADER) {
             strchr(part, '\n')[-1] = ' ';
         }
-        if (damage == FW_OTHER_OFFSET) {
+        if (damage == FW_DAMAGE_OTHER_OFFSET) {
             char *changed = with_other_offset(part);
 
             g_free(part);
             part = changed;
         }
-        if (!(k == 1 && damage == FW_MISSING) &&
-            !(k == n - 1 && damage == FW_LAST_MISSING)) {
-            feed(&c, part, &st);
+        if (!(k == 1 && damage == FW_DAMAGE_MISSING) &&
+            !(k == n - 1 && damage == FW_DAMAGE_LAST_MISSING)) {
+            feed_part(&c, part, &st);
         }
-        if (k == 1 && damage == FW_TWICE) {
-            feed(&c, part, &st);
+        if (k == 1 && damage == FW_DAMAGE_REPEATED) {
+            feed_part(&c, part, &st);
         }
         g_free(part);
     }
@@ -122,20 +125,19 @@
 }
 
 /*
- * A writer dies halfway, an answer is lost and a part is appended twice, a
- * record comes back cut. Operators would notice a wrong state as teams that
- * are missing on the instances started last.
+ * Guards against states from snapshots with missing, corrupt or reordered
+ * parts. A repeated part does no harm.
  */
-START_TEST(only_a_whole_snapshot_counts)
+START_TEST(only_complete_snapshots_are_used)
 {
-    struct fw_state *st = filled(600);
+    struct fw_state *st = new_state(600);
     struct fw_snap_text *text = Fw_Snap_Write(st, "s-1");
 
     ck_assert_uint_ge(text->parts->len, 4);
     for (size_t i = 0; i < G_N_ELEMENTS(damages); i++) {
         struct fw_state *got = read_damaged(text, damages[i].damage);
 
-        ck_assert_msg(!got == !damages[i].whole, "damage %zu", i);
+        ck_assert_msg(!got == !damages[i].complete, "damage %zu", i);
         if (got) {
             ck_assert(Fw_State_Digest(got) == Fw_State_Digest(st));
         }
@@ -146,26 +148,27 @@
 }
 END_TEST
 
-/* Two instances may both think that it is theirs to write: their parts stand
- * one between the other in the log. */
-START_TEST(two_writers_at_once_are_kept_apart)
+/* Interleaved parts of two writers yield both snapshots. */
+START_TEST(interleaved_snapshots_are_separated)
 {
-    struct fw_state *st = filled(300);
+    struct fw_state *st = new_state(300);
     struct fw_snap_text *a = Fw_Snap_Write(st, "s-a");
     struct fw_snap_text *b = Fw_Snap_Write(st, "s-b");
     struct fw_snap_collector c = {.feeds = 0};
-    int whole = 0;
+    int n_complete = 0;
 
     for (unsigned k = 0; k < a->parts->len; k++) {
         struct fw_state *got = NULL;
 
-        whole += Fw_Snap_Feed(&c, g_ptr_array_index(a->parts, k), &got, NULL);
+        n_complete +=
+            Fw_Snap_Feed(&c, g_ptr_array_index(a->parts, k), &got, NULL);
         Fw_State_Free(got);
         got = NULL;
-        whole += Fw_Snap_Feed(&c, g_ptr_array_index(b->parts, k), &got, NULL);
+        n_complete +=
+            Fw_Snap_Feed(&c, g_ptr_array_index(b->parts, k), &got, NULL);
         Fw_State_Free(got);
     }
-    ck_assert_int_eq(whole, 2);
+    ck_assert_int_eq(n_complete, 2);
     Fw_Snapshot_Reset(&c);
     Fw_Snap_FreeText(a);
     Fw_Snap_FreeText(b);
@@ -173,11 +176,8 @@
 }
 END_TEST
 
-/*
- * The log drops old records. Without a snapshot an instance started later
- * would know nothing of the teams set up last month: their callers get 401.
- */
-START_TEST(a_snapshot_outlives_the_records)
+/* Guards against losing the configuration when its records expire. */
+START_TEST(snapshots_restore_expired_records)
 {
     struct fw_rig *rig = Fw_Rig_New(2);
 
@@ -193,7 +193,7 @@
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 3);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "b"), 2);
     ck_assert(digest(rig, 0) == digest(rig, 1));
-    /* An id that only the snapshot remembers still counts as seen. */
+    /* An id that only the snapshot contains is still a duplicate. */
     Fw_Rig_SetRate(rig, "c2", "b", 9, 2);
     Fw_Rig_Run(rig, 3 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "b"), 2);
@@ -202,9 +202,8 @@
 }
 END_TEST
 
-/* A writer appends again when its answer is lost, and after a time when the
- * log has dropped the snapshot itself. */
-START_TEST(the_writer_comes_through_losses)
+/* The writer retries failed appends and replaces a snapshot that expired. */
+START_TEST(writer_recovers_from_losses)
 {
     struct fw_rig *rig = Fw_Rig_New(2);
 
@@ -225,14 +224,13 @@
 END_TEST
 
 /*
- * The writer dies after half a snapshot, and the whole one before it is old.
- * An instance that took the half would lack teams; one that stopped there
- * would never start.
+ * After a writer failed, readers skip its incomplete snapshot and use the
+ * complete one before it.
  */
-START_TEST(a_half_written_snapshot_is_passed_over)
+START_TEST(incomplete_snapshots_are_skipped)
 {
     struct fw_rig *rig = Fw_Rig_New(2);
-    struct fw_state *st = filled(600);
+    struct fw_state *st = new_state(600);
     struct fw_snap_text *half = Fw_Snap_Write(st, "s-half");
 
     Fw_Rig_SetRate(rig, "c1", "a", 1, 0);
@@ -247,7 +245,7 @@
     Fw_Rig_Run(rig, 5 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 2);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "t1"), -1);
-    /* And the writer makes good for it. */
+    /* The writer appends a complete snapshot. */
     Fw_Rig_Run(rig, 700 * FW_SEC);
     ck_assert_uint_eq(rig->snapshot.records->len, half->parts->len + 1);
     Fw_Snap_FreeText(half);
@@ -257,11 +255,10 @@
 END_TEST
 
 /*
- * An instance is cut off from the log while records age out. What it has in
- * force stays so until it gets a newer state, and an old snapshot at the end
- * of the stream doesn't take it back.
+ * Guards against reverting to an older configuration: a replica that missed
+ * expired records keeps its state until a newer snapshot appears.
  */
-START_TEST(a_gap_never_takes_the_version_back)
+START_TEST(gap_does_not_revert_the_version)
 {
     struct fw_rig *rig = Fw_Rig_New(2);
     char *old;
@@ -293,7 +290,7 @@
 END_TEST
 
 static void
-ask(struct fw_rig *rig, int i, const char *peer)
+request_from_peer(struct fw_rig *rig, int i, const char *peer)
 {
     struct fw_actions out;
     struct fw_action *a;
@@ -306,11 +303,10 @@
 }
 
 /*
- * Instances are replaced while the log is down. Without a peer's word each
- * new one would refuse all callers until the log is back. A peer that is
- * behind must not take anyone back to a withdrawn key.
+ * A new replica becomes ready by a peer's state while the log is down, and
+ * doesn't revert to the older state of another peer.
  */
-START_TEST(log_down_at_the_start_state_from_a_peer)
+START_TEST(new_replica_takes_state_from_a_peer)
 {
     struct fw_rig *rig = Fw_Rig_New(3);
 
@@ -331,16 +327,16 @@
     Fw_Rig_Restart(rig, 1);
     Fw_Rig_Run(rig, 6 * FW_SEC);
     ck_assert(!Fw_Fold_Ready(rig->folds[1]));
-    ask(rig, 1, "fold2");
+    request_from_peer(rig, 1, "fold2");
     Fw_Rig_Run(rig, 3 * FW_SEC);
     ck_assert(Fw_Fold_Ready(rig->folds[1]));
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "t0"), 0);
     Fw_Rig_Run(rig, 30 * FW_SEC);
-    ask(rig, 1, "fold0");
+    request_from_peer(rig, 1, "fold0");
     Fw_Rig_Run(rig, 3 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "t0"), 99);
     Fw_Rig_Run(rig, 30 * FW_SEC);
-    ask(rig, 1, "fold2");
+    request_from_peer(rig, 1, "fold2");
     Fw_Rig_Run(rig, 3 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "t0"), 99);
     rig->down = 0;
@@ -359,12 +355,12 @@
     TCase *tc = Fw_Suite_New("snapshot");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, only_a_whole_snapshot_counts);
-    tcase_add_test(tc, two_writers_at_once_are_kept_apart);
-    tcase_add_test(tc, a_snapshot_outlives_the_records);
-    tcase_add_test(tc, the_writer_comes_through_losses);
-    tcase_add_test(tc, a_half_written_snapshot_is_passed_over);
-    tcase_add_test(tc, a_gap_never_takes_the_version_back);
-    tcase_add_test(tc, log_down_at_the_start_state_from_a_peer);
+    tcase_add_test(tc, only_complete_snapshots_are_used);
+    tcase_add_test(tc, interleaved_snapshots_are_separated);
+    tcase_add_test(tc, snapshots_restore_expired_records);
+    tcase_add_test(tc, writer_recovers_from_losses);
+    tcase_add_test(tc, incomplete_snapshots_are_skipped);
+    tcase_add_test(tc, gap_does_not_revert_the_version);
+    tcase_add_test(tc, new_replica_takes_state_from_a_peer);
     return Fw_Suite_Run(tc);
 }
