--- a/src/config/fold_cmd.c
+++ b/src/config/fold_cmd.c
@@ -97,7 +97,7 @@
 Fw_ConfigReplica_Install(struct fw_fold *rep, struct fw_state *st,
                          const char *source, struct fw_actions *out)
 {
-    char at[24];
+    char version[24];
 
     if (st->cfg->offset <= rep->state->cfg->offset &&
         !FW_FAULT("config-adopt-older")) {
@@ -115,9 +115,10 @@
     else {
         rep->metrics.adopted_peer.value++;
     }
-    g_snprintf(at, sizeof(at), "%" G_GUINT64_FORMAT, st->cfg->offset - 1);
+    g_snprintf(version, sizeof(version), "%" G_GUINT64_FORMAT,
+               st->cfg->offset - 1);
     Fw_Actions_Note(out, LOG_NOTICE, "config_adopted", "source", source,
-                    "version", at, NULL);
+                    "version", version, NULL);
     return 1;
 }
 
@@ -126,11 +127,11 @@
            struct fw_actions *out)
 {
     int severity = res->verdict == FW_CHANGE_ACCEPTED ? LOG_INFO : LOG_WARNING;
-    char at[24];
+    char offset_text[24];
 
-    g_snprintf(at, sizeof(at), "%" G_GUINT64_FORMAT, offset);
-    Fw_Actions_Note(out, severity, "config_change", "offset", at, "id",
-                    res->id, "who", res->author, "verdict",
+    g_snprintf(offset_text, sizeof(offset_text), "%" G_GUINT64_FORMAT, offset);
+    Fw_Actions_Note(out, severity, "config_change", "offset", offset_text,
+                    "id", res->id, "who", res->author, "verdict",
                     Fw_Change_VerdictName(res->verdict), "why", res->why.text,
                     NULL);
 }
@@ -193,9 +194,9 @@
 follow_log(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
            struct fw_actions *out)
 {
-    uint64_t have = rep->state->cfg->offset;
+    uint64_t next = rep->state->cfg->offset;
 
-    if (MAX(r->first, r->oldest) > have && r->end > have) {
+    if (MAX(r->first, r->oldest) > next && r->end > next) {
         enter_gap(rep, r, now_us, out);
         return;
     }
--- a/src/config/fold_internal.h
+++ b/src/config/fold_internal.h
@@ -92,7 +92,7 @@
  * @enabled: nonzero if this instance writes snapshots
  * @newest: configuration offset of the newest complete snapshot in the log, 0
  *          if there is none
- * @newest_us: when that snapshot was first seen
+ * @newest_us: when that snapshot was found or written
  * @newest_first: offset of its first part in stream "snapshot"
  * @incomplete_end: end of the stream when it was last seen to end in an
  *                  incomplete snapshot
--- a/src/config/fold_write.c
+++ b/src/config/fold_write.c
@@ -32,10 +32,9 @@
  * A snapshot is due
  * - FW_SNAPSHOT_INTERVAL_RECORDS records after the last one, so that an
  *   instance reads few records at startup,
- * - when the last one is old or has expired, since the log drops snapshots
- * too,
- * - once records expire, when it lacks more than half of those still in the
- * log, so that none expires before it is part of a snapshot.
+ * - when the last one is old or has expired from the log,
+ * - once records expire, when it lacks more than half of those in the log,
+ *   so that none expires before it is part of a snapshot.
  */
 static int
 snapshot_is_due(const struct fw_fold *rep, int64_t now_us)
@@ -56,32 +55,34 @@
 }
 
 int
-Fw_ConfigReplica_StepSnapshot(struct fw_fold *rep, struct fw_snap_text **text,
-                              char prefix, int *restarts)
+Fw_ConfigReplica_StepSnapshot(struct fw_fold *rep,
+                              struct fw_snap_text **snapshot, char prefix,
+                              int *restarts)
 {
     unsigned rows = *restarts < FW_SNAPSHOT_RESTARTS_MAX
                         ? FW_SNAPSHOT_STEP_ROWS
                         : UINT_MAX;
-    int rc = *text ? Fw_Snapshot_Step(*text, rep->state, rows) : -ESTALE;
+    int rc =
+        *snapshot ? Fw_Snapshot_Step(*snapshot, rep->state, rows) : -ESTALE;
     char id[FW_CHANGE_ID_MAX];
 
     if (rc >= 0) {
         return rc;
     }
-    *restarts += *text != NULL;
-    Fw_Snap_FreeText(*text);
+    *restarts += *snapshot != NULL;
+    Fw_Snap_FreeText(*snapshot);
     /* The random part makes ids unique across writers and restarts. */
     g_snprintf(id, sizeof(id), "%c-%" G_GUINT64_FORMAT "-%08x%08x", prefix,
                rep->state->cfg->offset, g_rand_int(rep->rand),
                g_rand_int(rep->rand));
-    *text = Fw_Snapshot_Begin(rep->state, id);
-    return Fw_Snapshot_Step(*text, rep->state, rows);
+    *snapshot = Fw_Snapshot_Begin(rep->state, id);
+    return Fw_Snapshot_Step(*snapshot, rep->state, rows);
 }
 
 /*
- * Several writers (one per region) find a snapshot due at the same time. Each
- * waits for a random delay and then reads the end of the stream again, so that
- * mostly one of them writes it.
+ * Several writers may find a snapshot due at the same time. Each waits for a
+ * random delay and then reads the end of the stream again, so that mostly one
+ * of them writes it.
  */
 static void
 delay_or_begin(struct fw_fold *rep, int64_t now_us)
--- a/src/config/snap_read.c
+++ b/src/config/snap_read.c
@@ -51,17 +51,17 @@
 }
 
 static void
-drop_assembly(struct fw_snapshot_assembly *r)
+drop_assembly(struct fw_snapshot_assembly *s)
 {
-    Fw_State_Free(r->st);
-    *r = (struct fw_snapshot_assembly){.st = NULL};
+    Fw_State_Free(s->st);
+    *s = (struct fw_snapshot_assembly){.st = NULL};
 }
 
 void
-Fw_Snapshot_Reset(struct fw_snap_collector *c)
+Fw_Snapshot_Reset(struct fw_snap_collector *a)
 {
     for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
-        drop_assembly(&c->assemblies[i]);
+        drop_assembly(&a->assemblies[i]);
     }
 }
 
@@ -71,19 +71,19 @@
  * part of an unknown snapshot.
  */
 static struct fw_snapshot_assembly *
-find_assembly(struct fw_snap_collector *c,
+find_assembly(struct fw_snap_collector *a,
               const struct fw_snapshot_header *header)
 {
-    struct fw_snapshot_assembly *pick = &c->assemblies[0];
+    struct fw_snapshot_assembly *pick = &a->assemblies[0];
 
     for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
-        struct fw_snapshot_assembly *r = &c->assemblies[i];
+        struct fw_snapshot_assembly *s = &a->assemblies[i];
 
-        if (r->st && strcmp(r->header.id, header->id) == 0) {
-            return r;
+        if (s->st && strcmp(s->header.id, header->id) == 0) {
+            return s;
         }
-        if (!r->st || (pick->st && r->last_feed < pick->last_feed)) {
-            pick = r;
+        if (!s->st || (pick->st && s->last_feed < pick->last_feed)) {
+            pick = s;
         }
     }
     if (header->part != 0) {
@@ -187,54 +187,54 @@
 }
 
 static int
-add_part(struct fw_snapshot_assembly *r,
+add_part(struct fw_snapshot_assembly *s,
          const struct fw_snapshot_header *header, const char *body)
 {
-    if (header->part < r->next_part) {
+    if (header->part < s->next_part) {
         return 0; /* repeated by the writer after a failed append */
     }
-    if (header->part != r->next_part || !headers_match(header, &r->header) ||
-        read_rows(r->st, body)) {
+    if (header->part != s->next_part || !headers_match(header, &s->header) ||
+        read_rows(s->st, body)) {
         return -EBADMSG;
     }
-    r->hash = Fw_Hash_Bytes(body, strlen(body), r->hash);
-    r->next_part++;
-    if (r->next_part < r->header.n_parts) {
+    s->hash = Fw_Hash_Bytes(body, strlen(body), s->hash);
+    s->next_part++;
+    if (s->next_part < s->header.n_parts) {
         return 0;
     }
-    if (r->hash != r->header.hash && !FW_FAULT("snapshot-no-hash")) {
+    if (s->hash != s->header.hash && !FW_FAULT("snapshot-no-hash")) {
         return -EBADMSG;
     }
     return 1;
 }
 
 int
-Fw_Snap_Feed(struct fw_snap_collector *c, const char *part,
-             struct fw_state **st, unsigned *next)
+Fw_Snap_Feed(struct fw_snap_collector *a, const char *part,
+             struct fw_state **st, unsigned *next_part)
 {
     struct fw_snapshot_header header;
-    struct fw_snapshot_assembly *r;
+    struct fw_snapshot_assembly *s;
     int rc;
 
     if (Fw_Snapshot_ParseHeader(part, &header)) {
         return -EBADMSG;
     }
-    r = find_assembly(c, &header);
-    if (!r) {
+    s = find_assembly(a, &header);
+    if (!s) {
         return -EBADMSG;
     }
-    r->last_feed = ++c->feeds;
-    rc = add_part(r, &header, strchr(part, '\n') + 1);
-    if (next) {
-        *next = r->next_part;
+    s->last_feed = ++a->feeds;
+    rc = add_part(s, &header, strchr(part, '\n') + 1);
+    if (next_part) {
+        *next_part = s->next_part;
     }
     if (rc == 1) {
-        *st = r->st;
-        (*st)->cfg->offset = r->header.offset;
-        r->st = NULL;
+        *st = s->st;
+        (*st)->cfg->offset = s->header.offset;
+        s->st = NULL;
     }
     if (rc != 0) {
-        drop_assembly(r);
+        drop_assembly(s);
     }
     return rc;
 }
--- a/src/config/snap_write.c
+++ b/src/config/snap_write.c
@@ -149,30 +149,30 @@
 
 /* Headers contain the number of parts and the hash, which are known last. */
 static void
-add_headers(struct fw_snap_text *text, struct fw_snapshot_writer *w)
+add_headers(struct fw_snap_text *snap, struct fw_snapshot_writer *w)
 {
-    text->header.n_parts = w->bodies->len;
-    text->header.hash = w->hash;
+    snap->header.n_parts = w->bodies->len;
+    snap->header.hash = w->hash;
     for (unsigned k = 0; k < w->bodies->len; k++) {
         GString *body = g_ptr_array_index(w->bodies, k);
         char *header = g_strdup_printf(
             "{\"v\":1,\"snap\":\"%s\",\"offset\":%" G_GUINT64_FORMAT
             ",\"k\":%u,\"n\":%u,\"hash\":\"%016" G_GINT64_MODIFIER "x\"}\n",
-            text->header.id, text->header.offset, k, text->header.n_parts,
-            text->header.hash);
+            snap->header.id, snap->header.offset, k, snap->header.n_parts,
+            snap->header.hash);
 
         g_string_prepend(body, header);
         g_free(header);
-        text->bytes += body->len;
-        g_ptr_array_add(text->parts, g_string_free(body, FALSE));
+        snap->bytes += body->len;
+        g_ptr_array_add(snap->parts, g_string_free(body, FALSE));
     }
     g_ptr_array_set_size(w->bodies, 0);
 }
 
 static void
-finish(struct fw_snap_text *text)
+finish_snapshot(struct fw_snap_text *snap)
 {
-    struct fw_snapshot_writer *w = text->writer;
+    struct fw_snapshot_writer *w = snap->writer;
 
     close_part(w);
     if (w->bodies->len == 0) {
@@ -180,40 +180,40 @@
         g_ptr_array_add(w->bodies, g_string_new(NULL));
         w->hash = Fw_Hash_Bytes("", 0, w->hash);
     }
-    add_headers(text, w);
+    add_headers(snap, w);
     free_writer(w);
-    text->writer = NULL;
+    snap->writer = NULL;
 }
 
 struct fw_snap_text *
 Fw_Snapshot_Begin(const struct fw_state *st, const char *id)
 {
-    struct fw_snap_text *text = g_new0(struct fw_snap_text, 1);
+    struct fw_snap_text *snap = g_new0(struct fw_snap_text, 1);
     struct fw_snapshot_writer *w = g_new0(struct fw_snapshot_writer, 1);
 
-    g_strlcpy(text->header.id, id, sizeof(text->header.id));
-    text->header.offset = st->cfg->offset;
-    text->parts = g_ptr_array_new_with_free_func(g_free);
-    text->writer = w;
+    g_strlcpy(snap->header.id, id, sizeof(snap->header.id));
+    snap->header.offset = st->cfg->offset;
+    snap->parts = g_ptr_array_new_with_free_func(g_free);
+    snap->writer = w;
     w->bodies = g_ptr_array_new();
     w->body = g_string_sized_new(FW_SNAPSHOT_PART_BYTES);
     w->hash = st->cfg->offset;
-    return text;
+    return snap;
 }
 
 int
-Fw_Snapshot_Step(struct fw_snap_text *text, const struct fw_state *st,
+Fw_Snapshot_Step(struct fw_snap_text *snap, const struct fw_state *st,
                  unsigned rows)
 {
-    if (!text->writer) {
+    if (!snap->writer) {
         return 1;
     }
-    if (st->cfg->offset != text->header.offset) {
+    if (st->cfg->offset != snap->header.offset) {
         return -ESTALE;
     }
     for (unsigned i = 0; i < rows; i++) {
-        if (!add_next_row(text->writer, st)) {
-            finish(text);
+        if (!add_next_row(snap->writer, st)) {
+            finish_snapshot(snap);
             return 1;
         }
     }
@@ -223,19 +223,19 @@
 struct fw_snap_text *
 Fw_Snap_Write(const struct fw_state *st, const char *id)
 {
-    struct fw_snap_text *text = Fw_Snapshot_Begin(st, id);
+    struct fw_snap_text *snap = Fw_Snapshot_Begin(st, id);
 
-    Fw_Snapshot_Step(text, st, UINT_MAX);
-    return text;
+    Fw_Snapshot_Step(snap, st, UINT_MAX);
+    return snap;
 }
 
 void
-Fw_Snap_FreeText(struct fw_snap_text *text)
+Fw_Snap_FreeText(struct fw_snap_text *snap)
 {
-    if (!text) {
+    if (!snap) {
         return;
     }
-    free_writer(text->writer);
-    g_ptr_array_unref(text->parts);
-    g_free(text);
+    free_writer(snap->writer);
+    g_ptr_array_unref(snap->parts);
+    g_free(snap);
 }
--- a/src/config/snapshot.h
+++ b/src/config/snapshot.h
@@ -5,7 +5,7 @@
  * A part is a header line {"v","snap","offset","k","n","hash"} and rows, one
  * JSON object per line, in the format of a change's items. "hash" is a chained
  * hash over the offset and the rows of all parts. It detects parts that are
- * truncated or belong to another snapshot before the state is used.
+ * corrupt or belong to another snapshot before the state is used.
  */
 #ifndef FW_CONFIG_SNAPSHOT_H
 #define FW_CONFIG_SNAPSHOT_H
@@ -63,13 +63,13 @@
  * @st has changed since the snapshot was begun, which can't be completed then.
  */
 int
-Fw_Snapshot_Step(struct fw_snap_text *text, const struct fw_state *st,
+Fw_Snapshot_Step(struct fw_snap_text *snap, const struct fw_state *st,
                  unsigned rows);
 /* Writes a complete snapshot at once. */
 struct fw_snap_text *
 Fw_Snap_Write(const struct fw_state *st, const char *id);
 void
-Fw_Snap_FreeText(struct fw_snap_text *text);
+Fw_Snap_FreeText(struct fw_snap_text *snap);
 
 /* Parses the header line of a part. Returns 0 or -EBADMSG. */
 int
@@ -107,20 +107,20 @@
 
 /* Drops all incomplete snapshots. */
 void
-Fw_Snapshot_Reset(struct fw_snap_collector *c);
+Fw_Snapshot_Reset(struct fw_snap_collector *a);
 /**
  * Fw_Snapshot_Feed - reads one part.
  * @st: set to the state when this part completes a snapshot; owned by the
  *      caller
  * @next_part: set to the index of the snapshot's next part; may be NULL
  *
- * A part that was read before is ignored.
+ * A repeated part of a snapshot that is still incomplete is ignored.
  *
  * Return: 1 when the snapshot is complete, 0 when parts are missing, -EBADMSG
  * when the part is invalid or out of order; its snapshot is dropped then.
  */
 int
-Fw_Snap_Feed(struct fw_snap_collector *c, const char *part,
+Fw_Snap_Feed(struct fw_snap_collector *a, const char *part,
              struct fw_state **st, unsigned *next_part);
 
 #endif
