--- a/src/config/audit.h
+++ b/src/config/audit.h
@@ -1,7 +1,7 @@
 /*
- * Audit trail: the verdict on each record of the configuration log, accepted
- * or not. It is bounded, part of the replicated state and stored in
- * snapshots, so its content is identical on all instances.
+ * Audit trail: the verdicts on the last records of the configuration log,
+ * accepted or not. It is part of the replicated state and of snapshots, so
+ * instances that have applied the same records have the same audit trail.
  */
 #ifndef FW_CONFIG_AUDIT_H
 #define FW_CONFIG_AUDIT_H
@@ -14,8 +14,8 @@
 
 #define FW_AUDIT_ENTRIES_MAX 2048
 #define FW_AUDIT_BYTES_MAX ((size_t)1024 * 1024)
-#define FW_AUDIT_CHANGE_ITEMS_MAX                                             \
-    8 /* listed per change; the rest is counted */
+/* Items listed per change; "more" counts the rest. */
+#define FW_AUDIT_CHANGE_ITEMS_MAX 8
 
 /**
  * struct fw_audit_entry - verdict on one record.
--- a/src/config/config_internal.h
+++ b/src/config/config_internal.h
@@ -36,7 +36,8 @@
  * @err: set when a member is rejected
  * @where: what the object is, prefix of the error message
  *
- * The functions return 0, or -EINVAL with the reason in @err.
+ * Fw_Field_Element aside, the Fw_Field_* functions return 0, or -EINVAL with
+ * the reason in @err.
  */
 struct fw_field_reader {
     JsonObject *obj;
@@ -83,7 +84,7 @@
 int
 Fw_Field_Array(const struct fw_field_reader *r, const char *name, unsigned max,
                JsonArray **out);
-/* Returns element @i of @arr, NULL when it is not an object. */
+/* Returns element @i of @arr, NULL with the reason in @err if no object. */
 JsonObject *
 Fw_Field_Element(const struct fw_field_reader *r, JsonArray *arr, unsigned i,
                  const char *name);
--- a/src/config/fold_internal.h
+++ b/src/config/fold_internal.h
@@ -7,7 +7,7 @@
 
 /* How long the log holds a read while there is no new record. */
 #define FW_REPLICA_READ_WAIT_US (2 * FW_SEC)
-#define FW_REPLICA_READ_TIMEOUT_US (10 * FW_SEC) /* of appends too */
+#define FW_REPLICA_READ_TIMEOUT_US (10 * FW_SEC) /* also of appends */
 #define FW_REPLICA_BACKOFF_MIN_US (200 * FW_MSEC)
 #define FW_REPLICA_BACKOFF_MAX_US (5 * FW_SEC)
 #define FW_REPLICA_READ_RECORDS_MAX 256
--- a/src/config/state.h
+++ b/src/config/state.h
@@ -24,7 +24,9 @@
 
 /**
  * enum fw_change_verdict - result of applying a record; stored in snapshots.
+ * @FW_CHANGE_ACCEPTED: applied
  * @FW_CHANGE_CONFLICT: an item has another version than the change expects
+ * @FW_CHANGE_INVALID: malformed, or not allowed in the current state
  * @FW_CHANGE_DUPLICATE: the id was used by an earlier record
  */
 enum fw_change_verdict {
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -10,14 +10,14 @@
 }
 
 static struct fw_fold *
-new_fold(const struct fw_rig *rig, int i)
+new_replica(const struct fw_rig *rig, int i)
 {
     char *name = replica_name(i);
-    struct fw_fold *f = Fw_Fold_New(
+    struct fw_fold *rep = Fw_Fold_New(
         name, (uint32_t)(i + 1 + rig->now / FW_RIG_STEP_US), NULL, rig->now);
 
     g_free(name);
-    return f;
+    return rep;
 }
 
 static void
@@ -60,7 +60,7 @@
     rig->notes = g_hash_table_new(g_str_hash, g_str_equal);
     rig->answers = g_ptr_array_new_with_free_func(free_answer);
     for (int i = 0; i < n; i++) {
-        rig->folds[i] = new_fold(rig, i);
+        rig->folds[i] = new_replica(rig, i);
         rig->operates[i] = new_operate(rig, i);
     }
     return rig;
@@ -84,7 +84,7 @@
 Fw_Rig_Restart(struct fw_rig *rig, int i)
 {
     Fw_Fold_Free(rig->folds[i]);
-    rig->folds[i] = new_fold(rig, i);
+    rig->folds[i] = new_replica(rig, i);
     memset(rig->reads[i], 0, sizeof(rig->reads[i]));
 }
 
@@ -256,7 +256,7 @@
 }
 
 static void
-after_fold(struct fw_rig *rig, int i)
+update_operate(struct fw_rig *rig, int i)
 {
     struct fw_operate_view view = view_of(rig, i);
     struct fw_actions out;
@@ -353,7 +353,7 @@
             Fw_Fold_Tick(rig->folds[i], rig->now, &out);
             execute_actions(rig, i, &out);
             serve_reads(rig, i);
-            after_fold(rig, i);
+            update_operate(rig, i);
         }
     }
 }
