--- a/src/config/config_query.c
+++ b/src/config/config_query.c
@@ -1,4 +1,4 @@
-/* Questions to the configuration in force. */
+/* Lookups in a configuration. */
 #include <string.h>
 
 #include "config/config.h"
@@ -61,7 +61,7 @@
     return NULL;
 }
 
-/* All operators are compared, so that the time tells nothing. */
+/* Compares with all operators, so that the time doesn't depend on the key. */
 const struct fw_operator *
 Fw_Config_Operator(const struct fw_config *cfg, const char *key)
 {
@@ -97,7 +97,7 @@
 }
 
 static int
-serving_is(const struct fw_serving *s, const char *model)
+serves_model(const struct fw_serving *s, const char *model)
 {
     size_t len = strlen(s->model);
 
@@ -121,7 +121,7 @@
         const struct fw_pool *pool = value;
 
         for (int i = 0; i < pool->n_serves; i++) {
-            if (serving_is(&pool->serves[i], model)) {
+            if (serves_model(&pool->serves[i], model)) {
                 return 1;
             }
         }
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -4,20 +4,20 @@
 #include <string.h>
 
 static char *
-peer_name(int i)
+replica_name(int i)
 {
     return g_strdup_printf("fold%d", i);
 }
 
 static struct fw_fold *
-new_fold(const struct fw_rig *rig, int i)
+new_replica(const struct fw_rig *rig, int i)
 {
-    char *name = peer_name(i);
-    struct fw_fold *f = Fw_Fold_New(
+    char *name = replica_name(i);
+    struct fw_fold *rep = Fw_Fold_New(
         name, (uint32_t)(i + 1 + rig->now / FW_RIG_STEP_US), NULL, rig->now);
 
     g_free(name);
-    return f;
+    return rep;
 }
 
 static void
@@ -33,7 +33,7 @@
 new_operate(struct fw_rig *rig, int i)
 {
     struct fw_self *self = &rig->selves[i];
-    char *name = peer_name(i);
+    char *name = replica_name(i);
 
     g_strlcpy(self->name, name, sizeof(self->name));
     self->boot = 1764748800000;
@@ -60,7 +60,7 @@
     rig->notes = g_hash_table_new(g_str_hash, g_str_equal);
     rig->answers = g_ptr_array_new_with_free_func(free_answer);
     for (int i = 0; i < n; i++) {
-        rig->folds[i] = new_fold(rig, i);
+        rig->folds[i] = new_replica(rig, i);
         rig->operates[i] = new_operate(rig, i);
     }
     return rig;
@@ -84,7 +84,7 @@
 Fw_Rig_Restart(struct fw_rig *rig, int i)
 {
     Fw_Fold_Free(rig->folds[i]);
-    rig->folds[i] = new_fold(rig, i);
+    rig->folds[i] = new_replica(rig, i);
     memset(rig->reads[i], 0, sizeof(rig->reads[i]));
 }
 
@@ -111,10 +111,10 @@
 }
 
 void
-Fw_Rig_AgeOut(struct fw_rig_stream *s, uint64_t keep)
+Fw_Rig_Expire(struct fw_rig_stream *s, uint64_t keep)
 {
     if (s->records->len > keep) {
-        s->gone = s->records->len - keep;
+        s->n_expired = s->records->len - keep;
     }
 }
 
@@ -125,12 +125,12 @@
 }
 
 static void
-do_actions(struct fw_rig *rig, int i, struct fw_actions *out)
+execute_actions(struct fw_rig *rig, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
     while ((a = Fw_Actions_Take(out))) {
-        Fw_Rig_Carry(rig, i, a);
+        Fw_Rig_Execute(rig, i, a);
     }
 }
 
@@ -141,7 +141,7 @@
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .err = err,
                                .sent_us = p->sent_us,
-                               .oldest = s->gone + 1,
+                               .oldest = s->n_expired + 1,
                                .end = s->records->len + 1};
     struct fw_actions out;
 
@@ -152,7 +152,7 @@
     r.records = (const char *const *)s->records->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
     Fw_Fold_OnRecords(rig->folds[i], &r, rig->now, &out);
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
 static void
@@ -166,7 +166,7 @@
             continue;
         }
         s = stream_of(rig, p->read.stream);
-        if (rig->down || rig->cut[i]) {
+        if (rig->down || rig->partitioned[i]) {
             answer_read(rig, i, p, -EIO);
         }
         else if (p->read.from <= s->records->len ||
@@ -177,7 +177,7 @@
 }
 
 static void
-keep_read(struct fw_rig *rig, int i, const struct fw_log_read *read)
+store_read(struct fw_rig *rig, int i, const struct fw_log_read *read)
 {
     for (int k = 0; k < 4; k++) {
         if (!rig->reads[i][k].open) {
@@ -186,7 +186,7 @@
             return;
         }
     }
-    g_error("more reads at once than expected");
+    g_error("too many pending reads");
 }
 
 static void
@@ -198,7 +198,7 @@
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
-    if (rig->down || rig->cut[i]) {
+    if (rig->down || rig->partitioned[i]) {
         done.err = -EAGAIN;
     }
     if (!done.err && rig->drop_appends > 0) {
@@ -221,10 +221,10 @@
     else {
         Fw_Fold_OnAppended(rig->folds[i], &done, rig->now, &out);
     }
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
-/* Messages go through the wire form, so that it is tested too. */
+/* Delivers a message, encoded and decoded as on the wire. */
 static void
 send_msg(struct fw_rig *rig, int i, const struct fw_peer_send *p)
 {
@@ -233,7 +233,7 @@
     msgpack_unpacked msg;
     struct fw_msg got;
     struct fw_actions out;
-    char *from = peer_name(i);
+    char *from = replica_name(i);
     int to = p->to[4] - '0';
 
     msgpack_sbuffer_init(&buf);
@@ -244,10 +244,10 @@
                   MSGPACK_UNPACK_SUCCESS);
     g_assert_true(Fw_Msg_Unpack(&msg.data, &got) == 0);
     Fw_Actions_Init(&out);
-    if (!rig->cut[i] && !rig->cut[to]) {
+    if (!rig->partitioned[i] && !rig->partitioned[to]) {
         Fw_Fold_OnMsg(rig->folds[to], from, "addr", &got.u.config, rig->now,
                       &out);
-        do_actions(rig, to, &out);
+        execute_actions(rig, to, &out);
     }
     Fw_Msg_Clear(&got);
     msgpack_unpacked_destroy(&msg);
@@ -256,14 +256,14 @@
 }
 
 static void
-after_fold(struct fw_rig *rig, int i)
+update_operate(struct fw_rig *rig, int i)
 {
     struct fw_operate_view view = view_of(rig, i);
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
     Fw_Operate_AfterFold(rig->operates[i], &view, rig->now, &out);
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
 void
@@ -278,14 +278,14 @@
     c.body = body ? g_bytes_new_static(body, strlen(body)) : NULL;
     Fw_Actions_Init(&out);
     Fw_Operate_Open(rig->operates[i], &view, &c, rig->now, &out);
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
     if (c.body) {
         g_bytes_unref(c.body);
     }
 }
 
 static void
-keep_answer(struct fw_rig *rig, const struct fw_call_answer *a)
+store_answer(struct fw_rig *rig, const struct fw_call_answer *a)
 {
     struct fw_rig_answer *kept = g_new0(struct fw_rig_answer, 1);
     size_t len;
@@ -311,19 +311,19 @@
 }
 
 void
-Fw_Rig_Carry(struct fw_rig *rig, int i, struct fw_action *a)
+Fw_Rig_Execute(struct fw_rig *rig, int i, struct fw_action *a)
 {
     int n;
 
     switch (a->kind) {
     case FW_ACT_LOG_READ:
-        keep_read(rig, i, &a->u.read);
+        store_read(rig, i, &a->u.read);
         break;
     case FW_ACT_LOG_APPEND:
         append(rig, i, &a->u.append);
         break;
     case FW_ACT_CALL_ANSWER:
-        keep_answer(rig, &a->u.answer);
+        store_answer(rig, &a->u.answer);
         break;
     case FW_ACT_PEER_SEND:
         send_msg(rig, i, &a->u.send);
@@ -351,9 +351,9 @@
 
             Fw_Actions_Init(&out);
             Fw_Fold_Tick(rig->folds[i], rig->now, &out);
-            do_actions(rig, i, &out);
+            execute_actions(rig, i, &out);
             serve_reads(rig, i);
-            after_fold(rig, i);
+            update_operate(rig, i);
         }
     }
 }
@@ -368,7 +368,7 @@
 }
 
 int
-Fw_Rig_Notes(const struct fw_rig *rig, const char *event)
+Fw_Rig_CountNotes(const struct fw_rig *rig, const char *event)
 {
     return GPOINTER_TO_INT(g_hash_table_lookup(rig->notes, event));
 }
