--- a/src/operate/answer.c
+++ b/src/operate/answer.c
@@ -1,10 +1,10 @@
-/* Answers to operators, and small readers of their calls. */
+/* Helpers to build responses and read query parameters. */
 #include <string.h>
 
 #include "operate/operate_internal.h"
 
 JsonNode *
-Fw_Answer_Object(JsonObject *obj)
+Fw_Answer_ObjectNode(JsonObject *obj)
 {
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
 
@@ -39,21 +39,23 @@
     json_object_set_string_member(error, "message", message);
     json_object_set_string_member(error, "ran", Fw_Ran_Name(ran));
     json_object_set_object_member(obj, "error", error);
-    Fw_Answer_Json(call, status, ran, Fw_Answer_Object(obj), out);
+    Fw_Answer_Json(call, status, ran, Fw_Answer_ObjectNode(obj), out);
 }
 
 const char *
-Fw_Ask_Text(const struct fw_ask *ask, const char *name, const char *dflt)
+Fw_Operate_ParamText(const struct fw_operate_request *req, const char *name,
+                     const char *dflt)
 {
-    const char *text = g_hash_table_lookup(ask->query, name);
+    const char *text = g_hash_table_lookup(req->query, name);
 
     return text ? text : dflt;
 }
 
 uint64_t
-Fw_Ask_Number(const struct fw_ask *ask, const char *name, uint64_t dflt)
+Fw_Operate_ParamNumber(const struct fw_operate_request *req, const char *name,
+                       uint64_t dflt)
 {
-    const char *text = g_hash_table_lookup(ask->query, name);
+    const char *text = g_hash_table_lookup(req->query, name);
     guint64 n;
 
     if (!text ||
@@ -64,7 +66,7 @@
 }
 
 void
-Fw_Operate_At(const struct fw_operate *op, int64_t at_us, char *out)
+Fw_Operate_FormatTime(const struct fw_operate *op, int64_t at_us, char *out)
 {
     int64_t ms = (int64_t)op->boot_ms + (at_us - op->start_us) / FW_MSEC;
     GDateTime *t = g_date_time_new_from_unix_utc(ms / 1000);
--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -1,4 +1,4 @@
-/* Commands of operators: records for the log, and their verdicts. */
+/* Operator commands: appended as change records, answered by verdict. */
 #include <errno.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "operate/sheet.h"
 
 static int
-status_of(enum fw_change_verdict v)
+http_status_of(enum fw_change_verdict v)
 {
     switch (v) {
     case FW_CHANGE_ACCEPTED:
@@ -21,7 +21,7 @@
     return 422;
 }
 
-/* Adds the sheet's report, which is taken over, and answers. */
+/* Answers with @verdict, plus @report if not NULL; takes both over. */
 static void
 answer_verdict(uint64_t call, int status, enum fw_ran ran, JsonNode *verdict,
                JsonNode *report, struct fw_actions *out)
@@ -33,34 +33,34 @@
 }
 
 static JsonNode *
-plain_verdict(const char *id, const char *verdict, const char *why)
+make_verdict(const char *id, const char *verdict, const char *why)
 {
     JsonObject *obj = json_object_new();
 
     json_object_set_string_member(obj, "id", id);
     json_object_set_string_member(obj, "verdict", verdict);
     json_object_set_string_member(obj, "why", why);
-    return Fw_Answer_Object(obj);
+    return Fw_Answer_ObjectNode(obj);
 }
 
 static int
-answer_seen(const struct fw_operate_view *view, uint64_t call, const char *id,
-            JsonNode *report, struct fw_actions *out)
+answer_if_decided(const struct fw_operate_view *view, uint64_t call,
+                  const char *id, JsonNode *report, struct fw_actions *out)
 {
     const struct fw_seen *seen = Fw_Fold_Seen(view->fold, id);
 
     if (!seen) {
         return 0;
     }
-    answer_verdict(call, status_of(seen->verdict),
+    answer_verdict(call, http_status_of(seen->verdict),
                    seen->verdict == FW_CHANGE_ACCEPTED ? FW_RAN_YES
                                                        : FW_RAN_NO,
-                   Fw_Operate_Verdict(view->fold, id), report, out);
+                   Fw_Operate_VerdictJson(view->fold, id), report, out);
     return 1;
 }
 
 static void
-drop_pending(struct fw_operate *op, struct fw_pending *p)
+remove_pending(struct fw_operate *op, struct fw_pending_command *p)
 {
     Fw_List_Remove(&p->link);
     op->n_pending--;
@@ -68,33 +68,34 @@
 }
 
 /**
- * append - sends record @text under change id @id.
- * @report: taken over, may be NULL
+ * append - appends record @text with change id @id to the log.
+ * @report: sheet report for the response; taken over, may be NULL
  */
 static void
-append(struct fw_operate *op, uint64_t call, const char *id, const char *text,
-       JsonNode *report, int64_t now_us, struct fw_actions *out)
+append_change(struct fw_operate *op, uint64_t call, const char *id,
+              const char *text, JsonNode *report, int64_t now_us,
+              struct fw_actions *out)
 {
-    struct fw_pending *p;
+    struct fw_pending_command *p;
 
     if (op->n_pending >= FW_OPERATE_PENDING_MAX) {
         answer_verdict(
             call, 503, FW_RAN_NO,
-            plain_verdict(id, "not_applied", "too many commands wait already"),
+            make_verdict(id, "not_applied", "too many commands wait already"),
             report, out);
         return;
     }
-    p = g_new0(struct fw_pending, 1);
+    p = g_new0(struct fw_pending_command, 1);
     p->call = call;
     p->ticket = Fw_Owner_Number(FW_OWNER_OPERATE, ++op->seq);
     g_strlcpy(p->id, id, sizeof(p->id));
-    p->until_us = now_us + FW_OPERATE_WAIT_US;
+    p->deadline_us = now_us + FW_OPERATE_VERDICT_TIMEOUT_US;
     p->report = report;
     Fw_List_Append(&op->pending, &p->link);
     op->n_pending++;
     op->commands.value++;
     Fw_Actions_Append(out, p->ticket, FW_STREAM_CONFIG, &text, 1);
-    Fw_Actions_Wake(out, p->until_us);
+    Fw_Actions_Wake(out, p->deadline_us);
 }
 
 void
@@ -107,29 +108,30 @@
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &op->pending) {
-        struct fw_pending *p = FW_LIST_ENTRY(pos, struct fw_pending, link);
+        struct fw_pending_command *p =
+            FW_LIST_ENTRY(pos, struct fw_pending_command, link);
 
         if (p->ticket != a->ticket) {
             continue;
         }
         p->ticket = 0;
-        p->lost = a->err != 0;
+        p->append_unconfirmed = a->err != 0;
         if (a->err == -EAGAIN) {
             answer_verdict(
                 p->call, 503, FW_RAN_NO,
-                plain_verdict(p->id, "not_applied", "the log did not take it"),
+                make_verdict(p->id, "not_applied", "the log did not take it"),
                 p->report, out);
-            drop_pending(op, p);
+            remove_pending(op, p);
         }
     }
     Fw_Operate_AfterFold(op, view, now_us, out);
 }
 
 /*
- * The verdict is the fold's, never the append's: an append can take effect
- * though its answer is lost, and one that was answered can still lose to
- * another operator's. An operator who was told "failed" would give the change
- * again under another id, and undo what came between.
+ * Only the fold decides the outcome, not the result of the append: a record
+ * may have been written although the append failed, and a written record may
+ * still conflict with an earlier one. Reporting a failure that is not one
+ * would make the operator retry with a new id and overwrite later changes.
  */
 void
 Fw_Operate_AfterFold(struct fw_operate *op, const struct fw_operate_view *view,
@@ -139,53 +141,56 @@
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &op->pending) {
-        struct fw_pending *p = FW_LIST_ENTRY(pos, struct fw_pending, link);
+        struct fw_pending_command *p =
+            FW_LIST_ENTRY(pos, struct fw_pending_command, link);
 
-        if (answer_seen(view, p->call, p->id, p->report, out)) {
-            drop_pending(op, p);
+        if (answer_if_decided(view, p->call, p->id, p->report, out)) {
+            remove_pending(op, p);
             continue;
         }
-        if (now_us < p->until_us) {
-            Fw_Actions_Wake(out, p->until_us);
+        if (now_us < p->deadline_us) {
+            Fw_Actions_Wake(out, p->deadline_us);
             continue;
         }
         op->unknown.value++;
         answer_verdict(p->call, 504, FW_RAN_MAYBE,
-                       plain_verdict(p->id, "unknown",
-                                     p->lost || p->ticket
-                                         ? "the log's answer was lost"
-                                         : "appended, not read back yet"),
+                       make_verdict(p->id, "unknown",
+                                    p->append_unconfirmed || p->ticket
+                                        ? "the log's answer was lost"
+                                        : "appended, not read back yet"),
                        p->report, out);
-        drop_pending(op, p);
+        remove_pending(op, p);
     }
 }
 
-/* "c-" and 16 random digits. */
+/* "c-" and 16 random hex digits. */
 static void
-new_id(struct fw_operate *op, char *id)
+new_change_id(struct fw_operate *op, char *id)
 {
     g_snprintf(id, FW_CHANGE_ID_MAX, "c-%08x%08x", g_rand_int(op->rand),
                g_rand_int(op->rand));
 }
 
-/* A record of @items, a JSON text. Operators' names need no escapes. */
+/* Formats a change record; @items is a JSON array. The id and the operator's
+ * name are valid names, which need no JSON escapes. */
 static char *
-record_text(const struct fw_operate *op, const struct fw_ask *ask,
-            const char *id, uint64_t base, const char *items, int64_t now_us)
+format_record(const struct fw_operate *op,
+              const struct fw_operate_request *req, const char *id,
+              uint64_t base, const char *items, int64_t now_us)
 {
     char at[FW_CHANGE_AT_MAX];
 
-    Fw_Operate_At(op, now_us, at);
+    Fw_Operate_FormatTime(op, now_us, at);
     return g_strdup_printf("{\"v\":1,\"id\":\"%s\",\"who\":\"%s\","
                            "\"at\":\"%s\",\"base\":%" G_GUINT64_FORMAT
                            ",\"items\":%s}",
-                           id, ask->who->name, at, base, items);
+                           id, req->oper->name, at, base, items);
 }
 
-/* Refuses a record that is malformed: it can't be a change at all. */
+/* Answers 422 if the record does not parse. Returns 0 or -EINVAL. */
 static int
-check_record(const struct fw_ask *ask, const char *id, const char *text,
-             struct fw_actions *out)
+check_record(const struct fw_operate_request *req, const char *id,
+             const char *text, struct fw_actions *out)
 {
     struct fw_change ch;
     struct fw_why why = {.text = ""};
@@ -193,21 +198,22 @@
 
     Fw_Change_Clear(&ch);
     if (rc) {
-        Fw_Answer_Json(ask->call->call, 422, FW_RAN_NO,
-                       plain_verdict(id, "invalid", why.text), out);
+        Fw_Answer_Json(req->call->call, 422, FW_RAN_NO,
+                       make_verdict(id, "invalid", why.text), out);
     }
     return rc;
 }
 
-/* The id from the body or a new one; -EINVAL when it is no id. */
+/* Reads the change id from the body, or generates one if it has none. Returns
+ * -EINVAL if the id is malformed. */
 static int
-take_id(struct fw_operate *op, JsonObject *body, char *id)
+parse_change_id(struct fw_operate *op, JsonObject *body, char *id)
 {
     JsonNode *node = json_object_get_member(body, "id");
     const char *text;
 
     if (!node) {
-        new_id(op, id);
+        new_change_id(op, id);
         return 0;
     }
     text = JSON_NODE_HOLDS_VALUE(node) ? json_node_get_string(node) : NULL;
@@ -219,98 +225,99 @@
 }
 
 static void
-change_body(struct fw_operate *op, const struct fw_operate_view *view,
-            const struct fw_ask *ask, JsonObject *body, int64_t now_us,
-            struct fw_actions *out)
+handle_change_body(struct fw_operate *op, const struct fw_operate_view *view,
+                   const struct fw_operate_request *req, JsonObject *body,
+                   int64_t now_us, struct fw_actions *out)
 {
     char id[FW_CHANGE_ID_MAX];
     JsonNode *items = json_object_get_member(body, "items");
-    char *listed;
+    char *items_text;
     char *text;
 
-    if (take_id(op, body, id) || !items) {
-        Fw_Answer_Error(ask->call->call, 400, FW_RAN_NO, "bad_request",
+    if (parse_change_id(op, body, id) || !items) {
+        Fw_Answer_Error(req->call->call, 400, FW_RAN_NO, "bad_request",
                         "allowed: {\"id\": optional, \"items\": [...]}", out);
         return;
     }
-    if (answer_seen(view, ask->call->call, id, NULL, out)) {
+    if (answer_if_decided(view, req->call->call, id, NULL, out)) {
         return;
     }
-    listed = json_to_string(items, FALSE);
-    text = record_text(op, ask, id, Fw_Fold_Config(view->fold)->offset - 1,
-                       listed, now_us);
-    if (check_record(ask, id, text, out) == 0) {
-        append(op, ask->call->call, id, text, NULL, now_us, out);
+    items_text = json_to_string(items, FALSE);
+    text = format_record(op, req, id, Fw_Fold_Config(view->fold)->offset - 1,
+                         items_text, now_us);
+    if (check_record(req, id, text, out) == 0) {
+        append_change(op, req->call->call, id, text, NULL, now_us, out);
     }
     g_free(text);
-    g_free(listed);
+    g_free(items_text);
 }
 
 static void
-change(struct fw_operate *op, const struct fw_operate_view *view,
-       const struct fw_ask *ask, int64_t now_us, struct fw_actions *out)
+handle_change(struct fw_operate *op, const struct fw_operate_view *view,
+              const struct fw_operate_request *req, int64_t now_us,
+              struct fw_actions *out)
 {
     size_t len = 0;
     const char *data =
-        ask->call->body ? g_bytes_get_data(ask->call->body, &len) : NULL;
+        req->call->body ? g_bytes_get_data(req->call->body, &len) : NULL;
     JsonObject *body;
     JsonParser *parser = data && len <= FW_CHANGE_BYTES_MAX
                              ? Fw_Json_LoadObject(data, len, &body)
                              : NULL;
 
     if (!parser) {
-        Fw_Answer_Error(ask->call->call, 400, FW_RAN_NO, "bad_request",
+        Fw_Answer_Error(req->call->call, 400, FW_RAN_NO, "bad_request",
                         "the body is not a JSON object", out);
         return;
     }
-    change_body(op, view, ask, body, now_us, out);
+    handle_change_body(op, view, req, body, now_us, out);
     g_object_unref(parser);
 }
 
 static void
-sheet(struct fw_operate *op, const struct fw_operate_view *view,
-      const struct fw_ask *ask, int apply, int64_t now_us,
-      struct fw_actions *out)
+handle_sheet(struct fw_operate *op, const struct fw_operate_view *view,
+             const struct fw_operate_request *req, int apply, int64_t now_us,
+             struct fw_actions *out)
 {
     size_t len = 0;
     const char *data =
-        ask->call->body ? g_bytes_get_data(ask->call->body, &len) : "";
-    const char *given = Fw_Ask_Text(ask, "id", NULL);
+        req->call->body ? g_bytes_get_data(req->call->body, &len) : "";
+    const char *given_id = Fw_Operate_ParamText(req, "id", NULL);
     char id[FW_CHANGE_ID_MAX];
     struct fw_sheet_plan *plan;
     char *items;
     char *text;
 
-    new_id(op, id);
-    if (given && Fw_Name_Valid(given) && strlen(given) < sizeof(id)) {
-        g_strlcpy(id, given, sizeof(id));
+    new_change_id(op, id);
+    if (given_id && Fw_Name_Valid(given_id) && strlen(given_id) < sizeof(id)) {
+        g_strlcpy(id, given_id, sizeof(id));
     }
-    if (apply && answer_seen(view, ask->call->call, id, NULL, out)) {
+    if (apply && answer_if_decided(view, req->call->call, id, NULL, out)) {
         return;
     }
     plan = Fw_Sheet_Plan(view->fold, data, len);
     if (plan->n_errors > 0 || !apply || plan->n_changes == 0) {
         JsonNode *verdict =
-            plain_verdict(id,
-                          plan->n_errors ? "invalid"
-                          : apply        ? "accepted"
-                                         : "checked",
-                          plan->n_errors ? "see the sheet's errors" : "");
+            make_verdict(id,
+                         plan->n_errors ? "invalid"
+                         : apply        ? "accepted"
+                                        : "checked",
+                         plan->n_errors ? "see the sheet's errors" : "");
 
         json_object_set_int_member(
             json_node_get_object(verdict), "version",
             (int64_t)Fw_Fold_Config(view->fold)->offset - 1);
-        answer_verdict(ask->call->call, plan->n_errors ? 422 : 200,
+        answer_verdict(req->call->call, plan->n_errors ? 422 : 200,
                        plan->n_errors ? FW_RAN_NO : FW_RAN_YES, verdict,
                        Fw_Sheet_Report(plan), out);
         Fw_Sheet_FreePlan(plan);
         return;
     }
-    items = Fw_Sheet_Items(plan);
-    text = record_text(op, ask, id, plan->base, items, now_us);
-    if (check_record(ask, id, text, out) == 0) {
-        append(op, ask->call->call, id, text, Fw_Sheet_Report(plan), now_us,
-               out);
+    items = Fw_Sheet_ItemsJson(plan);
+    text = format_record(op, req, id, plan->base_version, items, now_us);
+    if (check_record(req, id, text, out) == 0) {
+        append_change(op, req->call->call, id, text, Fw_Sheet_Report(plan),
+                      now_us, out);
     }
     g_free(text);
     g_free(items);
@@ -318,18 +325,19 @@
 }
 
 int
-Fw_Operate_Command(struct fw_operate *op, const struct fw_operate_view *view,
-                   const struct fw_ask *ask, int64_t now_us,
-                   struct fw_actions *out)
+Fw_Operate_HandleCommand(struct fw_operate *op,
+                         const struct fw_operate_view *view,
+                         const struct fw_operate_request *req, int64_t now_us,
+                         struct fw_actions *out)
 {
-    if (strcmp(ask->path, "/v1/change") == 0) {
-        change(op, view, ask, now_us, out);
+    if (strcmp(req->path, "/v1/change") == 0) {
+        handle_change(op, view, req, now_us, out);
     }
-    else if (strcmp(ask->path, "/v1/sheet/check") == 0) {
-        sheet(op, view, ask, 0, now_us, out);
+    else if (strcmp(req->path, "/v1/sheet/check") == 0) {
+        handle_sheet(op, view, req, 0, now_us, out);
     }
-    else if (strcmp(ask->path, "/v1/sheet/apply") == 0) {
-        sheet(op, view, ask, 1, now_us, out);
+    else if (strcmp(req->path, "/v1/sheet/apply") == 0) {
+        handle_sheet(op, view, req, 1, now_us, out);
     }
     else {
         return -ENOENT;
--- a/src/operate/explain.c
+++ b/src/operate/explain.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-/** struct fw_explain - a ring; @n rows are in use, the next goes to @next. */
+/** struct fw_explain - @n rows are in use; the next is written at @next. */
 struct fw_explain {
     unsigned n;
     unsigned next;
@@ -44,7 +44,7 @@
 }
 
 const struct fw_explain_row *
-Fw_Explain_Next(const struct fw_explain *ex, const char *id, unsigned *at)
+Fw_Explain_Next(const struct fw_explain *ex, const char *id, unsigned *pos)
 {
     unsigned first;
 
@@ -52,11 +52,11 @@
         return NULL;
     }
     first = (ex->next + FW_EXPLAIN_ROWS - ex->n) % FW_EXPLAIN_ROWS;
-    while (*at < ex->n) {
+    while (*pos < ex->n) {
         const struct fw_explain_row *row =
-            &ex->rows[(first + *at) % FW_EXPLAIN_ROWS];
+            &ex->rows[(first + *pos) % FW_EXPLAIN_ROWS];
 
-        (*at)++;
+        (*pos)++;
         if (strcmp(row->id, id) == 0) {
             return row;
         }
--- a/src/operate/explain.h
+++ b/src/operate/explain.h
@@ -1,8 +1,9 @@
 /*
- * Why a request went as it did: the decisions taken for it here, in order.
+ * Trace of the decisions this instance made for each request.
  *
- * A bounded ring of rows; the oldest go first. The operators' tool asks every
- * instance, since a request may pass through several.
+ * A fixed-size ring buffer: the oldest rows are overwritten first, whichever
+ * request they belong to. A request may pass through several instances, so a
+ * client has to query all of them for the whole trace.
  */
 #ifndef FW_OPERATE_EXPLAIN_H
 #define FW_OPERATE_EXPLAIN_H
@@ -17,8 +18,10 @@
 
 /**
  * struct fw_explain_row - one decision.
- * @at_us: monotonic time of this process
- * @stage: e.g. "admission", "budget", "pair", "retry", "end"
+ * @id: request id
+ * @at_us: monotonic time of the decision
+ * @stage: step of request handling, e.g. "admission", "pair", "retry", "end"
+ * @text: human-readable description, truncated to fit
  */
 struct fw_explain_row {
     char id[FW_ID_MAX];
@@ -27,25 +30,27 @@
     char text[FW_EXPLAIN_TEXT_MAX];
 };
 
-/** struct fw_explain - see explain.c. */
+/** struct fw_explain - the ring buffer; opaque. */
 struct fw_explain;
 
 struct fw_explain *
 Fw_Explain_New(void);
 void
 Fw_Explain_Free(struct fw_explain *ex);
-/* @ex may be NULL: then nothing is kept. */
+/* Records a decision for request @id. Does nothing if @ex is NULL. */
 void
 Fw_Explain_Add(struct fw_explain *ex, const char *id, int64_t now_us,
                const char *stage, const char *fmt, ...)
     __attribute__((format(printf, 5, 6)));
 /**
- * Fw_Explain_Next - the rows of request @id, oldest first.
- * @at: place in the ring, 0 to begin; moved on
+ * Fw_Explain_Next - iterates over the rows of request @id, oldest first.
+ * @ex: may be NULL, which has no rows
+ * @pos: iterator, set to 0 by the caller before the first call
  *
- * Return: NULL when there are no more.
+ * Return: the next row, valid until the next Fw_Explain_Add(), or NULL at the
+ * end.
  */
 const struct fw_explain_row *
-Fw_Explain_Next(const struct fw_explain *ex, const char *id, unsigned *at);
+Fw_Explain_Next(const struct fw_explain *ex, const char *id, unsigned *pos);
 
 #endif
--- a/src/operate/operate.c
+++ b/src/operate/operate.c
@@ -1,4 +1,4 @@
-/* Calls of operators: who asks, and what for. */
+/* Parses, authenticates and dispatches operator API calls. */
 #include "operate/operate.h"
 
 #include <string.h>
@@ -44,7 +44,8 @@
         return;
     }
     FW_LIST_EACH_SAFE (pos, tmp, &op->pending) {
-        struct fw_pending *p = FW_LIST_ENTRY(pos, struct fw_pending, link);
+        struct fw_pending_command *p =
+            FW_LIST_ENTRY(pos, struct fw_pending_command, link);
 
         if (p->report) {
             json_node_unref(p->report);
@@ -68,25 +69,26 @@
 
 static void
 dispatch(struct fw_operate *op, const struct fw_operate_view *view,
-         const struct fw_ask *ask, int64_t now_us, struct fw_actions *out)
+         const struct fw_operate_request *req, int64_t now_us,
+         struct fw_actions *out)
 {
-    const char *method = ask->call->method;
+    const char *method = req->call->method;
     int rc;
 
     if (strcmp(method, "GET") == 0) {
         op->queries.value++;
-        rc = Fw_Operate_Query(op, view, ask, now_us, out);
+        rc = Fw_Operate_HandleQuery(op, view, req, now_us, out);
     }
     else if (strcmp(method, "POST") == 0) {
-        rc = Fw_Operate_Command(op, view, ask, now_us, out);
+        rc = Fw_Operate_HandleCommand(op, view, req, now_us, out);
     }
     else {
-        Fw_Answer_Error(ask->call->call, 405, FW_RAN_NO, "bad_method",
+        Fw_Answer_Error(req->call->call, 405, FW_RAN_NO, "bad_method",
                         "allowed: GET, POST", out);
         return;
     }
     if (rc) {
-        Fw_Answer_Error(ask->call->call, 404, FW_RAN_NO, "not_found",
+        Fw_Answer_Error(req->call->call, 404, FW_RAN_NO, "not_found",
                         "no such call", out);
     }
 }
@@ -98,22 +100,22 @@
 {
     const char *query = strchr(call->path, '?');
     size_t len = query ? (size_t)(query - call->path) : strlen(call->path);
-    struct fw_ask ask = {.call = call};
+    struct fw_operate_request req = {.call = call};
 
     if (!Fw_Fold_Ready(view->fold)) {
         Fw_Answer_Error(call->call, 503, FW_RAN_NO, "not_configured",
                         "this instance has no configuration yet", out);
         return;
     }
-    ask.who = Fw_Config_Operator(Fw_Fold_Config(view->fold), call->key);
-    if (!ask.who) {
+    req.oper = Fw_Config_Operator(Fw_Fold_Config(view->fold), call->key);
+    if (!req.oper) {
         op->refused.value++;
         Fw_Answer_Error(call->call, 401, FW_RAN_NO, "not_an_operator",
                         "an operator's key is needed", out);
         return;
     }
-    g_strlcpy(ask.path, call->path, MIN(len + 1, sizeof(ask.path)));
-    ask.query = parse_query(query ? query + 1 : NULL);
-    dispatch(op, view, &ask, now_us, out);
-    g_hash_table_unref(ask.query);
+    g_strlcpy(req.path, call->path, MIN(len + 1, sizeof(req.path)));
+    req.query = parse_query(query ? query + 1 : NULL);
+    dispatch(op, view, &req, now_us, out);
+    g_hash_table_unref(req.query);
 }
--- a/src/operate/operate.h
+++ b/src/operate/operate.h
@@ -1,31 +1,33 @@
 /*
- * The operators' interface: typed requests in, answers out, no I/O.
+ * The operators' HTTP API: takes parsed calls, emits responses, does no I/O.
  *
- * Queries are answered at once from what this instance knows. A command
- * becomes a record of the configuration log, and is answered once the fold
- * has given its verdict here:
+ * Queries are answered immediately from this instance's state. A command is
+ * appended to the configuration log as a change record and answered when this
+ * instance has read the record back and decided on it:
  *
- *   200 accepted, with the version from which it is in force
- *   409 conflict: made on a version that is no longer in force
- *   422 invalid: refused by the fold or the sheet's checks, nothing applied
- *   503 not_applied: the log did not take it
- *   504 unknown: the log's answer was lost and the record was not seen yet;
- *       GET /v1/change?id=ID settles it, the same id may be sent again
+ *   200 accepted, with the version in which the change takes effect
+ *   409 conflict: an item has changed since the version the change is based on
+ *   422 invalid: rejected by validation, nothing applied
+ *   503 not_applied: the log rejected the append, or too many commands are
+ *       pending
+ *   504 unknown: the record was not read back in time and may still be
+ *       applied. GET /v1/change?id=ID returns the outcome; resending the
+ *       command with the same id is safe.
  *
- * How a node drives it:
+ * Usage:
  *
  *   struct fw_operate_view view = {.self = &self, .fold = fold,
  *       .fleet = fleet, .router = router, .requests = requests,
  *       .explain = explain, .orders = orders};
  *
  *   case FW_EV_OPERATOR:
- *       Fw_Operate_Open(op, &view, &ev->u.oper, now_us, out);
+ *       Fw_Operate_HandleCall(op, &view, &ev->u.oper, now_us, out);
  *   case FW_EV_LOG_APPENDED with FW_OWNER_OPERATE:
  *       Fw_Operate_OnAppended(op, &view, &ev->u.appended, now_us, out);
- *   after every event that was handed to the fold, and at each tick:
- *       Fw_Operate_AfterFold(op, &view, now_us, out);
+ *   after every event passed to the fold, and on each tick:
+ *       Fw_Operate_AnswerPending(op, &view, now_us, out);
  *
- * docs/operations/configuration.md describes the calls.
+ * docs/operations/configuration.md documents the API.
  */
 #ifndef FW_OPERATE_OPERATE_H
 #define FW_OPERATE_OPERATE_H
@@ -41,12 +43,14 @@
 #include "request/request.h"
 #include "route/route.h"
 
-#define FW_OPERATE_PENDING_MAX 64
-#define FW_OPERATE_WAIT_US (8 * FW_SEC) /* for the verdict on a command */
+#define FW_OPERATE_PENDING_MAX 64 /* commands awaiting a verdict */
+#define FW_OPERATE_VERDICT_TIMEOUT_US (8 * FW_SEC)
 
 /**
- * struct fw_operate_view - what queries read. All but @self and @fold may be
- * NULL: then there is nothing to show.
+ * struct fw_operate_view - the instance's state, read-only, for queries.
+ *
+ * All members but @self and @fold may be NULL; queries about a NULL member
+ * return no rows.
  */
 struct fw_operate_view {
     const struct fw_self *self;
@@ -58,26 +62,33 @@
     const struct fw_orders *orders;
 };
 
-/** struct fw_operate - commands that wait for their verdict. */
+/** struct fw_operate - pending commands and metrics; opaque. */
 struct fw_operate;
 
-/* @self gives the wall time of the start, see struct fw_self. */
+/**
+ * Fw_Operate_New
+ * @self: @self->boot is the wall clock time that corresponds to @now_us
+ * @seed: for generated change ids
+ * @metrics: must outlive the result; may be NULL
+ */
 struct fw_operate *
 Fw_Operate_New(const struct fw_self *self, uint32_t seed,
                struct fw_metrics *metrics, int64_t now_us);
 void
 Fw_Operate_Free(struct fw_operate *op);
 
+/* Handles one call; a command's response may be emitted later. */
 void
 Fw_Operate_Open(struct fw_operate *op, const struct fw_operate_view *view,
                 const struct fw_operator_call *call, int64_t now_us,
                 struct fw_actions *out);
+/* Handles the log's answer to an append made by Fw_Operate_HandleCall(). */
 void
 Fw_Operate_OnAppended(struct fw_operate *op,
                       const struct fw_operate_view *view,
                       const struct fw_log_appended *a, int64_t now_us,
                       struct fw_actions *out);
-/* Answers the commands whose verdict is known, or whose time is over. */
+/* Answers pending commands that have a verdict or have timed out. */
 void
 Fw_Operate_AfterFold(struct fw_operate *op, const struct fw_operate_view *view,
                      int64_t now_us, struct fw_actions *out);
--- a/src/operate/query.c
+++ b/src/operate/query.c
@@ -1,4 +1,4 @@
-/* What operators may ask; nothing here changes anything. */
+/* Read-only operator API calls. */
 #include <errno.h>
 #include <string.h>
 
@@ -6,7 +6,7 @@
 #include "operate/sheet.h"
 
 static void
-set_version(JsonObject *obj, const struct fw_operate_view *view)
+add_version(JsonObject *obj, const struct fw_operate_view *view)
 {
     json_object_set_string_member(obj, "instance", view->self->name);
     json_object_set_int_member(
@@ -14,34 +14,36 @@
 }
 
 static void
-answer(const struct fw_ask *ask, JsonObject *obj, struct fw_actions *out)
+answer_object(const struct fw_operate_request *req, JsonObject *obj,
+              struct fw_actions *out)
 {
-    Fw_Answer_Json(ask->call->call, 200, FW_RAN_YES, Fw_Answer_Object(obj),
+    Fw_Answer_Json(req->call->call, 200, FW_RAN_YES, Fw_Answer_ObjectNode(obj),
                    out);
 }
 
 static void
-show_version(const struct fw_operate_view *view, const struct fw_ask *ask,
-             int64_t now_us, struct fw_actions *out)
+show_version(const struct fw_operate_view *view,
+             const struct fw_operate_request *req, int64_t now_us,
+             struct fw_actions *out)
 {
     JsonObject *obj = json_object_new();
 
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_int_member(obj, "log_read_ms_ago",
                                Fw_Fold_StaleUs(view->fold, now_us) / FW_MSEC);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
 }
 
 static void
-show_config(const struct fw_operate_view *view, const struct fw_ask *ask,
-            struct fw_actions *out)
+show_config(const struct fw_operate_view *view,
+            const struct fw_operate_request *req, struct fw_actions *out)
 {
     const struct fw_config *cfg = Fw_Fold_Config(view->fold);
     JsonObject *obj = json_object_new();
     JsonObject *counts = json_object_new();
     char digest[17];
 
-    set_version(obj, view);
+    add_version(obj, view);
     for (int kind = 0; kind < FW_ITEM_SETTING; kind++) {
         json_object_set_int_member(
             counts, Fw_Item_KindName((enum fw_item_kind)kind),
@@ -54,7 +56,7 @@
     g_snprintf(digest, sizeof(digest), "%016" G_GINT64_MODIFIER "x",
                Fw_Config_Digest(cfg));
     json_object_set_string_member(obj, "digest", digest);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
 }
 
 static JsonObject *
@@ -76,20 +78,21 @@
     return row;
 }
 
-/* A page of items in the order of their names, after ?after=NAME. */
+/* One page of items sorted by name. Parameters: name, after, max. */
 static void
-show_items(const struct fw_operate_view *view, const struct fw_ask *ask,
-           enum fw_item_kind kind, struct fw_actions *out)
+show_items(const struct fw_operate_view *view,
+           const struct fw_operate_request *req, enum fw_item_kind kind,
+           struct fw_actions *out)
 {
     GPtrArray *names = Fw_Config_ItemNames(Fw_Fold_Config(view->fold), kind);
-    const char *only = Fw_Ask_Text(ask, "name", NULL);
-    const char *after = Fw_Ask_Text(ask, "after", "");
-    uint64_t max = Fw_Ask_Number(ask, "max", FW_PAGE_MAX);
+    const char *only = Fw_Operate_ParamText(req, "name", NULL);
+    const char *after = Fw_Operate_ParamText(req, "after", "");
+    uint64_t max = Fw_Operate_ParamNumber(req, "max", FW_PAGE_ROWS_MAX);
     JsonObject *obj = json_object_new();
     JsonArray *rows = json_array_new();
     int more = 0;
 
-    max = CLAMP(max, 1, FW_PAGE_MAX);
+    max = CLAMP(max, 1, FW_PAGE_ROWS_MAX);
     for (unsigned i = 0; i < names->len; i++) {
         const char *name = g_ptr_array_index(names, i);
 
@@ -102,16 +105,16 @@
         }
         json_array_add_object_element(rows, item_row(view, kind, name));
     }
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_array_member(obj, "rows", rows);
     json_object_set_boolean_member(obj, "more", more);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
     g_ptr_array_unref(names);
 }
 
 static void
-show_instances(const struct fw_operate_view *view, const struct fw_ask *ask,
-               struct fw_actions *out)
+show_instances(const struct fw_operate_view *view,
+               const struct fw_operate_request *req, struct fw_actions *out)
 {
     static const char *const states[] = {"alive", "suspect", "leaving",
                                          "dead"};
@@ -131,9 +134,9 @@
         json_object_set_string_member(row, "region", m->region);
         json_array_add_object_element(rows, row);
     }
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_array_member(obj, "rows", rows);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
     g_ptr_array_unref(all);
 }
 
@@ -153,8 +156,9 @@
 }
 
 static void
-show_requests(const struct fw_operate_view *view, const struct fw_ask *ask,
-              int64_t now_us, struct fw_actions *out)
+show_requests(const struct fw_operate_view *view,
+              const struct fw_operate_request *req, int64_t now_us,
+              struct fw_actions *out)
 {
     JsonObject *obj = json_object_new();
     JsonArray *rows = json_array_new();
@@ -162,9 +166,9 @@
     if (view->requests) {
         Fw_Requests_Each(view->requests, now_us, add_request, rows);
     }
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_array_member(obj, "rows", rows);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
 }
 
 static void
@@ -180,10 +184,10 @@
     json_array_add_object_element(ctx, row);
 }
 
-/* Only of the engines whose orders this instance gives. */
+/* Covers only engines whose orders are issued by this instance. */
 static void
-show_orders(const struct fw_operate_view *view, const struct fw_ask *ask,
-            struct fw_actions *out)
+show_orders(const struct fw_operate_view *view,
+            const struct fw_operate_request *req, struct fw_actions *out)
 {
     JsonObject *obj = json_object_new();
     JsonArray *rows = json_array_new();
@@ -191,14 +195,14 @@
     if (view->orders) {
         Fw_Orders_Each(view->orders, add_order, rows);
     }
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_array_member(obj, "rows", rows);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
 }
 
-/* Whether the change touched an item of this name. */
+/* Nonzero if the audit entry contains an item of this name. */
 static int
-touches(JsonObject *entry, const char *name)
+changes_item(JsonObject *entry, const char *name)
 {
     JsonArray *items = json_object_get_array_member(entry, "items");
 
@@ -212,21 +216,21 @@
     return 0;
 }
 
-/* Newest first; ?before=OFFSET goes back further. */
+/* Newest first. Parameters: before (an offset), max, who, name. */
 static void
-show_audit(const struct fw_operate_view *view, const struct fw_ask *ask,
-           struct fw_actions *out)
+show_audit(const struct fw_operate_view *view,
+           const struct fw_operate_request *req, struct fw_actions *out)
 {
     const struct fw_audit *audit = Fw_Fold_Audit(view->fold);
-    uint64_t before = Fw_Ask_Number(ask, "before", G_MAXINT64);
-    uint64_t max = Fw_Ask_Number(ask, "max", 50);
-    const char *who = Fw_Ask_Text(ask, "who", NULL);
-    const char *name = Fw_Ask_Text(ask, "name", NULL);
+    uint64_t before = Fw_Operate_ParamNumber(req, "before", G_MAXINT64);
+    uint64_t max = Fw_Operate_ParamNumber(req, "max", 50);
+    const char *who = Fw_Operate_ParamText(req, "who", NULL);
+    const char *name = Fw_Operate_ParamText(req, "name", NULL);
     JsonObject *obj = json_object_new();
     JsonArray *rows = json_array_new();
     const struct fw_list *pos;
 
-    max = CLAMP(max, 1, FW_PAGE_MAX);
+    max = CLAMP(max, 1, FW_PAGE_ROWS_MAX);
     for (pos = audit->all.prev;
          pos != &audit->all && json_array_get_length(rows) < max;
          pos = pos->prev) {
@@ -238,22 +242,22 @@
             continue;
         }
         node = json_from_string(e->text, NULL);
-        if (name && !touches(json_node_get_object(node), name)) {
+        if (name && !changes_item(json_node_get_object(node), name)) {
             json_node_unref(node);
             continue;
         }
         json_array_add_element(rows, node);
     }
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_array_member(obj, "rows", rows);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
 }
 
 static void
 show_explain(const struct fw_operate *op, const struct fw_operate_view *view,
-             const struct fw_ask *ask, struct fw_actions *out)
+             const struct fw_operate_request *req, struct fw_actions *out)
 {
-    const char *id = Fw_Ask_Text(ask, "id", "");
+    const char *id = Fw_Operate_ParamText(req, "id", "");
     const struct fw_explain_row *r;
     JsonObject *obj = json_object_new();
     JsonArray *rows = json_array_new();
@@ -265,20 +269,20 @@
             (int64_t)op->boot_ms + (r->at_us - op->start_us) / FW_MSEC;
         char when[FW_CHANGE_AT_MAX];
 
-        Fw_Operate_At(op, r->at_us, when);
+        Fw_Operate_FormatTime(op, r->at_us, when);
         json_object_set_string_member(row, "at", when);
         json_object_set_int_member(row, "unix_ms", ms);
         json_object_set_string_member(row, "stage", r->stage);
         json_object_set_string_member(row, "text", r->text);
         json_array_add_object_element(rows, row);
     }
-    set_version(obj, view);
+    add_version(obj, view);
     json_object_set_array_member(obj, "rows", rows);
-    answer(ask, obj, out);
+    answer_object(req, obj, out);
 }
 
 JsonNode *
-Fw_Operate_Verdict(const struct fw_fold *fold, const char *id)
+Fw_Operate_VerdictJson(const struct fw_fold *fold, const char *id)
 {
     const struct fw_seen *seen = Fw_Fold_Seen(fold, id);
     const struct fw_audit_entry *e;
@@ -301,36 +305,36 @@
             json_object_get_string_member(json_node_get_object(node), "why"));
         json_node_unref(node);
     }
-    return Fw_Answer_Object(obj);
+    return Fw_Answer_ObjectNode(obj);
 }
 
 static void
-show_change(const struct fw_operate_view *view, const struct fw_ask *ask,
-            struct fw_actions *out)
+show_change(const struct fw_operate_view *view,
+            const struct fw_operate_request *req, struct fw_actions *out)
 {
-    const char *id = Fw_Ask_Text(ask, "id", "");
-    JsonNode *node = Fw_Operate_Verdict(view->fold, id);
+    const char *id = Fw_Operate_ParamText(req, "id", "");
+    JsonNode *node = Fw_Operate_VerdictJson(view->fold, id);
     JsonObject *obj;
 
     if (!node) {
         obj = json_object_new();
         json_object_set_string_member(obj, "id", id);
         json_object_set_string_member(obj, "verdict", "unseen");
-        set_version(obj, view);
-        node = Fw_Answer_Object(obj);
+        add_version(obj, view);
+        node = Fw_Answer_ObjectNode(obj);
     }
-    Fw_Answer_Json(ask->call->call, 200, FW_RAN_YES, node, out);
+    Fw_Answer_Json(req->call->call, 200, FW_RAN_YES, node, out);
 }
 
 static void
-export_sheet(const struct fw_operate_view *view, const struct fw_ask *ask,
-             struct fw_actions *out)
+export_sheet(const struct fw_operate_view *view,
+             const struct fw_operate_request *req, struct fw_actions *out)
 {
     struct fw_call_answer *a =
         &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
     char *text = Fw_Sheet_Write(Fw_Fold_Config(view->fold));
 
-    a->call = ask->call->call;
+    a->call = req->call->call;
     a->status = 200;
     a->ran = FW_RAN_YES;
     g_strlcpy(a->content_type, "text/csv; charset=utf-8",
@@ -338,13 +342,13 @@
     a->body = g_bytes_new_take(text, strlen(text));
 }
 
-/** struct show - a listing of items by its path. */
-struct show {
+/** struct show - maps a path to the kind of item it lists. */
+struct item_listing {
     const char *path;
     enum fw_item_kind kind;
 };
 
-static const struct show shows[] = {
+static const struct item_listing item_listings[] = {
     {"/v1/show/teams", FW_ITEM_TEAM},
     {"/v1/show/keys", FW_ITEM_KEY},
     {"/v1/show/upstreams", FW_ITEM_UPSTREAM},
@@ -355,44 +359,45 @@
 };
 
 int
-Fw_Operate_Query(struct fw_operate *op, const struct fw_operate_view *view,
-                 const struct fw_ask *ask, int64_t now_us,
-                 struct fw_actions *out)
+Fw_Operate_HandleQuery(struct fw_operate *op,
+                       const struct fw_operate_view *view,
+                       const struct fw_operate_request *req, int64_t now_us,
+                       struct fw_actions *out)
 {
-    const char *path = ask->path;
+    const char *path = req->path;
 
-    for (size_t i = 0; i < G_N_ELEMENTS(shows); i++) {
-        if (strcmp(path, shows[i].path) == 0) {
-            show_items(view, ask, shows[i].kind, out);
+    for (size_t i = 0; i < G_N_ELEMENTS(item_listings); i++) {
+        if (strcmp(path, item_listings[i].path) == 0) {
+            show_items(view, req, item_listings[i].kind, out);
             return 0;
         }
     }
     if (strcmp(path, "/v1/version") == 0) {
-        show_version(view, ask, now_us, out);
+        show_version(view, req, now_us, out);
     }
     else if (strcmp(path, "/v1/show/config") == 0) {
-        show_config(view, ask, out);
+        show_config(view, req, out);
     }
     else if (strcmp(path, "/v1/show/instances") == 0) {
-        show_instances(view, ask, out);
+        show_instances(view, req, out);
     }
     else if (strcmp(path, "/v1/show/requests") == 0) {
-        show_requests(view, ask, now_us, out);
+        show_requests(view, req, now_us, out);
     }
     else if (strcmp(path, "/v1/show/orders") == 0) {
-        show_orders(view, ask, out);
+        show_orders(view, req, out);
     }
     else if (strcmp(path, "/v1/audit") == 0) {
-        show_audit(view, ask, out);
+        show_audit(view, req, out);
     }
     else if (strcmp(path, "/v1/explain") == 0) {
-        show_explain(op, view, ask, out);
+        show_explain(op, view, req, out);
     }
     else if (strcmp(path, "/v1/change") == 0) {
-        show_change(view, ask, out);
+        show_change(view, req, out);
     }
     else if (strcmp(path, "/v1/sheet/export") == 0) {
-        export_sheet(view, ask, out);
+        export_sheet(view, req, out);
     }
     else {
         return -ENOENT;
--- a/src/operate/sheet.c
+++ b/src/operate/sheet.c
@@ -1,4 +1,4 @@
-/* A sheet's plan: made, reported, freed. */
+/* Creates, reports and frees a sheet's plan. */
 #include "operate/sheet.h"
 
 #include <string.h>
@@ -10,24 +10,24 @@
 {
     struct fw_sheet_row *row = data;
 
-    g_clear_pointer(&row->set, json_object_unref);
+    g_clear_pointer(&row->overrides, json_object_unref);
     g_free(row->before);
     g_free(row->after);
     g_free(row);
 }
 
 void
-Fw_Sheet_Error(struct fw_sheet_plan *plan, unsigned row, const char *column,
-               const char *found, const char *allowed)
+Fw_Sheet_AddError(struct fw_sheet_plan *plan, unsigned row, const char *column,
+                  const char *found, const char *allowed)
 {
     struct fw_sheet_error e = {.row = row};
     char *valid;
 
     plan->n_errors++;
-    if (plan->errors->len >= FW_SHEET_ERRORS_MAX) {
+    if (plan->errors->len >= FW_SHEET_REPORTED_ERRORS_MAX) {
         return;
     }
-    /* A cell cut inside a character would spoil the report's JSON. */
+    /* Truncation may split a UTF-8 character, which JSON can't represent. */
     valid = g_utf8_make_valid(found, (gssize)strnlen(found, 40));
     g_strlcpy(e.found, valid, sizeof(e.found));
     g_free(valid);
@@ -45,20 +45,20 @@
 
     plan->errors = g_array_new(FALSE, FALSE, sizeof(struct fw_sheet_error));
     plan->rows = g_ptr_array_new_with_free_func(free_row);
-    plan->listed =
+    plan->item_keys =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     plan->fold = fold;
-    /* Twice: the row that names the base may come last, and trees of all
-     * rows at once would take many times the sheet's size. */
+    /* Two passes: rows are compared as they are read, to avoid holding a
+     * JSON tree for each, but the row with the base version may be last. */
     Fw_Sheet_ReadCsv(plan, data, len);
-    if (!plan->have_base && plan->n_errors == 0) {
-        Fw_Sheet_Error(plan, 0, "kind", "no row of kind sheet",
-                       "one row: kind sheet, name the version it was "
-                       "exported on");
+    if (!plan->has_base && plan->n_errors == 0) {
+        Fw_Sheet_AddError(plan, 0, "kind", "no row of kind sheet",
+                          "one row: kind sheet, name the version it was "
+                          "exported on");
     }
-    if (plan->n_errors == 0 && Fw_Sheet_LoadPast(plan) == 0) {
+    if (plan->n_errors == 0 && Fw_Sheet_LoadBaseline(plan) == 0) {
         Fw_Sheet_ReadCsv(plan, data, len);
-        Fw_Sheet_Judge(plan);
+        Fw_Sheet_Validate(plan);
     }
     return plan;
 }
@@ -68,19 +68,19 @@
 {
     g_array_unref(plan->errors);
     g_ptr_array_unref(plan->rows);
-    g_hash_table_unref(plan->listed);
-    Fw_Sheet_FreePast(plan->past);
+    g_hash_table_unref(plan->item_keys);
+    Fw_Sheet_FreeBaseline(plan->baseline);
     g_free(plan);
 }
 
 static int
 is_change(const struct fw_sheet_row *row)
 {
-    return row->fate == FW_ROW_ADD || row->fate == FW_ROW_CHANGE;
+    return row->action == FW_ROW_ADD || row->action == FW_ROW_UPDATE;
 }
 
 char *
-Fw_Sheet_Items(const struct fw_sheet_plan *plan)
+Fw_Sheet_ItemsJson(const struct fw_sheet_plan *plan)
 {
     GString *out = g_string_new("[");
 
@@ -88,13 +88,13 @@
         const struct fw_sheet_row *row = g_ptr_array_index(plan->rows, i);
 
         if (is_change(row)) {
-            /* Kind and name need no escapes by their rules. */
+            /* Valid kinds and names need no JSON escapes. */
             g_string_append_printf(
                 out,
                 "%s{\"kind\":\"%s\",\"name\":\"%s\",\"was\":%" G_GUINT64_FORMAT
                 ",\"value\":%s}",
                 out->len > 1 ? "," : "", Fw_Item_KindName(row->kind),
-                row->name, row->was, row->after);
+                row->name, row->current_version, row->after);
         }
     }
     g_string_append_c(out, ']');
@@ -154,11 +154,11 @@
     for (unsigned i = 0; i < plan->rows->len && plan->n_errors == 0; i++) {
         const struct fw_sheet_row *row = g_ptr_array_index(plan->rows, i);
 
-        if (row->fate == FW_ROW_SAME) {
+        if (row->action == FW_ROW_UNCHANGED) {
             same++;
         }
         else if (json_array_get_length(changes) + json_array_get_length(kept) <
-                 FW_SHEET_ROWS_MAX) {
+                 FW_SHEET_REPORTED_ROWS_MAX) {
             json_array_add_object_element(is_change(row) ? changes : kept,
                                           row_report(row));
         }
@@ -166,7 +166,7 @@
             more++;
         }
     }
-    json_object_set_int_member(obj, "base", (int64_t)plan->base);
+    json_object_set_int_member(obj, "base", (int64_t)plan->base_version);
     json_object_set_int_member(obj, "error_count", plan->n_errors);
     json_object_set_array_member(obj, "errors", errors_report(plan));
     json_object_set_array_member(obj, "changes", changes);
--- a/src/operate/sheet.h
+++ b/src/operate/sheet.h
@@ -1,9 +1,12 @@
 /*
- * The planners' sheet: CSV as spreadsheets write it, into one change.
+ * Import and export of the configuration as CSV for spreadsheets.
  *
- * docs/operations/sheet.md describes the columns. A row that an operator
- * changed since the sheet was exported is kept when the planners left it as
- * it was exported, and is an error when both changed it.
+ * An import becomes one change. Each row is compared with both the value in
+ * force and the value at the version the sheet was exported from. If an item
+ * has changed since the export, an unedited row keeps the value in force and
+ * an edited row is an error.
+ *
+ * docs/operations/sheet.md documents the columns.
  */
 #ifndef FW_OPERATE_SHEET_H
 #define FW_OPERATE_SHEET_H
@@ -13,10 +16,11 @@
 #include "config/fold.h"
 
 #define FW_SHEET_BYTES_MAX ((size_t)4 * 1024 * 1024)
-#define FW_SHEET_ERRORS_MAX 50 /* reported; the rest is counted */
-#define FW_SHEET_ROWS_MAX 500  /* changes reported; the rest is counted */
+/* Limits of a report; errors and rows beyond them are only counted. */
+#define FW_SHEET_REPORTED_ERRORS_MAX 50
+#define FW_SHEET_REPORTED_ROWS_MAX 500
 
-/** enum fw_sheet_column - the columns a sheet may have. */
+/** enum fw_sheet_column - the supported columns, in export order. */
 enum fw_sheet_column {
     FW_COL_KIND,
     FW_COL_NAME,
@@ -39,77 +43,99 @@
 const char *
 Fw_Sheet_ColumnName(enum fw_sheet_column col);
 
-/** struct fw_sheet_error - what is wrong, and where in the spreadsheet. */
+/**
+ * struct fw_sheet_error - an invalid cell or row.
+ * @row: row number as the spreadsheet shows it, the header being 1; 0 for an
+ *       error that belongs to no row
+ * @column: column name, or a description in parentheses such as "(file)"
+ * @found: the offending text, truncated to fit
+ * @allowed: what is accepted instead
+ */
 struct fw_sheet_error {
-    unsigned row; /* as the spreadsheet numbers it, the header is row 1 */
+    unsigned row;
     char column[24];
     char found[48];
     char allowed[112];
 };
 
-/** enum fw_sheet_fate - what becomes of a row. */
-enum fw_sheet_fate {
-    FW_ROW_SAME,   /* already so */
-    FW_ROW_ADD,    /* new item */
-    FW_ROW_CHANGE, /* other value */
-    FW_ROW_KEPT,   /* an operator changed it since, the sheet did not */
+/** enum fw_sheet_action - what applying the sheet does for a row. */
+enum fw_sheet_action {
+    FW_ROW_UNCHANGED,    /* the value is already in force */
+    FW_ROW_ADD,          /* the item does not exist */
+    FW_ROW_UPDATE,       /* the item gets a new value */
+    FW_ROW_KEEP_CURRENT, /* not edited, but changed since the export */
 };
 
 /**
- * struct fw_sheet_row - one item as the sheet wants it.
- * @set: the members given by the row's cells
- * @was: version in force, 0 for none
- * @before: value in force as JSON, or NULL
- * @after: value that the change will give, as JSON
+ * struct fw_sheet_row - one item of the sheet.
+ * @row: row number as the spreadsheet shows it
+ * @overrides: members set by the row's cells; NULL once the row is compared
+ * @current_version: version that last changed the item, 0 if it does not
+ *                   exist
+ * @before: value in force as JSON, NULL if the item does not exist
+ * @after: value with the overrides applied, as JSON
  *
- * Texts, since trees of 12,000 rows would take many times their size; and
- * none for rows that are the same.
+ * @before and @after are NULL for unchanged rows. They are serialized because
+ * a JsonNode tree takes several times as much memory, which matters for sheets
+ * of thousands of rows.
  */
 struct fw_sheet_row {
     unsigned row;
     enum fw_item_kind kind;
     char name[FW_ITEM_NAME_MAX];
-    JsonObject *set;
-    enum fw_sheet_fate fate;
-    uint64_t was;
+    JsonObject *overrides;
+    enum fw_sheet_action action;
+    uint64_t current_version;
     char *before;
     char *after;
 };
 
-/* Values as they were at the export; see sheet_compare.c. */
-struct fw_sheet_past;
+/* Item values at the version the sheet was exported from. */
+struct fw_sheet_baseline;
 
 /**
- * struct fw_sheet_plan - what a sheet would do.
- * @base: version that it was exported on
- * @past: values as they were at the export
- * @n_errors: errors found, also those beyond @errors
+ * struct fw_sheet_plan - the result of reading a sheet.
+ * @base_version: version the sheet was exported from, if @has_base
+ * @n_errors: errors found, including those beyond the limit of @errors
+ * @n_changes: rows that add or update an item
+ * @errors: struct fw_sheet_error
+ * @rows: struct fw_sheet_row *, without rows that could not be parsed
+ * @item_keys: set of "kind name", one for each row
+ * @fold: borrowed
+ * @baseline: NULL during the first pass, which looks for the base version
  */
 struct fw_sheet_plan {
-    uint64_t base;
-    int have_base;
+    uint64_t base_version;
+    int has_base;
     unsigned n_errors;
     unsigned n_changes;
-    GArray *errors;     /* struct fw_sheet_error */
-    GPtrArray *rows;    /* struct fw_sheet_row * */
-    GHashTable *listed; /* "kind name" of the rows */
+    GArray *errors;
+    GPtrArray *rows;
+    GHashTable *item_keys;
     const struct fw_fold *fold;
-    struct fw_sheet_past *past; /* NULL while the base is looked for */
+    struct fw_sheet_baseline *baseline;
 };
 
-/* Reads and checks all of a sheet; the plan tells errors or changes. */
+/**
+ * Fw_Sheet_Plan - parses and validates a sheet without applying it.
+ * @fold: must outlive the plan
+ *
+ * Return: a new plan; if its @n_errors is nonzero it must not be applied.
+ */
 struct fw_sheet_plan *
 Fw_Sheet_Plan(const struct fw_fold *fold, const char *data, size_t len);
 void
 Fw_Sheet_FreePlan(struct fw_sheet_plan *plan);
-/* The changes as the items of a record: a JSON array as a new string. */
+/* The "items" array of a change record that applies the plan; a new string. */
 char *
-Fw_Sheet_Items(const struct fw_sheet_plan *plan);
-/* {"base","errors","error_count","changes","kept","same","more"}; a new node.
+Fw_Sheet_ItemsJson(const struct fw_sheet_plan *plan);
+/*
+ * The plan for the API: an object with "base", "errors", "error_count",
+ * "changes", "kept", "same" and "more". Returns a new node.
  */
 JsonNode *
 Fw_Sheet_Report(const struct fw_sheet_plan *plan);
-/* What is in force as a sheet; a new string. */
+/* The configuration as CSV; a new string. */
 char *
 Fw_Sheet_Write(const struct fw_config *cfg);
 
--- a/src/operate/sheet_compare.c
+++ b/src/operate/sheet_compare.c
@@ -1,9 +1,9 @@
 /*
- * The sheet against what is in force.
+ * Three-way comparison of sheet rows: sheet, value in force, value at export.
  *
- * Between export and apply operators go on working. A sheet that simply won
- * would undo a drain or lift a lowered rate, which nobody typed; so each row
- * is compared with the value at the export too, which the audit trail knows.
+ * Operators may change items between export and import. Comparing only with
+ * the value in force would revert those changes, such as a drain or a lowered
+ * rate, in rows nobody edited. Values at export come from the audit log.
  */
 #include <errno.h>
 #include <string.h>
@@ -11,12 +11,12 @@
 #include "operate/sheet_internal.h"
 
 /**
- * struct fw_sheet_past - values as they were at the export.
- * @known: the audit trail reaches back so far
- * @before: "kind name" of what changed since, to its value then
+ * struct fw_sheet_baseline - item values at the base version.
+ * @complete: the audit log holds every item changed since then
+ * @before: items changed since then: "kind name" to the value at the base
  */
-struct fw_sheet_past {
-    int known;
+struct fw_sheet_baseline {
+    int complete;
     GHashTable *before;
 };
 
@@ -26,9 +26,10 @@
     return g_strdup_printf("%s %s", Fw_Item_KindName(kind), name);
 }
 
-/* One accepted change, newest first, so that the earliest one stays. */
+/* Records the old values of one audit entry. Called from the newest entry to
+ * the oldest, so that the value closest to the base replaces later ones. */
 static void
-add_past(struct fw_sheet_past *past, const char *text)
+add_old_values(struct fw_sheet_baseline *baseline, const char *text)
 {
     JsonNode *node = json_from_string(text, NULL);
     JsonObject *entry = json_node_get_object(node);
@@ -37,14 +38,14 @@
     if (strcmp(json_object_get_string_member(entry, "verdict"), "accepted") ==
         0) {
         if (json_object_get_int_member(entry, "more") > 0) {
-            past->known = 0;
+            baseline->complete = 0;
         }
         for (unsigned i = 0; i < json_array_get_length(items); i++) {
             JsonObject *o = json_array_get_object_element(items, i);
             const char *kind = json_object_get_string_member(o, "kind");
             const char *name = json_object_get_string_member(o, "name");
 
-            g_hash_table_replace(past->before,
+            g_hash_table_replace(baseline->before,
                                  g_strdup_printf("%s %s", kind, name),
                                  json_object_dup_member(o, "before"));
         }
@@ -53,34 +54,34 @@
 }
 
 static void
-load_past(struct fw_sheet_past *past, const struct fw_fold *fold,
-          uint64_t base)
+load_baseline(struct fw_sheet_baseline *baseline, const struct fw_fold *fold,
+              uint64_t base_version)
 {
     const struct fw_audit *audit = Fw_Fold_Audit(fold);
     const struct fw_list *pos;
     uint64_t reached = Fw_Fold_Config(fold)->offset;
 
-    past->known = 1;
-    past->before =
+    baseline->complete = 1;
+    baseline->before =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                               (GDestroyNotify)(void (*)(void))json_node_unref);
     for (pos = audit->all.prev; pos != &audit->all; pos = pos->prev) {
         const struct fw_audit_entry *e =
             FW_LIST_ENTRY(pos, struct fw_audit_entry, link);
 
-        if (e->offset <= base) {
-            reached = base + 1;
+        if (e->offset <= base_version) {
+            reached = base_version + 1;
             break;
         }
         reached = e->offset;
-        add_past(past, e->text);
+        add_old_values(baseline, e->text);
     }
-    past->known = past->known && reached <= base + 1;
+    baseline->complete = baseline->complete && reached <= base_version + 1;
 }
 
-/* @value with the members that the row gives; a new node. */
+/* A new node: the members of @value, replaced by those of @overrides. */
 static JsonNode *
-overlay(JsonNode *value, JsonObject *set)
+overlay(JsonNode *value, JsonObject *overrides)
 {
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
     JsonObject *obj = json_object_new();
@@ -94,7 +95,7 @@
             json_object_set_member(obj, name, json_node_copy(member));
         }
     }
-    json_object_iter_init(&it, set);
+    json_object_iter_init(&it, overrides);
     while (json_object_iter_next(&it, &name, &member)) {
         json_object_set_member(obj, name, json_node_copy(member));
     }
@@ -102,82 +103,87 @@
     return node;
 }
 
-/* Nonzero when the planners left the row as it was exported. */
+/* Nonzero if the row equals the exported value. */
 static int
-untouched(const struct fw_sheet_row *row, JsonNode *then)
+unedited(const struct fw_sheet_row *row, JsonNode *exported)
 {
-    JsonNode *with;
+    JsonNode *overlaid;
     int same;
 
-    if (!then || !JSON_NODE_HOLDS_OBJECT(then)) {
+    if (!exported || !JSON_NODE_HOLDS_OBJECT(exported)) {
         return 0;
     }
-    with = overlay(then, row->set);
-    same = json_node_equal(with, then);
-    json_node_unref(with);
+    overlaid = overlay(exported, row->overrides);
+    same = json_node_equal(overlaid, exported);
+    json_node_unref(overlaid);
     return same;
 }
 
 static void
-refuse_changed(struct fw_sheet_plan *plan, const struct fw_sheet_row *row,
-               const struct fw_fold *fold)
+report_conflict(struct fw_sheet_plan *plan, const struct fw_sheet_row *row,
+                const struct fw_fold *fold)
 {
     const struct fw_audit_entry *e =
-        Fw_Audit_Find(Fw_Fold_Audit(fold), row->was);
+        Fw_Audit_Find(Fw_Fold_Audit(fold), row->current_version);
     char found[48];
 
     g_snprintf(found, sizeof(found), "%.20s, changed at %" G_GUINT64_FORMAT,
-               row->name, row->was);
+               row->name, row->current_version);
     if (e) {
         g_snprintf(found, sizeof(found), "%.20s, by %.16s since", row->name,
                    e->who);
     }
-    Fw_Sheet_Error(plan, row->row, "name", found,
-                   "the value in force, or a sheet exported after that");
+    Fw_Sheet_AddError(plan, row->row, "name", found,
+                      "the value in force, or a sheet exported after that");
 }
 
-/** struct values - of one row while it is compared. */
-struct values {
+/**
+ * struct item_values - the two values that a row is about.
+ * @before: value in force, NULL if the item does not exist
+ * @after: the value with the row's cells applied
+ */
+struct item_values {
     JsonNode *before;
     JsonNode *after;
 };
 
-/* Since the export: unchanged, changed by others, or too long ago to tell. */
+/* Sets the row's action, or adds an error if the item has also changed since
+ * the export, or the audit log doesn't reach back far enough to tell. */
 static void
-decide(struct fw_sheet_plan *plan, struct fw_sheet_row *row,
-       const struct values *v, const struct fw_fold *fold,
-       const struct fw_sheet_past *past)
+choose_action(struct fw_sheet_plan *plan, struct fw_sheet_row *row,
+              const struct item_values *v, const struct fw_fold *fold,
+              const struct fw_sheet_baseline *baseline)
 {
     char *key = item_key(row->kind, row->name);
-    JsonNode *then = g_hash_table_lookup(past->before, key);
+    JsonNode *exported = g_hash_table_lookup(baseline->before, key);
 
     g_free(key);
     if (v->before && json_node_equal(v->before, v->after)) {
-        row->fate = FW_ROW_SAME;
+        row->action = FW_ROW_UNCHANGED;
     }
-    else if (v->before && row->was <= plan->base) {
-        row->fate = FW_ROW_CHANGE;
+    else if (v->before && row->current_version <= plan->base_version) {
+        row->action = FW_ROW_UPDATE;
     }
-    else if (past->known && untouched(row, then)) {
-        row->fate = FW_ROW_KEPT;
+    else if (baseline->complete && unedited(row, exported)) {
+        row->action = FW_ROW_KEEP_CURRENT;
     }
-    else if (!v->before && past->known &&
-             (!then || JSON_NODE_HOLDS_NULL(then))) {
-        row->fate = FW_ROW_ADD;
+    else if (!v->before && baseline->complete &&
+             (!exported || JSON_NODE_HOLDS_NULL(exported))) {
+        row->action = FW_ROW_ADD;
     }
-    else if (!v->before && !past->known) {
-        Fw_Sheet_Error(plan, row->row, "name", row->name,
-                       "an item in force; or a sheet exported lately");
+    else if (!v->before && !baseline->complete) {
+        Fw_Sheet_AddError(plan, row->row, "name", row->name,
+                          "an item in force; or a sheet exported lately");
     }
     else {
-        refuse_changed(plan, row, fold);
+        report_conflict(plan, row, fold);
     }
 }
 
-/* The value by the same rules as a record's. */
+/* Validates the new value by the rules for change records. */
 static void
 check_value(struct fw_sheet_plan *plan, const struct fw_sheet_row *row,
-            const struct values *v)
+            const struct item_values *v)
 {
     JsonObject *obj = json_object_new();
     struct fw_item item = {.kind = FW_ITEM_TEAM};
@@ -185,11 +191,11 @@
 
     json_object_set_string_member(obj, "kind", Fw_Item_KindName(row->kind));
     json_object_set_string_member(obj, "name", row->name);
-    json_object_set_int_member(obj, "was", (int64_t)row->was);
+    json_object_set_int_member(obj, "was", (int64_t)row->current_version);
     json_object_set_member(obj, "value", json_node_ref(v->after));
     if (Fw_Item_Parse(obj, &item, &why)) {
-        Fw_Sheet_Error(plan, row->row, why.member[0] ? why.member : "name",
-                       why.member[0] ? why.found : why.text, why.allowed);
+        Fw_Sheet_AddError(plan, row->row, why.member[0] ? why.member : "name",
+                          why.member[0] ? why.found : why.text, why.allowed);
     }
     Fw_Item_Clear(&item);
     json_object_unref(obj);
@@ -204,38 +210,38 @@
 
 static void
 compare_values(struct fw_sheet_plan *plan, struct fw_sheet_row *row,
-               const struct values *v)
+               const struct item_values *v)
 {
     if (row->kind == FW_ITEM_UPSTREAM && !v->before) {
-        Fw_Sheet_Error(plan, row->row, "name", row->name,
-                       "an upstream in force; a sheet adds none");
+        Fw_Sheet_AddError(plan, row->row, "name", row->name,
+                          "an upstream in force; a sheet adds none");
         return;
     }
-    decide(plan, row, v, plan->fold, plan->past);
-    if (row->fate != FW_ROW_ADD && row->fate != FW_ROW_CHANGE) {
+    choose_action(plan, row, v, plan->fold, plan->baseline);
+    if (row->action != FW_ROW_ADD && row->action != FW_ROW_UPDATE) {
         return;
     }
     if (row->kind == FW_ITEM_KEY && is_withdrawn(v->before) &&
         !is_withdrawn(v->after)) {
-        Fw_Sheet_Error(plan, row->row, "withdrawn", "no",
-                       "yes: the key was withdrawn for good");
+        Fw_Sheet_AddError(plan, row->row, "withdrawn", "no",
+                          "yes: the key was withdrawn for good");
     }
     check_value(plan, row, v);
     plan->n_changes++;
 }
 
 void
-Fw_Sheet_Compare(struct fw_sheet_plan *plan, struct fw_sheet_row *row)
+Fw_Sheet_CompareRow(struct fw_sheet_plan *plan, struct fw_sheet_row *row)
 {
     const struct fw_config *cfg = Fw_Fold_Config(plan->fold);
-    struct values v;
+    struct item_values v;
 
     v.before = Fw_Config_ItemValue(cfg, row->kind, row->name);
-    row->was = Fw_Config_ItemVersion(cfg, row->kind, row->name);
-    v.after = overlay(v.before, row->set);
+    row->current_version = Fw_Config_ItemVersion(cfg, row->kind, row->name);
+    v.after = overlay(v.before, row->overrides);
     compare_values(plan, row, &v);
-    g_clear_pointer(&row->set, json_object_unref);
-    if (row->fate != FW_ROW_SAME) {
+    g_clear_pointer(&row->overrides, json_object_unref);
+    if (row->action != FW_ROW_UNCHANGED) {
         row->before = v.before ? json_to_string(v.before, FALSE) : NULL;
         row->after = json_to_string(v.after, FALSE);
     }
@@ -244,7 +250,7 @@
 }
 
 void
-Fw_Sheet_Judge(struct fw_sheet_plan *plan)
+Fw_Sheet_Validate(struct fw_sheet_plan *plan)
 {
     struct fw_why why = {.text = ""};
     struct fw_change ch;
@@ -254,16 +260,16 @@
     if (plan->n_errors > 0 || plan->n_changes == 0) {
         return;
     }
-    items = Fw_Sheet_Items(plan);
+    items = Fw_Sheet_ItemsJson(plan);
     text = g_strdup_printf("{\"v\":1,\"id\":\"check\",\"who\":\"check\","
                            "\"at\":\"check\",\"base\":%" G_GUINT64_FORMAT
                            ",\"items\":%s}",
-                           plan->base, items);
+                           plan->base_version, items);
 
     if (Fw_Change_Parse(text, &ch, &why) ||
         Fw_Fold_Judge(plan->fold, &ch, &why) != FW_CHANGE_ACCEPTED) {
-        Fw_Sheet_Error(plan, 0, "(sheet)", why.text,
-                       "a change that is valid as a whole");
+        Fw_Sheet_AddError(plan, 0, "(sheet)", why.text,
+                          "a change that is valid as a whole");
     }
     Fw_Change_Clear(&ch);
     g_free(text);
@@ -271,26 +277,27 @@
 }
 
 int
-Fw_Sheet_LoadPast(struct fw_sheet_plan *plan)
+Fw_Sheet_LoadBaseline(struct fw_sheet_plan *plan)
 {
     char found[24];
 
-    if (plan->base >= Fw_Fold_Config(plan->fold)->offset) {
-        g_snprintf(found, sizeof(found), "%" G_GUINT64_FORMAT, plan->base);
-        Fw_Sheet_Error(plan, 0, "name", found,
-                       "a version that is in force here already");
+    if (plan->base_version >= Fw_Fold_Config(plan->fold)->offset) {
+        g_snprintf(found, sizeof(found), "%" G_GUINT64_FORMAT,
+                   plan->base_version);
+        Fw_Sheet_AddError(plan, 0, "name", found,
+                          "a version that is in force here already");
         return -EINVAL;
     }
-    plan->past = g_new0(struct fw_sheet_past, 1);
-    load_past(plan->past, plan->fold, plan->base);
+    plan->baseline = g_new0(struct fw_sheet_baseline, 1);
+    load_baseline(plan->baseline, plan->fold, plan->base_version);
     return 0;
 }
 
 void
-Fw_Sheet_FreePast(struct fw_sheet_past *past)
+Fw_Sheet_FreeBaseline(struct fw_sheet_baseline *baseline)
 {
-    if (past) {
-        g_hash_table_unref(past->before);
-        g_free(past);
+    if (baseline) {
+        g_hash_table_unref(baseline->before);
+        g_free(baseline);
     }
 }
--- a/src/operate/sheet_csv.c
+++ b/src/operate/sheet_csv.c
@@ -1,4 +1,4 @@
-/* CSV as spreadsheets write it: which cell is which column of which row. */
+/* CSV parsing: assigns cells to columns by the header row. */
 #include <csv.h>
 #include <string.h>
 
@@ -19,32 +19,33 @@
 }
 
 /**
- * struct reader - state of the parse.
- * @row: number of the row being read
- * @col: number of the next cell in it
- * @map: column of each cell by place, FW_COLUMNS past the header's end
- * @after_cr: the last row ended with CR: an LF right after it ends no row
+ * struct csv_reader - parser state.
+ * @row: number of the current row, the header being 1
+ * @col: index of the next cell in the row
+ * @columns: column of each cell, by index; @n_columns are in use
+ * @after_cr: the last row ended with CR, so an immediate LF is part of CRLF
+ * @has_value: the current row has a nonempty cell
  */
-struct reader {
+struct csv_reader {
     struct fw_sheet_plan *plan;
     unsigned row;
     unsigned col;
-    int have_header;
-    unsigned n_map;
-    enum fw_sheet_column map[FW_COLUMNS];
+    int has_header;
+    unsigned n_columns;
+    enum fw_sheet_column columns[FW_COLUMNS];
     struct fw_sheet_cells cells;
     int after_cr;
-    int given; /* some cell of this row is not empty */
+    int has_value;
 };
 
 static char *
-trimmed(const void *data, size_t len)
+copy_trimmed(const void *data, size_t len)
 {
     return g_strstrip(g_strndup(data ? data : "", len));
 }
 
 static void
-take_header_cell(struct reader *r, const char *text)
+add_header_cell(struct csv_reader *r, const char *text)
 {
     enum fw_sheet_column col = FW_COL_KIND;
     char *allowed;
@@ -52,42 +53,42 @@
     while (col < FW_COLUMNS && strcmp(column_names[col], text) != 0) {
         col++;
     }
-    for (unsigned i = 0; i < r->n_map; i++) {
-        if (col < FW_COLUMNS && r->map[i] == col) {
-            Fw_Sheet_Error(r->plan, r->row, text, "the column twice",
-                           "each column once");
+    for (unsigned i = 0; i < r->n_columns; i++) {
+        if (col < FW_COLUMNS && r->columns[i] == col) {
+            Fw_Sheet_AddError(r->plan, r->row, text, "the column twice",
+                              "each column once");
             return;
         }
     }
     if (col < FW_COLUMNS) {
-        r->map[r->n_map++] = col;
+        r->columns[r->n_columns++] = col;
         return;
     }
     allowed = g_strjoinv(" ", (char **)column_names);
-    Fw_Sheet_Error(r->plan, r->row, text[0] ? text : "(empty)",
-                   "an unknown column", allowed);
+    Fw_Sheet_AddError(r->plan, r->row, text[0] ? text : "(empty)",
+                      "an unknown column", allowed);
     g_free(allowed);
 }
 
 static void
 on_cell(void *data, size_t len, void *ctx)
 {
-    struct reader *r = ctx;
-    char *text = trimmed(data, len);
+    struct csv_reader *r = ctx;
+    char *text = copy_trimmed(data, len);
 
     r->after_cr = 0;
-    r->given |= text[0] != '\0';
-    if (!r->have_header) {
-        take_header_cell(r, text);
+    r->has_value |= text[0] != '\0';
+    if (!r->has_header) {
+        add_header_cell(r, text);
         g_free(text);
     }
-    else if (r->col < r->n_map) {
-        r->cells.cells[r->map[r->col]] = text;
+    else if (r->col < r->n_columns) {
+        r->cells.cells[r->columns[r->col]] = text;
     }
     else {
         if (text[0]) {
-            Fw_Sheet_Error(r->plan, r->row, "(beyond the header)", text,
-                           "no more cells than the header has");
+            Fw_Sheet_AddError(r->plan, r->row, "(beyond the header)", text,
+                              "no more cells than the header has");
         }
         g_free(text);
     }
@@ -95,7 +96,7 @@
 }
 
 static void
-clear_cells(struct reader *r)
+clear_cells(struct csv_reader *r)
 {
     for (int i = 0; i < FW_COLUMNS; i++) {
         g_free(r->cells.cells[i]);
@@ -104,26 +105,30 @@
 }
 
 static void
-end_row(struct reader *r)
+end_row(struct csv_reader *r)
 {
-    if (!r->have_header && r->col > 0) {
-        r->have_header = 1;
+    if (!r->has_header && r->col > 0) {
+        r->has_header = 1;
     }
-    else if (r->given) {
+    else if (r->has_value) {
         r->cells.row = r->row;
-        Fw_Sheet_TakeRow(r->plan, &r->cells);
+        Fw_Sheet_AddRow(r->plan, &r->cells);
     }
     clear_cells(r);
     r->row++;
     r->col = 0;
-    r->given = 0;
+    r->has_value = 0;
 }
 
-/* Called for CR and LF each, so that blank rows count as in the sheet. */
+/*
+ * End of a row, or of the file if @c is -1. libcsv calls this for a blank line
+ * too, and for CR and LF separately. CRLF is counted once, so that row numbers
+ * match those of the spreadsheet.
+ */
 static void
 on_row(int c, void *ctx)
 {
-    struct reader *r = ctx;
+    struct csv_reader *r = ctx;
 
     if (c == '\n' && r->after_cr && r->col == 0) {
         r->after_cr = 0;
@@ -135,7 +140,7 @@
     }
 }
 
-/* The one of comma and semicolon that the header has more of. */
+/* Returns ';' if the header row has more semicolons than commas, else ','. */
 static char
 find_delimiter(const char *data, size_t len)
 {
@@ -150,19 +155,20 @@
 }
 
 static void
-parse(struct reader *r, const char *data, size_t len)
+parse_csv(struct csv_reader *r, const char *data, size_t len)
 {
     struct csv_parser csv;
 
     if (csv_init(&csv, CSV_STRICT | CSV_STRICT_FINI | CSV_REPALL_NL)) {
-        Fw_Sheet_Error(r->plan, 0, "", "no memory", "");
+        Fw_Sheet_AddError(r->plan, 0, "", "no memory", "");
         return;
     }
     csv_set_delim(&csv, (unsigned char)find_delimiter(data, len));
     if (csv_parse(&csv, data, len, on_cell, on_row, r) != len ||
         csv_fini(&csv, on_cell, on_row, r)) {
-        Fw_Sheet_Error(r->plan, r->row, "(row)", "a quote that does not fit",
-                       "quotes around a whole cell, doubled inside");
+        Fw_Sheet_AddError(r->plan, r->row, "(row)",
+                          "a quote that does not fit",
+                          "quotes around a whole cell, doubled inside");
     }
     clear_cells(r);
     csv_free(&csv);
@@ -172,22 +178,23 @@
 Fw_Sheet_ReadCsv(struct fw_sheet_plan *plan, const char *data, size_t len)
 {
     static const char bom[] = "\xef\xbb\xbf";
-    struct reader r = {.plan = plan, .row = 1};
+    struct csv_reader r = {.plan = plan, .row = 1};
 
     if (len >= 3 && memcmp(data, bom, 3) == 0) {
         data += 3;
         len -= 3;
     }
     if (len > FW_SHEET_BYTES_MAX) {
-        Fw_Sheet_Error(plan, 0, "(file)", "too large", "at most 4 MiB");
+        Fw_Sheet_AddError(plan, 0, "(file)", "too large", "at most 4 MiB");
         return;
     }
     if (!g_utf8_validate(data, (gssize)len, NULL)) {
-        Fw_Sheet_Error(plan, 0, "(file)", "not UTF-8", "CSV saved as UTF-8");
+        Fw_Sheet_AddError(plan, 0, "(file)", "not UTF-8",
+                          "CSV saved as UTF-8");
         return;
     }
-    parse(&r, data, len);
-    if (!r.have_header) {
-        Fw_Sheet_Error(plan, 1, "(row)", "nothing", "a header row");
+    parse_csv(&r, data, len);
+    if (!r.has_header) {
+        Fw_Sheet_AddError(plan, 1, "(row)", "nothing", "a header row");
     }
 }
--- a/src/operate/sheet_write.c
+++ b/src/operate/sheet_write.c
@@ -1,34 +1,34 @@
-/* What is in force as a sheet. */
+/* Exports the configuration in force as CSV. */
 
 #include "operate/sheet_internal.h"
 
-/** struct line - one row being written, cell by cell. */
-struct line {
+/** struct csv_row - the cells of one output row, by column. */
+struct csv_row {
     GString *cells[FW_COLUMNS];
 };
 
 static void
-begin(struct line *line, const char *kind, const char *name)
+begin_row(struct csv_row *row, const char *kind, const char *name)
 {
     for (int i = 0; i < FW_COLUMNS; i++) {
-        g_string_truncate(line->cells[i], 0);
+        g_string_truncate(row->cells[i], 0);
     }
-    g_string_assign(line->cells[FW_COL_KIND], kind);
-    g_string_assign(line->cells[FW_COL_NAME], name);
+    g_string_assign(row->cells[FW_COL_KIND], kind);
+    g_string_assign(row->cells[FW_COL_NAME], name);
 }
 
 static void
-put_number(struct line *line, enum fw_sheet_column col, int64_t n)
+put_number(struct csv_row *row, enum fw_sheet_column col, int64_t n)
 {
-    g_string_printf(line->cells[col], "%" G_GINT64_FORMAT, n);
+    g_string_printf(row->cells[col], "%" G_GINT64_FORMAT, n);
 }
 
-/* Quoted only where needed: names hold no quotes, commas or line ends. */
+/* Cells need no quoting: no value has a quote, comma or newline. */
 static void
-end(struct line *line, GString *out)
+end_row(struct csv_row *row, GString *out)
 {
     for (int i = 0; i < FW_COLUMNS; i++) {
-        const GString *cell = line->cells[i];
+        const GString *cell = row->cells[i];
 
         if (i > 0) {
             g_string_append_c(out, ',');
@@ -41,13 +41,13 @@
 }
 
 static void
-put_team(struct line *line, const struct fw_team *t)
+put_team(struct csv_row *row, const struct fw_team *t)
 {
-    GString *models = line->cells[FW_COL_MODELS];
+    GString *models = row->cells[FW_COL_MODELS];
 
-    put_number(line, FW_COL_RATE, t->rate);
-    put_number(line, FW_COL_BURST, t->burst);
-    put_number(line, FW_COL_PRIORITY, t->priority);
+    put_number(row, FW_COL_RATE, t->rate);
+    put_number(row, FW_COL_BURST, t->burst);
+    put_number(row, FW_COL_PRIORITY, t->priority);
     g_string_assign(models, t->n_models ? "" : "all");
     for (int i = 0; i < t->n_models; i++) {
         g_string_append_printf(models, "%s%s", i ? " " : "", t->models[i]);
@@ -55,13 +55,13 @@
 }
 
 static void
-put_pool(struct line *line, const struct fw_pool *p)
+put_pool(struct csv_row *row, const struct fw_pool *p)
 {
-    GString *serves = line->cells[FW_COL_SERVES];
+    GString *serves = row->cells[FW_COL_SERVES];
 
-    put_number(line, FW_COL_PREFILL_MIN, p->prefill_min);
-    put_number(line, FW_COL_DECODE_MIN, p->decode_min);
-    put_number(line, FW_COL_KV_BYTES, p->kv_bytes_per_token);
+    put_number(row, FW_COL_PREFILL_MIN, p->prefill_min);
+    put_number(row, FW_COL_DECODE_MIN, p->decode_min);
+    put_number(row, FW_COL_KV_BYTES, p->kv_bytes_per_token);
     for (int i = 0; i < p->n_serves; i++) {
         const struct fw_serving *s = &p->serves[i];
 
@@ -72,39 +72,38 @@
 }
 
 static void
-put_upstream(struct line *line, const struct fw_upstream *u)
+put_upstream(struct csv_row *row, const struct fw_upstream *u)
 {
     static const char *const roles[] = {"prefill", "decode", "service"};
 
-    g_string_assign(line->cells[FW_COL_POOL], u->pool);
-    g_string_assign(line->cells[FW_COL_ROLE], roles[u->role]);
-    g_string_assign(line->cells[FW_COL_DRAINED], u->drained ? "yes" : "no");
+    g_string_assign(row->cells[FW_COL_POOL], u->pool);
+    g_string_assign(row->cells[FW_COL_ROLE], roles[u->role]);
+    g_string_assign(row->cells[FW_COL_DRAINED], u->drained ? "yes" : "no");
 }
 
 static void
-put_key(struct line *line, const struct fw_key *k)
+put_key(struct csv_row *row, const struct fw_key *k)
 {
-    g_string_assign(line->cells[FW_COL_TEAM], k->team);
-    g_string_assign(line->cells[FW_COL_WITHDRAWN],
-                    k->withdrawn ? "yes" : "no");
+    g_string_assign(row->cells[FW_COL_TEAM], k->team);
+    g_string_assign(row->cells[FW_COL_WITHDRAWN], k->withdrawn ? "yes" : "no");
 }
 
 static void
-put_item(struct line *line, const struct fw_config *cfg,
+put_item(struct csv_row *row, const struct fw_config *cfg,
          enum fw_item_kind kind, const char *name)
 {
     switch (kind) {
     case FW_ITEM_TEAM:
-        put_team(line, Fw_Config_Team(cfg, name));
+        put_team(row, Fw_Config_Team(cfg, name));
         break;
     case FW_ITEM_POOL:
-        put_pool(line, Fw_Config_Pool(cfg, name));
+        put_pool(row, Fw_Config_Pool(cfg, name));
         break;
     case FW_ITEM_UPSTREAM:
-        put_upstream(line, Fw_Config_Upstream(cfg, name));
+        put_upstream(row, Fw_Config_Upstream(cfg, name));
         break;
     case FW_ITEM_KEY:
-        put_key(line, g_hash_table_lookup(cfg->keys, name));
+        put_key(row, g_hash_table_lookup(cfg->keys, name));
         break;
     case FW_ITEM_SERVICE:
     case FW_ITEM_OPERATOR:
@@ -115,7 +114,7 @@
 }
 
 static void
-put_kind(struct line *line, const struct fw_config *cfg,
+put_kind(struct csv_row *row, const struct fw_config *cfg,
          enum fw_item_kind kind, GString *out)
 {
     GPtrArray *names = Fw_Config_ItemNames(cfg, kind);
@@ -123,9 +122,9 @@
     for (unsigned i = 0; i < names->len; i++) {
         const char *name = g_ptr_array_index(names, i);
 
-        begin(line, Fw_Item_KindName(kind), name);
-        put_item(line, cfg, kind, name);
-        end(line, out);
+        begin_row(row, Fw_Item_KindName(kind), name);
+        put_item(row, cfg, kind, name);
+        end_row(row, out);
     }
     g_ptr_array_unref(names);
 }
@@ -134,24 +133,24 @@
 Fw_Sheet_Write(const struct fw_config *cfg)
 {
     GString *out = g_string_new(NULL);
-    struct line line;
+    struct csv_row row;
     char version[24];
 
     for (int i = 0; i < FW_COLUMNS; i++) {
-        line.cells[i] =
+        row.cells[i] =
             g_string_new(Fw_Sheet_ColumnName((enum fw_sheet_column)i));
     }
-    end(&line, out);
+    end_row(&row, out);
     g_snprintf(version, sizeof(version), "%" G_GUINT64_FORMAT,
                cfg->offset - 1);
-    begin(&line, "sheet", version);
-    end(&line, out);
-    put_kind(&line, cfg, FW_ITEM_TEAM, out);
-    put_kind(&line, cfg, FW_ITEM_POOL, out);
-    put_kind(&line, cfg, FW_ITEM_UPSTREAM, out);
-    put_kind(&line, cfg, FW_ITEM_KEY, out);
+    begin_row(&row, "sheet", version);
+    end_row(&row, out);
+    put_kind(&row, cfg, FW_ITEM_TEAM, out);
+    put_kind(&row, cfg, FW_ITEM_POOL, out);
+    put_kind(&row, cfg, FW_ITEM_UPSTREAM, out);
+    put_kind(&row, cfg, FW_ITEM_KEY, out);
     for (int i = 0; i < FW_COLUMNS; i++) {
-        g_string_free(line.cells[i], TRUE);
+        g_string_free(row.cells[i], TRUE);
     }
     return g_string_free(out, FALSE);
 }
--- a/tests/operate/test_sheet.c
+++ b/tests/operate/test_sheet.c
@@ -58,11 +58,11 @@
     for (unsigned i = 0; i < plan->rows->len && !plan->n_errors; i++) {
         const struct fw_sheet_row *r = g_ptr_array_index(plan->rows, i);
 
-        if (r->fate != FW_ROW_SAME) {
+        if (r->action != FW_ROW_UNCHANGED) {
             g_string_append_printf(out, "%c%s\n",
-                                   r->fate == FW_ROW_KEPT  ? '='
-                                   : r->fate == FW_ROW_ADD ? '+'
-                                                           : '~',
+                                   r->action == FW_ROW_KEEP_CURRENT ? '='
+                                   : r->action == FW_ROW_ADD        ? '+'
+                                                                    : '~',
                                    r->name);
         }
     }
@@ -164,8 +164,9 @@
 #define FW_CHANGE(items)                                                      \
     "{\"v\":1,\"id\":\"x\",\"who\":\"bruno\",\"at\":\"t\",\"items\":[" items  \
     "]}"
-#define FW_A(was, value)                                                      \
-    "{\"kind\":\"team\",\"name\":\"a\",\"was\":" was ",\"value\":" value "}"
+#define FW_A(current_version, value)                                          \
+    "{\"kind\":\"team\",\"name\":\"a\",\"was\":" current_version              \
+    ",\"value\":" value "}"
 #define FW_KEY(value)                                                         \
     "{\"kind\":\"key\",\"name\":\"" FW_DIGEST "\",\"was\":3,\"value\":" value \
     "}"
