--- a/src/ctl/change.c
+++ b/src/ctl/change.c
@@ -1,4 +1,4 @@
-/* Changes: built, sent, and waited for. */
+/* Builds and sends changes, and waits for them to be in force. */
 #include <errno.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "ctl/ctl.h"
 
-#define FW_CTL_TRIES 3
+#define FW_CTL_ATTEMPTS_MAX 3
 
 static void
 random_hex(char *out, size_t bytes)
@@ -15,7 +15,7 @@
 
     g_assert(bytes <= sizeof(raw));
     if (getrandom(raw, bytes, 0) != (ssize_t)bytes) {
-        g_error("no random numbers");
+        g_error("getrandom failed");
     }
     for (size_t i = 0; i < bytes; i++) {
         g_snprintf(out + 2 * i, 3, "%02x", raw[i]);
@@ -23,7 +23,7 @@
 }
 
 void
-Fw_Ctl_NewId(char *id)
+Fw_Ctl_NewChangeId(char *id)
 {
     g_strlcpy(id, "c-", FW_CHANGE_ID_MAX);
     random_hex(id + 2, 8);
@@ -39,27 +39,28 @@
 }
 
 int
-Fw_Ctl_LoadItem(struct fw_ctl *ctl, enum fw_item_kind kind, const char *name,
-                uint64_t *was, JsonObject **value)
+Fw_Ctl_FetchItem(struct fw_ctl *ctl, enum fw_item_kind kind, const char *name,
+                 uint64_t *item_version, JsonObject **value)
 {
     char *esc = g_uri_escape_string(name, NULL, TRUE);
     char *path =
         g_strdup_printf("/v1/show/%ss?name=%s", Fw_Item_KindName(kind), esc);
-    struct fw_reply reply;
+    struct fw_response resp;
     JsonArray *rows;
     int rc;
 
-    *was = 0;
+    *item_version = 0;
     *value = NULL;
-    Fw_Ctl_CallAny(ctl, "GET", path, NULL, 0, &reply);
-    rc = Fw_Reply_Check(&reply);
-    if (rc == 0 && reply.json) {
-        rows = json_object_get_array_member(json_node_get_object(reply.json),
+    Fw_Ctl_CallAny(ctl, "GET", path, NULL, 0, &resp);
+    rc = Fw_Response_Check(&resp);
+    if (rc == 0 && resp.json) {
+        rows = json_object_get_array_member(json_node_get_object(resp.json),
                                             "rows");
         if (rows && json_array_get_length(rows) > 0) {
             JsonObject *row = json_array_get_object_element(rows, 0);
 
-            *was = (uint64_t)json_object_get_int_member(row, "version");
+            *item_version =
+                (uint64_t)json_object_get_int_member(row, "version");
             *value =
                 json_object_ref(json_object_get_object_member(row, "value"));
         }
@@ -67,14 +68,14 @@
     if (!*value) {
         *value = json_object_new();
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     g_free(path);
     g_free(esc);
     return rc;
 }
 
 static JsonNode *
-models_of(const char *text)
+parse_models(const char *text)
 {
     char **names = g_strsplit(text, ",", -1);
     JsonNode *node = json_node_new(JSON_NODE_ARRAY);
@@ -91,7 +92,7 @@
 }
 
 static JsonNode *
-serves_of(const char *text)
+parse_serves(const char *text)
 {
     char **all = g_strsplit(text, ",", -1);
     JsonNode *node = json_node_new(JSON_NODE_ARRAY);
@@ -126,145 +127,145 @@
         return 0;
     case FW_OPT_NUMBER:
         if (!g_ascii_string_to_signed(text, 10, 0, G_MAXINT64, &n, NULL)) {
-            fprintf(stderr, "fuchsiaward: --%s is %s, allowed: whole number\n",
+            fprintf(stderr, "fuchsiaward: --%s: '%s' is not a whole number\n",
                     o->name, text);
             return -EINVAL;
         }
         json_object_set_int_member(value, o->member, n);
         return 0;
     case FW_OPT_MODELS:
-        json_object_set_member(value, o->member, models_of(text));
+        json_object_set_member(value, o->member, parse_models(text));
         return 0;
     case FW_OPT_SERVES:
-        json_object_set_member(value, o->member, serves_of(text));
+        json_object_set_member(value, o->member, parse_serves(text));
         return 0;
     }
     return -EINVAL;
 }
 
 int
-Fw_Ctl_SetMembers(const struct fw_verb *verb, const struct fw_args *args,
+Fw_Ctl_SetMembers(const struct fw_subcommand *cmd, const struct fw_args *args,
                   JsonObject *value)
 {
-    for (int i = 0; verb->options && verb->options[i].name; i++) {
-        if (args->options[i] && verb->options[i].member &&
-            set_member(&verb->options[i], args->options[i], value)) {
+    for (int i = 0; cmd->options && cmd->options[i].name; i++) {
+        if (args->options[i] && cmd->options[i].member &&
+            set_member(&cmd->options[i], args->options[i], value)) {
             return -EINVAL;
         }
     }
     return 0;
 }
 
-/* Nonzero once @url has version @version in force. */
+/* Nonzero if @url has version @version or a later one in force. */
 static int
-in_force(struct fw_ctl *ctl, const char *url, gint64 version)
+has_version(struct fw_ctl *ctl, const char *url, gint64 version)
 {
-    struct fw_reply reply;
+    struct fw_response resp;
     int yes;
 
-    Fw_Ctl_Call(ctl, url, "GET", "/v1/version", NULL, 0, &reply);
-    yes = reply.json &&
+    Fw_Ctl_Call(ctl, url, "GET", "/v1/version", NULL, 0, &resp);
+    yes = resp.json &&
           json_object_get_int_member_with_default(
-              json_node_get_object(reply.json), "version", -1) >= version;
-    Fw_Reply_Clear(&reply);
+              json_node_get_object(resp.json), "version", -1) >= version;
+    Fw_Response_Clear(&resp);
     return yes;
 }
 
-/* Asks those that lack the change again and again. */
+/* Polls the instances until all have the version or the wait is over. */
 static int
-wait_everywhere(struct fw_ctl *ctl, gint64 version, gint64 since_us)
+wait_all_instances(struct fw_ctl *ctl, gint64 version, gint64 start_us)
 {
-    gint64 until = since_us + (gint64)ctl->wait_s * G_USEC_PER_SEC;
-    unsigned have = 0;
+    gint64 deadline_us = start_us + (gint64)ctl->wait_s * G_USEC_PER_SEC;
+    unsigned n_ready = 0;
 
-    while (have < ctl->urls->len) {
-        if (in_force(ctl, g_ptr_array_index(ctl->urls, have), version)) {
-            have++;
+    while (n_ready < ctl->urls->len) {
+        if (has_version(ctl, g_ptr_array_index(ctl->urls, n_ready), version)) {
+            n_ready++;
             continue;
         }
-        if (g_get_monotonic_time() >= until) {
+        if (g_get_monotonic_time() >= deadline_us) {
             break;
         }
         g_usleep(10000);
     }
-    if (have == ctl->urls->len) {
-        fprintf(stderr, "in force on %u instances after %.3f s\n", have,
-                (double)(g_get_monotonic_time() - since_us) / G_USEC_PER_SEC);
+    if (n_ready == ctl->urls->len) {
+        fprintf(stderr, "in force on %u instances after %.3f s\n", n_ready,
+                (double)(g_get_monotonic_time() - start_us) / G_USEC_PER_SEC);
         return FW_EXIT_OK;
     }
-    for (unsigned i = have; i < ctl->urls->len; i++) {
+    for (unsigned i = n_ready; i < ctl->urls->len; i++) {
         const char *url = g_ptr_array_index(ctl->urls, i);
 
-        if (!in_force(ctl, url, version)) {
+        if (!has_version(ctl, url, version)) {
             fprintf(stderr, "fuchsiaward: not in force on %s\n", url);
         }
     }
-    return FW_EXIT_NOT_EVERYWHERE;
+    return FW_EXIT_WAIT_TIMEOUT;
 }
 
 /*
- * The answer of an instance can be lost after the change took effect. The
- * same id is sent again, and the fold applies an id once, so that the
- * operator learns the verdict and nothing happens twice.
+ * Retries with the same change id while the outcome is unknown. A change may
+ * have been applied although its response was lost; since an id is applied
+ * only once, retrying is safe and returns the verdict.
  */
 static void
-post(struct fw_ctl *ctl, const char *path, const char *body, gsize len,
-     struct fw_reply *reply)
+post_with_retry(struct fw_ctl *ctl, const char *path, const char *body,
+                gsize len, struct fw_response *resp)
 {
-    for (int i = 0; i < FW_CTL_TRIES; i++) {
-        Fw_Ctl_CallAny(ctl, "POST", path, body, len, reply);
-        if (!(reply->err && reply->sent) && reply->status != 504) {
+    for (int i = 0; i < FW_CTL_ATTEMPTS_MAX; i++) {
+        Fw_Ctl_CallAny(ctl, "POST", path, body, len, resp);
+        if (!(resp->err && resp->maybe_sent) && resp->status != 504) {
             return;
         }
-        if (i + 1 < FW_CTL_TRIES) {
-            Fw_Reply_Clear(reply);
+        if (i + 1 < FW_CTL_ATTEMPTS_MAX) {
+            Fw_Response_Clear(resp);
         }
     }
 }
 
 int
 Fw_Ctl_SendChange(struct fw_ctl *ctl, const char *path, const char *body,
-                  gsize len, struct fw_reply *reply)
+                  gsize len, struct fw_response *resp)
 {
-    gint64 since = g_get_monotonic_time();
+    gint64 start_us = g_get_monotonic_time();
     gint64 version = 0;
     int rc;
 
-    post(ctl, path, body, len, reply);
-    rc = Fw_Reply_Check(reply);
-    if (reply->json) {
+    post_with_retry(ctl, path, body, len, resp);
+    rc = Fw_Response_Check(resp);
+    if (resp->json) {
         version = json_object_get_int_member_with_default(
-            json_node_get_object(reply->json), "version", 0);
+            json_node_get_object(resp->json), "version", 0);
     }
     if (rc == 0 && !ctl->json) {
         fprintf(stderr, "accepted as version %" G_GINT64_FORMAT "\n", version);
     }
-    if (ctl->json && reply->body) {
-        puts(reply->body);
+    if (ctl->json && resp->body) {
+        puts(resp->body);
     }
     if (rc == 0 && ctl->wait_s >= 0) {
-        rc = wait_everywhere(ctl, version, since);
+        rc = wait_all_instances(ctl, version, start_us);
     }
     return rc;
 }
 
 int
 Fw_Ctl_SendItem(struct fw_ctl *ctl, enum fw_item_kind kind, const char *name,
-                uint64_t was, JsonObject *value)
+                uint64_t item_version, JsonObject *value)
 {
     JsonObject *body = json_object_new();
     JsonObject *item = json_object_new();
     JsonArray *items = json_array_new();
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
-    struct fw_reply reply;
+    struct fw_response resp;
     char id[FW_CHANGE_ID_MAX];
     char *text;
     int rc;
 
-    Fw_Ctl_NewId(id);
+    Fw_Ctl_NewChangeId(id);
     json_object_set_string_member(item, "kind", Fw_Item_KindName(kind));
     json_object_set_string_member(item, "name", name);
-    json_object_set_int_member(item, "was", (gint64)was);
+    json_object_set_int_member(item, "was", (gint64)item_version);
     if (value) {
         json_object_set_object_member(item, "value", value);
     }
@@ -276,11 +277,11 @@
     json_object_set_array_member(body, "items", items);
     json_node_take_object(node, body);
     text = json_to_string(node, FALSE);
-    rc = Fw_Ctl_SendChange(ctl, "/v1/change", text, strlen(text), &reply);
+    rc = Fw_Ctl_SendChange(ctl, "/v1/change", text, strlen(text), &resp);
     if (rc == FW_EXIT_UNKNOWN) {
         fprintf(stderr, "fuchsiaward: change id %s\n", id);
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     g_free(text);
     json_node_unref(node);
     return rc;
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -1,4 +1,4 @@
-/* fuchsiaward: the operators' tool. */
+/* fuchsiaward, the operators' command-line client. Private to src/ctl. */
 #ifndef FW_CTL_CTL_H
 #define FW_CTL_CTL_H
 
@@ -7,25 +7,28 @@
 
 #include "config/change.h"
 
-/* Exit statuses, see docs/operations/configuration.md. Usage is 64. */
+/* Exit statuses, besides EX_USAGE. docs/operations/configuration.md documents
+ * them. */
 #define FW_EXIT_OK 0
 #define FW_EXIT_FAILED 1
 #define FW_EXIT_CONFLICT 2
 #define FW_EXIT_INVALID 3
 #define FW_EXIT_NOT_APPLIED 4
 #define FW_EXIT_UNKNOWN 5
-#define FW_EXIT_NOT_EVERYWHERE 6
+#define FW_EXIT_WAIT_TIMEOUT 6
 #define FW_EXIT_DENIED 7
 
-#define FW_VERB_OPTIONS 8
-#define FW_VERB_ARGS 2
+#define FW_SUBCOMMAND_OPTIONS_MAX 8
+#define FW_SUBCOMMAND_OPERANDS_MAX 2
 
 /**
- * struct fw_ctl - what the command line gave in common.
- * @urls: operators' addresses of the instances, char *
- * @key: the operator's key
- * @json: print JSON as answered in place of tables
- * @wait_s: wait until a change is in force everywhere, -1 not to
+ * struct fw_ctl - settings common to all subcommands.
+ * @urls: base URLs of the instances' operator API, char *
+ * @key: the operator's key, or NULL
+ * @json: print JSON instead of tables
+ * @wait_s: how long to wait for a change to be in force on all instances, -1
+ *          not to wait
+ * @session: created by the first call
  */
 struct fw_ctl {
     GPtrArray *urls;
@@ -35,17 +38,19 @@
     SoupSession *session;
 };
 
-/** enum fw_option_type - how an option's text becomes JSON. */
+/** enum fw_option_type - how an option's argument is converted to JSON. */
 enum fw_option_type {
     FW_OPT_TEXT,
     FW_OPT_NUMBER,
-    FW_OPT_MODELS, /* names apart by commas, "all" for none */
-    FW_OPT_SERVES, /* model@version[+adapter] apart by commas */
+    FW_OPT_MODELS, /* comma-separated names; "all": an empty list */
+    FW_OPT_SERVES, /* comma-separated model@version[+adapter] */
 };
 
 /**
- * struct fw_option - an option of one verb.
- * @member: member of the item's value that it sets, or NULL
+ * struct fw_option - an option of a subcommand.
+ * @name: long option, without the dashes
+ * @arg: placeholder for the argument in the help text
+ * @member: member of the item's value that the option sets, or NULL
  */
 struct fw_option {
     const char *name;
@@ -55,134 +60,170 @@
     enum fw_option_type type;
 };
 
-/** struct fw_args - a verb's words and options, in the verb's order. */
+/**
+ * struct fw_args - parsed arguments of a subcommand.
+ * @options: by index in fw_subcommand.options; NULL if not given
+ */
 struct fw_args {
-    int n;
-    const char *words[FW_VERB_ARGS];
-    const char *options[FW_VERB_OPTIONS];
+    int n_operands;
+    const char *operands[FW_SUBCOMMAND_OPERANDS_MAX];
+    const char *options[FW_SUBCOMMAND_OPTIONS_MAX];
 };
 
 /**
- * struct fw_verb - a sub-command.
- * @words: e.g. "team set"
- * @min: words it takes at least; FW_VERB_ARGS at most
- * @path: what it asks for, of queries
- * @kind: items that it is about, of commands
- * @options: closed by one without a name; may be NULL
+ * struct fw_subcommand - a subcommand.
+ * @name: one or two words, e.g. "audit" or "team set"
+ * @args_doc: operands, for the help text
+ * @max_operands: at most FW_SUBCOMMAND_OPERANDS_MAX
+ * @path: API path; NULL if the subcommand calls no instance
+ * @kind: kind of item it reads or changes, FW_ITEM_KINDS if none in particular
+ * @options: terminated by an entry without a name; may be NULL
  * @run: returns the exit status
  */
-struct fw_verb {
-    const char *words;
+struct fw_subcommand {
+    const char *name;
     const char *args_doc;
     const char *doc;
-    int min;
-    int max;
+    int min_operands;
+    int max_operands;
     const char *path;
     enum fw_item_kind kind;
     const struct fw_option *options;
-    int (*run)(struct fw_ctl *ctl, const struct fw_verb *verb,
+    int (*run)(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                const struct fw_args *args);
 };
 
-/* Closed by one without words; queries.c and commands.c hold them. */
-extern const struct fw_verb Fw_Ctl_Queries[];
-extern const struct fw_verb Fw_Ctl_Commands[];
+/* Terminated by an entry without a name. */
+extern const struct fw_subcommand Fw_Ctl_Queries[];
+extern const struct fw_subcommand Fw_Ctl_Commands[];
 
-/* The verb that @a and @b name; @used: 1 or 2 words of them. */
-const struct fw_verb *
-Fw_Ctl_FindVerb(const char *a, const char *b, int *used);
-/* The tool, with the arguments of main. Return: the exit status. */
+/**
+ * Fw_Ctl_FindSubcommand - finds a subcommand by its name.
+ * @first, @second: the first two arguments; @second may be NULL
+ * @used: set to the number of arguments that form the name, 1 or 2
+ *
+ * Return: the subcommand, or NULL if there is none.
+ */
+const struct fw_subcommand *
+Fw_Ctl_FindSubcommand(const char *first, const char *second, int *used);
+/* Runs the client with the arguments of main(). Return: the exit status. */
 int
 Fw_Ctl_Main(int argc, char **argv);
 
-/* Reads "operators" and, if there is one, "operator_key". 0 or -EINVAL. */
+/*
+ * Adds the URLs in "operators" of a fleet.json to @ctl->urls, and takes
+ * "operator_key" unless a key is set. Return: 0 or -EINVAL.
+ */
 int
 Fw_Ctl_LoadFleet(struct fw_ctl *ctl, const char *file);
+/* Releases all members. */
 void
 Fw_Ctl_Clear(struct fw_ctl *ctl);
 
 /*
- * Prints what the logs in @files, apart by commas, say of request @id, in
- * the order of time. Return: the exit status.
+ * Prints the entries about request @id from saved log files, sorted by time.
+ * @files is a comma-separated list. Return: the exit status.
  */
 int
 Fw_Ctl_ExplainLogs(const char *files, const char *id);
 
 /**
- * struct fw_reply - an answer; @err is nonzero when none came.
- * @sent: the call may have reached the instance
+ * struct fw_response - the response to a call.
+ * @err: negative errno if there was no response, else 0
+ * @maybe_sent: if @err: the request may have reached an instance
+ * @status: HTTP status
+ * @json: the body, NULL unless it is a JSON object
  */
-struct fw_reply {
+struct fw_response {
     int err;
-    int sent;
+    int maybe_sent;
     int status;
     char *body;
     gsize len;
-    JsonNode *json; /* NULL when the body is no JSON */
+    JsonNode *json;
 };
 
-/* One call to one instance; @body may be NULL. */
+/*
+ * Calls one instance and overwrites @resp, to be released with
+ * Fw_Response_Clear(). @body may be NULL.
+ */
 void
 Fw_Ctl_Call(struct fw_ctl *ctl, const char *url, const char *method,
             const char *path, const char *body, gsize len,
-            struct fw_reply *reply);
+            struct fw_response *resp);
 void
-Fw_Reply_Clear(struct fw_reply *reply);
-/* The same to the first instance that answers. */
+Fw_Response_Clear(struct fw_response *resp);
+/*
+ * Calls the instances in turn until one responds, and overwrites @resp, to be
+ * released with Fw_Response_Clear(). @body may be NULL.
+ */
 void
 Fw_Ctl_CallAny(struct fw_ctl *ctl, const char *method, const char *path,
-               const char *body, gsize len, struct fw_reply *reply);
-/* Says on stderr what went wrong. Return: an exit status, 0 when nothing. */
+               const char *body, gsize len, struct fw_response *resp);
+/* Prints an error to stderr if the call failed. Return: the exit status. */
 int
-Fw_Reply_Check(const struct fw_reply *reply);
-/* A member of the answer's object, or @dflt. */
+Fw_Response_Check(const struct fw_response *resp);
+/* A string member of the response's JSON object, or @dflt. */
 const char *
-Fw_Reply_Text(const struct fw_reply *reply, const char *name,
-              const char *dflt);
+Fw_Response_Text(const struct fw_response *resp, const char *name,
+                 const char *dflt);
 
-/* Prints rows as a table, or as JSON. */
+/* Prints an array of objects as a table or, with @ctl->json, as JSON. */
 void
 Fw_Ctl_PrintRows(const struct fw_ctl *ctl, JsonArray *rows);
-/* A cell: text, number, list. A new string. */
+/* Formats a JSON value as a table cell; a new string. */
 char *
-Fw_Ctl_CellText(JsonNode *node);
+Fw_Ctl_FormatCell(JsonNode *node);
 
-/* The item in force; @value is a new object, empty when there is none. */
+/**
+ * Fw_Ctl_FetchItem - gets an item from the configuration in force.
+ * @item_version: set to the version that last changed it, 0 if there is none
+ * @value: set to a new object, also on error; empty if there is no item
+ *
+ * Return: the exit status.
+ */
 int
-Fw_Ctl_LoadItem(struct fw_ctl *ctl, enum fw_item_kind kind, const char *name,
-                uint64_t *was, JsonObject **value);
-/* Sets members of @value from options. 0 or -EINVAL, said on stderr. */
+Fw_Ctl_FetchItem(struct fw_ctl *ctl, enum fw_item_kind kind, const char *name,
+                 uint64_t *item_version, JsonObject **value);
+/* Sets members of @value from options. Return: 0, or -EINVAL after printing
+ * an error. */
 int
-Fw_Ctl_SetMembers(const struct fw_verb *verb, const struct fw_args *args,
+Fw_Ctl_SetMembers(const struct fw_subcommand *cmd, const struct fw_args *args,
                   JsonObject *value);
 /**
- * Fw_Ctl_SendItem - one item as a change.
- * @value: taken over; NULL removes the item
+ * Fw_Ctl_SendItem - sends a change of one item.
+ * @item_version: version the change is based on, 0 to create the item
+ * @value: new value, taken over; NULL removes the item
+ *
+ * Return: the exit status.
  */
 int
 Fw_Ctl_SendItem(struct fw_ctl *ctl, enum fw_item_kind kind, const char *name,
-                uint64_t was, JsonObject *value);
-/* Posts, tries again under the same id where the outcome is unknown, waits
- * where asked to. */
+                uint64_t item_version, JsonObject *value);
+/*
+ * Posts a change, and posts it again with the same id if the outcome is
+ * unknown. Then waits as @ctl->wait_s says. @resp is overwritten, to be
+ * released with Fw_Response_Clear(). Return: the exit status.
+ */
 int
 Fw_Ctl_SendChange(struct fw_ctl *ctl, const char *path, const char *body,
-                  gsize len, struct fw_reply *reply);
-/* A change id; @id of FW_CHANGE_ID_MAX bytes. */
+                  gsize len, struct fw_response *resp);
+/* Generates a change id; @id has FW_CHANGE_ID_MAX bytes. */
 void
-Fw_Ctl_NewId(char *id);
-/* A new random key. A new string. */
+Fw_Ctl_NewChangeId(char *id);
+/* Generates a random key; a new string. */
 char *
 Fw_Ctl_NewKey(void);
 
-/* sheet_verbs.c */
+/* Implementations of the "sheet" subcommands. */
 int
-Fw_Ctl_SheetExport(struct fw_ctl *ctl, const struct fw_verb *verb,
+Fw_Ctl_SheetExport(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                    const struct fw_args *args);
 int
-Fw_Ctl_SheetCheck(struct fw_ctl *ctl, const struct fw_verb *verb,
+Fw_Ctl_SheetCheck(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                   const struct fw_args *args);
 int
-Fw_Ctl_SheetApply(struct fw_ctl *ctl, const struct fw_verb *verb,
+Fw_Ctl_SheetApply(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                   const struct fw_args *args);
 
 #endif
--- a/src/ctl/http.c
+++ b/src/ctl/http.c
@@ -1,20 +1,21 @@
-/* Calls to the instances, one at a time. */
+/* Synchronous HTTP calls to the instances. */
 #include <errno.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "ctl/ctl.h"
 
-#define FW_CTL_TIMEOUT_S 15 /* an instance answers a command within 8 s */
+#define FW_CTL_TIMEOUT_S 15 /* above FW_OPERATE_VERDICT_TIMEOUT_US */
 
 void
-Fw_Reply_Clear(struct fw_reply *reply)
+Fw_Response_Clear(struct fw_response *resp)
 {
-    g_clear_pointer(&reply->json, json_node_unref);
-    g_free(reply->body);
-    *reply = (struct fw_reply){.err = 0};
+    g_clear_pointer(&resp->json, json_node_unref);
+    g_free(resp->body);
+    *resp = (struct fw_response){.err = 0};
 }
 
+/* Nonzero if the request can't have reached the instance. */
 static int
 never_connected(const GError *error)
 {
@@ -26,15 +27,16 @@
                            G_RESOLVER_ERROR_NOT_FOUND);
 }
 
+/* Sets the body from @bytes, which is taken over. */
 static void
-take_body(struct fw_reply *reply, GBytes *bytes)
+set_body(struct fw_response *resp, GBytes *bytes)
 {
-    const char *data = g_bytes_get_data(bytes, &reply->len);
+    const char *data = g_bytes_get_data(bytes, &resp->len);
 
-    reply->body = g_strndup(data ? data : "", reply->len);
-    reply->json = json_from_string(reply->body, NULL);
-    if (reply->json && !JSON_NODE_HOLDS_OBJECT(reply->json)) {
-        g_clear_pointer(&reply->json, json_node_unref);
+    resp->body = g_strndup(data ? data : "", resp->len);
+    resp->json = json_from_string(resp->body, NULL);
+    if (resp->json && !JSON_NODE_HOLDS_OBJECT(resp->json)) {
+        g_clear_pointer(&resp->json, json_node_unref);
     }
     g_bytes_unref(bytes);
 }
@@ -42,15 +44,15 @@
 void
 Fw_Ctl_Call(struct fw_ctl *ctl, const char *url, const char *method,
             const char *path, const char *body, gsize len,
-            struct fw_reply *reply)
+            struct fw_response *resp)
 {
-    char *whole = g_strconcat(url, path, NULL);
-    SoupMessage *msg = soup_message_new(method, whole);
+    char *uri = g_strconcat(url, path, NULL);
+    SoupMessage *msg = soup_message_new(method, uri);
     GError *error = NULL;
     GBytes *bytes;
 
-    *reply = (struct fw_reply){.err = -EINVAL};
-    g_free(whole);
+    *resp = (struct fw_response){.err = -EINVAL};
+    g_free(uri);
     if (!msg) {
         return;
     }
@@ -65,24 +67,24 @@
                                      "Authorization", auth);
         g_free(auth);
     }
-    /* A key must not follow a redirect elsewhere. */
+    /* Following a redirect would send the key to another host. */
     soup_message_add_flags(msg, SOUP_MESSAGE_NO_REDIRECT);
     if (body) {
-        GBytes *sent = g_bytes_new(body, len);
+        GBytes *payload = g_bytes_new(body, len);
 
         soup_message_set_request_body_from_bytes(msg, "application/json",
-                                                 sent);
-        g_bytes_unref(sent);
+                                                 payload);
+        g_bytes_unref(payload);
     }
     bytes = soup_session_send_and_read(ctl->session, msg, NULL, &error);
     if (bytes) {
-        reply->err = 0;
-        reply->status = (int)soup_message_get_status(msg);
-        take_body(reply, bytes);
+        resp->err = 0;
+        resp->status = (int)soup_message_get_status(msg);
+        set_body(resp, bytes);
     }
     else {
-        reply->err = -EIO;
-        reply->sent = !never_connected(error);
+        resp->err = -EIO;
+        resp->maybe_sent = !never_connected(error);
         g_error_free(error);
     }
     g_object_unref(msg);
@@ -90,29 +92,30 @@
 
 void
 Fw_Ctl_CallAny(struct fw_ctl *ctl, const char *method, const char *path,
-               const char *body, gsize len, struct fw_reply *reply)
+               const char *body, gsize len, struct fw_response *resp)
 {
-    int sent = 0;
+    int maybe_sent = 0;
 
-    *reply = (struct fw_reply){.err = -EINVAL};
+    *resp = (struct fw_response){.err = -EINVAL};
     for (unsigned i = 0; i < ctl->urls->len; i++) {
-        Fw_Reply_Clear(reply);
+        Fw_Response_Clear(resp);
         Fw_Ctl_Call(ctl, g_ptr_array_index(ctl->urls, i), method, path, body,
-                    len, reply);
-        sent |= reply->sent;
-        if (reply->err == 0) {
+                    len, resp);
+        maybe_sent |= resp->maybe_sent;
+        if (resp->err == 0) {
             return;
         }
     }
-    reply->sent = sent;
+    resp->maybe_sent = maybe_sent;
 }
 
 const char *
-Fw_Reply_Text(const struct fw_reply *reply, const char *name, const char *dflt)
+Fw_Response_Text(const struct fw_response *resp, const char *name,
+                 const char *dflt)
 {
     JsonNode *node =
-        reply->json
-            ? json_object_get_member(json_node_get_object(reply->json), name)
+        resp->json
+            ? json_object_get_member(json_node_get_object(resp->json), name)
             : NULL;
 
     if (!node || !JSON_NODE_HOLDS_VALUE(node) ||
@@ -123,31 +126,31 @@
 }
 
 static const char *
-error_message(const struct fw_reply *reply)
+error_message(const struct fw_response *resp)
 {
-    JsonObject *obj = reply->json ? json_node_get_object(reply->json) : NULL;
+    JsonObject *obj = resp->json ? json_node_get_object(resp->json) : NULL;
     JsonNode *node = obj ? json_object_get_member(obj, "error") : NULL;
 
     if (node && JSON_NODE_HOLDS_OBJECT(node)) {
         return json_object_get_string_member_with_default(
             json_node_get_object(node), "message", "");
     }
-    return Fw_Reply_Text(reply, "why", "");
+    return Fw_Response_Text(resp, "why", "");
 }
 
 int
-Fw_Reply_Check(const struct fw_reply *reply)
+Fw_Response_Check(const struct fw_response *resp)
 {
-    if (reply->err) {
-        fprintf(stderr, "fuchsiaward: no instance answers\n");
-        return reply->sent ? FW_EXIT_UNKNOWN : FW_EXIT_NOT_APPLIED;
+    if (resp->err) {
+        fprintf(stderr, "fuchsiaward: no instance responded\n");
+        return resp->maybe_sent ? FW_EXIT_UNKNOWN : FW_EXIT_NOT_APPLIED;
     }
-    if (reply->status == 200) {
+    if (resp->status == 200) {
         return 0;
     }
-    fprintf(stderr, "fuchsiaward: %s (HTTP status %d)\n", error_message(reply),
-            reply->status);
-    switch (reply->status) {
+    fprintf(stderr, "fuchsiaward: %s (HTTP status %d)\n", error_message(resp),
+            resp->status);
+    switch (resp->status) {
     case 401:
         return FW_EXIT_DENIED;
     case 409:
--- a/src/ctl/log_file.c
+++ b/src/ctl/log_file.c
@@ -1,12 +1,12 @@
-/* Decisions about a request, from saved logs of one or several instances. */
+/* Traces a request in saved log files of one or more instances. */
 #include <stdio.h>
 #include <string.h>
 
 #include "ctl/ctl.h"
 
-/* A line that mentions the request and can be read, or NULL. */
+/* Parses a log line; NULL if it is malformed or about another request. */
 static JsonNode *
-row_of(const char *line, const char *id)
+parse_row(const char *line, const char *id)
 {
     JsonNode *node;
     JsonObject *obj;
@@ -28,9 +28,9 @@
     return node;
 }
 
-/* Return: 0, or -1 when @path can't be read: that is told. */
+/* Return: 0, or -1 after printing an error if @path can't be read. */
 static int
-read_file(const char *path, const char *id, GPtrArray *rows)
+read_log_file(const char *path, const char *id, GPtrArray *rows)
 {
     GError *error = NULL;
     char *text;
@@ -43,7 +43,7 @@
     }
     lines = g_strsplit(text, "\n", 0);
     for (char **l = lines; *l; l++) {
-        JsonNode *node = row_of(*l, id);
+        JsonNode *node = parse_row(*l, id);
 
         if (node) {
             g_ptr_array_add(rows, node);
@@ -55,7 +55,7 @@
 }
 
 static gint
-by_ts(gconstpointer a, gconstpointer b)
+compare_timestamps(gconstpointer a, gconstpointer b)
 {
     JsonObject *x = json_node_get_object(*(JsonNode *const *)a);
     JsonObject *y = json_node_get_object(*(JsonNode *const *)b);
@@ -65,7 +65,7 @@
 }
 
 static int
-is_common(const char *name)
+is_header_field(const char *name)
 {
     static const char *const names[] = {"ts", "severity", "event", "instance",
                                         "id"};
@@ -91,9 +91,9 @@
            json_object_get_string_member_with_default(row, "event", ""));
     json_object_iter_init_ordered(&it, row);
     while (json_object_iter_next_ordered(&it, &name, &member)) {
-        char *text = Fw_Ctl_CellText(member);
+        char *text = Fw_Ctl_FormatCell(member);
 
-        if (!is_common(name) && text[0]) {
+        if (!is_header_field(name) && text[0]) {
             printf("  %s=%s", name, text);
         }
         g_free(text);
@@ -111,17 +111,17 @@
     int found;
 
     for (char **p = paths; *p; p++) {
-        bad |= read_file(*p, id, rows) != 0;
+        bad |= read_log_file(*p, id, rows) != 0;
     }
     g_strfreev(paths);
-    g_ptr_array_sort(rows, by_ts);
+    g_ptr_array_sort(rows, compare_timestamps);
     for (guint i = 0; i < rows->len; i++) {
         print_row(json_node_get_object(g_ptr_array_index(rows, i)));
     }
     found = rows->len > 0;
     g_ptr_array_unref(rows);
     if (!found && !bad) {
-        g_printerr("fuchsiaward: no line of these logs is about %s\n", id);
+        g_printerr("fuchsiaward: no log entries found for request %s\n", id);
     }
     return found && !bad ? FW_EXIT_OK : FW_EXIT_FAILED;
 }
--- a/src/ctl/parse.c
+++ b/src/ctl/parse.c
@@ -1,4 +1,4 @@
-/* The command line: common options, the verb, its words and options. */
+/* Command line: common options, the subcommand, its operands and options. */
 #include <argp.h>
 #include <errno.h>
 #include <stdio.h>
@@ -10,29 +10,30 @@
 
 const char *argp_program_version = "fuchsiaward 0.1";
 
-#define FW_KEY_OF_VERB 1000 /* keys of a verb's own options begin here */
+/* argp keys of a subcommand's own options start here. */
+#define FW_SUBCOMMAND_KEY_BASE 1000
 
 static const struct argp_option common_options[] = {
     {"instances", 'i', "URL,URL", 0,
-     "Operators' addresses of the instances (all of them for --wait)", 0},
-    {"fleet", 'f', "FILE", 0, "Take the addresses from a fleet.json", 0},
+     "URLs of the instances' operator API (--wait needs all of them)", 0},
+    {"fleet", 'f', "FILE", 0, "Read the URLs from a fleet.json", 0},
     {"key-file", 'k', "FILE", 0,
-     "File with the operator's key; else from FUCHSIAWARD_KEY", 0},
-    {"json", 'j', NULL, 0, "Print JSON in place of tables", 0},
+     "File with the operator's key (default: $FUCHSIAWARD_KEY)", 0},
+    {"json", 'j', NULL, 0, "Print JSON instead of tables", 0},
     {"wait", 'w', "SECONDS", OPTION_ARG_OPTIONAL,
-     "Wait until the change is in force on all instances (30)", 0},
+     "Wait until the change is in force on all instances (default: 30)", 0},
     {0},
 };
 
-/** struct parse - @words: the verb's name, while it is being read */
-struct parse {
+/** struct cli_parser - result of parsing; @cmd is NULL until it is found. */
+struct cli_parser {
     struct fw_ctl *ctl;
-    const struct fw_verb *verb;
+    const struct fw_subcommand *cmd;
     struct fw_args args;
 };
 
 static void
-set_urls(struct fw_ctl *ctl, const char *list)
+add_urls(struct fw_ctl *ctl, const char *list)
 {
     char **urls = g_strsplit(list, ",", -1);
 
@@ -98,13 +99,13 @@
 }
 
 static error_t
-common_option(int key, char *arg, struct argp_state *state)
+parse_common_option(int key, char *arg, struct argp_state *state)
 {
-    struct parse *p = state->input;
+    struct cli_parser *p = state->input;
 
     switch (key) {
     case 'i':
-        set_urls(p->ctl, arg);
+        add_urls(p->ctl, arg);
         return 0;
     case 'f':
         if (Fw_Ctl_LoadFleet(p->ctl, arg)) {
@@ -113,7 +114,7 @@
         return 0;
     case 'k':
         if (load_key(p->ctl, arg)) {
-            argp_error(state, "%s: can't be read", arg);
+            argp_error(state, "cannot read %s", arg);
         }
         return 0;
     case 'j':
@@ -128,46 +129,47 @@
 }
 
 static error_t
-verb_option(int key, char *arg, struct argp_state *state)
+parse_subcommand_option(int key, char *arg, struct argp_state *state)
 {
-    struct parse *p = state->input;
+    struct cli_parser *p = state->input;
 
-    if (key >= FW_KEY_OF_VERB && key < FW_KEY_OF_VERB + FW_VERB_OPTIONS) {
-        p->args.options[key - FW_KEY_OF_VERB] = arg;
+    if (key >= FW_SUBCOMMAND_KEY_BASE &&
+        key < FW_SUBCOMMAND_KEY_BASE + FW_SUBCOMMAND_OPTIONS_MAX) {
+        p->args.options[key - FW_SUBCOMMAND_KEY_BASE] = arg;
         return 0;
     }
     switch (key) {
     case ARGP_KEY_ARG:
-        if (p->args.n >= p->verb->max) {
+        if (p->args.n_operands >= p->cmd->max_operands) {
             argp_usage(state);
         }
-        p->args.words[p->args.n++] = arg;
+        p->args.operands[p->args.n_operands++] = arg;
         return 0;
     case ARGP_KEY_END:
-        if (p->args.n < p->verb->min) {
+        if (p->args.n_operands < p->cmd->min_operands) {
             argp_usage(state);
         }
         return 0;
     default:
-        return common_option(key, arg, state);
+        return parse_common_option(key, arg, state);
     }
 }
 
 static error_t
-parse_verb(struct parse *p, int argc, char **argv)
+parse_subcommand(struct cli_parser *p, int argc, char **argv)
 {
-    const struct fw_option *o = p->verb->options;
-    struct argp_option
-        options[FW_VERB_OPTIONS + G_N_ELEMENTS(common_options)] = {0};
+    const struct fw_option *o = p->cmd->options;
+    struct argp_option options[FW_SUBCOMMAND_OPTIONS_MAX +
+                               G_N_ELEMENTS(common_options)] = {0};
     struct argp argp = {.options = options,
-                        .parser = verb_option,
-                        .args_doc = p->verb->args_doc,
-                        .doc = p->verb->doc};
+                        .parser = parse_subcommand_option,
+                        .args_doc = p->cmd->args_doc,
+                        .doc = p->cmd->doc};
     int n = 0;
 
     for (; o && o[n].name; n++) {
         options[n].name = o[n].name;
-        options[n].key = FW_KEY_OF_VERB + n;
+        options[n].key = FW_SUBCOMMAND_KEY_BASE + n;
         options[n].arg = o[n].arg;
         options[n].doc = o[n].doc;
         options[n].group = 1;
@@ -179,42 +181,43 @@
     return argp_parse(&argp, argc, argv, 0, NULL, p);
 }
 
-static const struct fw_verb *
-find_in(const struct fw_verb *verbs, const char *words)
+static const struct fw_subcommand *
+find_by_name(const struct fw_subcommand *cmds, const char *name)
 {
-    for (; verbs->words; verbs++) {
-        if (strcmp(verbs->words, words) == 0) {
-            return verbs;
+    for (; cmds->name; cmds++) {
+        if (strcmp(cmds->name, name) == 0) {
+            return cmds;
         }
     }
     return NULL;
 }
 
-const struct fw_verb *
-Fw_Ctl_FindVerb(const char *a, const char *b, int *used)
+const struct fw_subcommand *
+Fw_Ctl_FindSubcommand(const char *first, const char *second, int *used)
 {
-    char *two = g_strdup_printf("%s %s", a, b ? b : "");
-    const struct fw_verb *v = find_in(Fw_Ctl_Queries, two);
+    char *both = g_strdup_printf("%s %s", first, second ? second : "");
+    const struct fw_subcommand *cmd = find_by_name(Fw_Ctl_Queries, both);
 
-    v = v ? v : find_in(Fw_Ctl_Commands, two);
+    cmd = cmd ? cmd : find_by_name(Fw_Ctl_Commands, both);
     *used = 2;
-    if (!v) {
-        v = find_in(Fw_Ctl_Queries, a);
-        v = v ? v : find_in(Fw_Ctl_Commands, a);
+    if (!cmd) {
+        cmd = find_by_name(Fw_Ctl_Queries, first);
+        cmd = cmd ? cmd : find_by_name(Fw_Ctl_Commands, first);
         *used = 1;
     }
-    g_free(two);
-    return v;
+    g_free(both);
+    return cmd;
 }
 
 static void
-list_verbs(GString *out, const char *title, const struct fw_verb *v)
+append_subcommands(GString *out, const char *title,
+                   const struct fw_subcommand *cmd)
 {
     g_string_append_printf(out, "\n%s:\n", title);
-    for (; v->words; v++) {
-        char *call = g_strdup_printf("%s %s", v->words, v->args_doc);
+    for (; cmd->name; cmd++) {
+        char *call = g_strdup_printf("%s %s", cmd->name, cmd->args_doc);
 
-        g_string_append_printf(out, "  %-28s %s\n", call, v->doc);
+        g_string_append_printf(out, "  %-28s %s\n", call, cmd->doc);
         g_free(call);
     }
 }
@@ -222,23 +225,24 @@
 static char *
 help_text(void)
 {
-    GString *out = g_string_new("Asks and changes a fleet of fuchsiaward.\v");
+    GString *out = g_string_new(
+        "Queries and configures a fleet of fuchsiaward instances.\v");
 
-    list_verbs(out, "Queries", Fw_Ctl_Queries);
-    list_verbs(out, "Commands", Fw_Ctl_Commands);
+    append_subcommands(out, "Queries", Fw_Ctl_Queries);
+    append_subcommands(out, "Commands", Fw_Ctl_Commands);
     g_string_append(
         out, "\n`fuchsiaward COMMAND --help' shows a command's options.\n"
-             "Exit status: 0 done, 1 failed, 2 conflict, 3 invalid, 4 not "
-             "applied,\n5 unknown, 6 not in force everywhere in time, 7 not "
-             "an operator's key,\n64 wrong use.\n");
+             "Exit status: 0 success, 1 failed, 2 conflict, 3 invalid, 4 not "
+             "applied,\n5 unknown, 6 not in force on all instances in time, "
+             "7 access denied,\n64 usage error.\n");
     return g_string_free(out, FALSE);
 }
 
-/* Reads up to the verb; what follows is the verb's own to read. */
+/* Parses options up to the subcommand, then the rest with its own parser. */
 static error_t
-top_option(int key, char *arg, struct argp_state *state)
+parse_top_option(int key, char *arg, struct argp_state *state)
 {
-    struct parse *p = state->input;
+    struct cli_parser *p = state->input;
     const char *next =
         state->next < state->argc ? state->argv[state->next] : NULL;
     char name[64];
@@ -246,38 +250,38 @@
 
     switch (key) {
     case ARGP_KEY_ARG:
-        p->verb = Fw_Ctl_FindVerb(arg, next, &used);
-        if (!p->verb) {
-            argp_error(state, "no command `%s'", arg);
+        p->cmd = Fw_Ctl_FindSubcommand(arg, next, &used);
+        if (!p->cmd) {
+            argp_error(state, "unknown command `%s'", arg);
             return EINVAL;
         }
         state->next += used - 1;
-        g_snprintf(name, sizeof(name), "fuchsiaward %s", p->verb->words);
+        g_snprintf(name, sizeof(name), "fuchsiaward %s", p->cmd->name);
         state->argv[state->next - 1] = name;
-        parse_verb(p, state->argc - state->next + 1,
-                   state->argv + state->next - 1);
+        parse_subcommand(p, state->argc - state->next + 1,
+                         state->argv + state->next - 1);
         state->next = state->argc;
         return 0;
     case ARGP_KEY_END:
-        if (!p->verb) {
+        if (!p->cmd) {
             argp_usage(state);
         }
         return 0;
     default:
-        return common_option(key, arg, state);
+        return parse_common_option(key, arg, state);
     }
 }
 
-/* Is the answer read from files, so that no instance is asked? */
+/* Nonzero if --log is given, so that no instance has to be called. */
 static int
-from_files(const struct parse *p)
+reads_logs_only(const struct cli_parser *p)
 {
-    return p->verb->options && p->args.options[0] &&
-           strcmp(p->verb->options[0].name, "log") == 0;
+    return p->cmd->options && p->args.options[0] &&
+           strcmp(p->cmd->options[0].name, "log") == 0;
 }
 
 static int
-run(struct fw_ctl *ctl, const struct parse *p)
+run(struct fw_ctl *ctl, const struct cli_parser *p)
 {
     const char *fleet = g_getenv("FUCHSIAWARD_FLEET");
     const char *key = g_getenv("FUCHSIAWARD_KEY");
@@ -288,11 +292,11 @@
     if (ctl->urls->len == 0 && fleet) {
         Fw_Ctl_LoadFleet(ctl, fleet);
     }
-    if (ctl->urls->len == 0 && p->verb->path && !from_files(p)) {
-        fputs("fuchsiaward: give --instances or --fleet\n", stderr);
+    if (ctl->urls->len == 0 && p->cmd->path && !reads_logs_only(p)) {
+        fputs("fuchsiaward: --instances or --fleet is required\n", stderr);
         return EX_USAGE;
     }
-    return p->verb->run(ctl, p->verb, &p->args);
+    return p->cmd->run(ctl, p->cmd, &p->args);
 }
 
 int
@@ -300,11 +304,11 @@
 {
     struct fw_ctl ctl = {.urls = g_ptr_array_new_with_free_func(g_free),
                          .wait_s = -1};
-    struct parse p = {.ctl = &ctl};
+    struct cli_parser p = {.ctl = &ctl};
     char *doc = help_text();
     struct argp argp = {.options = common_options,
-                        .parser = top_option,
-                        .args_doc = "COMMAND [WORD...]",
+                        .parser = parse_top_option,
+                        .args_doc = "COMMAND [ARG...]",
                         .doc = doc};
     int rc = EX_USAGE;
 
--- a/src/ctl/queries.c
+++ b/src/ctl/queries.c
@@ -1,13 +1,13 @@
-/* The tool's queries: they change nothing. */
+/* Read-only subcommands. */
 #include <stdio.h>
 #include <string.h>
 
 #include "ctl/ctl.h"
 
 static JsonArray *
-rows_of(const struct fw_reply *reply)
+response_rows(const struct fw_response *resp)
 {
-    JsonObject *obj = reply->json ? json_node_get_object(reply->json) : NULL;
+    JsonObject *obj = resp->json ? json_node_get_object(resp->json) : NULL;
     JsonNode *node = obj ? json_object_get_member(obj, "rows") : NULL;
 
     return node && JSON_NODE_HOLDS_ARRAY(node) ? json_node_get_array(node)
@@ -15,10 +15,10 @@
 }
 
 static void
-append_rows(JsonArray *all, const struct fw_reply *reply,
+append_rows(JsonArray *all, const struct fw_response *resp,
             const char *with_instance)
 {
-    JsonArray *rows = rows_of(reply);
+    JsonArray *rows = response_rows(resp);
     unsigned n = rows ? json_array_get_length(rows) : 0;
 
     for (unsigned i = 0; i < n; i++) {
@@ -32,16 +32,15 @@
 }
 
 static int
-has_more(const struct fw_reply *reply)
+has_more(const struct fw_response *resp)
 {
-    return reply->json &&
-           json_object_get_boolean_member_with_default(
-               json_node_get_object(reply->json), "more", FALSE);
+    return resp->json && json_object_get_boolean_member_with_default(
+                             json_node_get_object(resp->json), "more", FALSE);
 }
 
-/* All pages of a listing. */
+/* Prints a listing, fetching all of its pages. */
 static int
-show_items(struct fw_ctl *ctl, const struct fw_verb *verb,
+show_items(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
            const struct fw_args *args)
 {
     JsonArray *all = json_array_new();
@@ -51,16 +50,17 @@
 
     while (more && rc == 0) {
         char *esc = g_uri_escape_string(after, NULL, TRUE);
-        char *only =
-            args->n ? g_uri_escape_string(args->words[0], NULL, TRUE) : NULL;
-        char *path = g_strdup_printf("%s?after=%s%s%s", verb->path, esc,
+        char *only = args->n_operands
+                         ? g_uri_escape_string(args->operands[0], NULL, TRUE)
+                         : NULL;
+        char *path = g_strdup_printf("%s?after=%s%s%s", cmd->path, esc,
                                      only ? "&name=" : "", only ? only : "");
-        struct fw_reply reply;
+        struct fw_response resp;
 
-        Fw_Ctl_CallAny(ctl, "GET", path, NULL, 0, &reply);
-        rc = Fw_Reply_Check(&reply);
-        append_rows(all, &reply, NULL);
-        more = has_more(&reply) && json_array_get_length(all) > 0;
+        Fw_Ctl_CallAny(ctl, "GET", path, NULL, 0, &resp);
+        rc = Fw_Response_Check(&resp);
+        append_rows(all, &resp, NULL);
+        more = has_more(&resp) && json_array_get_length(all) > 0;
         if (more) {
             g_free(after);
             after = g_strdup(json_object_get_string_member(
@@ -68,7 +68,7 @@
                                               json_array_get_length(all) - 1),
                 "name"));
         }
-        Fw_Reply_Clear(&reply);
+        Fw_Response_Clear(&resp);
         g_free(path);
         g_free(only);
         g_free(esc);
@@ -82,37 +82,37 @@
 }
 
 static int
-show_object(struct fw_ctl *ctl, const struct fw_verb *verb,
+show_object(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
             const struct fw_args *args)
 {
-    struct fw_reply reply;
+    struct fw_response resp;
     int rc;
 
     (void)args;
-    Fw_Ctl_CallAny(ctl, "GET", verb->path, NULL, 0, &reply);
-    rc = Fw_Reply_Check(&reply);
+    Fw_Ctl_CallAny(ctl, "GET", cmd->path, NULL, 0, &resp);
+    rc = Fw_Response_Check(&resp);
     if (rc == 0 && ctl->json) {
-        puts(reply.body);
+        puts(resp.body);
     }
-    else if (rc == 0 && reply.json) {
+    else if (rc == 0 && resp.json) {
         JsonObjectIter it;
         const char *name;
         JsonNode *member;
 
-        json_object_iter_init_ordered(&it, json_node_get_object(reply.json));
+        json_object_iter_init_ordered(&it, json_node_get_object(resp.json));
         while (json_object_iter_next_ordered(&it, &name, &member)) {
-            char *text = Fw_Ctl_CellText(member);
+            char *text = Fw_Ctl_FormatCell(member);
 
             printf("%-14s %s\n", name, text);
             g_free(text);
         }
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     return rc;
 }
 
 static gint
-by_time(gconstpointer a, gconstpointer b)
+compare_unix_ms(gconstpointer a, gconstpointer b)
 {
     JsonObject *x = json_node_get_object(*(JsonNode *const *)a);
     JsonObject *y = json_node_get_object(*(JsonNode *const *)b);
@@ -122,10 +122,10 @@
     return (tx > ty) - (tx < ty);
 }
 
-/* Rows gathered from all instances. Instances that don't answer are named,
- * since what they know is missing from the list. */
+/* Prints the rows of all instances, sorted by time. Instances that don't
+ * respond are reported, since the list lacks their rows. */
 static int
-gather(struct fw_ctl *ctl, const char *path)
+print_merged_rows(struct fw_ctl *ctl, const char *path)
 {
     JsonArray *all = json_array_new();
     int rc = 0;
@@ -133,18 +133,18 @@
 
     for (unsigned i = 0; i < ctl->urls->len; i++) {
         const char *url = g_ptr_array_index(ctl->urls, i);
-        struct fw_reply reply;
+        struct fw_response resp;
         int one;
 
-        Fw_Ctl_Call(ctl, url, "GET", path, NULL, 0, &reply);
-        one = reply.err ? 0 : Fw_Reply_Check(&reply);
-        if (reply.err) {
-            fprintf(stderr, "fuchsiaward: %s does not answer\n", url);
+        Fw_Ctl_Call(ctl, url, "GET", path, NULL, 0, &resp);
+        one = resp.err ? 0 : Fw_Response_Check(&resp);
+        if (resp.err) {
+            fprintf(stderr, "fuchsiaward: %s does not respond\n", url);
         }
-        answered += reply.err == 0;
+        answered += resp.err == 0;
         rc = one ? one : rc;
-        append_rows(all, &reply, Fw_Reply_Text(&reply, "instance", url));
-        Fw_Reply_Clear(&reply);
+        append_rows(all, &resp, Fw_Response_Text(&resp, "instance", url));
+        Fw_Response_Clear(&resp);
     }
     if (rc == 0 && answered > 0) {
         GList *list = json_array_get_elements(all);
@@ -154,7 +154,7 @@
         for (GList *l = list; l; l = l->next) {
             g_ptr_array_add(sorted, l->data);
         }
-        g_ptr_array_sort(sorted, by_time);
+        g_ptr_array_sort(sorted, compare_unix_ms);
         for (unsigned i = 0; i < sorted->len; i++) {
             json_array_add_element(
                 out, json_node_ref(g_ptr_array_index(sorted, i)));
@@ -169,22 +169,22 @@
 }
 
 static int
-show_requests(struct fw_ctl *ctl, const struct fw_verb *verb,
-              const struct fw_args *args)
+show_merged_rows(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
+                 const struct fw_args *args)
 {
     (void)args;
-    return gather(ctl, verb->path);
+    return print_merged_rows(ctl, cmd->path);
 }
 
-/* The first one takes the place of the instances. */
+/* reads_logs_only() expects "log" to be the first option. */
 static const struct fw_option explain_options[] = {
-    {"log", "FILE[,FILE...]", "From saved logs, asking no instance", NULL,
-     FW_OPT_TEXT},
+    {"log", "FILE[,FILE...]",
+     "Read saved log files instead of calling instances", NULL, FW_OPT_TEXT},
     {0},
 };
 
 static int
-explain(struct fw_ctl *ctl, const struct fw_verb *verb,
+explain(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
         const struct fw_args *args)
 {
     char *id;
@@ -192,24 +192,25 @@
     int rc;
 
     if (args->options[0]) {
-        return Fw_Ctl_ExplainLogs(args->options[0], args->words[0]);
+        return Fw_Ctl_ExplainLogs(args->options[0], args->operands[0]);
     }
-    id = g_uri_escape_string(args->words[0], NULL, TRUE);
-    path = g_strdup_printf("%s?id=%s", verb->path, id);
-    rc = gather(ctl, path);
+    id = g_uri_escape_string(args->operands[0], NULL, TRUE);
+    path = g_strdup_printf("%s?id=%s", cmd->path, id);
+    rc = print_merged_rows(ctl, path);
 
     g_free(path);
     g_free(id);
     return rc;
 }
 
-/* What each instance has in force, and the members as the first sees them. */
+/* The version in force on each instance, and the member list of the first
+ * instance that responds. */
 static int
-show_instances(struct fw_ctl *ctl, const struct fw_verb *verb,
+show_instances(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                const struct fw_args *args)
 {
     JsonArray *rows = json_array_new();
-    struct fw_reply reply;
+    struct fw_response resp;
     int rc;
 
     (void)args;
@@ -217,36 +218,36 @@
         const char *url = g_ptr_array_index(ctl->urls, i);
         JsonObject *row = json_object_new();
 
-        Fw_Ctl_Call(ctl, url, "GET", "/v1/version", NULL, 0, &reply);
+        Fw_Ctl_Call(ctl, url, "GET", "/v1/version", NULL, 0, &resp);
         json_object_set_string_member(row, "url", url);
-        json_object_set_string_member(row, "instance",
-                                      Fw_Reply_Text(&reply, "instance", "-"));
+        json_object_set_string_member(
+            row, "instance", Fw_Response_Text(&resp, "instance", "-"));
         json_object_set_int_member(
             row, "version",
-            reply.json ? json_object_get_int_member_with_default(
-                             json_node_get_object(reply.json), "version", -1)
-                       : -1);
+            resp.json ? json_object_get_int_member_with_default(
+                            json_node_get_object(resp.json), "version", -1)
+                      : -1);
         json_object_set_int_member(
             row, "log_read_ms_ago",
-            reply.json
+            resp.json
                 ? json_object_get_int_member_with_default(
-                      json_node_get_object(reply.json), "log_read_ms_ago", -1)
+                      json_node_get_object(resp.json), "log_read_ms_ago", -1)
                 : -1);
         json_array_add_object_element(rows, row);
-        Fw_Reply_Clear(&reply);
+        Fw_Response_Clear(&resp);
     }
     Fw_Ctl_PrintRows(ctl, rows);
     json_array_unref(rows);
-    Fw_Ctl_CallAny(ctl, "GET", verb->path, NULL, 0, &reply);
-    rc = Fw_Reply_Check(&reply);
-    if (rc == 0 && rows_of(&reply)) {
+    Fw_Ctl_CallAny(ctl, "GET", cmd->path, NULL, 0, &resp);
+    rc = Fw_Response_Check(&resp);
+    if (rc == 0 && response_rows(&resp)) {
         if (!ctl->json) {
             printf("\nMembers as %s sees them:\n",
-                   Fw_Reply_Text(&reply, "instance", "it"));
+                   Fw_Response_Text(&resp, "instance", "it"));
         }
-        Fw_Ctl_PrintRows(ctl, rows_of(&reply));
+        Fw_Ctl_PrintRows(ctl, response_rows(&resp));
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     return rc;
 }
 
@@ -290,19 +291,21 @@
 }
 
 static const struct fw_option audit_options[] = {
-    {"max", "N", "At most so many changes (50)", NULL, FW_OPT_NUMBER},
-    {"before", "VERSION", "Only older ones", NULL, FW_OPT_NUMBER},
-    {"who", "OPERATOR", "Only those of one operator", NULL, FW_OPT_TEXT},
-    {"name", "ITEM", "Only those of one team, key, ...", NULL, FW_OPT_TEXT},
+    {"max", "N", "Maximum number of changes (default: 50)", NULL,
+     FW_OPT_NUMBER},
+    {"before", "VERSION", "Only changes before this version", NULL,
+     FW_OPT_NUMBER},
+    {"who", "OPERATOR", "Only changes by one operator", NULL, FW_OPT_TEXT},
+    {"name", "ITEM", "Only changes of one team, key, ...", NULL, FW_OPT_TEXT},
     {0},
 };
 
 static int
-audit(struct fw_ctl *ctl, const struct fw_verb *verb,
+audit(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
       const struct fw_args *args)
 {
-    GString *path = g_string_new(verb->path);
-    struct fw_reply reply;
+    GString *path = g_string_new(cmd->path);
+    struct fw_response resp;
     int rc;
 
     for (int i = 0; audit_options[i].name; i++) {
@@ -315,32 +318,32 @@
             g_free(esc);
         }
     }
-    Fw_Ctl_CallAny(ctl, "GET", path->str, NULL, 0, &reply);
-    rc = Fw_Reply_Check(&reply);
-    if (rc == 0 && rows_of(&reply)) {
+    Fw_Ctl_CallAny(ctl, "GET", path->str, NULL, 0, &resp);
+    rc = Fw_Response_Check(&resp);
+    if (rc == 0 && response_rows(&resp)) {
         if (ctl->json) {
-            Fw_Ctl_PrintRows(ctl, rows_of(&reply));
+            Fw_Ctl_PrintRows(ctl, response_rows(&resp));
         }
         else {
-            print_audit(rows_of(&reply));
+            print_audit(response_rows(&resp));
         }
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     g_string_free(path, TRUE);
     return rc;
 }
 
-const struct fw_verb Fw_Ctl_Queries[] = {
-    {"show config", "", "What is in force, counted, with its digest", 0, 0,
+const struct fw_subcommand Fw_Ctl_Queries[] = {
+    {"show config", "", "Number of items in force and their digest", 0, 0,
      "/v1/show/config", FW_ITEM_KINDS, NULL, show_object},
-    {"show teams", "[NAME]", "Teams with rate, burst, priority, models", 0, 1,
-     "/v1/show/teams", FW_ITEM_TEAM, NULL, show_items},
-    {"show keys", "[DIGEST]", "Keys by digest with their team", 0, 1,
+    {"show teams", "[NAME]", "Teams with rate, burst, priority and models", 0,
+     1, "/v1/show/teams", FW_ITEM_TEAM, NULL, show_items},
+    {"show keys", "[DIGEST]", "Keys by digest, with their team", 0, 1,
      "/v1/show/keys", FW_ITEM_KEY, NULL, show_items},
     {"show pools", "[NAME]", "Pools with the model versions they serve", 0, 1,
      "/v1/show/pools", FW_ITEM_POOL, NULL, show_items},
-    {"show upstreams", "[NAME]", "Engines and servers of plain services", 0, 1,
-     "/v1/show/upstreams", FW_ITEM_UPSTREAM, NULL, show_items},
+    {"show upstreams", "[NAME]", "Engines, and servers of plain services", 0,
+     1, "/v1/show/upstreams", FW_ITEM_UPSTREAM, NULL, show_items},
     {"show services", "[NAME]", "Plain services and their calls", 0, 1,
      "/v1/show/services", FW_ITEM_SERVICE, NULL, show_items},
     {"show operators", "[NAME]", "Operators", 0, 1, "/v1/show/operators",
@@ -349,17 +352,17 @@
      "/v1/show/settings", FW_ITEM_SETTING, NULL, show_items},
     {"show instances", "", "Instances and the version in force on each", 0, 0,
      "/v1/show/instances", FW_ITEM_KINDS, NULL, show_instances},
-    {"show requests", "", "Requests running or waiting, of all instances", 0,
-     0, "/v1/show/requests", FW_ITEM_KINDS, NULL, show_requests},
-    {"show orders", "", "Engines and the orders that bring them to the pools",
-     0, 0, "/v1/show/orders", FW_ITEM_KINDS, NULL, show_requests},
-    {"audit", "", "Changes, newest first, refused ones too", 0, 0, "/v1/audit",
-     FW_ITEM_KINDS, audit_options, audit},
-    {"explain", "REQUEST-ID", "Decisions taken for a request", 1, 1,
+    {"show requests", "", "Running and waiting requests of all instances", 0,
+     0, "/v1/show/requests", FW_ITEM_KINDS, NULL, show_merged_rows},
+    {"show orders", "", "Engines and the orders that assign them to pools", 0,
+     0, "/v1/show/orders", FW_ITEM_KINDS, NULL, show_merged_rows},
+    {"audit", "", "Changes, newest first, including rejected ones", 0, 0,
+     "/v1/audit", FW_ITEM_KINDS, audit_options, audit},
+    {"explain", "REQUEST-ID", "Decisions made for a request", 1, 1,
      "/v1/explain", FW_ITEM_KINDS, explain_options, explain},
-    {"sheet export", "[FILE]", "What is in force as a sheet", 0, 1,
+    {"sheet export", "[FILE]", "Exports the configuration as a sheet", 0, 1,
      "/v1/sheet/export", FW_ITEM_KINDS, NULL, Fw_Ctl_SheetExport},
-    {"sheet check", "FILE", "What a sheet would change, or its errors", 1, 1,
+    {"sheet check", "FILE", "Shows the changes or errors of a sheet", 1, 1,
      "/v1/sheet/check", FW_ITEM_KINDS, NULL, Fw_Ctl_SheetCheck},
     {0},
 };
--- a/src/ctl/sheet_verbs.c
+++ b/src/ctl/sheet_verbs.c
@@ -1,32 +1,32 @@
-/* Verbs about the planners' sheet. */
+/* Subcommands that import and export the configuration as CSV. */
 #include <stdio.h>
 #include <string.h>
 
 #include "ctl/ctl.h"
 
 int
-Fw_Ctl_SheetExport(struct fw_ctl *ctl, const struct fw_verb *verb,
+Fw_Ctl_SheetExport(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                    const struct fw_args *args)
 {
-    struct fw_reply reply;
+    struct fw_response resp;
     int rc;
 
-    Fw_Ctl_CallAny(ctl, "GET", verb->path, NULL, 0, &reply);
-    rc = Fw_Reply_Check(&reply);
-    if (rc == 0 && args->n == 0) {
-        fwrite(reply.body, 1, reply.len, stdout);
+    Fw_Ctl_CallAny(ctl, "GET", cmd->path, NULL, 0, &resp);
+    rc = Fw_Response_Check(&resp);
+    if (rc == 0 && args->n_operands == 0) {
+        fwrite(resp.body, 1, resp.len, stdout);
     }
-    else if (rc == 0 && !g_file_set_contents(args->words[0], reply.body,
-                                             (gssize)reply.len, NULL)) {
-        fprintf(stderr, "fuchsiaward: %s can't be written\n", args->words[0]);
+    else if (rc == 0 && !g_file_set_contents(args->operands[0], resp.body,
+                                             (gssize)resp.len, NULL)) {
+        fprintf(stderr, "fuchsiaward: cannot write %s\n", args->operands[0]);
         rc = FW_EXIT_FAILED;
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     return rc;
 }
 
 static JsonArray *
-list_of(JsonObject *sheet, const char *name)
+array_member(JsonObject *sheet, const char *name)
 {
     JsonNode *node = json_object_get_member(sheet, name);
 
@@ -37,8 +37,8 @@
 static void
 print_errors(JsonObject *sheet)
 {
-    JsonArray *errors = list_of(sheet, "errors");
-    gint64 all =
+    JsonArray *errors = array_member(sheet, "errors");
+    gint64 total =
         json_object_get_int_member_with_default(sheet, "error_count", 0);
     unsigned n = errors ? json_array_get_length(errors) : 0;
 
@@ -51,10 +51,10 @@
                json_object_get_string_member(e, "found"),
                json_object_get_string_member(e, "allowed"));
     }
-    if (all > n) {
-        printf("and %" G_GINT64_FORMAT " more errors\n", all - n);
+    if (total > n) {
+        printf("and %" G_GINT64_FORMAT " more errors\n", total - n);
     }
-    if (all > 0) {
+    if (total > 0) {
         puts("Nothing is applied.");
     }
 }
@@ -62,7 +62,7 @@
 static void
 print_rows(JsonObject *sheet, const char *list, const char *word)
 {
-    JsonArray *rows = list_of(sheet, list);
+    JsonArray *rows = array_member(sheet, list);
     unsigned n = rows ? json_array_get_length(rows) : 0;
 
     for (unsigned i = 0; i < n; i++) {
@@ -84,14 +84,14 @@
     }
 }
 
-/* The report that check and apply give. */
+/* Prints the sheet report in a response to check or apply, if there is one. */
 static void
-print_report(const struct fw_reply *reply)
+print_report(const struct fw_response *resp)
 {
     JsonNode *node =
-        reply->json ? json_object_get_member(json_node_get_object(reply->json),
-                                             "sheet")
-                    : NULL;
+        resp->json
+            ? json_object_get_member(json_node_get_object(resp->json), "sheet")
+            : NULL;
     JsonObject *sheet;
 
     if (!node || !JSON_NODE_HOLDS_OBJECT(node)) {
@@ -110,72 +110,72 @@
 }
 
 static int
-load(const char *file, char **text, gsize *len)
+load_file(const char *file, char **text, gsize *len)
 {
     if (g_file_get_contents(file, text, len, NULL)) {
         return 0;
     }
-    fprintf(stderr, "fuchsiaward: %s can't be read\n", file);
+    fprintf(stderr, "fuchsiaward: cannot read %s\n", file);
     return FW_EXIT_FAILED;
 }
 
 static int
-check(struct fw_ctl *ctl, const char *text, gsize len)
+check_sheet(struct fw_ctl *ctl, const char *text, gsize len)
 {
-    struct fw_reply reply;
+    struct fw_response resp;
     int rc;
 
-    Fw_Ctl_CallAny(ctl, "POST", "/v1/sheet/check", text, len, &reply);
-    rc = Fw_Reply_Check(&reply);
-    if (ctl->json && reply.body) {
-        puts(reply.body);
+    Fw_Ctl_CallAny(ctl, "POST", "/v1/sheet/check", text, len, &resp);
+    rc = Fw_Response_Check(&resp);
+    if (ctl->json && resp.body) {
+        puts(resp.body);
     }
     else {
-        print_report(&reply);
+        print_report(&resp);
     }
-    Fw_Reply_Clear(&reply);
+    Fw_Response_Clear(&resp);
     return rc;
 }
 
 int
-Fw_Ctl_SheetCheck(struct fw_ctl *ctl, const struct fw_verb *verb,
+Fw_Ctl_SheetCheck(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                   const struct fw_args *args)
 {
     char *text;
     gsize len;
-    int rc = load(args->words[0], &text, &len);
+    int rc = load_file(args->operands[0], &text, &len);
 
-    (void)verb;
+    (void)cmd;
     if (rc) {
         return rc;
     }
-    rc = check(ctl, text, len);
+    rc = check_sheet(ctl, text, len);
     g_free(text);
     return rc;
 }
 
 int
-Fw_Ctl_SheetApply(struct fw_ctl *ctl, const struct fw_verb *verb,
+Fw_Ctl_SheetApply(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                   const struct fw_args *args)
 {
-    struct fw_reply reply;
+    struct fw_response resp;
     char id[FW_CHANGE_ID_MAX];
     char *path;
     char *text;
     gsize len;
-    int rc = load(args->words[0], &text, &len);
+    int rc = load_file(args->operands[0], &text, &len);
 
     if (rc) {
         return rc;
     }
     if (!ctl->json) {
-        rc = check(ctl, text, len);
+        rc = check_sheet(ctl, text, len);
     }
     if (rc == 0) {
-        Fw_Ctl_NewId(id);
-        path = g_strdup_printf("%s?id=%s", verb->path, id);
-        rc = Fw_Ctl_SendChange(ctl, path, text, len, &reply);
-        Fw_Reply_Clear(&reply);
+        Fw_Ctl_NewChangeId(id);
+        path = g_strdup_printf("%s?id=%s", cmd->path, id);
+        rc = Fw_Ctl_SendChange(ctl, path, text, len, &resp);
+        Fw_Response_Clear(&resp);
         g_free(path);
     }
     g_free(text);
--- a/src/ctl/table.c
+++ b/src/ctl/table.c
@@ -1,4 +1,4 @@
-/* Rows of JSON objects as a table. */
+/* Prints JSON objects as a table. */
 #include <stdio.h>
 #include <string.h>
 
@@ -27,23 +27,23 @@
     g_free(text);
 }
 
-/* The members one after the other: "GET:/readings:yes". */
+/* Appends the nonempty members, joined by colons: "GET:/readings:yes". */
 static void
 append_object(GString *out, JsonObject *obj)
 {
     JsonObjectIter it;
     const char *name;
     JsonNode *member;
-    const char *gap = "";
+    const char *separator = "";
 
     json_object_iter_init_ordered(&it, obj);
     while (json_object_iter_next_ordered(&it, &name, &member)) {
-        gsize before;
+        gsize start;
 
-        g_string_append(out, gap);
-        before = out->len;
+        g_string_append(out, separator);
+        start = out->len;
         append_text(out, member);
-        gap = out->len > before ? ":" : "";
+        separator = out->len > start ? ":" : "";
     }
     if (out->len > 0 && out->str[out->len - 1] == ':') {
         g_string_truncate(out, out->len - 1);
@@ -51,7 +51,7 @@
 }
 
 char *
-Fw_Ctl_CellText(JsonNode *node)
+Fw_Ctl_FormatCell(JsonNode *node)
 {
     GString *out = g_string_new(NULL);
     JsonArray *arr;
@@ -77,9 +77,10 @@
     return g_string_free(out, FALSE);
 }
 
-/* A row's members and those of its "value", in order; names to @names. */
+/* Appends the row's members to @cells, with those of "value" in its place, and
+ * their upper-case names to @names unless it is NULL. */
 static void
-flatten(JsonObject *row, GPtrArray *names, GPtrArray *cells)
+append_row_cells(JsonObject *row, GPtrArray *names, GPtrArray *cells)
 {
     JsonObjectIter it;
     const char *name;
@@ -88,13 +89,13 @@
     json_object_iter_init_ordered(&it, row);
     while (json_object_iter_next_ordered(&it, &name, &member)) {
         if (strcmp(name, "value") == 0 && JSON_NODE_HOLDS_OBJECT(member)) {
-            flatten(json_node_get_object(member), names, cells);
+            append_row_cells(json_node_get_object(member), names, cells);
             continue;
         }
         if (names) {
             g_ptr_array_add(names, g_ascii_strup(name, -1));
         }
-        g_ptr_array_add(cells, Fw_Ctl_CellText(member));
+        g_ptr_array_add(cells, Fw_Ctl_FormatCell(member));
     }
 }
 
@@ -115,7 +116,7 @@
 }
 
 static void
-widen(const GPtrArray *cells, GArray *widths)
+update_widths(const GPtrArray *cells, GArray *widths)
 {
     for (unsigned i = 0; i < cells->len; i++) {
         int len = (int)g_utf8_strlen(g_ptr_array_index(cells, i), -1);
@@ -157,12 +158,12 @@
     for (unsigned i = 0; i < n && !ctl->json; i++) {
         GPtrArray *cells = g_ptr_array_new_with_free_func(g_free);
 
-        flatten(json_array_get_object_element(rows, i), i ? NULL : names,
-                cells);
+        append_row_cells(json_array_get_object_element(rows, i),
+                         i ? NULL : names, cells);
         g_ptr_array_add(lines, cells);
-        widen(cells, widths);
+        update_widths(cells, widths);
     }
-    widen(names, widths);
+    update_widths(names, widths);
     if (names->len > 0) {
         print_line(names, widths);
     }
--- a/tests/ctl/test_ctl.c
+++ b/tests/ctl/test_ctl.c
@@ -9,7 +9,7 @@
 struct find_case {
     const char *a;
     const char *b;
-    const char *words; /* NULL: no such verb */
+    const char *name; /* NULL: no such subcommand */
     int used;
 };
 
@@ -24,12 +24,12 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(finds); i++) {
         int used;
-        const struct fw_verb *v =
-            Fw_Ctl_FindVerb(finds[i].a, finds[i].b, &used);
+        const struct fw_subcommand *v =
+            Fw_Ctl_FindSubcommand(finds[i].a, finds[i].b, &used);
 
-        ck_assert_int_eq(v == NULL, finds[i].words == NULL);
+        ck_assert_int_eq(v == NULL, finds[i].name == NULL);
         if (v) {
-            ck_assert_str_eq(v->words, finds[i].words);
+            ck_assert_str_eq(v->name, finds[i].name);
             ck_assert_int_eq(used, finds[i].used);
         }
     }
@@ -58,7 +58,7 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cells); i++) {
         JsonNode *node = json_from_string(cells[i].json, NULL);
-        char *text = Fw_Ctl_CellText(node);
+        char *text = Fw_Ctl_FormatCell(node);
 
         ck_assert_str_eq(text, cells[i].text);
         g_free(text);
@@ -70,8 +70,10 @@
 START_TEST(options_become_members)
 {
     int used;
-    const struct fw_verb *verb = Fw_Ctl_FindVerb("team", "set", &used);
-    const struct fw_verb *pool = Fw_Ctl_FindVerb("pool", "set", &used);
+    const struct fw_subcommand *cmd =
+        Fw_Ctl_FindSubcommand("team", "set", &used);
+    const struct fw_subcommand *pool =
+        Fw_Ctl_FindSubcommand("pool", "set", &used);
     struct fw_args args = {.options = {"10", "20", NULL, "m,n+a"}};
     struct fw_args serves = {.options = {"m@1,n@2+x"}};
     struct fw_args bad = {.options = {"ten"}};
@@ -79,9 +81,9 @@
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
     char *text;
 
-    ck_assert_int_eq(Fw_Ctl_SetMembers(verb, &args, value), 0);
+    ck_assert_int_eq(Fw_Ctl_SetMembers(cmd, &args, value), 0);
     ck_assert_int_eq(Fw_Ctl_SetMembers(pool, &serves, value), 0);
-    ck_assert_int_ne(Fw_Ctl_SetMembers(verb, &bad, value), 0);
+    ck_assert_int_ne(Fw_Ctl_SetMembers(cmd, &bad, value), 0);
     json_node_take_object(node, value);
     text = json_to_string(node, FALSE);
     ck_assert_str_eq(text,
@@ -96,7 +98,7 @@
 END_TEST
 
 struct status_case {
-    struct fw_reply reply;
+    struct fw_response resp;
     int status;
 };
 
@@ -109,8 +111,8 @@
     {{.status = 422}, FW_EXIT_INVALID},
     {{.status = 503}, FW_EXIT_NOT_APPLIED},
     {{.status = 504}, FW_EXIT_UNKNOWN},
-    {{.err = -5, .sent = 0}, FW_EXIT_NOT_APPLIED},
-    {{.err = -5, .sent = 1}, FW_EXIT_UNKNOWN},
+    {{.err = -5, .maybe_sent = 0}, FW_EXIT_NOT_APPLIED},
+    {{.err = -5, .maybe_sent = 1}, FW_EXIT_UNKNOWN},
 };
 
 /* An instance dies under a command, or was never there. A script that reads
@@ -118,7 +120,7 @@
 START_TEST(exit_statuses_tell_whether_it_may_have_happened)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++) {
-        ck_assert_int_eq(Fw_Reply_Check(&statuses[i].reply),
+        ck_assert_int_eq(Fw_Response_Check(&statuses[i].resp),
                          statuses[i].status);
     }
 }
@@ -157,8 +159,8 @@
     char *x = Fw_Ctl_NewKey();
     char *y = Fw_Ctl_NewKey();
 
-    Fw_Ctl_NewId(a);
-    Fw_Ctl_NewId(b);
+    Fw_Ctl_NewChangeId(a);
+    Fw_Ctl_NewChangeId(b);
     ck_assert_str_ne(a, b);
     ck_assert_str_ne(x, y);
     ck_assert_uint_eq(strlen(x), 67);
