--- a/src/ctl/http.c
+++ b/src/ctl/http.c
@@ -67,7 +67,7 @@
                                      "Authorization", auth);
         g_free(auth);
     }
-    /* Following a redirect would send the key to another host. */
+    /* Following a redirect could send the key to another host. */
     soup_message_add_flags(msg, SOUP_MESSAGE_NO_REDIRECT);
     if (body) {
         GBytes *payload = g_bytes_new(body, len);
--- a/tests/ctl/test_ctl.c
+++ b/tests/ctl/test_ctl.c
@@ -1,4 +1,5 @@
-/* The operators' tool without its calls: verbs, cells, options, statuses. */
+/* The command-line client without network calls: subcommands, table cells,
+ * options and exit statuses. */
 #include <check.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -7,30 +8,30 @@
 #include "tests/base/suite.h"
 
 struct find_case {
-    const char *a;
-    const char *b;
+    const char *first;
+    const char *second;
     const char *name; /* NULL: no such subcommand */
     int used;
 };
 
-static const struct find_case finds[] = {
+static const struct find_case find_cases[] = {
     {"show", "teams", "show teams", 2}, {"audit", NULL, "audit", 1},
     {"audit", "--json", "audit", 1},    {"explain", "r-1", "explain", 1},
     {"key", "give", "key give", 2},     {"key", NULL, NULL, 1},
     {"show", "moon", NULL, 1},          {"give", "key", NULL, 1},
 };
 
-START_TEST(verbs_are_found_by_one_or_two_words)
+START_TEST(subcommands_are_found_by_one_or_two_words)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(finds); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(find_cases); i++) {
         int used;
-        const struct fw_subcommand *v =
-            Fw_Ctl_FindSubcommand(finds[i].a, finds[i].b, &used);
+        const struct fw_subcommand *v = Fw_Ctl_FindSubcommand(
+            find_cases[i].first, find_cases[i].second, &used);
 
-        ck_assert_int_eq(v == NULL, finds[i].name == NULL);
+        ck_assert_int_eq(v == NULL, find_cases[i].name == NULL);
         if (v) {
-            ck_assert_str_eq(v->name, finds[i].name);
-            ck_assert_int_eq(used, finds[i].used);
+            ck_assert_str_eq(v->name, find_cases[i].name);
+            ck_assert_int_eq(used, find_cases[i].used);
         }
     }
 }
@@ -41,7 +42,7 @@
     const char *text;
 };
 
-static const struct cell_case cells[] = {
+static const struct cell_case cell_cases[] = {
     {"\"a\"", "a"},
     {"7", "7"},
     {"true", "yes"},
@@ -54,20 +55,20 @@
     {"{\"a\":1}", "{\"a\":1}"},
 };
 
-START_TEST(cells_are_short_texts)
+START_TEST(json_values_are_formatted_as_cells)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(cells); i++) {
-        JsonNode *node = json_from_string(cells[i].json, NULL);
+    for (size_t i = 0; i < G_N_ELEMENTS(cell_cases); i++) {
+        JsonNode *node = json_from_string(cell_cases[i].json, NULL);
         char *text = Fw_Ctl_FormatCell(node);
 
-        ck_assert_str_eq(text, cells[i].text);
+        ck_assert_str_eq(text, cell_cases[i].text);
         g_free(text);
         g_clear_pointer(&node, json_node_unref);
     }
 }
 END_TEST
 
-START_TEST(options_become_members)
+START_TEST(options_set_members_of_the_value)
 {
     int used;
     const struct fw_subcommand *cmd =
@@ -102,7 +103,7 @@
     int status;
 };
 
-static const struct status_case statuses[] = {
+static const struct status_case status_cases[] = {
     {{.status = 200}, FW_EXIT_OK},
     {{.status = 400}, FW_EXIT_INVALID},
     {{.status = 401}, FW_EXIT_DENIED},
@@ -115,18 +116,18 @@
     {{.err = -5, .maybe_sent = 1}, FW_EXIT_UNKNOWN},
 };
 
-/* An instance dies under a command, or was never there. A script that reads
- * "not applied" gives the key again, so it must be true. */
-START_TEST(exit_statuses_tell_whether_it_may_have_happened)
+/* Scripts retry with a new change after "not applied". Guards against that
+ * status when the change may have been applied. */
+START_TEST(exit_status_tells_whether_change_may_be_applied)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++) {
-        ck_assert_int_eq(Fw_Response_Check(&statuses[i].resp),
-                         statuses[i].status);
+    for (size_t i = 0; i < G_N_ELEMENTS(status_cases); i++) {
+        ck_assert_int_eq(Fw_Response_Check(&status_cases[i].resp),
+                         status_cases[i].status);
     }
 }
 END_TEST
 
-START_TEST(a_fleet_file_gives_addresses_and_key)
+START_TEST(fleet_file_sets_urls_and_key)
 {
     static const char *const texts[] = {
         "{\"operators\":[\"http://a\",\"http://b\"],\"operator_key\":\"k\"}",
@@ -152,7 +153,7 @@
 }
 END_TEST
 
-START_TEST(keys_and_ids_differ)
+START_TEST(generated_keys_and_ids_are_unique)
 {
     char a[FW_CHANGE_ID_MAX];
     char b[FW_CHANGE_ID_MAX];
@@ -175,11 +176,11 @@
 {
     TCase *tc = Fw_Suite_New("ctl");
 
-    tcase_add_test(tc, verbs_are_found_by_one_or_two_words);
-    tcase_add_test(tc, cells_are_short_texts);
-    tcase_add_test(tc, options_become_members);
-    tcase_add_test(tc, exit_statuses_tell_whether_it_may_have_happened);
-    tcase_add_test(tc, a_fleet_file_gives_addresses_and_key);
-    tcase_add_test(tc, keys_and_ids_differ);
+    tcase_add_test(tc, subcommands_are_found_by_one_or_two_words);
+    tcase_add_test(tc, json_values_are_formatted_as_cells);
+    tcase_add_test(tc, options_set_members_of_the_value);
+    tcase_add_test(tc, exit_status_tells_whether_change_may_be_applied);
+    tcase_add_test(tc, fleet_file_sets_urls_and_key);
+    tcase_add_test(tc, generated_keys_and_ids_are_unique);
     return Fw_Suite_Run(tc);
 }
--- a/tests/operate/test_operate.c
+++ b/tests/operate/test_operate.c
@@ -1,19 +1,19 @@
-/* The operators' interface: who may ask, commands and their verdicts, two
- * operators at once, and a log that loses answers. */
+/* The operator API: authentication, commands and their verdicts, concurrent
+ * changes, and failures of the configuration log. */
 #include <check.h>
 #include <string.h>
 
 #include "tests/base/suite.h"
 #include "tests/config/rig.h"
 
-#define FW_TEAM(name, was, rate)                                              \
+#define FW_TEAM_ITEM(name, was, rate)                                         \
     "{\"kind\":\"team\",\"name\":\"" name "\",\"was\":" was                   \
     ",\"value\":{\"rate\":" rate ",\"burst\":9}}"
-#define FW_BODY(id, items) "{\"id\":\"" id "\",\"items\":[" items "]}"
+#define FW_CHANGE_BODY(id, items) "{\"id\":\"" id "\",\"items\":[" items "]}"
 
-/* Two operators, whose keys are "anna" and "bruno"; version 1. */
+/* Creates operators "anna" and "bruno" as version 1. */
 static void
-give_operators(struct fw_rig *rig)
+create_operators(struct fw_rig *rig)
 {
     char anna[FW_DIGEST_HEX];
     char bruno[FW_DIGEST_HEX];
@@ -39,10 +39,10 @@
     const char *key;
     const char *body;
     int status;
-    const char *holds; /* part of the answer */
+    const char *expected; /* substring of the body */
 };
 
-/* One after the other on one instance. */
+/* Calls made in this order to one instance. */
 static const struct call_case calls[] = {
     {"GET", "/v1/version", NULL, NULL, 401, "not_an_operator"},
     {"GET", "/v1/version", "wrong", NULL, 401, "not_an_operator"},
@@ -56,13 +56,16 @@
     {"POST", "/v1/change", "anna-key", "{\"items\":[]}", 422, "no items"},
     {"POST", "/v1/change", "anna-key", "{\"items\":{}}", 422, "items"},
     {"POST", "/v1/change", "anna-key",
-     FW_BODY("c1", FW_TEAM("a", "0", "\"many\"")), 422, "rate is"},
-    {"POST", "/v1/change", "anna-key", FW_BODY("c1", FW_TEAM("a", "0", "5")),
-     200, "\"verdict\":\"accepted\",\"version\":2"},
-    {"POST", "/v1/change", "anna-key", FW_BODY("c1", FW_TEAM("a", "0", "5")),
-     200, "\"verdict\":\"accepted\",\"version\":2"},
-    {"POST", "/v1/change", "bruno-key", FW_BODY("c2", FW_TEAM("a", "0", "6")),
-     409, "in force is 2 by anna"},
+     FW_CHANGE_BODY("c1", FW_TEAM_ITEM("a", "0", "\"many\"")), 422, "rate is"},
+    {"POST", "/v1/change", "anna-key",
+     FW_CHANGE_BODY("c1", FW_TEAM_ITEM("a", "0", "5")), 200,
+     "\"verdict\":\"accepted\",\"version\":2"},
+    {"POST", "/v1/change", "anna-key",
+     FW_CHANGE_BODY("c1", FW_TEAM_ITEM("a", "0", "5")), 200,
+     "\"verdict\":\"accepted\",\"version\":2"},
+    {"POST", "/v1/change", "bruno-key",
+     FW_CHANGE_BODY("c2", FW_TEAM_ITEM("a", "0", "6")), 409,
+     "in force is 2 by anna"},
     {"GET", "/v1/show/teams?name=a", "bruno-key", NULL, 200, "\"rate\":5"},
     {"GET", "/v1/show/teams?after=a", "bruno-key", NULL, 200, "\"rows\":[]"},
     {"GET", "/v1/show/config", "bruno-key", NULL, 200, "\"team\":1"},
@@ -73,23 +76,23 @@
     {"GET", "/v1/change?id=c9", "anna-key", NULL, 200, "unseen"},
     {"GET", "/v1/explain?id=r", "anna-key", NULL, 200, "\"rows\":[]"},
     {"POST", "/v1/change", "anna-key",
-     FW_BODY("c3", "{\"kind\":\"operator\",\"name\":\"bruno\",\"was\":1,"
-                   "\"value\":null}"),
+     FW_CHANGE_BODY("c3",
+                    "{\"kind\":\"operator\",\"name\":\"bruno\",\"was\":1,"
+                    "\"value\":null}"),
      200, "accepted"},
     {"GET", "/v1/version", "bruno-key", NULL, 401, "not_an_operator"},
     {"POST", "/v1/change", "anna-key",
-     FW_BODY("c4", "{\"kind\":\"operator\",\"name\":\"anna\",\"was\":1,"
-                   "\"value\":null}"),
+     FW_CHANGE_BODY("c4", "{\"kind\":\"operator\",\"name\":\"anna\",\"was\":1,"
+                          "\"value\":null}"),
      422, "no operator would be left"},
 };
 
-/* A stranger, a typing error, a change made on an old version: operators
- * would notice a wrong answer as a change that nobody made. */
-START_TEST(each_call_gets_its_answer)
+/* Guards against accepting unauthenticated, malformed or outdated calls. */
+START_TEST(calls_return_expected_status_and_body)
 {
     struct fw_rig *rig = Fw_Rig_New(1);
 
-    give_operators(rig);
+    create_operators(rig);
     for (size_t i = 0; i < G_N_ELEMENTS(calls); i++) {
         const struct call_case *c = &calls[i];
         const struct fw_rig_answer *a;
@@ -98,7 +101,7 @@
         Fw_Rig_Run(rig, 200 * FW_MSEC);
         a = Fw_Rig_Answer(rig, i);
         ck_assert_ptr_nonnull(a);
-        ck_assert_msg(a->status == c->status && strstr(a->body, c->holds),
+        ck_assert_msg(a->status == c->status && strstr(a->body, c->expected),
                       "call %zu: %d %s", i, a->status, a->body);
     }
     Fw_Rig_Free(rig);
@@ -106,21 +109,20 @@
 END_TEST
 
 /*
- * Two operators change one team in the same moment, each at another instance.
- * Without one verdict for all, both would believe in their own rate, and the
- * instances would grant different ones.
+ * Two operators change the same team at the same time on two instances.
+ * Guards against both being accepted and instances applying different rates.
  */
-START_TEST(two_operators_race_on_nine_instances)
+START_TEST(concurrent_changes_have_one_winner_on_all_instances)
 {
     struct fw_rig *rig = Fw_Rig_New(9);
     const struct fw_rig_answer *a;
     const struct fw_rig_answer *b;
 
-    give_operators(rig);
+    create_operators(rig);
     for (int round = 0; round < 5; round++) {
-        uint64_t calls_at = 10 + (uint64_t)round * 2;
-        unsigned was =
-            round == 0 ? 0 : rig->config.records->len - 1; /* the winner's */
+        uint64_t first_call = 10 + (uint64_t)round * 2;
+        /* The losing change of each round is the newest record. */
+        unsigned was = round == 0 ? 0 : rig->config.records->len - 1;
         char *body[2];
 
         for (int k = 0; k < 2; k++) {
@@ -130,13 +132,13 @@
                 "\"burst\":1}}]}",
                 round, k, was, 100 * round + k);
         }
-        Fw_Rig_Call(rig, 3, calls_at, "POST", "/v1/change", "anna-key",
+        Fw_Rig_Call(rig, 3, first_call, "POST", "/v1/change", "anna-key",
                     body[0]);
-        Fw_Rig_Call(rig, 7, calls_at + 1, "POST", "/v1/change", "bruno-key",
+        Fw_Rig_Call(rig, 7, first_call + 1, "POST", "/v1/change", "bruno-key",
                     body[1]);
         Fw_Rig_Run(rig, FW_SEC);
-        a = Fw_Rig_Answer(rig, calls_at);
-        b = Fw_Rig_Answer(rig, calls_at + 1);
+        a = Fw_Rig_Answer(rig, first_call);
+        b = Fw_Rig_Answer(rig, first_call + 1);
         ck_assert_int_eq(a->status, 200);
         ck_assert_int_eq(b->status, 409);
         ck_assert_ptr_nonnull(strstr(b->body, "by anna"));
@@ -154,52 +156,51 @@
 }
 END_TEST
 
-struct loss_case {
+struct log_failure_case {
     const char *name;
-    int lose; /* the append takes effect, its answer is lost */
-    int drop; /* neither */
-    int down; /* the log refuses */
+    int lose_answer; /* the record is written, but the append fails */
+    int lose_append; /* not written, the append fails with -EIO */
+    int unavailable; /* not written, the append fails with -EAGAIN */
     int status;
-    const char *holds;
-    int again; /* status when the same id is sent again */
-    int records;
+    const char *expected;
+    int retry_status; /* when the same id is sent again */
+    int n_records;
 };
 
-static const struct loss_case losses[] = {
+static const struct log_failure_case log_failures[] = {
     {"answer lost", 1, 0, 0, 200, "accepted", 200, 2},
     {"append lost", 0, 1, 0, 504, "unknown", 200, 2},
     {"log down", 0, 0, 1, 503, "not_applied", 200, 2},
 };
 
 /*
- * The log takes a record but its answer is lost, or loses the record, or is
- * down. An operator who is told a lie gives the key twice, or believes that
- * one was withdrawn which still works.
+ * Guards against reporting a change as applied when it was not, or the other
+ * way round, and against applying it twice when it is retried.
  */
-START_TEST(the_verdict_is_true_when_the_log_loses_answers)
+START_TEST(verdict_is_correct_when_append_or_answer_is_lost)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(losses); i++) {
-        const struct loss_case *c = &losses[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(log_failures); i++) {
+        const struct log_failure_case *c = &log_failures[i];
         struct fw_rig *rig = Fw_Rig_New(2);
-        const char *body = FW_BODY("c1", FW_TEAM("a", "0", "5"));
+        const char *body = FW_CHANGE_BODY("c1", FW_TEAM_ITEM("a", "0", "5"));
         const struct fw_rig_answer *a;
 
-        give_operators(rig);
-        rig->lose_appends = c->lose;
-        rig->drop_appends = c->drop;
-        rig->down = c->down;
+        create_operators(rig);
+        rig->lose_appends = c->lose_answer;
+        rig->drop_appends = c->lose_append;
+        rig->down = c->unavailable;
         Fw_Rig_Call(rig, 0, 1, "POST", "/v1/change", "anna-key", body);
         Fw_Rig_Run(rig, 10 * FW_SEC);
         a = Fw_Rig_Answer(rig, 1);
         ck_assert_ptr_nonnull(a);
-        ck_assert_msg(a->status == c->status && strstr(a->body, c->holds),
+        ck_assert_msg(a->status == c->status && strstr(a->body, c->expected),
                       "%s: %d %s", c->name, a->status, a->body);
         rig->down = 0;
         Fw_Rig_Run(rig, 10 * FW_SEC);
         Fw_Rig_Call(rig, 1, 2, "POST", "/v1/change", "anna-key", body);
         Fw_Rig_Run(rig, 2 * FW_SEC);
-        ck_assert_int_eq(Fw_Rig_Answer(rig, 2)->status, c->again);
-        ck_assert_uint_eq(rig->config.records->len, c->records);
+        ck_assert_int_eq(Fw_Rig_Answer(rig, 2)->status, c->retry_status);
+        ck_assert_uint_eq(rig->config.records->len, c->n_records);
         ck_assert_int_eq(Fw_Rig_Rate(rig, 0, "a"), 5);
         ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 5);
         Fw_Rig_Free(rig);
@@ -207,9 +208,9 @@
 }
 END_TEST
 
-/* The ring of decisions is bounded: the oldest rows go, of no one request
- * more than of another, and what is left is in order. */
-START_TEST(explain_keeps_the_newest_in_order)
+/* When the ring buffer is full, the oldest rows are evicted whichever request
+ * they belong to, and the remaining rows stay in order. */
+START_TEST(explain_keeps_newest_rows_in_order)
 {
     struct fw_explain *ex = Fw_Explain_New();
     const struct fw_explain_row *row;
@@ -235,9 +236,9 @@
     TCase *tc = Fw_Suite_New("operate");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, each_call_gets_its_answer);
-    tcase_add_test(tc, two_operators_race_on_nine_instances);
-    tcase_add_test(tc, the_verdict_is_true_when_the_log_loses_answers);
-    tcase_add_test(tc, explain_keeps_the_newest_in_order);
+    tcase_add_test(tc, calls_return_expected_status_and_body);
+    tcase_add_test(tc, concurrent_changes_have_one_winner_on_all_instances);
+    tcase_add_test(tc, verdict_is_correct_when_append_or_answer_is_lost);
+    tcase_add_test(tc, explain_keeps_newest_rows_in_order);
     return Fw_Suite_Run(tc);
 }
--- a/tests/operate/test_sheet.c
+++ b/tests/operate/test_sheet.c
@@ -1,5 +1,5 @@
-/* The planners' sheet: forms that spreadsheets write, errors by row and
- * column, and what operators changed since the export. */
+/* Sheet import: CSV dialects, errors by row and column, and conflicts with
+ * changes made since the export. */
 #include <check.h>
 #include <string.h>
 
@@ -7,13 +7,14 @@
 #include "tests/base/suite.h"
 #include "tests/config/rig.h"
 
-#define FW_DIGEST                                                             \
+#define FW_KEY_DIGEST                                                         \
     "00000000000000000000000000000000000000000000000000000000000000aa"
-#define FW_HEAD "kind,name,rate,burst\r\nsheet,3\r\n"
+#define FW_HEADER_AND_BASE "kind,name,rate,burst\r\nsheet,3\r\n"
 
-/* Version 1: teams a and b; 2: a pool and an upstream; 3: a key of team a. */
+/* Creates teams a and b (version 1), a pool and an upstream (version 2) and a
+ * key of team a (version 3). */
 static struct fw_rig *
-begin(void)
+create_rig(void)
 {
     struct fw_rig *rig = Fw_Rig_New(1);
 
@@ -35,14 +36,14 @@
     Fw_Rig_Append(
         &rig->config,
         "{\"v\":1,\"id\":\"3\",\"who\":\"anna\",\"at\":\"t\",\"items\":["
-        "{\"kind\":\"key\",\"name\":\"" FW_DIGEST "\",\"was\":0,"
+        "{\"kind\":\"key\",\"name\":\"" FW_KEY_DIGEST "\",\"was\":0,"
         "\"value\":{\"team\":\"a\"}}]}");
     Fw_Rig_Run(rig, 3 * FW_SEC);
     return rig;
 }
 
-/* Errors as "row column found|allowed" lines, then changes and kept rows as
- * "kind name" lines marked + and =. */
+/* Formats errors as "row column found" lines or, if there are none, rows as
+ * "+name" (added), "~name" (updated) or "=name" (kept as in force). */
 static char *
 summary(const struct fw_sheet_plan *plan)
 {
@@ -75,19 +76,19 @@
 };
 
 static const struct sheet_case sheets[] = {
-    /* as exported, then as other spreadsheets write it */
-    {FW_HEAD "team,a,10,20\r\nteam,b,30,40\r\n", ""},
-    {FW_HEAD "team,a,11,20\r\nteam,c,1,1\r\n", "~a\n+c\n"},
+    /* the exported form, then other CSV dialects */
+    {FW_HEADER_AND_BASE "team,a,10,20\r\nteam,b,30,40\r\n", ""},
+    {FW_HEADER_AND_BASE "team,a,11,20\r\nteam,c,1,1\r\n", "~a\n+c\n"},
     {"\xef\xbb\xbfkind;name;burst;rate\r\nsheet;3;;\r\nteam;a;20;11,00\r\n",
      "~a\n"},
     {"rate;name;kind\n;3;sheet\n\n\n\"11,0\";\"a\";\"team\"", "~a\n"},
     {"kind,name,rate\rsheet,3,\rteam,a,11.00\r", "~a\n"},
-    {FW_HEAD ",,,\r\nteam,a,,21\r\n", "~a\n"},
+    {FW_HEADER_AND_BASE ",,,\r\nteam,a,,21\r\n", "~a\n"},
     {"kind,name,models\nsheet,3,\nteam,a,m n+x\nteam,b,all\n", "~a\n~b\n"},
     {"kind,name,serves,prefill_min\nsheet,3\npool,p,m@2 m@2+x,2\n", "~p\n"},
     {"kind,name,role,drained\nsheet,3\nupstream,u,prefill,yes\n", "~u\n"},
-    {"kind,name,team,withdrawn\nsheet,3\nkey," FW_DIGEST ",a,yes\n",
-     "~" FW_DIGEST "\n"},
+    {"kind,name,team,withdrawn\nsheet,3\nkey," FW_KEY_DIGEST ",a,yes\n",
+     "~" FW_KEY_DIGEST "\n"},
     /* errors */
     {"", "1 (row) nothing\n"},
     {"kind,name,colour\nsheet,3,\n", "1 colour an unknown column\n"},
@@ -96,19 +97,22 @@
     {"kind,name\nsheet,3\nsheet,3\n", "3 name 3\n"},
     {"kind,name\nsheet,9\n", "0 name 9\n"},
     {"kind,name\nsheet,soon\n", "2 name soon\n"},
-    {FW_HEAD "moon,a,1,1\r\n", "3 kind moon\n"},
-    {FW_HEAD "service,a,1,1\r\n", "3 kind service\n"},
-    {FW_HEAD "team,a b,1,1\r\n", "3 name a b\n"},
-    {FW_HEAD "\r\n\r\nteam,a,many,1\r\n", "5 rate many\n"},
-    {FW_HEAD "team,a,1.500,1\r\n", "3 rate 1.500\n"},
-    {FW_HEAD "team,a,\"1,5\",1\r\n", "3 rate 1,5\n"},
-    {FW_HEAD "team,a,-1,1\r\nteam,b,1,1e3\r\n", "3 rate -1\n4 burst 1e3\n"},
-    {FW_HEAD "team,a,9999999999999,1\r\n", "3 rate 9999999999999\n"},
-    {FW_HEAD "team,c,1,\r\n", "3 burst nothing\n"},
-    {FW_HEAD "team,a,1,1\r\nteam,a,2,2\r\n", "4 name a\n"},
-    {FW_HEAD "team,a,1,1,7\r\n", "3 (beyond the header) 7\n"},
-    {FW_HEAD "team,a,\"1,1\r\n", "3 (row) a quote that does not fit\n"},
-    {FW_HEAD "team,a,1,\xe9\r\n", "0 (file) not UTF-8\n"},
+    {FW_HEADER_AND_BASE "moon,a,1,1\r\n", "3 kind moon\n"},
+    {FW_HEADER_AND_BASE "service,a,1,1\r\n", "3 kind service\n"},
+    {FW_HEADER_AND_BASE "team,a b,1,1\r\n", "3 name a b\n"},
+    {FW_HEADER_AND_BASE "\r\n\r\nteam,a,many,1\r\n", "5 rate many\n"},
+    {FW_HEADER_AND_BASE "team,a,1.500,1\r\n", "3 rate 1.500\n"},
+    {FW_HEADER_AND_BASE "team,a,\"1,5\",1\r\n", "3 rate 1,5\n"},
+    {FW_HEADER_AND_BASE "team,a,-1,1\r\nteam,b,1,1e3\r\n",
+     "3 rate -1\n4 burst 1e3\n"},
+    {FW_HEADER_AND_BASE "team,a,9999999999999,1\r\n",
+     "3 rate 9999999999999\n"},
+    {FW_HEADER_AND_BASE "team,c,1,\r\n", "3 burst nothing\n"},
+    {FW_HEADER_AND_BASE "team,a,1,1\r\nteam,a,2,2\r\n", "4 name a\n"},
+    {FW_HEADER_AND_BASE "team,a,1,1,7\r\n", "3 (beyond the header) 7\n"},
+    {FW_HEADER_AND_BASE "team,a,\"1,1\r\n",
+     "3 (row) a quote that does not fit\n"},
+    {FW_HEADER_AND_BASE "team,a,1,\xe9\r\n", "0 (file) not UTF-8\n"},
     {"kind,name,role\nsheet,3\nupstream,u,cook\n", "3 role \"cook\"\n"},
     {"kind,name,role\nsheet,3\nupstream,new,decode\n", "3 name new\n"},
     {"kind,name,role\nsheet,3\nteam,a,decode\n", "3 role decode\n"},
@@ -116,11 +120,11 @@
     {"kind,name,drained\nsheet,3\nupstream,u,maybe\n", "3 drained maybe\n"},
 };
 
-/* Each office has its spreadsheet. Planners would notice a misread sheet as a
- * team with a thousandth of its rate, at the auction. */
-START_TEST(sheets_are_read_as_they_are_written)
+/* Guards against misreading delimiters, line ends and numbers, for instance a
+ * thousands separator as a decimal point. */
+START_TEST(sheets_of_different_spreadsheets_are_parsed)
 {
-    struct fw_rig *rig = begin();
+    struct fw_rig *rig = create_rig();
 
     for (size_t i = 0; i < G_N_ELEMENTS(sheets); i++) {
         const struct sheet_case *c = &sheets[i];
@@ -139,9 +143,9 @@
 }
 END_TEST
 
-START_TEST(an_export_changes_nothing)
+START_TEST(importing_an_unedited_export_changes_nothing)
 {
-    struct fw_rig *rig = begin();
+    struct fw_rig *rig = create_rig();
     char *text = Fw_Sheet_Write(Fw_Fold_Config(rig->folds[0]));
     struct fw_sheet_plan *plan =
         Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
@@ -155,53 +159,50 @@
 }
 END_TEST
 
-struct since_case {
-    const char *change; /* an operator's, after the export */
-    const char *row;    /* the planners' */
+struct conflict_case {
+    const char *change; /* made by an operator after the export */
+    const char *row;    /* of the imported sheet */
     const char *result;
 };
 
-#define FW_CHANGE(items)                                                      \
+#define FW_CHANGE_RECORD(items)                                               \
     "{\"v\":1,\"id\":\"x\",\"who\":\"bruno\",\"at\":\"t\",\"items\":[" items  \
     "]}"
-#define FW_A(current_version, value)                                          \
+#define FW_TEAM_A_ITEM(current_version, value)                                \
     "{\"kind\":\"team\",\"name\":\"a\",\"was\":" current_version              \
     ",\"value\":" value "}"
-#define FW_KEY(value)                                                         \
-    "{\"kind\":\"key\",\"name\":\"" FW_DIGEST "\",\"was\":3,\"value\":" value \
-    "}"
-
-static const struct since_case since[] = {
-    /* the operator's change stays when the planners left the row alone */
-    {FW_CHANGE(FW_A("1", "{\"rate\":5,\"burst\":20}")), "team,a,10,20,,",
-     "=a\n"},
-    {FW_CHANGE(FW_A("1", "{\"rate\":5,\"burst\":20}")), "team,a,5,20,,", ""},
-    {FW_CHANGE(FW_A("1", "{\"rate\":5,\"burst\":20}")), "team,a,7,20,,",
-     "3 name a, by bruno since\n"},
-    {FW_CHANGE(FW_A("1", "{\"rate\":5,\"burst\":20}")), "team,b,7,20,,",
-     "~b\n"},
-    {FW_CHANGE(FW_A("1", "null")), "team,a,10,20,,", "=a\n"},
-    {FW_CHANGE("{\"kind\":\"team\",\"name\":\"c\",\"was\":0,\"value\":"
-               "{\"rate\":5,\"burst\":20}}"),
+#define FW_KEY_ITEM(value)                                                    \
+    "{\"kind\":\"key\",\"name\":\"" FW_KEY_DIGEST                             \
+    "\",\"was\":3,\"value\":" value "}"
+
+static const struct conflict_case conflicts[] = {
+    /* an unedited row keeps the operator's change */
+    {FW_CHANGE_RECORD(FW_TEAM_A_ITEM("1", "{\"rate\":5,\"burst\":20}")),
+     "team,a,10,20,,", "=a\n"},
+    {FW_CHANGE_RECORD(FW_TEAM_A_ITEM("1", "{\"rate\":5,\"burst\":20}")),
+     "team,a,5,20,,", ""},
+    {FW_CHANGE_RECORD(FW_TEAM_A_ITEM("1", "{\"rate\":5,\"burst\":20}")),
+     "team,a,7,20,,", "3 name a, by bruno since\n"},
+    {FW_CHANGE_RECORD(FW_TEAM_A_ITEM("1", "{\"rate\":5,\"burst\":20}")),
+     "team,b,7,20,,", "~b\n"},
+    {FW_CHANGE_RECORD(FW_TEAM_A_ITEM("1", "null")), "team,a,10,20,,", "=a\n"},
+    {FW_CHANGE_RECORD("{\"kind\":\"team\",\"name\":\"c\",\"was\":0,\"value\":"
+                      "{\"rate\":5,\"burst\":20}}"),
      "team,c,10,20,,", "3 name c, by bruno since\n"},
-    /* a key withdrawn since stays withdrawn, whatever the sheet says */
-    {FW_CHANGE(FW_KEY("{\"team\":\"a\",\"withdrawn\":true}")),
-     "key," FW_DIGEST ",,,a,no", "=" FW_DIGEST "\n"},
-    {FW_CHANGE(FW_KEY("{\"team\":\"a\",\"withdrawn\":true}")),
-     "key," FW_DIGEST ",,,a,yes", ""},
+    /* a key withdrawn after the export stays withdrawn */
+    {FW_CHANGE_RECORD(FW_KEY_ITEM("{\"team\":\"a\",\"withdrawn\":true}")),
+     "key," FW_KEY_DIGEST ",,,a,no", "=" FW_KEY_DIGEST "\n"},
+    {FW_CHANGE_RECORD(FW_KEY_ITEM("{\"team\":\"a\",\"withdrawn\":true}")),
+     "key," FW_KEY_DIGEST ",,,a,yes", ""},
 };
 
-/*
- * Planners export in the evening and apply in the morning. What an operator
- * did in the night must not be undone by rows that nobody touched: the team
- * that was slowed down would flood the engines again, the withdrawn key
- * would work.
- */
-START_TEST(what_changed_since_the_export_is_kept_or_reported)
+/* Guards against unedited rows reverting changes made after the export, such
+ * as a lowered rate or a withdrawn key. */
+START_TEST(changes_since_export_are_kept_or_reported)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(since); i++) {
-        const struct since_case *c = &since[i];
-        struct fw_rig *rig = begin();
+    for (size_t i = 0; i < G_N_ELEMENTS(conflicts); i++) {
+        const struct conflict_case *c = &conflicts[i];
+        struct fw_rig *rig = create_rig();
         char *text = g_strdup_printf("kind,name,rate,burst,team,withdrawn\n"
                                      "sheet,3,,,,\n%s\n",
                                      c->row);
@@ -221,16 +222,17 @@
 }
 END_TEST
 
-/* Exported while the key was withdrawn, then edited by hand. */
-START_TEST(a_withdrawn_key_is_withdrawn_for_good)
+/* The sheet is exported after the withdrawal, then edited to undo it. */
+START_TEST(withdrawn_keys_cannot_be_restored)
 {
-    struct fw_rig *rig = begin();
-    const char *text = "kind,name,withdrawn\nsheet,4\nkey," FW_DIGEST ",no\n";
+    struct fw_rig *rig = create_rig();
+    const char *text =
+        "kind,name,withdrawn\nsheet,4\nkey," FW_KEY_DIGEST ",no\n";
     struct fw_sheet_plan *plan;
     char *got;
 
-    Fw_Rig_Append(&rig->config,
-                  FW_CHANGE(FW_KEY("{\"team\":\"a\",\"withdrawn\":true}")));
+    Fw_Rig_Append(&rig->config, FW_CHANGE_RECORD(FW_KEY_ITEM(
+                                    "{\"team\":\"a\",\"withdrawn\":true}")));
     Fw_Rig_Run(rig, FW_SEC);
     plan = Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
     got = summary(plan);
@@ -247,9 +249,9 @@
     TCase *tc = Fw_Suite_New("sheet");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, sheets_are_read_as_they_are_written);
-    tcase_add_test(tc, an_export_changes_nothing);
-    tcase_add_test(tc, what_changed_since_the_export_is_kept_or_reported);
-    tcase_add_test(tc, a_withdrawn_key_is_withdrawn_for_good);
+    tcase_add_test(tc, sheets_of_different_spreadsheets_are_parsed);
+    tcase_add_test(tc, importing_an_unedited_export_changes_nothing);
+    tcase_add_test(tc, changes_since_export_are_kept_or_reported);
+    tcase_add_test(tc, withdrawn_keys_cannot_be_restored);
     return Fw_Suite_Run(tc);
 }
