--- a/src/ctl/log_file.c
+++ b/src/ctl/log_file.c
@@ -64,8 +64,9 @@
                   json_object_get_string_member_with_default(y, "ts", ""));
 }
 
+/* Fields that print_row() prints first or leaves out. */
 static int
-is_header_field(const char *name)
+is_common_field(const char *name)
 {
     static const char *const names[] = {"ts", "severity", "event", "instance",
                                         "id"};
@@ -93,7 +94,7 @@
     while (json_object_iter_next_ordered(&it, &name, &member)) {
         char *text = Fw_Ctl_FormatCell(member);
 
-        if (!is_header_field(name) && text[0]) {
+        if (!is_common_field(name) && text[0]) {
             printf("  %s=%s", name, text);
         }
         g_free(text);
--- a/src/operate/sheet.c
+++ b/src/operate/sheet.c
@@ -17,10 +17,10 @@
 }
 
 void
-Fw_Sheet_AddError(struct fw_sheet_plan *plan, unsigned row, const char *column,
-                  const char *found, const char *allowed)
+Fw_Sheet_AddError(struct fw_sheet_plan *plan, unsigned row_number,
+                  const char *column, const char *found, const char *allowed)
 {
-    struct fw_sheet_error e = {.row = row};
+    struct fw_sheet_error e = {.row_number = row_number};
     char *valid;
 
     plan->n_errors++;
@@ -106,7 +106,7 @@
 {
     JsonObject *o = json_object_new();
 
-    json_object_set_int_member(o, "row", row->row);
+    json_object_set_int_member(o, "row", row->row_number);
     json_object_set_string_member(o, "kind", Fw_Item_KindName(row->kind));
     json_object_set_string_member(o, "name", row->name);
     if (row->before) {
@@ -132,7 +132,7 @@
             &g_array_index(plan->errors, struct fw_sheet_error, i);
         JsonObject *o = json_object_new();
 
-        json_object_set_int_member(o, "row", e->row);
+        json_object_set_int_member(o, "row", e->row_number);
         json_object_set_string_member(o, "column", e->column);
         json_object_set_string_member(o, "found", e->found);
         json_object_set_string_member(o, "allowed", e->allowed);
--- a/src/operate/sheet.h
+++ b/src/operate/sheet.h
@@ -45,14 +45,14 @@
 
 /**
  * struct fw_sheet_error - an invalid cell or row.
- * @row: row number as the spreadsheet shows it, the header being 1; 0 for an
- *       error that belongs to no row
+ * @row_number: row number as the spreadsheet shows it, the header being 1; 0
+ *              for an error that belongs to no row
  * @column: column name, or a description in parentheses such as "(file)"
  * @found: the offending text, truncated to fit
  * @allowed: what is accepted instead
  */
 struct fw_sheet_error {
-    unsigned row;
+    unsigned row_number;
     char column[24];
     char found[48];
     char allowed[112];
@@ -68,7 +68,7 @@
 
 /**
  * struct fw_sheet_row - one item of the sheet.
- * @row: row number as the spreadsheet shows it
+ * @row_number: row number as the spreadsheet shows it
  * @overrides: members set by the row's cells; NULL once the row is compared
  * @current_version: version that last changed the item, 0 if it does not
  *                   exist
@@ -80,7 +80,7 @@
  * of thousands of rows.
  */
 struct fw_sheet_row {
-    unsigned row;
+    unsigned row_number;
     enum fw_item_kind kind;
     char name[FW_ITEM_NAME_MAX];
     JsonObject *overrides;
@@ -100,7 +100,7 @@
  * @n_changes: rows that add or update an item
  * @errors: struct fw_sheet_error
  * @rows: struct fw_sheet_row *, without rows that could not be parsed
- * @item_keys: set of "kind name", one for each row
+ * @item_keys: set of "kind name" of the rows read so far, to find duplicates
  * @fold: borrowed
  * @baseline: NULL during the first pass, which looks for the base version
  */
--- a/src/operate/sheet_compare.c
+++ b/src/operate/sheet_compare.c
@@ -133,7 +133,7 @@
         g_snprintf(found, sizeof(found), "%.20s, by %.16s since", row->name,
                    e->who);
     }
-    Fw_Sheet_AddError(plan, row->row, "name", found,
+    Fw_Sheet_AddError(plan, row->row_number, "name", found,
                       "the value in force, or a sheet exported after that");
 }
 
@@ -172,7 +172,7 @@
         row->action = FW_ROW_ADD;
     }
     else if (!v->before && !baseline->complete) {
-        Fw_Sheet_AddError(plan, row->row, "name", row->name,
+        Fw_Sheet_AddError(plan, row->row_number, "name", row->name,
                           "an item in force; or a sheet exported lately");
     }
     else {
@@ -194,7 +194,8 @@
     json_object_set_int_member(obj, "was", (int64_t)row->current_version);
     json_object_set_member(obj, "value", json_node_ref(v->after));
     if (Fw_Item_Parse(obj, &item, &why)) {
-        Fw_Sheet_AddError(plan, row->row, why.member[0] ? why.member : "name",
+        Fw_Sheet_AddError(plan, row->row_number,
+                          why.member[0] ? why.member : "name",
                           why.member[0] ? why.found : why.text, why.allowed);
     }
     Fw_Item_Clear(&item);
@@ -213,7 +214,7 @@
                const struct item_values *v)
 {
     if (row->kind == FW_ITEM_UPSTREAM && !v->before) {
-        Fw_Sheet_AddError(plan, row->row, "name", row->name,
+        Fw_Sheet_AddError(plan, row->row_number, "name", row->name,
                           "an upstream in force; a sheet adds none");
         return;
     }
@@ -223,7 +224,7 @@
     }
     if (row->kind == FW_ITEM_KEY && is_withdrawn(v->before) &&
         !is_withdrawn(v->after)) {
-        Fw_Sheet_AddError(plan, row->row, "withdrawn", "no",
+        Fw_Sheet_AddError(plan, row->row_number, "withdrawn", "no",
                           "yes: the key was withdrawn for good");
     }
     check_value(plan, row, v);
--- a/src/operate/sheet_csv.c
+++ b/src/operate/sheet_csv.c
@@ -20,7 +20,7 @@
 
 /**
  * struct csv_reader - parser state.
- * @row: number of the current row, the header being 1
+ * @row_number: number of the current row, the header being 1
  * @col: index of the next cell in the row
  * @columns: column of each cell, by index; @n_columns are in use
  * @after_cr: the last row ended with CR, so an immediate LF is part of CRLF
@@ -28,7 +28,7 @@
  */
 struct csv_reader {
     struct fw_sheet_plan *plan;
-    unsigned row;
+    unsigned row_number;
     unsigned col;
     int has_header;
     unsigned n_columns;
@@ -55,7 +55,7 @@
     }
     for (unsigned i = 0; i < r->n_columns; i++) {
         if (col < FW_COLUMNS && r->columns[i] == col) {
-            Fw_Sheet_AddError(r->plan, r->row, text, "the column twice",
+            Fw_Sheet_AddError(r->plan, r->row_number, text, "the column twice",
                               "each column once");
             return;
         }
@@ -65,7 +65,7 @@
         return;
     }
     allowed = g_strjoinv(" ", (char **)column_names);
-    Fw_Sheet_AddError(r->plan, r->row, text[0] ? text : "(empty)",
+    Fw_Sheet_AddError(r->plan, r->row_number, text[0] ? text : "(empty)",
                       "an unknown column", allowed);
     g_free(allowed);
 }
@@ -87,8 +87,8 @@
     }
     else {
         if (text[0]) {
-            Fw_Sheet_AddError(r->plan, r->row, "(beyond the header)", text,
-                              "no more cells than the header has");
+            Fw_Sheet_AddError(r->plan, r->row_number, "(beyond the header)",
+                              text, "no more cells than the header has");
         }
         g_free(text);
     }
@@ -111,11 +111,11 @@
         r->has_header = 1;
     }
     else if (r->has_value) {
-        r->cells.row = r->row;
+        r->cells.row_number = r->row_number;
         Fw_Sheet_AddRow(r->plan, &r->cells);
     }
     clear_cells(r);
-    r->row++;
+    r->row_number++;
     r->col = 0;
     r->has_value = 0;
 }
@@ -166,7 +166,7 @@
     csv_set_delim(&csv, (unsigned char)find_delimiter(data, len));
     if (csv_parse(&csv, data, len, on_cell, on_row, r) != len ||
         csv_fini(&csv, on_cell, on_row, r)) {
-        Fw_Sheet_AddError(r->plan, r->row, "(row)",
+        Fw_Sheet_AddError(r->plan, r->row_number, "(row)",
                           "a quote that does not fit",
                           "quotes around a whole cell, doubled inside");
     }
@@ -178,7 +178,7 @@
 Fw_Sheet_ReadCsv(struct fw_sheet_plan *plan, const char *data, size_t len)
 {
     static const char bom[] = "\xef\xbb\xbf";
-    struct csv_reader r = {.plan = plan, .row = 1};
+    struct csv_reader r = {.plan = plan, .row_number = 1};
 
     if (len >= 3 && memcmp(data, bom, 3) == 0) {
         data += 3;
--- a/src/operate/sheet_internal.h
+++ b/src/operate/sheet_internal.h
@@ -6,16 +6,16 @@
 
 /* Adds an error; @found and @column are truncated, but stay valid UTF-8. */
 void
-Fw_Sheet_AddError(struct fw_sheet_plan *plan, unsigned row, const char *column,
-                  const char *found, const char *allowed);
+Fw_Sheet_AddError(struct fw_sheet_plan *plan, unsigned row_number,
+                  const char *column, const char *found, const char *allowed);
 
 /**
  * struct fw_sheet_cells - the cells of one row.
- * @row: row number as the spreadsheet shows it
+ * @row_number: row number as the spreadsheet shows it
  * @cells: by column; NULL or empty if the sheet has no value
  */
 struct fw_sheet_cells {
-    unsigned row;
+    unsigned row_number;
     char *cells[FW_COLUMNS];
 };
 
--- a/src/operate/sheet_row.c
+++ b/src/operate/sheet_row.c
@@ -24,7 +24,7 @@
 {
     const char *found = cells->cells[col];
 
-    Fw_Sheet_AddError(plan, cells->row, Fw_Sheet_ColumnName(col),
+    Fw_Sheet_AddError(plan, cells->row_number, Fw_Sheet_ColumnName(col),
                       found && found[0] ? found : "nothing", allowed);
     return -EINVAL;
 }
@@ -279,7 +279,7 @@
         return;
     }
     row = g_new0(struct fw_sheet_row, 1);
-    row->row = cells->row;
+    row->row_number = cells->row_number;
     row->kind = kind;
     row->overrides = overrides;
     g_strlcpy(row->name, name, sizeof(row->name));
--- a/tests/operate/test_operate.c
+++ b/tests/operate/test_operate.c
@@ -121,7 +121,8 @@
     create_operators(rig);
     for (int round = 0; round < 5; round++) {
         uint64_t first_call = 10 + (uint64_t)round * 2;
-        /* The losing change of each round is the newest record. */
+        /* The last record is the rejected change of the previous round, the
+         * one before it the accepted change. */
         unsigned was = round == 0 ? 0 : rig->config.records->len - 1;
         char *body[2];
 
--- a/tests/operate/test_sheet.c
+++ b/tests/operate/test_sheet.c
@@ -53,7 +53,8 @@
         const struct fw_sheet_error *e =
             &g_array_index(plan->errors, struct fw_sheet_error, i);
 
-        g_string_append_printf(out, "%u %s %s\n", e->row, e->column, e->found);
+        g_string_append_printf(out, "%u %s %s\n", e->row_number, e->column,
+                               e->found);
         ck_assert_uint_gt(strlen(e->allowed), 0);
     }
     for (unsigned i = 0; i < plan->rows->len && !plan->n_errors; i++) {
