--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -68,7 +68,7 @@
 }
 
 /**
- * append - appends record @text with change id @id to the log.
+ * append_change - appends record @text with change id @id to the log.
  * @report: sheet report for the response; taken over, may be NULL
  */
 static void
