--- a/src/relayd/acts.c
+++ b/src/relayd/acts.c
@@ -1,27 +1,27 @@
-/* Carries out the core's actions. */
+/* Executes the core's actions. */
 #include <errno.h>
 
 #include "http/conn.h"
 #include "io/note.h"
 #include "relayd/relayd_internal.h"
 
-static struct fw_caller_rec *
-caller_named(const struct fw_relayd *d, uint64_t call)
+static struct fw_caller_request *
+find_request(const struct fw_relayd *d, uint64_t call)
 {
-    return g_hash_table_lookup(d->by_call, &call);
+    return g_hash_table_lookup(d->requests_by_id, &call);
 }
 
 static void
-forget_caller(struct fw_relayd *d, struct fw_caller_rec *c)
+remove_request(struct fw_relayd *d, struct fw_caller_request *c)
 {
-    g_hash_table_remove(d->by_caller, c->caller);
-    g_hash_table_remove(d->by_call, &c->id);
+    g_hash_table_remove(d->requests_by_caller, c->caller);
+    g_hash_table_remove(d->requests_by_id, &c->id);
 }
 
 static void
-refuse(struct fw_relayd *d, const struct fw_rl_refusal *r)
+reject(struct fw_relayd *d, const struct fw_rl_refusal *r)
 {
-    struct fw_caller_rec *c = caller_named(d, r->call);
+    struct fw_caller_request *c = find_request(d, r->call);
     struct fw_http_caller *caller;
     GString *fields;
     GString *body;
@@ -31,36 +31,37 @@
     }
     fields = g_string_new(NULL);
     body = g_string_new(NULL);
-    Fw_Platform_WriteRefusal(r, c->request_id, fields, body);
+    Fw_Platform_WriteRejection(r, c->request_id, fields, body);
     caller = c->caller;
-    forget_caller(d, c);
+    remove_request(d, c);
     Fw_Caller_Answer(caller, r->status, fields->str, body->str);
     g_string_free(fields, TRUE);
     g_string_free(body, TRUE);
 }
 
 static void
-pass(struct fw_relayd *d, uint64_t call, uint64_t xid)
+forward(struct fw_relayd *d, uint64_t call, uint64_t xid)
 {
-    struct fw_caller_rec *c = caller_named(d, call);
-    struct fw_up_rec *rec = g_hash_table_lookup(d->ups, &xid);
+    struct fw_caller_request *c = find_request(d, call);
+    struct fw_upstream_call *rec =
+        g_hash_table_lookup(d->upstream_calls, &xid);
 
     if (c && rec) {
-        Fw_Up_Pass(rec, c);
+        Fw_UpstreamCall_Forward(rec, c);
     }
 }
 
 static void
-finish(struct fw_relayd *d, uint64_t call, int whole)
+end_response(struct fw_relayd *d, uint64_t call, int whole)
 {
-    struct fw_caller_rec *c = caller_named(d, call);
+    struct fw_caller_request *c = find_request(d, call);
     struct fw_http_caller *caller;
 
     if (!c) {
         return;
     }
     caller = c->caller;
-    forget_caller(d, c);
+    remove_request(d, c);
     if (whole) {
         Fw_Caller_End(caller);
     }
@@ -70,29 +71,29 @@
 }
 
 static void
-do_one(struct fw_relayd *d, const struct fw_rl_act *a)
+execute(struct fw_relayd *d, const struct fw_rl_act *a)
 {
     switch (a->kind) {
     case FW_RL_DO_REFUSE:
-        refuse(d, &a->u.refuse);
+        reject(d, &a->u.refuse);
         break;
     case FW_RL_DO_PASS:
-        pass(d, a->u.pass.call, a->u.pass.xid);
+        forward(d, a->u.pass.call, a->u.pass.xid);
         break;
     case FW_RL_DO_FINISH:
-        finish(d, a->u.call, 1);
+        end_response(d, a->u.call, 1);
         break;
     case FW_RL_DO_CUT:
-        finish(d, a->u.call, 0);
+        end_response(d, a->u.call, 0);
         break;
     case FW_RL_DO_ASK:
-        Fw_Up_Start(d, &a->u.ask);
+        Fw_UpstreamCall_Start(d, &a->u.ask);
         break;
     case FW_RL_DO_STOP_ASK:
-        Fw_Up_Stop(d, a->u.xid);
+        Fw_UpstreamCall_Remove(d, a->u.xid);
         break;
     case FW_RL_DO_LEAD:
-        Fw_Store_Claim(d->store, a->u.lead_end);
+        Fw_StoreClient_ClaimLeadership(d->store, a->u.lead_end);
         break;
     case FW_RL_DO_FORGET:
         Fw_Pool_Forget(d->pool, a->u.addr);
@@ -104,23 +105,23 @@
 }
 
 void
-Fw_Relayd_CarryOut(struct fw_relayd *d, struct fw_rl_acts *acts)
+Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_acts *acts)
 {
     for (;;) {
         uint64_t *xid;
 
         for (guint i = 0; i < acts->all->len; i++) {
-            do_one(d, &g_array_index(acts->all, struct fw_rl_act, i));
+            execute(d, &g_array_index(acts->all, struct fw_rl_act, i));
         }
         g_array_set_size(acts->all, 0);
-        xid = g_queue_pop_head(&d->failed);
+        xid = g_queue_pop_head(&d->failed_calls);
         if (!xid) {
             break;
         }
         Fw_Relay_Failed(d->relay, *xid, -ECONNREFUSED, 0, Fw_Conn_Now(), acts);
-        Fw_Up_Stop(d, *xid);
+        Fw_UpstreamCall_Remove(d, *xid);
         g_free(xid);
     }
     Fw_Acts_Clear(acts);
-    Fw_Peer_Send(d);
+    Fw_PeerSocket_SendDue(d);
 }
--- a/src/relayd/handover.c
+++ b/src/relayd/handover.c
@@ -1,7 +1,7 @@
 /*
- * The newest records of the configuration and of the servers, handed on to
- * other instances: a change is read from the store by those that watch it,
- * and an instance that the store rejects gets it all the same.
+ * Snapshots of the configuration and the server registrations, served to other
+ * instances. Only some instances read the store; the others, and those that
+ * the store rejects, get the records from them.
  */
 #include <errno.h>
 #include <msgpack.h>
@@ -12,35 +12,36 @@
 #include "http/conn.h"
 #include "relayd/store_internal.h"
 
-/* Offset, key and value. */
-#define FW_RECORD_WIDTH 3
+/* Fields of an encoded record: offset, key and value. */
+#define FW_RECORD_FIELDS 3
 
 /** struct kept - the newest record of one key. */
-struct kept {
+struct snapshot_record {
     uint64_t offset;
     GBytes *value;
 };
 
 static void
-kept_free(gpointer data)
+snapshot_record_free(gpointer data)
 {
-    struct kept *k = data;
+    struct snapshot_record *k = data;
 
     g_bytes_unref(k->value);
     g_free(k);
 }
 
 GHashTable *
-Fw_Handover_New(void)
+Fw_PeerSnapshot_New(void)
 {
-    return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, kept_free);
+    return g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                 snapshot_record_free);
 }
 
 void
-Fw_Handover_Keep(GHashTable *newest, const struct fw_record *rec)
+Fw_PeerSnapshot_Update(GHashTable *newest, const struct fw_store_record *rec)
 {
-    const struct kept *old = g_hash_table_lookup(newest, rec->key);
-    struct kept *k;
+    const struct snapshot_record *old = g_hash_table_lookup(newest, rec->key);
+    struct snapshot_record *k;
 
     if (old && old->offset > rec->offset) {
         return;
@@ -49,14 +50,14 @@
         g_hash_table_remove(newest, rec->key);
         return;
     }
-    k = g_new(struct kept, 1);
+    k = g_new(struct snapshot_record, 1);
     k->offset = rec->offset;
     k->value = g_bytes_new(rec->value, rec->len);
     g_hash_table_replace(newest, g_strdup(rec->key), k);
 }
 
 void
-Fw_Handover_Write(GHashTable *newest, uint64_t end, GByteArray *out)
+Fw_PeerSnapshot_Encode(GHashTable *newest, uint64_t end, GByteArray *out)
 {
     GHashTableIter it;
     gpointer key;
@@ -69,11 +70,11 @@
     msgpack_pack_array(&pk, g_hash_table_size(newest));
     g_hash_table_iter_init(&it, newest);
     while (g_hash_table_iter_next(&it, &key, &v)) {
-        const struct kept *k = v;
+        const struct snapshot_record *k = v;
         gsize len;
         const void *data = g_bytes_get_data(k->value, &len);
 
-        msgpack_pack_array(&pk, FW_RECORD_WIDTH);
+        msgpack_pack_array(&pk, FW_RECORD_FIELDS);
         msgpack_pack_uint64(&pk, k->offset);
         Fw_Pack_Str(&pk, key);
         msgpack_pack_bin(&pk, len);
@@ -82,14 +83,14 @@
 }
 
 static int
-read_record(const msgpack_object *o, struct fw_records *out)
+read_record(const msgpack_object *o, struct fw_store_response *out)
 {
-    struct fw_record rec = {0};
+    struct fw_store_record rec = {0};
     const msgpack_object *value;
     char *copy;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_RECORD_WIDTH ||
+        o->via.array.size != FW_RECORD_FIELDS ||
         Fw_Unpack_U64(o, 0, &rec.offset) ||
         Fw_Unpack_Str(o, 1, rec.key, sizeof(rec.key))) {
         return -EBADMSG;
@@ -99,21 +100,22 @@
         return -EBADMSG;
     }
     copy = g_memdup2(value->via.bin.ptr, value->via.bin.size);
-    g_ptr_array_add(out->owned, copy);
+    g_ptr_array_add(out->buffers, copy);
     rec.value = copy;
     rec.len = value->via.bin.size;
-    g_array_append_val(out->all, rec);
+    g_array_append_val(out->records, rec);
     return 0;
 }
 
 static int
-read_records(const msgpack_object *o, struct fw_records *out)
+read_records(const msgpack_object *o, struct fw_store_response *out)
 {
     const msgpack_object *rows;
     int rc = 0;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 2 ||
-        Fw_Unpack_U64(o, 0, &out->end) || !(rows = Fw_Unpack_Array(o, 1))) {
+        Fw_Unpack_U64(o, 0, &out->end_offset) ||
+        !(rows = Fw_Unpack_Array(o, 1))) {
         return -EBADMSG;
     }
     for (uint32_t i = 0; i < rows->via.array.size && !rc; i++) {
@@ -123,15 +125,16 @@
 }
 
 int
-Fw_Handover_Read(const void *data, size_t len, struct fw_records *out)
+Fw_PeerSnapshot_Decode(const void *data, size_t len,
+                       struct fw_store_response *out)
 {
     msgpack_unpacked u;
     int rc = -EBADMSG;
 
-    *out = (struct fw_records){
+    *out = (struct fw_store_response){
         .status = 200,
-        .all = g_array_new(FALSE, TRUE, sizeof(struct fw_record)),
-        .owned = g_ptr_array_new_with_free_func(g_free),
+        .records = g_array_new(FALSE, TRUE, sizeof(struct fw_store_record)),
+        .buffers = g_ptr_array_new_with_free_func(g_free),
     };
     if (!Fw_PackScan_IsSane(data, len)) {
         return -EBADMSG;
@@ -144,27 +147,29 @@
     return rc;
 }
 
-static const char *const paths[] = {[FW_TOPIC_RULES] = "/newest/configuration",
+static const char *const paths[] = {[FW_TOPIC_CONFIG] =
+                                        "/newest/configuration",
                                     [FW_TOPIC_SERVERS] = "/newest/servers"};
 
 void
-Fw_Handover_WriteAsk(enum fw_topic topic, const char *addr, GString *head)
+Fw_PeerSnapshot_WriteRequest(enum fw_store_topic topic, const char *addr,
+                             GString *head)
 {
     g_string_append_printf(head, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n",
                            paths[topic], addr);
 }
 
 static void
-answer(struct fw_http_caller *c, const struct fw_follow *f)
+send_snapshot(struct fw_http_caller *c, const struct fw_topic_client *f)
 {
     GByteArray *body;
 
-    if (f->step != FW_STEP_READ || !f->from) {
+    if (f->op != FW_STORE_OP_READ || !f->next_offset) {
         Fw_Caller_Answer(c, 503, "", "");
         return;
     }
     body = g_byte_array_new();
-    Fw_Handover_Write(f->newest, f->from, body);
+    Fw_PeerSnapshot_Encode(f->newest, f->next_offset, body);
     Fw_Caller_Start(c, 200, "Content-Type: application/msgpack\r\n",
                     (int64_t)body->len);
     Fw_Caller_Data(c, body->data, body->len);
@@ -179,11 +184,11 @@
     struct fw_relayd *d = ctx;
 
     (void)body;
-    if (Fw_Status_AsksFor(head, paths[FW_TOPIC_RULES])) {
-        answer(c, &d->store->rules);
+    if (Fw_Status_IsPath(head, paths[FW_TOPIC_CONFIG])) {
+        send_snapshot(c, &d->store->config);
     }
-    else if (Fw_Status_AsksFor(head, paths[FW_TOPIC_SERVERS])) {
-        answer(c, &d->store->servers);
+    else if (Fw_Status_IsPath(head, paths[FW_TOPIC_SERVERS])) {
+        send_snapshot(c, &d->store->servers);
     }
     else {
         Fw_Caller_Answer(c, 404, "", "");
@@ -191,13 +196,13 @@
 }
 
 static const struct fw_http_ops ops = {.request = on_request,
-                                       .refused = Fw_Relayd_Malformed};
+                                       .refused = Fw_Relayd_LogMalformed};
 
 int
-Fw_Handover_Listen(struct fw_relayd *d)
+Fw_PeerSnapshot_Listen(struct fw_relayd *d)
 {
     int err = 0;
 
-    d->handover = Fw_Server_New(d->opts.peers, &ops, d, &err);
-    return d->handover ? 0 : err;
+    d->snapshot_server = Fw_Server_New(d->opts.peers_addr, &ops, d, &err);
+    return d->snapshot_server ? 0 : err;
 }
--- a/src/relayd/peers.c
+++ b/src/relayd/peers.c
@@ -1,4 +1,4 @@
-/* Messages between instances, as datagrams. */
+/* Messages between instances, sent as UDP datagrams. */
 #include <string.h>
 
 #include "http/conn.h"
@@ -6,16 +6,15 @@
 #include "io/note.h"
 #include "relayd/relayd_internal.h"
 
-/* A datagram that passes any link unfragmented is smaller; ours are too. */
-#define FW_DATAGRAM_MAX 60000
+/* Size of the receive buffer; longer datagrams are truncated. */
+#define FW_DATAGRAM_BYTES 60000
 
 /*
- * What can't be sent now is old by the next time. Where it goes on, a digest
- * is larger than a datagram may be or no route leads there: the first one is
- * logged, the metric has all.
+ * Counts a message that could not be sent and logs the first one. It is not
+ * retried: the next digest supersedes it.
  */
 static void
-unsent(struct fw_relayd *d, const char *addr, const char *why)
+count_unsent(struct fw_relayd *d, const char *addr, const char *why)
 {
     if (d->digests_unsent.value++ == 0) {
         Fw_Note_Log(LOG_WARNING, "digest_unsent", "to", addr, "why", why,
@@ -32,69 +31,70 @@
     const char *data = g_bytes_get_data(msg->data, &len);
 
     if (!to) {
-        unsent(d, msg->addr, "no address");
+        count_unsent(d, msg->addr, "no address");
         return;
     }
-    if (g_socket_send_to(d->peers, to, data, len, NULL, &error) < 0) {
-        unsent(d, msg->addr, error->message);
+    if (g_socket_send_to(d->peer_socket, to, data, len, NULL, &error) < 0) {
+        count_unsent(d, msg->addr, error->message);
         g_error_free(error);
     }
-    d->sent.value++;
-    d->sent_bytes.value += (int64_t)len;
+    d->peer_messages_sent.value++;
+    d->peer_bytes_sent.value += (int64_t)len;
     g_object_unref(to);
 }
 
 static void
-send_all(struct fw_relayd *d)
+flush_outbox(struct fw_relayd *d)
 {
-    for (guint i = 0; i < d->mail.all->len; i++) {
-        send_to(d, g_ptr_array_index(d->mail.all, i));
+    for (guint i = 0; i < d->outbox.all->len; i++) {
+        send_to(d, g_ptr_array_index(d->outbox.all, i));
     }
-    Fw_Mail_Clear(&d->mail);
+    Fw_Mail_Clear(&d->outbox);
 }
 
 void
-Fw_Peer_Send(struct fw_relayd *d)
+Fw_PeerSocket_SendDue(struct fw_relayd *d)
 {
-    Fw_Relay_Exchange(d->relay, Fw_Conn_Now(), &d->mail);
-    send_all(d);
+    Fw_Relay_Exchange(d->relay, Fw_Conn_Now(), &d->outbox);
+    flush_outbox(d);
 }
 
-/* Requests that waited for what just came. */
+/* Places requests that were waiting for what a message reported. */
 static void
-place(struct fw_relayd *d)
+place_waiting_requests(struct fw_relayd *d)
 {
     struct fw_rl_acts acts;
 
     Fw_Acts_Init(&acts);
     Fw_Relay_Place(d->relay, Fw_Conn_Now(), &acts);
-    Fw_Relayd_CarryOut(d, &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
 }
 
 static void
-take(struct fw_relayd *d, GSocketAddress *from, const char *data, size_t len)
+receive(struct fw_relayd *d, GSocketAddress *from, const char *data,
+        size_t len)
 {
     char addr[FW_URL_MAX];
     int rc;
 
     Fw_Addr_Print(from, addr);
-    d->received.value++;
+    d->peer_messages_received.value++;
     rc = Fw_Relay_ReadMessage(d->relay, addr, data, len, Fw_Conn_Now(),
-                              &d->mail);
-    send_all(d);
+                              &d->outbox);
+    flush_outbox(d);
     if (rc < 0) {
         Fw_Note_Log(LOG_WARNING, "digest_unreadable", "from", addr, NULL);
     }
     else if (rc > 0) {
         Fw_Note_Log(LOG_NOTICE, "member_met", "addr", addr, NULL);
     }
-    place(d);
+    place_waiting_requests(d);
 }
 
 static gboolean
 on_readable(GSocket *sock, GIOCondition cond, gpointer data)
 {
-    static char buf[FW_DATAGRAM_MAX];
+    static char buf[FW_DATAGRAM_BYTES];
     struct fw_relayd *d = data;
     GSocketAddress *from = NULL;
     gssize n;
@@ -102,7 +102,7 @@
     (void)cond;
     while ((n = g_socket_receive_from(sock, &from, buf, sizeof(buf), NULL,
                                       NULL)) > 0) {
-        take(d, from, buf, (size_t)n);
+        receive(d, from, buf, (size_t)n);
         g_clear_object(&from);
     }
     g_clear_object(&from);
@@ -117,57 +117,57 @@
     d->digests_unsent = (struct fw_metric){
         .name = "fw_digests_unsent_total",
         .help = "Messages to other instances that could not be sent"};
-    d->sent = (struct fw_metric){.name = "fw_peer_messages_sent_total",
-                                 .help = "Messages sent to other instances"};
-    d->sent_bytes =
+    d->peer_messages_sent =
+        (struct fw_metric){.name = "fw_peer_messages_sent_total",
+                           .help = "Messages sent to other instances"};
+    d->peer_bytes_sent =
         (struct fw_metric){.name = "fw_peer_bytes_sent_total",
                            .help = "Bytes of messages to other instances"};
-    d->received =
+    d->peer_messages_received =
         (struct fw_metric){.name = "fw_peer_messages_received_total",
                            .help = "Messages received of other instances"};
     Fw_Metrics_Add(m, &d->digests_unsent);
-    Fw_Metrics_Add(m, &d->sent);
-    Fw_Metrics_Add(m, &d->sent_bytes);
-    Fw_Metrics_Add(m, &d->received);
+    Fw_Metrics_Add(m, &d->peer_messages_sent);
+    Fw_Metrics_Add(m, &d->peer_bytes_sent);
+    Fw_Metrics_Add(m, &d->peer_messages_received);
 }
 
 int
-Fw_Peer_Listen(struct fw_relayd *d)
+Fw_PeerSocket_Open(struct fw_relayd *d)
 {
-    GSocketAddress *at = Fw_Addr_Parse(d->opts.peers);
+    GSocketAddress *at = Fw_Addr_Parse(d->opts.peers_addr);
     int ok;
 
-    Fw_Mail_Init(&d->mail);
+    Fw_Mail_Init(&d->outbox);
     add_metrics(d);
     if (!at) {
         return -EINVAL;
     }
-    d->peers =
+    d->peer_socket =
         g_socket_new(g_socket_address_get_family(at), G_SOCKET_TYPE_DATAGRAM,
                      G_SOCKET_PROTOCOL_UDP, NULL);
-    ok = d->peers && g_socket_bind(d->peers, at, TRUE, NULL);
+    ok = d->peer_socket && g_socket_bind(d->peer_socket, at, TRUE, NULL);
     g_object_unref(at);
     if (!ok) {
         return -EADDRINUSE;
     }
-    g_socket_set_blocking(d->peers, FALSE);
-    d->peers_source = g_socket_create_source(d->peers, G_IO_IN, NULL);
-    g_source_set_callback(d->peers_source, G_SOURCE_FUNC(on_readable), d,
-                          NULL);
-    g_source_attach(d->peers_source, NULL);
+    g_socket_set_blocking(d->peer_socket, FALSE);
+    d->peer_source = g_socket_create_source(d->peer_socket, G_IO_IN, NULL);
+    g_source_set_callback(d->peer_source, G_SOURCE_FUNC(on_readable), d, NULL);
+    g_source_attach(d->peer_source, NULL);
     return 0;
 }
 
 void
-Fw_Peer_Close(struct fw_relayd *d)
+Fw_PeerSocket_Close(struct fw_relayd *d)
 {
-    if (d->peers_source) {
-        g_source_destroy(d->peers_source);
-        g_source_unref(d->peers_source);
+    if (d->peer_source) {
+        g_source_destroy(d->peer_source);
+        g_source_unref(d->peer_source);
     }
-    g_clear_object(&d->peers);
-    if (d->mail.all) {
-        Fw_Mail_Clear(&d->mail);
-        g_clear_pointer(&d->mail.all, g_ptr_array_unref);
+    g_clear_object(&d->peer_socket);
+    if (d->outbox.all) {
+        Fw_Mail_Clear(&d->outbox);
+        g_clear_pointer(&d->outbox.all, g_ptr_array_unref);
     }
 }
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -10,16 +10,16 @@
 #include "relayd/relayd_internal.h"
 
 /*
- * After SIGTERM the balancer goes on for up to two missed checks of a second
- * each; a process that ends sooner refuses connections meanwhile.
+ * Minimum time from SIGTERM to exit. The load balancer checks readiness once a
+ * second and sends connections until two checks have failed.
  */
-#define FW_LEAVE_US (2500 * FW_MSEC)
-/* Kept of the grace period, for the end itself. */
+#define FW_DRAIN_MIN_US (2500 * FW_MSEC)
+/* Part of the grace period that is reserved for exiting. */
 #define FW_GRACE_MARGIN_US (400 * FW_MSEC)
-/* Ticks come every 100 ms at the latest; a longer pause than this is told. */
-#define FW_PAUSE_US (500 * FW_MSEC)
-/* The settings file may change without a signal: looked at so often. */
-#define FW_SETTINGS_EVERY_US (1 * FW_SEC)
+/* A longer time between two ticks is logged. */
+#define FW_LOOP_STALL_US (500 * FW_MSEC)
+/* Interval of checks for a changed settings file. */
+#define FW_SETTINGS_CHECK_US (1 * FW_SEC)
 
 static void
 on_request(void *ctx, struct fw_http_caller *caller,
@@ -27,40 +27,41 @@
 {
     struct fw_relayd *d = ctx;
     int64_t now = Fw_Conn_Now();
-    struct fw_caller_rec *c;
+    struct fw_caller_request *c;
     struct fw_rl_acts acts;
     struct fw_rl_ask ask;
 
-    if (Fw_Platform_ReadAsk(head, body, &ask)) {
+    if (Fw_Platform_ParseRequest(head, body, &ask)) {
         Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
         Fw_Caller_Answer(caller, 400, "Content-Type: text/plain\r\n",
                          "a field of the request can't be read\n");
         return;
     }
-    c = g_new0(struct fw_caller_rec, 1);
-    c->id = ++d->last_call;
+    c = g_new0(struct fw_caller_request, 1);
+    c->id = ++d->last_request_id;
     c->caller = caller;
     c->head = head;
     c->body = body;
     g_strlcpy(c->request_id, ask.id, sizeof(c->request_id));
-    g_hash_table_insert(d->by_caller, caller, c);
-    g_hash_table_insert(d->by_call, &c->id, c);
+    g_hash_table_insert(d->requests_by_caller, caller, c);
+    g_hash_table_insert(d->requests_by_id, &c->id, c);
     /*
-     * The balancer sends no new connections to an instance that isn't ready,
-     * but those that are open stay: their callers would be refused again and
-     * again.
+     * The load balancer opens no connections to an instance that is not ready,
+     * but keeps those that are open. Closing them after the response moves
+     * their callers to another instance.
      */
-    Fw_Server_SendAway(d->callers, Fw_Relay_SendsAway(d->relay, now));
+    Fw_Server_SendAway(d->caller_server, Fw_Relay_SendsAway(d->relay, now));
     Fw_Acts_Init(&acts);
     Fw_Relay_Open(d->relay, c->id, &ask, now, &acts);
-    Fw_Relayd_CarryOut(d, &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
 }
 
 static void
-on_gone(void *ctx, struct fw_http_caller *caller)
+on_disconnect(void *ctx, struct fw_http_caller *caller)
 {
     struct fw_relayd *d = ctx;
-    struct fw_caller_rec *c = g_hash_table_lookup(d->by_caller, caller);
+    struct fw_caller_request *c =
+        g_hash_table_lookup(d->requests_by_caller, caller);
     struct fw_rl_acts acts;
     uint64_t call;
 
@@ -68,15 +69,15 @@
         return;
     }
     call = c->id;
-    g_hash_table_remove(d->by_caller, caller);
-    g_hash_table_remove(d->by_call, &call);
+    g_hash_table_remove(d->requests_by_caller, caller);
+    g_hash_table_remove(d->requests_by_id, &call);
     Fw_Acts_Init(&acts);
     Fw_Relay_Gone(d->relay, call, Fw_Conn_Now(), &acts);
-    Fw_Relayd_CarryOut(d, &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
 }
 
 void
-Fw_Relayd_Malformed(void *ctx, int status, const char *why)
+Fw_Relayd_LogMalformed(void *ctx, int status, const char *why)
 {
     char text[16];
 
@@ -86,29 +87,30 @@
                 NULL);
 }
 
-/* The slow caller has taken what it had waiting. */
+/* The data queued for a slow caller was written: resumes its upstream. */
 static void
-on_drained(void *ctx, struct fw_http_caller *caller)
+on_write_drained(void *ctx, struct fw_http_caller *caller)
 {
     struct fw_relayd *d = ctx;
-    struct fw_caller_rec *c = g_hash_table_lookup(d->by_caller, caller);
-    struct fw_up_rec *rec =
-        c ? g_hash_table_lookup(d->ups, &c->passing) : NULL;
+    struct fw_caller_request *c =
+        g_hash_table_lookup(d->requests_by_caller, caller);
+    struct fw_upstream_call *rec =
+        c ? g_hash_table_lookup(d->upstream_calls, &c->forwarded_xid) : NULL;
 
-    if (rec && rec->x) {
-        Fw_Exchange_Pause(rec->x, 0);
+    if (rec && rec->exchange) {
+        Fw_Exchange_Pause(rec->exchange, 0);
     }
 }
 
 static const struct fw_http_ops caller_ops = {
     .request = on_request,
-    .gone = on_gone,
-    .refused = Fw_Relayd_Malformed,
-    .drained = on_drained,
+    .gone = on_disconnect,
+    .refused = Fw_Relayd_LogMalformed,
+    .drained = on_write_drained,
 };
 
 static void
-follow_limits(struct fw_relayd *d)
+apply_limits(struct fw_relayd *d)
 {
     const struct fw_rl_rules *r = Fw_Relay_InForce(d->relay);
     struct fw_http_limits l = {
@@ -130,7 +132,7 @@
     l.head_us = r->header_us > 0 ? r->header_us : l.head_us;
     l.body_us = r->idle_us > 0 ? r->idle_us : l.body_us;
     l.idle_us = r->idle_us > 0 ? r->idle_us : l.idle_us;
-    Fw_Server_SetLimits(d->callers, &l);
+    Fw_Server_SetLimits(d->caller_server, &l);
 }
 
 static int64_t
@@ -144,14 +146,14 @@
     return st.st_mtim.tv_sec * FW_SEC + st.st_mtim.tv_nsec / 1000;
 }
 
-/* Addresses can't change while they are listened on. */
+/* Listen addresses stay: they are bound already. */
 static void
-take_settings(struct fw_relayd *d, const struct fw_relayd_opts *o)
+apply_settings(struct fw_relayd *d, const struct fw_relayd_opts *o)
 {
     d->opts.relay = o->relay;
-    d->opts.rules_wait_us = o->rules_wait_us;
-    d->opts.servers_every_us = o->servers_every_us;
-    g_strlcpy(d->opts.store, o->store, sizeof(d->opts.store));
+    d->opts.config_wait_us = o->config_wait_us;
+    d->opts.servers_interval_us = o->servers_interval_us;
+    g_strlcpy(d->opts.store_addr, o->store_addr, sizeof(d->opts.store_addr));
     Fw_Relay_SetOpts(d->relay, &d->opts.relay);
 }
 
@@ -169,19 +171,19 @@
     }
     o.relay.boot = d->opts.relay.boot;
     o.relay.seed = d->opts.relay.seed;
-    take_settings(d, &o);
+    apply_settings(d, &o);
     Fw_Note_Log(LOG_NOTICE, "settings_reloaded", NULL);
 }
 
 static gboolean
-on_hup(gpointer data)
+on_sighup(gpointer data)
 {
     Fw_Relayd_Reload(data);
     return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_term(gpointer data)
+on_sigterm(gpointer data)
 {
     Fw_Relayd_Drain(data);
     return G_SOURCE_CONTINUE;
@@ -192,28 +194,28 @@
 {
     struct fw_rl_acts acts;
 
-    if (d->drain_us) {
+    if (d->drain_start_us) {
         return;
     }
-    d->drain_us = Fw_Conn_Now();
-    Fw_Server_Drain(d->callers);
+    d->drain_start_us = Fw_Conn_Now();
+    Fw_Server_Drain(d->caller_server);
     Fw_Acts_Init(&acts);
-    Fw_Relay_Drain(d->relay, d->drain_us, &acts);
-    Fw_Relayd_CarryOut(d, &acts);
+    Fw_Relay_Drain(d->relay, d->drain_start_us, &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
 }
 
 static void
-check_over(struct fw_relayd *d, int64_t now)
+check_stopped(struct fw_relayd *d, int64_t now)
 {
-    int64_t past = now - d->drain_us;
+    int64_t past = now - d->drain_start_us;
 
-    if (!d->drain_us || past < FW_LEAVE_US) {
+    if (!d->drain_start_us || past < FW_DRAIN_MIN_US) {
         return;
     }
-    Fw_Server_CloseIdle(d->callers);
-    if (!Fw_Server_Busy(d->callers) ||
+    Fw_Server_CloseIdle(d->caller_server);
+    if (!Fw_Server_Busy(d->caller_server) ||
         past >= d->opts.relay.grace_us - FW_GRACE_MARGIN_US) {
-        d->over = 1;
+        d->stopped = 1;
         g_main_context_wakeup(NULL);
     }
 }
@@ -221,27 +223,28 @@
 static void
 check_settings(struct fw_relayd *d, int64_t now)
 {
-    if (!d->settings_path || now - d->settings_us < FW_SETTINGS_EVERY_US) {
+    if (!d->settings_path ||
+        now - d->settings_checked_us < FW_SETTINGS_CHECK_US) {
         return;
     }
-    d->settings_us = now;
+    d->settings_checked_us = now;
     if (settings_mtime_us(d->settings_path) != d->settings_mtime_us) {
         Fw_Relayd_Reload(d);
     }
 }
 
 /*
- * A machine that was suspended, or a loop that was held up, explains late
- * answers and lost leases afterwards; nothing else in the logs would.
+ * Logs a tick that comes late because the host was suspended or the loop
+ * blocked. It explains timeouts and lost leases in the log.
  */
 static void
-note_pause(struct fw_relayd *d, int64_t now)
+log_loop_stall(struct fw_relayd *d, int64_t now)
 {
-    int64_t gap = d->ticked_us ? now - d->ticked_us : 0;
+    int64_t gap = d->last_tick_us ? now - d->last_tick_us : 0;
     char ms[24];
 
-    d->ticked_us = now;
-    if (gap > FW_PAUSE_US) {
+    d->last_tick_us = now;
+    if (gap > FW_LOOP_STALL_US) {
         g_snprintf(ms, sizeof(ms), "%" G_GINT64_FORMAT,
                    (gint64)(gap / FW_MSEC));
         Fw_Note_Log(LOG_WARNING, "stood_still", "ms", ms, NULL);
@@ -255,20 +258,20 @@
     int64_t now = Fw_Conn_Now();
     struct fw_rl_acts acts;
 
-    note_pause(d, now);
+    log_loop_stall(d, now);
 
     Fw_Acts_Init(&acts);
     Fw_Relay_Tick(d->relay, now, &acts);
-    Fw_Relayd_CarryOut(d, &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
     Fw_Pool_Tick(d->pool, now);
-    Fw_Server_Tick(d->callers, now);
-    Fw_Server_Tick(d->ready, now);
-    Fw_Server_Tick(d->metrics, now);
-    Fw_Server_Tick(d->handover, now);
-    Fw_Store_Tick(d->store, now);
-    follow_limits(d);
+    Fw_Server_Tick(d->caller_server, now);
+    Fw_Server_Tick(d->ready_server, now);
+    Fw_Server_Tick(d->metrics_server, now);
+    Fw_Server_Tick(d->snapshot_server, now);
+    Fw_StoreClient_Tick(d->store, now);
+    apply_limits(d);
     check_settings(d, now);
-    check_over(d, now);
+    check_stopped(d, now);
     Fw_Note_Flush();
     g_source_set_ready_time(d->timer, g_get_monotonic_time() +
                                           Fw_Relay_Wake(d->relay, now) - now);
@@ -289,17 +292,17 @@
 {
     int err = 0;
 
-    d->callers = Fw_Server_New(d->opts.callers, &caller_ops, d, &err);
-    if (!d->callers) {
+    d->caller_server = Fw_Server_New(d->opts.callers, &caller_ops, d, &err);
+    if (!d->caller_server) {
         return err;
     }
     err = Fw_Status_Listen(d);
-    err = err ? err : Fw_Peer_Listen(d);
-    return err ? err : Fw_Handover_Listen(d);
+    err = err ? err : Fw_PeerSocket_Open(d);
+    return err ? err : Fw_PeerSnapshot_Listen(d);
 }
 
 static void
-begin(struct fw_relayd *d)
+start(struct fw_relayd *d)
 {
     char callers[FW_URL_MAX];
     char ready[FW_URL_MAX];
@@ -309,12 +312,12 @@
     g_source_set_callback(d->timer, on_timer, d, NULL);
     g_source_set_ready_time(d->timer, 0);
     g_source_attach(d->timer, NULL);
-    Fw_Server_Url(d->callers, callers);
-    Fw_Server_Url(d->ready, ready);
-    Fw_Server_Url(d->metrics, metrics);
+    Fw_Server_Url(d->caller_server, callers);
+    Fw_Server_Url(d->ready_server, ready);
+    Fw_Server_Url(d->metrics_server, metrics);
     Fw_Note_Log(LOG_NOTICE, "started", "version", "0.2", "callers", callers,
-                "ready", ready, "metrics", metrics, "store", d->opts.store,
-                NULL);
+                "ready", ready, "metrics", metrics, "store",
+                d->opts.store_addr, NULL);
 }
 
 struct fw_relayd *
@@ -330,30 +333,30 @@
     d->pool = Fw_Pool_New();
     Fw_Pool_AddMetrics(d->pool, Fw_Relay_Metrics(d->relay));
     Fw_Note_AddMetrics(Fw_Relay_Metrics(d->relay));
-    Fw_Up_AddMetrics(d);
-    d->by_caller = g_hash_table_new(NULL, NULL);
-    d->by_call =
+    Fw_UpstreamCall_AddMetrics(d);
+    d->requests_by_caller = g_hash_table_new(NULL, NULL);
+    d->requests_by_id =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    d->ups =
-        g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, Fw_Up_Free);
-    g_queue_init(&d->failed);
-    d->store = Fw_Store_New(d);
+    d->upstream_calls = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+                                              NULL, Fw_UpstreamCall_Free);
+    g_queue_init(&d->failed_calls);
+    d->store = Fw_StoreClient_New(d);
     *err = listen_all(d);
     if (*err) {
         Fw_Relayd_Free(d);
         return NULL;
     }
-    begin(d);
+    start(d);
     return d;
 }
 
 void
 Fw_Relayd_Run(struct fw_relayd *d)
 {
-    d->signals[0] = g_unix_signal_add(SIGTERM, on_term, d);
-    d->signals[1] = g_unix_signal_add(SIGINT, on_term, d);
-    d->signals[2] = g_unix_signal_add(SIGHUP, on_hup, d);
-    while (!d->over) {
+    d->signals[0] = g_unix_signal_add(SIGTERM, on_sigterm, d);
+    d->signals[1] = g_unix_signal_add(SIGINT, on_sigterm, d);
+    d->signals[2] = g_unix_signal_add(SIGHUP, on_sighup, d);
+    while (!d->stopped) {
         g_main_context_iteration(NULL, TRUE);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(d->signals); i++) {
@@ -364,19 +367,19 @@
 }
 
 int
-Fw_Relayd_Over(const struct fw_relayd *d)
+Fw_Relayd_IsStopped(const struct fw_relayd *d)
 {
-    return d->over;
+    return d->stopped;
 }
 
 int
-Fw_Relayd_Ready(const struct fw_relayd *d)
+Fw_Relayd_IsReady(const struct fw_relayd *d)
 {
     return Fw_Relay_Ready(d->relay, Fw_Conn_Now());
 }
 
 int
-Fw_Relayd_Usable(const struct fw_relayd *d, const char *id)
+Fw_Relayd_IsServerUsable(const struct fw_relayd *d, const char *id)
 {
     return Fw_Relay_Usable(d->relay, id, Fw_Conn_Now());
 }
@@ -384,7 +387,7 @@
 int
 Fw_Relayd_CallersPort(const struct fw_relayd *d)
 {
-    return Fw_Server_Port(d->callers);
+    return Fw_Server_Port(d->caller_server);
 }
 
 void
@@ -394,15 +397,15 @@
         g_source_destroy(d->timer);
         g_source_unref(d->timer);
     }
-    Fw_Store_Free(d->store);
-    Fw_Peer_Close(d);
-    g_hash_table_destroy(d->ups);
-    Fw_Server_Free(d->callers);
-    Fw_Server_Free(d->ready);
-    Fw_Server_Free(d->metrics);
-    Fw_Server_Free(d->handover);
-    g_hash_table_destroy(d->by_caller);
-    g_hash_table_destroy(d->by_call);
+    Fw_StoreClient_Free(d->store);
+    Fw_PeerSocket_Close(d);
+    g_hash_table_destroy(d->upstream_calls);
+    Fw_Server_Free(d->caller_server);
+    Fw_Server_Free(d->ready_server);
+    Fw_Server_Free(d->metrics_server);
+    Fw_Server_Free(d->snapshot_server);
+    g_hash_table_destroy(d->requests_by_caller);
+    g_hash_table_destroy(d->requests_by_id);
     Fw_Pool_Free(d->pool);
     Fw_Relay_Free(d->relay);
     g_free(d->settings_path);
--- a/src/relayd/relayd.h
+++ b/src/relayd/relayd.h
@@ -1,7 +1,7 @@
 /*
- * The relay as a program: one loop on one thread that turns sockets, timers
- * and signals into what the relay's core is told, and carries out its
- * actions.
+ * The router's daemon: a single-threaded event loop that feeds events from
+ * sockets, timers and signals to the router's core (relay/relay.h) and
+ * executes the actions that the core returns.
  */
 #ifndef FW_RELAYD_RELAYD_H
 #define FW_RELAYD_RELAYD_H
@@ -10,30 +10,32 @@
 #include "relay/relay.h"
 
 /**
- * struct fw_relayd_opts - from the settings.
- * @callers, @ready, @metrics, @peers: "ip:port" to listen on
- * @ready_path: asked by a balancer, 200 while requests are wanted
- * @store: "ip:port" of the platform's store
- * @rules_wait_us: how long a read of the configuration may wait for a change
- * @servers_every_us: how often the servers' entries are read
- * @log_bytes: bytes of log lines that may wait for their reader
+ * struct fw_relayd_opts - daemon options, read from the settings file.
+ * @callers_addr, @ready_addr, @metrics_addr: "ip:port" to listen on
+ * @peers_addr: "ip:port" for messages (UDP) and snapshots (TCP) of other
+ *              instances
+ * @ready_path: path of the load balancer's readiness check
+ * @store_addr: "ip:port" of the platform's store
+ * @config_wait_us: how long a read of the configuration may wait for a change
+ * @servers_interval_us: time between reads of the server registrations
+ * @log_buffer_bytes: size of the queue of log lines not yet written
  */
 struct fw_relayd_opts {
     struct fw_relay_opts relay;
     char callers[FW_URL_MAX];
-    char ready[FW_URL_MAX];
+    char ready_addr[FW_URL_MAX];
     char ready_path[FW_URL_MAX];
-    char metrics[FW_URL_MAX];
-    char peers[FW_URL_MAX];
-    char store[FW_URL_MAX];
-    int64_t rules_wait_us;
-    int64_t servers_every_us;
+    char metrics_addr[FW_URL_MAX];
+    char peers_addr[FW_URL_MAX];
+    char store_addr[FW_URL_MAX];
+    int64_t config_wait_us;
+    int64_t servers_interval_us;
     int64_t log_bytes;
 };
 
 /**
- * Fw_Relayd_Load - reads and checks the INI file @path.
- * @error: what is wrong, naming file, group and key; to be freed
+ * Fw_Relayd_LoadSettings - reads and validates the INI file @path.
+ * @error: on failure, a message with file, group and key; freed by the caller
  *
  * Return: 0 or -EINVAL.
  */
@@ -42,28 +44,37 @@
 
 struct fw_relayd;
 
-/* Return: the program, listening, or NULL with a negative errno in @err. */
+/*
+ * Opens all listening sockets. @settings_path is watched for changes; NULL for
+ * none. Return: NULL with a negative errno in @err on failure.
+ */
 struct fw_relayd *
 Fw_Relayd_New(const struct fw_relayd_opts *opts, const char *settings_path,
               int *err);
-/* Begins a graceful stop, as SIGTERM does; a second one changes nothing. */
+/* Begins a graceful shutdown, as SIGTERM does; idempotent. */
 void
 Fw_Relayd_Drain(struct fw_relayd *d);
-/* Reads the settings again; bad ones are told and change nothing. */
+/*
+ * Reloads the settings file. Invalid settings are logged and ignored. Listen
+ * addresses, @ready_path and @log_buffer_bytes change only with a restart.
+ */
 void
 Fw_Relayd_Reload(struct fw_relayd *d);
-/* Nonzero once it was told to stop and all answers are out. */
+/*
+ * Nonzero once a shutdown is complete: no response is in progress, or the
+ * grace period is about to end.
+ */
 int
-Fw_Relayd_Over(const struct fw_relayd *d);
-/* Until SIGTERM and the end of what runs. */
+Fw_Relayd_IsStopped(const struct fw_relayd *d);
+/* Runs the event loop until a shutdown is complete. */
 void
 Fw_Relayd_Run(struct fw_relayd *d);
-/* What the balancer is told. */
+/* The result of the readiness check. */
 int
-Fw_Relayd_Ready(const struct fw_relayd *d);
-/* May new requests go to the server @id? */
+Fw_Relayd_IsReady(const struct fw_relayd *d);
+/* Nonzero when new requests may be sent to the server @id. */
 int
-Fw_Relayd_Usable(const struct fw_relayd *d, const char *id);
+Fw_Relayd_IsServerUsable(const struct fw_relayd *d, const char *id);
 int
 Fw_Relayd_CallersPort(const struct fw_relayd *d);
 void
--- a/src/relayd/relayd_internal.h
+++ b/src/relayd/relayd_internal.h
@@ -10,136 +10,161 @@
 #include "platform/platform.h"
 #include "relayd/relayd.h"
 
-/** struct fw_caller_rec - a caller's request as the shell holds it. */
-struct fw_caller_rec {
+/**
+ * struct fw_caller_request - a caller's request that has no full response yet.
+ * @id: the number by which the core knows the request
+ * @head, @body: owned by the caller's connection
+ * @request_id: the caller's own id for it; may be empty
+ * @forwarded_xid: upstream call whose response it receives, 0 for none
+ */
+struct fw_caller_request {
     uint64_t id;
     struct fw_http_caller *caller;
-    const struct fw_http_head *head; /* of its connection */
+    const struct fw_http_head *head;
     GBytes *body;
     char request_id[FW_ID_MAX];
-    uint64_t passing; /* xid whose response goes to it, 0 for none */
+    uint64_t forwarded_xid;
 };
 
 /**
- * struct fw_up_rec - a call to an upstream.
- * @call: the caller's request or 0
- * @fields: header lines for the caller, @length of the body or -1
- * @body: what is kept of the response
- * @begun: the core knows of the response, its bytes go through
- * @done: the response is whole
- * @part_us: when the last part of a passed response came, 0 for none
+ * struct fw_upstream_call - a call to an upstream.
+ * @xid: id of the call
+ * @call: id of the caller's request, 0 when the call serves none
+ * @fields: header lines to forward to the caller
+ * @content_length: bytes of the response's body, -1 if unknown
+ * @body: part of the response that is buffered
+ * @buffered: hold the response back until it is complete, unless it exceeds
+ *            the buffer
+ * @response_started: the body is no longer buffered: it is forwarded to the
+ *                    caller, or dropped when there is none
+ * @complete: the response has been received in full
+ * @last_chunk_us: arrival of the last forwarded chunk, 0 for none
  */
-struct fw_up_rec {
+struct fw_upstream_call {
     struct fw_relayd *d;
     uint64_t xid;
     uint64_t call;
     enum fw_rl_up_kind kind;
     char request_id[FW_ID_MAX];
-    struct fw_exchange *x;
-    struct fw_rl_up_answer ans;
+    struct fw_exchange *exchange;
+    struct fw_rl_up_answer answer;
     GString *fields;
-    int64_t length;
+    int64_t content_length;
     GByteArray *body;
-    int whole;
-    int begun;
-    int done;
+    int buffered;
+    int response_started;
+    int complete;
     struct fw_event_count events;
-    int64_t part_us;
+    int64_t last_chunk_us;
 };
 
+/** struct fw_relayd - @outbox: messages to be sent to other instances. */
 struct fw_relayd {
     struct fw_relayd_opts opts;
     char *settings_path;
     int64_t settings_mtime_us;
-    int64_t settings_us; /* when that was last looked at */
+    int64_t settings_checked_us; /* last check of the modification time */
     struct fw_relay *relay;
     struct fw_pool *pool;
-    struct fw_http_server *callers;
-    struct fw_http_server *ready;
-    struct fw_http_server *metrics;
-    struct fw_http_server *handover; /* to other instances */
-    GSocket *peers;
-    GSource *peers_source;
-    struct fw_rl_mail mail;
+    struct fw_http_server *caller_server;
+    struct fw_http_server *ready_server;
+    struct fw_http_server *metrics_server;
+    struct fw_http_server *snapshot_server; /* serves other instances */
+    GSocket *peer_socket;
+    GSource *peer_source;
+    struct fw_rl_mail outbox;
     struct fw_metric digests_unsent;
-    struct fw_metric sent;
-    struct fw_metric sent_bytes;
-    struct fw_metric received;
-    struct fw_histogram gap_s;
-    GHashTable *by_caller; /* struct fw_http_caller to fw_caller_rec */
-    GHashTable *by_call;   /* id to fw_caller_rec */
-    GHashTable *ups;       /* xid to fw_up_rec */
-    GQueue failed;         /* xids of calls that could not be begun */
-    uint64_t last_call;
-    struct fw_store *store;
+    struct fw_metric peer_messages_sent;
+    struct fw_metric peer_bytes_sent;
+    struct fw_metric peer_messages_received;
+    struct fw_histogram chunk_gap_s;
+    /* struct fw_http_caller to struct fw_caller_request */
+    GHashTable *requests_by_caller;
+    GHashTable *requests_by_id; /* id to struct fw_caller_request */
+    GHashTable *upstream_calls; /* xid to struct fw_upstream_call */
+    GQueue failed_calls;        /* xids of calls that failed to start */
+    uint64_t last_request_id;
+    struct fw_store_client *store;
     GSource *timer;
     guint signals[3];
-    int64_t ticked_us;
-    int64_t drain_us;
-    int over;
+    int64_t last_tick_us;
+    int64_t drain_start_us;
+    int stopped;
 };
 
 /* relayd.c */
-/* A request that broke a limit or the protocol; of struct fw_http_ops. */
+/*
+ * Logs a request that violated a limit or the protocol. A callback of struct
+ * fw_http_ops.
+ */
 void
-Fw_Relayd_Malformed(void *ctx, int status, const char *why);
+Fw_Relayd_LogMalformed(void *ctx, int status, const char *why);
 
-/* up.c */
+/* upstream.c */
 void
-Fw_Up_AddMetrics(struct fw_relayd *d);
+Fw_UpstreamCall_AddMetrics(struct fw_relayd *d);
 void
-Fw_Up_Start(struct fw_relayd *d, const struct fw_rl_up_call *c);
+Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_up_call *c);
 void
-Fw_Up_Stop(struct fw_relayd *d, uint64_t xid);
+Fw_UpstreamCall_Remove(struct fw_relayd *d, uint64_t xid);
 void
-Fw_Up_Free(gpointer rec);
-/* Hands what came of @rec's response to the caller, and what follows. */
+Fw_UpstreamCall_Free(gpointer rec);
+/* Starts the response to @to with what @rec has received so far. */
 void
-Fw_Up_Pass(struct fw_up_rec *rec, struct fw_caller_rec *to);
+Fw_UpstreamCall_Forward(struct fw_upstream_call *rec,
+                        struct fw_caller_request *to);
 
-/* acts.c */
-/* Carries out what the core wants, and what follows from that. */
+/* actions.c */
+/*
+ * Executes @acts and the actions that result from them, then clears @acts. May
+ * free caller requests and upstream calls.
+ */
 void
-Fw_Relayd_CarryOut(struct fw_relayd *d, struct fw_rl_acts *acts);
+Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_acts *acts);
 
 /* store.c */
-struct fw_store *
-Fw_Store_New(struct fw_relayd *d);
+struct fw_store_client *
+Fw_StoreClient_New(struct fw_relayd *d);
 void
-Fw_Store_Free(struct fw_store *s);
+Fw_StoreClient_Free(struct fw_store_client *s);
 void
-Fw_Store_Tick(struct fw_store *s, int64_t now_us);
-/* Claims the order role at the end of its topic. */
+Fw_StoreClient_Tick(struct fw_store_client *s, int64_t now_us);
+/*
+ * Appends a claim of leadership at offset @end of its topic. The leader orders
+ * stage changes of engines.
+ */
 void
-Fw_Store_Claim(struct fw_store *s, uint64_t end);
+Fw_StoreClient_ClaimLeadership(struct fw_store_client *s, uint64_t end);
 
-/* store_take.c */
+/* store_apply.c */
 /*
- * Hands the core what the records @got of @topic say, and keeps them in
- * @newest unless that is NULL.
+ * Applies the records @got of @topic to the core and, unless it is NULL, to
+ * the snapshot @newest.
  */
 void
-Fw_Store_Take(struct fw_relayd *d, enum fw_topic topic, GHashTable *newest,
-              const struct fw_records *got, struct fw_rl_acts *acts);
+Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
+                            GHashTable *newest,
+                            const struct fw_store_response *got,
+                            struct fw_rl_acts *acts);
 
 /* peers.c */
 int
-Fw_Peer_Listen(struct fw_relayd *d);
-/* Sends what other instances should get by now. */
+Fw_PeerSocket_Open(struct fw_relayd *d);
+/* Sends the messages to other instances that are due. */
 void
-Fw_Peer_Send(struct fw_relayd *d);
+Fw_PeerSocket_SendDue(struct fw_relayd *d);
 void
-Fw_Peer_Close(struct fw_relayd *d);
+Fw_PeerSocket_Close(struct fw_relayd *d);
 
 /* status.c */
 int
 Fw_Status_Listen(struct fw_relayd *d);
-/* Is @path what was asked for? */
+/* Nonzero when @path is the target of the request. */
 int
-Fw_Status_AsksFor(const struct fw_http_head *h, const char *path);
+Fw_Status_IsPath(const struct fw_http_head *h, const char *path);
 
-/* handover.c */
+/* peer_snapshot.c */
 int
-Fw_Handover_Listen(struct fw_relayd *d);
+Fw_PeerSnapshot_Listen(struct fw_relayd *d);
 
 #endif
--- a/src/relayd/settings.c
+++ b/src/relayd/settings.c
@@ -5,11 +5,12 @@
 #include "relayd/relayd.h"
 
 /**
- * struct values - what the file says.
- * @out: takes texts, and numbers in its own units, as they are read
- * The others are handed out in the units of @out.
+ * struct values - settings as parsed.
+ * @out: texts, and numbers that the file has in the units of the options
+ *
+ * The other fields are converted to the units of the options afterwards.
  */
-struct values {
+struct parsed_settings {
     struct fw_relayd_opts out;
     int64_t revocation_ms;
     int64_t lease_ms;
@@ -27,21 +28,21 @@
 };
 
 /*
- * Keys count for this part of the time within which a withdrawn key must
- * stop working, from when the last good read was sent. A request that comes
- * by then was sent by then; the rest is for clocks that drift.
+ * Keys stay valid for this part of the revocation time after the latest
+ * successful read of the configuration was sent. The rest allows for clock
+ * drift.
  */
-#define FW_STALE_PERMILLE 960
+#define FW_KEY_STALE_PERMILLE 960
 
-#define FW_AT(field) offsetof(struct values, field)
+#define FW_AT(field) offsetof(struct parsed_settings, field)
 #define FW_INT(group, key, fallback, min, max, field)                         \
     FW_INI_NUMBER(group, key, fallback, min, max, FW_AT(field))
-/* Figures that a platform may give as fractions. */
+/* Numbers that are rounded down to an integer. */
 #define FW_FLOOR(group, key, fallback, min, max, field)                       \
     {                                                                         \
         group, key, FW_INI_FLOOR, fallback, min, max, FW_AT(field), NULL      \
     }
-/* Seconds of up to six decimals, kept as microseconds. */
+/* Seconds with up to six decimals, stored as microseconds. */
 #define FW_SECONDS(group, key, fallback, min, max, field)                     \
     {                                                                         \
         group, key, FW_INI_DECIMAL, fallback, (min)*FW_SEC, (max)*FW_SEC,     \
@@ -63,11 +64,11 @@
     {"relay", "cpu-share", FW_INI_DECIMAL, "1", 0, 1000000000,
      FW_AT(out.relay.cpu_ppm), NULL},
     FW_TEXT("listen", "callers", FW_INI_LISTEN, NULL, out.callers),
-    FW_TEXT("listen", "ready", FW_INI_LISTEN, NULL, out.ready),
+    FW_TEXT("listen", "ready", FW_INI_LISTEN, NULL, out.ready_addr),
     FW_TEXT("listen", "ready-path", FW_INI_PATH, "/readyz", out.ready_path),
-    FW_TEXT("listen", "metrics", FW_INI_LISTEN, NULL, out.metrics),
-    FW_TEXT("listen", "peers", FW_INI_PEERS, NULL, out.peers),
-    FW_TEXT("store", "address", FW_INI_LISTEN, NULL, out.store),
+    FW_TEXT("listen", "metrics", FW_INI_LISTEN, NULL, out.metrics_addr),
+    FW_TEXT("listen", "peers", FW_INI_PEERS, NULL, out.peers_addr),
+    FW_TEXT("store", "address", FW_INI_LISTEN, NULL, out.store_addr),
     FW_INT("store", "rules-wait-ms", "1500", 0, 30000, rules_wait_ms),
     FW_INT("store", "servers-every-ms", "700", 50, 60000, servers_every_ms),
     FW_FLOOR("limits", "revocation-ms", "5000", 100, 600000, revocation_ms),
@@ -94,12 +95,12 @@
 };
 
 static void
-hand_out(const struct values *v, struct fw_relayd_opts *out)
+convert(const struct parsed_settings *v, struct fw_relayd_opts *out)
 {
     struct fw_relay_opts *r = &out->relay;
 
     *out = v->out;
-    r->key_stale_us = v->revocation_ms * FW_STALE_PERMILLE;
+    r->key_stale_us = v->revocation_ms * FW_KEY_STALE_PERMILLE;
     r->policy = (enum fw_rl_policy)v->policy;
     r->queue_us = v->queue_ms * FW_MSEC;
     r->reserve_permille = (int)v->reserve_permille;
@@ -108,8 +109,8 @@
     r->lease_us = v->lease_ms * FW_MSEC;
     r->log_level = (int)v->log_level;
     r->log_sample = (int)v->log_sample;
-    out->rules_wait_us = v->rules_wait_ms * FW_MSEC;
-    out->servers_every_us = v->servers_every_ms * FW_MSEC;
+    out->config_wait_us = v->rules_wait_ms * FW_MSEC;
+    out->servers_interval_us = v->servers_every_ms * FW_MSEC;
     r->digest_every_us = v->digest_every_ms * FW_MSEC;
     out->log_bytes = v->log_kb * 1024;
 }
@@ -117,13 +118,13 @@
 int
 Fw_Relayd_Load(const char *path, struct fw_relayd_opts *out, char **error)
 {
-    struct values v = {0};
+    struct parsed_settings v = {0};
     int rc;
 
     memset(out, 0, sizeof(*out));
     rc = Fw_Ini_Load(path, keys, G_N_ELEMENTS(keys), &v, error);
     if (rc == 0) {
-        hand_out(&v, out);
+        convert(&v, out);
     }
     return rc;
 }
--- a/src/relayd/status.c
+++ b/src/relayd/status.c
@@ -1,11 +1,11 @@
-/* The addresses of the balancer's check and of the metrics. */
+/* HTTP servers of the readiness check and the metrics. */
 #include <string.h>
 
 #include "http/conn.h"
 #include "relayd/relayd_internal.h"
 
 int
-Fw_Status_AsksFor(const struct fw_http_head *h, const char *path)
+Fw_Status_IsPath(const struct fw_http_head *h, const char *path)
 {
     return h->target_len == strlen(path) &&
            memcmp(h->target, path, h->target_len) == 0;
@@ -16,10 +16,10 @@
          GBytes *body)
 {
     struct fw_relayd *d = ctx;
-    int ready = Fw_Relayd_Ready(d);
+    int ready = Fw_Relayd_IsReady(d);
 
     (void)body;
-    if (!Fw_Status_AsksFor(head, d->opts.ready_path)) {
+    if (!Fw_Status_IsPath(head, d->opts.ready_path)) {
         Fw_Caller_Answer(c, 404, "", "");
         return;
     }
@@ -34,7 +34,7 @@
     GString *text;
 
     (void)body;
-    if (!Fw_Status_AsksFor(head, "/metrics")) {
+    if (!Fw_Status_IsPath(head, "/metrics")) {
         Fw_Caller_Answer(c, 404, "", "");
         return;
     }
@@ -45,20 +45,21 @@
     g_string_free(text, TRUE);
 }
 
-static const struct fw_http_ops ready_ops = {.request = on_ready,
-                                             .refused = Fw_Relayd_Malformed};
-static const struct fw_http_ops metrics_ops = {.request = on_metrics,
-                                               .refused = Fw_Relayd_Malformed};
+static const struct fw_http_ops ready_ops = {
+    .request = on_ready, .refused = Fw_Relayd_LogMalformed};
+static const struct fw_http_ops metrics_ops = {
+    .request = on_metrics, .refused = Fw_Relayd_LogMalformed};
 
 int
 Fw_Status_Listen(struct fw_relayd *d)
 {
     int err = 0;
 
-    d->ready = Fw_Server_New(d->opts.ready, &ready_ops, d, &err);
-    if (!d->ready) {
+    d->ready_server = Fw_Server_New(d->opts.ready_addr, &ready_ops, d, &err);
+    if (!d->ready_server) {
         return err;
     }
-    d->metrics = Fw_Server_New(d->opts.metrics, &metrics_ops, d, &err);
-    return d->metrics ? 0 : err;
+    d->metrics_server =
+        Fw_Server_New(d->opts.metrics_addr, &metrics_ops, d, &err);
+    return d->metrics_server ? 0 : err;
 }
--- a/src/relayd/store_internal.h
+++ b/src/relayd/store_internal.h
@@ -1,106 +1,137 @@
-/* Shared by the files that follow the platform's store. */
+/* Client of the platform's store; shared by its files. */
 #ifndef FW_RELAYD_STORE_INTERNAL_H
 #define FW_RELAYD_STORE_INTERNAL_H
 
 #include "relayd/relayd_internal.h"
 
-/** enum fw_step - what a follower asks for next. */
-enum fw_step {
-    FW_STEP_NEWEST,
-    FW_STEP_READ,
-    FW_STEP_APPEND,
+/**
+ * enum fw_store_op - requests to the store.
+ * @FW_STORE_OP_NEWEST: a page of the newest record of each key
+ * @FW_STORE_OP_READ: the records from an offset on
+ * @FW_STORE_OP_APPEND: a new record
+ */
+enum fw_store_op {
+    FW_STORE_OP_NEWEST,
+    FW_STORE_OP_READ,
+    FW_STORE_OP_APPEND,
 };
 
 /**
- * struct fw_follow - one topic.
- * @from: next offset to read
- * @after: last key of the newest records read so far
- * @page_end: where reading goes on after the newest records
- * @wait_us: how long a read may wait for a record
- * @every_us: pause between two reads
- * @value: what is appended, NULL when nothing is
- * @peer: instance that the newest records are asked of; "" for the store
- * @must: a peer has failed to give them: the store is asked
- * @newest: for other instances: key to its newest record
+ * struct fw_topic_client - keeps one topic up to date and appends to it. At
+ * most one request is in flight.
+ * @op: the next request, or the one in flight
+ * @exchange: the request in flight, or NULL
+ * @status, @body: of the response
+ * @sent_us: when the latest request was sent
+ * @deadline_us: when the request in flight times out
+ * @next_request_us: earliest time of the next request
+ * @next_offset: first offset not read yet
+ * @snapshot_end: offset at which reading continues after the newest records
+ * @last_key: last key of the latest page of newest records
+ * @paging: a page of newest records was read and more follow
+ * @wait_us: how long the store may hold a read open for a new record
+ * @interval_us: time between reads
+ * @append_value: value to append, NULL for none
+ * @append_offset: append only at this offset, UINT64_MAX for any
+ * @peer_addr: instance that a snapshot is requested from; empty for the store
+ * @force_store: a snapshot request failed: the next request goes to the store
+ * @newest: snapshot for other instances, NULL for a topic without one
  */
-struct fw_follow {
-    struct fw_store *store;
-    enum fw_topic topic;
-    enum fw_step step;
-    struct fw_exchange *x;
+struct fw_topic_client {
+    struct fw_store_client *store;
+    enum fw_store_topic topic;
+    enum fw_store_op op;
+    struct fw_exchange *exchange;
     int status;
     GByteArray *body;
     int64_t sent_us;
-    int64_t until_us;
-    int64_t next_us;
-    uint64_t from;
-    uint64_t page_end;
-    char after[FW_ID_MAX];
+    int64_t deadline_us;
+    int64_t next_request_us;
+    uint64_t next_offset;
+    uint64_t snapshot_end;
+    char last_key[FW_ID_MAX];
     int paging;
     int64_t wait_us;
-    int64_t every_us;
-    char *value;
-    uint64_t at;
-    char peer[FW_URL_MAX];
-    int must;
+    int64_t interval_us;
+    char *append_value;
+    uint64_t append_offset;
+    char peer_addr[FW_URL_MAX];
+    int force_store;
     GHashTable *newest;
 };
 
-/** enum fw_outcome - of a call to the store. */
-enum fw_outcome {
-    FW_OUTCOME_OK,
-    FW_OUTCOME_REFUSED,    /* another status than one that says something */
-    FW_OUTCOME_UNREADABLE, /* an answer that can't be decoded */
-    FW_OUTCOME_LOST,       /* no answer, or the connection failed */
-    FW_OUTCOMES,
+/** enum fw_store_outcome - outcomes of requests to the store. */
+enum fw_store_outcome {
+    FW_STORE_OUTCOME_OK,
+    FW_STORE_OUTCOME_REFUSED,    /* unexpected status */
+    FW_STORE_OUTCOME_UNREADABLE, /* malformed body */
+    FW_STORE_OUTCOME_LOST,       /* timeout or connection failure */
+    FW_STORE_OUTCOME_COUNT,
 };
 
-#define FW_STEPS (FW_STEP_APPEND + 1)
+#define FW_STORE_OP_COUNT (FW_STORE_OP_APPEND + 1)
 
 /**
- * struct fw_store - the store as this instance sees it.
- * @calls: by what was asked and what became of it
- * @lost_us: since when nothing was heard, 0 if well
+ * struct fw_store_client - client of the store, one part per topic.
+ * @unreachable_since_us: time of the first failure since the store last
+ *                        answered, 0 while it answers
+ * @requests: counters by operation and outcome
  */
-struct fw_store {
+struct fw_store_client {
     struct fw_relayd *d;
-    struct fw_follow rules;
-    struct fw_follow servers;
-    struct fw_follow members;
-    struct fw_follow lead;
-    int64_t lost_us;
-    struct fw_metric calls[FW_STEPS][FW_OUTCOMES];
-    struct fw_metric age_ms;
+    struct fw_topic_client config;
+    struct fw_topic_client servers;
+    struct fw_topic_client instances;
+    struct fw_topic_client leader;
+    int64_t unreachable_since_us;
+    struct fw_metric requests[FW_STORE_OP_COUNT][FW_STORE_OUTCOME_COUNT];
+    struct fw_metric unreachable_ms;
 };
 
-/* store_count.c */
-/* What became of the call that @f has made. */
+/* store_metrics.c */
+/* Counts the latest request of @f. */
 void
-Fw_Store_Count(struct fw_follow *f, enum fw_outcome outcome);
+Fw_StoreClient_CountRequest(struct fw_topic_client *f,
+                            enum fw_store_outcome outcome);
 void
-Fw_Store_AddCounts(struct fw_store *s, struct fw_metrics *m);
+Fw_StoreClient_AddMetrics(struct fw_store_client *s, struct fw_metrics *m);
 
-/* store_answer.c */
-/* What was asked last for @f has an answer, in @f->status and @f->body. */
+/* store_response.c */
+/* Handles the response in @f->status and @f->body. */
 void
-Fw_Follow_Ended(struct fw_follow *f);
-/* It has none, for the reason @why. */
+Fw_TopicClient_OnResponse(struct fw_topic_client *f);
+/* Handles a request that got no response; @why: the reason, for the log. */
 void
-Fw_Follow_Failed(struct fw_follow *f, const char *why);
+Fw_TopicClient_OnFailure(struct fw_topic_client *f, const char *why);
 
-/* handover.c */
-/* Records by key; see Fw_Handover_Keep. */
+/*
+ * peer_snapshot.c: the newest record of each key of a topic, which instances
+ * request from one another. Written to by Fw_PeerSnapshot_Update.
+ */
 GHashTable *
-Fw_Handover_New(void);
+Fw_PeerSnapshot_New(void);
+/*
+ * Replaces the record of the key of @rec, or removes it when the value is
+ * NULL. Records older than the one present are ignored.
+ */
 void
-Fw_Handover_Keep(GHashTable *newest, const struct fw_record *rec);
-/* The records, and the offset @end up to which they are the newest. */
+Fw_PeerSnapshot_Update(GHashTable *newest, const struct fw_store_record *rec);
+/*
+ * Appends the records and the offset @end to @out. The snapshot covers all
+ * records before @end.
+ */
 void
-Fw_Handover_Write(GHashTable *newest, uint64_t end, GByteArray *out);
+Fw_PeerSnapshot_Encode(GHashTable *newest, uint64_t end, GByteArray *out);
+/* Writes a request for the snapshot of @topic, for the instance at @addr. */
 void
-Fw_Handover_WriteAsk(enum fw_topic topic, const char *addr, GString *head);
-/* Return: 0 or -EBADMSG; @out is to be cleared in any case. */
+Fw_PeerSnapshot_WriteRequest(enum fw_store_topic topic, const char *addr,
+                             GString *head);
+/*
+ * Return: 0 or -EBADMSG. @out must be cleared with
+ * Fw_Platform_ClearStoreResponse, after an error too.
+ */
 int
-Fw_Handover_Read(const void *data, size_t len, struct fw_records *out);
+Fw_PeerSnapshot_Decode(const void *data, size_t len,
+                       struct fw_store_response *out);
 
 #endif
--- a/src/relayd/store_take.c
+++ b/src/relayd/store_take.c
@@ -1,4 +1,4 @@
-/* Records of the platform's store, decoded and handed to the core. */
+/* Decodes records of the platform's store and applies them to the core. */
 #include <string.h>
 
 #include "http/conn.h"
@@ -7,17 +7,17 @@
 #include "relayd/store_internal.h"
 
 static void
-take_rules(struct fw_relayd *d, const struct fw_record *rec,
-           struct fw_rl_acts *acts)
+apply_config(struct fw_relayd *d, const struct fw_store_record *rec,
+             struct fw_rl_acts *acts)
 {
     const char *why = "dropped";
     struct fw_rl_rules *rules = NULL;
 
-    if (!Fw_Platform_IsRulesKey(rec->key)) {
+    if (!Fw_Platform_IsConfigKey(rec->key)) {
         return;
     }
     if (rec->value) {
-        rules = Fw_Platform_ReadRules(rec->value, rec->len, &why);
+        rules = Fw_Platform_ParseConfig(rec->value, rec->len, &why);
     }
     if (!rules) {
         Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
@@ -27,8 +27,8 @@
 }
 
 static void
-take_server(struct fw_relayd *d, const struct fw_record *rec,
-            struct fw_rl_acts *acts)
+apply_server(struct fw_relayd *d, const struct fw_store_record *rec,
+             struct fw_rl_acts *acts)
 {
     struct fw_rl_server_entry e;
     int64_t now = Fw_Conn_Now();
@@ -36,7 +36,8 @@
     if (!rec->value) {
         Fw_Relay_Server(d->relay, rec->key, NULL, now, acts);
     }
-    else if (Fw_Platform_ReadServer(rec->key, rec->value, rec->len, &e) == 0) {
+    else if (Fw_Platform_ParseServer(rec->key, rec->value, rec->len, &e) ==
+             0) {
         Fw_Relay_Server(d->relay, rec->key, &e, now, acts);
     }
     else {
@@ -45,7 +46,7 @@
 }
 
 static void
-take_member(struct fw_relayd *d, const struct fw_record *rec)
+apply_instance(struct fw_relayd *d, const struct fw_store_record *rec)
 {
     JsonNode *root = rec->value ? Fw_Json_Parse(rec->value, rec->len) : NULL;
     JsonObject *obj = root ? json_node_get_object(root) : NULL;
@@ -54,7 +55,7 @@
     g_strlcpy(peer.name, rec->key, sizeof(peer.name));
     if (obj &&
         Fw_Json_CopyStr(obj, "addr", peer.addr, sizeof(peer.addr)) == 0) {
-        /* An older version names neither of these. */
+        /* Absent from registrations of older versions. */
         Fw_Json_CopyStr(obj, "domain", peer.domain, sizeof(peer.domain));
         Fw_Json_Int(obj, "cpu_ppm", &peer.cpu_ppm);
         Fw_Relay_AddMember(d->relay, &peer, Fw_Conn_Now());
@@ -65,27 +66,29 @@
 }
 
 void
-Fw_Store_Take(struct fw_relayd *d, enum fw_topic topic, GHashTable *newest,
-              const struct fw_records *got, struct fw_rl_acts *acts)
+Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
+                            GHashTable *newest,
+                            const struct fw_store_response *got,
+                            struct fw_rl_acts *acts)
 {
-    for (guint i = 0; i < got->all->len; i++) {
-        const struct fw_record *rec =
-            &g_array_index(got->all, struct fw_record, i);
+    for (guint i = 0; i < got->records->len; i++) {
+        const struct fw_store_record *rec =
+            &g_array_index(got->records, struct fw_store_record, i);
 
         if (newest) {
-            Fw_Handover_Keep(newest, rec);
+            Fw_PeerSnapshot_Update(newest, rec);
         }
         switch (topic) {
-        case FW_TOPIC_RULES:
-            take_rules(d, rec, acts);
+        case FW_TOPIC_CONFIG:
+            apply_config(d, rec, acts);
             break;
         case FW_TOPIC_SERVERS:
-            take_server(d, rec, acts);
+            apply_server(d, rec, acts);
             break;
-        case FW_TOPIC_MEMBERS:
-            take_member(d, rec);
+        case FW_TOPIC_INSTANCES:
+            apply_instance(d, rec);
             break;
-        case FW_TOPIC_LEAD:
+        case FW_TOPIC_LEADER:
             break;
         }
     }
--- a/src/relayd/up.c
+++ b/src/relayd/up.c
@@ -1,4 +1,4 @@
-/* Calls to upstreams, and their responses on the way to callers. */
+/* Calls to upstreams, and forwarding of their responses to callers. */
 #include <errno.h>
 #include <string.h>
 
@@ -6,40 +6,40 @@
 #include "relayd/relayd_internal.h"
 
 /*
- * A response up to this size is kept until it is whole, so that one that
- * breaks off can still be replaced by another server's.
+ * Responses up to this size are buffered until complete, so that a truncated
+ * one can be replaced by a retry on another server.
  */
-#define FW_WHOLE_MAX (64 * 1024)
-/* Bytes that a slow caller may have waiting before its upstream is paused. */
-#define FW_WAITING_MAX (256 * 1024)
+#define FW_BUFFERED_RESPONSE_BYTES (64 * 1024)
+/* Bytes queued for a slow caller above which its upstream is paused. */
+#define FW_CALLER_BACKLOG_BYTES (256 * 1024)
 
 void
-Fw_Up_AddMetrics(struct fw_relayd *d)
+Fw_UpstreamCall_AddMetrics(struct fw_relayd *d)
 {
-    d->gap_s.name = "fw_phase_gap_seconds";
-    d->gap_s.help = "Between two parts of a response that is passed on";
-    Fw_Metrics_AddHistogram(Fw_Relay_Metrics(d->relay), &d->gap_s);
+    d->chunk_gap_s.name = "fw_phase_gap_seconds";
+    d->chunk_gap_s.help = "Between two parts of a response that is passed on";
+    Fw_Metrics_AddHistogram(Fw_Relay_Metrics(d->relay), &d->chunk_gap_s);
 }
 
-/* Events of a stream come one by one: its pauses are what callers see. */
+/* Records the time between two chunks of an unbuffered response. */
 static void
-note_gap(struct fw_up_rec *rec)
+observe_chunk_gap(struct fw_upstream_call *rec)
 {
     int64_t now = Fw_Conn_Now();
 
-    if (rec->part_us && !rec->whole) {
-        Fw_Histogram_Add(&rec->d->gap_s, now - rec->part_us);
+    if (rec->last_chunk_us && !rec->buffered) {
+        Fw_Histogram_Add(&rec->d->chunk_gap_s, now - rec->last_chunk_us);
     }
-    rec->part_us = now;
+    rec->last_chunk_us = now;
 }
 
 void
-Fw_Up_Free(gpointer data)
+Fw_UpstreamCall_Free(gpointer data)
 {
-    struct fw_up_rec *rec = data;
+    struct fw_upstream_call *rec = data;
 
-    if (rec->x) {
-        Fw_Exchange_Stop(rec->x);
+    if (rec->exchange) {
+        Fw_Exchange_Stop(rec->exchange);
     }
     if (rec->fields) {
         g_string_free(rec->fields, TRUE);
@@ -49,22 +49,23 @@
 }
 
 void
-Fw_Up_Stop(struct fw_relayd *d, uint64_t xid)
+Fw_UpstreamCall_Remove(struct fw_relayd *d, uint64_t xid)
 {
-    g_hash_table_remove(d->ups, &xid);
+    g_hash_table_remove(d->upstream_calls, &xid);
 }
 
-static struct fw_caller_rec *
-caller_of(const struct fw_up_rec *rec)
+static struct fw_caller_request *
+forward_target(const struct fw_upstream_call *rec)
 {
-    struct fw_caller_rec *c = g_hash_table_lookup(rec->d->by_call, &rec->call);
+    struct fw_caller_request *c =
+        g_hash_table_lookup(rec->d->requests_by_id, &rec->call);
 
-    return c && c->passing == rec->xid ? c : NULL;
+    return c && c->forwarded_xid == rec->xid ? c : NULL;
 }
 
-/* The response's fields as they go on, but for those of one connection. */
+/* Copies the response's fields without hop-by-hop fields and framing. */
 static GString *
-fields_of(const struct fw_http_head *h)
+forwarded_fields(const struct fw_http_head *h)
 {
     GString *out = g_string_sized_new(256);
 
@@ -80,35 +81,36 @@
 }
 
 static void
-tell_begun(struct fw_up_rec *rec)
+notify_begun(struct fw_upstream_call *rec)
 {
     struct fw_relayd *d = rec->d;
     struct fw_rl_acts acts;
 
-    rec->begun = 1;
+    rec->response_started = 1;
     Fw_Acts_Init(&acts);
-    Fw_Relay_Begun(d->relay, rec->xid, &rec->ans, Fw_Conn_Now(), &acts);
-    Fw_Relayd_CarryOut(d, &acts);
+    Fw_Relay_Begun(d->relay, rec->xid, &rec->answer, Fw_Conn_Now(), &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
 }
 
 static enum fw_take
 on_head(void *ctx, const struct fw_http_head *h)
 {
-    struct fw_up_rec *rec = ctx;
+    struct fw_upstream_call *rec = ctx;
 
     if ((rec->kind == FW_RL_UP_RUN || rec->kind == FW_RL_UP_PREFILL) &&
-        !Fw_Platform_Answers(h, rec->request_id)) {
+        !Fw_Platform_ResponseMatches(h, rec->request_id)) {
         return FW_TAKE_SKIP;
     }
-    Fw_Platform_ReadHead(h, &rec->ans);
-    rec->fields = fields_of(h);
-    rec->length = h->framing == FW_HTTP_LENGTH ? (int64_t)h->length : -1;
+    Fw_Platform_ParseResponseHead(h, &rec->answer);
+    rec->fields = forwarded_fields(h);
+    rec->content_length =
+        h->framing == FW_HTTP_LENGTH ? (int64_t)h->length : -1;
     if (h->framing == FW_HTTP_NONE) {
-        rec->length = 0;
+        rec->content_length = 0;
     }
-    if (rec->kind == FW_RL_UP_RUN && !rec->ans.not_run &&
-        (!rec->whole || rec->length > FW_WHOLE_MAX)) {
-        tell_begun(rec);
+    if (rec->kind == FW_RL_UP_RUN && !rec->answer.not_run &&
+        (!rec->buffered || rec->content_length > FW_BUFFERED_RESPONSE_BYTES)) {
+        notify_begun(rec);
     }
     return FW_TAKE_IT;
 }
@@ -116,67 +118,68 @@
 static void
 on_body(void *ctx, const char *data, size_t len)
 {
-    struct fw_up_rec *rec = ctx;
-    struct fw_caller_rec *to = caller_of(rec);
+    struct fw_upstream_call *rec = ctx;
+    struct fw_caller_request *to = forward_target(rec);
 
-    if (rec->kind == FW_RL_UP_RUN && !rec->whole) {
+    if (rec->kind == FW_RL_UP_RUN && !rec->buffered) {
         Fw_EventCount_Add(&rec->events, data, len);
     }
     if (to) {
-        note_gap(rec);
+        observe_chunk_gap(rec);
         Fw_Caller_Data(to->caller, data, len);
-        if (Fw_Caller_Pending(to->caller) > FW_WAITING_MAX) {
-            Fw_Exchange_Pause(rec->x, 1);
+        if (Fw_Caller_Pending(to->caller) > FW_CALLER_BACKLOG_BYTES) {
+            Fw_Exchange_Pause(rec->exchange, 1);
         }
         return;
     }
-    if (rec->begun) {
-        return; /* nobody wants it */
+    if (rec->response_started) {
+        return; /* no caller to forward to */
     }
     g_byte_array_append(rec->body, (const guint8 *)data, (guint)len);
-    if (rec->body->len > FW_WHOLE_MAX && rec->kind == FW_RL_UP_RUN) {
-        tell_begun(rec);
+    if (rec->body->len > FW_BUFFERED_RESPONSE_BYTES &&
+        rec->kind == FW_RL_UP_RUN) {
+        notify_begun(rec);
     }
 }
 
 static void
 on_end(void *ctx)
 {
-    struct fw_up_rec *rec = ctx;
+    struct fw_upstream_call *rec = ctx;
     struct fw_relayd *d = rec->d;
     uint64_t xid = rec->xid;
     int64_t now = Fw_Conn_Now();
     struct fw_rl_acts acts;
 
-    rec->x = NULL;
-    rec->done = 1;
-    rec->ans.events = rec->events.n;
+    rec->exchange = NULL;
+    rec->complete = 1;
+    rec->answer.events = rec->events.n;
     Fw_Acts_Init(&acts);
-    if (Fw_Platform_ReadBody(rec->kind, rec->body->data, rec->body->len,
-                             &rec->ans)) {
+    if (Fw_Platform_ParseResponseBody(rec->kind, rec->body->data,
+                                      rec->body->len, &rec->answer)) {
         Fw_Relay_Failed(d->relay, xid, -EBADMSG, 1, now, &acts);
     }
     else {
-        Fw_Relay_Answered(d->relay, xid, &rec->ans, now, &acts);
+        Fw_Relay_Answered(d->relay, xid, &rec->answer, now, &acts);
     }
-    Fw_Relayd_CarryOut(d, &acts);
-    Fw_Up_Stop(d, xid);
+    Fw_Relayd_ExecuteActions(d, &acts);
+    Fw_UpstreamCall_Remove(d, xid);
 }
 
 static void
 on_fail(void *ctx, int err, enum fw_sent sent)
 {
-    struct fw_up_rec *rec = ctx;
+    struct fw_upstream_call *rec = ctx;
     struct fw_relayd *d = rec->d;
     uint64_t xid = rec->xid;
     struct fw_rl_acts acts;
 
-    rec->x = NULL;
+    rec->exchange = NULL;
     Fw_Acts_Init(&acts);
     Fw_Relay_Failed(d->relay, xid, err, sent == FW_SENT_SOME, Fw_Conn_Now(),
                     &acts);
-    Fw_Relayd_CarryOut(d, &acts);
-    Fw_Up_Stop(d, xid);
+    Fw_Relayd_ExecuteActions(d, &acts);
+    Fw_UpstreamCall_Remove(d, xid);
 }
 
 static const struct fw_exchange_ops ops = {
@@ -187,12 +190,13 @@
 };
 
 void
-Fw_Up_Start(struct fw_relayd *d, const struct fw_rl_up_call *c)
+Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_up_call *c)
 {
-    struct fw_caller_rec *from = g_hash_table_lookup(d->by_call, &c->call);
+    struct fw_caller_request *from =
+        g_hash_table_lookup(d->requests_by_id, &c->call);
     struct fw_exchange_opts how = {.reuse_us = c->reuse_us,
                                    .connect_us = c->connect_us};
-    struct fw_up_rec *rec = g_new0(struct fw_up_rec, 1);
+    struct fw_upstream_call *rec = g_new0(struct fw_upstream_call, 1);
     GString *head = g_string_sized_new(512);
     GBytes *body = NULL;
     int err = 0;
@@ -201,23 +205,24 @@
     rec->xid = c->xid;
     rec->call = c->call;
     rec->kind = c->kind;
-    rec->whole = c->whole;
-    rec->length = -1;
+    rec->buffered = c->whole;
+    rec->content_length = -1;
     rec->body = g_byte_array_new();
-    g_hash_table_insert(d->ups, &rec->xid, rec);
+    g_hash_table_insert(d->upstream_calls, &rec->xid, rec);
     if (from) {
         g_strlcpy(rec->request_id, from->request_id, FW_ID_MAX);
         how.no_body =
             c->kind == FW_RL_UP_RUN && Fw_Http_MethodIs(from->head, "HEAD");
     }
-    Fw_Platform_WriteCall(c, from ? from->head : NULL,
-                          from ? from->body : NULL, d->opts.relay.name, head,
-                          &body);
-    rec->x =
+    Fw_Platform_WriteUpstreamRequest(c, from ? from->head : NULL,
+                                     from ? from->body : NULL,
+                                     d->opts.relay.name, head, &body);
+    rec->exchange =
         Fw_Exchange_Start(d->pool, c->addr, head, body, &how, &ops, rec, &err);
-    if (!rec->x) {
-        /* Told once the actions in hand are done. */
-        g_queue_push_tail(&d->failed, g_memdup2(&c->xid, sizeof(c->xid)));
+    if (!rec->exchange) {
+        /* Reported after the current actions; see ExecuteActions. */
+        g_queue_push_tail(&d->failed_calls,
+                          g_memdup2(&c->xid, sizeof(c->xid)));
     }
     g_string_free(head, TRUE);
     if (body) {
@@ -226,13 +231,15 @@
 }
 
 void
-Fw_Up_Pass(struct fw_up_rec *rec, struct fw_caller_rec *to)
+Fw_UpstreamCall_Forward(struct fw_upstream_call *rec,
+                        struct fw_caller_request *to)
 {
-    int64_t length = rec->done ? (int64_t)rec->body->len : rec->length;
+    int64_t length =
+        rec->complete ? (int64_t)rec->body->len : rec->content_length;
 
-    rec->begun = 1;
-    to->passing = rec->xid;
-    Fw_Caller_Start(to->caller, rec->ans.status, rec->fields->str, length);
+    rec->response_started = 1;
+    to->forwarded_xid = rec->xid;
+    Fw_Caller_Start(to->caller, rec->answer.status, rec->fields->str, length);
     Fw_Caller_Data(to->caller, rec->body->data, rec->body->len);
     g_byte_array_set_size(rec->body, 0);
 }
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -24,7 +24,7 @@
                     "Deadline-Ms: 1500\r\nToken-Counts: 1460, 80\r\n"
                     "Length-Hint: 44\r\nLast-Event-Id: 7\r\n\r\n",
             &h);
-    ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), 0);
+    ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), 0);
     ck_assert_str_eq(a.id, "9c");
     ck_assert_str_eq(a.host, "h.example");
     ck_assert_str_eq(a.path, "/a/b");
@@ -54,7 +54,7 @@
     struct fw_rl_ask a;
 
     head_of(text, &h);
-    ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), -EBADMSG);
+    ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), -EBADMSG);
     Fw_Http_ClearHead(&h);
     g_free(text);
 }
@@ -72,7 +72,7 @@
     struct fw_rl_ask a;
 
     head_of(text, &h);
-    ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), 0);
+    ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), 0);
     ck_assert_str_eq(a.key, "");
     Fw_Http_ClearHead(&h);
     g_free(text);
@@ -99,7 +99,7 @@
                     "Tenant: x\r\nKv-Hold: x\r\nDeadline-Ms: 9\r\n"
                     "Connection: X\r\nX: y\r\nAccept: z\r\n\r\n",
             &h);
-    Fw_Platform_WriteCall(&c, &h, sent, "me", out, &body);
+    Fw_Platform_WriteUpstreamRequest(&c, &h, sent, "me", out, &body);
     ck_assert_str_eq(out->str, "POST /a/b?c=d HTTP/1.1\r\n"
                                "Host: H.Example:80\r\n"
                                "Accept: z\r\n"
@@ -162,7 +162,8 @@
     GString *out = g_string_new(NULL);
     GBytes *body = NULL;
 
-    Fw_Platform_WriteCall(&calls[_i].call, NULL, NULL, "me", out, &body);
+    Fw_Platform_WriteUpstreamRequest(&calls[_i].call, NULL, NULL, "me", out,
+                                     &body);
     if (calls[_i].body) {
         gsize len;
         const char *data = g_bytes_get_data(body, &len);
@@ -202,8 +203,8 @@
 START_TEST(the_body_of_an_answer_is_decoded)
 {
     struct fw_rl_up_answer a = {.status = 200};
-    int rc = Fw_Platform_ReadBody(bodies[_i].kind, bodies[_i].body,
-                                  strlen(bodies[_i].body), &a);
+    int rc = Fw_Platform_ParseResponseBody(bodies[_i].kind, bodies[_i].body,
+                                           strlen(bodies[_i].body), &a);
 
     if (!bodies[_i].want) {
         ck_assert_int_eq(rc, -EBADMSG);
@@ -223,7 +224,8 @@
     struct fw_rl_up_answer a = {.status = 200};
 
     ck_assert_int_eq(
-        Fw_Platform_ReadBody(FW_RL_UP_REPORT, text, strlen(text), &a), 0);
+        Fw_Platform_ParseResponseBody(FW_RL_UP_REPORT, text, strlen(text), &a),
+        0);
     ck_assert_int_eq(a.n_runs, 2);
     ck_assert_uint_eq(a.runs[0].id, Fw_Hash_Str("r1"));
     ck_assert_int_eq(a.runs[0].tokens, 3400);
@@ -254,7 +256,7 @@
     struct fw_rl_rules *rules;
     const char *why;
 
-    rules = Fw_Platform_ReadRules(text, strlen(text), &why);
+    rules = Fw_Platform_ParseConfig(text, strlen(text), &why);
     ck_assert_msg(rules != NULL, "%s", why);
     r = Fw_Rules_Route(rules, "a.example", "/x/z");
     ck_assert_str_eq(r->name, "r");
@@ -296,7 +298,7 @@
     const char *why = NULL;
 
     ck_assert_ptr_null(
-        Fw_Platform_ReadRules(bad_rules[_i], strlen(bad_rules[_i]), &why));
+        Fw_Platform_ParseConfig(bad_rules[_i], strlen(bad_rules[_i]), &why));
     ck_assert_ptr_nonnull(why);
 }
 END_TEST
@@ -310,7 +312,8 @@
         "\"born\":1700000000000,\"Models\":[]}";
     struct fw_rl_server_entry e;
 
-    ck_assert_int_eq(Fw_Platform_ReadServer("i-1", text, strlen(text), &e), 0);
+    ck_assert_int_eq(Fw_Platform_ParseServer("i-1", text, strlen(text), &e),
+                     0);
     ck_assert_str_eq(e.id, "i-1");
     ck_assert_str_eq(e.addr, "10.1.2.3:80");
     ck_assert_str_eq(e.domain, "z");
@@ -325,13 +328,13 @@
 {
     GString *head = g_string_new(NULL);
     GString *raw = g_string_new(NULL);
-    struct fw_records got;
+    struct fw_store_response got;
     GBytes *body;
     gsize len;
     const char *data;
 
-    Fw_Platform_WriteAppend(FW_TOPIC_MEMBERS, 5, "n1", "value", "h", head,
-                            &body);
+    Fw_Platform_WriteAppendRequest(FW_TOPIC_INSTANCES, 5, "n1", "value", "h",
+                                   head, &body);
     ck_assert_str_eq(head->str,
                      "POST /-/log-append?Topic=keyed.fuchsiaward&part=0&At=5 "
                      "HTTP/1.1\r\nHost: h\r\nContent-Length: 12\r\n\r\n");
@@ -340,24 +343,28 @@
     g_string_append_len(raw, data, (gssize)len);
     g_string_append_len(raw, "\0\0\0\3\2n1", 7);
     g_string_append_len(raw, "\0\0\0\2\x09n", 6);
-    ck_assert_int_eq(Fw_Platform_ReadRecords(FW_TOPIC_MEMBERS, 3, 200,
-                                             raw->str, raw->len, &got),
+    ck_assert_int_eq(Fw_Platform_ParseReadResponse(FW_TOPIC_INSTANCES, 3, 200,
+                                                   raw->str, raw->len, &got),
                      0);
-    ck_assert_uint_eq(got.end, 6);
-    ck_assert_uint_eq(got.next, 6);
-    ck_assert_uint_eq(got.all->len, 2); /* the last can't be split */
-    ck_assert_str_eq(g_array_index(got.all, struct fw_record, 0).key, "n1");
-    ck_assert_uint_eq(g_array_index(got.all, struct fw_record, 0).len, 5);
-    ck_assert_ptr_null(g_array_index(got.all, struct fw_record, 1).value);
-    Fw_Platform_ClearRecords(&got);
-    ck_assert_int_eq(Fw_Platform_ReadRecords(FW_TOPIC_MEMBERS, 3, 200,
-                                             raw->str, raw->len - 1, &got),
+    ck_assert_uint_eq(got.end_offset, 6);
+    ck_assert_uint_eq(got.next_offset, 6);
+    ck_assert_uint_eq(got.records->len, 2); /* the last can't be split */
+    ck_assert_str_eq(g_array_index(got.records, struct fw_store_record, 0).key,
+                     "n1");
+    ck_assert_uint_eq(
+        g_array_index(got.records, struct fw_store_record, 0).len, 5);
+    ck_assert_ptr_null(
+        g_array_index(got.records, struct fw_store_record, 1).value);
+    Fw_Platform_ClearStoreResponse(&got);
+    ck_assert_int_eq(Fw_Platform_ParseReadResponse(FW_TOPIC_INSTANCES, 3, 200,
+                                                   raw->str, raw->len - 1,
+                                                   &got),
                      -EBADMSG);
-    Fw_Platform_ClearRecords(&got);
-    ck_assert_int_eq(
-        Fw_Platform_ReadRecords(FW_TOPIC_MEMBERS, 3, 200, "x", 1, &got),
-        -EBADMSG);
-    Fw_Platform_ClearRecords(&got);
+    Fw_Platform_ClearStoreResponse(&got);
+    ck_assert_int_eq(Fw_Platform_ParseReadResponse(FW_TOPIC_INSTANCES, 3, 200,
+                                                   "x", 1, &got),
+                     -EBADMSG);
+    Fw_Platform_ClearStoreResponse(&got);
     g_bytes_unref(body);
     g_string_free(head, TRUE);
     g_string_free(raw, TRUE);
--- a/tests/relayd/test_handover.c
+++ b/tests/relayd/test_handover.c
@@ -9,20 +9,20 @@
 static void
 keep(GHashTable *newest, uint64_t offset, const char *key, const char *value)
 {
-    struct fw_record rec = {
+    struct fw_store_record rec = {
         .offset = offset, .value = value, .len = value ? strlen(value) : 0};
 
     g_strlcpy(rec.key, key, sizeof(rec.key));
-    Fw_Handover_Keep(newest, &rec);
+    Fw_PeerSnapshot_Update(newest, &rec);
 }
 
 /* Return: to be freed. */
 static char *
-value_of(const struct fw_records *got, const char *key)
+value_of(const struct fw_store_response *got, const char *key)
 {
-    for (guint i = 0; i < got->all->len; i++) {
-        const struct fw_record *rec =
-            &g_array_index(got->all, struct fw_record, i);
+    for (guint i = 0; i < got->records->len; i++) {
+        const struct fw_store_record *rec =
+            &g_array_index(got->records, struct fw_store_record, i);
 
         if (strcmp(rec->key, key) == 0) {
             return g_strndup(rec->value, rec->len);
@@ -34,27 +34,27 @@
 /* Guards against an entry that comes back after it was dropped, or is old. */
 START_TEST(the_newest_record_of_each_key_is_kept)
 {
-    GHashTable *newest = Fw_Handover_New();
+    GHashTable *newest = Fw_PeerSnapshot_New();
     GByteArray *body = g_byte_array_new();
-    struct fw_records got;
+    struct fw_store_response got;
     char *value;
 
     keep(newest, 3, "a", "new");
     keep(newest, 2, "a", "old");
     keep(newest, 4, "b", "gone");
     keep(newest, 5, "b", NULL);
-    Fw_Handover_Write(newest, 6, body);
-    ck_assert_int_eq(Fw_Handover_Read(body->data, body->len, &got), 0);
-    ck_assert_uint_eq(got.end, 6);
-    ck_assert_uint_eq(got.all->len, 1);
+    Fw_PeerSnapshot_Encode(newest, 6, body);
+    ck_assert_int_eq(Fw_PeerSnapshot_Decode(body->data, body->len, &got), 0);
+    ck_assert_uint_eq(got.end_offset, 6);
+    ck_assert_uint_eq(got.records->len, 1);
     value = value_of(&got, "a");
     ck_assert_str_eq(value, "new");
     g_free(value);
-    Fw_Platform_ClearRecords(&got);
+    Fw_Platform_ClearStoreResponse(&got);
     /* Cut off anywhere it is nothing. */
     for (guint len = 0; len < body->len; len++) {
-        ck_assert_int_lt(Fw_Handover_Read(body->data, len, &got), 0);
-        Fw_Platform_ClearRecords(&got);
+        ck_assert_int_lt(Fw_PeerSnapshot_Decode(body->data, len, &got), 0);
+        Fw_Platform_ClearStoreResponse(&got);
     }
     g_byte_array_unref(body);
     g_hash_table_destroy(newest);
@@ -80,12 +80,12 @@
 /* Guards against memory spent, or entries dropped, for a bad answer. */
 START_TEST(a_broken_answer_is_refused)
 {
-    struct fw_records got;
+    struct fw_store_response got;
 
-    ck_assert_msg(Fw_Handover_Read(broken[_i].bytes, broken[_i].len, &got) ==
-                      -EBADMSG,
+    ck_assert_msg(Fw_PeerSnapshot_Decode(broken[_i].bytes, broken[_i].len,
+                                         &got) == -EBADMSG,
                   "%s is taken", broken[_i].name);
-    Fw_Platform_ClearRecords(&got);
+    Fw_Platform_ClearStoreResponse(&got);
 }
 END_TEST
 
@@ -97,7 +97,7 @@
     struct rig_conn *c;
 
     g_snprintf(addr, sizeof(addr), "127.0.0.1:%d",
-               Fw_Server_Port(w->relay->handover));
+               Fw_Server_Port(w->relay->snapshot_server));
     c = Fw_RigConn_Open(addr);
     Fw_RigConn_Send(c, text, -1);
     Fw_RigConn_Expect(c, wanted);
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -279,7 +279,7 @@
 
     Fw_World_Open(&w);
     Fw_WireServer_SetDraining(w.s1);
-    while (Fw_Relayd_Usable(w.relay, "s1")) {
+    while (Fw_Relayd_IsServerUsable(w.relay, "s1")) {
         g_main_context_iteration(NULL, TRUE);
     }
     before = Fw_WireServer_Runs(w.s1);
@@ -294,7 +294,7 @@
 static int
 is_over(void *ctx)
 {
-    return Fw_Relayd_Over(((struct world *)ctx)->relay);
+    return Fw_Relayd_IsStopped(((struct world *)ctx)->relay);
 }
 
 /*
--- a/tests/relayd/test_shell_events.c
+++ b/tests/relayd/test_shell_events.c
@@ -87,7 +87,8 @@
 {
     GSocket *sock = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_DATAGRAM,
                                  G_SOCKET_PROTOCOL_UDP, NULL);
-    GSocketAddress *to = g_socket_get_local_address(w->relay->peers, NULL);
+    GSocketAddress *to =
+        g_socket_get_local_address(w->relay->peer_socket, NULL);
 
     ck_assert_int_eq(g_socket_send_to(sock, to, data, len, NULL, NULL),
                      (gssize)len);
@@ -106,7 +107,8 @@
                         "[listen]\ncallers = %s\nready = %s\n"
                         "metrics = %s\npeers = %s\n"
                         "[store]\naddress = %s\n",
-                        o->callers, o->ready, o->metrics, o->peers, o->store);
+                        o->callers, o->ready_addr, o->metrics_addr,
+                        o->peers_addr, o->store_addr);
     int fd = g_file_open_tmp("fw-XXXXXX.ini", &path, NULL);
 
     ck_assert_int_ge(fd, 0);
--- a/tests/relayd/world.c
+++ b/tests/relayd/world.c
@@ -26,12 +26,12 @@
     struct fw_relayd_opts *o = &w->opts;
 
     *o = (struct fw_relayd_opts){.callers = "127.0.0.1:0",
-                                 .ready = "127.0.0.1:0",
+                                 .ready_addr = "127.0.0.1:0",
                                  .ready_path = "/readyz",
-                                 .metrics = "127.0.0.1:0",
-                                 .peers = "127.0.0.1:0",
-                                 .rules_wait_us = 200 * FW_MSEC,
-                                 .servers_every_us = 20 * FW_MSEC,
+                                 .metrics_addr = "127.0.0.1:0",
+                                 .peers_addr = "127.0.0.1:0",
+                                 .config_wait_us = 200 * FW_MSEC,
+                                 .servers_interval_us = 20 * FW_MSEC,
                                  .log_bytes = 65536};
     o->relay = (struct fw_relay_opts){.name = "n1",
                                       .domain = "a",
@@ -49,14 +49,14 @@
                                       .lease_us = 3 * FW_SEC,
                                       .grace_us = 8 * FW_SEC,
                                       .log_level = 7};
-    g_snprintf(o->store, sizeof(o->store), "127.0.0.1:%d",
+    g_snprintf(o->store_addr, sizeof(o->store_addr), "127.0.0.1:%d",
                Fw_WireStore_Port(w->store));
 }
 
 int
 Fw_World_IsReady(void *ctx)
 {
-    return Fw_Relayd_Ready(((struct world *)ctx)->relay);
+    return Fw_Relayd_IsReady(((struct world *)ctx)->relay);
 }
 
 void
