--- a/src/relayd/peers.c
+++ b/src/relayd/peers.c
@@ -31,7 +31,7 @@
     const char *data = g_bytes_get_data(msg->data, &len);
 
     if (!to) {
-        count_unsent(d, msg->addr, "no address");
+        count_unsent(d, msg->addr, "invalid address");
         return;
     }
     if (g_socket_send_to(d->peer_socket, to, data, len, NULL, &error) < 0) {
--- a/src/relayd/settings.c
+++ b/src/relayd/settings.c
@@ -5,7 +5,7 @@
 #include "relayd/relayd.h"
 
 /**
- * struct values - settings as parsed.
+ * struct parsed_settings - settings as parsed.
  * @out: texts, and numbers that the file has in the units of the options
  *
  * The other fields are converted to the units of the options afterwards.
@@ -14,8 +14,8 @@
     struct fw_relayd_opts out;
     int64_t revocation_ms;
     int64_t lease_ms;
-    int64_t rules_wait_ms;
-    int64_t servers_every_ms;
+    int64_t config_wait_ms;
+    int64_t servers_interval_ms;
     int64_t digest_every_ms;
     int64_t queue_ms;
     int64_t reserve_permille;
@@ -24,7 +24,7 @@
     int64_t policy;
     int64_t log_level;
     int64_t log_sample;
-    int64_t log_kb;
+    int64_t log_buffer_kb;
 };
 
 /*
@@ -69,8 +69,8 @@
     FW_TEXT("listen", "metrics", FW_INI_LISTEN, NULL, out.metrics_addr),
     FW_TEXT("listen", "peers", FW_INI_PEERS, NULL, out.peers_addr),
     FW_TEXT("store", "address", FW_INI_LISTEN, NULL, out.store_addr),
-    FW_INT("store", "rules-wait-ms", "1500", 0, 30000, rules_wait_ms),
-    FW_INT("store", "servers-every-ms", "700", 50, 60000, servers_every_ms),
+    FW_INT("store", "rules-wait-ms", "1500", 0, 30000, config_wait_ms),
+    FW_INT("store", "servers-every-ms", "700", 50, 60000, servers_interval_ms),
     FW_FLOOR("limits", "revocation-ms", "5000", 100, 600000, revocation_ms),
     {"limits", "retry-ratio", FW_INI_DECIMAL, "0.2", 0, 10000000,
      FW_AT(out.relay.retry_ratio_ppm), NULL},
@@ -91,7 +91,7 @@
     FW_INT("policy", "prefill-permille", "100", 1, 999, prefill_permille),
     {"log", "level", FW_INI_CHOICE, "info", 0, 0, FW_AT(log_level), levels},
     FW_INT("log", "sample", "1", 1, 1000000, log_sample),
-    FW_INT("log", "buffer-kb", "256", 16, 65536, log_kb),
+    FW_INT("log", "buffer-kb", "256", 16, 65536, log_buffer_kb),
 };
 
 static void
@@ -109,10 +109,10 @@
     r->lease_us = v->lease_ms * FW_MSEC;
     r->log_level = (int)v->log_level;
     r->log_sample = (int)v->log_sample;
-    out->config_wait_us = v->rules_wait_ms * FW_MSEC;
-    out->servers_interval_us = v->servers_every_ms * FW_MSEC;
+    out->config_wait_us = v->config_wait_ms * FW_MSEC;
+    out->servers_interval_us = v->servers_interval_ms * FW_MSEC;
     r->digest_every_us = v->digest_every_ms * FW_MSEC;
-    out->log_bytes = v->log_kb * 1024;
+    out->log_bytes = v->log_buffer_kb * 1024;
 }
 
 int
--- a/src/relayd/store.c
+++ b/src/relayd/store.c
@@ -160,7 +160,7 @@
     if (f->exchange && now >= f->deadline_us) {
         Fw_Exchange_Stop(f->exchange);
         f->exchange = NULL;
-        Fw_TopicClient_OnFailure(f, "no answer");
+        Fw_TopicClient_OnFailure(f, "timed out");
         return;
     }
     if (!f->exchange && now >= f->next_request_us && should_request(f, now)) {
--- a/src/relayd/store_answer.c
+++ b/src/relayd/store_answer.c
@@ -170,12 +170,12 @@
     struct fw_rl_acts acts;
 
     if (f->status != 200) {
-        fall_back_to_store(f, "refused");
+        fall_back_to_store(f, "unexpected status");
         return;
     }
     Fw_Acts_Init(&acts);
     if (Fw_PeerSnapshot_Decode(f->body->data, f->body->len, &got)) {
-        fall_back_to_store(f, "an answer that can't be read");
+        fall_back_to_store(f, "malformed response");
     }
     else {
         handle_snapshot(f, &got, &acts);
@@ -289,8 +289,7 @@
     }
     Fw_Acts_Init(&acts);
     if (parse_response(f, &got)) {
-        handle_failure(f, FW_STORE_OUTCOME_UNREADABLE,
-                       "an answer that can't be read");
+        handle_failure(f, FW_STORE_OUTCOME_UNREADABLE, "malformed response");
         report_claim_unknown(f);
     }
     else {
--- a/src/relayd/store_take.c
+++ b/src/relayd/store_take.c
@@ -10,7 +10,7 @@
 apply_config(struct fw_relayd *d, const struct fw_store_record *rec,
              struct fw_rl_acts *acts)
 {
-    const char *why = "dropped";
+    const char *why = "record deleted";
     struct fw_rl_rules *rules = NULL;
 
     if (!Fw_Platform_IsConfigKey(rec->key)) {
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -1,4 +1,4 @@
-/* The wire's words, decoded once and written back. */
+/* Parsing and writing of the platform's wire format. */
 #include <errno.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "tests/base/suite.h"
 
 static void
-head_of(const char *text, struct fw_http_head *h)
+parse_head(const char *text, struct fw_http_head *h)
 {
     ck_assert_int_gt(Fw_Http_ReadHead(FW_HTTP_REQUEST, text, strlen(text), h),
                      0);
@@ -15,15 +15,15 @@
 
 #define FW_HEAD "POST /a/b?c=d HTTP/1.1\r\nHost: H.Example:80\r\n"
 
-START_TEST(a_request_is_decoded)
+START_TEST(a_request_is_parsed)
 {
     struct fw_http_head h;
     struct fw_rl_ask a;
 
-    head_of(FW_HEAD "Request-Id: 9c\r\nAuthorization: bearer key1\r\n"
-                    "Deadline-Ms: 1500\r\nToken-Counts: 1460, 80\r\n"
-                    "Length-Hint: 44\r\nLast-Event-Id: 7\r\n\r\n",
-            &h);
+    parse_head(FW_HEAD "Request-Id: 9c\r\nAuthorization: bearer key1\r\n"
+                       "Deadline-Ms: 1500\r\nToken-Counts: 1460, 80\r\n"
+                       "Length-Hint: 44\r\nLast-Event-Id: 7\r\n\r\n",
+               &h);
     ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), 0);
     ck_assert_str_eq(a.id, "9c");
     ck_assert_str_eq(a.host, "h.example");
@@ -38,7 +38,7 @@
 }
 END_TEST
 
-/* Fields that can't be what they should: the request is refused. */
+/* Guards against malformed fields that are ignored or misread. */
 static const char *const bad_fields[] = {
     "Deadline-Ms: soon\r\n",          "Deadline-Ms: -1\r\n",
     "Deadline-Ms: 1.5\r\n",           "Token-Counts: 5\r\n",
@@ -47,20 +47,20 @@
     "Last-Event-Id: 1x\r\n",
 };
 
-START_TEST(a_field_that_cannot_be_read_is_an_error)
+START_TEST(malformed_fields_are_rejected)
 {
     char *text = g_strdup_printf(FW_HEAD "%s\r\n", bad_fields[_i]);
     struct fw_http_head h;
     struct fw_rl_ask a;
 
-    head_of(text, &h);
+    parse_head(text, &h);
     ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), -EBADMSG);
     Fw_Http_ClearHead(&h);
     g_free(text);
 }
 END_TEST
 
-START_TEST(an_overlong_or_foreign_key_is_no_key)
+START_TEST(overlong_keys_and_other_schemes_are_no_key)
 {
     static const char *const fields[] = {
         "Authorization: Basic abc\r\n", "Authorization: Bearer\r\n",
@@ -71,7 +71,7 @@
     struct fw_http_head h;
     struct fw_rl_ask a;
 
-    head_of(text, &h);
+    parse_head(text, &h);
     ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), 0);
     ck_assert_str_eq(a.key, "");
     Fw_Http_ClearHead(&h);
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(a_call_is_written_with_the_routers_own_fields)
+START_TEST(forwarded_requests_carry_the_routers_fields)
 {
     struct fw_rl_up_call c = {.kind = FW_RL_UP_RUN,
                               .addr = "10.0.0.1:80",
@@ -95,10 +95,10 @@
     GBytes *body;
     GBytes *sent = g_bytes_new_static("hi", 2);
 
-    head_of(FW_HEAD "Content-Length: 2\r\nAuthorization: Bearer k\r\n"
-                    "Tenant: x\r\nKv-Hold: x\r\nDeadline-Ms: 9\r\n"
-                    "Connection: X\r\nX: y\r\nAccept: z\r\n\r\n",
-            &h);
+    parse_head(FW_HEAD "Content-Length: 2\r\nAuthorization: Bearer k\r\n"
+                       "Tenant: x\r\nKv-Hold: x\r\nDeadline-Ms: 9\r\n"
+                       "Connection: X\r\nX: y\r\nAccept: z\r\n\r\n",
+               &h);
     Fw_Platform_WriteUpstreamRequest(&c, &h, sent, "me", out, &body);
     ck_assert_str_eq(out->str, "POST /a/b?c=d HTTP/1.1\r\n"
                                "Host: H.Example:80\r\n"
@@ -118,7 +118,7 @@
 }
 END_TEST
 
-/* Calls of the router's own. */
+/* Requests that the router sends on its own behalf. */
 static const struct {
     struct fw_rl_up_call call;
     const char *head;
@@ -157,7 +157,7 @@
      "\"FencingToken\":41,\"Expected\":2}"},
 };
 
-START_TEST(a_call_of_the_routers_own_is_written)
+START_TEST(requests_of_the_routers_own_are_written)
 {
     GString *out = g_string_new(NULL);
     GBytes *body = NULL;
@@ -181,7 +181,7 @@
 }
 END_TEST
 
-/* Answers' bodies: @want is the name read, NULL for an error. */
+/* @want: the handle read from the body, NULL for an error. */
 static const struct {
     enum fw_rl_up_kind kind;
     const char *body;
@@ -200,7 +200,7 @@
     {FW_RL_UP_RUN, "whatever it says", ""},
 };
 
-START_TEST(the_body_of_an_answer_is_decoded)
+START_TEST(response_bodies_are_parsed)
 {
     struct fw_rl_up_answer a = {.status = 200};
     int rc = Fw_Platform_ParseResponseBody(bodies[_i].kind, bodies[_i].body,
@@ -215,8 +215,8 @@
 }
 END_TEST
 
-/* Another writer's rows are left out; what is said of the others holds. */
-START_TEST(the_runs_of_a_report_are_decoded)
+/* Guards against a row of unknown form that discards the whole report. */
+START_TEST(runs_of_a_report_are_parsed)
 {
     static const char text[] =
         "{\"Stage\":\"decode\",\"Busy\":false,\"Sequence\":2,\"Runs\":["
@@ -238,7 +238,7 @@
     "{\"Name\":\"r\",\"Host\":\"A.example\",\"PathPrefix\":\"/x/\","          \
     "\"Kind\":\"safe\",\"TimeoutMs\":1500.5,\"Service\":\"s\"}"
 
-START_TEST(a_configuration_is_decoded)
+START_TEST(a_configuration_is_parsed)
 {
     static const char text[] =
         "{\"Version\":7,\"Routes\":[" FW_ROUTE
@@ -278,8 +278,8 @@
 }
 END_TEST
 
-/* Configurations that are refused as a whole; the old one stays in force. */
-static const char *const bad_rules[] = {
+/* Guards against invalid configurations that are applied in part. */
+static const char *const bad_configs[] = {
     "",
     "[]",
     "{\"Version\":\"7\"}",
@@ -293,17 +293,17 @@
     "{\"Version\":7,\"Limits\":{\"MaxBodyBytes\":\"x\"}}",
 };
 
-START_TEST(a_bad_configuration_is_refused_with_a_reason)
+START_TEST(invalid_configurations_are_rejected_with_a_reason)
 {
     const char *why = NULL;
 
-    ck_assert_ptr_null(
-        Fw_Platform_ParseConfig(bad_rules[_i], strlen(bad_rules[_i]), &why));
+    ck_assert_ptr_null(Fw_Platform_ParseConfig(bad_configs[_i],
+                                               strlen(bad_configs[_i]), &why));
     ck_assert_ptr_nonnull(why);
 }
 END_TEST
 
-START_TEST(a_servers_entry_is_decoded)
+START_TEST(a_server_registration_is_parsed)
 {
     static const char text[] =
         "{\"Service\":\"s\",\"Address\":\"10.1.2.3:80\",\"Zone\":\"z\","
@@ -324,7 +324,7 @@
 }
 END_TEST
 
-START_TEST(records_are_read_as_they_were_written)
+START_TEST(appended_records_are_read_back)
 {
     GString *head = g_string_new(NULL);
     GString *raw = g_string_new(NULL);
@@ -348,7 +348,7 @@
                      0);
     ck_assert_uint_eq(got.end_offset, 6);
     ck_assert_uint_eq(got.next_offset, 6);
-    ck_assert_uint_eq(got.records->len, 2); /* the last can't be split */
+    ck_assert_uint_eq(got.records->len, 2); /* the last has no valid key */
     ck_assert_str_eq(g_array_index(got.records, struct fw_store_record, 0).key,
                      "n1");
     ck_assert_uint_eq(
@@ -376,20 +376,20 @@
 {
     TCase *tc = Fw_Suite_New("platform");
 
-    tcase_add_test(tc, a_request_is_decoded);
-    tcase_add_loop_test(tc, a_field_that_cannot_be_read_is_an_error, 0,
+    tcase_add_test(tc, a_request_is_parsed);
+    tcase_add_loop_test(tc, malformed_fields_are_rejected, 0,
                         G_N_ELEMENTS(bad_fields));
-    tcase_add_loop_test(tc, an_overlong_or_foreign_key_is_no_key, 0, 3);
-    tcase_add_test(tc, a_call_is_written_with_the_routers_own_fields);
-    tcase_add_loop_test(tc, a_call_of_the_routers_own_is_written, 0,
+    tcase_add_loop_test(tc, overlong_keys_and_other_schemes_are_no_key, 0, 3);
+    tcase_add_test(tc, forwarded_requests_carry_the_routers_fields);
+    tcase_add_loop_test(tc, requests_of_the_routers_own_are_written, 0,
                         G_N_ELEMENTS(calls));
-    tcase_add_test(tc, the_runs_of_a_report_are_decoded);
-    tcase_add_loop_test(tc, the_body_of_an_answer_is_decoded, 0,
+    tcase_add_test(tc, runs_of_a_report_are_parsed);
+    tcase_add_loop_test(tc, response_bodies_are_parsed, 0,
                         G_N_ELEMENTS(bodies));
-    tcase_add_test(tc, a_configuration_is_decoded);
-    tcase_add_loop_test(tc, a_bad_configuration_is_refused_with_a_reason, 0,
-                        G_N_ELEMENTS(bad_rules));
-    tcase_add_test(tc, a_servers_entry_is_decoded);
-    tcase_add_test(tc, records_are_read_as_they_were_written);
+    tcase_add_test(tc, a_configuration_is_parsed);
+    tcase_add_loop_test(tc, invalid_configurations_are_rejected_with_a_reason,
+                        0, G_N_ELEMENTS(bad_configs));
+    tcase_add_test(tc, a_server_registration_is_parsed);
+    tcase_add_test(tc, appended_records_are_read_back);
     return Fw_Suite_Run(tc);
 }
--- a/tests/relayd/test_handover.c
+++ b/tests/relayd/test_handover.c
@@ -1,4 +1,4 @@
-/* The newest records, handed from one instance to another. */
+/* Snapshots of store topics that instances serve to one another. */
 #include <check.h>
 #include <errno.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "tests/relayd/world.h"
 
 static void
-keep(GHashTable *newest, uint64_t offset, const char *key, const char *value)
+update(GHashTable *newest, uint64_t offset, const char *key, const char *value)
 {
     struct fw_store_record rec = {
         .offset = offset, .value = value, .len = value ? strlen(value) : 0};
@@ -16,7 +16,7 @@
     Fw_PeerSnapshot_Update(newest, &rec);
 }
 
-/* Return: to be freed. */
+/* Return: a copy to be freed, or NULL if @key is absent. */
 static char *
 value_of(const struct fw_store_response *got, const char *key)
 {
@@ -31,7 +31,7 @@
     return NULL;
 }
 
-/* Guards against an entry that comes back after it was dropped, or is old. */
+/* Guards against deleted or outdated records in a snapshot. */
 START_TEST(the_newest_record_of_each_key_is_kept)
 {
     GHashTable *newest = Fw_PeerSnapshot_New();
@@ -39,10 +39,10 @@
     struct fw_store_response got;
     char *value;
 
-    keep(newest, 3, "a", "new");
-    keep(newest, 2, "a", "old");
-    keep(newest, 4, "b", "gone");
-    keep(newest, 5, "b", NULL);
+    update(newest, 3, "a", "new");
+    update(newest, 2, "a", "old");
+    update(newest, 4, "b", "gone");
+    update(newest, 5, "b", NULL);
     Fw_PeerSnapshot_Encode(newest, 6, body);
     ck_assert_int_eq(Fw_PeerSnapshot_Decode(body->data, body->len, &got), 0);
     ck_assert_uint_eq(got.end_offset, 6);
@@ -51,7 +51,7 @@
     ck_assert_str_eq(value, "new");
     g_free(value);
     Fw_Platform_ClearStoreResponse(&got);
-    /* Cut off anywhere it is nothing. */
+    /* Truncated at any length it is rejected. */
     for (guint len = 0; len < body->len; len++) {
         ck_assert_int_lt(Fw_PeerSnapshot_Decode(body->data, len, &got), 0);
         Fw_Platform_ClearStoreResponse(&got);
@@ -61,12 +61,12 @@
 }
 END_TEST
 
-/* Bodies that a peer of another version, or none of ours, may send. */
+/* Bodies that another version, or a program that is no instance, may send. */
 static const struct {
     const char *name;
     const char *bytes;
     size_t len;
-} broken[] = {
+} malformed[] = {
     {"no array", "\x01", 1},
     {"an array that claims gigabytes", "\xdd\xff\xff\xff\xff", 5},
     {"an end that is a text", "\x92\xa1x\x90", 4},
@@ -77,27 +77,27 @@
      "\x92\x01\x91\x93\x01\xa1k\xc6\xff\xff\xff\xff", 12},
 };
 
-/* Guards against memory spent, or entries dropped, for a bad answer. */
-START_TEST(a_broken_answer_is_refused)
+/* Guards against excessive allocation and lost records. */
+START_TEST(malformed_snapshots_are_rejected)
 {
     struct fw_store_response got;
 
-    ck_assert_msg(Fw_PeerSnapshot_Decode(broken[_i].bytes, broken[_i].len,
-                                         &got) == -EBADMSG,
-                  "%s is taken", broken[_i].name);
+    ck_assert_msg(Fw_PeerSnapshot_Decode(malformed[_i].bytes,
+                                         malformed[_i].len, &got) == -EBADMSG,
+                  "%s is accepted", malformed[_i].name);
     Fw_Platform_ClearStoreResponse(&got);
 }
 END_TEST
 
 static void
-ask(struct world *w, const char *path, const char *wanted)
+expect_response(struct router_env *env, const char *path, const char *wanted)
 {
     char addr[FW_URL_MAX];
     char *text = g_strdup_printf("GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path);
     struct rig_conn *c;
 
     g_snprintf(addr, sizeof(addr), "127.0.0.1:%d",
-               Fw_Server_Port(w->relay->snapshot_server));
+               Fw_Server_Port(env->router->snapshot_server));
     c = Fw_RigConn_Open(addr);
     Fw_RigConn_Send(c, text, -1);
     Fw_RigConn_Expect(c, wanted);
@@ -105,16 +105,16 @@
     g_free(text);
 }
 
-/* Guards against an instance that can't give what it has read. */
-START_TEST(an_instance_hands_on_what_it_has_read)
+/* Guards against an instance that serves no snapshot after reading. */
+START_TEST(an_instance_serves_snapshots)
 {
-    struct world w;
+    struct router_env env;
 
-    Fw_World_Open(&w);
-    ask(&w, "/newest/configuration", "application/msgpack");
-    ask(&w, "/newest/servers", "application/msgpack");
-    ask(&w, "/newest/keys", "404");
-    Fw_World_Close(&w);
+    Fw_RouterEnv_InitAndStart(&env);
+    expect_response(&env, "/newest/configuration", "application/msgpack");
+    expect_response(&env, "/newest/servers", "application/msgpack");
+    expect_response(&env, "/newest/keys", "404");
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
@@ -125,8 +125,8 @@
 
     tcase_set_timeout(tc, 30);
     tcase_add_test(tc, the_newest_record_of_each_key_is_kept);
-    tcase_add_loop_test(tc, a_broken_answer_is_refused, 0,
-                        G_N_ELEMENTS(broken));
-    tcase_add_test(tc, an_instance_hands_on_what_it_has_read);
+    tcase_add_loop_test(tc, malformed_snapshots_are_rejected, 0,
+                        G_N_ELEMENTS(malformed));
+    tcase_add_test(tc, an_instance_serves_snapshots);
     return Fw_Suite_Run(tc);
 }
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -1,7 +1,4 @@
-/*
- * The relay as a whole over real sockets, against stand-ins of the platform:
- * what callers get, what servers see, and what is left behind.
- */
+/* The whole router over real sockets, against stand-ins of the platform. */
 #include <fcntl.h>
 #include <string.h>
 #include <unistd.h>
@@ -9,57 +6,59 @@
 #include "tests/relayd/world.h"
 
 static int
-all_free(void *ctx)
+all_released(void *ctx)
 {
-    struct world *w = ctx;
+    struct router_env *env = ctx;
 
-    return !Fw_WireServer_Held(w->d1) && !Fw_WireServer_Held(w->d2) &&
-           !Fw_WireServer_Handles(w->p1) && !Fw_WireServer_Active(w->d1) &&
-           !Fw_WireServer_Active(w->d2) && !Fw_WireServer_Active(w->p1);
+    return !Fw_WireServer_Held(env->d1) && !Fw_WireServer_Held(env->d2) &&
+           !Fw_WireServer_Handles(env->p1) && !Fw_WireServer_Active(env->d1) &&
+           !Fw_WireServer_Active(env->d2) && !Fw_WireServer_Active(env->p1);
 }
 
 START_TEST(a_stream_goes_through_prefill_and_decode)
 {
-    struct world w;
+    struct router_env env;
     struct rig_conn *c;
 
-    Fw_World_Open(&w);
-    c = Fw_World_Ask(&w, "POST /outlook/%7eebb?q=%zz", FW_TOKENS);
+    Fw_RouterEnv_InitAndStart(&env);
+    c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/%7eebb?q=%zz",
+                                 FW_TOKENS);
     Fw_RigConn_Expect(c, "HTTP/1.1 200 OK");
     Fw_RigConn_Expect(c, "id: 9\ndata: piece 9\n\n");
     Fw_RigConn_Expect(c, "\r\n0\r\n\r\n");
     ck_assert_ptr_nonnull(strstr(c->got->str, "Server-Stamp: d"));
-    ck_assert_int_eq(Fw_WireServer_Runs(w.p1), 1);
-    ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastHead(w.p1),
+    ck_assert_int_eq(Fw_WireServer_Runs(env.p1), 1);
+    ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastHead(env.p1),
                                  "POST /outlook/%7eebb?q=%zz HTTP/1.1\r\n"));
     ck_assert_ptr_nonnull(
-        strstr(Fw_WireServer_LastHead(w.p1), "Tenant: skippers\r\n"));
-    ck_assert_ptr_null(strstr(Fw_WireServer_LastHead(w.p1), "Bearer"));
+        strstr(Fw_WireServer_LastHead(env.p1), "Tenant: skippers\r\n"));
+    ck_assert_ptr_null(strstr(Fw_WireServer_LastHead(env.p1), "Bearer"));
     ck_assert_ptr_nonnull(
-        strstr(Fw_WireServer_LastHead(w.p1), "Request-Priority: 1\r\n"));
-    Fw_Rig_Until(all_free, &w);
+        strstr(Fw_WireServer_LastHead(env.p1), "Request-Priority: 1\r\n"));
+    Fw_Rig_Until(all_released, &env);
     Fw_RigConn_Close(c);
-    Fw_World_Close(&w);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 /*
- * A caller sets fields that only the router may set, to run with another
- * team's name or take memory reserved for others.
+ * Guards against callers who set reserved fields to act as another team or to
+ * use memory reserved for others.
  */
-START_TEST(fields_of_the_routers_own_are_never_the_callers)
+START_TEST(reserved_fields_of_callers_are_dropped)
 {
-    struct world w;
+    struct router_env env;
     struct rig_conn *c;
 
-    Fw_World_Open(&w);
-    c = Fw_World_Ask(&w, "GET /read/x",
-                     "Tenant: others\r\nKv-Hold: h\r\nExpect-Instance: x\r\n"
-                     "Stage: prefill\r\nRequest-Priority: 0\r\nX-Mine: y\r\n"
-                     "Connection: X-Hop\r\nX-Hop: z\r\n");
+    Fw_RouterEnv_InitAndStart(&env);
+    c = Fw_RouterEnv_SendRequest(
+        &env, "GET /read/x",
+        "Tenant: others\r\nKv-Hold: h\r\nExpect-Instance: x\r\n"
+        "Stage: prefill\r\nRequest-Priority: 0\r\nX-Mine: y\r\n"
+        "Connection: X-Hop\r\nX-Hop: z\r\n");
     Fw_RigConn_Expect(c, "the answer");
     const char *seen =
-        Fw_WireServer_LastHead(Fw_WireServer_Runs(w.s1) ? w.s1 : w.s2);
+        Fw_WireServer_LastHead(Fw_WireServer_Runs(env.s1) ? env.s1 : env.s2);
     ck_assert_ptr_nonnull(strstr(seen, "Tenant: skippers\r\n"));
     ck_assert_ptr_nonnull(strstr(seen, "X-Mine: y\r\n"));
     ck_assert_ptr_null(strstr(seen, "others"));
@@ -67,17 +66,20 @@
     ck_assert_ptr_null(strstr(seen, "Stage: prefill"));
     ck_assert_ptr_null(strstr(seen, "X-Hop"));
     Fw_RigConn_Close(c);
-    Fw_World_Close(&w);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
-/* What servers do to a request, what its caller gets, and how often it ran. */
+/*
+ * Faults of a server, the response that the caller gets, and how many times
+ * the request ran.
+ */
 static const struct {
     const char *line;
     enum fw_wire_fault fault;
     const char *want;
     int runs;
-} faults[] = {
+} fault_cases[] = {
     {"GET /read/x", FW_WIRE_OK, "HTTP/1.1 200 ", 1},
     {"GET /read/x", FW_WIRE_FULL, "HTTP/1.1 200 ", 1},
     {"GET /read/x", FW_WIRE_MOVED, "HTTP/1.1 200 ", 1},
@@ -91,77 +93,77 @@
     {"POST /order/x", FW_WIRE_RESET, "HTTP/1.1 502 ", 1},
 };
 
-START_TEST(a_plain_request_meets_a_faulty_server)
+START_TEST(a_request_to_a_faulty_server_is_retried_when_safe)
 {
-    struct world w;
+    struct router_env env;
     struct rig_conn *c;
 
-    Fw_World_Open(&w);
-    Fw_WireServer_SetFault(w.s1, faults[_i].fault, 1);
-    Fw_WireServer_SetFault(w.s2, faults[_i].fault, 1);
-    /* One of the two does it; the other must not, as the second choice. */
-    c = Fw_World_Ask(&w, faults[_i].line, "");
-    while (!Fw_WireServer_Faulted(w.s1) && !Fw_WireServer_Faulted(w.s2) &&
-           faults[_i].fault != FW_WIRE_OK) {
+    Fw_RouterEnv_InitAndStart(&env);
+    Fw_WireServer_SetFault(env.s1, fault_cases[_i].fault, 1);
+    Fw_WireServer_SetFault(env.s2, fault_cases[_i].fault, 1);
+    /* Only the first server tried has the fault; a retry succeeds. */
+    c = Fw_RouterEnv_SendRequest(&env, fault_cases[_i].line, "");
+    while (!Fw_WireServer_Faulted(env.s1) && !Fw_WireServer_Faulted(env.s2) &&
+           fault_cases[_i].fault != FW_WIRE_OK) {
         g_main_context_iteration(NULL, TRUE);
     }
-    Fw_WireServer_SetFault(w.s1, FW_WIRE_OK, 0);
-    Fw_WireServer_SetFault(w.s2, FW_WIRE_OK, 0);
-    Fw_RigConn_Expect(c, faults[_i].want);
-    ck_assert_int_eq(Fw_WireServer_Runs(w.s1) + Fw_WireServer_Runs(w.s2),
-                     faults[_i].runs);
+    Fw_WireServer_SetFault(env.s1, FW_WIRE_OK, 0);
+    Fw_WireServer_SetFault(env.s2, FW_WIRE_OK, 0);
+    Fw_RigConn_Expect(c, fault_cases[_i].want);
+    ck_assert_int_eq(Fw_WireServer_Runs(env.s1) + Fw_WireServer_Runs(env.s2),
+                     fault_cases[_i].runs);
     Fw_RigConn_Close(c);
-    Fw_World_Close(&w);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 /*
- * An engine is lost in the middle of a stream. What came must not look
- * whole, and nothing may stay held for it.
+ * An engine fails in the middle of a stream. Guards against a truncated
+ * response that looks complete, and against leaked reservations.
  */
-START_TEST(a_stream_that_breaks_off_is_cut)
+START_TEST(a_truncated_stream_is_not_ended_as_complete)
 {
-    struct world w;
+    struct router_env env;
     struct rig_conn *c;
 
-    Fw_World_Open(&w);
-    Fw_WireServer_SetFault(w.d1, FW_WIRE_BREAK, 1);
-    Fw_WireServer_SetFault(w.d2, FW_WIRE_BREAK, 1);
-    c = Fw_World_Ask(&w, "POST /outlook/x", FW_TOKENS);
+    Fw_RouterEnv_InitAndStart(&env);
+    Fw_WireServer_SetFault(env.d1, FW_WIRE_BREAK, 1);
+    Fw_WireServer_SetFault(env.d2, FW_WIRE_BREAK, 1);
+    c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/x", FW_TOKENS);
     Fw_RigConn_Expect(c, "piece 2");
     Fw_RigConn_ExpectEof(c);
     ck_assert_ptr_null(strstr(c->got->str, "piece 3"));
     ck_assert_ptr_null(strstr(c->got->str, "\r\n0\r\n"));
-    Fw_Rig_Until(all_free, &w);
+    Fw_Rig_Until(all_released, &env);
     Fw_RigConn_Close(c);
-    Fw_World_Close(&w);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
-/* Callers who leave at each stage: engines must not go on for nobody. */
-START_TEST(a_caller_who_leaves_a_stream_frees_the_engines)
+/* Guards against engines that run on after the caller has disconnected. */
+START_TEST(a_disconnected_caller_releases_the_engines)
 {
     static const char *const until[] = {"", "piece 1"};
-    struct world w;
+    struct router_env env;
     struct rig_conn *c;
 
-    Fw_World_Open(&w);
-    c = Fw_World_Ask(&w, "POST /outlook/x", FW_TOKENS);
-    while (!Fw_WireServer_Active(w.p1)) {
+    Fw_RouterEnv_InitAndStart(&env);
+    c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/x", FW_TOKENS);
+    while (!Fw_WireServer_Active(env.p1)) {
         g_main_context_iteration(NULL, TRUE);
     }
     Fw_RigConn_Expect(c, until[_i]);
     Fw_RigConn_Close(c);
-    Fw_Rig_Until(all_free, &w);
-    Fw_World_Close(&w);
+    Fw_Rig_Until(all_released, &env);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 static int
-is_refused(void *ctx)
+is_rejected(void *ctx)
 {
-    struct world *w = ctx;
-    struct rig_conn *c = Fw_World_Ask(w, "GET /read/x", "");
+    struct router_env *env = ctx;
+    struct rig_conn *c = Fw_RouterEnv_SendRequest(env, "GET /read/x", "");
     int refused;
 
     Fw_RigConn_Expect(c, "HTTP/1.1 ");
@@ -170,80 +172,78 @@
     return refused;
 }
 
-START_TEST(a_withdrawn_key_stops_working_at_once)
+START_TEST(a_revoked_key_is_rejected)
 {
-    struct world w;
+    struct router_env env;
 
-    Fw_World_Open(&w);
-    ck_assert(!is_refused(&w));
-    Fw_World_Configure(&w, 2, "\"k2\"");
-    Fw_Rig_Until(is_refused, &w);
-    Fw_World_Close(&w);
+    Fw_RouterEnv_InitAndStart(&env);
+    ck_assert(!is_rejected(&env));
+    Fw_RouterEnv_PutConfig(&env, 2, "\"k2\"");
+    Fw_Rig_Until(is_rejected, &env);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 /*
- * The store goes away in one of three ways. Requests go on for a while;
- * then keys can no longer be trusted, and when the store is back all is as
- * it was.
+ * The store becomes unreachable. Guards against keys that are rejected at once
+ * or accepted for ever, and against a router that does not recover.
  */
-START_TEST(a_store_that_is_away_stops_keys_after_a_while_only)
+START_TEST(keys_expire_while_the_store_is_unreachable)
 {
     static const enum fw_wire_store_mode modes[] = {
         FW_WIRE_STORE_BUSY, FW_WIRE_STORE_SILENT, FW_WIRE_STORE_BUSY};
     struct rig_conn *c;
-    struct world w;
-
-    Fw_World_Open(&w);
-    Fw_WireStore_SetMode(w.store, modes[_i]);
-    ck_assert(!is_refused(&w));
-    Fw_Rig_Until(is_refused, &w);
-    ck_assert(!Fw_World_IsReady(&w));
-    c = Fw_World_Ask(&w, "GET /public/x", "");
+    struct router_env env;
+
+    Fw_RouterEnv_InitAndStart(&env);
+    Fw_WireStore_SetMode(env.store, modes[_i]);
+    ck_assert(!is_rejected(&env));
+    Fw_Rig_Until(is_rejected, &env);
+    ck_assert(!Fw_RouterEnv_IsReady(&env));
+    c = Fw_RouterEnv_SendRequest(&env, "GET /public/x", "");
     Fw_RigConn_Expect(c, "Connection: close");
     Fw_RigConn_Expect(c, "the answer");
     Fw_RigConn_Close(c);
     if (_i == 2) {
-        Fw_WireStore_Forget(w.store, "keyed.op");
-        Fw_WireStore_Forget(w.store, "keyed.servers");
+        Fw_WireStore_Forget(env.store, "keyed.op");
+        Fw_WireStore_Forget(env.store, "keyed.servers");
     }
-    Fw_WireStore_SetMode(w.store, FW_WIRE_STORE_WELL);
-    Fw_Rig_Until(Fw_World_IsReady, &w);
-    ck_assert(!is_refused(&w));
-    Fw_World_Close(&w);
+    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_WELL);
+    Fw_Rig_Until(Fw_RouterEnv_IsReady, &env);
+    ck_assert(!is_rejected(&env));
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 /*
- * The store does what it is asked and its answers are lost. The instance
- * can't know that its registration stands; it asks again until it does, and
- * what it reads meanwhile counts.
+ * The store executes appends but their responses are lost. Guards against
+ * registrations repeated without end, and against reads that wait for them.
  */
-START_TEST(a_store_that_loses_answers_delays_nothing_but_itself)
+START_TEST(lost_store_responses_block_no_request)
 {
-    struct world w;
+    struct router_env env;
     int before;
 
-    Fw_World_Make(&w);
-    Fw_WireStore_SetMode(w.store, FW_WIRE_STORE_LOSING);
-    Fw_World_Start(&w);
-    ck_assert(!is_refused(&w));
-    while (Fw_WireStore_Count(w.store, "keyed.fuchsiaward") < 2) {
+    Fw_RouterEnv_Init(&env);
+    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_LOSING);
+    Fw_RouterEnv_StartRouter(&env);
+    ck_assert(!is_rejected(&env));
+    while (Fw_WireStore_Count(env.store, "keyed.fuchsiaward") < 2) {
         g_main_context_iteration(NULL, TRUE);
     }
-    Fw_WireStore_SetMode(w.store, FW_WIRE_STORE_WELL);
-    before = Fw_WireStore_Calls(w.store);
-    while (Fw_WireStore_Calls(w.store) < before + 20) {
+    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_WELL);
+    before = Fw_WireStore_Calls(env.store);
+    while (Fw_WireStore_Calls(env.store) < before + 20) {
         g_main_context_iteration(NULL, TRUE);
     }
-    ck_assert_int_le(Fw_WireStore_Count(w.store, "keyed.fuchsiaward"), 4);
-    ck_assert(!is_refused(&w));
-    Fw_World_Close(&w);
+    ck_assert_int_le(Fw_WireStore_Count(env.store, "keyed.fuchsiaward"), 4);
+    ck_assert(!is_rejected(&env));
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
-/* Entries that can't be read name no server, and the others hold. */
-START_TEST(bad_entries_in_the_store_change_nothing)
+/* Guards against a malformed record that affects valid ones. */
+START_TEST(malformed_store_records_are_ignored)
 {
     static const char *const bad[] = {
         "not json",
@@ -256,102 +256,102 @@
         "{\"Service\":\"desk\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"a\","
         "\"Slots\":4,\"State\":\"dancing\"}",
     };
-    struct world w;
+    struct router_env env;
 
-    Fw_World_Open(&w);
+    Fw_RouterEnv_InitAndStart(&env);
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        Fw_WireStore_Put(w.store, "keyed.servers", "i-bad", bad[i]);
+        Fw_WireStore_Put(env.store, "keyed.servers", "i-bad", bad[i]);
     }
-    Fw_WireStore_Put(w.store, "keyed.op", "config", "{\"Version\":\"x\"}");
-    Fw_WireStore_Put(w.store, "keyed.op", "other", "x");
+    Fw_WireStore_Put(env.store, "keyed.op", "config", "{\"Version\":\"x\"}");
+    Fw_WireStore_Put(env.store, "keyed.op", "other", "x");
     Fw_Rig_Settle();
     for (int i = 0; i < 8; i++) {
-        ck_assert(!is_refused(&w));
+        ck_assert(!is_rejected(&env));
     }
-    Fw_World_Close(&w);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
-START_TEST(a_draining_server_gets_nothing_new)
+START_TEST(a_draining_server_gets_no_new_requests)
 {
-    struct world w;
+    struct router_env env;
     int before;
 
-    Fw_World_Open(&w);
-    Fw_WireServer_SetDraining(w.s1);
-    while (Fw_Relayd_IsServerUsable(w.relay, "s1")) {
+    Fw_RouterEnv_InitAndStart(&env);
+    Fw_WireServer_SetDraining(env.s1);
+    while (Fw_Relayd_IsServerUsable(env.router, "s1")) {
         g_main_context_iteration(NULL, TRUE);
     }
-    before = Fw_WireServer_Runs(w.s1);
+    before = Fw_WireServer_Runs(env.s1);
     for (int i = 0; i < 8; i++) {
-        ck_assert(!is_refused(&w));
+        ck_assert(!is_rejected(&env));
     }
-    ck_assert_int_eq(Fw_WireServer_Runs(w.s1), before);
-    Fw_World_Close(&w);
+    ck_assert_int_eq(Fw_WireServer_Runs(env.s1), before);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 static int
-is_over(void *ctx)
+is_stopped(void *ctx)
 {
-    return Fw_Relayd_IsStopped(((struct world *)ctx)->relay);
+    return Fw_Relayd_IsStopped(((struct router_env *)ctx)->router);
 }
 
 /*
- * The instance is told to stop while a stream runs. The stream must end
- * whole, and the balancer must see that no new requests are wanted.
+ * Guards against a shutdown that truncates a running stream, or that leaves
+ * the readiness check successful.
  */
-START_TEST(a_stop_lets_a_running_stream_end)
+START_TEST(shutdown_completes_running_streams)
 {
-    struct world w;
+    struct router_env env;
     struct rig_conn *c;
 
-    Fw_World_Open(&w);
-    c = Fw_World_Ask(&w, "POST /outlook/x", FW_TOKENS);
+    Fw_RouterEnv_InitAndStart(&env);
+    c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/x", FW_TOKENS);
     Fw_RigConn_Expect(c, "piece 1");
-    Fw_Relayd_Drain(w.relay);
-    ck_assert(!Fw_World_IsReady(&w));
+    Fw_Relayd_Drain(env.router);
+    ck_assert(!Fw_RouterEnv_IsReady(&env));
     Fw_RigConn_Expect(c, "\r\n0\r\n\r\n");
-    Fw_Rig_Until(is_over, &w);
+    Fw_Rig_Until(is_stopped, &env);
     Fw_RigConn_Close(c);
-    Fw_World_Close(&w);
+    Fw_RouterEnv_Free(&env);
 }
 END_TEST
 
 /*
- * The reader of the log stops reading. The process must not stop with it:
- * requests go on, lines are dropped and counted.
+ * The reader of the log stops reading. Guards against requests that wait for
+ * it; log lines are dropped and counted instead.
  */
-START_TEST(a_log_that_nobody_reads_blocks_no_request)
+START_TEST(a_stalled_log_reader_blocks_no_request)
 {
-    struct world w;
+    struct router_env env;
     int fds[2];
 
     ck_assert_int_eq(pipe(fds), 0);
-    Fw_World_Open(&w);
+    Fw_RouterEnv_InitAndStart(&env);
     Fw_Note_SetupBounded("n1", fds[1], 4096);
     for (int i = 0; i < 600; i++) {
-        ck_assert(!is_refused(&w));
+        ck_assert(!is_rejected(&env));
     }
     ck_assert_int_gt(Fw_Note_Dropped(), 0);
-    Fw_Note_SetupBounded("n1", w.null, 65536);
-    Fw_World_Close(&w);
+    Fw_Note_SetupBounded("n1", env.null_fd, 65536);
+    Fw_RouterEnv_Free(&env);
     close(fds[0]);
     close(fds[1]);
 }
 END_TEST
 
-/** struct log_end - what was read of the log. */
-struct log_end {
+/** struct log_end - @len: bytes of the log in @text. */
+struct log_reader {
     int fd;
     size_t len;
     char text[65536];
 };
 
 static int
-was_told(void *ctx)
+has_unsent_digest(void *ctx)
 {
-    struct log_end *e = ctx;
+    struct log_reader *e = ctx;
     ssize_t n = read(e->fd, e->text + e->len, sizeof(e->text) - 1 - e->len);
 
     e->len += n > 0 ? (size_t)n : 0;
@@ -359,29 +359,28 @@
 }
 
 /*
- * Another instance has written an address that leads nowhere, or a digest is
- * larger than a datagram may be. Allowances are shared out wrongly then; the
- * log must name whom digests don't reach.
+ * An instance has registered an invalid address. The log must name it, since
+ * rate limits are divided wrongly while digests do not reach it.
  */
-START_TEST(a_digest_that_cannot_be_sent_is_told)
+START_TEST(an_unsent_digest_is_logged)
 {
-    struct log_end e = {0};
-    struct world w;
+    struct log_reader e = {0};
+    struct router_env env;
     int fds[2];
 
     ck_assert_int_eq(pipe(fds), 0);
     ck_assert_int_eq(fcntl(fds[0], F_SETFL, O_NONBLOCK), 0);
-    Fw_World_Make(&w);
-    w.opts.relay.digest_every_us = 20 * FW_MSEC;
-    Fw_World_Start(&w);
+    Fw_RouterEnv_Init(&env);
+    env.opts.relay.digest_every_us = 20 * FW_MSEC;
+    Fw_RouterEnv_StartRouter(&env);
     Fw_Note_SetupBounded("n1", fds[1], 65536);
     e.fd = fds[0];
-    Fw_WireStore_Put(w.store, "keyed.fuchsiaward", "n9",
+    Fw_WireStore_Put(env.store, "keyed.fuchsiaward", "n9",
                      "{\"addr\":\"nowhere\",\"boot\":1}");
-    Fw_Rig_Until(was_told, &e);
+    Fw_Rig_Until(has_unsent_digest, &e);
     ck_assert_ptr_nonnull(strstr(e.text, "nowhere"));
-    Fw_Note_SetupBounded("n1", w.null, 65536);
-    Fw_World_Close(&w);
+    Fw_Note_SetupBounded("n1", env.null_fd, 65536);
+    Fw_RouterEnv_Free(&env);
     close(fds[0]);
     close(fds[1]);
 }
@@ -394,20 +393,18 @@
 
     tcase_set_timeout(tc, 30);
     tcase_add_test(tc, a_stream_goes_through_prefill_and_decode);
-    tcase_add_test(tc, fields_of_the_routers_own_are_never_the_callers);
-    tcase_add_loop_test(tc, a_plain_request_meets_a_faulty_server, 0,
-                        G_N_ELEMENTS(faults));
-    tcase_add_test(tc, a_stream_that_breaks_off_is_cut);
-    tcase_add_loop_test(tc, a_caller_who_leaves_a_stream_frees_the_engines, 0,
-                        2);
-    tcase_add_test(tc, a_withdrawn_key_stops_working_at_once);
-    tcase_add_loop_test(tc, a_store_that_is_away_stops_keys_after_a_while_only,
-                        0, 3);
-    tcase_add_test(tc, a_store_that_loses_answers_delays_nothing_but_itself);
-    tcase_add_test(tc, bad_entries_in_the_store_change_nothing);
-    tcase_add_test(tc, a_draining_server_gets_nothing_new);
-    tcase_add_test(tc, a_stop_lets_a_running_stream_end);
-    tcase_add_test(tc, a_digest_that_cannot_be_sent_is_told);
-    tcase_add_test(tc, a_log_that_nobody_reads_blocks_no_request);
+    tcase_add_test(tc, reserved_fields_of_callers_are_dropped);
+    tcase_add_loop_test(tc, a_request_to_a_faulty_server_is_retried_when_safe,
+                        0, G_N_ELEMENTS(fault_cases));
+    tcase_add_test(tc, a_truncated_stream_is_not_ended_as_complete);
+    tcase_add_loop_test(tc, a_disconnected_caller_releases_the_engines, 0, 2);
+    tcase_add_test(tc, a_revoked_key_is_rejected);
+    tcase_add_loop_test(tc, keys_expire_while_the_store_is_unreachable, 0, 3);
+    tcase_add_test(tc, lost_store_responses_block_no_request);
+    tcase_add_test(tc, malformed_store_records_are_ignored);
+    tcase_add_test(tc, a_draining_server_gets_no_new_requests);
+    tcase_add_test(tc, shutdown_completes_running_streams);
+    tcase_add_test(tc, an_unsent_digest_is_logged);
+    tcase_add_test(tc, a_stalled_log_reader_blocks_no_request);
     return Fw_Suite_Run(tc);
 }
--- a/tests/relayd/test_settings.c
+++ b/tests/relayd/test_settings.c
@@ -1,5 +1,4 @@
-/* The relay's settings as the platform renders them from deploy/node.ini.in.
- */
+/* The router's settings, rendered from the template deploy/node.ini.in. */
 #include <check.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -8,13 +7,13 @@
 #include "relayd/relayd.h"
 #include "tests/base/suite.h"
 
-/** struct field - a placeholder of the template and what it is rendered as. */
-struct field {
+/** struct placeholder - a placeholder of the template and its value. */
+struct placeholder {
     const char *name;
     const char *value;
 };
 
-static const struct field usual[] = {
+static const struct placeholder defaults[] = {
     {"Node", "n1"},
     {"Zone", "a"},
     {"Listen.Front", "10.1.0.3:8360"},
@@ -42,9 +41,10 @@
     g_free(mark);
 }
 
-/* Renders the template with @odd in place of its usual value, and loads it. */
+/* Renders the template with the defaults and @override, and loads it. */
 static int
-load(const struct field *odd, struct fw_relayd_opts *out, char **error)
+render_and_load(const struct placeholder *override, struct fw_relayd_opts *out,
+                char **error)
 {
     char *path = NULL;
     char *file = NULL;
@@ -57,9 +57,9 @@
     ck_assert(g_file_get_contents("deploy/node.ini.in", &file, NULL, NULL));
     text = g_string_new(file);
     g_free(file);
-    replace(text, odd->name, odd->value);
-    for (size_t i = 0; i < G_N_ELEMENTS(usual); i++) {
-        replace(text, usual[i].name, usual[i].value);
+    replace(text, override->name, override->value);
+    for (size_t i = 0; i < G_N_ELEMENTS(defaults); i++) {
+        replace(text, defaults[i].name, defaults[i].value);
     }
     ck_assert_ptr_null(strstr(text->str, "{{"));
     ck_assert(g_file_set_contents(path, text->str, -1, NULL));
@@ -73,14 +73,17 @@
 
 #define FW_AT(field) offsetof(struct fw_relayd_opts, relay.field)
 
-/** struct taken - a figure, and what stands in the options for it. */
-struct taken {
-    struct field odd;
+/**
+ * struct accepted_case - a value, and the resulting option.
+ * @at: offset of the option in struct fw_relayd_opts
+ */
+struct accepted_case {
+    struct placeholder override;
     size_t at;
     int64_t want;
 };
 
-static const struct taken taken[] = {
+static const struct accepted_case accepted_cases[] = {
     {{"Bounds.RetryBudgetExtra", "33.2"}, FW_AT(retry_extra), 33},
     {{"Bounds.RetryBudgetExtra", "true"}, FW_AT(retry_extra), 1},
     {{"Bounds.RetryBudgetExtra", "false"}, FW_AT(retry_extra), 0},
@@ -99,28 +102,28 @@
     {{"Bounds.RevocationMs", "5000.9"}, FW_AT(key_stale_us), 4800000},
 };
 
-/* Guards against an instance that doesn't start for a fraction. */
-START_TEST(any_form_of_a_figure_is_taken)
+/* Guards against fractions and booleans that prevent the start. */
+START_TEST(numbers_are_accepted_in_any_form)
 {
-    const struct taken *t = &taken[_i];
+    const struct accepted_case *t = &accepted_cases[_i];
     struct fw_relayd_opts opts;
     int64_t got;
     char *error;
 
-    ck_assert_msg(load(&t->odd, &opts, &error) == 0, "%s = %s: %s",
-                  t->odd.name, t->odd.value, error);
+    ck_assert_msg(render_and_load(&t->override, &opts, &error) == 0,
+                  "%s = %s: %s", t->override.name, t->override.value, error);
     memcpy(&got, (char *)&opts + t->at, sizeof(got));
     ck_assert_int_eq(got, t->want);
 }
 END_TEST
 
-/** struct refused - a figure, and the end of the error. */
-struct refused {
-    struct field odd;
+/** struct rejected_case - an invalid value, and the end of the error. */
+struct rejected_case {
+    struct placeholder override;
     const char *error;
 };
 
-static const struct refused refused[] = {
+static const struct rejected_case rejected_cases[] = {
     {{"Bounds.RetryBudgetExtra", "many"},
      "[limits] retry-extra: must be a number from 0 to 1000000"},
     {{"Bounds.RetryBudgetExtra", "-0.5"},
@@ -135,14 +138,14 @@
      "[limits] retry-ratio: must be a number from 0 to 10"},
 };
 
-/* Guards against a figure out of range that is accepted silently. */
-START_TEST(a_bad_figure_is_named)
+/* Guards against values out of range that are accepted. */
+START_TEST(invalid_numbers_are_reported)
 {
-    const struct refused *t = &refused[_i];
+    const struct rejected_case *t = &rejected_cases[_i];
     struct fw_relayd_opts opts;
     char *error;
 
-    ck_assert_int_lt(load(&t->odd, &opts, &error), 0);
+    ck_assert_int_lt(render_and_load(&t->override, &opts, &error), 0);
     ck_assert_msg(g_str_has_suffix(error, t->error), "%s", error);
     g_free(error);
 }
@@ -153,8 +156,9 @@
 {
     TCase *tc = Fw_Suite_New("relay settings");
 
-    tcase_add_loop_test(tc, any_form_of_a_figure_is_taken, 0,
-                        G_N_ELEMENTS(taken));
-    tcase_add_loop_test(tc, a_bad_figure_is_named, 0, G_N_ELEMENTS(refused));
+    tcase_add_loop_test(tc, numbers_are_accepted_in_any_form, 0,
+                        G_N_ELEMENTS(accepted_cases));
+    tcase_add_loop_test(tc, invalid_numbers_are_reported, 0,
+                        G_N_ELEMENTS(rejected_cases));
     return Fw_Suite_Run(tc);
 }
--- a/tests/relayd/test_shell_events.c
+++ b/tests/relayd/test_shell_events.c
@@ -1,6 +1,6 @@
 /*
- * Lines that the shell logs, on a real relay: what it lost and regained, and
- * what it could not read. Each must name what an operator needs to go on.
+ * Log events of the daemon. Guards against events that are not logged, or lack
+ * the members an operator needs.
  */
 #include <check.h>
 #include <fcntl.h>
@@ -11,11 +11,11 @@
 #include "relayd/relayd_internal.h"
 #include "tests/relayd/world.h"
 
-/* Of the members common to all lines and the event's own. */
+/* Events and the members that each has besides the common ones. */
 static const struct {
     const char *event;
     const char *members[4];
-} wanted[] = {
+} expected_events[] = {
     {"started", {"callers", "ready", "metrics", "store"}},
     {"store_lost", {"why"}},
     {"store_back", {"away_ms"}},
@@ -33,16 +33,16 @@
     {"draining", {"open"}},
 };
 
-/** struct tail - what was read of the log; @event: that is waited for. */
-struct tail {
+/** struct tail - @event: the event to wait for. */
+struct log_reader {
     int fd;
     const char *event;
     GString *text;
 };
 
-/* The first line of @event, or NULL; to be freed. */
+/* Return: the first line of @event, to be freed, or NULL. */
 static char *
-line_of(const struct tail *t, const char *event)
+line_of(const struct log_reader *t, const char *event)
 {
     char *name = g_strdup_printf("\"event\":\"%s\"", event);
     const char *at = strstr(t->text->str, name);
@@ -60,9 +60,9 @@
 }
 
 static int
-was_told(void *ctx)
+has_event(void *ctx)
 {
-    struct tail *t = ctx;
+    struct log_reader *t = ctx;
     char part[4096];
     char *line;
     ssize_t n;
@@ -76,19 +76,19 @@
 }
 
 static void
-until(struct tail *t, const char *event)
+wait_for_event(struct log_reader *t, const char *event)
 {
     t->event = event;
-    Fw_Rig_Until(was_told, t);
+    Fw_Rig_Until(has_event, t);
 }
 
 static void
-send_datagram(struct world *w, const void *data, size_t len)
+send_datagram(struct router_env *env, const void *data, size_t len)
 {
     GSocket *sock = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_DATAGRAM,
                                  G_SOCKET_PROTOCOL_UDP, NULL);
     GSocketAddress *to =
-        g_socket_get_local_address(w->relay->peer_socket, NULL);
+        g_socket_get_local_address(env->router->peer_socket, NULL);
 
     ck_assert_int_eq(g_socket_send_to(sock, to, data, len, NULL, NULL),
                      (gssize)len);
@@ -96,36 +96,35 @@
     g_object_unref(sock);
 }
 
-/* The relay reads its settings again: first bad ones, then good ones. */
+/* Reloads invalid settings, then valid ones. */
 static void
-reload(struct world *w, struct tail *t)
+reload(struct router_env *env, struct log_reader *t)
 {
-    const struct fw_relayd_opts *o = &w->opts;
+    const struct fw_relayd_opts *o = &env->opts;
     char *path = NULL;
-    char *good =
-        g_strdup_printf("[relay]\nname = n1\ndomain = a\n"
-                        "[listen]\ncallers = %s\nready = %s\n"
-                        "metrics = %s\npeers = %s\n"
-                        "[store]\naddress = %s\n",
-                        o->callers, o->ready_addr, o->metrics_addr,
-                        o->peers_addr, o->store_addr);
+    char *good = g_strdup_printf("[relay]\nname = n1\ndomain = a\n"
+                                 "[listen]\ncallers = %s\nready = %s\n"
+                                 "metrics = %s\npeers = %s\n"
+                                 "[store]\naddress = %s\n",
+                                 o->callers, o->ready_addr, o->metrics_addr,
+                                 o->peers_addr, o->store_addr);
     int fd = g_file_open_tmp("fw-XXXXXX.ini", &path, NULL);
 
     ck_assert_int_ge(fd, 0);
     close(fd);
-    w->relay->settings_path = path; /* freed with the relay */
+    env->router->settings_path = path; /* freed with the router */
     ck_assert(g_file_set_contents(path, "[relay]\nname = \n", -1, NULL));
-    Fw_Relayd_Reload(w->relay);
-    until(t, "settings_rejected");
+    Fw_Relayd_Reload(env->router);
+    wait_for_event(t, "settings_rejected");
     ck_assert(g_file_set_contents(path, good, -1, NULL));
-    Fw_Relayd_Reload(w->relay);
-    until(t, "settings_reloaded");
+    Fw_Relayd_Reload(env->router);
+    wait_for_event(t, "settings_reloaded");
     unlink(path);
     g_free(good);
 }
 
 static void
-upset(struct world *w, struct tail *t)
+provoke_events(struct router_env *env, struct log_reader *t)
 {
     static const char digest[] =
         "\x9c\x07\xa2"
@@ -133,36 +132,36 @@
         "\x00\x00\x00\x00\x90";
     struct rig_conn *c;
 
-    Fw_WireStore_Put(w->store, "keyed.servers", "i-bad", "{}");
-    until(t, "entry_unreadable");
-    Fw_WireStore_Put(w->store, "keyed.op", "config", "{\"Version\":\"x\"}");
-    until(t, "configuration_unreadable");
-    Fw_WireStore_SetMode(w->store, FW_WIRE_STORE_BUSY);
-    until(t, "store_lost");
-    Fw_World_Configure(w, 2, FW_KEYS);
-    Fw_WireStore_Forget(w->store, "keyed.op");
-    Fw_WireStore_SetMode(w->store, FW_WIRE_STORE_WELL);
-    until(t, "store_back");
-    until(t, "history_cut");
-    c = Fw_World_Ask(w, "GET /x",
-                     "Content-Length: 5\r\nContent-Length: 6\r\n");
-    until(t, "request_malformed");
+    Fw_WireStore_Put(env->store, "keyed.servers", "i-bad", "{}");
+    wait_for_event(t, "entry_unreadable");
+    Fw_WireStore_Put(env->store, "keyed.op", "config", "{\"Version\":\"x\"}");
+    wait_for_event(t, "configuration_unreadable");
+    Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_BUSY);
+    wait_for_event(t, "store_lost");
+    Fw_RouterEnv_PutConfig(env, 2, FW_KEYS);
+    Fw_WireStore_Forget(env->store, "keyed.op");
+    Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_WELL);
+    wait_for_event(t, "store_back");
+    wait_for_event(t, "history_cut");
+    c = Fw_RouterEnv_SendRequest(env, "GET /x",
+                                 "Content-Length: 5\r\nContent-Length: 6\r\n");
+    wait_for_event(t, "request_malformed");
     Fw_RigConn_Close(c);
-    c = Fw_World_Ask(w, "GET /x", "Token-Counts: many\r\n");
-    until(t, "request_unreadable");
+    c = Fw_RouterEnv_SendRequest(env, "GET /x", "Token-Counts: many\r\n");
+    wait_for_event(t, "request_unreadable");
     Fw_RigConn_Close(c);
-    send_datagram(w, "?", 1);
-    until(t, "digest_unreadable");
-    send_datagram(w, digest, sizeof(digest) - 1);
-    until(t, "member_met");
-    until(t, "role_taken");
-    reload(w, t);
-    Fw_Relayd_Drain(w->relay);
-    until(t, "draining");
+    send_datagram(env, "?", 1);
+    wait_for_event(t, "digest_unreadable");
+    send_datagram(env, digest, sizeof(digest) - 1);
+    wait_for_event(t, "member_met");
+    wait_for_event(t, "role_taken");
+    reload(env, t);
+    Fw_Relayd_Drain(env->router);
+    wait_for_event(t, "draining");
 }
 
 static void
-check_line(const struct tail *t, const char *event,
+check_line(const struct log_reader *t, const char *event,
            const char *const members[4])
 {
     char *line = line_of(t, event);
@@ -184,25 +183,26 @@
     g_free(line);
 }
 
-START_TEST(what_the_shell_meets_is_told)
+START_TEST(events_are_logged_with_their_members)
 {
-    struct tail t = {.text = g_string_new(NULL)};
-    struct world w;
+    struct log_reader t = {.text = g_string_new(NULL)};
+    struct router_env env;
     int fds[2];
 
     ck_assert_int_eq(pipe(fds), 0);
     ck_assert_int_eq(fcntl(fds[0], F_SETFL, O_NONBLOCK), 0);
     t.fd = fds[0];
-    Fw_World_Make(&w);
-    w.opts.relay.prefill_permille = 600; /* an engine is to change its stage */
+    Fw_RouterEnv_Init(&env);
+    env.opts.relay.prefill_permille =
+        600; /* an engine is to change its stage */
     Fw_Note_SetupBounded("n1", fds[1], 65536);
-    Fw_World_Start(&w);
-    upset(&w, &t);
-    for (size_t i = 0; i < G_N_ELEMENTS(wanted); i++) {
-        check_line(&t, wanted[i].event, wanted[i].members);
+    Fw_RouterEnv_StartRouter(&env);
+    provoke_events(&env, &t);
+    for (size_t i = 0; i < G_N_ELEMENTS(expected_events); i++) {
+        check_line(&t, expected_events[i].event, expected_events[i].members);
     }
-    Fw_Note_SetupBounded("n1", w.null, 65536);
-    Fw_World_Close(&w);
+    Fw_Note_SetupBounded("n1", env.null_fd, 65536);
+    Fw_RouterEnv_Free(&env);
     g_string_free(t.text, TRUE);
     close(fds[0]);
     close(fds[1]);
@@ -215,6 +215,6 @@
     TCase *tc = Fw_Suite_New("relayd events");
 
     tcase_set_timeout(tc, 30);
-    tcase_add_test(tc, what_the_shell_meets_is_told);
+    tcase_add_test(tc, events_are_logged_with_their_members);
     return Fw_Suite_Run(tc);
 }
--- a/tests/relayd/world.c
+++ b/tests/relayd/world.c
@@ -12,18 +12,18 @@
 };
 
 void
-Fw_World_Configure(struct world *w, int version, const char *keys)
+Fw_RouterEnv_PutConfig(struct router_env *env, int version, const char *keys)
 {
     char *config = Fw_Wire_Config(version, keys);
 
-    Fw_WireStore_Put(w->store, "keyed.op", "config", config);
+    Fw_WireStore_Put(env->store, "keyed.op", "config", config);
     g_free(config);
 }
 
 static void
-set_opts(struct world *w)
+set_opts(struct router_env *env)
 {
-    struct fw_relayd_opts *o = &w->opts;
+    struct fw_relayd_opts *o = &env->opts;
 
     *o = (struct fw_relayd_opts){.callers = "127.0.0.1:0",
                                  .ready_addr = "127.0.0.1:0",
@@ -50,67 +50,68 @@
                                       .grace_us = 8 * FW_SEC,
                                       .log_level = 7};
     g_snprintf(o->store_addr, sizeof(o->store_addr), "127.0.0.1:%d",
-               Fw_WireStore_Port(w->store));
+               Fw_WireStore_Port(env->store));
 }
 
 int
-Fw_World_IsReady(void *ctx)
+Fw_RouterEnv_IsReady(void *ctx)
 {
-    return Fw_Relayd_IsReady(((struct world *)ctx)->relay);
+    return Fw_Relayd_IsReady(((struct router_env *)ctx)->router);
 }
 
 void
-Fw_World_Start(struct world *w)
+Fw_RouterEnv_StartRouter(struct router_env *env)
 {
     int err = 0;
 
-    w->relay = Fw_Relayd_New(&w->opts, NULL, &err);
-    ck_assert_ptr_nonnull(w->relay);
-    g_snprintf(w->callers, sizeof(w->callers), "127.0.0.1:%d",
-               Fw_Relayd_CallersPort(w->relay));
-    Fw_Rig_Until(Fw_World_IsReady, w);
+    env->router = Fw_Relayd_New(&env->opts, NULL, &err);
+    ck_assert_ptr_nonnull(env->router);
+    g_snprintf(env->callers, sizeof(env->callers), "127.0.0.1:%d",
+               Fw_Relayd_CallersPort(env->router));
+    Fw_Rig_Until(Fw_RouterEnv_IsReady, env);
 }
 
 void
-Fw_World_Make(struct world *w)
+Fw_RouterEnv_Init(struct router_env *env)
 {
-    *w = (struct world){0};
-    w->null = open("/dev/null", O_WRONLY);
-    Fw_Note_SetupBounded("n1", w->null, 65536);
-    w->store = Fw_WireStore_New("127.0.0.1:0");
-    w->p1 = Fw_WireServer_New(w->store, "127.0.0.1:0", &servers[0]);
-    w->d1 = Fw_WireServer_New(w->store, "127.0.0.1:0", &servers[1]);
-    w->d2 = Fw_WireServer_New(w->store, "127.0.0.1:0", &servers[2]);
-    w->s1 = Fw_WireServer_New(w->store, "127.0.0.1:0", &servers[3]);
-    w->s2 = Fw_WireServer_New(w->store, "127.0.0.1:0", &servers[4]);
-    Fw_World_Configure(w, 1, FW_KEYS);
-    set_opts(w);
+    *env = (struct router_env){0};
+    env->null_fd = open("/dev/null", O_WRONLY);
+    Fw_Note_SetupBounded("n1", env->null_fd, 65536);
+    env->store = Fw_WireStore_New("127.0.0.1:0");
+    env->p1 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[0]);
+    env->d1 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[1]);
+    env->d2 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[2]);
+    env->s1 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[3]);
+    env->s2 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[4]);
+    Fw_RouterEnv_PutConfig(env, 1, FW_KEYS);
+    set_opts(env);
 }
 
 void
-Fw_World_Open(struct world *w)
+Fw_RouterEnv_InitAndStart(struct router_env *env)
 {
-    Fw_World_Make(w);
-    Fw_World_Start(w);
+    Fw_RouterEnv_Init(env);
+    Fw_RouterEnv_StartRouter(env);
 }
 
 void
-Fw_World_Close(struct world *w)
+Fw_RouterEnv_Free(struct router_env *env)
 {
-    Fw_Relayd_Free(w->relay);
-    Fw_WireServer_Free(w->p1);
-    Fw_WireServer_Free(w->d1);
-    Fw_WireServer_Free(w->d2);
-    Fw_WireServer_Free(w->s1);
-    Fw_WireServer_Free(w->s2);
-    Fw_WireStore_Free(w->store);
-    close(w->null);
+    Fw_Relayd_Free(env->router);
+    Fw_WireServer_Free(env->p1);
+    Fw_WireServer_Free(env->d1);
+    Fw_WireServer_Free(env->d2);
+    Fw_WireServer_Free(env->s1);
+    Fw_WireServer_Free(env->s2);
+    Fw_WireStore_Free(env->store);
+    close(env->null_fd);
 }
 
 struct rig_conn *
-Fw_World_Ask(struct world *w, const char *line, const char *fields)
+Fw_RouterEnv_SendRequest(struct router_env *env, const char *line,
+                         const char *fields)
 {
-    struct rig_conn *c = Fw_RigConn_Open(w->callers);
+    struct rig_conn *c = Fw_RigConn_Open(env->callers);
     char *text = g_strdup_printf("%s HTTP/1.1\r\nHost: demo.example\r\n"
                                  "Authorization: Bearer k1\r\n"
                                  "Request-Id: r1\r\n%s\r\n",
--- a/tests/relayd/world.h
+++ b/tests/relayd/world.h
@@ -1,6 +1,9 @@
-/* A relay over real sockets, and its platform, in one process and loop. */
-#ifndef FW_TESTS_RELAYD_WORLD_H
-#define FW_TESTS_RELAYD_WORLD_H
+/*
+ * Test environment: a router on real sockets and stand-ins of the platform, in
+ * one process and event loop.
+ */
+#ifndef FW_TESTS_RELAYD_ROUTER_ENV_H
+#define FW_TESTS_RELAYD_ROUTER_ENV_H
 
 #include "io/note.h"
 #include "relayd/relayd.h"
@@ -11,8 +14,8 @@
 #define FW_KEYS "\"k1\",\"k2\""
 #define FW_TOKENS "Token-Counts: 5000,720\r\nModel: m\r\n"
 
-/** struct world - @null: where log lines go. */
-struct world {
+/** struct router_env - @null_fd: /dev/null, which log lines are written to. */
+struct router_env {
     struct fw_wire_store *store;
     struct fw_wire_server *p1;
     struct fw_wire_server *d1;
@@ -20,29 +23,29 @@
     struct fw_wire_server *s1;
     struct fw_wire_server *s2;
     struct fw_relayd_opts opts;
-    struct fw_relayd *relay;
+    struct fw_relayd *router;
     char callers[FW_URL_MAX];
-    int null;
+    int null_fd;
 };
 
-/* The platform with its configuration, and the relay's options. */
+/* Starts the platform with a configuration and sets the router's options. */
 void
-Fw_World_Make(struct world *w);
-/* The relay, until it is ready. */
+Fw_RouterEnv_Init(struct router_env *env);
+/* Starts the router and waits until it is ready. */
 void
-Fw_World_Start(struct world *w);
-/* Both. */
+Fw_RouterEnv_StartRouter(struct router_env *env);
 void
-Fw_World_Open(struct world *w);
+Fw_RouterEnv_InitAndStart(struct router_env *env);
 void
-Fw_World_Close(struct world *w);
+Fw_RouterEnv_Free(struct router_env *env);
 void
-Fw_World_Configure(struct world *w, int version, const char *keys);
-/* @ctx: the world */
+Fw_RouterEnv_PutConfig(struct router_env *env, int version, const char *keys);
+/* @ctx: a struct router_env */
 int
-Fw_World_IsReady(void *ctx);
-/* Sends a request with key k1; @fields: further lines. */
+Fw_RouterEnv_IsReady(void *ctx);
+/* Sends a request with key k1. @fields: further header lines. */
 struct rig_conn *
-Fw_World_Ask(struct world *w, const char *line, const char *fields);
+Fw_RouterEnv_SendRequest(struct router_env *env, const char *line,
+                         const char *fields);
 
 #endif
