--- a/src/relayd/acts.c
+++ b/src/relayd/acts.c
@@ -43,16 +43,16 @@
 forward(struct fw_relayd *d, uint64_t call, uint64_t xid)
 {
     struct fw_caller_request *c = find_request(d, call);
-    struct fw_upstream_call *rec =
+    struct fw_upstream_call *upstream =
         g_hash_table_lookup(d->upstream_calls, &xid);
 
-    if (c && rec) {
-        Fw_UpstreamCall_Forward(rec, c);
+    if (c && upstream) {
+        Fw_UpstreamCall_Forward(upstream, c);
     }
 }
 
 static void
-end_response(struct fw_relayd *d, uint64_t call, int whole)
+end_response(struct fw_relayd *d, uint64_t call, int complete)
 {
     struct fw_caller_request *c = find_request(d, call);
     struct fw_http_caller *caller;
@@ -62,7 +62,7 @@
     }
     caller = c->caller;
     remove_request(d, c);
-    if (whole) {
+    if (complete) {
         Fw_Caller_End(caller);
     }
     else {
--- a/src/relayd/handover.c
+++ b/src/relayd/handover.c
@@ -15,7 +15,7 @@
 /* Fields of an encoded record: offset, key and value. */
 #define FW_RECORD_FIELDS 3
 
-/** struct kept - the newest record of one key. */
+/** struct snapshot_record - the newest record of one key. */
 struct snapshot_record {
     uint64_t offset;
     GBytes *value;
@@ -24,10 +24,10 @@
 static void
 snapshot_record_free(gpointer data)
 {
-    struct snapshot_record *k = data;
+    struct snapshot_record *entry = data;
 
-    g_bytes_unref(k->value);
-    g_free(k);
+    g_bytes_unref(entry->value);
+    g_free(entry);
 }
 
 GHashTable *
@@ -41,7 +41,7 @@
 Fw_PeerSnapshot_Update(GHashTable *newest, const struct fw_store_record *rec)
 {
     const struct snapshot_record *old = g_hash_table_lookup(newest, rec->key);
-    struct snapshot_record *k;
+    struct snapshot_record *entry;
 
     if (old && old->offset > rec->offset) {
         return;
@@ -50,10 +50,10 @@
         g_hash_table_remove(newest, rec->key);
         return;
     }
-    k = g_new(struct snapshot_record, 1);
-    k->offset = rec->offset;
-    k->value = g_bytes_new(rec->value, rec->len);
-    g_hash_table_replace(newest, g_strdup(rec->key), k);
+    entry = g_new(struct snapshot_record, 1);
+    entry->offset = rec->offset;
+    entry->value = g_bytes_new(rec->value, rec->len);
+    g_hash_table_replace(newest, g_strdup(rec->key), entry);
 }
 
 void
@@ -70,12 +70,12 @@
     msgpack_pack_array(&pk, g_hash_table_size(newest));
     g_hash_table_iter_init(&it, newest);
     while (g_hash_table_iter_next(&it, &key, &v)) {
-        const struct snapshot_record *k = v;
+        const struct snapshot_record *entry = v;
         gsize len;
-        const void *data = g_bytes_get_data(k->value, &len);
+        const void *data = g_bytes_get_data(entry->value, &len);
 
         msgpack_pack_array(&pk, FW_RECORD_FIELDS);
-        msgpack_pack_uint64(&pk, k->offset);
+        msgpack_pack_uint64(&pk, entry->offset);
         Fw_Pack_Str(&pk, key);
         msgpack_pack_bin(&pk, len);
         msgpack_pack_bin_body(&pk, data, len);
@@ -160,16 +160,16 @@
 }
 
 static void
-send_snapshot(struct fw_http_caller *c, const struct fw_topic_client *f)
+send_snapshot(struct fw_http_caller *c, const struct fw_topic_client *tc)
 {
     GByteArray *body;
 
-    if (f->op != FW_STORE_OP_READ || !f->next_offset) {
+    if (tc->op != FW_STORE_OP_READ || !tc->next_offset) {
         Fw_Caller_Answer(c, 503, "", "");
         return;
     }
     body = g_byte_array_new();
-    Fw_PeerSnapshot_Encode(f->newest, f->next_offset, body);
+    Fw_PeerSnapshot_Encode(tc->newest, tc->next_offset, body);
     Fw_Caller_Start(c, 200, "Content-Type: application/msgpack\r\n",
                     (int64_t)body->len);
     Fw_Caller_Data(c, body->data, body->len);
--- a/src/relayd/relayd_internal.h
+++ b/src/relayd/relayd_internal.h
@@ -29,7 +29,8 @@
 /**
  * struct fw_upstream_call - a call to an upstream.
  * @xid: id of the call
- * @call: id of the caller's request, 0 when the call serves none
+ * @caller_request_id: id in struct fw_caller_request, 0 when the call serves
+ *                     no caller
  * @fields: header lines to forward to the caller
  * @content_length: bytes of the response's body, -1 if unknown
  * @body: part of the response that is buffered
@@ -43,7 +44,7 @@
 struct fw_upstream_call {
     struct fw_relayd *d;
     uint64_t xid;
-    uint64_t call;
+    uint64_t caller_request_id;
     enum fw_rl_up_kind kind;
     char request_id[FW_ID_MAX];
     struct fw_exchange *exchange;
@@ -103,15 +104,20 @@
 /* upstream.c */
 void
 Fw_UpstreamCall_AddMetrics(struct fw_relayd *d);
+/*
+ * Sends a request to an upstream. A failure to start is reported to the core
+ * by Fw_Relayd_ExecuteActions.
+ */
 void
 Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_up_call *c);
+/* Frees the call @xid, and cancels it when it is in flight. */
 void
 Fw_UpstreamCall_Remove(struct fw_relayd *d, uint64_t xid);
 void
-Fw_UpstreamCall_Free(gpointer rec);
-/* Starts the response to @to with what @rec has received so far. */
+Fw_UpstreamCall_Free(gpointer data);
+/* Starts the response to @to with what @call has received so far. */
 void
-Fw_UpstreamCall_Forward(struct fw_upstream_call *rec,
+Fw_UpstreamCall_Forward(struct fw_upstream_call *call,
                         struct fw_caller_request *to);
 
 /* actions.c */
@@ -122,7 +128,7 @@
 void
 Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_acts *acts);
 
-/* store.c */
+/* store_client.c */
 struct fw_store_client *
 Fw_StoreClient_New(struct fw_relayd *d);
 void
@@ -138,16 +144,16 @@
 
 /* store_apply.c */
 /*
- * Applies the records @got of @topic to the core and, unless it is NULL, to
- * the snapshot @newest.
+ * Applies the records in @response to the core and, unless @newest is NULL,
+ * to that snapshot.
  */
 void
 Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
                             GHashTable *newest,
-                            const struct fw_store_response *got,
+                            const struct fw_store_response *response,
                             struct fw_rl_acts *acts);
 
-/* peers.c */
+/* peer_socket.c */
 int
 Fw_PeerSocket_Open(struct fw_relayd *d);
 /* Sends the messages to other instances that are due. */
--- a/src/relayd/store.c
+++ b/src/relayd/store.c
@@ -19,37 +19,37 @@
 static enum fw_take
 on_head(void *ctx, const struct fw_http_head *h)
 {
-    struct fw_topic_client *f = ctx;
+    struct fw_topic_client *tc = ctx;
 
-    f->status = h->status;
+    tc->status = h->status;
     return FW_TAKE_IT;
 }
 
 static void
 on_body(void *ctx, const char *data, size_t len)
 {
-    struct fw_topic_client *f = ctx;
+    struct fw_topic_client *tc = ctx;
 
-    g_byte_array_append(f->body, (const guint8 *)data, (guint)len);
+    g_byte_array_append(tc->body, (const guint8 *)data, (guint)len);
 }
 
 static void
 on_end(void *ctx)
 {
-    struct fw_topic_client *f = ctx;
+    struct fw_topic_client *tc = ctx;
 
-    f->exchange = NULL;
-    Fw_TopicClient_OnResponse(f);
+    tc->exchange = NULL;
+    Fw_TopicClient_OnResponse(tc);
 }
 
 static void
 on_fail(void *ctx, int err, enum fw_sent sent)
 {
-    struct fw_topic_client *f = ctx;
+    struct fw_topic_client *tc = ctx;
 
     (void)sent;
-    f->exchange = NULL;
-    Fw_TopicClient_OnFailure(f, g_strerror(-err));
+    tc->exchange = NULL;
+    Fw_TopicClient_OnFailure(tc, g_strerror(-err));
 }
 
 static const struct fw_exchange_ops ops = {
@@ -60,63 +60,63 @@
 };
 
 static void
-request_snapshot(struct fw_topic_client *f)
+request_snapshot(struct fw_topic_client *tc)
 {
-    struct fw_exchange_opts how = {.reuse_us = FW_STORE_REUSE_US,
-                                   .connect_us = FW_STORE_CONNECT_US};
+    struct fw_exchange_opts opts = {.reuse_us = FW_STORE_REUSE_US,
+                                    .connect_us = FW_STORE_CONNECT_US};
     GString *head = g_string_new(NULL);
     int err = 0;
 
-    Fw_PeerSnapshot_WriteRequest(f->topic, f->peer_addr, head);
-    f->exchange = Fw_Exchange_Start(f->store->d->pool, f->peer_addr, head,
-                                    NULL, &how, &ops, f, &err);
-    if (!f->exchange) {
-        Fw_TopicClient_OnFailure(f, g_strerror(-err));
+    Fw_PeerSnapshot_WriteRequest(tc->topic, tc->peer_addr, head);
+    tc->exchange = Fw_Exchange_Start(tc->store->d->pool, tc->peer_addr, head,
+                                     NULL, &opts, &ops, tc, &err);
+    if (!tc->exchange) {
+        Fw_TopicClient_OnFailure(tc, g_strerror(-err));
     }
     g_string_free(head, TRUE);
 }
 
 static void
-send_request(struct fw_topic_client *f, int64_t now)
+send_request(struct fw_topic_client *tc, int64_t now)
 {
-    struct fw_store_client *s = f->store;
+    struct fw_store_client *s = tc->store;
     struct fw_relayd *d = s->d;
-    struct fw_exchange_opts how = {.reuse_us = FW_STORE_REUSE_US,
-                                   .connect_us = FW_STORE_CONNECT_US};
+    struct fw_exchange_opts opts = {.reuse_us = FW_STORE_REUSE_US,
+                                    .connect_us = FW_STORE_CONNECT_US};
     GString *head;
     GBytes *body = NULL;
     int64_t wait_us;
     int err = 0;
 
-    f->sent_us = now;
-    f->deadline_us = now + FW_STORE_TIMEOUT_US;
-    g_byte_array_set_size(f->body, 0);
-    if (f->peer_addr[0]) {
-        request_snapshot(f);
+    tc->sent_us = now;
+    tc->deadline_us = now + FW_STORE_TIMEOUT_US;
+    g_byte_array_set_size(tc->body, 0);
+    if (tc->peer_addr[0]) {
+        request_snapshot(tc);
         return;
     }
     head = g_string_new(NULL);
-    switch (f->op) {
+    switch (tc->op) {
     case FW_STORE_OP_NEWEST:
-        Fw_Platform_WriteNewestRequest(f->topic, f->last_key,
+        Fw_Platform_WriteNewestRequest(tc->topic, tc->last_key,
                                        d->opts.store_addr, head);
         break;
     case FW_STORE_OP_READ:
-        wait_us = Fw_Relay_ReadsStore(d->relay, now) ? f->wait_us : 0;
-        Fw_Platform_WriteReadRequest(f->topic, f->next_offset, wait_us,
+        wait_us = Fw_Relay_ReadsStore(d->relay, now) ? tc->wait_us : 0;
+        Fw_Platform_WriteReadRequest(tc->topic, tc->next_offset, wait_us,
                                      d->opts.store_addr, head);
-        f->deadline_us += wait_us;
+        tc->deadline_us += wait_us;
         break;
     case FW_STORE_OP_APPEND:
-        Fw_Platform_WriteAppendRequest(f->topic, f->append_offset,
-                                       d->opts.relay.name, f->append_value,
+        Fw_Platform_WriteAppendRequest(tc->topic, tc->append_offset,
+                                       d->opts.relay.name, tc->append_value,
                                        d->opts.store_addr, head, &body);
         break;
     }
-    f->exchange = Fw_Exchange_Start(d->pool, d->opts.store_addr, head, body,
-                                    &how, &ops, f, &err);
-    if (!f->exchange) {
-        Fw_TopicClient_OnFailure(f, g_strerror(-err));
+    tc->exchange = Fw_Exchange_Start(d->pool, d->opts.store_addr, head, body,
+                                     &opts, &ops, tc, &err);
+    if (!tc->exchange) {
+        Fw_TopicClient_OnFailure(tc, g_strerror(-err));
     }
     g_string_free(head, TRUE);
     if (body) {
@@ -127,27 +127,27 @@
 /*
  * Nonzero when a request for the topic is due. Most instances get the
  * configuration and the server registrations from another instance;
- * @f->peer_addr is then set to its address.
+ * @tc->peer_addr is then set to its address.
  */
 static int
-should_request(struct fw_topic_client *f, int64_t now)
+should_request(struct fw_topic_client *tc, int64_t now)
 {
-    struct fw_relay *r = f->store->d->relay;
-    int must = f->force_store;
+    struct fw_relay *r = tc->store->d->relay;
+    int forced = tc->force_store;
 
-    f->force_store = 0;
-    if (f->paging) {
+    tc->force_store = 0;
+    if (tc->paging) {
         return 1;
     }
-    switch (f->topic) {
+    switch (tc->topic) {
     case FW_TOPIC_CONFIG:
-        return must || Fw_Relay_TakeWantRules(r, f->peer_addr) ||
+        return forced || Fw_Relay_TakeWantRules(r, tc->peer_addr) ||
                Fw_Relay_ReadsStore(r, now);
     case FW_TOPIC_SERVERS:
-        return must || Fw_Relay_TakeWantList(r, f->peer_addr) ||
+        return forced || Fw_Relay_TakeWantList(r, tc->peer_addr) ||
                Fw_Relay_ReadsStore(r, now);
     case FW_TOPIC_LEADER:
-        return f->append_value != NULL;
+        return tc->append_value != NULL;
     case FW_TOPIC_INSTANCES:
         break;
     }
@@ -155,16 +155,17 @@
 }
 
 static void
-tick(struct fw_topic_client *f, int64_t now)
+tick_topic(struct fw_topic_client *tc, int64_t now)
 {
-    if (f->exchange && now >= f->deadline_us) {
-        Fw_Exchange_Stop(f->exchange);
-        f->exchange = NULL;
-        Fw_TopicClient_OnFailure(f, "timed out");
+    if (tc->exchange && now >= tc->deadline_us) {
+        Fw_Exchange_Stop(tc->exchange);
+        tc->exchange = NULL;
+        Fw_TopicClient_OnFailure(tc, "timed out");
         return;
     }
-    if (!f->exchange && now >= f->next_request_us && should_request(f, now)) {
-        send_request(f, now);
+    if (!tc->exchange && now >= tc->next_request_us &&
+        should_request(tc, now)) {
+        send_request(tc, now);
     }
 }
 
@@ -174,26 +175,26 @@
     s->config.wait_us =
         Fw_Relay_RulesWait(s->d->relay, s->d->opts.config_wait_us, now_us);
     s->servers.interval_us = s->d->opts.servers_interval_us;
-    tick(&s->config, now_us);
-    tick(&s->servers, now_us);
+    tick_topic(&s->config, now_us);
+    tick_topic(&s->servers, now_us);
     if (s->instances.append_value || s->instances.snapshot_end == 0 ||
         s->instances.exchange || Fw_Relay_IsIsolated(s->d->relay, now_us)) {
-        tick(&s->instances, now_us);
+        tick_topic(&s->instances, now_us);
     }
-    tick(&s->leader, now_us);
+    tick_topic(&s->leader, now_us);
     s->unreachable_ms.value =
         s->unreachable_since_us ? (now_us - s->unreachable_since_us) / FW_MSEC
                                 : 0;
 }
 
 static void
-init_topic(struct fw_store_client *s, struct fw_topic_client *f,
+init_topic(struct fw_store_client *s, struct fw_topic_client *tc,
            enum fw_store_topic topic)
 {
-    f->store = s;
-    f->topic = topic;
-    f->body = g_byte_array_new();
-    f->append_offset = UINT64_MAX;
+    tc->store = s;
+    tc->topic = topic;
+    tc->body = g_byte_array_new();
+    tc->append_offset = UINT64_MAX;
 }
 
 static char *
@@ -245,14 +246,14 @@
 }
 
 static void
-clear_topic(struct fw_topic_client *f)
+clear_topic(struct fw_topic_client *tc)
 {
-    if (f->exchange) {
-        Fw_Exchange_Stop(f->exchange);
+    if (tc->exchange) {
+        Fw_Exchange_Stop(tc->exchange);
     }
-    g_byte_array_unref(f->body);
-    g_clear_pointer(&f->newest, g_hash_table_destroy);
-    g_free(f->append_value);
+    g_byte_array_unref(tc->body);
+    g_clear_pointer(&tc->newest, g_hash_table_destroy);
+    g_free(tc->append_value);
 }
 
 void
--- a/src/relayd/store_count.c
+++ b/src/relayd/store_count.c
@@ -2,10 +2,10 @@
 #include "relayd/store_internal.h"
 
 void
-Fw_StoreClient_CountRequest(struct fw_topic_client *f,
+Fw_StoreClient_CountRequest(struct fw_topic_client *tc,
                             enum fw_store_outcome outcome)
 {
-    f->store->requests[f->op][outcome].value++;
+    tc->store->requests[tc->op][outcome].value++;
 }
 
 void
--- a/src/relayd/store_internal.h
+++ b/src/relayd/store_internal.h
@@ -89,20 +89,20 @@
 };
 
 /* store_metrics.c */
-/* Counts the latest request of @f. */
+/* Counts the latest request of @tc. */
 void
-Fw_StoreClient_CountRequest(struct fw_topic_client *f,
+Fw_StoreClient_CountRequest(struct fw_topic_client *tc,
                             enum fw_store_outcome outcome);
 void
 Fw_StoreClient_AddMetrics(struct fw_store_client *s, struct fw_metrics *m);
 
 /* store_response.c */
-/* Handles the response in @f->status and @f->body. */
+/* Handles the response in @tc->status and @tc->body. */
 void
-Fw_TopicClient_OnResponse(struct fw_topic_client *f);
+Fw_TopicClient_OnResponse(struct fw_topic_client *tc);
 /* Handles a request that got no response; @why: the reason, for the log. */
 void
-Fw_TopicClient_OnFailure(struct fw_topic_client *f, const char *why);
+Fw_TopicClient_OnFailure(struct fw_topic_client *tc, const char *why);
 
 /*
  * peer_snapshot.c: the newest record of each key of a topic, which instances
--- a/src/relayd/store_take.c
+++ b/src/relayd/store_take.c
@@ -11,19 +11,19 @@
              struct fw_rl_acts *acts)
 {
     const char *why = "record deleted";
-    struct fw_rl_rules *rules = NULL;
+    struct fw_rl_rules *config = NULL;
 
     if (!Fw_Platform_IsConfigKey(rec->key)) {
         return;
     }
     if (rec->value) {
-        rules = Fw_Platform_ParseConfig(rec->value, rec->len, &why);
+        config = Fw_Platform_ParseConfig(rec->value, rec->len, &why);
     }
-    if (!rules) {
+    if (!config) {
         Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
     }
-    Fw_Relay_Rules(d->relay, rules, rec->offset, Fw_Conn_Now(), acts);
-    Fw_Rules_Unref(rules);
+    Fw_Relay_Rules(d->relay, config, rec->offset, Fw_Conn_Now(), acts);
+    Fw_Rules_Unref(config);
 }
 
 static void
@@ -68,12 +68,12 @@
 void
 Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
                             GHashTable *newest,
-                            const struct fw_store_response *got,
+                            const struct fw_store_response *response,
                             struct fw_rl_acts *acts)
 {
-    for (guint i = 0; i < got->records->len; i++) {
+    for (guint i = 0; i < response->records->len; i++) {
         const struct fw_store_record *rec =
-            &g_array_index(got->records, struct fw_store_record, i);
+            &g_array_index(response->records, struct fw_store_record, i);
 
         if (newest) {
             Fw_PeerSnapshot_Update(newest, rec);
--- a/src/relayd/up.c
+++ b/src/relayd/up.c
@@ -23,29 +23,29 @@
 
 /* Records the time between two chunks of an unbuffered response. */
 static void
-observe_chunk_gap(struct fw_upstream_call *rec)
+observe_chunk_gap(struct fw_upstream_call *call)
 {
     int64_t now = Fw_Conn_Now();
 
-    if (rec->last_chunk_us && !rec->buffered) {
-        Fw_Histogram_Add(&rec->d->chunk_gap_s, now - rec->last_chunk_us);
+    if (call->last_chunk_us && !call->buffered) {
+        Fw_Histogram_Add(&call->d->chunk_gap_s, now - call->last_chunk_us);
     }
-    rec->last_chunk_us = now;
+    call->last_chunk_us = now;
 }
 
 void
 Fw_UpstreamCall_Free(gpointer data)
 {
-    struct fw_upstream_call *rec = data;
+    struct fw_upstream_call *call = data;
 
-    if (rec->exchange) {
-        Fw_Exchange_Stop(rec->exchange);
+    if (call->exchange) {
+        Fw_Exchange_Stop(call->exchange);
     }
-    if (rec->fields) {
-        g_string_free(rec->fields, TRUE);
+    if (call->fields) {
+        g_string_free(call->fields, TRUE);
     }
-    g_byte_array_unref(rec->body);
-    g_free(rec);
+    g_byte_array_unref(call->body);
+    g_free(call);
 }
 
 void
@@ -55,12 +55,12 @@
 }
 
 static struct fw_caller_request *
-forward_target(const struct fw_upstream_call *rec)
+forward_target(const struct fw_upstream_call *call)
 {
     struct fw_caller_request *c =
-        g_hash_table_lookup(rec->d->requests_by_id, &rec->call);
+        g_hash_table_lookup(call->d->requests_by_id, &call->caller_request_id);
 
-    return c && c->forwarded_xid == rec->xid ? c : NULL;
+    return c && c->forwarded_xid == call->xid ? c : NULL;
 }
 
 /* Copies the response's fields without hop-by-hop fields and framing. */
@@ -81,36 +81,37 @@
 }
 
 static void
-notify_begun(struct fw_upstream_call *rec)
+notify_begun(struct fw_upstream_call *call)
 {
-    struct fw_relayd *d = rec->d;
+    struct fw_relayd *d = call->d;
     struct fw_rl_acts acts;
 
-    rec->response_started = 1;
+    call->response_started = 1;
     Fw_Acts_Init(&acts);
-    Fw_Relay_Begun(d->relay, rec->xid, &rec->answer, Fw_Conn_Now(), &acts);
+    Fw_Relay_Begun(d->relay, call->xid, &call->answer, Fw_Conn_Now(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
 static enum fw_take
 on_head(void *ctx, const struct fw_http_head *h)
 {
-    struct fw_upstream_call *rec = ctx;
+    struct fw_upstream_call *call = ctx;
 
-    if ((rec->kind == FW_RL_UP_RUN || rec->kind == FW_RL_UP_PREFILL) &&
-        !Fw_Platform_ResponseMatches(h, rec->request_id)) {
+    if ((call->kind == FW_RL_UP_RUN || call->kind == FW_RL_UP_PREFILL) &&
+        !Fw_Platform_ResponseMatches(h, call->request_id)) {
         return FW_TAKE_SKIP;
     }
-    Fw_Platform_ParseResponseHead(h, &rec->answer);
-    rec->fields = forwarded_fields(h);
-    rec->content_length =
+    Fw_Platform_ParseResponseHead(h, &call->answer);
+    call->fields = forwarded_fields(h);
+    call->content_length =
         h->framing == FW_HTTP_LENGTH ? (int64_t)h->length : -1;
     if (h->framing == FW_HTTP_NONE) {
-        rec->content_length = 0;
+        call->content_length = 0;
     }
-    if (rec->kind == FW_RL_UP_RUN && !rec->answer.not_run &&
-        (!rec->buffered || rec->content_length > FW_BUFFERED_RESPONSE_BYTES)) {
-        notify_begun(rec);
+    if (call->kind == FW_RL_UP_RUN && !call->answer.not_run &&
+        (!call->buffered ||
+         call->content_length > FW_BUFFERED_RESPONSE_BYTES)) {
+        notify_begun(call);
     }
     return FW_TAKE_IT;
 }
@@ -118,49 +119,49 @@
 static void
 on_body(void *ctx, const char *data, size_t len)
 {
-    struct fw_upstream_call *rec = ctx;
-    struct fw_caller_request *to = forward_target(rec);
+    struct fw_upstream_call *call = ctx;
+    struct fw_caller_request *to = forward_target(call);
 
-    if (rec->kind == FW_RL_UP_RUN && !rec->buffered) {
-        Fw_EventCount_Add(&rec->events, data, len);
+    if (call->kind == FW_RL_UP_RUN && !call->buffered) {
+        Fw_EventCount_Add(&call->events, data, len);
     }
     if (to) {
-        observe_chunk_gap(rec);
+        observe_chunk_gap(call);
         Fw_Caller_Data(to->caller, data, len);
         if (Fw_Caller_Pending(to->caller) > FW_CALLER_BACKLOG_BYTES) {
-            Fw_Exchange_Pause(rec->exchange, 1);
+            Fw_Exchange_Pause(call->exchange, 1);
         }
         return;
     }
-    if (rec->response_started) {
+    if (call->response_started) {
         return; /* no caller to forward to */
     }
-    g_byte_array_append(rec->body, (const guint8 *)data, (guint)len);
-    if (rec->body->len > FW_BUFFERED_RESPONSE_BYTES &&
-        rec->kind == FW_RL_UP_RUN) {
-        notify_begun(rec);
+    g_byte_array_append(call->body, (const guint8 *)data, (guint)len);
+    if (call->body->len > FW_BUFFERED_RESPONSE_BYTES &&
+        call->kind == FW_RL_UP_RUN) {
+        notify_begun(call);
     }
 }
 
 static void
 on_end(void *ctx)
 {
-    struct fw_upstream_call *rec = ctx;
-    struct fw_relayd *d = rec->d;
-    uint64_t xid = rec->xid;
+    struct fw_upstream_call *call = ctx;
+    struct fw_relayd *d = call->d;
+    uint64_t xid = call->xid;
     int64_t now = Fw_Conn_Now();
     struct fw_rl_acts acts;
 
-    rec->exchange = NULL;
-    rec->complete = 1;
-    rec->answer.events = rec->events.n;
+    call->exchange = NULL;
+    call->complete = 1;
+    call->answer.events = call->events.n;
     Fw_Acts_Init(&acts);
-    if (Fw_Platform_ParseResponseBody(rec->kind, rec->body->data,
-                                      rec->body->len, &rec->answer)) {
+    if (Fw_Platform_ParseResponseBody(call->kind, call->body->data,
+                                      call->body->len, &call->answer)) {
         Fw_Relay_Failed(d->relay, xid, -EBADMSG, 1, now, &acts);
     }
     else {
-        Fw_Relay_Answered(d->relay, xid, &rec->answer, now, &acts);
+        Fw_Relay_Answered(d->relay, xid, &call->answer, now, &acts);
     }
     Fw_Relayd_ExecuteActions(d, &acts);
     Fw_UpstreamCall_Remove(d, xid);
@@ -169,12 +170,12 @@
 static void
 on_fail(void *ctx, int err, enum fw_sent sent)
 {
-    struct fw_upstream_call *rec = ctx;
-    struct fw_relayd *d = rec->d;
-    uint64_t xid = rec->xid;
+    struct fw_upstream_call *call = ctx;
+    struct fw_relayd *d = call->d;
+    uint64_t xid = call->xid;
     struct fw_rl_acts acts;
 
-    rec->exchange = NULL;
+    call->exchange = NULL;
     Fw_Acts_Init(&acts);
     Fw_Relay_Failed(d->relay, xid, err, sent == FW_SENT_SOME, Fw_Conn_Now(),
                     &acts);
@@ -194,33 +195,33 @@
 {
     struct fw_caller_request *from =
         g_hash_table_lookup(d->requests_by_id, &c->call);
-    struct fw_exchange_opts how = {.reuse_us = c->reuse_us,
-                                   .connect_us = c->connect_us};
-    struct fw_upstream_call *rec = g_new0(struct fw_upstream_call, 1);
+    struct fw_exchange_opts opts = {.reuse_us = c->reuse_us,
+                                    .connect_us = c->connect_us};
+    struct fw_upstream_call *call = g_new0(struct fw_upstream_call, 1);
     GString *head = g_string_sized_new(512);
     GBytes *body = NULL;
     int err = 0;
 
-    rec->d = d;
-    rec->xid = c->xid;
-    rec->call = c->call;
-    rec->kind = c->kind;
-    rec->buffered = c->whole;
-    rec->content_length = -1;
-    rec->body = g_byte_array_new();
-    g_hash_table_insert(d->upstream_calls, &rec->xid, rec);
+    call->d = d;
+    call->xid = c->xid;
+    call->caller_request_id = c->call;
+    call->kind = c->kind;
+    call->buffered = c->whole;
+    call->content_length = -1;
+    call->body = g_byte_array_new();
+    g_hash_table_insert(d->upstream_calls, &call->xid, call);
     if (from) {
-        g_strlcpy(rec->request_id, from->request_id, FW_ID_MAX);
-        how.no_body =
+        g_strlcpy(call->request_id, from->request_id, FW_ID_MAX);
+        opts.no_body =
             c->kind == FW_RL_UP_RUN && Fw_Http_MethodIs(from->head, "HEAD");
     }
     Fw_Platform_WriteUpstreamRequest(c, from ? from->head : NULL,
                                      from ? from->body : NULL,
                                      d->opts.relay.name, head, &body);
-    rec->exchange =
-        Fw_Exchange_Start(d->pool, c->addr, head, body, &how, &ops, rec, &err);
-    if (!rec->exchange) {
-        /* Reported after the current actions; see ExecuteActions. */
+    call->exchange = Fw_Exchange_Start(d->pool, c->addr, head, body, &opts,
+                                       &ops, call, &err);
+    if (!call->exchange) {
+        /* Reported after the current actions; see Fw_Relayd_ExecuteActions. */
         g_queue_push_tail(&d->failed_calls,
                           g_memdup2(&c->xid, sizeof(c->xid)));
     }
@@ -231,15 +232,16 @@
 }
 
 void
-Fw_UpstreamCall_Forward(struct fw_upstream_call *rec,
+Fw_UpstreamCall_Forward(struct fw_upstream_call *call,
                         struct fw_caller_request *to)
 {
     int64_t length =
-        rec->complete ? (int64_t)rec->body->len : rec->content_length;
-
-    rec->response_started = 1;
-    to->forwarded_xid = rec->xid;
-    Fw_Caller_Start(to->caller, rec->answer.status, rec->fields->str, length);
-    Fw_Caller_Data(to->caller, rec->body->data, rec->body->len);
-    g_byte_array_set_size(rec->body, 0);
+        call->complete ? (int64_t)call->body->len : call->content_length;
+
+    call->response_started = 1;
+    to->forwarded_xid = call->xid;
+    Fw_Caller_Start(to->caller, call->answer.status, call->fields->str,
+                    length);
+    Fw_Caller_Data(to->caller, call->body->data, call->body->len);
+    g_byte_array_set_size(call->body, 0);
 }
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -341,7 +341,7 @@
 }
 END_TEST
 
-/** struct log_end - @len: bytes of the log in @text. */
+/** struct log_reader - @len: bytes of the log in @text. */
 struct log_reader {
     int fd;
     size_t len;
@@ -351,11 +351,12 @@
 static int
 has_unsent_digest(void *ctx)
 {
-    struct log_reader *e = ctx;
-    ssize_t n = read(e->fd, e->text + e->len, sizeof(e->text) - 1 - e->len);
+    struct log_reader *reader = ctx;
+    ssize_t n = read(reader->fd, reader->text + reader->len,
+                     sizeof(reader->text) - 1 - reader->len);
 
-    e->len += n > 0 ? (size_t)n : 0;
-    return strstr(e->text, "\"digest_unsent\"") != NULL;
+    reader->len += n > 0 ? (size_t)n : 0;
+    return strstr(reader->text, "\"digest_unsent\"") != NULL;
 }
 
 /*
@@ -364,7 +365,7 @@
  */
 START_TEST(an_unsent_digest_is_logged)
 {
-    struct log_reader e = {0};
+    struct log_reader reader = {0};
     struct router_env env;
     int fds[2];
 
@@ -374,11 +375,11 @@
     env.opts.relay.digest_every_us = 20 * FW_MSEC;
     Fw_RouterEnv_StartRouter(&env);
     Fw_Note_SetupBounded("n1", fds[1], 65536);
-    e.fd = fds[0];
+    reader.fd = fds[0];
     Fw_WireStore_Put(env.store, "keyed.fuchsiaward", "n9",
                      "{\"addr\":\"nowhere\",\"boot\":1}");
-    Fw_Rig_Until(has_unsent_digest, &e);
-    ck_assert_ptr_nonnull(strstr(e.text, "nowhere"));
+    Fw_Rig_Until(has_unsent_digest, &reader);
+    ck_assert_ptr_nonnull(strstr(reader.text, "nowhere"));
     Fw_Note_SetupBounded("n1", env.null_fd, 65536);
     Fw_RouterEnv_Free(&env);
     close(fds[0]);
--- a/tests/relayd/test_shell_events.c
+++ b/tests/relayd/test_shell_events.c
@@ -33,7 +33,7 @@
     {"draining", {"open"}},
 };
 
-/** struct tail - @event: the event to wait for. */
+/** struct log_reader - @event: the event to wait for. */
 struct log_reader {
     int fd;
     const char *event;
@@ -42,10 +42,10 @@
 
 /* Return: the first line of @event, to be freed, or NULL. */
 static char *
-line_of(const struct log_reader *t, const char *event)
+line_of(const struct log_reader *reader, const char *event)
 {
     char *name = g_strdup_printf("\"event\":\"%s\"", event);
-    const char *at = strstr(t->text->str, name);
+    const char *at = strstr(reader->text->str, name);
     const char *from = at;
     const char *end = at ? strchr(at, '\n') : NULL;
 
@@ -53,7 +53,7 @@
     if (!end) {
         return NULL;
     }
-    while (from > t->text->str && from[-1] != '\n') {
+    while (from > reader->text->str && from[-1] != '\n') {
         from--;
     }
     return g_strndup(from, (gsize)(end - from));
@@ -62,24 +62,24 @@
 static int
 has_event(void *ctx)
 {
-    struct log_reader *t = ctx;
+    struct log_reader *reader = ctx;
     char part[4096];
     char *line;
     ssize_t n;
 
-    while ((n = read(t->fd, part, sizeof(part))) > 0) {
-        g_string_append_len(t->text, part, n);
+    while ((n = read(reader->fd, part, sizeof(part))) > 0) {
+        g_string_append_len(reader->text, part, n);
     }
-    line = line_of(t, t->event);
+    line = line_of(reader, reader->event);
     g_free(line);
     return line != NULL;
 }
 
 static void
-wait_for_event(struct log_reader *t, const char *event)
+wait_for_event(struct log_reader *reader, const char *event)
 {
-    t->event = event;
-    Fw_Rig_Until(has_event, t);
+    reader->event = event;
+    Fw_Rig_Until(has_event, reader);
 }
 
 static void
@@ -98,7 +98,7 @@
 
 /* Reloads invalid settings, then valid ones. */
 static void
-reload(struct router_env *env, struct log_reader *t)
+reload(struct router_env *env, struct log_reader *reader)
 {
     const struct fw_relayd_opts *o = &env->opts;
     char *path = NULL;
@@ -115,16 +115,16 @@
     env->router->settings_path = path; /* freed with the router */
     ck_assert(g_file_set_contents(path, "[relay]\nname = \n", -1, NULL));
     Fw_Relayd_Reload(env->router);
-    wait_for_event(t, "settings_rejected");
+    wait_for_event(reader, "settings_rejected");
     ck_assert(g_file_set_contents(path, good, -1, NULL));
     Fw_Relayd_Reload(env->router);
-    wait_for_event(t, "settings_reloaded");
+    wait_for_event(reader, "settings_reloaded");
     unlink(path);
     g_free(good);
 }
 
 static void
-provoke_events(struct router_env *env, struct log_reader *t)
+provoke_events(struct router_env *env, struct log_reader *reader)
 {
     static const char digest[] =
         "\x9c\x07\xa2"
@@ -133,38 +133,38 @@
     struct rig_conn *c;
 
     Fw_WireStore_Put(env->store, "keyed.servers", "i-bad", "{}");
-    wait_for_event(t, "entry_unreadable");
+    wait_for_event(reader, "entry_unreadable");
     Fw_WireStore_Put(env->store, "keyed.op", "config", "{\"Version\":\"x\"}");
-    wait_for_event(t, "configuration_unreadable");
+    wait_for_event(reader, "configuration_unreadable");
     Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_BUSY);
-    wait_for_event(t, "store_lost");
+    wait_for_event(reader, "store_lost");
     Fw_RouterEnv_PutConfig(env, 2, FW_KEYS);
     Fw_WireStore_Forget(env->store, "keyed.op");
     Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_WELL);
-    wait_for_event(t, "store_back");
-    wait_for_event(t, "history_cut");
+    wait_for_event(reader, "store_back");
+    wait_for_event(reader, "history_cut");
     c = Fw_RouterEnv_SendRequest(env, "GET /x",
                                  "Content-Length: 5\r\nContent-Length: 6\r\n");
-    wait_for_event(t, "request_malformed");
+    wait_for_event(reader, "request_malformed");
     Fw_RigConn_Close(c);
     c = Fw_RouterEnv_SendRequest(env, "GET /x", "Token-Counts: many\r\n");
-    wait_for_event(t, "request_unreadable");
+    wait_for_event(reader, "request_unreadable");
     Fw_RigConn_Close(c);
     send_datagram(env, "?", 1);
-    wait_for_event(t, "digest_unreadable");
+    wait_for_event(reader, "digest_unreadable");
     send_datagram(env, digest, sizeof(digest) - 1);
-    wait_for_event(t, "member_met");
-    wait_for_event(t, "role_taken");
-    reload(env, t);
+    wait_for_event(reader, "member_met");
+    wait_for_event(reader, "role_taken");
+    reload(env, reader);
     Fw_Relayd_Drain(env->router);
-    wait_for_event(t, "draining");
+    wait_for_event(reader, "draining");
 }
 
 static void
-check_line(const struct log_reader *t, const char *event,
+check_line(const struct log_reader *reader, const char *event,
            const char *const members[4])
 {
-    char *line = line_of(t, event);
+    char *line = line_of(reader, event);
     JsonNode *root;
     JsonObject *o;
 
@@ -185,25 +185,26 @@
 
 START_TEST(events_are_logged_with_their_members)
 {
-    struct log_reader t = {.text = g_string_new(NULL)};
+    struct log_reader reader = {.text = g_string_new(NULL)};
     struct router_env env;
     int fds[2];
 
     ck_assert_int_eq(pipe(fds), 0);
     ck_assert_int_eq(fcntl(fds[0], F_SETFL, O_NONBLOCK), 0);
-    t.fd = fds[0];
+    reader.fd = fds[0];
     Fw_RouterEnv_Init(&env);
     env.opts.relay.prefill_permille =
         600; /* an engine is to change its stage */
     Fw_Note_SetupBounded("n1", fds[1], 65536);
     Fw_RouterEnv_StartRouter(&env);
-    provoke_events(&env, &t);
+    provoke_events(&env, &reader);
     for (size_t i = 0; i < G_N_ELEMENTS(expected_events); i++) {
-        check_line(&t, expected_events[i].event, expected_events[i].members);
+        check_line(&reader, expected_events[i].event,
+                   expected_events[i].members);
     }
     Fw_Note_SetupBounded("n1", env.null_fd, 65536);
     Fw_RouterEnv_Free(&env);
-    g_string_free(t.text, TRUE);
+    g_string_free(reader.text, TRUE);
     close(fds[0]);
     close(fds[1]);
 }
