--- a/src/relayd/peers.c
+++ b/src/relayd/peers.c
@@ -11,7 +11,7 @@
 
 /*
  * Counts a message that could not be sent and logs the first one. It is not
- * retried: the next digest supersedes it.
+ * retried: the next message supersedes it.
  */
 static void
 count_unsent(struct fw_relayd *d, const char *addr, const char *why)
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -101,7 +101,7 @@
     Fw_RouterEnv_InitAndStart(&env);
     Fw_WireServer_SetFault(env.s1, fault_cases[_i].fault, 1);
     Fw_WireServer_SetFault(env.s2, fault_cases[_i].fault, 1);
-    /* Only the first server tried has the fault; a retry succeeds. */
+    /* The fault is cleared on both once the first attempt has met it. */
     c = Fw_RouterEnv_SendRequest(&env, fault_cases[_i].line, "");
     while (!Fw_WireServer_Faulted(env.s1) && !Fw_WireServer_Faulted(env.s2) &&
            fault_cases[_i].fault != FW_WIRE_OK) {
