--- a/src/order/order_up.c
+++ b/src/order/order_up.c
@@ -74,7 +74,7 @@
     e->next_poll_us = now_us + FW_ORDER_RECHECK_INTERVAL_US;
     if (ev->status == 409) {
         o->fenced.value++;
-        e->hold_until_us = now_us + FW_ROLE_FRESH_US;
+        e->hold_until_us = now_us + FW_ROLE_VIEW_MAX_AGE_US;
         g_strlcpy(e->state, "refused: a newer holder gives orders",
                   sizeof(e->state));
         return;
--- a/src/relayd/acts.c
+++ b/src/relayd/acts.c
@@ -19,7 +19,7 @@
 }
 
 static void
-reject(struct fw_relayd *d, const struct fw_rl_refusal *r)
+reject(struct fw_relayd *d, const struct fw_rl_rejection *r)
 {
     struct fw_caller_request *c = find_request(d, r->call);
     struct fw_http_caller *caller;
@@ -71,28 +71,28 @@
 }
 
 static void
-execute(struct fw_relayd *d, const struct fw_rl_act *a)
+execute(struct fw_relayd *d, const struct fw_rl_action *a)
 {
     switch (a->kind) {
-    case FW_RL_DO_REFUSE:
+    case FW_RL_DO_REJECT:
         reject(d, &a->u.refuse);
         break;
-    case FW_RL_DO_PASS:
+    case FW_RL_DO_FORWARD:
         forward(d, a->u.pass.call, a->u.pass.xid);
         break;
     case FW_RL_DO_FINISH:
         end_response(d, a->u.call, 1);
         break;
-    case FW_RL_DO_CUT:
+    case FW_RL_DO_ABORT:
         end_response(d, a->u.call, 0);
         break;
-    case FW_RL_DO_ASK:
+    case FW_RL_DO_CALL:
         Fw_UpstreamCall_Start(d, &a->u.ask);
         break;
-    case FW_RL_DO_STOP_ASK:
+    case FW_RL_DO_CANCEL_CALL:
         Fw_UpstreamCall_Remove(d, a->u.xid);
         break;
-    case FW_RL_DO_LEAD:
+    case FW_RL_DO_CLAIM_ROLE:
         Fw_StoreClient_ClaimLeadership(d->store, a->u.lead_end);
         break;
     case FW_RL_DO_CLOSE_IDLE:
@@ -105,23 +105,24 @@
 }
 
 void
-Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_acts *acts)
+Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_actions *acts)
 {
     for (;;) {
         uint64_t *xid;
 
         for (guint i = 0; i < acts->all->len; i++) {
-            execute(d, &g_array_index(acts->all, struct fw_rl_act, i));
+            execute(d, &g_array_index(acts->all, struct fw_rl_action, i));
         }
         g_array_set_size(acts->all, 0);
         xid = g_queue_pop_head(&d->failed_calls);
         if (!xid) {
             break;
         }
-        Fw_Relay_Failed(d->relay, *xid, -ECONNREFUSED, 0, Fw_Conn_Now(), acts);
+        Fw_Relay_UpstreamFailed(d->relay, *xid, -ECONNREFUSED, 0,
+                                Fw_Conn_Now(), acts);
         Fw_UpstreamCall_Remove(d, *xid);
         g_free(xid);
     }
-    Fw_Acts_Clear(acts);
+    Fw_RelayActions_Clear(acts);
     Fw_PeerSocket_SendDue(d);
 }
--- a/src/relayd/peers.c
+++ b/src/relayd/peers.c
@@ -49,13 +49,13 @@
     for (guint i = 0; i < d->outbox.all->len; i++) {
         send_to(d, g_ptr_array_index(d->outbox.all, i));
     }
-    Fw_Mail_Clear(&d->outbox);
+    Fw_Outbox_Clear(&d->outbox);
 }
 
 void
 Fw_PeerSocket_SendDue(struct fw_relayd *d)
 {
-    Fw_Relay_Exchange(d->relay, Fw_Conn_Now(), &d->outbox);
+    Fw_Relay_WriteMessages(d->relay, Fw_Conn_Now(), &d->outbox);
     flush_outbox(d);
 }
 
@@ -65,8 +65,8 @@
 {
     struct fw_rl_actions acts;
 
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Place(d->relay, Fw_Conn_Now(), &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_PlaceQueued(d->relay, Fw_Conn_Now(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
@@ -138,7 +138,7 @@
     GSocketAddress *at = Fw_Addr_Parse(d->opts.peers_addr);
     int ok;
 
-    Fw_Mail_Init(&d->outbox);
+    Fw_Outbox_Init(&d->outbox);
     add_metrics(d);
     if (!at) {
         return -EINVAL;
@@ -167,7 +167,7 @@
     }
     g_clear_object(&d->peer_socket);
     if (d->outbox.all) {
-        Fw_Mail_Clear(&d->outbox);
+        Fw_Outbox_Clear(&d->outbox);
         g_clear_pointer(&d->outbox.all, g_ptr_array_unref);
     }
 }
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -28,8 +28,8 @@
     struct fw_relayd *d = ctx;
     int64_t now = Fw_Conn_Now();
     struct fw_caller_request *c;
-    struct fw_rl_acts acts;
-    struct fw_rl_ask ask;
+    struct fw_rl_actions acts;
+    struct fw_rl_request_info ask;
 
     if (Fw_Platform_ParseRequest(head, body, &ask)) {
         Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
@@ -50,8 +50,9 @@
      * but keeps those that are open. Closing them after the response moves
      * their callers to another instance.
      */
-    Fw_Server_SendAway(d->caller_server, Fw_Relay_SendsAway(d->relay, now));
-    Fw_Acts_Init(&acts);
+    Fw_Server_SendAway(d->caller_server,
+                       Fw_Relay_ShedsConnections(d->relay, now));
+    Fw_RelayActions_Init(&acts);
     Fw_Relay_Open(d->relay, c->id, &ask, now, &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
@@ -62,7 +63,7 @@
     struct fw_relayd *d = ctx;
     struct fw_caller_request *c =
         g_hash_table_lookup(d->requests_by_caller, caller);
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     uint64_t call;
 
     if (!c) {
@@ -71,8 +72,8 @@
     call = c->id;
     g_hash_table_remove(d->requests_by_caller, caller);
     g_hash_table_remove(d->requests_by_id, &call);
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Gone(d->relay, call, Fw_Conn_Now(), &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_CallerLeft(d->relay, call, Fw_Conn_Now(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
@@ -199,7 +200,7 @@
     }
     d->drain_start_us = Fw_Conn_Now();
     Fw_Server_Drain(d->caller_server);
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     Fw_Relay_Drain(d->relay, d->drain_start_us, &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
--- a/src/relayd/relayd_internal.h
+++ b/src/relayd/relayd_internal.h
@@ -45,10 +45,10 @@
     struct fw_relayd *d;
     uint64_t xid;
     uint64_t caller_request_id;
-    enum fw_rl_up_kind kind;
+    enum fw_rl_upstream_kind kind;
     char request_id[FW_ID_MAX];
     struct fw_exchange *exchange;
-    struct fw_rl_up_answer answer;
+    struct fw_rl_upstream_response answer;
     GString *fields;
     int64_t content_length;
     GByteArray *body;
@@ -73,7 +73,7 @@
     struct fw_http_server *snapshot_server; /* serves other instances */
     GSocket *peer_socket;
     GSource *peer_source;
-    struct fw_rl_mail outbox;
+    struct fw_rl_outbox outbox;
     struct fw_metric digests_unsent;
     struct fw_metric peer_messages_sent;
     struct fw_metric peer_bytes_sent;
@@ -109,7 +109,8 @@
  * by Fw_Relayd_ExecuteActions.
  */
 void
-Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_up_call *c);
+Fw_UpstreamCall_Start(struct fw_relayd *d,
+                      const struct fw_rl_upstream_call *c);
 /* Frees the call @xid, and cancels it when it is in flight. */
 void
 Fw_UpstreamCall_Remove(struct fw_relayd *d, uint64_t xid);
@@ -126,7 +127,7 @@
  * free caller requests and upstream calls.
  */
 void
-Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_acts *acts);
+Fw_Relayd_ExecuteActions(struct fw_relayd *d, struct fw_rl_actions *acts);
 
 /* store_client.c */
 struct fw_store_client *
@@ -151,7 +152,7 @@
 Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
                             GHashTable *newest,
                             const struct fw_store_response *response,
-                            struct fw_rl_acts *acts);
+                            struct fw_rl_actions *acts);
 
 /* peer_socket.c */
 int
--- a/src/relayd/settings.c
+++ b/src/relayd/settings.c
@@ -112,7 +112,7 @@
     r->log_sample = (int)v->log_sample;
     out->config_wait_us = v->config_wait_ms * FW_MSEC;
     out->servers_interval_us = v->servers_interval_ms * FW_MSEC;
-    r->digest_every_us = v->digest_every_ms * FW_MSEC;
+    r->digest_period_us = v->digest_every_ms * FW_MSEC;
     out->log_bytes = v->log_buffer_kb * 1024;
 }
 
--- a/src/relayd/store.c
+++ b/src/relayd/store.c
@@ -141,10 +141,10 @@
     }
     switch (tc->topic) {
     case FW_TOPIC_CONFIG:
-        return forced || Fw_Relay_TakeWantRules(r, tc->peer_addr) ||
+        return forced || Fw_Relay_TakeRulesSource(r, tc->peer_addr) ||
                Fw_Relay_ReadsStore(r, now);
     case FW_TOPIC_SERVERS:
-        return forced || Fw_Relay_TakeWantList(r, tc->peer_addr) ||
+        return forced || Fw_Relay_TakeServerListSource(r, tc->peer_addr) ||
                Fw_Relay_ReadsStore(r, now);
     case FW_TOPIC_LEADER:
         return tc->append_value != NULL;
@@ -173,7 +173,7 @@
 Fw_StoreClient_Tick(struct fw_store_client *s, int64_t now_us)
 {
     s->config.wait_us =
-        Fw_Relay_RulesWait(s->d->relay, s->d->opts.config_wait_us, now_us);
+        Fw_Relay_RulesPollUs(s->d->relay, s->d->opts.config_wait_us, now_us);
     s->servers.interval_us = s->d->opts.servers_interval_us;
     tick_topic(&s->config, now_us);
     tick_topic(&s->servers, now_us);
--- a/src/relayd/store_answer.c
+++ b/src/relayd/store_answer.c
@@ -27,7 +27,7 @@
                    (int64_t)((now - s->unreachable_since_us) / FW_MSEC));
         Fw_Note_Log(LOG_NOTICE, "store_back", "away_ms", ms, NULL);
         s->unreachable_since_us = 0;
-        Fw_Relay_StoreBack(s->d->relay, now);
+        Fw_Relay_StoreRecovered(s->d->relay, now);
     }
 }
 
@@ -61,7 +61,7 @@
 static void
 handle_newest(struct fw_topic_client *tc,
               const struct fw_store_response *response,
-              struct fw_rl_acts *acts)
+              struct fw_rl_actions *acts)
 {
     struct fw_relayd *d = tc->store->d;
 
@@ -71,7 +71,7 @@
             g_hash_table_remove_all(tc->newest);
         }
         if (tc->topic == FW_TOPIC_SERVERS) {
-            Fw_Relay_ListBegin(d->relay);
+            Fw_Relay_BeginServerList(d->relay);
         }
     }
     Fw_StoreClient_ApplyRecords(tc->store->d, tc->topic, tc->newest, response,
@@ -90,11 +90,11 @@
     tc->next_offset = tc->snapshot_end;
     tc->op = FW_STORE_OP_READ;
     if (tc->topic == FW_TOPIC_SERVERS) {
-        Fw_Relay_ListEnd(d->relay, Fw_Conn_Now(), acts);
-        Fw_Relay_ListOffset(d->relay, tc->next_offset);
+        Fw_Relay_EndServerList(d->relay, Fw_Conn_Now(), acts);
+        Fw_Relay_SetServerListOffset(d->relay, tc->next_offset);
     }
     if (tc->topic == FW_TOPIC_INSTANCES) {
-        Fw_Relay_MembersEnd(d->relay, Fw_Conn_Now());
+        Fw_Relay_EndMemberList(d->relay, Fw_Conn_Now());
         tc->op = FW_STORE_OP_NEWEST;
         tc->next_request_us = Fw_Conn_Now() + FW_INSTANCES_INTERVAL_US;
     }
@@ -102,7 +102,8 @@
 
 static void
 handle_read(struct fw_topic_client *tc,
-            const struct fw_store_response *response, struct fw_rl_acts *acts)
+            const struct fw_store_response *response,
+            struct fw_rl_actions *acts)
 {
     Fw_StoreClient_ApplyRecords(tc->store->d, tc->topic, tc->newest, response,
                                 acts);
@@ -111,7 +112,7 @@
                               ? 0
                               : tc->sent_us + tc->interval_us;
     if (tc->topic == FW_TOPIC_SERVERS) {
-        Fw_Relay_ListOffset(tc->store->d->relay, tc->next_offset);
+        Fw_Relay_SetServerListOffset(tc->store->d->relay, tc->next_offset);
     }
 }
 
@@ -123,22 +124,23 @@
     int64_t now = Fw_Conn_Now();
 
     if (tc->topic == FW_TOPIC_LEADER) {
-        enum fw_rl_claim c = response->status == 200   ? FW_RL_CLAIM_MADE
-                             : response->status == 412 ? FW_RL_CLAIM_TAKEN
-                                                       : FW_RL_CLAIM_UNKNOWN;
+        enum fw_rl_claim_result c = response->status == 200 ? FW_RL_CLAIM_WON
+                                    : response->status == 412
+                                        ? FW_RL_CLAIM_LOST
+                                        : FW_RL_CLAIM_UNKNOWN;
 
         char offset[24];
 
         g_snprintf(offset, sizeof(offset), "%" G_GUINT64_FORMAT,
-                   c == FW_RL_CLAIM_MADE ? response->first_offset
-                                         : response->end_offset);
+                   c == FW_RL_CLAIM_WON ? response->first_offset
+                                        : response->end_offset);
         Fw_Note_Log(LOG_NOTICE,
                     c == FW_RL_CLAIM_WON ? "role_taken" : "role_not_taken",
                     "offset", offset, NULL);
-        Fw_Relay_Lead(r, c,
-                      c == FW_RL_CLAIM_MADE ? response->first_offset
-                                            : response->end_offset,
-                      tc->sent_us, now);
+        Fw_Relay_ClaimEnded(r, c,
+                            c == FW_RL_CLAIM_WON ? response->first_offset
+                                                 : response->end_offset,
+                            tc->sent_us, now);
         g_clear_pointer(&tc->append_value, g_free);
         return;
     }
@@ -151,7 +153,7 @@
 static void
 handle_snapshot(struct fw_topic_client *tc,
                 const struct fw_store_response *response,
-                struct fw_rl_acts *acts)
+                struct fw_rl_actions *acts)
 {
     if (response->end_offset > tc->next_offset) {
         tc->paging = 0;
@@ -176,13 +178,13 @@
 on_snapshot(struct fw_topic_client *tc)
 {
     struct fw_store_response response;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     if (tc->status != 200) {
         fall_back_to_store(tc, "unexpected status");
         return;
     }
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     if (Fw_PeerSnapshot_Decode(tc->body->data, tc->body->len, &response)) {
         fall_back_to_store(tc, "malformed response");
     }
@@ -218,7 +220,7 @@
 static void
 handle_response(struct fw_topic_client *tc,
                 const struct fw_store_response *response,
-                struct fw_rl_acts *acts)
+                struct fw_rl_actions *acts)
 {
     mark_reachable(tc->store);
     Fw_StoreClient_CountRequest(tc, FW_STORE_OUTCOME_OK);
@@ -248,7 +250,7 @@
      */
     if (tc->topic == FW_TOPIC_CONFIG && !tc->paging &&
         tc->next_request_us <= tc->sent_us + tc->interval_us) {
-        Fw_Relay_Fresh(tc->store->d->relay, tc->sent_us);
+        Fw_Relay_SetFreshAsOf(tc->store->d->relay, tc->sent_us);
     }
 }
 
@@ -257,8 +259,8 @@
 {
     if (tc->topic == FW_TOPIC_LEADER && tc->append_value) {
         g_clear_pointer(&tc->append_value, g_free);
-        Fw_Relay_Lead(tc->store->d->relay, FW_RL_CLAIM_UNKNOWN, 0, tc->sent_us,
-                      Fw_Conn_Now());
+        Fw_Relay_ClaimEnded(tc->store->d->relay, FW_RL_CLAIM_UNKNOWN, 0,
+                            tc->sent_us, Fw_Conn_Now());
     }
 }
 
@@ -284,7 +286,7 @@
 void
 Fw_TopicClient_OnResponse(struct fw_topic_client *tc)
 {
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     struct fw_store_response response;
 
     if (tc->peer_addr[0]) {
@@ -299,7 +301,7 @@
         report_claim_unknown(tc);
         return;
     }
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     if (parse_response(tc, &response)) {
         handle_failure(tc, FW_STORE_OUTCOME_UNREADABLE, "malformed response");
         report_claim_unknown(tc);
--- a/src/relayd/store_take.c
+++ b/src/relayd/store_take.c
@@ -8,7 +8,7 @@
 
 static void
 apply_config(struct fw_relayd *d, const struct fw_store_record *rec,
-             struct fw_rl_acts *acts)
+             struct fw_rl_actions *acts)
 {
     const char *why = "record deleted";
     struct fw_rl_rules *config = NULL;
@@ -22,13 +22,13 @@
     if (!config) {
         Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
     }
-    Fw_Relay_Rules(d->relay, config, rec->offset, Fw_Conn_Now(), acts);
+    Fw_Relay_SetRules(d->relay, config, rec->offset, Fw_Conn_Now(), acts);
     Fw_Rules_Unref(config);
 }
 
 static void
 apply_server(struct fw_relayd *d, const struct fw_store_record *rec,
-             struct fw_rl_acts *acts)
+             struct fw_rl_actions *acts)
 {
     struct fw_rl_server_entry e;
     int64_t now = Fw_Conn_Now();
@@ -38,7 +38,7 @@
     }
     else if (Fw_Platform_ParseServer(rec->key, rec->value, rec->len, &e) ==
              0) {
-        Fw_Relay_Server(d->relay, rec->key, &e, now, acts);
+        Fw_Relay_UpdateServer(d->relay, rec->key, &e, now, acts);
     }
     else {
         Fw_Note_Log(LOG_WARNING, "entry_unreadable", "server", rec->key, NULL);
@@ -69,7 +69,7 @@
 Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
                             GHashTable *newest,
                             const struct fw_store_response *response,
-                            struct fw_rl_acts *acts)
+                            struct fw_rl_actions *acts)
 {
     for (guint i = 0; i < response->records->len; i++) {
         const struct fw_store_record *rec =
--- a/src/relayd/up.c
+++ b/src/relayd/up.c
@@ -84,11 +84,12 @@
 notify_begun(struct fw_upstream_call *call)
 {
     struct fw_relayd *d = call->d;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     call->response_started = 1;
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Begun(d->relay, call->xid, &call->answer, Fw_Conn_Now(), &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_ResponseBegan(d->relay, call->xid, &call->answer, Fw_Conn_Now(),
+                           &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
@@ -155,13 +156,13 @@
     call->exchange = NULL;
     call->complete = 1;
     call->answer.events = call->events.n;
-    Fw_Acts_Init(&acts);
+    Fw_RelayActions_Init(&acts);
     if (Fw_Platform_ParseResponseBody(call->kind, call->body->data,
                                       call->body->len, &call->answer)) {
-        Fw_Relay_Failed(d->relay, xid, -EBADMSG, 1, now, &acts);
+        Fw_Relay_UpstreamFailed(d->relay, xid, -EBADMSG, 1, now, &acts);
     }
     else {
-        Fw_Relay_Answered(d->relay, xid, &call->answer, now, &acts);
+        Fw_Relay_ResponseEnded(d->relay, xid, &call->answer, now, &acts);
     }
     Fw_Relayd_ExecuteActions(d, &acts);
     Fw_UpstreamCall_Remove(d, xid);
@@ -173,12 +174,12 @@
     struct fw_upstream_call *call = ctx;
     struct fw_relayd *d = call->d;
     uint64_t xid = call->xid;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
 
     call->exchange = NULL;
-    Fw_Acts_Init(&acts);
-    Fw_Relay_Failed(d->relay, xid, err, sent == FW_SENT_SOME, Fw_Conn_Now(),
-                    &acts);
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_UpstreamFailed(d->relay, xid, err, sent == FW_SENT_SOME,
+                            Fw_Conn_Now(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
     Fw_UpstreamCall_Remove(d, xid);
 }
@@ -191,7 +192,7 @@
 };
 
 void
-Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_up_call *c)
+Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_upstream_call *c)
 {
     struct fw_caller_request *from =
         g_hash_table_lookup(d->requests_by_id, &c->call);
@@ -206,7 +207,7 @@
     call->xid = c->xid;
     call->caller_request_id = c->call;
     call->kind = c->kind;
-    call->buffered = c->whole;
+    call->buffered = c->buffer_response;
     call->content_length = -1;
     call->body = g_byte_array_new();
     g_hash_table_insert(d->upstream_calls, &call->xid, call);
--- a/src/route/coord_reserve.c
+++ b/src/route/coord_reserve.c
@@ -68,10 +68,10 @@
 
 /* The link from that domain; if there is none yet, it takes the place of the
  * one that is free the earliest. */
-static struct fw_kv_link *
+static struct fw_kv_link_state *
 find_link(struct fw_coord *c, uint64_t from_domain)
 {
-    struct fw_kv_link *idlest = &c->links[0];
+    struct fw_kv_link_state *idlest = &c->links[0];
 
     for (int i = 0; i < FW_COORD_LINKS; i++) {
         if (c->links[i].from_domain == from_domain) {
@@ -81,7 +81,7 @@
             idlest = &c->links[i];
         }
     }
-    *idlest = (struct fw_kv_link){.from_domain = from_domain};
+    *idlest = (struct fw_kv_link_state){.from_domain = from_domain};
     return idlest;
 }
 
@@ -91,7 +91,7 @@
                struct fw_reserve_result *result)
 {
     struct fw_coord *c = e->coord;
-    struct fw_kv_link *link = find_link(c, item->from);
+    struct fw_kv_link_state *link = find_link(c, item->from);
     int64_t need_us = now_us + item->need_us;
     int64_t ready_us = MAX(need_us - item->transfer_us, now_us);
     int64_t link_wait_us = MAX(link->busy_until_us - ready_us, 0);
--- a/src/route/router.h
+++ b/src/route/router.h
@@ -26,11 +26,11 @@
 #define FW_COORD_LINKS FW_UPSTREAM_LINKS_MAX
 
 /**
- * struct fw_kv_link - KV link into a decode engine.
+ * struct fw_kv_link_state - KV link into a decode engine.
  * @from_domain: hash of the failure domain at the other end
  * @busy_until_us: when the transfers reserved on it will be finished
  */
-struct fw_kv_link {
+struct fw_kv_link_state {
     uint64_t from_domain;
     int64_t busy_until_us;
 };
@@ -55,7 +55,7 @@
     struct fw_engine_status status;
     struct fw_slots slots;
     struct fw_backlog backlog;
-    struct fw_kv_link links[FW_COORD_LINKS];
+    struct fw_kv_link_state links[FW_COORD_LINKS];
     int64_t last_request_us;
     uint64_t poll_op;
     int64_t next_poll_us;
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -208,7 +208,7 @@
 
 START_TEST(response_bodies_are_parsed)
 {
-    struct fw_rl_up_answer a = {.status = 200};
+    struct fw_rl_upstream_response a = {.status = 200};
     int rc = Fw_Platform_ParseResponseBody(bodies[_i].kind, bodies[_i].body,
                                            strlen(bodies[_i].body), &a);
 
@@ -232,11 +232,11 @@
     ck_assert_int_eq(
         Fw_Platform_ParseResponseBody(FW_RL_UP_REPORT, text, strlen(text), &a),
         0);
-    ck_assert_int_eq(a.n_runs, 2);
-    ck_assert_uint_eq(a.runs[0].id, Fw_Hash_Str("r1"));
-    ck_assert_int_eq(a.runs[0].tokens, 3400);
-    ck_assert_int_eq(a.runs[0].events, 31);
-    ck_assert_uint_eq(a.runs[1].id, Fw_Hash_Str("r3"));
+    ck_assert_int_eq(a.n_streams, 2);
+    ck_assert_uint_eq(a.streams[0].id, Fw_Hash_Str("r1"));
+    ck_assert_int_eq(a.streams[0].tokens, 3400);
+    ck_assert_int_eq(a.streams[0].events, 31);
+    ck_assert_uint_eq(a.streams[1].id, Fw_Hash_Str("r3"));
 }
 END_TEST
 
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -372,7 +372,7 @@
     ck_assert_int_eq(pipe(fds), 0);
     ck_assert_int_eq(fcntl(fds[0], F_SETFL, O_NONBLOCK), 0);
     Fw_RouterEnv_Init(&env);
-    env.opts.relay.digest_every_us = 20 * FW_MSEC;
+    env.opts.relay.digest_period_us = 20 * FW_MSEC;
     Fw_RouterEnv_StartRouter(&env);
     Fw_Note_SetupBounded("n1", fds[1], 65536);
     reader.fd = fds[0];
