--- a/bench/bench_fold.c
+++ b/bench/bench_fold.c
@@ -100,21 +100,21 @@
 }
 
 static void
-fold_all(struct fw_state *st, GPtrArray *records)
+fold_all(struct fw_config_state *st, GPtrArray *records)
 {
     struct fw_change_result res;
 
     for (unsigned i = 0; i < records->len; i++) {
-        Fw_State_Apply(st, g_ptr_array_index(records, i), &res);
+        Fw_ConfigState_Apply(st, g_ptr_array_index(records, i), &res);
         if (res.verdict != FW_CHANGE_ACCEPTED) {
-            g_error("record %u: %s", i, res.why.text);
+            g_error("record %u: %s", i, res.error.text);
         }
     }
 }
 
 /* A day of single changes, each to one team. */
 static double
-fold_changes(struct fw_state *st)
+fold_changes(struct fw_config_state *st)
 {
     struct fw_change_result res;
     double t = 0;
@@ -132,7 +132,7 @@
             ",\"value\":{\"rate\":%d,\"burst\":5}}]}",
             i, name, Fw_Config_ItemVersion(st->cfg, FW_ITEM_TEAM, name), i);
         t0 = seconds();
-        Fw_State_Apply(st, text, &res);
+        Fw_ConfigState_Apply(st, text, &res);
         t += seconds() - t0;
         g_assert(res.verdict == FW_CHANGE_ACCEPTED);
         g_free(text);
@@ -141,25 +141,25 @@
 }
 
 static void
-read_snapshot(const struct fw_snap_text *text, uint64_t digest)
+read_snapshot(const struct fw_snapshot *text, uint64_t digest)
 {
-    struct fw_snap_collector c = {.feeds = 0};
-    struct fw_state *st = NULL;
+    struct fw_snapshot_assembler c = {.feeds = 0};
+    struct fw_config_state *st = NULL;
     double t0 = seconds();
     double longest = 0;
 
     for (unsigned k = 0; k < text->parts->len; k++) {
         double t1 = seconds();
 
-        Fw_Snap_Feed(&c, g_ptr_array_index(text->parts, k), &st, NULL);
+        Fw_Snapshot_Feed(&c, g_ptr_array_index(text->parts, k), &st, NULL);
         longest = MAX(longest, seconds() - t1);
     }
     printf("snapshot read            %8.3f s, longest part %.4f s\n",
            seconds() - t0, longest);
-    if (!st || Fw_State_Digest(st) != digest) {
+    if (!st || Fw_ConfigState_Digest(st) != digest) {
         g_error("the snapshot does not give the state back");
     }
-    Fw_State_Free(st);
+    Fw_ConfigState_Free(st);
 }
 
 int
@@ -167,8 +167,8 @@
 {
     GPtrArray *records = make_records();
     size_t before = heap_bytes();
-    struct fw_state *st = Fw_State_New();
-    struct fw_snap_text *text;
+    struct fw_config_state *st = Fw_ConfigState_New();
+    struct fw_snapshot *text;
     double t0 = seconds();
     double t;
 
@@ -186,15 +186,15 @@
            (double)(heap_bytes() - before) / 1e6,
            (double)st->audit.bytes / 1e6);
     t0 = seconds();
-    text = Fw_Snap_Write(st, "s-bench");
+    text = Fw_Snapshot_Write(st, "s-bench");
     printf("snapshot written         %8.3f s\n", seconds() - t0);
     printf("snapshot                 %8.2f MB in %u parts\n",
            (double)text->bytes / 1e6, text->parts->len);
-    read_snapshot(text, Fw_State_Digest(st));
-    Fw_Snap_FreeText(text);
+    read_snapshot(text, Fw_ConfigState_Digest(st));
+    Fw_Snapshot_Free(text);
     printf("resident at most         %8.1f MB (records and snapshot twice)\n",
            (double)peak_kib() * 1024 / 1e6);
-    Fw_State_Free(st);
+    Fw_ConfigState_Free(st);
     g_ptr_array_unref(records);
     return 0;
 }
--- a/bench/bench_region.c
+++ b/bench/bench_region.c
@@ -115,7 +115,7 @@
     struct fw_run r = {.rand = g_rand_new_with_seed(1),
                        .trace = g_string_new(NULL)};
     struct fw_fleet_env *w = g_new0(struct fw_fleet_env, 1);
-    struct fw_config cfg = {.offset = 2};
+    struct fw_config cfg = {.next_offset = 2};
     struct fw_team *teams = g_new0(struct fw_team, TEAMS);
     int granted = 0;
 
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -97,7 +97,7 @@
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_UP_START && a->u.up.kind == FW_UP_LOAD) {
             const struct fw_upstream *u =
-                Fw_Config_Upstream(cfg, a->u.up.upstream);
+                Fw_Config_FindUpstream(cfg, a->u.up.upstream);
             struct fw_up_event ev = {
                 .op = a->u.up.op, .kind = FW_UP_LOAD, .phase = FW_UP_DONE};
 
--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -151,7 +151,8 @@
         break;
     default:
         Fw_Run_Trace(w->run, "%8.1f writer fold%d", at, i);
-        Fw_Fold_SetWriter(w->folds[i].fold, Fw_ConfigEnv_Below(w, 4) > 0);
+        Fw_ConfigReplica_SetSnapshotWriter(w->folds[i].fold,
+                                           Fw_ConfigEnv_Below(w, 4) > 0);
         break;
     }
 }
@@ -163,7 +164,8 @@
         if (c->look) {
             c->look(w, i, c->ctx);
         }
-        w->folds[i].top = Fw_Fold_Config(w->folds[i].fold)->offset;
+        w->folds[i].top =
+            Fw_ConfigReplica_Config(w->folds[i].fold)->next_offset;
     }
 }
 
@@ -200,13 +202,13 @@
 static void
 look_same(struct fw_config_env *w, int i, void *ctx)
 {
-    const struct fw_config *cfg = Fw_Fold_Config(w->folds[i].fold);
-    uint64_t right = g_array_index(w->digests, uint64_t, cfg->offset - 1);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(w->folds[i].fold);
+    uint64_t right = g_array_index(w->digests, uint64_t, cfg->next_offset - 1);
 
     (void)ctx;
     if (Fw_Config_Digest(cfg) != right) {
         Fw_Run_Breach(w->run, "fold%d differs at offset %" G_GUINT64_FORMAT, i,
-                      cfg->offset);
+                      cfg->next_offset);
     }
 }
 
@@ -219,7 +221,7 @@
 static void
 look_back(struct fw_config_env *w, int i, void *ctx)
 {
-    uint64_t now = Fw_Fold_Config(w->folds[i].fold)->offset;
+    uint64_t now = Fw_ConfigReplica_Config(w->folds[i].fold)->next_offset;
 
     (void)ctx;
     if (now < w->folds[i].top) {
@@ -247,7 +249,7 @@
 {
     struct versions *v = ctx;
     struct fw_change ch;
-    struct fw_why why;
+    struct fw_config_error why;
 
     if (res->verdict != FW_CHANGE_ACCEPTED) {
         return;
@@ -258,11 +260,12 @@
             g_strdup_printf("%d %s", ch.items[i].kind, ch.items[i].name);
         uint64_t last = GPOINTER_TO_SIZE(g_hash_table_lookup(v->last, key));
 
-        if (last != ch.items[i].was) {
+        if (last != ch.items[i].expected_version) {
             Fw_Run_Breach(w->run,
                           "%s made on %" G_GUINT64_FORMAT
                           " was accepted over %" G_GUINT64_FORMAT,
-                          ch.items[i].name, ch.items[i].was, last);
+                          ch.items[i].name, ch.items[i].expected_version,
+                          last);
         }
         g_hash_table_insert(v->last, key,
                             GSIZE_TO_POINTER(w->config.records->len));
@@ -283,14 +286,14 @@
 /* Bit k of an entry: key k has been seen withdrawn by that process. */
 struct withdrawn {
     unsigned seen[FW_CONFIG_ENV_FOLDS];
-    const struct fw_fold *process[FW_CONFIG_ENV_FOLDS];
+    const struct fw_config_replica *process[FW_CONFIG_ENV_FOLDS];
 };
 
 static void
 look_key(struct fw_config_env *w, int i, void *ctx)
 {
     struct withdrawn *wd = ctx;
-    const struct fw_config *cfg = Fw_Fold_Config(w->folds[i].fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(w->folds[i].fold);
 
     if (wd->process[i] != w->folds[i].fold || w->folds[i].top == 0) {
         wd->process[i] = w->folds[i].fold;
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -25,7 +25,7 @@
     *w = (struct fw_config_env){.run = run, .now = FW_SEC};
     w->config.records = g_ptr_array_new_with_free_func(g_free);
     w->snapshot.records = g_ptr_array_new_with_free_func(g_free);
-    w->right = Fw_State_New();
+    w->right = Fw_ConfigState_New();
     w->digests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     note_digest(w);
     for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
@@ -37,9 +37,9 @@
 Fw_ConfigEnv_Clear(struct fw_config_env *w)
 {
     for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
-        Fw_Fold_Free(w->folds[i].fold);
+        Fw_ConfigReplica_Free(w->folds[i].fold);
     }
-    Fw_State_Free(w->right);
+    Fw_ConfigState_Free(w->right);
     g_array_unref(w->digests);
     g_ptr_array_unref(w->config.records);
     g_ptr_array_unref(w->snapshot.records);
@@ -51,9 +51,9 @@
     char name[16];
 
     g_snprintf(name, sizeof(name), "fold%d", i);
-    Fw_Fold_Free(w->folds[i].fold);
+    Fw_ConfigReplica_Free(w->folds[i].fold);
     w->folds[i] = (struct fw_config_env_fold){
-        .fold = Fw_Fold_New(name, ++w->starts, NULL, w->now)};
+        .fold = Fw_ConfigReplica_New(name, ++w->starts, NULL, w->now)};
 }
 
 void
@@ -61,7 +61,7 @@
                     struct fw_change_result *res)
 {
     g_ptr_array_add(w->config.records, g_strdup(text));
-    Fw_State_Apply(w->right, text, res);
+    Fw_ConfigState_Apply(w->right, text, res);
     note_digest(w);
 }
 
@@ -106,7 +106,7 @@
         done.err = -EIO;
     }
     Fw_Actions_Init(&out);
-    Fw_Fold_OnAppended(w->folds[i].fold, &done, w->now, &out);
+    Fw_ConfigReplica_OnAppended(w->folds[i].fold, &done, w->now, &out);
     carry(w, i, &out);
 }
 
@@ -123,8 +123,8 @@
     }
     g_snprintf(from, sizeof(from), "fold%d", i);
     Fw_Actions_Init(&out);
-    Fw_Fold_OnMsg(w->folds[to].fold, from, "addr", &p->msg.u.config, w->now,
-                  &out);
+    Fw_ConfigReplica_OnMsg(w->folds[to].fold, from, "addr", &p->msg.u.config,
+                           w->now, &out);
     carry(w, to, &out);
 }
 
@@ -170,7 +170,7 @@
     r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
     r.records = (const char *const *)s->records->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
-    Fw_Fold_OnRecords(w->folds[i].fold, &r, w->now, &out);
+    Fw_ConfigReplica_OnRecords(w->folds[i].fold, &r, w->now, &out);
     carry(w, i, &out);
 }
 
@@ -192,18 +192,18 @@
 static void
 ask_peer(struct fw_config_env *w, int i)
 {
-    struct fw_fold *f = w->folds[i].fold;
+    struct fw_config_replica *f = w->folds[i].fold;
     struct fw_actions out;
     char name[16];
     int peer = (i + 1 + Fw_ConfigEnv_Below(w, FW_CONFIG_ENV_FOLDS - 1)) %
                FW_CONFIG_ENV_FOLDS;
 
-    if (!Fw_Fold_WantsPeer(f, w->now)) {
+    if (!Fw_ConfigReplica_NeedsPeer(f, w->now)) {
         return;
     }
     g_snprintf(name, sizeof(name), "fold%d", peer);
     Fw_Actions_Init(&out);
-    Fw_Fold_AskPeer(f, name, "addr", w->now, &out);
+    Fw_ConfigReplica_RequestFromPeer(f, name, "addr", w->now, &out);
     carry(w, i, &out);
 }
 
@@ -219,7 +219,7 @@
 
             ask_peer(w, i);
             Fw_Actions_Init(&out);
-            Fw_Fold_Tick(w->folds[i].fold, w->now, &out);
+            Fw_ConfigReplica_Tick(w->folds[i].fold, w->now, &out);
             carry(w, i, &out);
             serve(w, i);
         }
--- a/explore/p_config_env.h
+++ b/explore/p_config_env.h
@@ -2,7 +2,7 @@
 #ifndef FW_EXPLORE_CONFIG_ENV_H
 #define FW_EXPLORE_CONFIG_ENV_H
 
-#include "config/fold.h"
+#include "config/replica.h"
 #include "explore/explore.h"
 
 #define FW_CONFIG_ENV_FOLDS 4
@@ -23,7 +23,7 @@
 
 /** struct fw_config_env_fold - one instance; @top: highest offset in force. */
 struct fw_config_env_fold {
-    struct fw_fold *fold;
+    struct fw_config_replica *fold;
     struct fw_config_env_read reads[FW_CONFIG_ENV_READS];
     int cut;
     uint64_t top;
@@ -45,7 +45,7 @@
     int lose_pct;
     int64_t now;
     unsigned starts;
-    struct fw_state *right;
+    struct fw_config_state *right;
     GArray *digests;
 };
 
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -129,7 +129,7 @@
         }
         m = Fw_IdemEnv_Post(b, FW_MAIL_MSG, i, FW_BED_HOP_US);
         m->msg = send->msg;
-        send->msg.u.idem.kind = FW_IDEM_FINISHED; /* moved: owns nothing */
+        send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK; /* moved: owns nothing */
         g_strlcpy(m->sender, b->sites[site].self.name, sizeof(m->sender));
         return;
     }
@@ -184,7 +184,7 @@
          struct fw_actions *out)
 {
     struct fw_idem_env_site *s = &b->sites[t->site];
-    int rc = Fw_Idem_MayRun(s->idem, t->ticket, b->now_us);
+    int rc = Fw_Idem_BeginRun(s->idem, t->ticket, b->now_us);
     int effects;
 
     if (rc) {
@@ -333,8 +333,8 @@
     t->boot = s->self.boot;
     g_strlcpy(t->key, key_of(b, name), sizeof(t->key));
     Fw_Actions_Init(&out);
-    Fw_Idem_Open(s->idem, t->ticket, "grid-desk", "skippers", t->key,
-                 Fw_Hash_Str(body), b->now_us, &out);
+    Fw_Idem_Claim(s->idem, t->ticket, "grid-desk", "skippers", t->key,
+                  Fw_Hash_Str(body), b->now_us, &out);
     settle(b, site, &out);
 }
 
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -148,7 +148,7 @@
     c->open = g_array_new(FALSE, TRUE, sizeof(struct fw_open_ask));
     c->refunds = g_array_new(FALSE, TRUE, sizeof(struct fw_refund));
     c->granted = g_array_new(FALSE, TRUE, sizeof(struct fw_grant_note));
-    cfg->offset = 2;
+    cfg->next_offset = 2;
     cfg->teams = g_hash_table_new(g_str_hash, g_str_equal);
     add_team(c, 0, cfg->teams, "large", 1000, 5000);
     add_team(c, 1, cfg->teams, "small", 40, 400);
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -26,12 +26,12 @@
 {
     JsonNode *node = json_from_string(item_text, NULL);
     struct fw_item item = {.kind = FW_ITEM_TEAM};
-    struct fw_why why;
+    struct fw_config_error why;
 
     if (Fw_Item_Parse(json_node_get_object(node), &item, &why)) {
         g_error("%s", why.text);
     }
-    Fw_Config_Put(y->cfg, &item, 1);
+    Fw_Config_PutItem(y->cfg, &item, 1);
     json_node_unref(node);
 }
 
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -21,7 +21,7 @@
 };
 
 static void
-add_upstream(struct route_env *s, const char *name, enum fw_up_role role,
+add_upstream(struct route_env *s, const char *name, enum fw_upstream_role role,
              const char *domain)
 {
     struct fw_upstream *u = g_new0(struct fw_upstream, 1);
--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -17,22 +17,23 @@
  * than its author saw, so that concurrent changes don't overwrite each other.
  */
 static int
-check_versions(const struct fw_state *st, const struct fw_change *ch,
-               struct fw_why *err)
+check_versions(const struct fw_config_state *st, const struct fw_change *ch,
+               struct fw_config_error *err)
 {
     for (int i = 0; i < ch->n; i++) {
         const struct fw_item *item = &ch->items[i];
         uint64_t now = Fw_Config_ItemVersion(st->cfg, item->kind, item->name);
         const struct fw_audit_entry *by = Fw_Audit_Find(&st->audit, now);
 
-        if (now == item->was || FW_FAULT("config-no-compare")) {
+        if (now == item->expected_version || FW_FAULT("config-no-compare")) {
             continue;
         }
         Fw_ConfigError_Set(err,
                            "%s %.64s: made on version %" G_GUINT64_FORMAT
                            ", in force is %" G_GUINT64_FORMAT "%s%s",
-                           Fw_Item_KindName(item->kind), item->name, item->was,
-                           now, by ? " by " : "", by ? by->who : "");
+                           Fw_Item_KindName(item->kind), item->name,
+                           item->expected_version, now, by ? " by " : "",
+                           by ? by->author : "");
         return -ESTALE;
     }
     return 0;
@@ -49,12 +50,12 @@
             return !ch->items[i].removed;
         }
     }
-    return Fw_Config_Team(cfg, name) != NULL;
+    return Fw_Config_FindTeam(cfg, name) != NULL;
 }
 
 static int
-check_key(const struct fw_state *st, const struct fw_change *ch,
-          const struct fw_key *key, struct fw_why *err)
+check_key(const struct fw_config_state *st, const struct fw_change *ch,
+          const struct fw_key *key, struct fw_config_error *err)
 {
     const struct fw_key *old = g_hash_table_lookup(st->cfg->keys, key->digest);
 
@@ -96,8 +97,8 @@
 
 /* Without an operator nobody could change the configuration any more. */
 static int
-check_operators(const struct fw_state *st, const struct fw_change *ch,
-                struct fw_why *err)
+check_operators(const struct fw_config_state *st, const struct fw_change *ch,
+                struct fw_config_error *err)
 {
     unsigned before = count_operators(st->cfg);
     unsigned after = before;
@@ -121,15 +122,15 @@
 }
 
 static int
-check_counts(const struct fw_state *st, const struct fw_change *ch,
-             struct fw_why *err)
+check_counts(const struct fw_config_state *st, const struct fw_change *ch,
+             struct fw_config_error *err)
 {
     unsigned added[FW_ITEM_KINDS] = {0};
 
     for (int i = 0; i < ch->n; i++) {
         const struct fw_item *item = &ch->items[i];
 
-        added[item->kind] += item->was == 0;
+        added[item->kind] += item->expected_version == 0;
         if (Fw_Config_ItemCount(st->cfg, item->kind) + added[item->kind] >
             items_max[item->kind]) {
             Fw_ConfigError_Set(err, "more than %u of kind %s",
@@ -142,11 +143,11 @@
 }
 
 static int
-check_change(const struct fw_state *st, const struct fw_change *ch,
-             struct fw_why *err)
+check_change(const struct fw_config_state *st, const struct fw_change *ch,
+             struct fw_config_error *err)
 {
     if (ch->base_version &&
-        ch->base_version + FW_BASE_AGE_MAX_RECORDS < st->cfg->offset) {
+        ch->base_version + FW_BASE_AGE_MAX_RECORDS < st->cfg->next_offset) {
         Fw_ConfigError_Set(err,
                            "made on version %" G_GUINT64_FORMAT ": too old",
                            ch->base_version);
@@ -165,10 +166,12 @@
 }
 
 enum fw_change_verdict
-Fw_ConfigState_Evaluate(const struct fw_state *st, const struct fw_change *ch,
-                        struct fw_why *err)
+Fw_ConfigState_Evaluate(const struct fw_config_state *st,
+                        const struct fw_change *ch,
+                        struct fw_config_error *err)
 {
-    const struct fw_seen *seen = Fw_ConfigState_FindOutcome(st, ch->id);
+    const struct fw_change_outcome *seen =
+        Fw_ConfigState_FindOutcome(st, ch->id);
 
     if (seen && !FW_FAULT("config-no-ids")) {
         Fw_ConfigError_Set(err, "id seen at version %" G_GUINT64_FORMAT ": %s",
@@ -185,7 +188,7 @@
 }
 
 static JsonArray *
-values_before(const struct fw_state *st, const struct fw_change *ch)
+values_before(const struct fw_config_state *st, const struct fw_change *ch)
 {
     JsonArray *arr = json_array_new();
     int n = MIN(ch->n, FW_AUDIT_CHANGE_ITEMS_MAX);
@@ -210,14 +213,14 @@
 
 /* Adds the current value to each item of @arr. */
 static void
-values_after(const struct fw_state *st, JsonArray *arr)
+values_after(const struct fw_config_state *st, JsonArray *arr)
 {
     unsigned n = json_array_get_length(arr);
 
     for (unsigned i = 0; i < n; i++) {
         JsonObject *o = json_array_get_object_element(arr, i);
         enum fw_item_kind kind =
-            Fw_Item_KindOf(json_object_get_string_member(o, "kind"));
+            Fw_Item_ParseKind(json_object_get_string_member(o, "kind"));
         JsonNode *value = Fw_Config_ItemValue(
             st->cfg, kind, json_object_get_string_member(o, "name"));
 
@@ -231,8 +234,9 @@
 }
 
 static void
-record_audit(struct fw_state *st, uint64_t offset, const struct fw_change *ch,
-             const struct fw_change_result *res, JsonArray *items)
+record_audit(struct fw_config_state *st, uint64_t offset,
+             const struct fw_change *ch, const struct fw_change_result *res,
+             JsonArray *items)
 {
     JsonObject *o = json_object_new();
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
@@ -243,7 +247,7 @@
     json_object_set_string_member(o, "at", ch->timestamp);
     json_object_set_string_member(o, "verdict",
                                   Fw_Change_VerdictName(res->verdict));
-    json_object_set_string_member(o, "why", res->why.text);
+    json_object_set_string_member(o, "why", res->error.text);
     json_object_set_array_member(o, "items", items);
     json_object_set_int_member(o, "more",
                                MAX(0, ch->n - FW_AUDIT_CHANGE_ITEMS_MAX));
@@ -263,7 +267,7 @@
     GHashTableIter it;
     void *value;
 
-    if (cfg->offset % FW_KEY_PRUNE_INTERVAL_RECORDS != 0) {
+    if (cfg->next_offset % FW_KEY_PRUNE_INTERVAL_RECORDS != 0) {
         return;
     }
     g_hash_table_iter_init(&it, cfg->keys);
@@ -271,23 +275,23 @@
         const struct fw_key *key = value;
 
         if (key->withdrawn &&
-            key->version + FW_BASE_AGE_MAX_RECORDS < cfg->offset) {
+            key->version + FW_BASE_AGE_MAX_RECORDS < cfg->next_offset) {
             g_hash_table_iter_remove(&it);
         }
     }
 }
 
 void
-Fw_State_Apply(struct fw_state *st, const char *text,
-               struct fw_change_result *res)
+Fw_ConfigState_Apply(struct fw_config_state *st, const char *text,
+                     struct fw_change_result *res)
 {
-    uint64_t offset = st->cfg->offset;
+    uint64_t offset = st->cfg->next_offset;
     struct fw_change ch;
     JsonArray *items;
 
     *res = (struct fw_change_result){.verdict = FW_CHANGE_INVALID};
-    if (Fw_Change_Parse(text, &ch, &res->why) == 0) {
-        res->verdict = Fw_ConfigState_Evaluate(st, &ch, &res->why);
+    if (Fw_Change_Parse(text, &ch, &res->error) == 0) {
+        res->verdict = Fw_ConfigState_Evaluate(st, &ch, &res->error);
     }
     else if (ch.id[0] && Fw_ConfigState_FindOutcome(st, ch.id)) {
         res->verdict = FW_CHANGE_DUPLICATE;
@@ -297,7 +301,7 @@
                 : values_before(st, &ch);
     if (res->verdict == FW_CHANGE_ACCEPTED) {
         for (int i = 0; i < ch.n; i++) {
-            Fw_Config_Put(st->cfg, &ch.items[i], offset);
+            Fw_Config_PutItem(st->cfg, &ch.items[i], offset);
         }
     }
     values_after(st, items);
@@ -305,7 +309,7 @@
     if (ch.id[0] && res->verdict != FW_CHANGE_DUPLICATE) {
         Fw_ConfigState_RecordOutcome(st, ch.id, offset, res->verdict);
     }
-    st->cfg->offset = offset + 1;
+    st->cfg->next_offset = offset + 1;
     prune_withdrawn_keys(st->cfg);
     g_strlcpy(res->id, ch.id, sizeof(res->id));
     g_strlcpy(res->author, ch.author, sizeof(res->author));
--- a/src/config/audit.c
+++ b/src/config/audit.c
@@ -5,7 +5,7 @@
 void
 Fw_Audit_Init(struct fw_audit *a)
 {
-    Fw_List_Init(&a->all);
+    Fw_List_Init(&a->entries);
     a->n = 0;
     a->bytes = 0;
 }
@@ -20,7 +20,7 @@
 drop_oldest(struct fw_audit *a)
 {
     struct fw_audit_entry *e =
-        FW_LIST_ENTRY(a->all.next, struct fw_audit_entry, link);
+        FW_LIST_ENTRY(a->entries.next, struct fw_audit_entry, link);
 
     a->bytes -= entry_bytes(e);
     a->n--;
@@ -32,7 +32,7 @@
 void
 Fw_Audit_Clear(struct fw_audit *a)
 {
-    while (!Fw_List_Empty(&a->all)) {
+    while (!Fw_List_Empty(&a->entries)) {
         drop_oldest(a);
     }
 }
@@ -43,9 +43,9 @@
     struct fw_audit_entry *e = g_new0(struct fw_audit_entry, 1);
 
     e->offset = offset;
-    g_strlcpy(e->who, who, sizeof(e->who));
+    g_strlcpy(e->author, who, sizeof(e->author));
     e->text = text;
-    Fw_List_Append(&a->all, &e->link);
+    Fw_List_Append(&a->entries, &e->link);
     a->n++;
     a->bytes += entry_bytes(e);
     while (a->n > FW_AUDIT_ENTRIES_MAX || a->bytes > FW_AUDIT_BYTES_MAX) {
@@ -58,7 +58,7 @@
 {
     const struct fw_list *pos;
 
-    for (pos = a->all.prev; pos != &a->all; pos = pos->prev) {
+    for (pos = a->entries.prev; pos != &a->entries; pos = pos->prev) {
         const struct fw_audit_entry *e =
             FW_LIST_ENTRY(pos, struct fw_audit_entry, link);
 
--- a/src/config/audit.h
+++ b/src/config/audit.h
@@ -26,7 +26,7 @@
  */
 struct fw_audit_entry {
     uint64_t offset;
-    char who[FW_NAME_MAX];
+    char author[FW_NAME_MAX];
     char *text;
     struct fw_list link;
 };
@@ -37,7 +37,7 @@
  * @bytes: memory that the entries take
  */
 struct fw_audit {
-    struct fw_list all;
+    struct fw_list entries;
     unsigned n;
     size_t bytes;
 };
--- a/src/config/change.h
+++ b/src/config/change.h
@@ -26,7 +26,7 @@
  * @found: its value as JSON, truncated
  * @allowed: the values it accepts
  */
-struct fw_why {
+struct fw_config_error {
     char text[200];
     char member[24];
     char found[48];
@@ -34,7 +34,7 @@
 };
 
 void
-Fw_ConfigError_Set(struct fw_why *err, const char *fmt, ...)
+Fw_ConfigError_Set(struct fw_config_error *err, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
 /** enum fw_item_kind - kinds of items, in the order of listings. */
@@ -53,7 +53,7 @@
 Fw_Item_KindName(enum fw_item_kind kind);
 /* Returns FW_ITEM_KINDS when @name is not the name of a kind. */
 enum fw_item_kind
-Fw_Item_KindOf(const char *name);
+Fw_Item_ParseKind(const char *name);
 /* 1 to 47 characters of A-Z a-z 0-9 . _ - : / with a letter or digit first. */
 int
 Fw_Name_Valid(const char *name);
@@ -74,7 +74,7 @@
 struct fw_item {
     enum fw_item_kind kind;
     char name[FW_ITEM_NAME_MAX];
-    uint64_t was;
+    uint64_t expected_version;
     int removed;
     union {
         struct fw_team *team;
@@ -115,14 +115,16 @@
  * Return: 0, or -EINVAL with the reason in @err.
  */
 int
-Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *err);
+Fw_Change_Parse(const char *text, struct fw_change *ch,
+                struct fw_config_error *err);
 /*
  * Parses one object {"kind","name","was","value"}. Returns 0, or -EINVAL with
  * the reason in @err. @item has to be zeroed before; the caller calls
  * Fw_Item_Clear in either case.
  */
 int
-Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *err);
+Fw_Item_Parse(JsonObject *obj, struct fw_item *item,
+              struct fw_config_error *err);
 void
 Fw_Item_Clear(struct fw_item *item);
 void
@@ -149,7 +151,8 @@
 Fw_Config_ItemCount(const struct fw_config *cfg, enum fw_item_kind kind);
 /* Moves the value of @item into @cfg, or removes the item from it. */
 void
-Fw_Config_Put(struct fw_config *cfg, struct fw_item *item, uint64_t version);
+Fw_Config_PutItem(struct fw_config *cfg, struct fw_item *item,
+                  uint64_t version);
 /* Digest of all items and their versions, to compare configurations. */
 uint64_t
 Fw_Config_Digest(const struct fw_config *cfg);
--- a/src/config/change_parse.c
+++ b/src/config/change_parse.c
@@ -21,7 +21,7 @@
 }
 
 void
-Fw_ConfigError_Set(struct fw_why *err, const char *fmt, ...)
+Fw_ConfigError_Set(struct fw_config_error *err, const char *fmt, ...)
 {
     va_list ap;
 
@@ -38,7 +38,7 @@
 }
 
 enum fw_item_kind
-Fw_Item_KindOf(const char *name)
+Fw_Item_ParseKind(const char *name)
 {
     int kind = 0;
 
@@ -88,7 +88,8 @@
 }
 
 static int
-parse_item_name(struct fw_item *item, const char *name, struct fw_why *err)
+parse_item_name(struct fw_item *item, const char *name,
+                struct fw_config_error *err)
 {
     int ok = item->kind == FW_ITEM_KEY ? Fw_Digest_Valid(name)
                                        : Fw_Name_Valid(name);
@@ -111,7 +112,8 @@
 }
 
 static int
-parse_setting(struct fw_item *item, JsonObject *value, struct fw_why *err)
+parse_setting(struct fw_item *item, JsonObject *value,
+              struct fw_config_error *err)
 {
     static const char *const known[] = {"value", NULL};
     static const char *const words[] = {"cut", "finish", NULL};
@@ -127,7 +129,8 @@
 }
 
 static int
-parse_value(struct fw_item *item, JsonObject *value, struct fw_why *err)
+parse_value(struct fw_item *item, JsonObject *value,
+            struct fw_config_error *err)
 {
     switch (item->kind) {
     case FW_ITEM_TEAM:
@@ -161,7 +164,7 @@
  * configuration could add it again.
  */
 static int
-parse_removal(struct fw_item *item, struct fw_why *err)
+parse_removal(struct fw_item *item, struct fw_config_error *err)
 {
     if (item->kind == FW_ITEM_KEY || item->kind == FW_ITEM_SETTING) {
         Fw_ConfigError_Set(err, "%s: a %s can't be removed", item->name,
@@ -173,7 +176,8 @@
 }
 
 int
-Fw_Item_Parse(JsonObject *obj, struct fw_item *item, struct fw_why *err)
+Fw_Item_Parse(JsonObject *obj, struct fw_item *item,
+              struct fw_config_error *err)
 {
     static const char *const known[] = {"kind", "name", "was", "value", NULL};
     struct fw_field_reader r = {.obj = obj, .err = err, .where = "item"};
@@ -192,7 +196,7 @@
         return -EINVAL;
     }
     item->kind = (enum fw_item_kind)kind;
-    item->was = (uint64_t)was;
+    item->expected_version = (uint64_t)was;
     if (parse_item_name(item, name, err)) {
         return -EINVAL;
     }
@@ -208,7 +212,7 @@
 }
 
 static int
-parse_items(JsonArray *arr, struct fw_change *ch, struct fw_why *err)
+parse_items(JsonArray *arr, struct fw_change *ch, struct fw_config_error *err)
 {
     unsigned n = json_array_get_length(arr);
     GHashTable *seen;
@@ -240,7 +244,8 @@
 }
 
 static int
-parse_record(JsonObject *obj, struct fw_change *ch, struct fw_why *err)
+parse_record(JsonObject *obj, struct fw_change *ch,
+             struct fw_config_error *err)
 {
     static const char *const known[] = {"v",    "id",    "who", "at",
                                         "base", "items", NULL};
@@ -267,7 +272,8 @@
 }
 
 int
-Fw_Change_Parse(const char *text, struct fw_change *ch, struct fw_why *err)
+Fw_Change_Parse(const char *text, struct fw_change *ch,
+                struct fw_config_error *err)
 {
     JsonParser *parser = NULL;
     JsonObject *obj;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -53,7 +53,7 @@
 };
 
 /** enum fw_upstream_role - kind of work that an upstream does. */
-enum fw_up_role {
+enum fw_upstream_role {
     FW_ROLE_PREFILL,
     FW_ROLE_DECODE,
     FW_ROLE_SERVICE,
@@ -86,7 +86,7 @@
     char pool[FW_NAME_MAX];
     char url[FW_URL_MAX];
     char domain[FW_NAME_MAX];
-    enum fw_up_role role;
+    enum fw_upstream_role role;
     enum fw_fencing fencing;
     int slots;
     int64_t prefill_rate;
@@ -96,7 +96,7 @@
 };
 
 /** struct fw_served_model - model version; @adapter is empty for none. */
-struct fw_serving {
+struct fw_served_model {
     char model[FW_NAME_MAX];
     char version[FW_NAME_MAX];
     char adapter[FW_NAME_MAX];
@@ -116,7 +116,7 @@
     int prefill_min;
     int decode_min;
     int n_serves;
-    struct fw_serving serves[FW_POOL_SERVES_MAX];
+    struct fw_served_model serves[FW_POOL_SERVES_MAX];
 };
 
 /** struct fw_service_call - allowed call; @path is without query string. */
@@ -152,7 +152,7 @@
  * The tables map the item's name (for keys, the digest) to its struct.
  */
 struct fw_config {
-    uint64_t offset;
+    uint64_t next_offset;
     enum fw_on_withdraw on_withdraw;
     uint64_t on_withdraw_version;
     GHashTable *teams;
@@ -173,26 +173,26 @@
 Fw_Config_Free(struct fw_config *cfg);
 
 const struct fw_team *
-Fw_Config_Team(const struct fw_config *cfg, const char *name);
+Fw_Config_FindTeam(const struct fw_config *cfg, const char *name);
 /* The team of API key @key, NULL when the key is unknown or withdrawn. */
 const struct fw_team *
-Fw_Config_KeyTeam(const struct fw_config *cfg, const char *key);
+Fw_Config_FindTeamByKey(const struct fw_config *cfg, const char *key);
 const struct fw_upstream *
-Fw_Config_Upstream(const struct fw_config *cfg, const char *name);
+Fw_Config_FindUpstream(const struct fw_config *cfg, const char *name);
 const struct fw_pool *
-Fw_Config_Pool(const struct fw_config *cfg, const char *name);
+Fw_Config_FindPool(const struct fw_config *cfg, const char *name);
 const struct fw_service *
-Fw_Config_Service(const struct fw_config *cfg, const char *name);
+Fw_Config_FindService(const struct fw_config *cfg, const char *name);
 /* Ignores the query string of @path. Returns NULL for a call not allowed. */
 const struct fw_service_call *
-Fw_Config_ServiceCall(const struct fw_service *svc, const char *method,
-                      const char *path);
+Fw_Config_FindServiceCall(const struct fw_service *svc, const char *method,
+                          const char *path);
 /* The operator with key @key, NULL when it is unknown or withdrawn. */
 const struct fw_operator *
-Fw_Config_Operator(const struct fw_config *cfg, const char *key);
+Fw_Config_FindOperatorByKey(const struct fw_config *cfg, const char *key);
 /* Nonzero when @team may use @model ("name" or "name+adapter"). */
 int
-Fw_Config_TeamMay(const struct fw_team *team, const char *model);
+Fw_Config_TeamAllowsModel(const struct fw_team *team, const char *model);
 /* Nonzero when some pool serves @model ("name" or "name+adapter"). */
 int
 Fw_Config_HasModel(const struct fw_config *cfg, const char *model);
--- a/src/config/config_cmd.c
+++ b/src/config/config_cmd.c
@@ -31,7 +31,7 @@
 {
     struct fw_config *cfg = g_new0(struct fw_config, 1);
 
-    cfg->offset = 1;
+    cfg->next_offset = 1;
     cfg->teams = new_table(free_team);
     cfg->keys = new_table(g_free);
     cfg->upstreams = new_table(g_free);
--- a/src/config/config_internal.h
+++ b/src/config/config_internal.h
@@ -18,17 +18,22 @@
  * NULL with the reason in @err.
  */
 struct fw_team *
-Fw_Team_Parse(const char *name, JsonObject *value, struct fw_why *err);
+Fw_Team_Parse(const char *name, JsonObject *value,
+              struct fw_config_error *err);
 struct fw_key *
-Fw_Key_Parse(const char *name, JsonObject *value, struct fw_why *err);
+Fw_Key_Parse(const char *name, JsonObject *value, struct fw_config_error *err);
 struct fw_upstream *
-Fw_Upstream_Parse(const char *name, JsonObject *value, struct fw_why *err);
+Fw_Upstream_Parse(const char *name, JsonObject *value,
+                  struct fw_config_error *err);
 struct fw_pool *
-Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_why *err);
+Fw_Pool_Parse(const char *name, JsonObject *value,
+              struct fw_config_error *err);
 struct fw_service *
-Fw_Service_Parse(const char *name, JsonObject *value, struct fw_why *err);
+Fw_Service_Parse(const char *name, JsonObject *value,
+                 struct fw_config_error *err);
 struct fw_operator *
-Fw_Operator_Parse(const char *name, JsonObject *value, struct fw_why *err);
+Fw_Operator_Parse(const char *name, JsonObject *value,
+                  struct fw_config_error *err);
 
 /**
  * struct fw_field_reader - reads and checks the members of a JSON object.
@@ -41,7 +46,7 @@
  */
 struct fw_field_reader {
     JsonObject *obj;
-    struct fw_why *err;
+    struct fw_config_error *err;
     const char *where;
 };
 
--- a/src/config/config_msg.c
+++ b/src/config/config_msg.c
@@ -21,9 +21,9 @@
         Fw_Pack_Str(pk, msg->u.request.snapshot_id);
         msgpack_pack_uint32(pk, msg->u.request.part);
         break;
-    case FW_CONFIG_PART:
+    case FW_CONFIG_MSG_PART:
         msgpack_pack_array(pk, 2);
-        msgpack_pack_int(pk, FW_CONFIG_PART);
+        msgpack_pack_int(pk, FW_CONFIG_MSG_PART);
         Fw_Pack_Str(pk, msg->u.part);
         break;
     }
@@ -76,7 +76,7 @@
         return 0;
     case FW_CONFIG_MSG_PART_REQUEST:
         return unpack_part_request(obj, &msg->u.request);
-    case FW_CONFIG_PART:
+    case FW_CONFIG_MSG_PART:
         return unpack_part(obj, msg);
     default:
         return -EBADMSG;
@@ -86,7 +86,7 @@
 void
 Fw_Config_ClearMsg(struct fw_config_msg *msg)
 {
-    if (msg->kind == FW_CONFIG_PART) {
+    if (msg->kind == FW_CONFIG_MSG_PART) {
         g_free(msg->u.part);
     }
     msg->kind = FW_CONFIG_MSG_UP_TO_DATE;
--- a/src/config/config_msg.h
+++ b/src/config/config_msg.h
@@ -13,7 +13,7 @@
 enum fw_config_msg_kind {
     FW_CONFIG_MSG_UP_TO_DATE,   /* response: no newer state */
     FW_CONFIG_MSG_PART_REQUEST, /* request */
-    FW_CONFIG_PART,             /* response, once the snapshot is written */
+    FW_CONFIG_MSG_PART,         /* response, once the snapshot is written */
 };
 
 /**
--- a/src/config/config_query.c
+++ b/src/config/config_query.c
@@ -4,13 +4,13 @@
 #include "config/config.h"
 
 const struct fw_team *
-Fw_Config_Team(const struct fw_config *cfg, const char *name)
+Fw_Config_FindTeam(const struct fw_config *cfg, const char *name)
 {
     return g_hash_table_lookup(cfg->teams, name);
 }
 
 const struct fw_team *
-Fw_Config_KeyTeam(const struct fw_config *cfg, const char *key)
+Fw_Config_FindTeamByKey(const struct fw_config *cfg, const char *key)
 {
     char digest[FW_DIGEST_HEX];
     const struct fw_key *k;
@@ -23,30 +23,30 @@
     if (!k || k->withdrawn || !Fw_Hash_DigestEqual(k->digest, digest)) {
         return NULL;
     }
-    return Fw_Config_Team(cfg, k->team);
+    return Fw_Config_FindTeam(cfg, k->team);
 }
 
 const struct fw_upstream *
-Fw_Config_Upstream(const struct fw_config *cfg, const char *name)
+Fw_Config_FindUpstream(const struct fw_config *cfg, const char *name)
 {
     return g_hash_table_lookup(cfg->upstreams, name);
 }
 
 const struct fw_pool *
-Fw_Config_Pool(const struct fw_config *cfg, const char *name)
+Fw_Config_FindPool(const struct fw_config *cfg, const char *name)
 {
     return g_hash_table_lookup(cfg->pools, name);
 }
 
 const struct fw_service *
-Fw_Config_Service(const struct fw_config *cfg, const char *name)
+Fw_Config_FindService(const struct fw_config *cfg, const char *name)
 {
     return g_hash_table_lookup(cfg->services, name);
 }
 
 const struct fw_service_call *
-Fw_Config_ServiceCall(const struct fw_service *svc, const char *method,
-                      const char *path)
+Fw_Config_FindServiceCall(const struct fw_service *svc, const char *method,
+                          const char *path)
 {
     size_t len = strcspn(path, "?");
 
@@ -63,7 +63,7 @@
 
 /* Compares with all operators, so that the time doesn't depend on the key. */
 const struct fw_operator *
-Fw_Config_Operator(const struct fw_config *cfg, const char *key)
+Fw_Config_FindOperatorByKey(const struct fw_config *cfg, const char *key)
 {
     char digest[FW_DIGEST_HEX];
     const struct fw_operator *found = NULL;
@@ -86,7 +86,7 @@
 }
 
 int
-Fw_Config_TeamMay(const struct fw_team *team, const char *model)
+Fw_Config_TeamAllowsModel(const struct fw_team *team, const char *model)
 {
     for (int i = 0; i < team->n_models; i++) {
         if (strcmp(team->models[i], model) == 0) {
@@ -97,7 +97,7 @@
 }
 
 static int
-serves_model(const struct fw_serving *s, const char *model)
+serves_model(const struct fw_served_model *s, const char *model)
 {
     size_t len = strlen(s->model);
 
--- a/src/config/item_cmd.c
+++ b/src/config/item_cmd.c
@@ -9,7 +9,8 @@
 }
 
 void
-Fw_Config_Put(struct fw_config *cfg, struct fw_item *item, uint64_t version)
+Fw_Config_PutItem(struct fw_config *cfg, struct fw_item *item,
+                  uint64_t version)
 {
     if (item->removed) {
         g_hash_table_remove(Fw_Config_Table(cfg, item->kind), item->name);
--- a/src/config/fold_cmd.c
+++ b/src/config/replica_cmd.c
@@ -3,11 +3,11 @@
 #include <syslog.h>
 
 #include "base/fault.h"
-#include "config/fold_internal.h"
+#include "config/replica_internal.h"
 #include "core/types.h"
 
 static void
-add_metrics(struct fw_fold *rep, struct fw_metrics *metrics)
+add_metrics(struct fw_config_replica *rep, struct fw_metrics *metrics)
 {
     static const struct fw_metric all[] = {
         {.name = "fw_config_version",
@@ -50,15 +50,15 @@
     }
 }
 
-struct fw_fold *
-Fw_Fold_New(const char *instance, uint32_t seed, struct fw_metrics *metrics,
-            int64_t now_us)
+struct fw_config_replica *
+Fw_ConfigReplica_New(const char *instance, uint32_t seed,
+                     struct fw_metrics *metrics, int64_t now_us)
 {
-    struct fw_fold *rep = g_new0(struct fw_fold, 1);
+    struct fw_config_replica *rep = g_new0(struct fw_config_replica, 1);
 
     g_strlcpy(rep->instance, instance, sizeof(rep->instance));
     rep->rand = g_rand_new_with_seed(seed);
-    rep->state = Fw_State_New();
+    rep->state = Fw_ConfigState_New();
     rep->last_success_us = now_us;
     rep->read_due_us = now_us;
     rep->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
@@ -68,23 +68,23 @@
 }
 
 void
-Fw_Fold_Free(struct fw_fold *rep)
+Fw_ConfigReplica_Free(struct fw_config_replica *rep)
 {
     if (!rep) {
         return;
     }
-    Fw_State_Free(rep->state);
-    Fw_State_Free(rep->search.newest);
+    Fw_ConfigState_Free(rep->state);
+    Fw_ConfigState_Free(rep->search.newest);
     Fw_Snapshot_Reset(&rep->search.assembler);
-    Fw_Snap_FreeText(rep->writer.snapshot);
+    Fw_Snapshot_Free(rep->writer.snapshot);
     Fw_ConfigReplica_ResetPeer(rep);
-    Fw_Snap_FreeText(rep->peer.served);
+    Fw_Snapshot_Free(rep->peer.served);
     g_rand_free(rep->rand);
     g_free(rep);
 }
 
 uint64_t
-Fw_ConfigReplica_NewTicket(struct fw_fold *rep)
+Fw_ConfigReplica_NewTicket(struct fw_config_replica *rep)
 {
     return Fw_Owner_Number(FW_OWNER_CONFIG, ++rep->seq);
 }
@@ -94,21 +94,22 @@
  * it would revert changes, for example make withdrawn keys valid again.
  */
 int
-Fw_ConfigReplica_Install(struct fw_fold *rep, struct fw_state *st,
-                         const char *source, struct fw_actions *out)
+Fw_ConfigReplica_Install(struct fw_config_replica *rep,
+                         struct fw_config_state *st, const char *source,
+                         struct fw_actions *out)
 {
     char version[24];
 
-    if (st->cfg->offset <= rep->state->cfg->offset &&
+    if (st->cfg->next_offset <= rep->state->cfg->next_offset &&
         !FW_FAULT("config-adopt-older")) {
-        Fw_State_Free(st);
+        Fw_ConfigState_Free(st);
         return 0;
     }
-    Fw_State_Free(rep->state);
+    Fw_ConfigState_Free(rep->state);
     rep->state = st;
     rep->gap = 0;
     rep->metrics.gap.value = 0;
-    rep->metrics.offset.value = (int64_t)st->cfg->offset - 1;
+    rep->metrics.offset.value = (int64_t)st->cfg->next_offset - 1;
     if (strcmp(source, "log") == 0) {
         rep->metrics.adopted_log.value++;
     }
@@ -116,7 +117,7 @@
         rep->metrics.adopted_peer.value++;
     }
     g_snprintf(version, sizeof(version), "%" G_GUINT64_FORMAT,
-               st->cfg->offset - 1);
+               st->cfg->next_offset - 1);
     Fw_Actions_Note(out, LOG_NOTICE, "config_adopted", "source", source,
                     "version", version, NULL);
     return 1;
@@ -132,31 +133,31 @@
     g_snprintf(offset_text, sizeof(offset_text), "%" G_GUINT64_FORMAT, offset);
     Fw_Actions_Note(out, severity, "config_change", "offset", offset_text,
                     "id", res->id, "who", res->author, "verdict",
-                    Fw_Change_VerdictName(res->verdict), "why", res->why.text,
-                    NULL);
+                    Fw_Change_VerdictName(res->verdict), "why",
+                    res->error.text, NULL);
 }
 
 /* Applies the records from the next offset on and skips older ones. */
 static void
-apply_records(struct fw_fold *rep, const struct fw_log_records *r,
+apply_records(struct fw_config_replica *rep, const struct fw_log_records *r,
               struct fw_actions *out)
 {
     for (int i = 0; i < r->n; i++) {
         struct fw_change_result res;
         uint64_t offset = r->first + (uint64_t)i;
 
-        if (offset != rep->state->cfg->offset) {
+        if (offset != rep->state->cfg->next_offset) {
             continue;
         }
-        Fw_State_Apply(rep->state, r->records[i], &res);
+        Fw_ConfigState_Apply(rep->state, r->records[i], &res);
         rep->metrics.verdicts[res.verdict].value++;
         log_result(offset, &res, out);
     }
-    rep->metrics.offset.value = (int64_t)rep->state->cfg->offset - 1;
+    rep->metrics.offset.value = (int64_t)rep->state->cfg->next_offset - 1;
 }
 
 void
-Fw_ConfigReplica_BackOff(struct fw_fold *rep, int64_t now_us)
+Fw_ConfigReplica_BackOff(struct fw_config_replica *rep, int64_t now_us)
 {
     /* Jitter, so that instances don't retry all at once. */
     rep->read_due_us =
@@ -166,7 +167,7 @@
 }
 
 static void
-read_failed(struct fw_fold *rep, int64_t now_us)
+read_failed(struct fw_config_replica *rep, int64_t now_us)
 {
     rep->metrics.read_failures.value++;
     Fw_ConfigReplica_BackOff(rep, now_us);
@@ -177,8 +178,8 @@
  * kept until a snapshot or a peer provides a newer one.
  */
 static void
-enter_gap(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
-          struct fw_actions *out)
+enter_gap(struct fw_config_replica *rep, const struct fw_log_records *r,
+          int64_t now_us, struct fw_actions *out)
 {
     if (!rep->gap) {
         Fw_Actions_Note(out, LOG_ERR, "config_gap", NULL);
@@ -191,10 +192,10 @@
 }
 
 static void
-follow_log(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
-           struct fw_actions *out)
+follow_log(struct fw_config_replica *rep, const struct fw_log_records *r,
+           int64_t now_us, struct fw_actions *out)
 {
-    uint64_t next = rep->state->cfg->offset;
+    uint64_t next = rep->state->cfg->next_offset;
 
     if (MAX(r->first, r->oldest) > next && r->end > next) {
         enter_gap(rep, r, now_us, out);
@@ -206,14 +207,14 @@
     rep->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
     rep->read_due_us = now_us;
     apply_records(rep, r, out);
-    if (rep->state->cfg->offset >= r->end) {
+    if (rep->state->cfg->next_offset >= r->end) {
         rep->ready = 1;
     }
 }
 
 static void
-on_read(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us,
-        struct fw_actions *out)
+on_read(struct fw_config_replica *rep, const struct fw_log_records *r,
+        int64_t now_us, struct fw_actions *out)
 {
     rep->read_ticket = 0;
     if (r->err) {
@@ -229,8 +230,9 @@
 }
 
 void
-Fw_Fold_OnRecords(struct fw_fold *rep, const struct fw_log_records *r,
-                  int64_t now_us, struct fw_actions *out)
+Fw_ConfigReplica_OnRecords(struct fw_config_replica *rep,
+                           const struct fw_log_records *r, int64_t now_us,
+                           struct fw_actions *out)
 {
     if (rep->read_ticket && r->ticket == rep->read_ticket) {
         on_read(rep, r, now_us, out);
@@ -238,21 +240,23 @@
     else if (rep->writer.ticket && r->ticket == rep->writer.ticket) {
         Fw_ConfigReplica_OnWriterRecords(rep, r, now_us);
     }
-    Fw_Fold_Tick(rep, now_us, out);
+    Fw_ConfigReplica_Tick(rep, now_us, out);
 }
 
 void
-Fw_Fold_OnAppended(struct fw_fold *rep, const struct fw_log_appended *a,
-                   int64_t now_us, struct fw_actions *out)
+Fw_ConfigReplica_OnAppended(struct fw_config_replica *rep,
+                            const struct fw_log_appended *a, int64_t now_us,
+                            struct fw_actions *out)
 {
     if (rep->writer.ticket && a->ticket == rep->writer.ticket) {
         Fw_ConfigReplica_OnWriterAppended(rep, a, now_us);
     }
-    Fw_Fold_Tick(rep, now_us, out);
+    Fw_ConfigReplica_Tick(rep, now_us, out);
 }
 
 static void
-send_read(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+send_read(struct fw_config_replica *rep, int64_t now_us,
+          struct fw_actions *out)
 {
     rep->read_ticket = Fw_ConfigReplica_NewTicket(rep);
     rep->read_sent_us = now_us;
@@ -261,12 +265,13 @@
         return;
     }
     Fw_Actions_Read(out, rep->read_ticket, FW_STREAM_CONFIG,
-                    rep->state->cfg->offset, FW_REPLICA_READ_RECORDS_MAX,
+                    rep->state->cfg->next_offset, FW_REPLICA_READ_RECORDS_MAX,
                     FW_REPLICA_READ_WAIT_US);
 }
 
 void
-Fw_Fold_Tick(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+Fw_ConfigReplica_Tick(struct fw_config_replica *rep, int64_t now_us,
+                      struct fw_actions *out)
 {
     if (rep->read_ticket &&
         now_us >= rep->read_sent_us + FW_REPLICA_READ_TIMEOUT_US) {
--- a/src/config/fold_internal.h
+++ b/src/config/replica_internal.h
@@ -1,8 +1,8 @@
 /* Internal interface of the configuration replica. */
-#ifndef FW_CONFIG_FOLD_INTERNAL_H
-#define FW_CONFIG_FOLD_INTERNAL_H
+#ifndef FW_CONFIG_REPLICA_INTERNAL_H
+#define FW_CONFIG_REPLICA_INTERNAL_H
 
-#include "config/fold.h"
+#include "config/replica.h"
 #include "config/snapshot.h"
 
 /* How long the log holds a read while there is no new record. */
@@ -82,9 +82,9 @@
     uint64_t next_offset;
     uint64_t window_start;
     uint64_t window_records;
-    struct fw_state *newest;
+    struct fw_config_state *newest;
     uint64_t newest_first;
-    struct fw_snap_collector assembler;
+    struct fw_snapshot_assembler assembler;
 };
 
 /**
@@ -116,7 +116,7 @@
     uint64_t tail_offset;
     uint64_t ticket;
     int64_t sent_us;
-    struct fw_snap_text *snapshot;
+    struct fw_snapshot *snapshot;
     unsigned next_part;
     int64_t append_due_us;
     int64_t begin_due_us;
@@ -144,8 +144,8 @@
     unsigned next_part;
     int64_t request_sent_us;
     int retries;
-    struct fw_snap_collector assembler;
-    struct fw_snap_text *served;
+    struct fw_snapshot_assembler assembler;
+    struct fw_snapshot *served;
     int served_restarts;
     int64_t served_until_us;
 };
@@ -164,10 +164,10 @@
  * @oldest_offset: oldest record that the configuration log still has
  * @gap: nonzero while the log lacks the next record, which has expired
  */
-struct fw_fold {
+struct fw_config_replica {
     char instance[FW_NAME_MAX];
     GRand *rand;
-    struct fw_state *state;
+    struct fw_config_state *state;
     int ready;
     enum fw_replica_phase phase;
     uint64_t seq;
@@ -186,7 +186,7 @@
 
 /* Returns a new ticket for a read or an append. */
 uint64_t
-Fw_ConfigReplica_NewTicket(struct fw_fold *rep);
+Fw_ConfigReplica_NewTicket(struct fw_config_replica *rep);
 /**
  * Fw_ConfigReplica_StepSnapshot - writes the next rows of a snapshot.
  * @snapshot: the snapshot; one is begun if it points to NULL, and begun anew
@@ -197,12 +197,12 @@
  * Return: nonzero when the snapshot is complete.
  */
 int
-Fw_ConfigReplica_StepSnapshot(struct fw_fold *rep,
-                              struct fw_snap_text **snapshot, char prefix,
+Fw_ConfigReplica_StepSnapshot(struct fw_config_replica *rep,
+                              struct fw_snapshot **snapshot, char prefix,
                               int *restarts);
 /* Delays the next read, exponentially with each failure. */
 void
-Fw_ConfigReplica_BackOff(struct fw_fold *rep, int64_t now_us);
+Fw_ConfigReplica_BackOff(struct fw_config_replica *rep, int64_t now_us);
 /**
  * Fw_ConfigReplica_Install - replaces the state by @state if that is newer.
  * @state: new state, freed if it is not newer
@@ -211,37 +211,39 @@
  * Return: nonzero if @state was installed.
  */
 int
-Fw_ConfigReplica_Install(struct fw_fold *rep, struct fw_state *state,
-                         const char *source, struct fw_actions *out);
+Fw_ConfigReplica_Install(struct fw_config_replica *rep,
+                         struct fw_config_state *state, const char *source,
+                         struct fw_actions *out);
 
 /* replica_search.c */
 void
-Fw_ConfigReplica_StartSearch(struct fw_fold *rep);
+Fw_ConfigReplica_StartSearch(struct fw_config_replica *rep);
 void
-Fw_ConfigReplica_SendSearchRead(struct fw_fold *rep, struct fw_actions *out);
+Fw_ConfigReplica_SendSearchRead(struct fw_config_replica *rep,
+                                struct fw_actions *out);
 void
-Fw_ConfigReplica_OnSearchRecords(struct fw_fold *rep,
+Fw_ConfigReplica_OnSearchRecords(struct fw_config_replica *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us, struct fw_actions *out);
 
 /* replica_snapshot.c */
 void
-Fw_ConfigReplica_TickWriter(struct fw_fold *rep, int64_t now_us,
+Fw_ConfigReplica_TickWriter(struct fw_config_replica *rep, int64_t now_us,
                             struct fw_actions *out);
 void
-Fw_ConfigReplica_OnWriterRecords(struct fw_fold *rep,
+Fw_ConfigReplica_OnWriterRecords(struct fw_config_replica *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us);
 void
-Fw_ConfigReplica_OnWriterAppended(struct fw_fold *rep,
+Fw_ConfigReplica_OnWriterAppended(struct fw_config_replica *rep,
                                   const struct fw_log_appended *a,
                                   int64_t now_us);
 
 /* replica_peer.c */
 void
-Fw_ConfigReplica_TickPeer(struct fw_fold *rep, int64_t now_us,
+Fw_ConfigReplica_TickPeer(struct fw_config_replica *rep, int64_t now_us,
                           struct fw_actions *out);
 void
-Fw_ConfigReplica_ResetPeer(struct fw_fold *rep);
+Fw_ConfigReplica_ResetPeer(struct fw_config_replica *rep);
 
 #endif
--- a/src/config/fold_peer.c
+++ b/src/config/replica_peer.c
@@ -9,10 +9,10 @@
 #include <errno.h>
 #include <string.h>
 
-#include "config/fold_internal.h"
+#include "config/replica_internal.h"
 
 int
-Fw_Fold_WantsPeer(const struct fw_fold *rep, int64_t now_us)
+Fw_ConfigReplica_NeedsPeer(const struct fw_config_replica *rep, int64_t now_us)
 {
     int64_t pause = rep->ready && !rep->gap ? FW_PEER_READY_INTERVAL_US
                                             : FW_PEER_RESEND_INTERVAL_US;
@@ -20,12 +20,12 @@
     if (rep->peer.name[0] || now_us < rep->peer.request_sent_us + pause) {
         return 0;
     }
-    return rep->gap ||
-           Fw_Fold_StaleUs(rep, now_us) >= FW_PEER_REQUEST_STALENESS_US;
+    return rep->gap || Fw_ConfigReplica_StalenessUs(rep, now_us) >=
+                           FW_PEER_REQUEST_STALENESS_US;
 }
 
 void
-Fw_ConfigReplica_ResetPeer(struct fw_fold *rep)
+Fw_ConfigReplica_ResetPeer(struct fw_config_replica *rep)
 {
     struct fw_replica_peer *p = &rep->peer;
 
@@ -38,13 +38,14 @@
 }
 
 static void
-send_request(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+send_request(struct fw_config_replica *rep, int64_t now_us,
+             struct fw_actions *out)
 {
     struct fw_replica_peer *p = &rep->peer;
     struct fw_msg msg = {.area = FW_AREA_CONFIG};
 
     msg.u.config.kind = FW_CONFIG_MSG_PART_REQUEST;
-    msg.u.config.u.request.next_offset = rep->state->cfg->offset;
+    msg.u.config.u.request.next_offset = rep->state->cfg->next_offset;
     msg.u.config.u.request.part = p->next_part;
     g_strlcpy(msg.u.config.u.request.snapshot_id, p->snapshot_id,
               sizeof(msg.u.config.u.request.snapshot_id));
@@ -54,12 +55,13 @@
 }
 
 void
-Fw_Fold_AskPeer(struct fw_fold *rep, const char *peer, const char *addr,
-                int64_t now_us, struct fw_actions *out)
+Fw_ConfigReplica_RequestFromPeer(struct fw_config_replica *rep,
+                                 const char *peer, const char *addr,
+                                 int64_t now_us, struct fw_actions *out)
 {
     struct fw_replica_peer *p = &rep->peer;
 
-    if (!Fw_Fold_WantsPeer(rep, now_us)) {
+    if (!Fw_ConfigReplica_NeedsPeer(rep, now_us)) {
         return;
     }
     Fw_ConfigReplica_ResetPeer(rep);
@@ -69,13 +71,13 @@
 }
 
 void
-Fw_ConfigReplica_TickPeer(struct fw_fold *rep, int64_t now_us,
+Fw_ConfigReplica_TickPeer(struct fw_config_replica *rep, int64_t now_us,
                           struct fw_actions *out)
 {
     struct fw_replica_peer *p = &rep->peer;
 
     if (p->served && now_us >= p->served_until_us) {
-        Fw_Snap_FreeText(p->served);
+        Fw_Snapshot_Free(p->served);
         p->served = NULL;
     }
     if (p->served && p->served->writer) {
@@ -98,7 +100,7 @@
 }
 
 static void
-serve_part(struct fw_fold *rep, const char *from, const char *addr,
+serve_part(struct fw_config_replica *rep, const char *from, const char *addr,
            const struct fw_config_part_request *req, int64_t now_us,
            struct fw_actions *out)
 {
@@ -106,13 +108,13 @@
     struct fw_msg msg = {.area = FW_AREA_CONFIG};
     unsigned k = req->part;
 
-    if (rep->state->cfg->offset <= req->next_offset) {
+    if (rep->state->cfg->next_offset <= req->next_offset) {
         msg.u.config.kind = FW_CONFIG_MSG_UP_TO_DATE;
         Fw_Actions_Send(out, from, addr, &msg);
         return;
     }
     if (!p->served || p->served->header.offset <= req->next_offset) {
-        Fw_Snap_FreeText(p->served);
+        Fw_Snapshot_Free(p->served);
         p->served = NULL;
         p->served_restarts = 0;
         Fw_ConfigReplica_StepSnapshot(rep, &p->served, 'p',
@@ -131,28 +133,28 @@
     if (k >= p->served->parts->len) {
         return;
     }
-    msg.u.config.kind = FW_CONFIG_PART;
+    msg.u.config.kind = FW_CONFIG_MSG_PART;
     msg.u.config.u.part = g_strdup(g_ptr_array_index(p->served->parts, k));
     Fw_Actions_Send(out, from, addr, &msg);
 }
 
 static void
-receive_part(struct fw_fold *rep, const char *from, const char *part,
+receive_part(struct fw_config_replica *rep, const char *from, const char *part,
              int64_t now_us, struct fw_actions *out)
 {
     struct fw_replica_peer *p = &rep->peer;
     struct fw_snapshot_header header;
-    struct fw_state *st = NULL;
+    struct fw_config_state *st = NULL;
     int rc;
 
     if (strcmp(p->name, from) != 0 || Fw_Snapshot_ParseHeader(part, &header) ||
-        header.offset <= rep->state->cfg->offset) {
+        header.offset <= rep->state->cfg->next_offset) {
         return;
     }
     if (strcmp(p->snapshot_id, header.id) != 0) {
         Fw_Snapshot_Reset(&p->assembler);
     }
-    rc = Fw_Snap_Feed(&p->assembler, part, &st, &p->next_part);
+    rc = Fw_Snapshot_Feed(&p->assembler, part, &st, &p->next_part);
     if (rc < 0) {
         rep->metrics.snap_refused.value++;
         Fw_ConfigReplica_ResetPeer(rep);
@@ -171,9 +173,9 @@
 }
 
 void
-Fw_Fold_OnMsg(struct fw_fold *rep, const char *from, const char *addr,
-              const struct fw_config_msg *msg, int64_t now_us,
-              struct fw_actions *out)
+Fw_ConfigReplica_OnMsg(struct fw_config_replica *rep, const char *from,
+                       const char *addr, const struct fw_config_msg *msg,
+                       int64_t now_us, struct fw_actions *out)
 {
     switch (msg->kind) {
     case FW_CONFIG_MSG_UP_TO_DATE:
@@ -184,7 +186,7 @@
     case FW_CONFIG_MSG_PART_REQUEST:
         serve_part(rep, from, addr, &msg->u.request, now_us, out);
         break;
-    case FW_CONFIG_PART:
+    case FW_CONFIG_MSG_PART:
         receive_part(rep, from, msg->u.part, now_us, out);
         break;
     }
--- a/src/config/fold_find.c
+++ b/src/config/replica_search.c
@@ -8,22 +8,23 @@
 #include <errno.h>
 #include <syslog.h>
 
-#include "config/fold_internal.h"
+#include "config/replica_internal.h"
 
 void
-Fw_ConfigReplica_StartSearch(struct fw_fold *rep)
+Fw_ConfigReplica_StartSearch(struct fw_config_replica *rep)
 {
     struct fw_replica_search *s = &rep->search;
 
     rep->phase = FW_REPLICA_READ_BOUNDS;
     Fw_Snapshot_Reset(&s->assembler);
-    Fw_State_Free(s->newest);
+    Fw_ConfigState_Free(s->newest);
     s->newest = NULL;
     s->window_records = FW_SEARCH_WINDOW_RECORDS;
 }
 
 void
-Fw_ConfigReplica_SendSearchRead(struct fw_fold *rep, struct fw_actions *out)
+Fw_ConfigReplica_SendSearchRead(struct fw_config_replica *rep,
+                                struct fw_actions *out)
 {
     uint64_t from =
         rep->phase == FW_REPLICA_READ_BOUNDS ? 1 : rep->search.next_offset;
@@ -45,15 +46,15 @@
 }
 
 static void
-read_parts(struct fw_fold *rep, const struct fw_log_records *r,
+read_parts(struct fw_config_replica *rep, const struct fw_log_records *r,
            struct fw_actions *out)
 {
     struct fw_replica_search *s = &rep->search;
 
     for (int i = 0; i < r->n; i++) {
-        struct fw_state *st = NULL;
+        struct fw_config_state *st = NULL;
         struct fw_snapshot_header header;
-        int rc = Fw_Snap_Feed(&s->assembler, r->records[i], &st, NULL);
+        int rc = Fw_Snapshot_Feed(&s->assembler, r->records[i], &st, NULL);
 
         if (rc == -EBADMSG && r->first + (uint64_t)i != s->window_start) {
             rep->metrics.snap_refused.value++;
@@ -62,11 +63,11 @@
         if (rc != 1) {
             continue;
         }
-        if (s->newest && s->newest->cfg->offset >= st->cfg->offset) {
-            Fw_State_Free(st);
+        if (s->newest && s->newest->cfg->next_offset >= st->cfg->next_offset) {
+            Fw_ConfigState_Free(st);
             continue;
         }
-        Fw_State_Free(s->newest);
+        Fw_ConfigState_Free(s->newest);
         s->newest = st;
         Fw_Snapshot_ParseHeader(r->records[i], &header);
         s->newest_first = r->first + (uint64_t)i + 1 - header.n_parts;
@@ -74,11 +75,12 @@
 }
 
 static void
-install_newest(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+install_newest(struct fw_config_replica *rep, int64_t now_us,
+               struct fw_actions *out)
 {
     struct fw_replica_search *s = &rep->search;
 
-    rep->writer.newest = s->newest->cfg->offset;
+    rep->writer.newest = s->newest->cfg->next_offset;
     rep->writer.newest_us = now_us;
     rep->writer.newest_first = s->newest_first;
     Fw_ConfigReplica_Install(rep, s->newest, "log", out);
@@ -88,7 +90,8 @@
 }
 
 static void
-end_window(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+end_window(struct fw_config_replica *rep, int64_t now_us,
+           struct fw_actions *out)
 {
     struct fw_replica_search *s = &rep->search;
 
@@ -105,7 +108,7 @@
 }
 
 void
-Fw_ConfigReplica_OnSearchRecords(struct fw_fold *rep,
+Fw_ConfigReplica_OnSearchRecords(struct fw_config_replica *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us, struct fw_actions *out)
 {
--- a/src/config/fold_write.c
+++ b/src/config/replica_snapshot.c
@@ -8,10 +8,10 @@
 #include <string.h>
 #include <syslog.h>
 
-#include "config/fold_internal.h"
+#include "config/replica_internal.h"
 
 void
-Fw_Fold_SetWriter(struct fw_fold *rep, int writer)
+Fw_ConfigReplica_SetSnapshotWriter(struct fw_config_replica *rep, int writer)
 {
     struct fw_replica_writer *w = &rep->writer;
 
@@ -24,7 +24,7 @@
     w->tail_offset = 0;
     w->incomplete_end = 0;
     w->begin_due_us = 0;
-    Fw_Snap_FreeText(w->snapshot);
+    Fw_Snapshot_Free(w->snapshot);
     w->snapshot = NULL;
 }
 
@@ -37,10 +37,10 @@
  *   so that none expires before it is part of a snapshot.
  */
 static int
-snapshot_is_due(const struct fw_fold *rep, int64_t now_us)
+snapshot_is_due(const struct fw_config_replica *rep, int64_t now_us)
 {
     const struct fw_replica_writer *w = &rep->writer;
-    uint64_t offset = rep->state->cfg->offset;
+    uint64_t offset = rep->state->cfg->next_offset;
     uint64_t kept =
         offset > rep->oldest_offset ? offset - rep->oldest_offset : 0;
 
@@ -55,8 +55,8 @@
 }
 
 int
-Fw_ConfigReplica_StepSnapshot(struct fw_fold *rep,
-                              struct fw_snap_text **snapshot, char prefix,
+Fw_ConfigReplica_StepSnapshot(struct fw_config_replica *rep,
+                              struct fw_snapshot **snapshot, char prefix,
                               int *restarts)
 {
     unsigned rows = *restarts < FW_SNAPSHOT_RESTARTS_MAX
@@ -70,10 +70,10 @@
         return rc;
     }
     *restarts += *snapshot != NULL;
-    Fw_Snap_FreeText(*snapshot);
+    Fw_Snapshot_Free(*snapshot);
     /* The random part makes ids unique across writers and restarts. */
     g_snprintf(id, sizeof(id), "%c-%" G_GUINT64_FORMAT "-%08x%08x", prefix,
-               rep->state->cfg->offset, g_rand_int(rep->rand),
+               rep->state->cfg->next_offset, g_rand_int(rep->rand),
                g_rand_int(rep->rand));
     *snapshot = Fw_Snapshot_Begin(rep->state, id);
     return Fw_Snapshot_Step(*snapshot, rep->state, rows);
@@ -85,7 +85,7 @@
  * of them writes it.
  */
 static void
-delay_or_begin(struct fw_fold *rep, int64_t now_us)
+delay_or_begin(struct fw_config_replica *rep, int64_t now_us)
 {
     struct fw_replica_writer *w = &rep->writer;
 
@@ -106,7 +106,8 @@
 }
 
 static void
-append_parts(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+append_parts(struct fw_config_replica *rep, int64_t now_us,
+             struct fw_actions *out)
 {
     struct fw_replica_writer *w = &rep->writer;
     unsigned n = MIN(FW_SNAPSHOT_APPEND_PARTS_MAX,
@@ -121,7 +122,8 @@
 }
 
 static void
-read_tail(struct fw_fold *rep, int64_t now_us, struct fw_actions *out)
+read_tail(struct fw_config_replica *rep, int64_t now_us,
+          struct fw_actions *out)
 {
     struct fw_replica_writer *w = &rep->writer;
 
@@ -132,7 +134,7 @@
 }
 
 void
-Fw_ConfigReplica_TickWriter(struct fw_fold *rep, int64_t now_us,
+Fw_ConfigReplica_TickWriter(struct fw_config_replica *rep, int64_t now_us,
                             struct fw_actions *out)
 {
     struct fw_replica_writer *w = &rep->writer;
@@ -175,7 +177,8 @@
 
 /* Evaluates the last record of the stream: does it complete a snapshot? */
 static void
-check_tail(struct fw_fold *rep, const struct fw_log_records *r, int64_t now_us)
+check_tail(struct fw_config_replica *rep, const struct fw_log_records *r,
+           int64_t now_us)
 {
     struct fw_replica_writer *w = &rep->writer;
     struct fw_snapshot_header header;
@@ -205,7 +208,7 @@
 }
 
 void
-Fw_ConfigReplica_OnWriterRecords(struct fw_fold *rep,
+Fw_ConfigReplica_OnWriterRecords(struct fw_config_replica *rep,
                                  const struct fw_log_records *r,
                                  int64_t now_us)
 {
@@ -232,7 +235,7 @@
 }
 
 void
-Fw_ConfigReplica_OnWriterAppended(struct fw_fold *rep,
+Fw_ConfigReplica_OnWriterAppended(struct fw_config_replica *rep,
                                   const struct fw_log_appended *a,
                                   int64_t now_us)
 {
@@ -258,6 +261,6 @@
     w->newest = w->snapshot->header.offset;
     w->newest_us = now_us;
     rep->metrics.snap_written.value++;
-    Fw_Snap_FreeText(w->snapshot);
+    Fw_Snapshot_Free(w->snapshot);
     w->snapshot = NULL;
 }
--- a/src/config/snap_read.c
+++ b/src/config/snap_read.c
@@ -10,7 +10,7 @@
 static int
 parse_header_fields(JsonObject *obj, struct fw_snapshot_header *header)
 {
-    struct fw_why err;
+    struct fw_config_error err;
     struct fw_field_reader r = {.obj = obj, .err = &err, .where = "snapshot"};
     int64_t v;
     int64_t offset;
@@ -53,12 +53,12 @@
 static void
 drop_assembly(struct fw_snapshot_assembly *s)
 {
-    Fw_State_Free(s->st);
+    Fw_ConfigState_Free(s->st);
     *s = (struct fw_snapshot_assembly){.st = NULL};
 }
 
 void
-Fw_Snapshot_Reset(struct fw_snap_collector *a)
+Fw_Snapshot_Reset(struct fw_snapshot_assembler *a)
 {
     for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
         drop_assembly(&a->assemblies[i]);
@@ -71,7 +71,7 @@
  * part of an unknown snapshot.
  */
 static struct fw_snapshot_assembly *
-find_assembly(struct fw_snap_collector *a,
+find_assembly(struct fw_snapshot_assembler *a,
               const struct fw_snapshot_header *header)
 {
     struct fw_snapshot_assembly *pick = &a->assemblies[0];
@@ -92,12 +92,12 @@
     drop_assembly(pick);
     pick->header = *header;
     pick->hash = header->offset;
-    pick->st = Fw_State_New();
+    pick->st = Fw_ConfigState_New();
     return pick;
 }
 
 static int
-read_outcome(struct fw_state *st, const struct fw_field_reader *r)
+read_outcome(struct fw_config_state *st, const struct fw_field_reader *r)
 {
     char id[FW_CHANGE_ID_MAX];
     int64_t offset;
@@ -114,7 +114,7 @@
 }
 
 static int
-read_audit(struct fw_state *st, const struct fw_field_reader *r)
+read_audit(struct fw_config_state *st, const struct fw_field_reader *r)
 {
     JsonNode *value = json_object_get_member(r->obj, "value");
     char who[FW_NAME_MAX];
@@ -131,9 +131,9 @@
 }
 
 static int
-read_row(struct fw_state *st, const char *row, size_t len)
+read_row(struct fw_config_state *st, const char *row, size_t len)
 {
-    struct fw_why err;
+    struct fw_config_error err;
     struct fw_item item = {.kind = FW_ITEM_TEAM};
     struct fw_field_reader r = {.err = &err, .where = "snapshot"};
     JsonParser *parser = Fw_Json_LoadObject(row, len, &r.obj);
@@ -156,7 +156,7 @@
     else {
         rc = Fw_Item_Parse(r.obj, &item, &err);
         if (rc == 0 && !item.removed) {
-            Fw_Config_Put(st->cfg, &item, item.was);
+            Fw_Config_PutItem(st->cfg, &item, item.expected_version);
         }
         Fw_Item_Clear(&item);
     }
@@ -165,7 +165,7 @@
 }
 
 static int
-read_rows(struct fw_state *st, const char *body)
+read_rows(struct fw_config_state *st, const char *body)
 {
     while (*body) {
         const char *end = strchr(body, '\n');
@@ -209,8 +209,8 @@
 }
 
 int
-Fw_Snap_Feed(struct fw_snap_collector *a, const char *part,
-             struct fw_state **st, unsigned *next_part)
+Fw_Snapshot_Feed(struct fw_snapshot_assembler *a, const char *part,
+                 struct fw_config_state **st, unsigned *next_part)
 {
     struct fw_snapshot_header header;
     struct fw_snapshot_assembly *s;
@@ -230,7 +230,7 @@
     }
     if (rc == 1) {
         *st = s->st;
-        (*st)->cfg->offset = s->header.offset;
+        (*st)->cfg->next_offset = s->header.offset;
         s->st = NULL;
     }
     if (rc != 0) {
--- a/src/config/snap_write.c
+++ b/src/config/snap_write.c
@@ -83,12 +83,12 @@
 }
 
 static int
-add_outcome_row(struct fw_snapshot_writer *w, const struct fw_state *st)
+add_outcome_row(struct fw_snapshot_writer *w, const struct fw_config_state *st)
 {
     unsigned first =
         (st->next_outcome + FW_CHANGE_OUTCOMES_MAX - st->n_outcomes) %
         FW_CHANGE_OUTCOMES_MAX;
-    const struct fw_seen *s;
+    const struct fw_change_outcome *s;
     char verdict[8];
     char *id;
 
@@ -109,19 +109,19 @@
     const struct fw_audit_entry *e;
 
     if (!w->next_entry) {
-        w->next_entry = audit->all.next;
+        w->next_entry = audit->entries.next;
     }
-    if (w->next_entry == &audit->all) {
+    if (w->next_entry == &audit->entries) {
         return 0;
     }
     e = FW_LIST_ENTRY(w->next_entry, struct fw_audit_entry, link);
-    add_row(w, "audit", e->who, e->offset, e->text);
+    add_row(w, "audit", e->author, e->offset, e->text);
     w->next_entry = w->next_entry->next;
     return 1;
 }
 
 static int
-add_next_row(struct fw_snapshot_writer *w, const struct fw_state *st)
+add_next_row(struct fw_snapshot_writer *w, const struct fw_config_state *st)
 {
     while (w->kind < FW_ITEM_KINDS) {
         if (add_item_row(w, st->cfg)) {
@@ -149,7 +149,7 @@
 
 /* Headers contain the number of parts and the hash, which are known last. */
 static void
-add_headers(struct fw_snap_text *snap, struct fw_snapshot_writer *w)
+add_headers(struct fw_snapshot *snap, struct fw_snapshot_writer *w)
 {
     snap->header.n_parts = w->bodies->len;
     snap->header.hash = w->hash;
@@ -170,7 +170,7 @@
 }
 
 static void
-finish_snapshot(struct fw_snap_text *snap)
+finish_snapshot(struct fw_snapshot *snap)
 {
     struct fw_snapshot_writer *w = snap->writer;
 
@@ -185,30 +185,30 @@
     snap->writer = NULL;
 }
 
-struct fw_snap_text *
-Fw_Snapshot_Begin(const struct fw_state *st, const char *id)
+struct fw_snapshot *
+Fw_Snapshot_Begin(const struct fw_config_state *st, const char *id)
 {
-    struct fw_snap_text *snap = g_new0(struct fw_snap_text, 1);
+    struct fw_snapshot *snap = g_new0(struct fw_snapshot, 1);
     struct fw_snapshot_writer *w = g_new0(struct fw_snapshot_writer, 1);
 
     g_strlcpy(snap->header.id, id, sizeof(snap->header.id));
-    snap->header.offset = st->cfg->offset;
+    snap->header.offset = st->cfg->next_offset;
     snap->parts = g_ptr_array_new_with_free_func(g_free);
     snap->writer = w;
     w->bodies = g_ptr_array_new();
     w->body = g_string_sized_new(FW_SNAPSHOT_PART_BYTES);
-    w->hash = st->cfg->offset;
+    w->hash = st->cfg->next_offset;
     return snap;
 }
 
 int
-Fw_Snapshot_Step(struct fw_snap_text *snap, const struct fw_state *st,
+Fw_Snapshot_Step(struct fw_snapshot *snap, const struct fw_config_state *st,
                  unsigned rows)
 {
     if (!snap->writer) {
         return 1;
     }
-    if (st->cfg->offset != snap->header.offset) {
+    if (st->cfg->next_offset != snap->header.offset) {
         return -ESTALE;
     }
     for (unsigned i = 0; i < rows; i++) {
@@ -220,17 +220,17 @@
     return 0;
 }
 
-struct fw_snap_text *
-Fw_Snap_Write(const struct fw_state *st, const char *id)
+struct fw_snapshot *
+Fw_Snapshot_Write(const struct fw_config_state *st, const char *id)
 {
-    struct fw_snap_text *snap = Fw_Snapshot_Begin(st, id);
+    struct fw_snapshot *snap = Fw_Snapshot_Begin(st, id);
 
     Fw_Snapshot_Step(snap, st, UINT_MAX);
     return snap;
 }
 
 void
-Fw_Snap_FreeText(struct fw_snap_text *snap)
+Fw_Snapshot_Free(struct fw_snapshot *snap)
 {
     if (!snap) {
         return;
--- a/src/config/snapshot.h
+++ b/src/config/snapshot.h
@@ -41,7 +41,7 @@
  * @bytes: size of all parts
  * @writer: NULL once the snapshot is complete
  */
-struct fw_snap_text {
+struct fw_snapshot {
     struct fw_snapshot_header header;
     GPtrArray *parts;
     size_t bytes;
@@ -53,8 +53,8 @@
  * teams and would stall the event loop, so Fw_Snapshot_Step writes a few rows
  * at a time.
  */
-struct fw_snap_text *
-Fw_Snapshot_Begin(const struct fw_state *st, const char *id);
+struct fw_snapshot *
+Fw_Snapshot_Begin(const struct fw_config_state *st, const char *id);
 /**
  * Fw_Snapshot_Step - writes up to @rows more rows.
  * @st: the state that was given to Fw_Snapshot_Begin
@@ -63,13 +63,13 @@
  * @st has changed since the snapshot was begun, which can't be completed then.
  */
 int
-Fw_Snapshot_Step(struct fw_snap_text *snap, const struct fw_state *st,
+Fw_Snapshot_Step(struct fw_snapshot *snap, const struct fw_config_state *st,
                  unsigned rows);
 /* Writes a complete snapshot at once. */
-struct fw_snap_text *
-Fw_Snap_Write(const struct fw_state *st, const char *id);
+struct fw_snapshot *
+Fw_Snapshot_Write(const struct fw_config_state *st, const char *id);
 void
-Fw_Snap_FreeText(struct fw_snap_text *snap);
+Fw_Snapshot_Free(struct fw_snapshot *snap);
 
 /* Parses the header line of a part. Returns 0 or -EBADMSG. */
 int
@@ -89,7 +89,7 @@
     struct fw_snapshot_header header;
     unsigned next_part;
     uint64_t hash;
-    struct fw_state *st;
+    struct fw_config_state *st;
     uint64_t last_feed;
 };
 
@@ -100,14 +100,14 @@
  * Two writers may append at the same time, so that parts of two snapshots
  * alternate; each snapshot has its own assembly. A zeroed struct is empty.
  */
-struct fw_snap_collector {
+struct fw_snapshot_assembler {
     struct fw_snapshot_assembly assemblies[FW_SNAPSHOT_ASSEMBLIES_MAX];
     uint64_t feeds;
 };
 
 /* Drops all incomplete snapshots. */
 void
-Fw_Snapshot_Reset(struct fw_snap_collector *a);
+Fw_Snapshot_Reset(struct fw_snapshot_assembler *a);
 /**
  * Fw_Snapshot_Feed - reads one part.
  * @st: set to the state when this part completes a snapshot; owned by the
@@ -120,7 +120,7 @@
  * when the part is invalid or out of order; its snapshot is dropped then.
  */
 int
-Fw_Snap_Feed(struct fw_snap_collector *a, const char *part,
-             struct fw_state **st, unsigned *next_part);
+Fw_Snapshot_Feed(struct fw_snapshot_assembler *a, const char *part,
+                 struct fw_config_state **st, unsigned *next_part);
 
 #endif
--- a/src/config/state.h
+++ b/src/config/state.h
@@ -40,7 +40,7 @@
 Fw_Change_VerdictName(enum fw_change_verdict v);
 
 /** struct fw_change_outcome - id and verdict of the first record with it. */
-struct fw_seen {
+struct fw_change_outcome {
     char id[FW_CHANGE_ID_MAX];
     uint64_t offset;
     enum fw_change_verdict verdict;
@@ -53,10 +53,10 @@
  * @next_outcome: index at which the next one is written
  * @outcomes_by_id: the same by id
  */
-struct fw_state {
+struct fw_config_state {
     struct fw_config *cfg;
     struct fw_audit audit;
-    struct fw_seen *outcomes;
+    struct fw_change_outcome *outcomes;
     unsigned n_outcomes;
     unsigned next_outcome;
     GHashTable *outcomes_by_id;
@@ -71,13 +71,13 @@
     char id[FW_CHANGE_ID_MAX];
     char author[FW_NAME_MAX];
     enum fw_change_verdict verdict;
-    struct fw_why why;
+    struct fw_config_error error;
 };
 
-struct fw_state *
-Fw_State_New(void);
+struct fw_config_state *
+Fw_ConfigState_New(void);
 void
-Fw_State_Free(struct fw_state *st);
+Fw_ConfigState_Free(struct fw_config_state *st);
 
 /**
  * Fw_ConfigState_Apply - applies the next record of the log.
@@ -86,20 +86,21 @@
  * Advances the offset by one also when the record is not accepted.
  */
 void
-Fw_State_Apply(struct fw_state *st, const char *text,
-               struct fw_change_result *res);
+Fw_ConfigState_Apply(struct fw_config_state *st, const char *text,
+                     struct fw_change_result *res);
 /* The verdict that @ch would get as the next record; changes nothing. */
 enum fw_change_verdict
-Fw_ConfigState_Evaluate(const struct fw_state *st, const struct fw_change *ch,
-                        struct fw_why *err);
+Fw_ConfigState_Evaluate(const struct fw_config_state *st,
+                        const struct fw_change *ch,
+                        struct fw_config_error *err);
 /* Stores the verdict on a change, overwriting the oldest when full. */
 void
-Fw_ConfigState_RecordOutcome(struct fw_state *st, const char *id,
+Fw_ConfigState_RecordOutcome(struct fw_config_state *st, const char *id,
                              uint64_t offset, enum fw_change_verdict verdict);
-const struct fw_seen *
-Fw_ConfigState_FindOutcome(const struct fw_state *st, const char *id);
+const struct fw_change_outcome *
+Fw_ConfigState_FindOutcome(const struct fw_config_state *st, const char *id);
 /* Digest of configuration, change ids and audit trail. */
 uint64_t
-Fw_State_Digest(const struct fw_state *st);
+Fw_ConfigState_Digest(const struct fw_config_state *st);
 
 #endif
--- a/src/config/value_parse.c
+++ b/src/config/value_parse.c
@@ -38,7 +38,7 @@
 }
 
 struct fw_team *
-Fw_Team_Parse(const char *name, JsonObject *value, struct fw_why *err)
+Fw_Team_Parse(const char *name, JsonObject *value, struct fw_config_error *err)
 {
     static const char *const known[] = {"rate", "burst", "priority", "models",
                                         NULL};
@@ -60,7 +60,7 @@
 }
 
 struct fw_key *
-Fw_Key_Parse(const char *name, JsonObject *value, struct fw_why *err)
+Fw_Key_Parse(const char *name, JsonObject *value, struct fw_config_error *err)
 {
     static const char *const known[] = {"team", "withdrawn", NULL};
     struct fw_field_reader r = {.obj = value, .err = err, .where = name};
@@ -103,7 +103,8 @@
 }
 
 struct fw_upstream *
-Fw_Upstream_Parse(const char *name, JsonObject *value, struct fw_why *err)
+Fw_Upstream_Parse(const char *name, JsonObject *value,
+                  struct fw_config_error *err)
 {
     static const char *const known[] = {
         "pool",  "url",          "domain",  "role",  "fencing",
@@ -138,7 +139,7 @@
         return NULL;
     }
     up->slots = (int)slots;
-    up->role = (enum fw_up_role)role;
+    up->role = (enum fw_upstream_role)role;
     up->fencing = (enum fw_fencing)fencing;
     return up;
 }
@@ -156,7 +157,7 @@
     n = arr ? json_array_get_length(arr) : 0;
     for (unsigned i = 0; i < n; i++) {
         struct fw_field_reader e = {.err = r->err, .where = r->where};
-        struct fw_serving *s = &pool->serves[pool->n_serves++];
+        struct fw_served_model *s = &pool->serves[pool->n_serves++];
 
         e.obj = Fw_Field_Element(r, arr, i, "serves");
         if (!e.obj || Fw_Field_RejectUnknown(&e, known) ||
@@ -170,7 +171,7 @@
 }
 
 struct fw_pool *
-Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_why *err)
+Fw_Pool_Parse(const char *name, JsonObject *value, struct fw_config_error *err)
 {
     static const char *const known[] = {"kv_bytes_per_token", "prefill_min",
                                         "decode_min", "serves", NULL};
@@ -195,7 +196,8 @@
 }
 
 struct fw_service *
-Fw_Service_Parse(const char *name, JsonObject *value, struct fw_why *err)
+Fw_Service_Parse(const char *name, JsonObject *value,
+                 struct fw_config_error *err)
 {
     static const char *const known[] = {"calls", NULL};
     static const char *const call[] = {"method", "path", "idempotent", NULL};
@@ -230,7 +232,8 @@
 }
 
 struct fw_operator *
-Fw_Operator_Parse(const char *name, JsonObject *value, struct fw_why *err)
+Fw_Operator_Parse(const char *name, JsonObject *value,
+                  struct fw_config_error *err)
 {
     static const char *const known[] = {"digest", "withdrawn", NULL};
     struct fw_field_reader r = {.obj = value, .err = err, .where = name};
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -145,7 +145,7 @@
     char *error = NULL;
     int err = 0;
 
-    if (Fw_Relayd_Load(path, &opts, &error)) {
+    if (Fw_Relayd_LoadSettings(path, &opts, &error)) {
         fprintf(stderr, "fuchsiawardd: %s\n", error);
         g_free(error);
         return EX_CONFIG;
@@ -157,11 +157,11 @@
     opts.relay.boot = (uint64_t)(g_get_real_time() / FW_MSEC);
     opts.relay.seed = g_random_int();
     Fw_Note_SetupBounded(opts.relay.name, STDOUT_FILENO,
-                         (size_t)opts.log_bytes);
+                         (size_t)opts.log_buffer_bytes);
     d = Fw_Relayd_New(&opts, path, &err);
     if (!d) {
-        Fw_Note_Log(LOG_ERR, "listen_failed", "callers", opts.callers, "error",
-                    g_strerror(-err), NULL);
+        Fw_Note_Log(LOG_ERR, "listen_failed", "callers", opts.callers_addr,
+                    "error", g_strerror(-err), NULL);
         return EX_UNAVAILABLE;
     }
     Fw_Relayd_Run(d);
--- a/src/idem/ask_cmd.c
+++ b/src/idem/claim_cmd.c
@@ -128,9 +128,9 @@
 }
 
 void
-Fw_Idem_Open(struct fw_idem *c, uint64_t ticket, const char *service,
-             const char *team, const char *idem_key, uint64_t body_hash,
-             int64_t now_us, struct fw_actions *out)
+Fw_Idem_Claim(struct fw_idem *c, uint64_t ticket, const char *service,
+              const char *team, const char *idem_key, uint64_t body_hash,
+              int64_t now_us, struct fw_actions *out)
 {
     struct fw_idem_call *k = g_new0(struct fw_idem_call, 1);
 
@@ -172,7 +172,7 @@
 }
 
 int
-Fw_Idem_MayRun(struct fw_idem *c, uint64_t ticket, int64_t now_us)
+Fw_Idem_BeginRun(struct fw_idem *c, uint64_t ticket, int64_t now_us)
 {
     struct fw_idem_call *k = find_ticket(c, ticket);
 
--- a/src/idem/decide_cmd.c
+++ b/src/idem/decide_cmd.c
@@ -81,7 +81,7 @@
     if (!Fw_Idem_IsFirstOwner(e, rq->rec.owner) &&
         !FW_FAULT("idem-no-order")) {
         if (rq->wait_until_us && now_us >= rq->wait_until_us) {
-            answer_result(c, rq, FW_IDEM_MAYBE, now_us, out);
+            answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
             return;
         }
         wait_for_outcome(
@@ -128,7 +128,7 @@
         fetch_outcome(c, p, rq, e->outcome_offset, now_us, out);
         break;
     case FW_IDEM_ST_UNKNOWN:
-        answer_result(c, rq, FW_IDEM_MAYBE, now_us, out);
+        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         break;
     }
 }
@@ -154,7 +154,7 @@
             Fw_Idem_Decide(c, p, rq, now_us, out);
         }
         else if (now_us >= rq->wait_until_us) {
-            answer_result(c, rq, FW_IDEM_MAYBE, now_us, out);
+            answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         }
         else {
             wait_for_outcome(p, rq, rq->wait_until_us, now_us, out);
@@ -174,7 +174,7 @@
     /* Another attempt with this key has begun and may have run. */
     if (e && e->state != FW_IDEM_ST_FREE &&
         !Fw_Idem_IsFirstOwner(e, rq->rec.owner)) {
-        answer_result(c, rq, FW_IDEM_MAYBE, now_us, out);
+        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         return;
     }
     reply.retry_after_us = Fw_Idem_RetryAfter(c, p, rq->op, now_us);
@@ -191,14 +191,14 @@
 
     (void)p;
     if (r->err || r->n < 1 || Fw_Idem_ParseRecord(r->records[0], &rec)) {
-        answer_result(c, rq, FW_IDEM_MAYBE, now_us, out);
+        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         return;
     }
     /* A read of a deleted record returns a later one. */
     if (rec.kind != FW_IDEM_REC_OUTCOME || rec.ran != FW_RAN_YES ||
         strcmp(rec.digest, rq->rec.digest) != 0) {
         Fw_Idem_ClearRecord(&rec);
-        answer_result(c, rq, FW_IDEM_MAYBE, now_us, out);
+        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         return;
     }
     reply.status = rec.status;
--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -168,7 +168,7 @@
     case FW_IDEM_OUTCOME:
         Fw_Idem_OnOutcome(c, from, &msg->u.outcome, now_us, out);
         break;
-    case FW_IDEM_FINISHED:
+    case FW_IDEM_OUTCOME_ACK:
         Fw_Idem_OnOutcomeAck(c, msg->u.outcome_ack);
         break;
     }
--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -44,9 +44,9 @@
 
 /* Claims the right to run a call; the answer comes by Fw_Idem_TakeAnswer. */
 void
-Fw_Idem_Open(struct fw_idem *c, uint64_t ticket, const char *service,
-             const char *team, const char *idem_key, uint64_t body_hash,
-             int64_t now_us, struct fw_actions *out);
+Fw_Idem_Claim(struct fw_idem *c, uint64_t ticket, const char *service,
+              const char *team, const char *idem_key, uint64_t body_hash,
+              int64_t now_us, struct fw_actions *out);
 /* Return: 1 when an answer was moved to @ans, 0 when there is none. */
 int
 Fw_Idem_TakeAnswer(struct fw_idem *c, struct fw_idem_answer *ans);
@@ -57,7 +57,7 @@
  * already used; -ESTALE when the grant has expired.
  */
 int
-Fw_Idem_MayRun(struct fw_idem *c, uint64_t ticket, int64_t now_us);
+Fw_Idem_BeginRun(struct fw_idem *c, uint64_t ticket, int64_t now_us);
 /**
  * Fw_Idem_Finish - ends a claim and records its outcome for later attempts.
  * @ran: FW_RAN_NO only when the send certainly never began
@@ -72,7 +72,7 @@
 /* Nonzero while an outcome of a call that ran or may have run, from this
  * instance or a peer, is not yet in the log. */
 int
-Fw_Idem_Busy(const struct fw_idem *c);
+Fw_Idem_HasPendingOutcomes(const struct fw_idem *c);
 
 void
 Fw_Idem_Tick(struct fw_idem *c, int64_t now_us, struct fw_actions *out);
--- a/src/idem/idem_msg.c
+++ b/src/idem/idem_msg.c
@@ -69,9 +69,9 @@
     case FW_IDEM_OUTCOME:
         pack_outcome(pk, &msg->u.outcome);
         break;
-    case FW_IDEM_FINISHED:
+    case FW_IDEM_OUTCOME_ACK:
         msgpack_pack_array(pk, 2);
-        msgpack_pack_int(pk, FW_IDEM_FINISHED);
+        msgpack_pack_int(pk, FW_IDEM_OUTCOME_ACK);
         msgpack_pack_uint64(pk, msg->u.outcome_ack);
         break;
     }
@@ -176,7 +176,7 @@
         return unpack_reply(obj, &msg->u.reply);
     case FW_IDEM_OUTCOME:
         return unpack_outcome(obj, &msg->u.outcome);
-    case FW_IDEM_FINISHED:
+    case FW_IDEM_OUTCOME_ACK:
         return Fw_Unpack_U64(obj, 1, &msg->u.outcome_ack);
     }
     return -EBADMSG;
@@ -193,7 +193,7 @@
         Fw_Idem_ClearRecord(&msg->u.outcome.rec);
         break;
     case FW_IDEM_CLAIM:
-    case FW_IDEM_FINISHED:
+    case FW_IDEM_OUTCOME_ACK:
         break;
     }
 }
--- a/src/idem/idem_msg.h
+++ b/src/idem/idem_msg.h
@@ -9,13 +9,13 @@
 
 /** enum fw_idem_result - answer to a claim; a wire value. */
 enum fw_idem_result {
-    FW_IDEM_RUN,         /* granted: send once, after Fw_Idem_BeginRun */
-    FW_IDEM_RECORDED,    /* ran before; the recorded outcome is attached */
-    FW_IDEM_MAYBE,       /* begun before, outcome unknown: must not run */
-    FW_IDEM_NOT_RUN,     /* no attempt has run; the claim may be retried */
-    FW_IDEM_MISMATCH,    /* key was used before with another body */
-    FW_IDEM_TOO_OLD,     /* records of the key may have been deleted */
-    FW_IDEM_UNAVAILABLE, /* the log can't be used; the call was not run */
+    FW_IDEM_RUN,             /* granted: send once, after Fw_Idem_BeginRun */
+    FW_IDEM_RECORDED,        /* ran before; the recorded outcome is attached */
+    FW_IDEM_OUTCOME_UNKNOWN, /* begun before, outcome unknown: must not run */
+    FW_IDEM_NOT_RUN,         /* no attempt has run; the claim may be retried */
+    FW_IDEM_MISMATCH,        /* key was used before with another body */
+    FW_IDEM_TOO_OLD,         /* records of the key may have been deleted */
+    FW_IDEM_UNAVAILABLE,     /* the log can't be used; the call was not run */
 };
 
 /** enum fw_idem_msg_kind - a wire value. */
@@ -23,7 +23,7 @@
     FW_IDEM_CLAIM = 1,   /* to the coordinator */
     FW_IDEM_CLAIM_REPLY, /* from the coordinator */
     FW_IDEM_OUTCOME,     /* to the coordinator, to be recorded */
-    FW_IDEM_FINISHED,    /* from the coordinator: the outcome is in the log */
+    FW_IDEM_OUTCOME_ACK, /* from the coordinator: the outcome is in the log */
 };
 
 /**
--- a/src/idem/idem_query.c
+++ b/src/idem/idem_query.c
@@ -32,7 +32,7 @@
 }
 
 int
-Fw_Idem_Busy(const struct fw_idem *c)
+Fw_Idem_HasPendingOutcomes(const struct fw_idem *c)
 {
     const struct fw_list *pos;
 
--- a/src/idem/part_read.c
+++ b/src/idem/partition_read.c
@@ -38,7 +38,7 @@
         return;
     }
     if (m) {
-        msg.u.idem.kind = FW_IDEM_FINISHED;
+        msg.u.idem.kind = FW_IDEM_OUTCOME_ACK;
         msg.u.idem.u.outcome_ack = rq->op;
         Fw_Actions_Send(out, m->name, m->addr, &msg);
     }
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -248,7 +248,7 @@
     }
     for (int i = 0; i < msg->n_entries; i++) {
         const struct fw_limit_entry *e = &msg->entries[i];
-        const struct fw_team *team = Fw_Config_Team(cfg, e->team);
+        const struct fw_team *team = Fw_Config_FindTeam(cfg, e->team);
         struct fw_team_share *s =
             team ? Fw_TeamShare_Get(l, team, now_us) : NULL;
         if (!s || s->partition != msg->partition) {
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -248,11 +248,11 @@
     GHashTableIter it;
     gpointer value;
 
-    if (l->cfg_applied && cfg->offset == l->cfg_offset) {
+    if (l->cfg_applied && cfg->next_offset == l->cfg_offset) {
         return;
     }
     l->cfg_applied = 1;
-    l->cfg_offset = cfg->offset;
+    l->cfg_offset = cfg->next_offset;
     g_hash_table_iter_init(&it, cfg->teams);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_team *team = value;
@@ -310,7 +310,7 @@
                const char *from, const struct fw_limit_msg *msg,
                int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_team *team = Fw_Config_Team(cfg, msg->team);
+    const struct fw_team *team = Fw_Config_FindTeam(cfg, msg->team);
 
     if (msg->partition >= l->n_partitions) {
         return; /* the peer is configured with more partitions */
--- a/src/node/node_internal.h
+++ b/src/node/node_internal.h
@@ -2,7 +2,7 @@
 #ifndef FW_NODE_INTERNAL_H
 #define FW_NODE_INTERNAL_H
 
-#include "config/fold.h"
+#include "config/replica.h"
 #include "fleet/fleet.h"
 #include "fleet/role.h"
 #include "idem/idem.h"
@@ -30,7 +30,7 @@
 struct fw_node {
     struct fw_node_opts opts;
     struct fw_metrics metrics;
-    struct fw_fold *fold;
+    struct fw_config_replica *fold;
     struct fw_fleet *fleet;
     struct fw_roles *roles;
     struct fw_limit *limit;
--- a/src/node/step.c
+++ b/src/node/step.c
@@ -28,7 +28,7 @@
         refuse(call, "draining", "this instance is stopping", out);
         return;
     }
-    if (!Fw_Fold_Ready(node->fold)) {
+    if (!Fw_ConfigReplica_IsReady(node->fold)) {
         refuse(call, "not_configured",
                "this instance has no configuration yet", out);
         return;
@@ -86,8 +86,8 @@
     case FW_AREA_CONFIG:
         m = Fw_Fleet_Find(node->fleet, peer->from);
         if (m) {
-            Fw_Fold_OnMsg(node->fold, peer->from, m->addr, &msg->u.config,
-                          now_us, out);
+            Fw_ConfigReplica_OnMsg(node->fold, peer->from, m->addr,
+                                   &msg->u.config, now_us, out);
         }
         break;
     }
@@ -115,7 +115,7 @@
 
     switch (Fw_Owner_Of(a->ticket)) {
     case FW_OWNER_CONFIG:
-        Fw_Fold_OnAppended(node->fold, a, now_us, out);
+        Fw_ConfigReplica_OnAppended(node->fold, a, now_us, out);
         break;
     case FW_OWNER_ROLES:
         Fw_Roles_OnAppended(node->roles, a, now_us, out);
@@ -137,7 +137,7 @@
 {
     switch (Fw_Owner_Of(r->ticket)) {
     case FW_OWNER_CONFIG:
-        Fw_Fold_OnRecords(node->fold, r, now_us, out);
+        Fw_ConfigReplica_OnRecords(node->fold, r, now_us, out);
         break;
     case FW_OWNER_ROLES:
         Fw_Roles_OnRecords(node->roles, r, now_us, out);
@@ -160,8 +160,8 @@
     struct fw_idem_answer idem;
     int more = 1;
 
-    if (Fw_Node_Config(node)->offset != node->checked_offset) {
-        node->checked_offset = Fw_Node_Config(node)->offset;
+    if (Fw_Node_Config(node)->next_offset != node->checked_offset) {
+        node->checked_offset = Fw_Node_Config(node)->next_offset;
         Fw_Requests_OnConfig(node->requests, now_us, out);
     }
     while (more) {
@@ -215,7 +215,7 @@
         Fw_Router_OnListed(node->router, &ev->u.listed, now_us);
         break;
     case FW_EV_OPERATOR:
-        Fw_Operate_Open(node->operate, &view, &ev->u.oper, now_us, out);
+        Fw_Operate_HandleCall(node->operate, &view, &ev->u.oper, now_us, out);
         break;
     case FW_EV_DRAIN:
         Fw_Node_Drain(node, now_us, out);
@@ -225,7 +225,7 @@
         break;
     }
     dispatch_answers(node, now_us, out);
-    Fw_Operate_AfterFold(node->operate, &view, now_us, out);
+    Fw_Operate_AnswerPending(node->operate, &view, now_us, out);
     Fw_Node_CheckDrained(node, now_us, out);
     node->open_metric.value = Fw_Requests_Count(node->requests);
     node->wake_us = MIN(node->wake_us, out->wake_us);
--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -47,7 +47,8 @@
 answer_if_decided(const struct fw_operate_view *view, uint64_t call,
                   const char *id, JsonNode *report, struct fw_actions *out)
 {
-    const struct fw_seen *seen = Fw_Fold_Seen(view->fold, id);
+    const struct fw_change_outcome *seen =
+        Fw_ConfigReplica_FindOutcome(view->fold, id);
 
     if (!seen) {
         return 0;
@@ -124,7 +125,7 @@
             remove_pending(op, p);
         }
     }
-    Fw_Operate_AfterFold(op, view, now_us, out);
+    Fw_Operate_AnswerPending(op, view, now_us, out);
 }
 
 /*
@@ -134,8 +135,9 @@
  * would make the operator retry with a new id and overwrite later changes.
  */
 void
-Fw_Operate_AfterFold(struct fw_operate *op, const struct fw_operate_view *view,
-                     int64_t now_us, struct fw_actions *out)
+Fw_Operate_AnswerPending(struct fw_operate *op,
+                         const struct fw_operate_view *view, int64_t now_us,
+                         struct fw_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -193,7 +195,7 @@
              const char *text, struct fw_actions *out)
 {
     struct fw_change ch;
-    struct fw_why why = {.text = ""};
+    struct fw_config_error why = {.text = ""};
     int rc = Fw_Change_Parse(text, &ch, &why);
 
     Fw_Change_Clear(&ch);
@@ -243,7 +245,8 @@
         return;
     }
     items_text = json_to_string(items, FALSE);
-    text = format_record(op, req, id, Fw_Fold_Config(view->fold)->offset - 1,
+    text = format_record(op, req, id,
+                         Fw_ConfigReplica_Config(view->fold)->next_offset - 1,
                          items_text, now_us);
     if (check_record(req, id, text, out) == 0) {
         append_change(op, req->call->call, id, text, NULL, now_us, out);
@@ -306,7 +309,7 @@
 
         json_object_set_int_member(
             json_node_get_object(verdict), "version",
-            (int64_t)Fw_Fold_Config(view->fold)->offset - 1);
+            (int64_t)Fw_ConfigReplica_Config(view->fold)->next_offset - 1);
         answer_verdict(req->call->call, plan->n_errors ? 422 : 200,
                        plan->n_errors ? FW_RAN_NO : FW_RAN_YES, verdict,
                        Fw_Sheet_Report(plan), out);
--- a/src/operate/operate.c
+++ b/src/operate/operate.c
@@ -94,20 +94,22 @@
 }
 
 void
-Fw_Operate_Open(struct fw_operate *op, const struct fw_operate_view *view,
-                const struct fw_operator_call *call, int64_t now_us,
-                struct fw_actions *out)
+Fw_Operate_HandleCall(struct fw_operate *op,
+                      const struct fw_operate_view *view,
+                      const struct fw_operator_call *call, int64_t now_us,
+                      struct fw_actions *out)
 {
     const char *query = strchr(call->path, '?');
     size_t len = query ? (size_t)(query - call->path) : strlen(call->path);
     struct fw_operate_request req = {.call = call};
 
-    if (!Fw_Fold_Ready(view->fold)) {
+    if (!Fw_ConfigReplica_IsReady(view->fold)) {
         Fw_Answer_Error(call->call, 503, FW_RAN_NO, "not_configured",
                         "this instance has no configuration yet", out);
         return;
     }
-    req.oper = Fw_Config_Operator(Fw_Fold_Config(view->fold), call->key);
+    req.oper = Fw_Config_FindOperatorByKey(Fw_ConfigReplica_Config(view->fold),
+                                           call->key);
     if (!req.oper) {
         op->refused.value++;
         Fw_Answer_Error(call->call, 401, FW_RAN_NO, "not_an_operator",
--- a/src/operate/operate.h
+++ b/src/operate/operate.h
@@ -33,7 +33,7 @@
 #define FW_OPERATE_OPERATE_H
 
 #include "base/metrics.h"
-#include "config/fold.h"
+#include "config/replica.h"
 #include "core/action.h"
 #include "core/event.h"
 #include "core/types.h"
@@ -54,7 +54,7 @@
  */
 struct fw_operate_view {
     const struct fw_self *self;
-    const struct fw_fold *fold;
+    const struct fw_config_replica *fold;
     const struct fw_fleet *fleet;
     const struct fw_router *router;
     const struct fw_requests *requests;
@@ -79,9 +79,10 @@
 
 /* Handles one call; a command's response may be emitted later. */
 void
-Fw_Operate_Open(struct fw_operate *op, const struct fw_operate_view *view,
-                const struct fw_operator_call *call, int64_t now_us,
-                struct fw_actions *out);
+Fw_Operate_HandleCall(struct fw_operate *op,
+                      const struct fw_operate_view *view,
+                      const struct fw_operator_call *call, int64_t now_us,
+                      struct fw_actions *out);
 /* Handles the log's answer to an append made by Fw_Operate_HandleCall(). */
 void
 Fw_Operate_OnAppended(struct fw_operate *op,
@@ -90,7 +91,8 @@
                       struct fw_actions *out);
 /* Answers pending commands that have a verdict or have timed out. */
 void
-Fw_Operate_AfterFold(struct fw_operate *op, const struct fw_operate_view *view,
-                     int64_t now_us, struct fw_actions *out);
+Fw_Operate_AnswerPending(struct fw_operate *op,
+                         const struct fw_operate_view *view, int64_t now_us,
+                         struct fw_actions *out);
 
 #endif
--- a/src/operate/query.c
+++ b/src/operate/query.c
@@ -10,7 +10,8 @@
 {
     json_object_set_string_member(obj, "instance", view->self->name);
     json_object_set_int_member(
-        obj, "version", (int64_t)Fw_Fold_Config(view->fold)->offset - 1);
+        obj, "version",
+        (int64_t)Fw_ConfigReplica_Config(view->fold)->next_offset - 1);
 }
 
 static void
@@ -29,8 +30,9 @@
     JsonObject *obj = json_object_new();
 
     add_version(obj, view);
-    json_object_set_int_member(obj, "log_read_ms_ago",
-                               Fw_Fold_StaleUs(view->fold, now_us) / FW_MSEC);
+    json_object_set_int_member(
+        obj, "log_read_ms_ago",
+        Fw_ConfigReplica_StalenessUs(view->fold, now_us) / FW_MSEC);
     answer_object(req, obj, out);
 }
 
@@ -38,7 +40,7 @@
 show_config(const struct fw_operate_view *view,
             const struct fw_operate_request *req, struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_Fold_Config(view->fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(view->fold);
     JsonObject *obj = json_object_new();
     JsonObject *counts = json_object_new();
     char digest[17];
@@ -63,7 +65,7 @@
 item_row(const struct fw_operate_view *view, enum fw_item_kind kind,
          const char *name)
 {
-    const struct fw_config *cfg = Fw_Fold_Config(view->fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(view->fold);
     JsonNode *value = Fw_Config_ItemValue(cfg, kind, name);
     JsonObject *row = json_object_new();
 
@@ -84,7 +86,8 @@
            const struct fw_operate_request *req, enum fw_item_kind kind,
            struct fw_actions *out)
 {
-    GPtrArray *names = Fw_Config_ItemNames(Fw_Fold_Config(view->fold), kind);
+    GPtrArray *names =
+        Fw_Config_ItemNames(Fw_ConfigReplica_Config(view->fold), kind);
     const char *only = Fw_Operate_ParamText(req, "name", NULL);
     const char *after = Fw_Operate_ParamText(req, "after", "");
     uint64_t max = Fw_Operate_ParamNumber(req, "max", FW_PAGE_ROWS_MAX);
@@ -221,7 +224,7 @@
 show_audit(const struct fw_operate_view *view,
            const struct fw_operate_request *req, struct fw_actions *out)
 {
-    const struct fw_audit *audit = Fw_Fold_Audit(view->fold);
+    const struct fw_audit *audit = Fw_ConfigReplica_Audit(view->fold);
     uint64_t before = Fw_Operate_ParamNumber(req, "before", G_MAXINT64);
     uint64_t max = Fw_Operate_ParamNumber(req, "max", 50);
     const char *who = Fw_Operate_ParamText(req, "who", NULL);
@@ -231,14 +234,14 @@
     const struct fw_list *pos;
 
     max = CLAMP(max, 1, FW_PAGE_ROWS_MAX);
-    for (pos = audit->all.prev;
-         pos != &audit->all && json_array_get_length(rows) < max;
+    for (pos = audit->entries.prev;
+         pos != &audit->entries && json_array_get_length(rows) < max;
          pos = pos->prev) {
         const struct fw_audit_entry *e =
             FW_LIST_ENTRY(pos, struct fw_audit_entry, link);
         JsonNode *node;
 
-        if (e->offset >= before || (who && strcmp(who, e->who) != 0)) {
+        if (e->offset >= before || (who && strcmp(who, e->author) != 0)) {
             continue;
         }
         node = json_from_string(e->text, NULL);
@@ -282,9 +285,10 @@
 }
 
 JsonNode *
-Fw_Operate_VerdictJson(const struct fw_fold *fold, const char *id)
+Fw_Operate_VerdictJson(const struct fw_config_replica *fold, const char *id)
 {
-    const struct fw_seen *seen = Fw_Fold_Seen(fold, id);
+    const struct fw_change_outcome *seen =
+        Fw_ConfigReplica_FindOutcome(fold, id);
     const struct fw_audit_entry *e;
     JsonObject *obj;
 
@@ -296,7 +300,7 @@
     json_object_set_string_member(obj, "verdict",
                                   Fw_Change_VerdictName(seen->verdict));
     json_object_set_int_member(obj, "version", (int64_t)seen->offset);
-    e = Fw_Audit_Find(Fw_Fold_Audit(fold), seen->offset);
+    e = Fw_Audit_Find(Fw_ConfigReplica_Audit(fold), seen->offset);
     if (e) {
         JsonNode *node = json_from_string(e->text, NULL);
 
@@ -332,7 +336,7 @@
 {
     struct fw_call_answer *a =
         &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
-    char *text = Fw_Sheet_Write(Fw_Fold_Config(view->fold));
+    char *text = Fw_Sheet_Export(Fw_ConfigReplica_Config(view->fold));
 
     a->call = req->call->call;
     a->status = 200;
--- a/src/operate/sheet.c
+++ b/src/operate/sheet.c
@@ -39,7 +39,8 @@
 }
 
 struct fw_sheet_plan *
-Fw_Sheet_Plan(const struct fw_fold *fold, const char *data, size_t len)
+Fw_Sheet_Plan(const struct fw_config_replica *fold, const char *data,
+              size_t len)
 {
     struct fw_sheet_plan *plan = g_new0(struct fw_sheet_plan, 1);
 
--- a/src/operate/sheet.h
+++ b/src/operate/sheet.h
@@ -13,7 +13,7 @@
 
 #include <json-glib/json-glib.h>
 
-#include "config/fold.h"
+#include "config/replica.h"
 
 #define FW_SHEET_BYTES_MAX ((size_t)4 * 1024 * 1024)
 /* Limits of a report; errors and rows beyond them are only counted. */
@@ -112,7 +112,7 @@
     GArray *errors;
     GPtrArray *rows;
     GHashTable *item_keys;
-    const struct fw_fold *fold;
+    const struct fw_config_replica *fold;
     struct fw_sheet_baseline *baseline;
 };
 
@@ -123,7 +123,8 @@
  * Return: a new plan; if its @n_errors is nonzero it must not be applied.
  */
 struct fw_sheet_plan *
-Fw_Sheet_Plan(const struct fw_fold *fold, const char *data, size_t len);
+Fw_Sheet_Plan(const struct fw_config_replica *fold, const char *data,
+              size_t len);
 void
 Fw_Sheet_FreePlan(struct fw_sheet_plan *plan);
 /* The "items" array of a change record that applies the plan; a new string. */
@@ -137,6 +138,6 @@
 Fw_Sheet_Report(const struct fw_sheet_plan *plan);
 /* The configuration as CSV; a new string. */
 char *
-Fw_Sheet_Write(const struct fw_config *cfg);
+Fw_Sheet_Export(const struct fw_config *cfg);
 
 #endif
--- a/src/operate/sheet_compare.c
+++ b/src/operate/sheet_compare.c
@@ -54,18 +54,18 @@
 }
 
 static void
-load_baseline(struct fw_sheet_baseline *baseline, const struct fw_fold *fold,
-              uint64_t base_version)
+load_baseline(struct fw_sheet_baseline *baseline,
+              const struct fw_config_replica *fold, uint64_t base_version)
 {
-    const struct fw_audit *audit = Fw_Fold_Audit(fold);
+    const struct fw_audit *audit = Fw_ConfigReplica_Audit(fold);
     const struct fw_list *pos;
-    uint64_t reached = Fw_Fold_Config(fold)->offset;
+    uint64_t reached = Fw_ConfigReplica_Config(fold)->next_offset;
 
     baseline->complete = 1;
     baseline->before =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                               (GDestroyNotify)(void (*)(void))json_node_unref);
-    for (pos = audit->all.prev; pos != &audit->all; pos = pos->prev) {
+    for (pos = audit->entries.prev; pos != &audit->entries; pos = pos->prev) {
         const struct fw_audit_entry *e =
             FW_LIST_ENTRY(pos, struct fw_audit_entry, link);
 
@@ -121,17 +121,17 @@
 
 static void
 report_conflict(struct fw_sheet_plan *plan, const struct fw_sheet_row *row,
-                const struct fw_fold *fold)
+                const struct fw_config_replica *fold)
 {
     const struct fw_audit_entry *e =
-        Fw_Audit_Find(Fw_Fold_Audit(fold), row->current_version);
+        Fw_Audit_Find(Fw_ConfigReplica_Audit(fold), row->current_version);
     char found[48];
 
     g_snprintf(found, sizeof(found), "%.20s, changed at %" G_GUINT64_FORMAT,
                row->name, row->current_version);
     if (e) {
         g_snprintf(found, sizeof(found), "%.20s, by %.16s since", row->name,
-                   e->who);
+                   e->author);
     }
     Fw_Sheet_AddError(plan, row->row_number, "name", found,
                       "the value in force, or a sheet exported after that");
@@ -151,7 +151,8 @@
  * the export, or the audit log doesn't reach back far enough to tell. */
 static void
 choose_action(struct fw_sheet_plan *plan, struct fw_sheet_row *row,
-              const struct item_values *v, const struct fw_fold *fold,
+              const struct item_values *v,
+              const struct fw_config_replica *fold,
               const struct fw_sheet_baseline *baseline)
 {
     char *key = item_key(row->kind, row->name);
@@ -187,7 +188,7 @@
 {
     JsonObject *obj = json_object_new();
     struct fw_item item = {.kind = FW_ITEM_TEAM};
-    struct fw_why why = {.text = ""};
+    struct fw_config_error why = {.text = ""};
 
     json_object_set_string_member(obj, "kind", Fw_Item_KindName(row->kind));
     json_object_set_string_member(obj, "name", row->name);
@@ -234,7 +235,7 @@
 void
 Fw_Sheet_CompareRow(struct fw_sheet_plan *plan, struct fw_sheet_row *row)
 {
-    const struct fw_config *cfg = Fw_Fold_Config(plan->fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(plan->fold);
     struct item_values v;
 
     v.before = Fw_Config_ItemValue(cfg, row->kind, row->name);
@@ -253,7 +254,7 @@
 void
 Fw_Sheet_Validate(struct fw_sheet_plan *plan)
 {
-    struct fw_why why = {.text = ""};
+    struct fw_config_error why = {.text = ""};
     struct fw_change ch;
     char *items;
     char *text;
@@ -268,7 +269,8 @@
                            plan->base_version, items);
 
     if (Fw_Change_Parse(text, &ch, &why) ||
-        Fw_Fold_Judge(plan->fold, &ch, &why) != FW_CHANGE_ACCEPTED) {
+        Fw_ConfigReplica_Evaluate(plan->fold, &ch, &why) !=
+            FW_CHANGE_ACCEPTED) {
         Fw_Sheet_AddError(plan, 0, "(sheet)", why.text,
                           "a change that is valid as a whole");
     }
@@ -282,7 +284,8 @@
 {
     char found[24];
 
-    if (plan->base_version >= Fw_Fold_Config(plan->fold)->offset) {
+    if (plan->base_version >=
+        Fw_ConfigReplica_Config(plan->fold)->next_offset) {
         g_snprintf(found, sizeof(found), "%" G_GUINT64_FORMAT,
                    plan->base_version);
         Fw_Sheet_AddError(plan, 0, "name", found,
--- a/src/operate/sheet_write.c
+++ b/src/operate/sheet_export.c
@@ -63,7 +63,7 @@
     put_number(row, FW_COL_DECODE_MIN, p->decode_min);
     put_number(row, FW_COL_KV_BYTES, p->kv_bytes_per_token);
     for (int i = 0; i < p->n_serves; i++) {
-        const struct fw_serving *s = &p->serves[i];
+        const struct fw_served_model *s = &p->serves[i];
 
         g_string_append_printf(serves, "%s%s@%s%s%s", i ? " " : "", s->model,
                                s->version, s->adapter[0] ? "+" : "",
@@ -94,13 +94,13 @@
 {
     switch (kind) {
     case FW_ITEM_TEAM:
-        put_team(row, Fw_Config_Team(cfg, name));
+        put_team(row, Fw_Config_FindTeam(cfg, name));
         break;
     case FW_ITEM_POOL:
-        put_pool(row, Fw_Config_Pool(cfg, name));
+        put_pool(row, Fw_Config_FindPool(cfg, name));
         break;
     case FW_ITEM_UPSTREAM:
-        put_upstream(row, Fw_Config_Upstream(cfg, name));
+        put_upstream(row, Fw_Config_FindUpstream(cfg, name));
         break;
     case FW_ITEM_KEY:
         put_key(row, g_hash_table_lookup(cfg->keys, name));
@@ -130,7 +130,7 @@
 }
 
 char *
-Fw_Sheet_Write(const struct fw_config *cfg)
+Fw_Sheet_Export(const struct fw_config *cfg)
 {
     GString *out = g_string_new(NULL);
     struct csv_row row;
@@ -142,7 +142,7 @@
     }
     end_row(&row, out);
     g_snprintf(version, sizeof(version), "%" G_GUINT64_FORMAT,
-               cfg->offset - 1);
+               cfg->next_offset - 1);
     begin_row(&row, "sheet", version);
     end_row(&row, out);
     put_kind(&row, cfg, FW_ITEM_TEAM, out);
--- a/src/operate/sheet_row.c
+++ b/src/operate/sheet_row.c
@@ -242,7 +242,7 @@
 {
     const char *kind_name = cells->cells[FW_COL_KIND];
     const char *name = cells->cells[FW_COL_NAME];
-    enum fw_item_kind kind = Fw_Item_KindOf(kind_name ? kind_name : "");
+    enum fw_item_kind kind = Fw_Item_ParseKind(kind_name ? kind_name : "");
     struct fw_sheet_row *row;
     JsonObject *overrides;
 
--- a/src/order/order.c
+++ b/src/order/order.c
@@ -93,7 +93,7 @@
 {
     struct fw_order_engine *e = find_engine(o, up->name);
     uint64_t version =
-        MAX(up->version, Fw_Config_Pool(cfg, up->pool)->version);
+        MAX(up->version, Fw_Config_FindPool(cfg, up->pool)->version);
 
     if (!e) {
         e = g_new0(struct fw_order_engine, 1);
@@ -132,7 +132,7 @@
 
         /* Only -EPERM removes an engine: while the log can't be read, the
          * state of orders under way is kept. Sends check the role again. */
-        if (up->role != FW_ROLE_SERVICE && Fw_Config_Pool(cfg, up->pool) &&
+        if (up->role != FW_ROLE_SERVICE && Fw_Config_FindPool(cfg, up->pool) &&
             check_role(o, up->pool, now_us, NULL) != -EPERM) {
             g_ptr_array_add(owned, (void *)up);
         }
@@ -173,7 +173,7 @@
 poll_engine(struct fw_orders *o, const struct fw_config *cfg,
             struct fw_order_engine *e, struct fw_actions *out)
 {
-    const struct fw_upstream *up = Fw_Config_Upstream(cfg, e->name);
+    const struct fw_upstream *up = Fw_Config_FindUpstream(cfg, e->name);
     struct fw_up_start *start;
 
     if (!up) {
@@ -227,8 +227,8 @@
                   struct fw_order_engine *e, int64_t now_us,
                   struct fw_actions *out)
 {
-    const struct fw_upstream *up = Fw_Config_Upstream(cfg, e->name);
-    const struct fw_pool *pool = up ? Fw_Config_Pool(cfg, up->pool) : NULL;
+    const struct fw_upstream *up = Fw_Config_FindUpstream(cfg, e->name);
+    const struct fw_pool *pool = up ? Fw_Config_FindPool(cfg, up->pool) : NULL;
     struct fw_order_counts counts;
     struct fw_up_order order;
     uint64_t fence = 0;
--- a/src/order/plan.c
+++ b/src/order/plan.c
@@ -27,7 +27,7 @@
 
 /* Writes "model@version", and "+adapter" if @adapter is set and @s has one. */
 static void
-format_ref(const struct fw_serving *s, int adapter, char *ref)
+format_ref(const struct fw_served_model *s, int adapter, char *ref)
 {
     g_snprintf(ref, FW_MODELREF_MAX, "%s@%s%s%s", s->model, s->version,
                adapter && s->adapter[0] ? "+" : "", adapter ? s->adapter : "");
@@ -35,7 +35,7 @@
 
 static void
 set_order(struct fw_up_order *order, enum fw_order_op op,
-          const struct fw_serving *s)
+          const struct fw_served_model *s)
 {
     *order = (struct fw_up_order){.op = op};
     g_strlcpy(order->model, s->model, sizeof(order->model));
@@ -50,7 +50,7 @@
     char ref[FW_MODELREF_MAX];
 
     for (int i = 0; i < pool->n_serves; i++) {
-        const struct fw_serving *s = &pool->serves[i];
+        const struct fw_served_model *s = &pool->serves[i];
 
         format_ref(s, 0, ref);
         if (!has_model(&e->report, ref)) {
@@ -86,13 +86,13 @@
 
 /* Parses "model@version+adapter". Return: nonzero on success. */
 static int
-split_ref(const char *ref, struct fw_serving *s)
+split_ref(const char *ref, struct fw_served_model *s)
 {
     char **at = g_strsplit(ref, "@", 2);
     char **plus = at[0] && at[1] ? g_strsplit(at[1], "+", 2) : NULL;
     int ok = plus && plus[0];
 
-    *s = (struct fw_serving){.model = ""};
+    *s = (struct fw_served_model){.model = ""};
     if (ok) {
         g_strlcpy(s->model, at[0], sizeof(s->model));
         g_strlcpy(s->version, plus[0], sizeof(s->version));
@@ -112,7 +112,7 @@
     for (int adapter = 1; adapter >= 0 && pool->n_serves > 0; adapter--) {
         for (int i = 0; i < e->report.n_models; i++) {
             const char *ref = e->report.models[i];
-            struct fw_serving s;
+            struct fw_served_model s;
 
             if (is_wanted(pool, ref) ||
                 (strchr(ref, '+') != NULL) != adapter || !split_ref(ref, &s)) {
@@ -128,7 +128,7 @@
 }
 
 static const char *
-role_name(enum fw_up_role role)
+role_name(enum fw_upstream_role role)
 {
     return role == FW_ROLE_PREFILL ? "prefill" : "decode";
 }
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -165,7 +165,7 @@
     char *error = NULL;
 
     d->settings_mtime_us = settings_mtime_us(d->settings_path);
-    if (Fw_Relayd_Load(d->settings_path, &o, &error)) {
+    if (Fw_Relayd_LoadSettings(d->settings_path, &o, &error)) {
         Fw_Note_Log(LOG_ERR, "settings_rejected", "error", error, NULL);
         g_free(error);
         return;
@@ -294,7 +294,8 @@
 {
     int err = 0;
 
-    d->caller_server = Fw_Server_New(d->opts.callers, &caller_ops, d, &err);
+    d->caller_server =
+        Fw_Server_New(d->opts.callers_addr, &caller_ops, d, &err);
     if (!d->caller_server) {
         return err;
     }
--- a/src/relayd/relayd.h
+++ b/src/relayd/relayd.h
@@ -22,7 +22,7 @@
  */
 struct fw_relayd_opts {
     struct fw_relay_opts relay;
-    char callers[FW_URL_MAX];
+    char callers_addr[FW_URL_MAX];
     char ready_addr[FW_URL_MAX];
     char ready_path[FW_URL_MAX];
     char metrics_addr[FW_URL_MAX];
@@ -30,7 +30,7 @@
     char store_addr[FW_URL_MAX];
     int64_t config_wait_us;
     int64_t servers_interval_us;
-    int64_t log_bytes;
+    int64_t log_buffer_bytes;
 };
 
 /**
@@ -40,7 +40,8 @@
  * Return: 0 or -EINVAL.
  */
 int
-Fw_Relayd_Load(const char *path, struct fw_relayd_opts *out, char **error);
+Fw_Relayd_LoadSettings(const char *path, struct fw_relayd_opts *out,
+                       char **error);
 
 struct fw_relayd;
 
--- a/src/relayd/settings.c
+++ b/src/relayd/settings.c
@@ -63,7 +63,7 @@
     FW_TEXT("relay", "domain", FW_INI_NAME, NULL, out.relay.domain),
     {"relay", "cpu-share", FW_INI_DECIMAL, "1", 0, 1000000000,
      FW_AT(out.relay.cpu_ppm), NULL},
-    FW_TEXT("listen", "callers", FW_INI_LISTEN, NULL, out.callers),
+    FW_TEXT("listen", "callers", FW_INI_LISTEN, NULL, out.callers_addr),
     FW_TEXT("listen", "ready", FW_INI_LISTEN, NULL, out.ready_addr),
     FW_TEXT("listen", "ready-path", FW_INI_PATH, "/readyz", out.ready_path),
     FW_TEXT("listen", "metrics", FW_INI_LISTEN, NULL, out.metrics_addr),
@@ -113,11 +113,12 @@
     out->config_wait_us = v->config_wait_ms * FW_MSEC;
     out->servers_interval_us = v->servers_interval_ms * FW_MSEC;
     r->digest_period_us = v->digest_every_ms * FW_MSEC;
-    out->log_bytes = v->log_buffer_kb * 1024;
+    out->log_buffer_bytes = v->log_buffer_kb * 1024;
 }
 
 int
-Fw_Relayd_Load(const char *path, struct fw_relayd_opts *out, char **error)
+Fw_Relayd_LoadSettings(const char *path, struct fw_relayd_opts *out,
+                       char **error)
 {
     struct parsed_settings v = {0};
     int rc;
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -30,8 +30,8 @@
     g_strlcpy(ask.model, rq->model, sizeof(ask.model));
     rq->stage = FW_STAGE_QUEUE;
     rq->stage_deadline_us = 0;
-    Fw_Route_Submit(rs->deps.router, Fw_Fold_Config(rs->deps.fold), &ask,
-                    now_us, out);
+    Fw_Route_Submit(rs->deps.router, Fw_ConfigReplica_Config(rs->deps.fold),
+                    &ask, now_us, out);
 }
 
 /* Text that an attempt prefills: the prompt and the output emitted so far. */
@@ -83,7 +83,7 @@
               const struct fw_upstream *up, struct fw_actions *out)
 {
     const struct fw_team *team =
-        Fw_Config_Team(Fw_Fold_Config(rs->deps.fold), rq->team);
+        Fw_Config_FindTeam(Fw_ConfigReplica_Config(rs->deps.fold), rq->team);
     struct fw_up_start *s;
     struct fw_up_prefill *p;
 
@@ -102,7 +102,7 @@
 Fw_Requests_OnPair(struct fw_requests *rs, const struct fw_route_answer *ans,
                    int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_Fold_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
     struct fw_request *rq = Fw_Request_ByTicket(rs, ans->ticket);
     const struct fw_upstream *up;
 
@@ -115,8 +115,8 @@
                         ans->retry_after_us, now_us, out);
         return;
     }
-    up = Fw_Config_Upstream(cfg, ans->prefill);
-    if (!up || !Fw_Config_Upstream(cfg, ans->decode)) {
+    up = Fw_Config_FindUpstream(cfg, ans->prefill);
+    if (!up || !Fw_Config_FindUpstream(cfg, ans->decode)) {
         /* The engine was removed from the configuration after the choice. */
         Fw_Route_ReportStep(rs->deps.router, rq->ticket, FW_STEP_CANCELLED,
                             NULL, now_us, out);
@@ -136,9 +136,9 @@
                      const struct fw_up_event *ev, int64_t now_us,
                      struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_Fold_Config(rs->deps.fold);
-    const struct fw_upstream *from = Fw_Config_Upstream(cfg, rq->prefill);
-    const struct fw_upstream *to = Fw_Config_Upstream(cfg, rq->decode);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_upstream *from = Fw_Config_FindUpstream(cfg, rq->prefill);
+    const struct fw_upstream *to = Fw_Config_FindUpstream(cfg, rq->decode);
     struct fw_up_import *im;
 
     Fw_Request_ClearOp(rs, rq);
@@ -192,8 +192,8 @@
 Fw_Request_StartDecode(struct fw_requests *rs, struct fw_request *rq,
                        enum fw_up_kind kind, struct fw_actions *out)
 {
-    const struct fw_upstream *up =
-        Fw_Config_Upstream(Fw_Fold_Config(rs->deps.fold), rq->decode);
+    const struct fw_upstream *up = Fw_Config_FindUpstream(
+        Fw_ConfigReplica_Config(rs->deps.fold), rq->decode);
     struct fw_up_decode *d;
 
     if (!up) {
@@ -211,8 +211,8 @@
 Fw_Request_SendCancel(struct fw_requests *rs, const char *upstream,
                       uint64_t seq, struct fw_actions *out)
 {
-    const struct fw_upstream *up =
-        Fw_Config_Upstream(Fw_Fold_Config(rs->deps.fold), upstream);
+    const struct fw_upstream *up = Fw_Config_FindUpstream(
+        Fw_ConfigReplica_Config(rs->deps.fold), upstream);
     struct fw_up_start *s;
 
     if (!up) {
--- a/src/request/open.c
+++ b/src/request/open.c
@@ -10,11 +10,11 @@
 static const struct fw_config *
 config_of(const struct fw_requests *rs)
 {
-    return Fw_Fold_Config(rs->deps.fold);
+    return Fw_ConfigReplica_Config(rs->deps.fold);
 }
 
 static void
-add_model(JsonBuilder *b, GHashTable *seen, const struct fw_serving *s)
+add_model(JsonBuilder *b, GHashTable *seen, const struct fw_served_model *s)
 {
     char *id = s->adapter[0] ? g_strdup_printf("%s+%s", s->model, s->adapter)
                              : g_strdup(s->model);
@@ -55,7 +55,7 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct fw_pool *pool = value;
         for (int i = 0; i < pool->n_serves; i++) {
-            if (Fw_Config_TeamMay(team, pool->serves[i].model)) {
+            if (Fw_Config_TeamAllowsModel(team, pool->serves[i].model)) {
                 add_model(b, seen, &pool->serves[i]);
             }
         }
@@ -149,7 +149,7 @@
     int64_t quarantine_us;
     struct fw_request *rq;
 
-    if (!Fw_Config_TeamMay(team, call->model) ||
+    if (!Fw_Config_TeamAllowsModel(team, call->model) ||
         !Fw_Config_HasModel(config_of(rs), call->model)) {
         Fw_Request_Refuse(out, call, 404, "model_not_found",
                           "no such model for this team", 0);
@@ -187,7 +187,7 @@
                  int64_t now_us, struct fw_actions *out)
 {
     const struct fw_team *team =
-        call->key ? Fw_Config_KeyTeam(config_of(rs), call->key) : NULL;
+        call->key ? Fw_Config_FindTeamByKey(config_of(rs), call->key) : NULL;
 
     if (!team) {
         Fw_Request_Refuse(out, call, 401, "unauthorized",
@@ -211,7 +211,7 @@
 Fw_Request_AcquireBudget(struct fw_requests *rs, struct fw_request *rq,
                          int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_team *team = Fw_Config_Team(config_of(rs), rq->team);
+    const struct fw_team *team = Fw_Config_FindTeam(config_of(rs), rq->team);
 
     rq->stage_deadline_us = 0;
     if (!team) {
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -8,7 +8,7 @@
 #define FW_REQUEST_REQUEST_H
 
 #include "base/metrics.h"
-#include "config/fold.h"
+#include "config/replica.h"
 #include "core/action.h"
 #include "core/event.h"
 #include "core/types.h"
@@ -27,7 +27,7 @@
  */
 struct fw_request_deps {
     const struct fw_self *self;
-    const struct fw_fold *fold;
+    const struct fw_config_replica *fold;
     const struct fw_fleet *fleet;
     struct fw_limit *limit;
     struct fw_idem *idem;
--- a/src/request/service.c
+++ b/src/request/service.c
@@ -54,7 +54,8 @@
     for (int i = 0; i < rq->n_failed_upstreams; i++) {
         avoid[i] = rq->failed_upstreams[i];
     }
-    up = Fw_Route_PickServer(rs->deps.router, Fw_Fold_Config(rs->deps.fold),
+    up = Fw_Route_PickServer(rs->deps.router,
+                             Fw_ConfigReplica_Config(rs->deps.fold),
                              rq->service, avoid, now_us);
     if (!up) {
         if (!rq->idempotent) {
@@ -91,10 +92,10 @@
                 const struct fw_team *team, int64_t now_us,
                 struct fw_actions *out)
 {
-    const struct fw_service *svc =
-        Fw_Config_Service(Fw_Fold_Config(rs->deps.fold), call->service);
+    const struct fw_service *svc = Fw_Config_FindService(
+        Fw_ConfigReplica_Config(rs->deps.fold), call->service);
     const struct fw_service_call *allowed =
-        svc ? Fw_Config_ServiceCall(svc, call->method, call->path) : NULL;
+        svc ? Fw_Config_FindServiceCall(svc, call->method, call->path) : NULL;
     struct fw_request *rq;
 
     if (!allowed) {
@@ -113,8 +114,8 @@
         return;
     }
     rq->stage = FW_STAGE_IDEM;
-    Fw_Idem_Open(rs->deps.idem, rq->ticket, rq->service, rq->team,
-                 rq->idem_key, body_hash(rq), now_us, out);
+    Fw_Idem_Claim(rs->deps.idem, rq->ticket, rq->service, rq->team,
+                  rq->idem_key, body_hash(rq), now_us, out);
 }
 
 static void
@@ -149,7 +150,7 @@
     const char *message;
     enum fw_ran ran;
 } idem_errors[] = {
-    [FW_IDEM_MAYBE] =
+    [FW_IDEM_OUTCOME_UNKNOWN] =
         {409, "outcome_unknown",
          "an earlier call with this key began; its outcome is unknown",
          FW_RAN_MAYBE},
@@ -193,7 +194,7 @@
                         idem_errors[ans->result].message, ans->retry_after_us,
                         now_us, out);
     }
-    else if (Fw_Idem_MayRun(rs->deps.idem, rq->ticket, now_us) != 0) {
+    else if (Fw_Idem_BeginRun(rs->deps.idem, rq->ticket, now_us) != 0) {
         rq->stage = FW_STAGE_IDLE;
         Fw_Request_Fail(rs, rq, 503, "paused",
                         "the permission to run the call expired", FW_SEC,
--- a/src/route/index.c
+++ b/src/route/index.c
@@ -48,7 +48,7 @@
 }
 
 static GPtrArray *
-engines_of_role(struct fw_pool_index *idx, enum fw_up_role role)
+engines_of_role(struct fw_pool_index *idx, enum fw_upstream_role role)
 {
     switch (role) {
     case FW_ROLE_PREFILL:
@@ -69,7 +69,7 @@
     gpointer val;
 
     if (r->pools && r->indexed_cfg == cfg &&
-        r->indexed_offset == cfg->offset) {
+        r->indexed_offset == cfg->next_offset) {
         return;
     }
     if (r->pools) {
@@ -78,7 +78,7 @@
     r->pools =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_index);
     r->indexed_cfg = cfg;
-    r->indexed_offset = cfg->offset;
+    r->indexed_offset = cfg->next_offset;
     g_hash_table_iter_init(&it, cfg->upstreams);
     while (g_hash_table_iter_next(&it, NULL, &val)) {
         const struct fw_upstream *u = val;
--- a/src/route/serving.c
+++ b/src/route/serving.c
@@ -6,7 +6,7 @@
 
 /* Nonzero if @s serves @model, which is "name" or "name+adapter". */
 static int
-serves_model(const struct fw_serving *s, const char *model)
+serves_model(const struct fw_served_model *s, const char *model)
 {
     size_t n = strlen(s->model);
 
@@ -18,7 +18,7 @@
 }
 
 static uint64_t
-hash_serving(const struct fw_serving *s, int with_adapter)
+hash_serving(const struct fw_served_model *s, int with_adapter)
 {
     char ref[3 * FW_NAME_MAX];
 
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -9,11 +9,11 @@
     return g_strdup_printf("fold%d", i);
 }
 
-static struct fw_fold *
+static struct fw_config_replica *
 new_replica(const struct fw_rig *rig, int i)
 {
     char *name = replica_name(i);
-    struct fw_fold *rep = Fw_Fold_New(
+    struct fw_config_replica *rep = Fw_ConfigReplica_New(
         name, (uint32_t)(i + 1 + rig->now / FW_RIG_STEP_US), NULL, rig->now);
 
     g_free(name);
@@ -45,7 +45,7 @@
 view_of(const struct fw_rig *rig, int i)
 {
     return (struct fw_operate_view){.self = &rig->selves[i],
-                                    .fold = rig->folds[i]};
+                                    .fold = rig->replicas[i]};
 }
 
 struct fw_rig *
@@ -60,7 +60,7 @@
     rig->notes = g_hash_table_new(g_str_hash, g_str_equal);
     rig->answers = g_ptr_array_new_with_free_func(free_answer);
     for (int i = 0; i < n; i++) {
-        rig->folds[i] = new_replica(rig, i);
+        rig->replicas[i] = new_replica(rig, i);
         rig->operates[i] = new_operate(rig, i);
     }
     return rig;
@@ -71,7 +71,7 @@
 {
     for (int i = 0; i < rig->n; i++) {
         Fw_Operate_Free(rig->operates[i]);
-        Fw_Fold_Free(rig->folds[i]);
+        Fw_ConfigReplica_Free(rig->replicas[i]);
     }
     g_ptr_array_unref(rig->answers);
     g_ptr_array_unref(rig->config.records);
@@ -83,8 +83,8 @@
 void
 Fw_Rig_Restart(struct fw_rig *rig, int i)
 {
-    Fw_Fold_Free(rig->folds[i]);
-    rig->folds[i] = new_replica(rig, i);
+    Fw_ConfigReplica_Free(rig->replicas[i]);
+    rig->replicas[i] = new_replica(rig, i);
     memset(rig->reads[i], 0, sizeof(rig->reads[i]));
 }
 
@@ -151,7 +151,7 @@
     r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
     r.records = (const char *const *)s->records->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
-    Fw_Fold_OnRecords(rig->folds[i], &r, rig->now, &out);
+    Fw_ConfigReplica_OnRecords(rig->replicas[i], &r, rig->now, &out);
     execute_actions(rig, i, &out);
 }
 
@@ -166,7 +166,7 @@
             continue;
         }
         s = stream_of(rig, p->read.stream);
-        if (rig->down || rig->partitioned[i]) {
+        if (rig->log_down || rig->partitioned[i]) {
             answer_read(rig, i, p, -EIO);
         }
         else if (p->read.from <= s->records->len ||
@@ -198,7 +198,7 @@
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
-    if (rig->down || rig->partitioned[i]) {
+    if (rig->log_down || rig->partitioned[i]) {
         done.err = -EAGAIN;
     }
     if (!done.err && rig->drop_appends > 0) {
@@ -219,7 +219,7 @@
         Fw_Operate_OnAppended(rig->operates[i], &view, &done, rig->now, &out);
     }
     else {
-        Fw_Fold_OnAppended(rig->folds[i], &done, rig->now, &out);
+        Fw_ConfigReplica_OnAppended(rig->replicas[i], &done, rig->now, &out);
     }
     execute_actions(rig, i, &out);
 }
@@ -245,8 +245,8 @@
     g_assert_true(Fw_Msg_Unpack(&msg.data, &got) == 0);
     Fw_Actions_Init(&out);
     if (!rig->partitioned[i] && !rig->partitioned[to]) {
-        Fw_Fold_OnMsg(rig->folds[to], from, "addr", &got.u.config, rig->now,
-                      &out);
+        Fw_ConfigReplica_OnMsg(rig->replicas[to], from, "addr", &got.u.config,
+                               rig->now, &out);
         execute_actions(rig, to, &out);
     }
     Fw_Msg_Clear(&got);
@@ -262,7 +262,7 @@
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    Fw_Operate_AfterFold(rig->operates[i], &view, rig->now, &out);
+    Fw_Operate_AnswerPending(rig->operates[i], &view, rig->now, &out);
     execute_actions(rig, i, &out);
 }
 
@@ -277,7 +277,7 @@
     g_strlcpy(c.method, method, sizeof(c.method));
     c.body = body ? g_bytes_new_static(body, strlen(body)) : NULL;
     Fw_Actions_Init(&out);
-    Fw_Operate_Open(rig->operates[i], &view, &c, rig->now, &out);
+    Fw_Operate_HandleCall(rig->operates[i], &view, &c, rig->now, &out);
     execute_actions(rig, i, &out);
     if (c.body) {
         g_bytes_unref(c.body);
@@ -298,7 +298,7 @@
 }
 
 const struct fw_rig_answer *
-Fw_Rig_Answer(const struct fw_rig *rig, uint64_t call)
+Fw_Rig_FindAnswer(const struct fw_rig *rig, uint64_t call)
 {
     for (unsigned i = 0; i < rig->answers->len; i++) {
         const struct fw_rig_answer *a = g_ptr_array_index(rig->answers, i);
@@ -350,7 +350,7 @@
             struct fw_actions out;
 
             Fw_Actions_Init(&out);
-            Fw_Fold_Tick(rig->folds[i], rig->now, &out);
+            Fw_ConfigReplica_Tick(rig->replicas[i], rig->now, &out);
             execute_actions(rig, i, &out);
             serve_reads(rig, i);
             update_operate(rig, i);
@@ -362,7 +362,7 @@
 Fw_Rig_Rate(const struct fw_rig *rig, int i, const char *name)
 {
     const struct fw_team *team =
-        Fw_Config_Team(Fw_Fold_Config(rig->folds[i]), name);
+        Fw_Config_FindTeam(Fw_ConfigReplica_Config(rig->replicas[i]), name);
 
     return team ? team->rate : -1;
 }
--- a/tests/config/rig.h
+++ b/tests/config/rig.h
@@ -6,7 +6,7 @@
 #ifndef FW_TESTS_CONFIG_RIG_H
 #define FW_TESTS_CONFIG_RIG_H
 
-#include "config/fold.h"
+#include "config/replica.h"
 #include "operate/operate.h"
 
 #define FW_RIG_MAX 9
@@ -39,7 +39,7 @@
 /**
  * struct fw_rig - @n replicas and their log.
  * @partitioned: nonzero if the replica reaches neither the log nor its peers
- * @down: nonzero if the log is unreachable for all replicas
+ * @log_down: nonzero if the log is unreachable for all replicas
  * @lose_appends: number of next appends that succeed but report an error
  * @drop_appends: number of next appends that fail
  * @operates: operator API of each replica
@@ -49,10 +49,10 @@
  */
 struct fw_rig {
     int n;
-    struct fw_fold *folds[FW_RIG_MAX];
+    struct fw_config_replica *replicas[FW_RIG_MAX];
     struct fw_rig_read reads[FW_RIG_MAX][4];
     int partitioned[FW_RIG_MAX];
-    int down;
+    int log_down;
     int lose_appends;
     int drop_appends;
     struct fw_self selves[FW_RIG_MAX];
@@ -99,7 +99,7 @@
             const char *path, const char *key, const char *body);
 /* The response to @call, NULL until there is one. */
 const struct fw_rig_answer *
-Fw_Rig_Answer(const struct fw_rig *rig, uint64_t call);
+Fw_Rig_FindAnswer(const struct fw_rig *rig, uint64_t call);
 /* Rate of team @name at replica @i, -1 when there is no such team. */
 int64_t
 Fw_Rig_Rate(const struct fw_rig *rig, int i, const char *name);
--- a/tests/config/test_fold.c
+++ b/tests/config/test_fold.c
@@ -1,7 +1,7 @@
 /* Verdicts on single records of the configuration log. */
 #include <check.h>
 
-#include "config/fold.h"
+#include "config/replica.h"
 #include "tests/base/suite.h"
 
 #define FW_REC(id, items)                                                     \
@@ -48,23 +48,23 @@
  */
 START_TEST(records_get_their_verdicts)
 {
-    struct fw_state *st = Fw_State_New();
+    struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_change_result res;
 
     for (size_t i = 0; i < G_N_ELEMENTS(verdicts); i++) {
         const struct verdict_case *c = &verdicts[i];
         const struct fw_team *team;
 
-        Fw_State_Apply(st, c->record, &res);
+        Fw_ConfigState_Apply(st, c->record, &res);
         ck_assert_msg(!strcmp(Fw_Change_VerdictName(res.verdict), c->verdict),
                       "record %zu: %s (%s)", i + 1,
-                      Fw_Change_VerdictName(res.verdict), res.why.text);
-        team = Fw_Config_Team(st->cfg, "a");
+                      Fw_Change_VerdictName(res.verdict), res.error.text);
+        team = Fw_Config_FindTeam(st->cfg, "a");
         ck_assert_int_eq(team ? team->rate : -1, c->rate_after);
-        ck_assert_uint_eq(st->cfg->offset, i + 2);
+        ck_assert_uint_eq(st->cfg->next_offset, i + 2);
         ck_assert_uint_eq(st->audit.n, i + 1);
     }
-    Fw_State_Free(st);
+    Fw_ConfigState_Free(st);
 }
 END_TEST
 
--- a/tests/config/test_mutation.c
+++ b/tests/config/test_mutation.c
@@ -60,17 +60,17 @@
 START_TEST(mutated_records_get_a_verdict)
 {
     GRand *rand = g_rand_new_with_seed(1);
-    struct fw_state *st = Fw_State_New();
+    struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_change_result res;
 
     for (int i = 0; i < MUTATIONS; i++) {
         char *text = mutate(rand, record);
 
-        Fw_State_Apply(st, text, &res);
-        ck_assert_uint_eq(st->cfg->offset, i + 2);
+        Fw_ConfigState_Apply(st, text, &res);
+        ck_assert_uint_eq(st->cfg->next_offset, i + 2);
         g_free(text);
     }
-    Fw_State_Free(st);
+    Fw_ConfigState_Free(st);
     g_rand_free(rand);
 }
 END_TEST
@@ -78,7 +78,7 @@
 /* Deeply nested JSON must not overflow the parser's stack. */
 START_TEST(deeply_nested_records_are_invalid)
 {
-    struct fw_state *st = Fw_State_New();
+    struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_change_result res;
     static const char *const heads[] = {"", "{\"a\":"};
 
@@ -88,11 +88,11 @@
         for (int k = 0; k < 1000000; k++) {
             g_string_append_c(text, '[');
         }
-        Fw_State_Apply(st, text->str, &res);
+        Fw_ConfigState_Apply(st, text->str, &res);
         ck_assert_int_eq(res.verdict, FW_CHANGE_INVALID);
         g_string_free(text, TRUE);
     }
-    Fw_State_Free(st);
+    Fw_ConfigState_Free(st);
 }
 END_TEST
 
@@ -101,30 +101,30 @@
 START_TEST(mutated_snapshots_yield_no_other_state)
 {
     GRand *rand = g_rand_new_with_seed(2);
-    struct fw_state *st = Fw_State_New();
+    struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_change_result res;
-    struct fw_snap_text *snap;
+    struct fw_snapshot *snap;
     const char *part;
 
-    Fw_State_Apply(st, record, &res);
+    Fw_ConfigState_Apply(st, record, &res);
     ck_assert_int_eq(res.verdict, FW_CHANGE_ACCEPTED);
-    snap = Fw_Snap_Write(st, "s-1");
+    snap = Fw_Snapshot_Write(st, "s-1");
     part = g_ptr_array_index(snap->parts, 0);
     for (int i = 0; i < MUTATIONS; i++) {
-        struct fw_snap_collector c = {.feeds = 0};
-        struct fw_state *got = NULL;
+        struct fw_snapshot_assembler c = {.feeds = 0};
+        struct fw_config_state *got = NULL;
         char *text = mutate(rand, part);
 
-        Fw_Snap_Feed(&c, text, &got, NULL);
+        Fw_Snapshot_Feed(&c, text, &got, NULL);
         if (got) {
-            ck_assert(Fw_State_Digest(got) == Fw_State_Digest(st));
+            ck_assert(Fw_ConfigState_Digest(got) == Fw_ConfigState_Digest(st));
         }
-        Fw_State_Free(got);
+        Fw_ConfigState_Free(got);
         Fw_Snapshot_Reset(&c);
         g_free(text);
     }
-    Fw_Snap_FreeText(snap);
-    Fw_State_Free(st);
+    Fw_Snapshot_Free(snap);
+    Fw_ConfigState_Free(st);
     g_rand_free(rand);
 }
 END_TEST
@@ -138,11 +138,11 @@
 
     Fw_Rig_Append(&rig->config, record);
     Fw_Rig_Run(rig, 3 * FW_SEC);
-    sheet = Fw_Sheet_Write(Fw_Fold_Config(rig->folds[0]));
+    sheet = Fw_Sheet_Export(Fw_ConfigReplica_Config(rig->replicas[0]));
     for (int i = 0; i < MUTATIONS; i++) {
         char *text = mutate(rand, sheet);
         struct fw_sheet_plan *plan =
-            Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
+            Fw_Sheet_Plan(rig->replicas[0], text, strlen(text));
 
         json_node_unref(Fw_Sheet_Report(plan));
         Fw_Sheet_FreePlan(plan);
--- a/tests/config/test_snapshot.c
+++ b/tests/config/test_snapshot.c
@@ -10,14 +10,14 @@
 static uint64_t
 digest(const struct fw_rig *rig, int i)
 {
-    return Fw_Config_Digest(Fw_Fold_Config(rig->folds[i]));
+    return Fw_Config_Digest(Fw_ConfigReplica_Config(rig->replicas[i]));
 }
 
 /* Returns a state with teams "t0" and so on, each with a key. */
-static struct fw_state *
+static struct fw_config_state *
 new_state(int teams)
 {
-    struct fw_state *st = Fw_State_New();
+    struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_change_result res;
 
     for (int i = 0; i < teams; i++) {
@@ -29,7 +29,7 @@
             "{\"team\":\"t%d\"}}]}",
             i, i, i, i, i);
 
-        Fw_State_Apply(st, text, &res);
+        Fw_ConfigState_Apply(st, text, &res);
         ck_assert_int_eq(res.verdict, FW_CHANGE_ACCEPTED);
         g_free(text);
     }
@@ -62,11 +62,12 @@
 };
 
 static void
-feed_part(struct fw_snap_collector *c, const char *part, struct fw_state **st)
+feed_part(struct fw_snapshot_assembler *c, const char *part,
+          struct fw_config_state **st)
 {
-    struct fw_state *got = NULL;
+    struct fw_config_state *got = NULL;
 
-    if (Fw_Snap_Feed(c, part, &got, NULL) == 1) {
+    if (Fw_Snapshot_Feed(c, part, &got, NULL) == 1) {
         ck_assert_ptr_null(*st);
         *st = got;
     }
@@ -82,11 +83,11 @@
     return text;
 }
 
-static struct fw_state *
-read_damaged(const struct fw_snap_text *text, enum damage damage)
+static struct fw_config_state *
+read_damaged(const struct fw_snapshot *text, enum damage damage)
 {
-    struct fw_snap_collector c = {.feeds = 0};
-    struct fw_state *st = NULL;
+    struct fw_snapshot_assembler c = {.feeds = 0};
+    struct fw_config_state *st = NULL;
     unsigned n = text->parts->len;
 
     for (unsigned k = 0; k < n; k++) {
@@ -130,49 +131,49 @@
  */
 START_TEST(only_complete_snapshots_are_used)
 {
-    struct fw_state *st = new_state(600);
-    struct fw_snap_text *text = Fw_Snap_Write(st, "s-1");
+    struct fw_config_state *st = new_state(600);
+    struct fw_snapshot *text = Fw_Snapshot_Write(st, "s-1");
 
     ck_assert_uint_ge(text->parts->len, 4);
     for (size_t i = 0; i < G_N_ELEMENTS(damages); i++) {
-        struct fw_state *got = read_damaged(text, damages[i].damage);
+        struct fw_config_state *got = read_damaged(text, damages[i].damage);
 
         ck_assert_msg(!got == !damages[i].complete, "damage %zu", i);
         if (got) {
-            ck_assert(Fw_State_Digest(got) == Fw_State_Digest(st));
+            ck_assert(Fw_ConfigState_Digest(got) == Fw_ConfigState_Digest(st));
         }
-        Fw_State_Free(got);
+        Fw_ConfigState_Free(got);
     }
-    Fw_Snap_FreeText(text);
-    Fw_State_Free(st);
+    Fw_Snapshot_Free(text);
+    Fw_ConfigState_Free(st);
 }
 END_TEST
 
 /* Interleaved parts of two writers yield both snapshots. */
 START_TEST(interleaved_snapshots_are_separated)
 {
-    struct fw_state *st = new_state(300);
-    struct fw_snap_text *a = Fw_Snap_Write(st, "s-a");
-    struct fw_snap_text *b = Fw_Snap_Write(st, "s-b");
-    struct fw_snap_collector c = {.feeds = 0};
+    struct fw_config_state *st = new_state(300);
+    struct fw_snapshot *a = Fw_Snapshot_Write(st, "s-a");
+    struct fw_snapshot *b = Fw_Snapshot_Write(st, "s-b");
+    struct fw_snapshot_assembler c = {.feeds = 0};
     int n_complete = 0;
 
     for (unsigned k = 0; k < a->parts->len; k++) {
-        struct fw_state *got = NULL;
+        struct fw_config_state *got = NULL;
 
         n_complete +=
-            Fw_Snap_Feed(&c, g_ptr_array_index(a->parts, k), &got, NULL);
-        Fw_State_Free(got);
+            Fw_Snapshot_Feed(&c, g_ptr_array_index(a->parts, k), &got, NULL);
+        Fw_ConfigState_Free(got);
         got = NULL;
         n_complete +=
-            Fw_Snap_Feed(&c, g_ptr_array_index(b->parts, k), &got, NULL);
-        Fw_State_Free(got);
+            Fw_Snapshot_Feed(&c, g_ptr_array_index(b->parts, k), &got, NULL);
+        Fw_ConfigState_Free(got);
     }
     ck_assert_int_eq(n_complete, 2);
     Fw_Snapshot_Reset(&c);
-    Fw_Snap_FreeText(a);
-    Fw_Snap_FreeText(b);
-    Fw_State_Free(st);
+    Fw_Snapshot_Free(a);
+    Fw_Snapshot_Free(b);
+    Fw_ConfigState_Free(st);
 }
 END_TEST
 
@@ -183,7 +184,7 @@
 
     Fw_Rig_SetRate(rig, "c1", "a", 1, 0);
     Fw_Rig_SetRate(rig, "c2", "b", 2, 0);
-    Fw_Fold_SetWriter(rig->folds[0], 1);
+    Fw_ConfigReplica_SetSnapshotWriter(rig->replicas[0], 1);
     Fw_Rig_Run(rig, 30 * FW_SEC);
     ck_assert_uint_eq(rig->snapshot.records->len, 1);
     Fw_Rig_SetRate(rig, "c3", "a", 3, 1);
@@ -208,7 +209,7 @@
     struct fw_rig *rig = Fw_Rig_New(2);
 
     Fw_Rig_SetRate(rig, "c1", "a", 1, 0);
-    Fw_Fold_SetWriter(rig->folds[0], 1);
+    Fw_ConfigReplica_SetSnapshotWriter(rig->replicas[0], 1);
     rig->lose_appends = 2;
     Fw_Rig_Run(rig, 40 * FW_SEC);
     ck_assert_uint_eq(rig->snapshot.records->len, 3);
@@ -230,11 +231,11 @@
 START_TEST(incomplete_snapshots_are_skipped)
 {
     struct fw_rig *rig = Fw_Rig_New(2);
-    struct fw_state *st = new_state(600);
-    struct fw_snap_text *half = Fw_Snap_Write(st, "s-half");
+    struct fw_config_state *st = new_state(600);
+    struct fw_snapshot *half = Fw_Snapshot_Write(st, "s-half");
 
     Fw_Rig_SetRate(rig, "c1", "a", 1, 0);
-    Fw_Fold_SetWriter(rig->folds[0], 1);
+    Fw_ConfigReplica_SetSnapshotWriter(rig->replicas[0], 1);
     Fw_Rig_Run(rig, 30 * FW_SEC);
     for (unsigned k = 0; k + 1 < half->parts->len; k++) {
         Fw_Rig_Append(&rig->snapshot, g_ptr_array_index(half->parts, k));
@@ -248,8 +249,8 @@
     /* The writer appends a complete snapshot. */
     Fw_Rig_Run(rig, 700 * FW_SEC);
     ck_assert_uint_eq(rig->snapshot.records->len, half->parts->len + 1);
-    Fw_Snap_FreeText(half);
-    Fw_State_Free(st);
+    Fw_Snapshot_Free(half);
+    Fw_ConfigState_Free(st);
     Fw_Rig_Free(rig);
 }
 END_TEST
@@ -264,12 +265,12 @@
     char *old;
 
     Fw_Rig_SetRate(rig, "c1", "a", 1, 0);
-    Fw_Fold_SetWriter(rig->folds[0], 1);
+    Fw_ConfigReplica_SetSnapshotWriter(rig->replicas[0], 1);
     Fw_Rig_Run(rig, 30 * FW_SEC);
     old = g_strdup(g_ptr_array_index(rig->snapshot.records, 0));
     Fw_Rig_SetRate(rig, "c2", "a", 2, 1);
     Fw_Rig_Run(rig, 3 * FW_SEC);
-    Fw_Fold_SetWriter(rig->folds[0], 0);
+    Fw_ConfigReplica_SetSnapshotWriter(rig->replicas[0], 0);
     rig->partitioned[1] = 1;
     Fw_Rig_SetRate(rig, "c3", "a", 3, 2);
     Fw_Rig_SetRate(rig, "c4", "a", 4, 3);
@@ -280,7 +281,7 @@
     Fw_Rig_Run(rig, 20 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 2);
     ck_assert_int_eq(Fw_Rig_CountNotes(rig, "config_gap"), 1);
-    Fw_Fold_SetWriter(rig->folds[0], 1);
+    Fw_ConfigReplica_SetSnapshotWriter(rig->replicas[0], 1);
     Fw_Rig_Run(rig, 400 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 4);
     ck_assert(digest(rig, 0) == digest(rig, 1));
@@ -296,7 +297,8 @@
     struct fw_action *a;
 
     Fw_Actions_Init(&out);
-    Fw_Fold_AskPeer(rig->folds[i], peer, "addr", rig->now, &out);
+    Fw_ConfigReplica_RequestFromPeer(rig->replicas[i], peer, "addr", rig->now,
+                                     &out);
     while ((a = Fw_Actions_Take(&out))) {
         Fw_Rig_Execute(rig, i, a);
     }
@@ -322,14 +324,14 @@
     rig->partitioned[2] = 1;
     Fw_Rig_SetRate(rig, "c-last", "t0", 99, 1);
     Fw_Rig_Run(rig, 3 * FW_SEC);
-    rig->down = 1;
+    rig->log_down = 1;
     rig->partitioned[2] = 0;
     Fw_Rig_Restart(rig, 1);
     Fw_Rig_Run(rig, 6 * FW_SEC);
-    ck_assert(!Fw_Fold_Ready(rig->folds[1]));
+    ck_assert(!Fw_ConfigReplica_IsReady(rig->replicas[1]));
     request_from_peer(rig, 1, "fold2");
     Fw_Rig_Run(rig, 3 * FW_SEC);
-    ck_assert(Fw_Fold_Ready(rig->folds[1]));
+    ck_assert(Fw_ConfigReplica_IsReady(rig->replicas[1]));
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "t0"), 0);
     Fw_Rig_Run(rig, 30 * FW_SEC);
     request_from_peer(rig, 1, "fold0");
@@ -339,7 +341,7 @@
     request_from_peer(rig, 1, "fold2");
     Fw_Rig_Run(rig, 3 * FW_SEC);
     ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "t0"), 99);
-    rig->down = 0;
+    rig->log_down = 0;
     Fw_Rig_SetRate(rig, "c-back", "t0", 100, 701);
     Fw_Rig_Run(rig, 10 * FW_SEC);
     for (int i = 0; i < 3; i++) {
--- a/tests/fleet/fleet_script.c
+++ b/tests/fleet/fleet_script.c
@@ -123,7 +123,7 @@
     t->rate = int_arg(s, 2);
     t->burst = int_arg(s, 3);
     t->version++;
-    cfg->offset++;
+    cfg->next_offset++;
 }
 
 static int
--- a/tests/io/side.c
+++ b/tests/io/side.c
@@ -43,7 +43,8 @@
 Fw_Side_SendState(struct side *from, const struct side *to, size_t size)
 {
     struct fw_peer_send send = {
-        .msg = {.area = FW_AREA_CONFIG, .u.config = {.kind = FW_CONFIG_PART}}};
+        .msg = {.area = FW_AREA_CONFIG,
+                .u.config = {.kind = FW_CONFIG_MSG_PART}}};
 
     g_strlcpy(send.to, to->self.name, sizeof(send.to));
     g_strlcpy(send.addr, to->addr, sizeof(send.addr));
--- a/tests/operate/test_operate.c
+++ b/tests/operate/test_operate.c
@@ -99,7 +99,7 @@
 
         Fw_Rig_Call(rig, 0, i, c->method, c->path, c->key, c->body);
         Fw_Rig_Run(rig, 200 * FW_MSEC);
-        a = Fw_Rig_Answer(rig, i);
+        a = Fw_Rig_FindAnswer(rig, i);
         ck_assert_ptr_nonnull(a);
         ck_assert_msg(a->status == c->status && strstr(a->body, c->expected),
                       "call %zu: %d %s", i, a->status, a->body);
@@ -138,8 +138,8 @@
         Fw_Rig_Call(rig, 7, first_call + 1, "POST", "/v1/change", "bruno-key",
                     body[1]);
         Fw_Rig_Run(rig, FW_SEC);
-        a = Fw_Rig_Answer(rig, first_call);
-        b = Fw_Rig_Answer(rig, first_call + 1);
+        a = Fw_Rig_FindAnswer(rig, first_call);
+        b = Fw_Rig_FindAnswer(rig, first_call + 1);
         ck_assert_int_eq(a->status, 200);
         ck_assert_int_eq(b->status, 409);
         ck_assert_ptr_nonnull(strstr(b->body, "by anna"));
@@ -150,8 +150,9 @@
         g_free(body[1]);
     }
     for (int i = 1; i < 9; i++) {
-        ck_assert(Fw_Config_Digest(Fw_Fold_Config(rig->folds[i])) ==
-                  Fw_Config_Digest(Fw_Fold_Config(rig->folds[0])));
+        ck_assert(
+            Fw_Config_Digest(Fw_ConfigReplica_Config(rig->replicas[i])) ==
+            Fw_Config_Digest(Fw_ConfigReplica_Config(rig->replicas[0])));
     }
     Fw_Rig_Free(rig);
 }
@@ -189,18 +190,18 @@
         create_operators(rig);
         rig->lose_appends = c->lose_answer;
         rig->drop_appends = c->lose_append;
-        rig->down = c->unavailable;
+        rig->log_down = c->unavailable;
         Fw_Rig_Call(rig, 0, 1, "POST", "/v1/change", "anna-key", body);
         Fw_Rig_Run(rig, 10 * FW_SEC);
-        a = Fw_Rig_Answer(rig, 1);
+        a = Fw_Rig_FindAnswer(rig, 1);
         ck_assert_ptr_nonnull(a);
         ck_assert_msg(a->status == c->status && strstr(a->body, c->expected),
                       "%s: %d %s", c->name, a->status, a->body);
-        rig->down = 0;
+        rig->log_down = 0;
         Fw_Rig_Run(rig, 10 * FW_SEC);
         Fw_Rig_Call(rig, 1, 2, "POST", "/v1/change", "anna-key", body);
         Fw_Rig_Run(rig, 2 * FW_SEC);
-        ck_assert_int_eq(Fw_Rig_Answer(rig, 2)->status, c->retry_status);
+        ck_assert_int_eq(Fw_Rig_FindAnswer(rig, 2)->status, c->retry_status);
         ck_assert_uint_eq(rig->config.records->len, c->n_records);
         ck_assert_int_eq(Fw_Rig_Rate(rig, 0, "a"), 5);
         ck_assert_int_eq(Fw_Rig_Rate(rig, 1, "a"), 5);
--- a/tests/operate/test_sheet.c
+++ b/tests/operate/test_sheet.c
@@ -130,7 +130,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(sheets); i++) {
         const struct sheet_case *c = &sheets[i];
         struct fw_sheet_plan *plan =
-            Fw_Sheet_Plan(rig->folds[0], c->text, strlen(c->text));
+            Fw_Sheet_Plan(rig->replicas[0], c->text, strlen(c->text));
         char *got = summary(plan);
 
         ck_assert_msg(strcmp(got, c->result) == 0, "sheet %zu: %s", i, got);
@@ -147,9 +147,9 @@
 START_TEST(importing_an_unedited_export_changes_nothing)
 {
     struct fw_rig *rig = create_rig();
-    char *text = Fw_Sheet_Write(Fw_Fold_Config(rig->folds[0]));
+    char *text = Fw_Sheet_Export(Fw_ConfigReplica_Config(rig->replicas[0]));
     struct fw_sheet_plan *plan =
-        Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
+        Fw_Sheet_Plan(rig->replicas[0], text, strlen(text));
 
     ck_assert_uint_eq(plan->n_errors, 0);
     ck_assert_uint_eq(plan->n_changes, 0);
@@ -212,7 +212,7 @@
 
         Fw_Rig_Append(&rig->config, c->change);
         Fw_Rig_Run(rig, FW_SEC);
-        plan = Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
+        plan = Fw_Sheet_Plan(rig->replicas[0], text, strlen(text));
         got = summary(plan);
         ck_assert_msg(strcmp(got, c->result) == 0, "case %zu: %s", i, got);
         g_free(got);
@@ -235,7 +235,7 @@
     Fw_Rig_Append(&rig->config, FW_CHANGE_RECORD(FW_KEY_ITEM(
                                     "{\"team\":\"a\",\"withdrawn\":true}")));
     Fw_Rig_Run(rig, FW_SEC);
-    plan = Fw_Sheet_Plan(rig->folds[0], text, strlen(text));
+    plan = Fw_Sheet_Plan(rig->replicas[0], text, strlen(text));
     got = summary(plan);
     ck_assert_str_eq(got, "3 withdrawn no\n");
     g_free(got);
--- a/tests/relayd/world.c
+++ b/tests/relayd/router_env.c
@@ -1,4 +1,4 @@
-#include "tests/relayd/world.h"
+#include "tests/relayd/router_env.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -25,14 +25,14 @@
 {
     struct fw_relayd_opts *o = &env->opts;
 
-    *o = (struct fw_relayd_opts){.callers = "127.0.0.1:0",
+    *o = (struct fw_relayd_opts){.callers_addr = "127.0.0.1:0",
                                  .ready_addr = "127.0.0.1:0",
                                  .ready_path = "/readyz",
                                  .metrics_addr = "127.0.0.1:0",
                                  .peers_addr = "127.0.0.1:0",
                                  .config_wait_us = 200 * FW_MSEC,
                                  .servers_interval_us = 20 * FW_MSEC,
-                                 .log_bytes = 65536};
+                                 .log_buffer_bytes = 65536};
     o->relay = (struct fw_relay_opts){.name = "n1",
                                       .domain = "a",
                                       .boot = 1,
--- a/tests/relayd/test_shell_events.c
+++ b/tests/relayd/test_log_events.c
@@ -9,7 +9,7 @@
 
 #include "io/json.h"
 #include "relayd/relayd_internal.h"
-#include "tests/relayd/world.h"
+#include "tests/relayd/router_env.h"
 
 /* Events and the members that each has besides the common ones. */
 static const struct {
@@ -102,12 +102,13 @@
 {
     const struct fw_relayd_opts *o = &env->opts;
     char *path = NULL;
-    char *good = g_strdup_printf("[relay]\nname = n1\ndomain = a\n"
-                                 "[listen]\ncallers = %s\nready = %s\n"
-                                 "metrics = %s\npeers = %s\n"
-                                 "[store]\naddress = %s\n",
-                                 o->callers, o->ready_addr, o->metrics_addr,
-                                 o->peers_addr, o->store_addr);
+    char *good =
+        g_strdup_printf("[relay]\nname = n1\ndomain = a\n"
+                        "[listen]\ncallers = %s\nready = %s\n"
+                        "metrics = %s\npeers = %s\n"
+                        "[store]\naddress = %s\n",
+                        o->callers_addr, o->ready_addr, o->metrics_addr,
+                        o->peers_addr, o->store_addr);
     int fd = g_file_open_tmp("fw-XXXXXX.ini", &path, NULL);
 
     ck_assert_int_ge(fd, 0);
--- a/tests/relayd/test_handover.c
+++ b/tests/relayd/test_peer_snapshot.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "relayd/store_internal.h"
-#include "tests/relayd/world.h"
+#include "tests/relayd/router_env.h"
 
 static void
 update(GHashTable *newest, uint64_t offset, const char *key, const char *value)
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "tests/relayd/world.h"
+#include "tests/relayd/router_env.h"
 
 static int
 all_released(void *ctx)
--- a/tests/relayd/test_settings.c
+++ b/tests/relayd/test_settings.c
@@ -64,7 +64,7 @@
     ck_assert_ptr_null(strstr(text->str, "{{"));
     ck_assert(g_file_set_contents(path, text->str, -1, NULL));
     *error = NULL;
-    rc = Fw_Relayd_Load(path, out, error);
+    rc = Fw_Relayd_LoadSettings(path, out, error);
     g_unlink(path);
     g_free(path);
     g_string_free(text, TRUE);
