--- a/tests/relay/test_events.c
+++ b/tests/relay/test_events.c
@@ -221,7 +221,7 @@
          "at 2300\n"
          "tick\n"
          "  5 server_gone \"server\":\"s2\",\"addr\":\"s2:1\",\"why\":\"not "
-         "back after the store's return\"\n"
+         "listed after the store's recovery\"\n"
          "  forget s2:1\n"
          "member n2\n"
          "at 25000\n"
--- a/tests/system/events.sh
+++ b/tests/system/events.sh
@@ -8,7 +8,7 @@
 src="src/relay src/relayd src/io/note.c"
 # The event is the first text in lower case of the call.
 cat $(find $src -name '*.c') | tr '\n' ' ' |
-    grep -oE 'Fw_(Acts|Note)_Log\( *[^";]*("[a-z_]+"( : "[a-z_]+")?)' |
+    grep -oE 'Fw_(RelayActions|Note)_Log\( *[^";]*("[a-z_]+"( : "[a-z_]+")?)' |
     grep -oE '"[a-z_]+"' | tr -d '"' | sort -u > "$dir/logged"
 sed -n '/^## Events/,/^## Metrics/p' $page | grep '^|' | cut -d'|' -f2 |
     grep -oE '`[a-z_]+`' | tr -d '`' | sort -u > "$dir/told"
