--- a/src/base/fault.c
+++ b/src/base/fault.c
@@ -6,11 +6,11 @@
 const char *Fw_Fault_Active;
 
 int
-Fw_Fault_Is(const char *name)
+Fw_Fault_IsActive(const char *name)
 {
     return Fw_Fault_Active && strcmp(Fw_Fault_Active, name) == 0;
 }
 #else
-/* An empty unit is not ISO C. */
+/* ISO C forbids an empty translation unit. */
 extern int Fw_Fault_Unused;
 #endif
--- a/src/base/list.h
+++ b/src/base/list.h
@@ -5,9 +5,9 @@
 #include <stddef.h>
 
 /**
- * struct fw_list - a list head, or the link inside a listed struct.
- * @next: following link, the head itself at the end
- * @prev: preceding link, the head itself at the start
+ * struct fw_list - list head, or the link embedded in an element.
+ * @next: next link; the head when this is the last one
+ * @prev: previous link; the head when this is the first one
  */
 struct fw_list {
     struct fw_list *next;
@@ -18,7 +18,7 @@
     ((type *)((char *)(ptr)-offsetof(type, member)))
 #define FW_LIST_EACH(pos, head)                                               \
     for ((pos) = (head)->next; (pos) != (head); (pos) = (pos)->next)
-/* @pos may be removed inside the loop. */
+/* Like FW_LIST_EACH, but the body may remove @pos. */
 #define FW_LIST_EACH_SAFE(pos, tmp, head)                                     \
     for ((pos) = (head)->next, (tmp) = (pos)->next; (pos) != (head);          \
          (pos) = (tmp), (tmp) = (pos)->next)
@@ -45,7 +45,7 @@
     head->prev = link;
 }
 
-/* Leaves @link empty, so removing it twice is harmless. */
+/* Reinitialises @link, so removing it twice is harmless. */
 static inline void
 Fw_List_Remove(struct fw_list *link)
 {
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -30,15 +30,15 @@
 }
 
 void
-Fw_Histogram_Add(struct fw_histogram *h, int64_t took_us)
+Fw_Histogram_Add(struct fw_histogram *h, int64_t duration_us)
 {
     int i = 0;
 
-    while (i < FW_HISTOGRAM_BUCKETS && (double)took_us > bucket_us(i)) {
+    while (i < FW_HISTOGRAM_BUCKETS && (double)duration_us > bucket_us(i)) {
         i++;
     }
     h->counts[i]++;
-    h->sum_us += took_us;
+    h->sum_us += duration_us;
 }
 
 static void
@@ -64,32 +64,35 @@
 }
 
 static void
-print_metric(const struct fw_metric *c, const char *last, GString *out)
+print_metric(const struct fw_metric *metric, const char *last_name,
+             GString *out)
 {
-    if (strcmp(c->name, last) != 0) {
-        g_string_append_printf(out, "# HELP %s %s\n# TYPE %s %s\n", c->name,
-                               c->help, c->name,
-                               c->is_gauge ? "gauge" : "counter");
+    if (strcmp(metric->name, last_name) != 0) {
+        g_string_append_printf(out, "# HELP %s %s\n# TYPE %s %s\n",
+                               metric->name, metric->help, metric->name,
+                               metric->is_gauge ? "gauge" : "counter");
     }
-    if (c->labels) {
-        g_string_append_printf(out, "%s{%s} %" PRId64 "\n", c->name, c->labels,
-                               c->value);
+    if (metric->labels) {
+        g_string_append_printf(out, "%s{%s} %" PRId64 "\n", metric->name,
+                               metric->labels, metric->value);
         return;
     }
-    g_string_append_printf(out, "%s %" PRId64 "\n", c->name, c->value);
+    g_string_append_printf(out, "%s %" PRId64 "\n", metric->name,
+                           metric->value);
 }
 
 void
 Fw_Metrics_Print(const struct fw_metrics *m, GString *out)
 {
-    const char *last = "";
+    const char *last_name = "";
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &m->all) {
-        const struct fw_metric *c = FW_LIST_ENTRY(pos, struct fw_metric, link);
+        const struct fw_metric *metric =
+            FW_LIST_ENTRY(pos, struct fw_metric, link);
 
-        print_metric(c, last, out);
-        last = c->name;
+        print_metric(metric, last_name, out);
+        last_name = metric->name;
     }
     FW_LIST_EACH (pos, &m->histograms) {
         print_histogram(FW_LIST_ENTRY(pos, struct fw_histogram, link), out);
--- a/src/base/verdict.h
+++ b/src/base/verdict.h
@@ -1,12 +1,12 @@
-/* Whether a request may have run on an upstream. */
+/* Whether a request may have been executed by an upstream. */
 #ifndef FW_BASE_VERDICT_H
 #define FW_BASE_VERDICT_H
 
 /**
- * enum fw_ran - the verdict carried by every error, header and log line.
- * @FW_RAN_NO: certain that no upstream has begun the request
- * @FW_RAN_MAYBE: bytes of it were sent and the outcome is unknown
- * @FW_RAN_YES: an upstream has answered that it ran
+ * enum fw_ran - whether a request ran; decides if it is safe to retry.
+ * @FW_RAN_NO: no upstream has started to execute it
+ * @FW_RAN_MAYBE: bytes of it were sent, but the outcome is unknown
+ * @FW_RAN_YES: an upstream has responded that it ran
  */
 enum fw_ran {
     FW_RAN_NO,
@@ -14,6 +14,7 @@
     FW_RAN_YES,
 };
 
+/* The value of @ran on the wire and in log lines. */
 static inline const char *
 Fw_Ran_Name(enum fw_ran ran)
 {
--- a/src/core/action.c
+++ b/src/core/action.c
@@ -174,7 +174,7 @@
     note->severity = severity;
     note->event = event;
     va_start(ap, event);
-    while (note->n < FW_NOTE_FIELDS && (name = va_arg(ap, const char *))) {
+    while (note->n < FW_NOTE_FIELDS_MAX && (name = va_arg(ap, const char *))) {
         note->fields[note->n].name = name;
         note->fields[note->n].value = g_strdup(va_arg(ap, const char *));
         note->n++;
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -1,4 +1,4 @@
-/* Requests of callers as the shell hands them to the core. */
+/* Requests of callers (API clients), and the responses to them. */
 #ifndef FW_CORE_CALL_H
 #define FW_CORE_CALL_H
 
@@ -8,20 +8,23 @@
 #include "base/limits.h"
 #include "base/verdict.h"
 
-/** enum fw_call_kind - what a caller asks for. */
+/** enum fw_call_kind - type of a request. */
 enum fw_call_kind {
-    FW_CALL_COMPLETION, /* also chat: the shell flattens the messages */
+    FW_CALL_COMPLETION, /* also chat; the I/O shell joins the messages */
     FW_CALL_MODELS,
     FW_CALL_SERVICE,
 };
 
 /**
- * struct fw_call - a request that has been read and checked as a whole.
- * @call: the shell's handle, unique in this process
- * @key: bearer key or NULL; borrowed, dropped after the step, never logged
- * @request_id: from the caller, or empty
- * @deadline_us: monotonic time by which the answer must be whole, 0 for none
- * @prompt_tokens: estimate, one token in four bytes
+ * struct fw_call - a request that was received completely and validated.
+ * @call: handle chosen by the I/O shell, unique in this process
+ * @key: API key or NULL; valid for the current step only, never logged
+ * @request_id: chosen by the caller, or empty
+ * @idem_key: idempotency key, or empty
+ * @deadline_us: monotonic time by which the response must be complete, 0 for
+ *               none
+ * @prompt_tokens: estimate, one token per four bytes
+ * @path: path below /v1/services/NAME, with query
  */
 struct fw_call {
     uint64_t call;
@@ -37,18 +40,19 @@
     int stream;
     char service[FW_NAME_MAX];
     char method[16];
-    const char *path; /* below /v1/services/NAME, with query */
+    const char *path;
     char content_type[64];
     GBytes *body;
 };
 
-/** struct fw_call_start - first word of a completion's answer. */
+/** struct fw_call_start - start of the response to a completion. */
 struct fw_call_start {
     uint64_t call;
     char request_id[FW_ID_MAX];
     char model[FW_NAME_MAX];
 };
 
+/** struct fw_call_token - text of one output token; @index counts from 0. */
 struct fw_call_piece {
     uint64_t call;
     int64_t index;
@@ -56,8 +60,11 @@
 };
 
 /**
- * struct fw_call_end - the answer is whole.
- * @prefill: name of the prefill engine, @decode: of the decode engine
+ * struct fw_call_end - the response to a completion is complete.
+ * @reason: finish reason
+ * @transfer_us: duration of the KV transfer
+ * @prefill: name of the prefill engine
+ * @decode: name of the decode engine
  */
 struct fw_call_end {
     uint64_t call;
@@ -71,10 +78,10 @@
 };
 
 /**
- * struct fw_call_fail - a refusal or failure; the only answer where none had
- * begun, else the closing error event of the stream.
- * @code: stable word for programs, e.g. "rate_limited"
- * @retry_after_us: 0 where waiting does not help
+ * struct fw_call_fail - a request was rejected or failed. Sent as an error
+ * response, or as the final error event when a stream has already started.
+ * @code: stable error code for programs, e.g. "rate_limited"
+ * @retry_after_us: 0 when retrying later would not help
  */
 struct fw_call_fail {
     uint64_t call;
@@ -86,7 +93,11 @@
     int64_t retry_after_us;
 };
 
-/** struct fw_call_answer - a whole answer: plain service or /v1/models. */
+/**
+ * struct fw_call_response - a complete response: of a plain service, of
+ * /v1/models or to an operator's request.
+ * @body: reference owned by the action
+ */
 struct fw_call_answer {
     uint64_t call;
     char request_id[FW_ID_MAX];
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -1,4 +1,4 @@
-/* What happens to an instance: the input of the core. */
+/* Events: the input of the core, delivered by the I/O shell. */
 #ifndef FW_CORE_EVENT_H
 #define FW_CORE_EVENT_H
 
@@ -9,19 +9,24 @@
 
 /** enum fw_event_kind - tag of struct fw_event. */
 enum fw_event_kind {
-    FW_EV_TICK,         /* a timer asked for with FW_ACT_WAKE is due */
+    FW_EV_TICK,         /* the wake_us of fw_actions is due */
     FW_EV_CALL_OPEN,    /* a caller's request */
-    FW_EV_CALL_CLOSED,  /* the caller has gone */
-    FW_EV_UP,           /* progress of a call to an upstream */
+    FW_EV_CALL_CLOSED,  /* the caller's connection was closed */
+    FW_EV_UP,           /* progress or result of an upstream call */
     FW_EV_PEER,         /* a message from an authenticated peer */
-    FW_EV_LOG_APPENDED, /* answer of the log */
-    FW_EV_LOG_RECORDS,  /* answer of the log */
-    FW_EV_LISTED,       /* answer of the list of instances and upstreams */
+    FW_EV_LOG_APPENDED, /* result of an append to the platform's log */
+    FW_EV_LOG_RECORDS,  /* result of a read of the platform's log */
+    FW_EV_LISTED,       /* contents of the platform's registry */
     FW_EV_OPERATOR,     /* a request on the operators' port */
-    FW_EV_DRAIN,        /* SIGTERM: stop gracefully */
+    FW_EV_DRAIN,        /* SIGTERM: drain, then exit */
 };
 
-/** struct fw_event_peer - @from is proven, @boot is that of its process. */
+/**
+ * struct fw_event_peer - a message from another instance.
+ * @from: authenticated name of the sender
+ * @boot: boot id of the sending process, see struct fw_self
+ * @msg: owned by the I/O shell
+ */
 struct fw_event_peer {
     char from[FW_NAME_MAX];
     uint64_t boot;
@@ -29,8 +34,9 @@
 };
 
 /**
- * struct fw_operator_call - answered by FW_ACT_CALL_ANSWER with @call.
- * @key: bearer key or NULL; borrowed, never logged
+ * struct fw_operator_call - a request on the operators' port, answered by
+ * FW_ACT_CALL_RESPONSE with the same @call.
+ * @key: API key or NULL; valid for the current step only, never logged
  * @path: with query, e.g. "/v1/show/teams?name=a"
  * @body: may be NULL
  */
@@ -42,7 +48,7 @@
     GBytes *body;
 };
 
-/** struct fw_event - one thing that happened. */
+/** struct fw_event - one event; @kind selects the member of @u. */
 struct fw_event {
     enum fw_event_kind kind;
     union {
--- a/src/core/log.h
+++ b/src/core/log.h
@@ -1,4 +1,4 @@
-/* The platform's append-only log and list, as the core sees them. */
+/* Requests to the platform's append-only log and to its registry. */
 #ifndef FW_CORE_LOG_H
 #define FW_CORE_LOG_H
 
@@ -6,26 +6,27 @@
 
 #include "base/limits.h"
 
-/* Streams of the system's own; partitions add "-N". */
+/* Names of log streams; a partitioned stream appends "-N". */
 #define FW_STREAM_CONFIG "config"
 #define FW_STREAM_SNAPSHOT "snapshot"
 #define FW_STREAM_ROLES "roles"
 #define FW_STREAM_IDEM "idem"
 
 /**
- * struct fw_log_append - append @records, all or none, in order.
- * @ticket: comes back with the answer
+ * struct fw_log_append - append @records atomically and in order.
+ * @ticket: id that is returned with the result
  */
 struct fw_log_append {
     uint64_t ticket;
     char stream[FW_NAME_MAX];
     int n;
-    char **records; /* JSON texts, owned by the action */
+    char **records; /* JSON, owned by the action */
 };
 
 /**
- * struct fw_log_read - read from offset @from on.
- * @wait_us: the log may hold the answer back until a record comes
+ * struct fw_log_read - read records starting at offset @from.
+ * @ticket: id that is returned with the result
+ * @wait_us: long poll: how long the log may wait for a first record
  */
 struct fw_log_read {
     uint64_t ticket;
@@ -36,9 +37,10 @@
 };
 
 /**
- * struct fw_log_appended - what became of an append.
- * @err: 0; -EAGAIN: surely not appended; -EIO: not known
- * @first: offset of the first record when @err is 0
+ * struct fw_log_appended - result of an append.
+ * @err: 0 on success, -EAGAIN when nothing was appended, -EIO when the
+ *       outcome is unknown
+ * @first: offset of the first appended record when @err is 0
  */
 struct fw_log_appended {
     uint64_t ticket;
@@ -48,12 +50,14 @@
 };
 
 /**
- * struct fw_log_records - answer to a read.
- * @sent_us: monotonic time when the read was sent; the records hold all that
- *           was appended before it, up to @n or the limit asked for
- * @first: offset of records[0]; later than asked when older ones aged out
- * @oldest: oldest offset still kept
- * @end: offset that the next append will get
+ * struct fw_log_records - result of a read.
+ * @err: 0 or a negative errno
+ * @sent_us: monotonic time when the read was sent; every record appended
+ *           before it is visible to the read, up to the requested limit
+ * @first: offset of records[0]; higher than requested when older records have
+ *         expired
+ * @oldest: lowest offset still retained
+ * @end: offset of the next record to be appended
  */
 struct fw_log_records {
     uint64_t ticket;
@@ -64,16 +68,22 @@
     uint64_t oldest;
     uint64_t end;
     int n;
-    const char *const *records; /* borrowed for the event */
+    const char *const *records; /* JSON, valid for the current step only */
 };
 
-/** enum fw_list_kind - what an entry of the platform's list is. */
+/** enum fw_registry_kind - type of a registry entry. */
 enum fw_list_kind {
     FW_LIST_INSTANCE,
     FW_LIST_UPSTREAM,
 };
 
-/** struct fw_list_entry - one line of the platform's list, which lags. */
+/**
+ * struct fw_registry_entry - one entry of the platform's registry, which is
+ * eventually consistent.
+ * @addr: address that peers or callers of an upstream connect to
+ * @domain: failure domain
+ * @leaving: nonzero while the instance or upstream is draining
+ */
 struct fw_list_entry {
     enum fw_list_kind kind;
     char name[FW_NAME_MAX];
@@ -83,10 +93,14 @@
     int leaving;
 };
 
+/**
+ * struct fw_registry_snapshot - contents of the registry.
+ * @err: 0 or a negative errno
+ */
 struct fw_listed {
     int err;
     int n;
-    const struct fw_list_entry *entries; /* borrowed for the event */
+    const struct fw_list_entry *entries; /* valid for the current step only */
 };
 
 #endif
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -1,4 +1,4 @@
-/* Messages between instances. Each subsystem owns its part and its codec. */
+/* Messages between instances. Each subsystem defines and encodes its own. */
 #ifndef FW_CORE_MSG_H
 #define FW_CORE_MSG_H
 
@@ -11,7 +11,7 @@
 #include "request/request_msg.h"
 #include "route/route_msg.h"
 
-/** enum fw_area - which subsystem a message belongs to; a wire value. */
+/** enum fw_area - subsystem of a message; the values are on the wire. */
 enum fw_area {
     FW_AREA_FLEET = 1,
     FW_AREA_LIMIT,
@@ -21,7 +21,7 @@
     FW_AREA_CONFIG,
 };
 
-/** struct fw_msg - one message to or from a peer. */
+/** struct fw_msg - a message; @area selects the member of @u. */
 struct fw_msg {
     enum fw_area area;
     union {
@@ -34,14 +34,16 @@
     } u;
 };
 
+/* Encodes @msg as msgpack. */
 void
 Fw_Msg_Pack(msgpack_packer *pk, const struct fw_msg *msg);
 
 /**
- * Fw_Msg_Unpack - reads one message.
+ * Fw_Msg_Unpack - decodes one message.
+ * @msg: to be cleared with Fw_Msg_Clear when 0 is returned
  *
- * Return: 0, or -EBADMSG when it is not a well-formed message; @msg then
- * holds nothing that needs clearing.
+ * Return: 0, or -EBADMSG when @obj is not a well-formed message; @msg then
+ * owns nothing.
  */
 int
 Fw_Msg_Unpack(const msgpack_object *obj, struct fw_msg *msg);
--- a/src/core/pack.c
+++ b/src/core/pack.c
@@ -41,7 +41,7 @@
     }
     out[0] = '\0';
     if (o->via.str.size == 0) {
-        return 0; /* the pointer may be NULL */
+        return 0; /* o->via.str.ptr may be NULL */
     }
     if (memchr(o->via.str.ptr, '\0', o->via.str.size)) {
         return -EBADMSG;
--- a/src/core/pack.h
+++ b/src/core/pack.h
@@ -1,4 +1,4 @@
-/* Short helpers over msgpack-c for the subsystems' codecs. */
+/* Helpers over msgpack-c for encoding and decoding messages. */
 #ifndef FW_CORE_PACK_H
 #define FW_CORE_PACK_H
 
@@ -6,15 +6,16 @@
 #include <msgpack.h>
 #include <stdint.h>
 
-/* Makes @pk append to @out. */
+/* Initialises @pk to append to @out. */
 void
 Fw_Pack_Begin(msgpack_packer *pk, GByteArray *out);
 void
 Fw_Pack_Str(msgpack_packer *pk, const char *s);
 
 /*
- * Readers of element @i of an array object; 0 or -EBADMSG when it is missing
- * or of another type. A string that does not fit @size is -EBADMSG too.
+ * Read element @i of the array @arr. Return: 0, or -EBADMSG when @arr is no
+ * array, the element is missing, has another type or is out of range, or a
+ * string contains NUL or exceeds @size with its terminating NUL.
  */
 int
 Fw_Unpack_Str(const msgpack_object *arr, uint32_t i, char *out, size_t size);
@@ -22,7 +23,7 @@
 Fw_Unpack_I64(const msgpack_object *arr, uint32_t i, int64_t *out);
 int
 Fw_Unpack_U64(const msgpack_object *arr, uint32_t i, uint64_t *out);
-/* The nested array at @i, or NULL. */
+/* Returns element @i of @arr when it is an array, else NULL. */
 const msgpack_object *
 Fw_Unpack_Array(const msgpack_object *arr, uint32_t i);
 
--- a/src/core/pack_scan.c
+++ b/src/core/pack_scan.c
@@ -1,49 +1,49 @@
 #include "core/pack_scan.h"
 
-/* The format's type bytes (msgpack specification). */
-#define FW_FIXMAP 0x80
-#define FW_FIXARRAY 0x90
-#define FW_FIXSTR 0xa0
-#define FW_NIL 0xc0
-#define FW_NEGATIVE 0xe0
+/* First type bytes of ranges, from the msgpack specification. */
+#define FW_FIXMAP_MIN 0x80
+#define FW_FIXARRAY_MIN 0x90
+#define FW_FIXSTR_MIN 0xa0
+#define FW_NIL_TYPE 0xc0
+#define FW_NEGATIVE_FIXINT 0xe0
 
-/** enum token_kind - what follows a type byte. */
-enum token_kind {
-    FW_TOKEN_PLAIN, /* @size bytes of value */
-    FW_TOKEN_TEXT,  /* a length of @size bytes, then that many bytes */
-    FW_TOKEN_ARRAY, /* a count of @size bytes */
-    FW_TOKEN_MAP,
-    FW_TOKEN_BAD, /* unused here, or an extension */
+/** enum element_kind - what follows the type byte. */
+enum element_kind {
+    FW_ELEMENT_SCALAR,  /* a value of @size bytes */
+    FW_ELEMENT_BYTES,   /* a length of @size bytes, then the data */
+    FW_ELEMENT_ARRAY,   /* an element count of @size bytes */
+    FW_ELEMENT_MAP,     /* a count of pairs of @size bytes */
+    FW_ELEMENT_INVALID, /* reserved, or an extension type */
 };
 
-/** struct token - of the type bytes 0xc0 to 0xdf. */
-struct token {
-    enum token_kind kind;
+/** struct element_type - layout of an element with a type of 0xc0 to 0xdf. */
+struct element_type {
+    enum element_kind kind;
     uint8_t size;
 };
 
-static const struct token tokens[0x20] = {
-    {FW_TOKEN_PLAIN, 0}, {FW_TOKEN_BAD, 0},   {FW_TOKEN_PLAIN, 0},
-    {FW_TOKEN_PLAIN, 0}, {FW_TOKEN_TEXT, 1},  {FW_TOKEN_TEXT, 2},
-    {FW_TOKEN_TEXT, 4},  {FW_TOKEN_BAD, 0},   {FW_TOKEN_BAD, 0},
-    {FW_TOKEN_BAD, 0},   {FW_TOKEN_PLAIN, 4}, {FW_TOKEN_PLAIN, 8},
-    {FW_TOKEN_PLAIN, 1}, {FW_TOKEN_PLAIN, 2}, {FW_TOKEN_PLAIN, 4},
-    {FW_TOKEN_PLAIN, 8}, {FW_TOKEN_PLAIN, 1}, {FW_TOKEN_PLAIN, 2},
-    {FW_TOKEN_PLAIN, 4}, {FW_TOKEN_PLAIN, 8}, {FW_TOKEN_BAD, 0},
-    {FW_TOKEN_BAD, 0},   {FW_TOKEN_BAD, 0},   {FW_TOKEN_BAD, 0},
-    {FW_TOKEN_BAD, 0},   {FW_TOKEN_TEXT, 1},  {FW_TOKEN_TEXT, 2},
-    {FW_TOKEN_TEXT, 4},  {FW_TOKEN_ARRAY, 2}, {FW_TOKEN_ARRAY, 4},
-    {FW_TOKEN_MAP, 2},   {FW_TOKEN_MAP, 4},
+static const struct element_type element_types[0x20] = {
+    {FW_ELEMENT_SCALAR, 0},  {FW_ELEMENT_INVALID, 0}, {FW_ELEMENT_SCALAR, 0},
+    {FW_ELEMENT_SCALAR, 0},  {FW_ELEMENT_BYTES, 1},   {FW_ELEMENT_BYTES, 2},
+    {FW_ELEMENT_BYTES, 4},   {FW_ELEMENT_INVALID, 0}, {FW_ELEMENT_INVALID, 0},
+    {FW_ELEMENT_INVALID, 0}, {FW_ELEMENT_SCALAR, 4},  {FW_ELEMENT_SCALAR, 8},
+    {FW_ELEMENT_SCALAR, 1},  {FW_ELEMENT_SCALAR, 2},  {FW_ELEMENT_SCALAR, 4},
+    {FW_ELEMENT_SCALAR, 8},  {FW_ELEMENT_SCALAR, 1},  {FW_ELEMENT_SCALAR, 2},
+    {FW_ELEMENT_SCALAR, 4},  {FW_ELEMENT_SCALAR, 8},  {FW_ELEMENT_INVALID, 0},
+    {FW_ELEMENT_INVALID, 0}, {FW_ELEMENT_INVALID, 0}, {FW_ELEMENT_INVALID, 0},
+    {FW_ELEMENT_INVALID, 0}, {FW_ELEMENT_BYTES, 1},   {FW_ELEMENT_BYTES, 2},
+    {FW_ELEMENT_BYTES, 4},   {FW_ELEMENT_ARRAY, 2},   {FW_ELEMENT_ARRAY, 4},
+    {FW_ELEMENT_MAP, 2},     {FW_ELEMENT_MAP, 4},
 };
 
-/** struct step - one token: bytes it takes, elements it claims. */
-struct step {
+/** struct element - bytes of an element, and child elements it declares. */
+struct element {
     size_t bytes;
-    uint64_t claims;
+    uint64_t declared;
 };
 
 static uint64_t
-big_endian(const uint8_t *at, size_t n)
+read_big_endian(const uint8_t *at, size_t n)
 {
     uint64_t v = 0;
 
@@ -53,57 +53,57 @@
     return v;
 }
 
-/* Types whose count is in the type byte itself. */
-static struct step
-short_step(uint8_t type)
+/* Reads an element of a fix* type, which has its length in the type byte. */
+static struct element
+read_short_header(uint8_t type)
 {
-    struct step s = {.bytes = 1};
+    struct element s = {.bytes = 1};
 
-    if (type >= FW_FIXSTR && type < FW_NIL) {
+    if (type >= FW_FIXSTR_MIN && type < FW_NIL_TYPE) {
         s.bytes += type & 0x1f;
     }
-    else if (type >= FW_FIXARRAY && type < FW_FIXSTR) {
-        s.claims = type & 0x0f;
+    else if (type >= FW_FIXARRAY_MIN && type < FW_FIXSTR_MIN) {
+        s.declared = type & 0x0f;
     }
-    else if (type >= FW_FIXMAP && type < FW_FIXARRAY) {
-        s.claims = 2ULL * (type & 0x0f);
+    else if (type >= FW_FIXMAP_MIN && type < FW_FIXARRAY_MIN) {
+        s.declared = 2ULL * (type & 0x0f);
     }
     return s;
 }
 
-/* Return: 0, or -1 for a type that is not taken or a cut one. */
+/* Return: 0, or -1 when the type is invalid or the header is truncated. */
 static int
-long_step(const uint8_t *at, size_t left, struct step *s)
+read_long_header(const uint8_t *at, size_t remaining, struct element *s)
 {
-    const struct token *t = &tokens[at[0] - FW_NIL];
+    const struct element_type *t = &element_types[at[0] - FW_NIL_TYPE];
     uint64_t n;
 
-    if (t->kind == FW_TOKEN_BAD || left < 1U + t->size) {
+    if (t->kind == FW_ELEMENT_INVALID || remaining < 1U + t->size) {
         return -1;
     }
-    n = big_endian(at + 1, t->size);
-    s->bytes = 1U + t->size + (t->kind == FW_TOKEN_TEXT ? n : 0);
-    s->claims = t->kind == FW_TOKEN_ARRAY ? n
-                : t->kind == FW_TOKEN_MAP ? 2 * n
-                                          : 0;
+    n = read_big_endian(at + 1, t->size);
+    s->bytes = 1U + t->size + (t->kind == FW_ELEMENT_BYTES ? n : 0);
+    s->declared = t->kind == FW_ELEMENT_ARRAY ? n
+                  : t->kind == FW_ELEMENT_MAP ? 2 * n
+                                              : 0;
     return 0;
 }
 
 int
 Fw_PackScan_IsSane(const uint8_t *data, size_t len)
 {
-    uint64_t claims = 0;
+    uint64_t declared = 0;
     size_t at = 0;
 
     while (at < len) {
-        struct step s = short_step(data[at]);
+        struct element s = read_short_header(data[at]);
 
-        if (data[at] >= FW_NIL && data[at] < FW_NEGATIVE &&
-            long_step(data + at, len - at, &s)) {
+        if (data[at] >= FW_NIL_TYPE && data[at] < FW_NEGATIVE_FIXINT &&
+            read_long_header(data + at, len - at, &s)) {
             return 0;
         }
-        claims += s.claims;
-        if (s.bytes > len - at || claims > len) {
+        declared += s.declared;
+        if (s.bytes > len - at || declared > len) {
             return 0;
         }
         at += s.bytes;
--- a/src/core/pack_scan.h
+++ b/src/core/pack_scan.h
@@ -1,4 +1,4 @@
-/* A look at msgpack before the library sees it. */
+/* Validation of msgpack data before it is passed to msgpack-c. */
 #ifndef FW_CORE_PACK_SCAN_H
 #define FW_CORE_PACK_SCAN_H
 
@@ -6,12 +6,12 @@
 #include <stdint.h>
 
 /**
- * Fw_PackScan_IsSane - nonzero when @data may be handed to the library.
+ * Fw_PackScan_IsSane - nonzero when @data can be passed to msgpack-c.
  *
- * The library allocates an array as large as its header claims before it has
- * seen one element, so five bytes of a faulty peer could ask for gigabytes.
- * It shows as a process that is killed for its memory. Each element takes a
- * byte at least, so all claims together can't exceed @len.
+ * msgpack-c allocates an array of the declared size before it has read any
+ * element, so five bytes from a faulty peer could make it allocate gigabytes.
+ * As each element takes at least one byte, the element counts declared by all
+ * headers together must not exceed @len.
  */
 int
 Fw_PackScan_IsSane(const uint8_t *data, size_t len);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-/* Identities shared by all subsystems. */
+/* Identity of the instance, and identifiers shared by all subsystems. */
 #ifndef FW_CORE_TYPES_H
 #define FW_CORE_TYPES_H
 
@@ -7,15 +7,15 @@
 #include "base/limits.h"
 
 /**
- * struct fw_self - who this process is.
+ * struct fw_self - identity of this instance.
  * @name: unique among instances, from the settings
- * @boot: differs between two runs under one name; milliseconds of the wall
- *        clock at start, since an instance keeps nothing
+ * @boot: boot id, which distinguishes restarts under one name: wall clock time
+ *        of the start in milliseconds, as an instance stores no state
  * @addr: "ip:port" that peers connect to
  * @domain: failure domain
- * @region: region, one or more failure domains
- * @regions: how many there are; each has that part of every team's rate;
- *           0 counts as one
+ * @region: region; consists of one or more failure domains
+ * @regions: number of regions, 0 counts as 1; each gets an equal share of
+ *           every team's rate limit
  */
 struct fw_self {
     char name[FW_NAME_MAX];
@@ -27,8 +27,8 @@
 };
 
 /*
- * Upstream calls and log tickets are numbered by whoever makes them; the top
- * byte says who, so that node.c can hand the answer back.
+ * Each subsystem numbers its own upstream calls and log tickets. The top byte
+ * identifies the subsystem, so that node/step.c can dispatch the result to it.
  */
 #define FW_OWNER_SHIFT 56
 #define FW_OWNER_CONFIG 1ULL
@@ -53,9 +53,10 @@
 }
 
 /**
- * enum fw_role_kind - roles taken through the log, see fleet/role.h.
- * @FW_ROLE_BUDGET: grants the token leases of one partition of the teams
- * @FW_ROLE_ORDER: gives orders to the engines of one partition
+ * enum fw_role_kind - roles elected through the log, see fleet/role.h.
+ * @FW_ROLE_BUDGET: grants token leases to the teams of one partition
+ * @FW_ROLE_ORDER: sends orders to the engines of one partition
+ * @FW_ROLE_KINDS: number of kinds
  */
 enum fw_role_kind {
     FW_ROLE_BUDGET,
--- a/src/core/up.h
+++ b/src/core/up.h
@@ -1,6 +1,7 @@
 /*
- * Calls to upstreams and what comes of them. The wire form is the shell's
- * (io/engine_wire.c); docs/PROTOCOLS.md describes it.
+ * Calls to upstreams ("up" for short) and their results. The I/O shell
+ * encodes them, see io/engine_wire.h; docs/PROTOCOLS.md describes the
+ * protocol.
  */
 #ifndef FW_CORE_UP_H
 #define FW_CORE_UP_H
@@ -11,21 +12,25 @@
 #include "base/limits.h"
 #include "base/verdict.h"
 
-/** enum fw_up_kind - what is asked of an upstream. */
+/** enum fw_up_kind - type of an upstream call. */
 enum fw_up_kind {
-    FW_UP_PREFILL, /* compute the KV of a prompt */
-    FW_UP_IMPORT,  /* fetch a KV from a prefill engine */
-    FW_UP_DECODE,  /* generate from an imported KV, streamed */
-    FW_UP_RESUME,  /* the pieces of a running decode from an index on */
-    FW_UP_CANCEL,  /* free all that a request holds there */
-    FW_UP_LOAD,    /* load report */
-    FW_UP_HELD,    /* list of the requests held there */
-    FW_UP_CACHE,   /* cache events from a sequence number on */
-    FW_UP_ORDER,   /* load or unload a model, adapter or version; role */
-    FW_UP_SERVICE, /* a call to a plain service */
-};
-
-/** struct fw_up_prefill - @prompt is the whole text, not owned. */
+    FW_UP_PREFILL, /* compute the KV cache of a prompt */
+    FW_UP_IMPORT,  /* fetch a KV cache from a prefill engine */
+    FW_UP_DECODE,  /* generate from an imported KV cache, streamed */
+    FW_UP_RESUME,  /* stream a running decode again from an index on */
+    FW_UP_CANCEL,  /* free the resources of a request */
+    FW_UP_LOAD,    /* get a load report */
+    FW_UP_HELD,    /* list the requests that hold memory */
+    FW_UP_CACHE,   /* get prefix cache events from a sequence number */
+    FW_UP_ORDER,   /* load or unload a model or adapter, or set the role */
+    FW_UP_SERVICE, /* call a plain service */
+};
+
+/**
+ * struct fw_up_prefill - prefill of a prompt.
+ * @request: id of the request on the engine
+ * @prompt: complete text; reference owned by the action
+ */
 struct fw_up_prefill {
     char request[FW_ID_MAX];
     char team[FW_NAME_MAX];
@@ -35,7 +40,12 @@
     int priority;
 };
 
-/** struct fw_up_import - order to a decode engine to fetch a KV. */
+/**
+ * struct fw_up_import - makes a decode engine fetch a KV cache.
+ * @kv: id of the KV cache on the prefill engine
+ * @from_url: base URL of the prefill engine
+ * @tokens: size of the KV cache in tokens
+ */
 struct fw_up_import {
     char request[FW_ID_MAX];
     char kv[FW_ID_MAX];
@@ -45,8 +55,8 @@
 
 /**
  * struct fw_up_decode - decode and resume.
- * @from_index: index of the first piece wanted; pieces count from 0 over the
- *              life of the caller's request, also after a new prefill
+ * @from_index: index of the first token to send; tokens are numbered from 0
+ *              over the whole request, also across a repeated prefill
  */
 struct fw_up_decode {
     char request[FW_ID_MAX];
@@ -63,7 +73,7 @@
     uint64_t from_seq;
 };
 
-/** enum fw_order_op - what an order changes. */
+/** enum fw_order_op - operation of an order. */
 enum fw_order_op {
     FW_ORDER_LOAD_MODEL,
     FW_ORDER_UNLOAD_MODEL,
@@ -73,9 +83,10 @@
 };
 
 /**
- * struct fw_up_order - a fenced order.
- * @fence: offset of the log record by which the sender took the role
- * @ttl_us: the upstream drops the order when it reaches it later than this
+ * struct fw_up_order - an order with a fencing token.
+ * @fence: fencing token: offset of the log record that gave the sender its
+ * role
+ * @ttl_us: the upstream discards the order when it is older than this
  */
 struct fw_up_order {
     uint64_t fence;
@@ -89,24 +100,27 @@
 
 /**
  * struct fw_up_service - a call to a plain service.
- * @once: at most one send: new connection, no resend by the library
+ * @once: send at most once: on a new connection, without a retry by the HTTP
+ *        library
  */
 struct fw_up_service {
     char request[FW_ID_MAX];
     char team[FW_NAME_MAX];
     char idem_key[FW_ID_MAX];
     char method[16];
-    char *path; /* with query; owned by the action */
+    char *path; /* with query, owned by the action */
     char content_type[64];
-    GBytes *body; /* may be NULL */
+    GBytes *body; /* may be NULL; reference owned by the action */
     int once;
 };
 
 /**
- * struct fw_up_start - begin a call.
- * @op: chosen by the core, unique in this process
- * @url: base address of the upstream
- * @timeout_us: silence allowed before the shell gives up, per read
+ * struct fw_up_start - starts an upstream call.
+ * @op: id chosen by the core, unique in this process
+ * @upstream: name of the upstream
+ * @url: base URL of the upstream
+ * @timeout_us: longest time without data from the upstream before the call
+ *              fails; 0 for a default
  */
 struct fw_up_start {
     uint64_t op;
@@ -125,28 +139,40 @@
     } u;
 };
 
-/** enum fw_up_phase - PIECE may come many times, the others end the call. */
+/**
+ * enum fw_up_phase - progress of a call.
+ * @FW_UP_TOKEN: one output token; repeated
+ * @FW_UP_DONE: the call has succeeded and is over
+ * @FW_UP_FAILED: the call has failed and is over
+ */
 enum fw_up_phase {
     FW_UP_PIECE,
     FW_UP_DONE,
     FW_UP_FAILED,
 };
 
+/**
+ * struct fw_up_kv - result of a prefill.
+ * @kv: id of the KV cache on the engine
+ * @tokens: prompt tokens
+ * @cached_tokens: prompt tokens found in the prefix cache
+ * @ttl_us: time until the engine frees the KV cache
+ */
 struct fw_up_kv {
     char kv[FW_ID_MAX];
     int64_t tokens;
     int64_t cached_tokens;
-    int64_t lapse_us; /* the KV survives this long from now */
+    int64_t lapse_us;
 };
 
-/** struct fw_up_token - one piece; @text is borrowed for the event. */
+/** struct fw_up_token - one output token; @text lives for this step only. */
 struct fw_up_token {
     int64_t index;
     const char *text;
 };
 
 struct fw_up_end {
-    int64_t tokens; /* pieces generated in all */
+    int64_t tokens; /* total number of output tokens */
     char reason[16];
 };
 
@@ -154,9 +180,15 @@
 #define FW_MODELREF_MAX (2UL * FW_NAME_MAX)
 
 /**
- * struct fw_up_report - an engine's word about itself.
- * @lag_us: age of the figures when they were sent
- * @models: "model@version", or "model@version+adapter"
+ * struct fw_up_report - load report of an engine.
+ * @age_us: age of the report's values when it was sent
+ * @slots: decode slots
+ * @busy: decode slots in use
+ * @queued_tokens: tokens waiting in the queue
+ * @kv_used: memory in use for KV caches, in tokens
+ * @kv_total: memory for KV caches, in tokens; 0 when unknown
+ * @leaving: nonzero while the engine is draining
+ * @models: loaded models: "model@version" or "model@version+adapter"
  */
 struct fw_up_report {
     int64_t lag_us;
@@ -172,9 +204,10 @@
 };
 
 /**
- * struct fw_up_held - what holds memory on an engine; borrowed.
- * @requests: engine-side ids
- * @attached: per id, nonzero while a connection of its owner is open
+ * struct fw_up_request_list - requests that hold memory on an engine; valid
+ * for the current step only.
+ * @requests: ids of the requests on the engine
+ * @attached: per request, nonzero while its owner is connected; may be NULL
  */
 struct fw_up_held {
     int n;
@@ -182,11 +215,17 @@
     const unsigned char *attached;
 };
 
+/**
+ * struct fw_up_cache_event - a prefix was cached or evicted.
+ * @prefix: Fw_Hash_Bytes of the prompt's prefix, with seed 0
+ * @tokens: length of the prefix
+ * @evicted: nonzero when the prefix was evicted, 0 when it was cached
+ */
 struct fw_up_cache_event {
     uint64_t seq;
-    uint64_t prefix; /* Fw_Hash_Bytes of the prompt's prefix, seed 0 */
+    uint64_t prefix;
     int64_t tokens;
-    int evicted; /* nonzero: gone from the cache */
+    int evicted;
 };
 
 struct fw_up_cache_batch {
@@ -198,14 +237,15 @@
 struct fw_up_answer {
     int status;
     char content_type[64];
-    GBytes *body; /* borrowed for the event */
+    GBytes *body; /* valid for the current step only */
 };
 
 /**
- * struct fw_up_event - progress of a call.
- * @ran: for FAILED: no when the connection was never made or the upstream
- *       refused before beginning, maybe once bytes were sent
- * @status: HTTP status where there was one, else 0
+ * struct fw_up_event - progress or result of an upstream call.
+ * @ran: of a failed call: NO when no connection was established or the
+ *       upstream rejected the call before running it, MAYBE once bytes of it
+ *       were sent
+ * @status: HTTP status, 0 when there was no response
  * @err: 0 or a negative errno (-ECONNREFUSED, -ETIMEDOUT, -EPIPE ...)
  */
 struct fw_up_event {
