--- a/src/http/answer.c
+++ b/src/http/answer.c
@@ -1,11 +1,11 @@
-/* Answers to callers. */
+/* Responses to callers. */
 #include <inttypes.h>
 #include <string.h>
 
 #include "http/http_internal.h"
 
 const char *
-Fw_Http_Reason(int status)
+Fw_Http_ReasonPhrase(int status)
 {
     static const struct {
         int status;
@@ -45,20 +45,20 @@
 {
     GString *out = g_string_sized_new(256);
 
-    c->last |= c->server->draining || c->server->sends_away;
-    c->bodyless =
+    c->close_after |= c->server->draining || c->server->close_after_response;
+    c->omit_body =
         Fw_Http_MethodIs(&c->head, "HEAD") || status == 204 || status == 304;
-    c->chunked = length < 0 && !c->bodyless && c->head.minor >= 1;
-    c->last |= length < 0 && !c->bodyless && !c->chunked;
+    c->chunked = length < 0 && !c->omit_body && c->head.minor >= 1;
+    c->close_after |= length < 0 && !c->omit_body && !c->chunked;
     g_string_append_printf(out, "HTTP/1.1 %d %s\r\n%s", status,
-                           Fw_Http_Reason(status), fields);
+                           Fw_Http_ReasonPhrase(status), fields);
     if (c->chunked) {
         g_string_append(out, "Transfer-Encoding: chunked\r\n");
     }
     else if (length >= 0 && status != 204 && status != 304) {
         g_string_append_printf(out, "Content-Length: %" PRId64 "\r\n", length);
     }
-    if (c->last) {
+    if (c->close_after) {
         g_string_append(out, "Connection: close\r\n");
     }
     g_string_append(out, "\r\n");
@@ -71,7 +71,7 @@
 {
     GString *out;
 
-    if (!len || c->bodyless) {
+    if (!len || c->omit_body) {
         return;
     }
     if (!c->chunked) {
@@ -93,7 +93,7 @@
         Fw_Conn_Write(c->conn, "0\r\n\r\n", 5);
     }
     c->chunked = 0;
-    Fw_Caller_Done(c);
+    Fw_Caller_FinishResponse(c);
 }
 
 void
@@ -114,5 +114,5 @@
 size_t
 Fw_Caller_Pending(const struct fw_http_caller *c)
 {
-    return Fw_Conn_Pending(c->conn);
+    return Fw_Conn_Unsent(c->conn);
 }
--- a/src/http/caller.c
+++ b/src/http/caller.c
@@ -1,20 +1,20 @@
-/* Requests of one caller's connection; answers are in answer.c. */
+/* Receives requests on a caller's connection; response.c sends responses. */
 #include <errno.h>
 #include <string.h>
 
 #include "http/http_internal.h"
 
-/* Pipelined bytes that wait behind a request, beyond which it is cut. */
-#define FW_BEHIND_MAX (128 * 1024)
+/* Pipelined data during a request beyond which the connection is reset. */
+#define FW_PIPELINED_MAX_BYTES (128 * 1024)
 
 static void
-enter(struct fw_http_caller *c, enum fw_http_state state)
+set_state(struct fw_http_caller *c, enum fw_caller_state state)
 {
     if (c->state == FW_CALLER_IDLE) {
-        c->begun_us = Fw_Conn_Now();
+        c->request_start_us = Fw_Conn_Now();
     }
     c->state = state;
-    c->since_us = Fw_Conn_Now();
+    c->timer_start_us = Fw_Conn_Now();
 }
 
 static void
@@ -22,17 +22,17 @@
 {
     Fw_Http_ClearHead(&c->head);
     Fw_Caller_ForgetBody(c);
-    if (c->body) {
-        c->server->held -= c->body->len;
-        g_clear_pointer(&c->body, g_byte_array_unref);
+    if (c->body_buffer) {
+        c->server->buffered_bytes -= c->body_buffer->len;
+        g_clear_pointer(&c->body_buffer, g_byte_array_unref);
     }
 }
 
 void
 Fw_Caller_Free(struct fw_http_caller *c, int reset)
 {
-    if (c->resume) {
-        g_source_remove(c->resume);
+    if (c->resume_source_id) {
+        g_source_remove(c->resume_source_id);
     }
     drop_request(c);
     Fw_List_Remove(&c->link);
@@ -41,7 +41,7 @@
 }
 
 void
-Fw_Caller_Refuse(struct fw_http_caller *c, int status, const char *why)
+Fw_Caller_Reject(struct fw_http_caller *c, int status, const char *why)
 {
     struct fw_http_server *s = c->server;
     GString *fields = g_string_new(NULL);
@@ -55,7 +55,7 @@
         g_string_append(fields, "Content-Type: text/plain\r\n");
         g_string_append(body, why);
     }
-    c->last = 1;
+    c->close_after = 1;
     Fw_Caller_Answer(c, status, fields->str, body->str);
     g_string_free(fields, TRUE);
     g_string_free(body, TRUE);
@@ -64,44 +64,45 @@
 void
 Fw_Caller_ForgetBody(struct fw_http_caller *c)
 {
-    if (c->whole) {
-        c->server->held -= g_bytes_get_size(c->whole);
-        g_clear_pointer(&c->whole, g_bytes_unref);
+    if (c->request_body) {
+        c->server->buffered_bytes -= g_bytes_get_size(c->request_body);
+        g_clear_pointer(&c->request_body, g_bytes_unref);
     }
 }
 
+/* Return: 1 to continue with the body; 0 otherwise, when c may be freed. */
 static int
 read_head(struct fw_http_caller *c)
 {
     const struct fw_http_limits *l = &c->server->limits;
     const struct fw_http_field *expect;
     size_t len;
-    const char *data = Fw_Conn_In(c->conn, &len);
+    const char *data = Fw_Conn_Received(c->conn, &len);
     int n = Fw_Http_ReadHead(FW_HTTP_REQUEST, data, MIN(len, l->header_bytes),
                              &c->head);
 
     if (n == 0 && len >= l->header_bytes) {
-        Fw_Caller_Refuse(c, 431, "the head is too large");
+        Fw_Caller_Reject(c, 431, "the head is too large");
         return 0;
     }
     if (n < 0) {
-        Fw_Caller_Refuse(c, 400, "the head breaks the protocol");
+        Fw_Caller_Reject(c, 400, "the head breaks the protocol");
         return 0;
     }
     if (n == 0) {
         if (len && c->state == FW_CALLER_IDLE) {
-            enter(c, FW_CALLER_HEAD);
+            set_state(c, FW_CALLER_HEAD);
         }
         return 0;
     }
     Fw_Conn_Consume(c->conn, (size_t)n);
     if (c->head.framing == FW_HTTP_LENGTH && c->head.length > l->body_bytes) {
-        Fw_Caller_Refuse(c, 413, "the body is too large");
+        Fw_Caller_Reject(c, 413, "the body is too large");
         return 0;
     }
-    Fw_Http_FrameInit(&c->frame, &c->head);
-    c->body = g_byte_array_new();
-    enter(c, FW_CALLER_BODY);
+    Fw_Http_BodyInit(&c->body_decoder, &c->head);
+    c->body_buffer = g_byte_array_new();
+    set_state(c, FW_CALLER_BODY);
     expect = Fw_Http_Find(&c->head, "expect");
     if (expect && Fw_Http_HasToken(expect, "100-continue")) {
         Fw_Conn_Write(c->conn, "HTTP/1.1 100 Continue\r\n\r\n", 25);
@@ -110,77 +111,76 @@
 }
 
 static int
-keep_body(struct fw_http_caller *c, const char *part, size_t len)
+append_body(struct fw_http_caller *c, const char *part, size_t len)
 {
     struct fw_http_server *s = c->server;
 
-    if (c->body->len + len > s->limits.body_bytes) {
-        Fw_Caller_Refuse(c, 413, "the body is too large");
+    if (c->body_buffer->len + len > s->limits.body_bytes) {
+        Fw_Caller_Reject(c, 413, "the body is too large");
         return -EMSGSIZE;
     }
-    if (s->held + len > s->limits.held_bytes) {
-        Fw_Caller_Refuse(c, 503, "no memory for the body");
+    if (s->buffered_bytes + len > s->limits.held_bytes) {
+        Fw_Caller_Reject(c, 503, "no memory for the body");
         return -ENOMEM;
     }
-    s->held += len;
-    g_byte_array_append(c->body, (const guint8 *)part, (guint)len);
-    c->since_us = Fw_Conn_Now();
+    s->buffered_bytes += len;
+    g_byte_array_append(c->body_buffer, (const guint8 *)part, (guint)len);
+    c->timer_start_us = Fw_Conn_Now();
     return 0;
 }
 
 static void
-hand_over(struct fw_http_caller *c)
+deliver_request(struct fw_http_caller *c)
 {
     struct fw_http_server *s = c->server;
 
-    c->whole = g_byte_array_free_to_bytes(c->body);
-    c->body = NULL;
-    c->last = s->draining || !c->head.keep_alive;
-    enter(c, FW_CALLER_ANSWER);
-    s->ops->request(s->ctx, c, &c->head, c->whole);
+    c->request_body = g_byte_array_free_to_bytes(c->body_buffer);
+    c->body_buffer = NULL;
+    c->close_after = s->draining || !c->head.keep_alive;
+    set_state(c, FW_CALLER_RESPONSE);
+    s->ops->request(s->ctx, c, &c->head, c->request_body);
 }
 
-/* Nonzero while there may be more to take from what came. */
+/* Return: 1 to continue reading; 0 otherwise, when c may be freed. */
 static int
 read_body(struct fw_http_caller *c)
 {
     const char *part;
     size_t part_len;
     size_t len;
-    const char *data = Fw_Conn_In(c->conn, &len);
-    int n = Fw_Http_FrameRead(&c->frame, data, len, &part, &part_len);
+    const char *data = Fw_Conn_Received(c->conn, &len);
+    int n = Fw_Http_BodyRead(&c->body_decoder, data, len, &part, &part_len);
 
     if (n < 0) {
-        Fw_Caller_Refuse(c, 400, "the body breaks its framing");
+        Fw_Caller_Reject(c, 400, "the body breaks its framing");
         return 0;
     }
-    if (part_len && keep_body(c, part, part_len)) {
+    if (part_len && append_body(c, part, part_len)) {
         return 0;
     }
     Fw_Conn_Consume(c->conn, (size_t)n);
-    if (c->frame.done) {
-        hand_over(c);
+    if (c->body_decoder.done) {
+        deliver_request(c);
         return 0;
     }
     return n > 0;
 }
 
 static void
-tell_gone(struct fw_http_caller *c)
+notify_disconnect(struct fw_http_caller *c)
 {
     if (c->server->ops->gone) {
         c->server->ops->gone(c->server->ctx, c);
     }
 }
 
-/* c may be gone when a step returns 0. */
 static void
 on_data(void *ctx)
 {
     struct fw_http_caller *c = ctx;
     size_t len;
 
-    Fw_Conn_In(c->conn, &len);
+    Fw_Conn_Received(c->conn, &len);
     switch (c->state) {
     case FW_CALLER_IDLE:
     case FW_CALLER_HEAD:
@@ -193,13 +193,13 @@
         while (read_body(c)) {
         }
         break;
-    case FW_CALLER_ANSWER:
-        if (len > FW_BEHIND_MAX) {
-            tell_gone(c);
+    case FW_CALLER_RESPONSE:
+        if (len > FW_PIPELINED_MAX_BYTES) {
+            notify_disconnect(c);
             Fw_Caller_Free(c, 1);
         }
         break;
-    case FW_CALLER_CLOSE:
+    case FW_CALLER_LINGER:
         Fw_Conn_Consume(c->conn, len);
         break;
     }
@@ -211,18 +211,18 @@
     struct fw_http_caller *c = ctx;
 
     (void)err;
-    if (c->state == FW_CALLER_ANSWER) {
-        tell_gone(c);
+    if (c->state == FW_CALLER_RESPONSE) {
+        notify_disconnect(c);
     }
     Fw_Caller_Free(c, 0);
 }
 
 static void
-on_drained(void *ctx)
+on_flushed(void *ctx)
 {
     struct fw_http_caller *c = ctx;
 
-    if (c->state == FW_CALLER_ANSWER && c->server->ops->drained) {
+    if (c->state == FW_CALLER_RESPONSE && c->server->ops->drained) {
         c->server->ops->drained(c->server->ctx, c);
     }
 }
@@ -230,7 +230,7 @@
 static const struct fw_conn_ops conn_ops = {
     .data = on_data,
     .closed = on_closed,
-    .drained = on_drained,
+    .flushed = on_flushed,
 };
 
 void
@@ -241,34 +241,34 @@
     c->server = s;
     c->conn = Fw_Conn_Accept(sock, &conn_ops, c);
     Fw_List_Append(&s->callers, &c->link);
-    enter(c, FW_CALLER_IDLE);
+    set_state(c, FW_CALLER_IDLE);
 }
 
-/* The next request may have come already. */
+/* Processes a pipelined request. */
 static gboolean
-resume_later(gpointer data)
+on_resume(gpointer data)
 {
     struct fw_http_caller *c = data;
 
-    c->resume = 0;
+    c->resume_source_id = 0;
     on_data(c);
     return G_SOURCE_REMOVE;
 }
 
 void
-Fw_Caller_Done(struct fw_http_caller *c)
+Fw_Caller_FinishResponse(struct fw_http_caller *c)
 {
     size_t len;
 
     drop_request(c);
-    if (c->last) {
+    if (c->close_after) {
         Fw_Conn_Shutdown(c->conn);
-        enter(c, FW_CALLER_CLOSE);
+        set_state(c, FW_CALLER_LINGER);
         return;
     }
-    enter(c, FW_CALLER_IDLE);
-    Fw_Conn_In(c->conn, &len);
-    if (len && !c->resume) {
-        c->resume = g_idle_add(resume_later, c);
+    set_state(c, FW_CALLER_IDLE);
+    Fw_Conn_Received(c->conn, &len);
+    if (len && !c->resume_source_id) {
+        c->resume_source_id = g_idle_add(on_resume, c);
     }
 }
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -9,25 +9,35 @@
 #include "http/frame.h"
 #include "http/kept.h"
 
-/* A response's head beyond this is no head, bytes. */
-#define FW_ANSWER_HEAD_MAX 32768
-/* Idle time allowed when the upstream names none: under common defaults. */
-#define FW_IDLE_DEFAULT_US (4 * FW_SEC)
+/* Largest head of a response. */
+#define FW_RESPONSE_HEAD_MAX_BYTES 32768
+/* Idle time of a connection whose upstream sends no Keep-Alive timeout. */
+#define FW_KEEP_ALIVE_DEFAULT_US (4 * FW_SEC)
 /*
- * Taken off the idle time that an upstream names: a request that is on its
- * way when the upstream closes is lost without an answer. Covers the way
- * there and a busy loop on either side.
+ * Subtracted from the Keep-Alive timeout of an upstream: a request that is in
+ * flight when the upstream closes the connection is lost.
  */
-#define FW_IDLE_MARGIN_US (600 * FW_MSEC)
+#define FW_KEEP_ALIVE_MARGIN_US (600 * FW_MSEC)
 
 struct fw_pool {
-    GHashTable *kept; /* see kept.h */
-    struct fw_list running;
+    GHashTable *idle_conns; /* by address, see idle_conns.h */
+    struct fw_list active;
     struct fw_metric opened;
     struct fw_metric reused;
-    struct fw_metric foreign;
+    struct fw_metric mismatched;
 };
 
+/**
+ * struct fw_exchange - a request and its response.
+ * @started_us: when connecting started
+ * @sent_at_start: bytes that earlier requests sent on this connection
+ * @head_read: the head of the response was received
+ * @discarding: the response belongs to another request
+ * @reusable: keep the connection afterwards
+ * @in_callback: the exchange must not be freed yet
+ * @aborted: free the exchange when the callback returns
+ * @idle_max_us: how long the connection may stay idle afterwards
+ */
 struct fw_exchange {
     struct fw_pool *pool;
     struct fw_list link;
@@ -36,15 +46,15 @@
     const struct fw_exchange_ops *ops;
     void *ctx;
     struct fw_exchange_opts opts;
-    int64_t begun_us;
-    uint64_t sent_before; /* of earlier requests on this connection */
-    int have_head;
-    int skipping;
-    int keep;
-    int calling; /* its owner is being called: freed only afterwards */
-    int stopped;
-    int64_t idle_us;
-    struct fw_http_frame frame;
+    int64_t started_us;
+    uint64_t sent_at_start;
+    int head_read;
+    int discarding;
+    int reusable;
+    int in_callback;
+    int aborted;
+    int64_t idle_max_us;
+    struct fw_http_body_decoder body_decoder;
 };
 
 struct fw_pool *
@@ -52,15 +62,15 @@
 {
     struct fw_pool *p = g_new0(struct fw_pool, 1);
 
-    p->kept = Fw_Kept_New();
-    Fw_List_Init(&p->running);
+    p->idle_conns = Fw_IdleConns_New();
+    Fw_List_Init(&p->active);
     p->opened = (struct fw_metric){
         .name = "fw_upstream_connections_opened_total",
         .help = "Connections opened to upstreams and the platform"};
     p->reused =
         (struct fw_metric){.name = "fw_upstream_connections_reused_total",
                            .help = "Calls made on a kept connection"};
-    p->foreign = (struct fw_metric){
+    p->mismatched = (struct fw_metric){
         .name = "fw_upstream_foreign_answers_total",
         .help = "Answers dropped because they belong to another request"};
     return p;
@@ -71,73 +81,75 @@
 {
     Fw_Metrics_Add(m, &p->opened);
     Fw_Metrics_Add(m, &p->reused);
-    Fw_Metrics_Add(m, &p->foreign);
+    Fw_Metrics_Add(m, &p->mismatched);
 }
 
 void
 Fw_Pool_Forget(struct fw_pool *p, const char *addr)
 {
-    g_hash_table_remove(p->kept, addr);
+    g_hash_table_remove(p->idle_conns, addr);
 }
 
 static void
-leave(struct fw_exchange *x)
+exchange_free(struct fw_exchange *x)
 {
     Fw_List_Remove(&x->link);
     g_free(x);
 }
 
-/* After the owner was called: nonzero when it has stopped the exchange. */
+/* Return: nonzero when the callback aborted the exchange, now freed. */
 static int
-was_stopped(struct fw_exchange *x)
+leave_callback(struct fw_exchange *x)
 {
-    x->calling = 0;
-    if (x->stopped) {
+    x->in_callback = 0;
+    if (x->aborted) {
         Fw_Conn_Free(x->conn, 1);
-        leave(x);
+        exchange_free(x);
         return 1;
     }
     return 0;
 }
 
 static void
-fail(struct fw_exchange *x, int err)
+exchange_fail(struct fw_exchange *x, int err)
 {
     const struct fw_exchange_ops *ops = x->ops;
     void *ctx = x->ctx;
-    enum fw_sent sent =
-        Fw_Conn_Sent(x->conn) > x->sent_before ? FW_SENT_SOME : FW_SENT_NONE;
+    enum fw_sent sent = Fw_Conn_SentBytes(x->conn) > x->sent_at_start
+                            ? FW_SENT_SOME
+                            : FW_SENT_NONE;
 
     Fw_Conn_Free(x->conn, 0);
-    leave(x);
+    exchange_free(x);
     ops->fail(ctx, err, sent);
 }
 
 static void
-done(struct fw_exchange *x)
+exchange_end(struct fw_exchange *x)
 {
     const struct fw_exchange_ops *ops = x->ops;
     void *ctx = x->ctx;
-    size_t behind;
+    size_t extra;
 
-    Fw_Conn_In(x->conn, &behind);
+    Fw_Conn_Received(x->conn, &extra);
     /*
-     * An answer that came before the request was out leaves the upstream
-     * waiting for the rest; bytes behind an answer are nobody's.
+     * Not reusable when the response preceded the end of the request, or
+     * when it is followed by data that belongs to no request.
      */
-    if (x->keep && !behind && !Fw_Conn_Pending(x->conn)) {
+    if (x->reusable && !extra && !Fw_Conn_Unsent(x->conn)) {
         Fw_Conn_SetReading(x->conn, 1);
-        Fw_Kept_Put(x->pool->kept, x->addr, x->conn, x->idle_us);
+        Fw_IdleConns_Put(x->pool->idle_conns, x->addr, x->conn,
+                         x->idle_max_us);
     }
     else {
         Fw_Conn_Free(x->conn, 0);
     }
-    leave(x);
+    exchange_free(x);
     ops->end(ctx);
 }
 
 static int64_t
-idle_allowed(const struct fw_http_head *h)
+keep_alive_us(const struct fw_http_head *h)
 {
     const struct fw_http_field *f = Fw_Http_Find(h, "keep-alive");
     const char *p =
@@ -145,44 +157,44 @@
     int64_t us;
 
     if (!p) {
-        return FW_IDLE_DEFAULT_US;
+        return FW_KEEP_ALIVE_DEFAULT_US;
     }
-    us = g_ascii_strtoll(p + 8, NULL, 10) * FW_SEC - FW_IDLE_MARGIN_US;
+    us = g_ascii_strtoll(p + 8, NULL, 10) * FW_SEC - FW_KEEP_ALIVE_MARGIN_US;
     return CLAMP(us, 0, 60 * FW_SEC);
 }
 
-/* Nonzero when the exchange goes on. */
+/* Return: 1, or 0 when the exchange was aborted. */
 static int
-take_head(struct fw_exchange *x, struct fw_http_head *h)
+handle_head(struct fw_exchange *x, struct fw_http_head *h)
 {
-    x->calling = 1;
-    x->skipping = x->ops->head(x->ctx, h) == FW_TAKE_SKIP;
-    if (was_stopped(x)) {
+    x->in_callback = 1;
+    x->discarding = x->ops->head(x->ctx, h) == FW_TAKE_SKIP;
+    if (leave_callback(x)) {
         return 0;
     }
-    if (x->skipping) {
-        x->pool->foreign.value++;
-        x->keep = 0;
+    if (x->discarding) {
+        x->pool->mismatched.value++;
+        x->reusable = 0;
     }
-    x->have_head = 1;
-    Fw_Http_FrameInit(&x->frame, h);
+    x->head_read = 1;
+    Fw_Http_BodyInit(&x->body_decoder, h);
     if (x->opts.no_body) {
-        x->frame.done = 1;
+        x->body_decoder.done = 1;
     }
     return 1;
 }
 
-/* Nonzero when there may be more to read; x may be gone otherwise. */
+/* Return: 1 to continue reading; 0 otherwise, when x may be freed. */
 static int
 read_head(struct fw_exchange *x)
 {
     struct fw_http_head h;
     size_t len;
-    const char *data = Fw_Conn_In(x->conn, &len);
+    const char *data = Fw_Conn_Received(x->conn, &len);
     int n = Fw_Http_ReadHead(FW_HTTP_RESPONSE, data, len, &h);
 
-    if (n < 0 || (n == 0 && len > FW_ANSWER_HEAD_MAX)) {
-        fail(x, -EBADMSG);
+    if (n < 0 || (n == 0 && len > FW_RESPONSE_HEAD_MAX_BYTES)) {
+        exchange_fail(x, -EBADMSG);
         return 0;
     }
     if (n == 0) {
@@ -191,43 +203,44 @@
     Fw_Conn_Consume(x->conn, (size_t)n);
     n = 1;
     if (h.status >= 200) {
-        x->keep = x->keep && h.keep_alive;
-        x->idle_us = idle_allowed(&h);
-        n = take_head(x, &h);
+        x->reusable = x->reusable && h.keep_alive;
+        x->idle_max_us = keep_alive_us(&h);
+        n = handle_head(x, &h);
     }
     Fw_Http_ClearHead(&h);
     return n;
 }
 
+/* Return: 1 to continue reading; 0 otherwise, when x may be freed. */
 static int
 read_body(struct fw_exchange *x)
 {
     const char *part;
     size_t part_len;
     size_t len;
-    const char *data = Fw_Conn_In(x->conn, &len);
-    int n = Fw_Http_FrameRead(&x->frame, data, len, &part, &part_len);
+    const char *data = Fw_Conn_Received(x->conn, &len);
+    int n = Fw_Http_BodyRead(&x->body_decoder, data, len, &part, &part_len);
 
     if (n < 0) {
-        fail(x, -EBADMSG);
+        exchange_fail(x, -EBADMSG);
         return 0;
     }
-    if (part_len && !x->skipping) {
-        x->calling = 1;
+    if (part_len && !x->discarding) {
+        x->in_callback = 1;
         x->ops->body(x->ctx, part, part_len);
-        if (was_stopped(x)) {
+        if (leave_callback(x)) {
             return 0;
         }
     }
     Fw_Conn_Consume(x->conn, (size_t)n);
-    if (!x->frame.done) {
+    if (!x->body_decoder.done) {
         return n > 0;
     }
-    if (!x->skipping) {
-        done(x);
+    if (!x->discarding) {
+        exchange_end(x);
         return 0;
     }
-    x->have_head = 0;
+    x->head_read = 0;
     return 1;
 }
 
@@ -236,7 +249,7 @@
 {
     struct fw_exchange *x = ctx;
 
-    while (x->have_head ? read_body(x) : read_head(x)) {
+    while (x->head_read ? read_body(x) : read_head(x)) {
     }
 }
 
@@ -245,13 +258,13 @@
 {
     struct fw_exchange *x = ctx;
 
-    if (!err && x->have_head && !x->skipping &&
-        Fw_Http_FrameEndsHere(&x->frame)) {
-        x->keep = 0;
-        done(x);
+    if (!err && x->head_read && !x->discarding &&
+        Fw_Http_BodyEndsAtClose(&x->body_decoder)) {
+        x->reusable = 0;
+        exchange_end(x);
         return;
     }
-    fail(x, err ? err : -EPIPE);
+    exchange_fail(x, err ? err : -EPIPE);
 }
 
 static const struct fw_conn_ops conn_ops = {
@@ -260,10 +273,10 @@
 };
 
 static struct fw_conn *
-connect_to(struct fw_exchange *x, int *err)
+obtain_conn(struct fw_exchange *x, int *err)
 {
     struct fw_conn *conn =
-        Fw_Kept_Take(x->pool->kept, x->addr, x->opts.reuse_us);
+        Fw_IdleConns_Take(x->pool->idle_conns, x->addr, x->opts.reuse_us);
 
     if (conn) {
         x->pool->reused.value++;
@@ -285,16 +298,16 @@
     x->ops = ops;
     x->ctx = ctx;
     x->opts = *opts;
-    x->keep = 1;
-    x->begun_us = Fw_Conn_Now();
+    x->reusable = 1;
+    x->started_us = Fw_Conn_Now();
     g_strlcpy(x->addr, addr, sizeof(x->addr));
-    x->conn = connect_to(x, err);
+    x->conn = obtain_conn(x, err);
     if (!x->conn) {
         g_free(x);
         return NULL;
     }
-    Fw_List_Append(&p->running, &x->link);
-    x->sent_before = Fw_Conn_Sent(x->conn);
+    Fw_List_Append(&p->active, &x->link);
+    x->sent_at_start = Fw_Conn_SentBytes(x->conn);
     Fw_Conn_Write(x->conn, head->str, head->len);
     if (body && g_bytes_get_size(body)) {
         Fw_Conn_Write(x->conn, g_bytes_get_data(body, NULL),
@@ -306,12 +319,12 @@
 void
 Fw_Exchange_Stop(struct fw_exchange *x)
 {
-    if (x->calling) {
-        x->stopped = 1;
+    if (x->in_callback) {
+        x->aborted = 1;
         return;
     }
     Fw_Conn_Free(x->conn, 1);
-    leave(x);
+    exchange_free(x);
 }
 
 void
@@ -326,14 +339,14 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    Fw_Kept_Tick(p->kept, now_us);
-    FW_LIST_EACH_SAFE (pos, tmp, &p->running) {
+    Fw_IdleConns_CloseExpired(p->idle_conns, now_us);
+    FW_LIST_EACH_SAFE (pos, tmp, &p->active) {
         struct fw_exchange *x = FW_LIST_ENTRY(pos, struct fw_exchange, link);
 
         if (!Fw_Conn_Connected(x->conn) &&
-            now_us - x->begun_us >= x->opts.connect_us) {
-            fail(x, -ETIMEDOUT);
-            /* The owner may have started or stopped others. */
+            now_us - x->started_us >= x->opts.connect_us) {
+            exchange_fail(x, -ETIMEDOUT);
+            /* The callback may have modified the list. */
             break;
         }
     }
@@ -345,10 +358,10 @@
     if (!p) {
         return;
     }
-    while (!Fw_List_Empty(&p->running)) {
+    while (!Fw_List_Empty(&p->active)) {
         Fw_Exchange_Stop(
-            FW_LIST_ENTRY(p->running.next, struct fw_exchange, link));
+            FW_LIST_ENTRY(p->active.next, struct fw_exchange, link));
     }
-    g_hash_table_destroy(p->kept);
+    g_hash_table_destroy(p->idle_conns);
     g_free(p);
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,6 +1,6 @@
 /*
- * Calls to upstreams. Nothing is ever sent a second time from here: whether
- * a call may be repeated is for the owner to decide.
+ * HTTP/1 client with connection reuse. It never retries a request: whether
+ * that is safe is for its user to decide.
  */
 #ifndef FW_HTTP_CLIENT_H
 #define FW_HTTP_CLIENT_H
@@ -10,19 +10,22 @@
 #include "base/metrics.h"
 #include "http/head.h"
 
+/** struct fw_pool - idle connections and running exchanges. */
 struct fw_pool;
+/** struct fw_exchange - a request and its response. */
 struct fw_exchange;
 
-/** enum fw_take - what the owner says to a response's head. */
+/** enum fw_head_action - what to do with a response, decided on its head. */
 enum fw_take {
     FW_TAKE_IT,
-    FW_TAKE_SKIP, /* it answers another request: drop it, read the next */
+    FW_TAKE_SKIP, /* it belongs to another request: discard it, read the next
+                   */
 };
 
 /**
- * enum fw_sent - how much of a failed call can have reached the upstream.
- * @FW_SENT_NONE: not a byte: it surely didn't run
- * @FW_SENT_SOME: some or all
+ * enum fw_sent - how much of a failed request may have reached the upstream.
+ * @FW_SENT_NONE: nothing, so the upstream has not run it
+ * @FW_SENT_SOME: a part or all of it
  */
 enum fw_sent {
     FW_SENT_NONE,
@@ -30,9 +33,12 @@
 };
 
 /**
- * struct fw_exchange_ops - what the owner hears. After @end or @fail the
- * exchange is gone.
- * @fail: @err is a negative errno; -EBADMSG for bytes that are no response
+ * struct fw_exchange_ops - callbacks of an exchange. The exchange is freed
+ * before @end or @fail is called.
+ * @head: the head of the response was received
+ * @body: the next part of the body
+ * @end: the response is complete
+ * @fail: @err is a negative errno, -EBADMSG for an invalid response
  */
 struct fw_exchange_ops {
     enum fw_take (*head)(void *ctx, const struct fw_http_head *head);
@@ -42,13 +48,13 @@
 };
 
 /**
- * struct fw_exchange_opts - how a call is made.
- * @reuse_us: a kept connection is taken only when it was idle for less;
- *            0 for a new one. An upstream that has silently dropped the
- *            connection is noticed only by a timeout, and a call that must
- *            not be repeated is lost then.
- * @connect_us: a connection that isn't there by then counts as refused
- * @no_body: the response has no body whatever its head says (HEAD)
+ * struct fw_exchange_opts - options of an exchange.
+ * @reuse_idle_max_us: reuse a connection only when it was idle for less; 0 to
+ *                     open a new one. An upstream may have dropped an idle
+ *                     connection silently, which fails the request by a
+ *                     timeout after it was sent.
+ * @connect_timeout_us: the exchange fails when it is not connected by then
+ * @no_body: the response has no body, whatever its head says (HEAD)
  */
 struct fw_exchange_opts {
     int64_t reuse_us;
@@ -60,31 +66,39 @@
 Fw_Pool_New(void);
 void
 Fw_Pool_Free(struct fw_pool *p);
-/* Closes idle connections in time and gives up slow connects. */
+/*
+ * Closes expired idle connections and enforces connect timeouts; to be called
+ * periodically with the time of Fw_Conn_NowUs.
+ */
 void
 Fw_Pool_Tick(struct fw_pool *p, int64_t now_us);
-/* Closes the idle connections to @addr: another server may have it now. */
+/* Closes the idle connections to @addr, e.g. when its server has changed. */
 void
 Fw_Pool_Forget(struct fw_pool *p, const char *addr);
 void
 Fw_Pool_AddMetrics(struct fw_pool *p, struct fw_metrics *m);
 
 /**
- * Fw_Exchange_Start - sends a request to @addr.
- * @head: request line and fields with the empty line; framing included
- * @body: may be NULL
+ * Fw_Exchange_Start - sends a request to @addr ("ip:port").
+ * @head: request line and all fields, including those for the framing of
+ *        @body, and the empty line
+ * @body: copied; may be NULL
+ * @ops: must outlive the exchange
  *
- * Return: the exchange, or NULL with a negative errno in @err when the
- * connection could not even be begun: nothing was sent.
+ * Return: the exchange, or NULL with a negative errno in @err when connecting
+ * failed immediately: nothing was sent and no callback follows.
  */
 struct fw_exchange *
 Fw_Exchange_Start(struct fw_pool *p, const char *addr, const GString *head,
                   GBytes *body, const struct fw_exchange_opts *opts,
                   const struct fw_exchange_ops *ops, void *ctx, int *err);
-/* Closes the connection, so that the upstream stops; nothing follows. */
+/*
+ * Aborts the exchange: resets the connection, so that the upstream stops, and
+ * frees the exchange. No callback follows. May be called from @head and @body.
+ */
 void
 Fw_Exchange_Stop(struct fw_exchange *x);
-/* While paused the response stays in the kernel. */
+/* Pauses or resumes reading the response, for flow control. */
 void
 Fw_Exchange_Pause(struct fw_exchange *x, int paused);
 
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -9,36 +9,39 @@
 
 #include "io/addr.h"
 
-/* One read; larger bodies take several turns of the loop. */
-#define FW_READ_SIZE 16384
-/* Bytes that may wait unconsumed before reading pauses by itself. */
-#define FW_IN_MAX (256 * 1024)
+/* Bytes read at most per iteration of the main loop. */
+#define FW_READ_BYTES 16384
+/* Reading pauses while this much received data is unconsumed. */
+#define FW_INPUT_MAX_BYTES (256 * 1024)
 /*
- * A peer that answers no probe or acknowledges nothing for so long is taken
- * as gone, milliseconds: without it a connection through a partition hangs
- * for minutes. Five times the longest round trip between failure domains
- * with one retransmission after the kernel's least timeout of 200 ms.
+ * TCP_USER_TIMEOUT: fails a connection whose sent data is not acknowledged.
+ * With the default, a network partition is detected only after minutes.
  */
-#define FW_SILENT_MS 2000
+#define FW_USER_TIMEOUT_MS 2000
 
 /**
- * struct fw_conn - also a GSource; freed with its last reference.
- * @used: bytes at the front of @out that the kernel has taken
+ * struct fw_conn - a connection, which is also a GSource.
+ * @in: received data that is not consumed
+ * @out: written data, of which the kernel has accepted the first @out_sent
+ *       bytes
+ * @sent_total: bytes that the kernel has accepted on this connection
+ * @shutdown_pending: shut down the sending side when @out is empty
+ * @closed: no further callbacks are made
  */
 struct fw_conn {
     GSource source;
     GSocket *sock;
-    gpointer tag;
+    gpointer fd_tag;
     const struct fw_conn_ops *ops;
     void *ctx;
     GByteArray *in;
     GByteArray *out;
-    size_t used;
-    uint64_t sent;
+    size_t out_sent;
+    uint64_t sent_total;
     int connected;
     int reading;
-    int finish;
-    int dead;
+    int shutdown_pending;
+    int closed;
 };
 
 int64_t
@@ -51,35 +54,35 @@
 }
 
 static void
-watch(struct fw_conn *c)
+update_events(struct fw_conn *c)
 {
-    GIOCondition want = 0;
+    GIOCondition events = 0;
 
-    if (c->dead) {
+    if (c->closed) {
         return;
     }
-    if (c->connected && c->reading && c->in->len < FW_IN_MAX) {
-        want |= G_IO_IN;
+    if (c->connected && c->reading && c->in->len < FW_INPUT_MAX_BYTES) {
+        events |= G_IO_IN;
     }
-    if (!c->connected || Fw_Conn_Pending(c)) {
-        want |= G_IO_OUT;
+    if (!c->connected || Fw_Conn_Unsent(c)) {
+        events |= G_IO_OUT;
     }
-    g_source_modify_unix_fd(&c->source, c->tag, want);
+    g_source_modify_unix_fd(&c->source, c->fd_tag, events);
 }
 
 static void
-end(struct fw_conn *c, int err)
+close_conn(struct fw_conn *c, int err)
 {
-    if (c->dead) {
+    if (c->closed) {
         return;
     }
-    c->dead = 1;
-    g_source_modify_unix_fd(&c->source, c->tag, 0);
+    c->closed = 1;
+    g_source_modify_unix_fd(&c->source, c->fd_tag, 0);
     c->ops->closed(c->ctx, err);
 }
 
 static int
-errno_of(const GError *error)
+error_to_errno(const GError *error)
 {
     switch (error->code) {
     case G_IO_ERROR_CONNECTION_REFUSED:
@@ -94,16 +97,19 @@
     }
 }
 
-/* 1: go on, 0: would block, negative: the connection is over. */
+/*
+ * Result of a socket operation; frees @error. Return: 1 on success, 0 when it
+ * would block, else a negative errno.
+ */
 static int
-settle(GError *error)
+io_result(GError *error)
 {
     int rc;
 
     if (!error) {
         return 1;
     }
-    rc = error->code == G_IO_ERROR_WOULD_BLOCK ? 0 : errno_of(error);
+    rc = error->code == G_IO_ERROR_WOULD_BLOCK ? 0 : error_to_errno(error);
     g_error_free(error);
     return rc;
 }
@@ -111,25 +117,25 @@
 static int
 flush(struct fw_conn *c)
 {
-    while (Fw_Conn_Pending(c)) {
+    while (Fw_Conn_Unsent(c)) {
         GError *error = NULL;
-        gssize n = g_socket_send(c->sock, (char *)c->out->data + c->used,
-                                 Fw_Conn_Pending(c), NULL, &error);
-        int rc = settle(error);
+        gssize n = g_socket_send(c->sock, (char *)c->out->data + c->out_sent,
+                                 Fw_Conn_Unsent(c), NULL, &error);
+        int rc = io_result(error);
 
         if (rc <= 0) {
             return rc;
         }
-        c->used += (size_t)n;
-        c->sent += (uint64_t)n;
+        c->out_sent += (size_t)n;
+        c->sent_total += (uint64_t)n;
     }
     if (c->out->len) {
         g_byte_array_set_size(c->out, 0);
-        c->used = 0;
+        c->out_sent = 0;
     }
-    if (c->finish) {
+    if (c->shutdown_pending) {
         g_socket_shutdown(c->sock, FALSE, TRUE, NULL);
-        c->finish = 0;
+        c->shutdown_pending = 0;
     }
     return 1;
 }
@@ -141,29 +147,29 @@
     int rc;
 
     if (!c->connected && !g_socket_check_connect_result(c->sock, &error)) {
-        end(c, settle(error));
+        close_conn(c, io_result(error));
         return;
     }
     c->connected = 1;
     rc = flush(c);
     if (rc < 0) {
-        end(c, rc);
+        close_conn(c, rc);
     }
-    else if (rc > 0 && c->ops->drained) {
-        c->ops->drained(c->ctx);
+    else if (rc > 0 && c->ops->flushed) {
+        c->ops->flushed(c->ctx);
     }
 }
 
 static void
 on_readable(struct fw_conn *c)
 {
-    static char buf[FW_READ_SIZE];
+    static char buf[FW_READ_BYTES];
     GError *error = NULL;
     gssize n = g_socket_receive(c->sock, buf, sizeof(buf), NULL, &error);
-    int rc = settle(error);
+    int rc = io_result(error);
 
     if (rc < 0 || (rc > 0 && n == 0)) {
-        end(c, rc < 0 ? rc : 0);
+        close_conn(c, rc < 0 ? rc : 0);
         return;
     }
     if (rc > 0) {
@@ -176,18 +182,19 @@
 dispatch(GSource *source, GSourceFunc fn, gpointer data)
 {
     struct fw_conn *c = (struct fw_conn *)source;
-    GIOCondition got = g_source_query_unix_fd(source, c->tag);
+    GIOCondition ready = g_source_query_unix_fd(source, c->fd_tag);
 
     (void)fn;
     (void)data;
-    if (got & (G_IO_OUT | (c->connected ? 0 : G_IO_ERR | G_IO_HUP))) {
+    if (ready & (G_IO_OUT | (c->connected ? 0 : G_IO_ERR | G_IO_HUP))) {
         on_writable(c);
     }
-    if (!c->dead && c->connected && (got & (G_IO_IN | G_IO_HUP | G_IO_ERR)) &&
-        (c->reading || (got & G_IO_ERR))) {
+    if (!c->closed && c->connected &&
+        (ready & (G_IO_IN | G_IO_HUP | G_IO_ERR)) &&
+        (c->reading || (ready & G_IO_ERR))) {
         on_readable(c);
     }
-    watch(c);
+    update_events(c);
     return G_SOURCE_CONTINUE;
 }
 
@@ -217,9 +224,9 @@
     c->reading = 1;
     g_socket_set_blocking(sock, FALSE);
     g_socket_set_option(sock, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
-    g_socket_set_option(sock, IPPROTO_TCP, TCP_USER_TIMEOUT, FW_SILENT_MS,
-                        NULL);
-    c->tag = g_source_add_unix_fd(source, g_socket_get_fd(sock), 0);
+    g_socket_set_option(sock, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                        FW_USER_TIMEOUT_MS, NULL);
+    c->fd_tag = g_source_add_unix_fd(source, g_socket_get_fd(sock), 0);
     g_source_attach(source, g_main_context_get_thread_default());
     return c;
 }
@@ -230,7 +237,7 @@
     struct fw_conn *c = conn_new(sock, ops, ctx);
 
     c->connected = 1;
-    watch(c);
+    update_events(c);
     return c;
 }
 
@@ -259,14 +266,14 @@
     ok = g_socket_connect(sock, to, NULL, &error);
     g_object_unref(to);
     if (!ok && error->code != G_IO_ERROR_PENDING) {
-        *err = errno_of(error);
+        *err = error_to_errno(error);
         g_error_free(error);
         Fw_Conn_Free(c, 0);
         return NULL;
     }
     g_clear_error(&error);
     c->connected = ok;
-    watch(c);
+    update_events(c);
     return c;
 }
 
@@ -278,7 +285,7 @@
 }
 
 const char *
-Fw_Conn_In(const struct fw_conn *c, size_t *len)
+Fw_Conn_Received(const struct fw_conn *c, size_t *len)
 {
     *len = c->in->len;
     return (const char *)c->in->data;
@@ -289,36 +296,36 @@
 {
     if (n) {
         g_byte_array_remove_range(c->in, 0, (guint)n);
-        watch(c);
+        update_events(c);
     }
 }
 
-/* Tries at once: most messages fit the kernel's buffer. */
+/* Sends immediately, as most messages fit the socket buffer. */
 void
 Fw_Conn_Write(struct fw_conn *c, const void *data, size_t len)
 {
-    if (c->dead) {
+    if (c->closed) {
         return;
     }
     g_byte_array_append(c->out, data, (guint)len);
     if (c->connected && flush(c) < 0) {
-        /* The reading side reports it: its owner isn't called from here. */
+        /* The next read reports the error: no callback is made from here. */
         g_byte_array_set_size(c->out, 0);
-        c->used = 0;
+        c->out_sent = 0;
     }
-    watch(c);
+    update_events(c);
 }
 
 size_t
-Fw_Conn_Pending(const struct fw_conn *c)
+Fw_Conn_Unsent(const struct fw_conn *c)
 {
-    return c->out->len - c->used;
+    return c->out->len - c->out_sent;
 }
 
 uint64_t
-Fw_Conn_Sent(const struct fw_conn *c)
+Fw_Conn_SentBytes(const struct fw_conn *c)
 {
-    return c->sent;
+    return c->sent_total;
 }
 
 int
@@ -332,17 +339,17 @@
 {
     if (c->reading != on) {
         c->reading = on;
-        watch(c);
+        update_events(c);
     }
 }
 
 void
 Fw_Conn_Shutdown(struct fw_conn *c)
 {
-    c->finish = 1;
-    if (!c->dead && c->connected) {
+    c->shutdown_pending = 1;
+    if (!c->closed && c->connected) {
         flush(c);
-        watch(c);
+        update_events(c);
     }
 }
 
@@ -351,7 +358,7 @@
 {
     struct linger hard = {.l_onoff = 1, .l_linger = 0};
 
-    c->dead = 1;
+    c->closed = 1;
     if (reset) {
         setsockopt(g_socket_get_fd(c->sock), SOL_SOCKET, SO_LINGER, &hard,
                    sizeof(hard));
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -1,5 +1,6 @@
 /*
- * A TCP connection in a GLib loop: buffered both ways, never blocking.
+ * Non-blocking TCP connection on a GLib main loop, buffered in both
+ * directions.
  */
 #ifndef FW_HTTP_CONN_H
 #define FW_HTTP_CONN_H
@@ -10,57 +11,74 @@
 struct fw_conn;
 
 /**
- * struct fw_conn_ops - what its owner hears.
- * @data: bytes came; @Fw_Conn_In has all that wasn't consumed yet
- * @closed: no more will come: 0 for an orderly end, else a negative errno
- * @drained: all that was written is with the kernel
+ * struct fw_conn_ops - callbacks of a connection's owner.
+ * @data: data was received; Fw_Conn_Received gives all that is unconsumed
+ * @closed: nothing more will be received. @err is 0 after an orderly shutdown
+ *          by the peer, else a negative errno. The owner must still free the
+ *          connection.
+ * @flushed: the kernel has accepted all written data; may be NULL
  */
 struct fw_conn_ops {
     void (*data)(void *ctx);
     void (*closed)(void *ctx, int err);
-    void (*drained)(void *ctx);
+    void (*flushed)(void *ctx);
 };
 
-/* The time on a clock that counts suspension too, microseconds. */
+/* CLOCK_BOOTTIME in microseconds; advances during suspend. */
 int64_t
 Fw_Conn_Now(void);
 
-/* @sock is taken over; callbacks begin with the loop's next turn. */
+/*
+ * Wraps an accepted socket, whose reference it takes over. No callback is made
+ * before the next iteration of the main loop.
+ */
 struct fw_conn *
 Fw_Conn_Accept(GSocket *sock, const struct fw_conn_ops *ops, void *ctx);
 /**
- * Fw_Conn_Open - begins to connect to @addr ("ip:port").
+ * Fw_Conn_Open - starts to connect to @addr ("ip:port").
  *
  * Return: the connection, or NULL with a negative errno in @err.
  */
 struct fw_conn *
 Fw_Conn_Open(const char *addr, const struct fw_conn_ops *ops, void *ctx,
              int *err);
-/* Hands the connection to another owner. */
+/* Changes the owner: further callbacks use @ops and @ctx. */
 void
 Fw_Conn_SetOwner(struct fw_conn *c, const struct fw_conn_ops *ops, void *ctx);
-/* Bytes received and not consumed. */
+/*
+ * Returns the unconsumed received data, and its length in @len. The pointer is
+ * valid until data is consumed or received.
+ */
 const char *
-Fw_Conn_In(const struct fw_conn *c, size_t *len);
+Fw_Conn_Received(const struct fw_conn *c, size_t *len);
+/* Discards the first @n bytes of the received data. */
 void
 Fw_Conn_Consume(struct fw_conn *c, size_t n);
+/* Sends or buffers a copy of @data; without effect after @closed. */
 void
 Fw_Conn_Write(struct fw_conn *c, const void *data, size_t len);
-/* Bytes written and not yet with the kernel. */
+/* Bytes written that the kernel has not accepted yet. */
 size_t
-Fw_Conn_Pending(const struct fw_conn *c);
-/* Bytes that the kernel has taken since the connection was opened. */
+Fw_Conn_Unsent(const struct fw_conn *c);
+/* Bytes that the kernel has accepted since the connection was opened. */
 uint64_t
-Fw_Conn_Sent(const struct fw_conn *c);
+Fw_Conn_SentBytes(const struct fw_conn *c);
 int
 Fw_Conn_Connected(const struct fw_conn *c);
-/* While @on is 0 what comes stays in the kernel, the end included. */
+/*
+ * Pauses reading while @on is 0: data, and the end of the connection, stay in
+ * the kernel. Socket errors are still reported.
+ */
 void
 Fw_Conn_SetReading(struct fw_conn *c, int on);
-/* Ends the sending side once all is written; reading goes on. */
+/* Shuts down the sending side after all written data; reading continues. */
 void
 Fw_Conn_Shutdown(struct fw_conn *c);
-/* Closes at once; no callback follows. @reset: so that the peer sees it. */
+/*
+ * Closes and frees the connection without further callbacks and discards
+ * unsent data. With @reset it is closed by a RST, so that the peer notices
+ * that it was aborted.
+ */
 void
 Fw_Conn_Free(struct fw_conn *c, int reset);
 
--- a/src/http/events.c
+++ b/src/http/events.c
@@ -1,6 +1,6 @@
 #include "http/events.h"
 
-/* An event ends with an empty line. */
+/* An empty line ends an event; CR is ignored. */
 void
 Fw_EventCount_Add(struct fw_event_count *c, const char *data, size_t len)
 {
--- a/src/http/events.h
+++ b/src/http/events.h
@@ -1,16 +1,21 @@
-/* Counts the events of a stream (text/event-stream) as its bytes pass. */
+/* Counts server-sent events in a text/event-stream body. */
 #ifndef FW_HTTP_EVENTS_H
 #define FW_HTTP_EVENTS_H
 
 #include <stddef.h>
 #include <stdint.h>
 
-/** struct fw_event_count - zeroed at the start; @at_line: a line has ended. */
+/**
+ * struct fw_sse_counter - to be zeroed before the first call.
+ * @events: number of events
+ * @line_ended: nonzero when a line feed as the next byte ends an event
+ */
 struct fw_event_count {
     int64_t n;
     int at_line;
 };
 
+/* Counts the events that end in @data, the next part of the stream. */
 void
 Fw_EventCount_Add(struct fw_event_count *c, const char *data, size_t len);
 
--- a/src/http/frame.c
+++ b/src/http/frame.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 #include <glib.h>
 
-/** enum chunk_state - what the next byte of a chunked body belongs to. */
+/** enum chunk_state - expected next byte of a chunked body. */
 enum chunk_state {
     FW_CHUNK_SIZE,
     FW_CHUNK_EXT,
@@ -18,35 +18,35 @@
 };
 
 void
-Fw_Http_FrameInit(struct fw_http_frame *f, const struct fw_http_head *h)
+Fw_Http_BodyInit(struct fw_http_body_decoder *f, const struct fw_http_head *h)
 {
-    *f = (struct fw_http_frame){.framing = h->framing};
+    *f = (struct fw_http_body_decoder){.framing = h->framing};
     if (h->framing == FW_HTTP_LENGTH) {
-        f->left = h->length;
+        f->remaining = h->length;
     }
     f->done = h->framing == FW_HTTP_NONE ||
-              (h->framing == FW_HTTP_LENGTH && f->left == 0);
+              (h->framing == FW_HTTP_LENGTH && f->remaining == 0);
 }
 
 int
-Fw_Http_FrameEndsHere(const struct fw_http_frame *f)
+Fw_Http_BodyEndsAtClose(const struct fw_http_body_decoder *f)
 {
     return f->done || f->framing == FW_HTTP_UNTIL_CLOSE;
 }
 
 static int
-size_digit(struct fw_http_frame *f, char c)
+read_chunk_size(struct fw_http_body_decoder *f, char c)
 {
     int v = g_ascii_xdigit_value(c);
 
     if (v >= 0 && f->state == FW_CHUNK_SIZE) {
-        if (++f->digits > FW_HTTP_CHUNK_DIGITS) {
+        if (++f->size_digits > FW_HTTP_CHUNK_SIZE_DIGITS_MAX) {
             return -EBADMSG;
         }
-        f->left = f->left * 16 + (uint64_t)v;
+        f->remaining = f->remaining * 16 + (uint64_t)v;
         return 0;
     }
-    if (!f->digits) {
+    if (!f->size_digits) {
         return -EBADMSG;
     }
     if (c == '\r') {
@@ -61,30 +61,31 @@
 }
 
 static int
-expect(struct fw_http_frame *f, char c, char wanted, int next)
+expect_char(struct fw_http_body_decoder *f, char c, char expected, int next)
 {
     f->state = next;
-    f->line = 0;
-    return c == wanted ? 0 : -EBADMSG;
+    f->line_bytes = 0;
+    return c == expected ? 0 : -EBADMSG;
 }
 
 static int
-chunk_step(struct fw_http_frame *f, char c)
+read_framing_char(struct fw_http_body_decoder *f, char c)
 {
-    if (++f->line > FW_HTTP_CHUNK_LINE) {
+    if (++f->line_bytes > FW_HTTP_CHUNK_LINE_MAX) {
         return -EBADMSG;
     }
     switch ((enum chunk_state)f->state) {
     case FW_CHUNK_SIZE:
     case FW_CHUNK_EXT:
-        return size_digit(f, c);
+        return read_chunk_size(f, c);
     case FW_CHUNK_SIZE_LF:
-        f->digits = 0;
-        return expect(f, c, '\n', f->left ? FW_CHUNK_DATA : FW_CHUNK_TRAILER);
+        f->size_digits = 0;
+        return expect_char(f, c, '\n',
+                           f->remaining ? FW_CHUNK_DATA : FW_CHUNK_TRAILER);
     case FW_CHUNK_DATA_CR:
-        return expect(f, c, '\r', FW_CHUNK_DATA_LF);
+        return expect_char(f, c, '\r', FW_CHUNK_DATA_LF);
     case FW_CHUNK_DATA_LF:
-        return expect(f, c, '\n', FW_CHUNK_SIZE);
+        return expect_char(f, c, '\n', FW_CHUNK_SIZE);
     case FW_CHUNK_TRAILER:
         f->state = c == '\r' ? FW_CHUNK_LAST_LF : FW_CHUNK_TRAILER_TEXT;
         return c == '\n' ? -EBADMSG : 0;
@@ -92,10 +93,10 @@
         f->state = c == '\r' ? FW_CHUNK_TRAILER_LF : FW_CHUNK_TRAILER_TEXT;
         return c == '\n' ? -EBADMSG : 0;
     case FW_CHUNK_TRAILER_LF:
-        return expect(f, c, '\n', FW_CHUNK_TRAILER);
+        return expect_char(f, c, '\n', FW_CHUNK_TRAILER);
     case FW_CHUNK_LAST_LF:
         f->done = 1;
-        return expect(f, c, '\n', FW_CHUNK_SIZE);
+        return expect_char(f, c, '\n', FW_CHUNK_SIZE);
     case FW_CHUNK_DATA:
         break;
     }
@@ -103,24 +104,25 @@
 }
 
 static size_t
-take_data(struct fw_http_frame *f, const char *data, size_t len,
+take_data(struct fw_http_body_decoder *f, const char *data, size_t len,
           const char **body, size_t *body_len)
 {
-    size_t n = f->framing == FW_HTTP_UNTIL_CLOSE ? len : MIN(len, f->left);
+    size_t n =
+        f->framing == FW_HTTP_UNTIL_CLOSE ? len : MIN(len, f->remaining);
 
     *body = data;
     *body_len = n;
     if (f->framing != FW_HTTP_UNTIL_CLOSE) {
-        f->left -= n;
+        f->remaining -= n;
     }
     return n;
 }
 
 int
-Fw_Http_FrameRead(struct fw_http_frame *f, const char *data, size_t len,
-                  const char **body, size_t *body_len)
+Fw_Http_BodyRead(struct fw_http_body_decoder *f, const char *data, size_t len,
+                 const char **body, size_t *body_len)
 {
-    size_t used = 0;
+    size_t consumed = 0;
 
     *body = data;
     *body_len = 0;
@@ -128,20 +130,21 @@
         return 0;
     }
     if (f->framing != FW_HTTP_CHUNKED) {
-        used = take_data(f, data, len, body, body_len);
-        f->done = f->framing == FW_HTTP_LENGTH && f->left == 0;
-        return (int)used;
+        consumed = take_data(f, data, len, body, body_len);
+        f->done = f->framing == FW_HTTP_LENGTH && f->remaining == 0;
+        return (int)consumed;
     }
-    while (used < len && !f->done && f->state != FW_CHUNK_DATA) {
-        if (chunk_step(f, data[used++])) {
+    while (consumed < len && !f->done && f->state != FW_CHUNK_DATA) {
+        if (read_framing_char(f, data[consumed++])) {
             return -EBADMSG;
         }
     }
-    if (f->state == FW_CHUNK_DATA && used < len && !f->done) {
-        used += take_data(f, data + used, len - used, body, body_len);
-        if (f->left == 0) {
+    if (f->state == FW_CHUNK_DATA && consumed < len && !f->done) {
+        consumed +=
+            take_data(f, data + consumed, len - consumed, body, body_len);
+        if (f->remaining == 0) {
             f->state = FW_CHUNK_DATA_CR;
         }
     }
-    return (int)used;
+    return (int)consumed;
 }
--- a/src/http/frame.h
+++ b/src/http/frame.h
@@ -1,39 +1,48 @@
-/* Where a body ends: by length, by chunks, or with its connection. */
+/* Decoder for bodies of HTTP/1 messages, with any framing. */
 #ifndef FW_HTTP_FRAME_H
 #define FW_HTTP_FRAME_H
 
 #include "http/head.h"
 
-/* Digits of a chunk's size, and bytes of one line of chunk framing. */
-#define FW_HTTP_CHUNK_DIGITS 8
-#define FW_HTTP_CHUNK_LINE 256
+/* Most digits of a chunk size, and bytes of a line of chunk framing. */
+#define FW_HTTP_CHUNK_SIZE_DIGITS_MAX 8
+#define FW_HTTP_CHUNK_LINE_MAX 256
 
-/** struct fw_http_frame - reads one body; see Fw_Http_FrameRead. */
-struct fw_http_frame {
+/**
+ * struct fw_http_body_decoder - state of decoding one body.
+ * @state: enum chunk_state
+ * @remaining: bytes left of the body or the current chunk
+ * @size_digits: digits of the current chunk size so far
+ * @line_bytes: bytes of the current framing line so far
+ * @done: the body is complete
+ */
+struct fw_http_body_decoder {
     enum fw_http_framing framing;
     int state;
-    uint64_t left; /* bytes of the body or of the chunk */
-    int digits;
-    int line; /* bytes of the framing line so far */
+    uint64_t remaining;
+    int size_digits;
+    int line_bytes;
     int done;
 };
 
+/* Prepares @f to decode the body of the message with head @h. */
 void
-Fw_Http_FrameInit(struct fw_http_frame *f, const struct fw_http_head *h);
+Fw_Http_BodyInit(struct fw_http_body_decoder *f, const struct fw_http_head *h);
 
 /**
- * Fw_Http_FrameRead - the next part of the body in @data.
- * @body, @body_len: set to the part that belongs to the body; may be empty
+ * Fw_Http_BodyRead - decodes the next part of a body from @data.
+ * @body: set to the decoded part, which lies within @data
+ * @body_len: set to its length; may be 0
  *
- * To be called until @f->done or all of @data was used.
+ * To be called repeatedly until @f->done is set or all of @data is consumed.
  *
- * Return: bytes used of @data, or -EBADMSG.
+ * Return: bytes consumed of @data, or -EBADMSG when the framing is malformed.
  */
 int
-Fw_Http_FrameRead(struct fw_http_frame *f, const char *data, size_t len,
-                  const char **body, size_t *body_len);
-/* Nonzero when a clean end of the connection ends the body whole. */
+Fw_Http_BodyRead(struct fw_http_body_decoder *f, const char *data, size_t len,
+                 const char **body, size_t *body_len);
+/* Nonzero when the body is complete if the connection ends now. */
 int
-Fw_Http_FrameEndsHere(const struct fw_http_frame *f);
+Fw_Http_BodyEndsAtClose(const struct fw_http_body_decoder *f);
 
 #endif
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -5,8 +5,8 @@
 #include <http_parser.h>
 #include <string.h>
 
-/* Digits of a length that can't overflow 64 bits. */
-#define FW_LENGTH_DIGITS 18
+/* Most digits of a Content-Length; can't overflow 64 bits. */
+#define FW_LENGTH_DIGITS_MAX 18
 
 static int
 is_token(unsigned char c)
@@ -42,7 +42,7 @@
 int
 Fw_Http_HasToken(const struct fw_http_field *f, const char *token)
 {
-    size_t want = strlen(token);
+    size_t token_len = strlen(token);
     const char *p = f->value;
     const char *end = f->value + f->value_len;
 
@@ -56,8 +56,8 @@
         while (last > p && (last[-1] == ' ' || last[-1] == '\t')) {
             last--;
         }
-        if ((size_t)(last - p) == want &&
-            g_ascii_strncasecmp(p, token, want) == 0) {
+        if ((size_t)(last - p) == token_len &&
+            g_ascii_strncasecmp(p, token, token_len) == 0) {
             return 1;
         }
         p = stop ? stop + 1 : end;
@@ -103,7 +103,7 @@
     return 0;
 }
 
-/* Length of the head with its empty line; 0 when that hasn't come yet. */
+/* Length of the head with its empty line; 0 when it is incomplete. */
 static size_t
 head_length(const char *data, size_t len)
 {
@@ -113,7 +113,7 @@
 }
 
 static int
-lines_are_plain(const char *raw, size_t len)
+lines_end_in_crlf(const char *raw, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
         if (raw[i] == 0 ||
@@ -125,7 +125,7 @@
     return 1;
 }
 
-/* Each line after the first: a token, a colon at once, no folding. */
+/* Checks that each line after the first starts with a token and a colon. */
 static int
 names_are_tokens(const char *raw, size_t len)
 {
@@ -147,7 +147,7 @@
 }
 
 static struct fw_http_head *
-head_of(http_parser *p)
+parser_head(http_parser *p)
 {
     return p->data;
 }
@@ -155,15 +155,15 @@
 static int
 on_url(http_parser *p, const char *at, size_t len)
 {
-    head_of(p)->target = at;
-    head_of(p)->target_len = len;
+    parser_head(p)->target = at;
+    parser_head(p)->target_len = len;
     return 0;
 }
 
 static int
-on_name(http_parser *p, const char *at, size_t len)
+on_field_name(http_parser *p, const char *at, size_t len)
 {
-    struct fw_http_head *h = head_of(p);
+    struct fw_http_head *h = parser_head(p);
 
     if (h->n_fields == FW_HTTP_FIELDS_MAX) {
         return -1;
@@ -174,9 +174,9 @@
 }
 
 static int
-on_value(http_parser *p, const char *at, size_t len)
+on_field_value(http_parser *p, const char *at, size_t len)
 {
-    struct fw_http_head *h = head_of(p);
+    struct fw_http_head *h = parser_head(p);
     struct fw_http_field *f = &h->fields[h->n_fields - 1];
 
     while (len && (at[len - 1] == ' ' || at[len - 1] == '\t')) {
@@ -187,7 +187,7 @@
     return 0;
 }
 
-/* The body is framed by frame.c: the parser stops at the end of the head. */
+/* Stops http_parser after the head: body.c decodes the body. */
 static int
 on_head_done(http_parser *p)
 {
@@ -196,9 +196,9 @@
 }
 
 static int
-read_length(struct fw_http_head *h, const struct fw_http_field *f)
+parse_content_length(struct fw_http_head *h, const struct fw_http_field *f)
 {
-    if (!f->value_len || f->value_len > FW_LENGTH_DIGITS) {
+    if (!f->value_len || f->value_len > FW_LENGTH_DIGITS_MAX) {
         return -EBADMSG;
     }
     h->length = 0;
@@ -213,7 +213,7 @@
 }
 
 static int
-count_of(const struct fw_http_head *h, const char *name)
+count_fields(const struct fw_http_head *h, const char *name)
 {
     int n = 0;
 
@@ -231,13 +231,13 @@
 }
 
 static int
-read_framing(enum fw_http_side side, struct fw_http_head *h)
+parse_framing(enum fw_http_message_type side, struct fw_http_head *h)
 {
     const struct fw_http_field *length = Fw_Http_Find(h, "content-length");
     const struct fw_http_field *coding = Fw_Http_Find(h, "transfer-encoding");
 
-    if (count_of(h, "content-length") > 1 ||
-        count_of(h, "transfer-encoding") > 1 || (length && coding)) {
+    if (count_fields(h, "content-length") > 1 ||
+        count_fields(h, "transfer-encoding") > 1 || (length && coding)) {
         return -EBADMSG;
     }
     h->framing = side == FW_HTTP_REQUEST ? FW_HTTP_NONE : FW_HTTP_UNTIL_CLOSE;
@@ -248,7 +248,7 @@
         }
         h->framing = FW_HTTP_CHUNKED;
     }
-    if (length && read_length(h, length)) {
+    if (length && parse_content_length(h, length)) {
         return -EBADMSG;
     }
     if (has_no_body(h)) {
@@ -258,7 +258,7 @@
 }
 
 static int
-read_keep_alive(const struct fw_http_head *h)
+allows_keep_alive(const struct fw_http_head *h)
 {
     for (int i = 0; i < h->n_fields; i++) {
         const struct fw_http_field *f = &h->fields[i];
@@ -277,7 +277,7 @@
 }
 
 static int
-target_is_plain(const struct fw_http_head *h)
+target_is_valid(const struct fw_http_head *h)
 {
     if (!h->target_len || h->target[0] != '/') {
         return 0;
@@ -299,10 +299,10 @@
 
     h->method = h->raw;
     h->method_len = (size_t)(space - h->raw);
-    if (!target_is_plain(h) || count_of(h, "host") != 1) {
+    if (!target_is_valid(h) || count_fields(h, "host") != 1) {
         return -EBADMSG;
     }
-    /* One space on each side of the target, as the target's place shows. */
+    /* Exactly one space on each side of the target. */
     if (h->target != space + 1 ||
         strncmp(h->target + h->target_len, " HTTP/1.", 8) != 0) {
         return -EBADMSG;
@@ -311,16 +311,16 @@
 }
 
 /*
- * The parser takes lines as the raw check left them; what it accepts beyond
- * that (versions, methods, folded values) is looked at again here.
+ * http_parser is more lenient than this interface: the checks before and after
+ * it reject the rest.
  */
 static int
-parse(enum fw_http_side side, size_t len, struct fw_http_head *h)
+parse_head(enum fw_http_message_type side, size_t len, struct fw_http_head *h)
 {
     static const http_parser_settings settings = {
         .on_url = on_url,
-        .on_header_field = on_name,
-        .on_header_value = on_value,
+        .on_header_field = on_field_name,
+        .on_header_value = on_field_value,
         .on_headers_complete = on_head_done,
     };
     http_parser p;
@@ -328,7 +328,7 @@
     http_parser_init(&p,
                      side == FW_HTTP_REQUEST ? HTTP_REQUEST : HTTP_RESPONSE);
     p.data = h;
-    p.allow_chunked_length = 1; /* refused below, with a reason of our own */
+    p.allow_chunked_length = 1; /* rejected by parse_framing */
     http_parser_execute(&p, &settings, h->raw, len);
     if (HTTP_PARSER_ERRNO(&p) != HPE_OK || p.http_major != 1 ||
         p.http_minor > 1 || p.method == HTTP_CONNECT) {
@@ -343,7 +343,7 @@
 }
 
 int
-Fw_Http_ReadHead(enum fw_http_side side, const char *data, size_t len,
+Fw_Http_ReadHead(enum fw_http_message_type side, const char *data, size_t len,
                  struct fw_http_head *out)
 {
     size_t n = head_length(data, len);
@@ -352,12 +352,12 @@
         return 0;
     }
     *out = (struct fw_http_head){.raw = g_strndup(data, n)};
-    if (!lines_are_plain(out->raw, n) || !names_are_tokens(out->raw, n) ||
-        parse(side, n, out) || read_framing(side, out)) {
+    if (!lines_end_in_crlf(out->raw, n) || !names_are_tokens(out->raw, n) ||
+        parse_head(side, n, out) || parse_framing(side, out)) {
         Fw_Http_ClearHead(out);
         return -EBADMSG;
     }
-    out->keep_alive = read_keep_alive(out);
+    out->keep_alive = allows_keep_alive(out);
     return (int)n;
 }
 
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -1,10 +1,11 @@
 /*
- * Heads of HTTP/1 messages, read strictly.
+ * Strict parser for the heads (start line and fields) of HTTP/1 messages.
  *
- * A proxy that repairs a doubtful head can be made to see another message
- * than its upstream does (request smuggling). So whatever two parsers could
- * read in two ways is an error here: bare line feeds, folded lines, a space
- * before the colon, two lengths, a length beside a transfer coding.
+ * A proxy that accepts an ambiguous head may frame the message differently
+ * than its upstream (request smuggling). All input that parsers are known to
+ * interpret differently is an error: bare line feeds, folded lines, whitespace
+ * before the colon, repeated Content-Length, Content-Length together with
+ * Transfer-Encoding.
  */
 #ifndef FW_HTTP_HEAD_H
 #define FW_HTTP_HEAD_H
@@ -13,38 +14,39 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Fields in one head: far above any client's, bounds the work for one. */
+/* Maximum number of fields in a head. */
 #define FW_HTTP_FIELDS_MAX 100
 
-enum fw_http_side {
+enum fw_http_message_type {
     FW_HTTP_REQUEST,
     FW_HTTP_RESPONSE,
 };
 
-/** enum fw_http_framing - how the end of a body is found. */
+/** enum fw_http_framing - how the end of a body is determined. */
 enum fw_http_framing {
-    FW_HTTP_NONE,
+    FW_HTTP_NONE, /* there is no body */
     FW_HTTP_LENGTH,
     FW_HTTP_CHUNKED,
-    FW_HTTP_UNTIL_CLOSE, /* responses only */
+    FW_HTTP_UNTIL_CLOSE, /* by the end of the connection; responses only */
 };
 
-/** struct fw_http_field - points into the head's own copy of the bytes. */
+/** struct fw_http_field - a field; points into @raw of its head. */
 struct fw_http_field {
     const char *name;
     size_t name_len;
-    const char *value; /* without surrounding white space */
+    const char *value; /* without surrounding whitespace */
     size_t value_len;
 };
 
 /**
- * struct fw_http_head - a request's or response's head.
- * @raw: the bytes, owned; all pointers below lead into it
- * @method, @method_len, @target, @target_len: of a request, as they came
- * @status: of a response
- * @minor: of HTTP/1.@minor
- * @length: bytes of the body with FW_HTTP_LENGTH
- * @keep_alive: the sender goes on with this connection afterwards
+ * struct fw_http_head - head of a request or response.
+ * @raw: owned copy of the head; all pointers below point into it
+ * @method: of a request, as received, of @method_len bytes
+ * @target: of a request, as received, of @target_len bytes
+ * @status: of a response, else 0
+ * @minor: minor version, 0 or 1
+ * @length: length of the body in bytes with FW_HTTP_CONTENT_LENGTH
+ * @keep_alive: the connection can be reused afterwards
  */
 struct fw_http_head {
     char *raw;
@@ -62,31 +64,33 @@
 };
 
 /**
- * Fw_Http_ReadHead - takes a head off the start of @data.
+ * Fw_Http_ParseHead - parses a head at the start of @data.
  * @out: to be cleared when a positive number is returned
  *
- * Return: the head's length in bytes; 0 when more bytes are needed;
- * -EBADMSG when it breaks the protocol or could be read in two ways.
+ * Return: length of the head in bytes, 0 when it is incomplete, -EBADMSG when
+ * it is malformed or ambiguous.
  */
 int
-Fw_Http_ReadHead(enum fw_http_side side, const char *data, size_t len,
+Fw_Http_ReadHead(enum fw_http_message_type side, const char *data, size_t len,
                  struct fw_http_head *out);
 void
 Fw_Http_ClearHead(struct fw_http_head *h);
-/* The first field called @name, or NULL; names compare without case. */
+/* The first field with @name, ignoring case, or NULL. */
 const struct fw_http_field *
 Fw_Http_Find(const struct fw_http_head *h, const char *name);
+/* Nonzero when the method is @method; methods are case-sensitive. */
 int
 Fw_Http_MethodIs(const struct fw_http_head *h, const char *method);
+/* Nonzero when the name of @f is @name, ignoring case. */
 int
 Fw_Http_FieldIs(const struct fw_http_field *f, const char *name);
-/* Nonzero when the comma-separated list in @f holds @token. */
+/* Nonzero when @f, a comma-separated list, contains @token, ignoring case. */
 int
 Fw_Http_HasToken(const struct fw_http_field *f, const char *token);
-/* Appends @f as a line. */
+/* Appends @f as a header line with CRLF. */
 void
 Fw_Http_AddField(GString *out, const struct fw_http_field *f);
-/* Nonzero for fields that concern one connection only (RFC 9110, 7.6.1). */
+/* Nonzero when @f must not be forwarded (RFC 9110, section 7.6.1). */
 int
 Fw_Http_HopByHop(const struct fw_http_head *h, const struct fw_http_field *f);
 
--- a/src/http/http_internal.h
+++ b/src/http/http_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of src/http. */
+/* Internals of the HTTP server. */
 #ifndef FW_HTTP_INTERNAL_H
 #define FW_HTTP_INTERNAL_H
 
@@ -9,12 +9,13 @@
 #include "http/frame.h"
 #include "http/server.h"
 
-enum fw_http_state {
-    FW_CALLER_IDLE,   /* no byte of a request yet */
-    FW_CALLER_HEAD,   /* a head has begun */
-    FW_CALLER_BODY,   /* a body has begun */
-    FW_CALLER_ANSWER, /* the request is with its owner */
-    FW_CALLER_CLOSE,  /* answered; what comes is dropped until the end */
+/** enum fw_caller_state - state of a connection. */
+enum fw_caller_state {
+    FW_CALLER_IDLE,     /* waiting for the first byte of a request */
+    FW_CALLER_HEAD,     /* receiving a head */
+    FW_CALLER_BODY,     /* receiving a body */
+    FW_CALLER_RESPONSE, /* delivered, response not complete */
+    FW_CALLER_LINGER,   /* response sent, discarding input */
 };
 
 struct fw_http_server {
@@ -24,50 +25,56 @@
     GSocket *listener;
     GSource *source;
     struct fw_list callers;
-    size_t held; /* bytes of bodies in memory */
+    size_t buffered_bytes; /* size of all request bodies */
     int draining;
-    int sends_away;
+    int close_after_response;
 };
 
 /**
- * struct fw_http_caller - a connection and its request, if it has one.
- * @since_us: when @state was entered; with FW_CALLER_BODY the last byte
- * @begun_us: when the request's first byte came
- * @sent, @moved_us: bytes of the connection's answers that the kernel has
- *     taken, and when that last grew
- * @chunked: the answer goes out in chunks
- * @last: the connection ends with this answer
+ * struct fw_http_caller - a connection and its current request, if any.
+ * @timer_start_us: when @state was entered, or in FW_CALLER_BODY when the last
+ *                  data was received
+ * @request_start_us: when the first byte of the request was received
+ * @sent_bytes: bytes that the kernel had accepted at the last tick
+ * @progress_us: time of the last tick at which @sent_bytes had grown or no
+ *               complete response was left to send
+ * @body_buffer: body while it is received
+ * @request_body: complete body
+ * @chunked: the response uses chunked transfer coding
+ * @omit_body: the response must not have a body
+ * @close_after: close the connection after the response
+ * @resume_source_id: idle source that parses pipelined requests, or 0
  */
 struct fw_http_caller {
     struct fw_http_server *server;
     struct fw_list link;
     struct fw_conn *conn;
-    enum fw_http_state state;
-    int64_t since_us;
-    int64_t begun_us;
-    uint64_t sent;
-    int64_t moved_us;
+    enum fw_caller_state state;
+    int64_t timer_start_us;
+    int64_t request_start_us;
+    uint64_t sent_bytes;
+    int64_t progress_us;
     struct fw_http_head head;
-    struct fw_http_frame frame;
-    GByteArray *body;
-    GBytes *whole;
+    struct fw_http_body_decoder body_decoder;
+    GByteArray *body_buffer;
+    GBytes *request_body;
     int chunked;
-    int bodyless;
-    int last;
-    guint resume; /* idle source that looks at pipelined bytes */
+    int omit_body;
+    int close_after;
+    guint resume_source_id;
 };
 
 void
 Fw_Caller_New(struct fw_http_server *s, GSocket *sock);
 void
 Fw_Caller_Free(struct fw_http_caller *c, int reset);
-/* The answer is out: the next request, or the connection's end. */
+/* After a complete response: awaits the next request or closes. */
 void
-Fw_Caller_Done(struct fw_http_caller *c);
-/* Answers a request that nobody has seen, and ends the connection. */
+Fw_Caller_FinishResponse(struct fw_http_caller *c);
+/* Responds with an error to a request not delivered, and closes. */
 void
-Fw_Caller_Refuse(struct fw_http_caller *c, int status, const char *why);
+Fw_Caller_Reject(struct fw_http_caller *c, int status, const char *why);
 const char *
-Fw_Http_Reason(int status);
+Fw_Http_ReasonPhrase(int status);
 
 #endif
--- a/src/http/kept.c
+++ b/src/http/kept.c
@@ -1,45 +1,44 @@
-/* Connections to upstreams that wait for their next request. */
 #include "http/kept.h"
 
 #include "base/limits.h"
 #include "base/list.h"
 
-/* Kept connections to one upstream. */
-#define FW_IDLE_MAX 16
+/* Most idle connections per address. */
+#define FW_IDLE_CONNS_PER_ADDR_MAX 16
 
-/** struct idle - a kept connection; @until_us: when it is closed at last. */
-struct idle {
-    struct fw_list link; /* of its upstream, newest last */
+/** struct idle_conn - an idle connection, closed at @expires_us. */
+struct idle_conn {
+    struct fw_list link; /* of its address, newest last */
     struct fw_conn *conn;
-    int64_t since_us;
-    int64_t until_us;
+    int64_t idle_since_us;
+    int64_t expires_us;
 };
 
 static void
-idle_free(struct idle *i)
+idle_conn_free(struct idle_conn *i)
 {
     Fw_List_Remove(&i->link);
     Fw_Conn_Free(i->conn, 0);
     g_free(i);
 }
 
-/* Bytes on an idle connection answer nothing that was asked: close it. */
+/* Unsolicited data on an idle connection: no request may read it. */
 static void
-idle_data(void *ctx)
+on_idle_data(void *ctx)
 {
-    idle_free(ctx);
+    idle_conn_free(ctx);
 }
 
 static void
-idle_closed(void *ctx, int err)
+on_idle_closed(void *ctx, int err)
 {
     (void)err;
-    idle_free(ctx);
+    idle_conn_free(ctx);
 }
 
-static const struct fw_conn_ops idle_ops = {
-    .data = idle_data,
-    .closed = idle_closed,
+static const struct fw_conn_ops idle_conn_ops = {
+    .data = on_idle_data,
+    .closed = on_idle_closed,
 };
 
 static void
@@ -48,32 +47,32 @@
     struct fw_list *l = data;
 
     while (!Fw_List_Empty(l)) {
-        idle_free(FW_LIST_ENTRY(l->next, struct idle, link));
+        idle_conn_free(FW_LIST_ENTRY(l->next, struct idle_conn, link));
     }
     g_free(l);
 }
 
 GHashTable *
-Fw_Kept_New(void)
+Fw_IdleConns_New(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_list);
 }
 
 static struct fw_list *
-list_of(GHashTable *kept, const char *addr)
+get_or_add_list(GHashTable *conns, const char *addr)
 {
-    struct fw_list *l = g_hash_table_lookup(kept, addr);
+    struct fw_list *l = g_hash_table_lookup(conns, addr);
 
     if (!l) {
         l = g_new0(struct fw_list, 1);
         Fw_List_Init(l);
-        g_hash_table_insert(kept, g_strdup(addr), l);
+        g_hash_table_insert(conns, g_strdup(addr), l);
     }
     return l;
 }
 
 static int
-count(const struct fw_list *l)
+list_length(const struct fw_list *l)
 {
     const struct fw_list *pos;
     int n = 0;
@@ -85,38 +84,38 @@
 }
 
 void
-Fw_Kept_Put(GHashTable *kept, const char *addr, struct fw_conn *conn,
-            int64_t allowed_us)
+Fw_IdleConns_Put(GHashTable *conns, const char *addr, struct fw_conn *conn,
+                 int64_t max_idle_us)
 {
-    struct fw_list *l = list_of(kept, addr);
-    struct idle *i;
+    struct fw_list *l = get_or_add_list(conns, addr);
+    struct idle_conn *i;
 
-    if (count(l) >= FW_IDLE_MAX) {
+    if (list_length(l) >= FW_IDLE_CONNS_PER_ADDR_MAX) {
         Fw_Conn_Free(conn, 0);
         return;
     }
-    i = g_new0(struct idle, 1);
+    i = g_new0(struct idle_conn, 1);
     i->conn = conn;
-    i->since_us = Fw_Conn_Now();
-    i->until_us = i->since_us + allowed_us;
-    Fw_Conn_SetOwner(conn, &idle_ops, i);
+    i->idle_since_us = Fw_Conn_Now();
+    i->expires_us = i->idle_since_us + max_idle_us;
+    Fw_Conn_SetOwner(conn, &idle_conn_ops, i);
     Fw_List_Append(l, &i->link);
 }
 
-/* The connection that was used last is the least likely to be stale. */
+/* The connection used last is the least likely to be stale. */
 struct fw_conn *
-Fw_Kept_Take(GHashTable *kept, const char *addr, int64_t reuse_us)
+Fw_IdleConns_Take(GHashTable *conns, const char *addr, int64_t idle_limit_us)
 {
-    struct fw_list *l = g_hash_table_lookup(kept, addr);
+    struct fw_list *l = g_hash_table_lookup(conns, addr);
     int64_t now = Fw_Conn_Now();
     struct fw_conn *conn;
-    struct idle *i;
+    struct idle_conn *i;
 
     if (!l || Fw_List_Empty(l)) {
         return NULL;
     }
-    i = FW_LIST_ENTRY(l->prev, struct idle, link);
-    if (now - i->since_us >= reuse_us || now >= i->until_us) {
+    i = FW_LIST_ENTRY(l->prev, struct idle_conn, link);
+    if (now - i->idle_since_us >= idle_limit_us || now >= i->expires_us) {
         return NULL;
     }
     conn = i->conn;
@@ -126,21 +125,21 @@
 }
 
 void
-Fw_Kept_Tick(GHashTable *kept, int64_t now_us)
+Fw_IdleConns_CloseExpired(GHashTable *conns, int64_t now_us)
 {
     GHashTableIter it;
     gpointer l;
 
-    g_hash_table_iter_init(&it, kept);
+    g_hash_table_iter_init(&it, conns);
     while (g_hash_table_iter_next(&it, NULL, &l)) {
         struct fw_list *pos;
         struct fw_list *tmp;
 
         FW_LIST_EACH_SAFE (pos, tmp, (struct fw_list *)l) {
-            struct idle *i = FW_LIST_ENTRY(pos, struct idle, link);
+            struct idle_conn *i = FW_LIST_ENTRY(pos, struct idle_conn, link);
 
-            if (now_us >= i->until_us) {
-                idle_free(i);
+            if (now_us >= i->expires_us) {
+                idle_conn_free(i);
             }
         }
         if (Fw_List_Empty(l)) {
--- a/src/http/kept.h
+++ b/src/http/kept.h
@@ -1,6 +1,6 @@
 /*
- * Connections that were used and are open, by their upstream's address. One
- * that the upstream closes goes by itself.
+ * Idle connections to upstreams, as a hash table by address. A connection that
+ * the upstream closes is removed.
  */
 #ifndef FW_HTTP_KEPT_H
 #define FW_HTTP_KEPT_H
@@ -9,17 +9,26 @@
 
 #include "http/conn.h"
 
-/* Destroying the table closes all; removing an address closes its own. */
+/*
+ * Destroying the table closes all connections, removing an address closes the
+ * connections to it.
+ */
 GHashTable *
-Fw_Kept_New(void);
-/* Takes @conn over, closes it after @allowed_us at the latest. */
+Fw_IdleConns_New(void);
+/*
+ * Adds @conn, which it owns from then on, for at most @max_idle_us. Closes it
+ * when there are too many to @addr already.
+ */
 void
-Fw_Kept_Put(GHashTable *kept, const char *addr, struct fw_conn *conn,
-            int64_t allowed_us);
-/* One that was idle for less than @reuse_us, or NULL; the caller's then. */
+Fw_IdleConns_Put(GHashTable *conns, const char *addr, struct fw_conn *conn,
+                 int64_t max_idle_us);
+/*
+ * Removes and returns a connection that was idle for less than @idle_limit_us,
+ * now owned by the caller; NULL when there is none.
+ */
 struct fw_conn *
-Fw_Kept_Take(GHashTable *kept, const char *addr, int64_t reuse_us);
+Fw_IdleConns_Take(GHashTable *conns, const char *addr, int64_t idle_limit_us);
 void
-Fw_Kept_Tick(GHashTable *kept, int64_t now_us);
+Fw_IdleConns_CloseExpired(GHashTable *conns, int64_t now_us);
 
 #endif
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -11,10 +11,9 @@
 #include "io/addr.h"
 
 /*
- * After an answer to a request that wasn't read to its end, what still comes
- * is read and dropped for so long: closing at once would reset the
- * connection and the caller could lose the answer. A round trip across the
- * region is 40 ms; the rest is for a sender that is slow to notice.
+ * How long input is read and discarded after the last response of a
+ * connection. Closing a socket with unread input resets the connection, and
+ * the caller could lose the response.
  */
 #define FW_LINGER_US (500 * FW_MSEC)
 
@@ -118,7 +117,7 @@
 void
 Fw_Server_SendAway(struct fw_http_server *s, int on)
 {
-    s->sends_away = on;
+    s->close_after_response = on;
 }
 
 void
@@ -131,7 +130,7 @@
         struct fw_http_caller *c =
             FW_LIST_ENTRY(pos, struct fw_http_caller, link);
 
-        if (c->state == FW_CALLER_IDLE && !c->resume) {
+        if (c->state == FW_CALLER_IDLE && !c->resume_source_id) {
             Fw_Caller_Free(c, 0);
         }
     }
@@ -146,8 +145,8 @@
     FW_LIST_EACH (pos, &s->callers) {
         const struct fw_http_caller *c =
             FW_LIST_ENTRY(pos, struct fw_http_caller, link);
-        n += c->state == FW_CALLER_ANSWER || c->state == FW_CALLER_BODY ||
-             Fw_Conn_Pending(c->conn) > 0;
+        n += c->state == FW_CALLER_RESPONSE || c->state == FW_CALLER_BODY ||
+             Fw_Conn_Unsent(c->conn) > 0;
     }
     return n;
 }
@@ -174,32 +173,34 @@
     g_object_unref(at);
 }
 
-/* Nonzero when an answer that is whole isn't read on. */
+/* Nonzero when the caller has stopped reading a complete response. */
 static int
-is_stalled(const struct fw_http_server *s, struct fw_http_caller *c,
-           int64_t now_us)
+write_stalled(const struct fw_http_server *s, struct fw_http_caller *c,
+              int64_t now_us)
 {
-    uint64_t sent = Fw_Conn_Sent(c->conn);
+    uint64_t sent = Fw_Conn_SentBytes(c->conn);
 
-    if (sent != c->sent || !Fw_Conn_Pending(c->conn) ||
-        c->state == FW_CALLER_ANSWER) {
-        c->sent = sent;
-        c->moved_us = now_us;
+    if (sent != c->sent_bytes || !Fw_Conn_Unsent(c->conn) ||
+        c->state == FW_CALLER_RESPONSE) {
+        c->sent_bytes = sent;
+        c->progress_us = now_us;
         return 0;
     }
-    return s->limits.stall_us && now_us - c->moved_us >= s->limits.stall_us;
+    return s->limits.stall_us && now_us - c->progress_us >= s->limits.stall_us;
 }
 
 static int
-is_slow(const struct fw_http_server *s, const struct fw_http_caller *c,
-        int64_t now_us)
+request_timed_out(const struct fw_http_server *s,
+                  const struct fw_http_caller *c, int64_t now_us)
 {
     return (c->state == FW_CALLER_HEAD || c->state == FW_CALLER_BODY) &&
-           s->limits.whole_us && now_us - c->begun_us >= s->limits.whole_us;
+           s->limits.whole_us &&
+           now_us - c->request_start_us >= s->limits.whole_us;
 }
 
 static int64_t
-allowed_us(const struct fw_http_server *s, const struct fw_http_caller *c)
+state_timeout_us(const struct fw_http_server *s,
+                 const struct fw_http_caller *c)
 {
     switch (c->state) {
     case FW_CALLER_IDLE:
@@ -208,9 +209,9 @@
         return s->limits.head_us;
     case FW_CALLER_BODY:
         return s->limits.body_us;
-    case FW_CALLER_CLOSE:
+    case FW_CALLER_LINGER:
         return FW_LINGER_US;
-    case FW_CALLER_ANSWER:
+    case FW_CALLER_RESPONSE:
         break;
     }
     return INT64_MAX;
@@ -226,17 +227,17 @@
         struct fw_http_caller *c =
             FW_LIST_ENTRY(pos, struct fw_http_caller, link);
 
-        if (is_stalled(s, c, now_us)) {
+        if (write_stalled(s, c, now_us)) {
             Fw_Caller_Free(c, 1);
             continue;
         }
-        if ((Fw_Conn_Pending(c->conn) && c->state != FW_CALLER_ANSWER) ||
-            (now_us - c->since_us < allowed_us(s, c) &&
-             !is_slow(s, c, now_us))) {
+        if ((Fw_Conn_Unsent(c->conn) && c->state != FW_CALLER_RESPONSE) ||
+            (now_us - c->timer_start_us < state_timeout_us(s, c) &&
+             !request_timed_out(s, c, now_us))) {
             continue;
         }
         if (c->state == FW_CALLER_HEAD || c->state == FW_CALLER_BODY) {
-            Fw_Caller_Refuse(c, 408, "request took too long to arrive");
+            Fw_Caller_Reject(c, 408, "request took too long to arrive");
         }
         else {
             Fw_Caller_Free(c, 0);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,8 +1,9 @@
 /*
- * Callers' connections: requests in, answers out, one at a time on each.
+ * HTTP/1 server for callers (API clients), with one request at a time per
+ * connection.
  *
- * A request is handed over when it is whole, so one that broke off on the
- * way has surely reached nobody.
+ * A request is delivered only after its body was received completely, so an
+ * interrupted request has certainly not been processed.
  */
 #ifndef FW_HTTP_SERVER_H
 #define FW_HTTP_SERVER_H
@@ -13,18 +14,21 @@
 #include "http/head.h"
 
 struct fw_http_server;
-/** struct fw_http_caller - one connection. */
+/** struct fw_http_caller - connection of a caller, and its request. */
 struct fw_http_caller;
 
 /**
- * struct fw_http_limits - what a caller may send.
- * @header_bytes, @body_bytes: of one request
- * @held_bytes: bodies of all requests together; memory that callers can fill
- * @head_us: from a head's first byte to its last
- * @body_us: without a byte of a body
- * @whole_us: from the first byte of a request to its last; 0 for no limit
- * @idle_us: between two requests
- * @stall_us: without a byte taken of an answer that is whole; 0 for no limit
+ * struct fw_http_limits - sizes and timeouts of requests.
+ * @header_bytes: largest head of a request
+ * @body_bytes: largest body of a request
+ * @buffered_bytes: memory for the bodies of all requests
+ * @head_timeout_us: from the first byte of a head to its last
+ * @body_idle_timeout_us: between two reads of a body
+ * @request_timeout_us: from the first byte of a request to its last, 0 for no
+ *                      limit
+ * @keep_alive_timeout_us: until the first byte of the next request
+ * @write_stall_timeout_us: without progress in sending a response that is
+ *                          complete, 0 for no limit
  */
 struct fw_http_limits {
     size_t header_bytes;
@@ -38,12 +42,14 @@
 };
 
 /**
- * struct fw_http_ops - the owner of the requests.
- * @request: @head and @body stay valid until the answer's end or @gone
- * @gone: the caller left before its answer was whole; the handle is void.
- *        May be NULL where answers are given at once.
- * @refused: a request that broke a limit or the protocol was answered
- *           @status; nobody else has seen it
+ * struct fw_http_ops - callbacks of a server.
+ * @request: a complete request. @head and @body stay valid until the response
+ *           ends or @disconnected is called.
+ * @disconnected: the connection was lost before the response ended; @c is
+ *                invalid afterwards. May be NULL when @request always responds
+ *                before it returns.
+ * @rejected: a request that exceeded a limit or violated the protocol was
+ *            answered with @status and not delivered
  */
 struct fw_http_ops {
     void (*request)(void *ctx, struct fw_http_caller *c,
@@ -51,12 +57,13 @@
     void (*gone)(void *ctx, struct fw_http_caller *c);
     void (*refused)(void *ctx, int status, const char *why);
     /*
-     * Writes the answer to a refused request into @fields and @body; @head
-     * is empty when it was not read. NULL for a plain text.
+     * Writes the response to a rejected request into @fields and @body;
+     * @head is empty when it was not parsed. NULL for a text/plain response
+     * with @why.
      */
     void (*refusal)(void *ctx, const struct fw_http_head *head, int status,
                     const char *why, GString *fields, GString *body);
-    /* What was written to @c is with the kernel; may be NULL. */
+    /* The kernel has accepted all data written to @c; may be NULL. */
     void (*drained)(void *ctx, struct fw_http_caller *c);
 };
 
@@ -72,53 +79,68 @@
 Fw_Server_Free(struct fw_http_server *s);
 void
 Fw_Server_SetLimits(struct fw_http_server *s, const struct fw_http_limits *l);
-/* From now on each answer is the last one of its connection. */
+/*
+ * Closes each connection after its current or next response. Can't be undone;
+ * listening goes on.
+ */
 void
 Fw_Server_Drain(struct fw_http_server *s);
 /*
- * While @on each answer is the last one of its connection: callers whose
- * requests can't be served here open their next one elsewhere.
+ * While @on is set, closes each connection after its response, so that callers
+ * reconnect, possibly to another instance.
  */
 void
 Fw_Server_SendAway(struct fw_http_server *s, int on);
-/* Closes the connections on which no request has begun. */
+/* Closes the connections on which no request has started. */
 void
 Fw_Server_CloseIdle(struct fw_http_server *s);
-/* Connections with a request that isn't answered whole yet. */
+/*
+ * Number of connections that are receiving a body, processing a request or
+ * sending a response.
+ */
 int
 Fw_Server_Busy(const struct fw_http_server *s);
 int
 Fw_Server_Port(const struct fw_http_server *s);
-/* "http://ip:port" as bound; @url: at least FW_URL_MAX bytes. */
+/* Writes "http://ip:port" as bound to @url, of at least FW_URL_MAX bytes. */
 void
 Fw_Server_Url(const struct fw_http_server *s, char *url);
-/* Enforces the times of the limits; to be called every 100 ms or so. */
+/*
+ * Enforces the timeouts; to be called about every 100 ms with the time of
+ * Fw_Conn_NowUs.
+ */
 void
 Fw_Server_Tick(struct fw_http_server *s, int64_t now_us);
 
 /**
- * Fw_Caller_Start - begins the answer.
- * @fields: header lines, each with its CRLF; no framing, no Connection
- * @length: bytes of the body, or -1 when not known
+ * Fw_Caller_Start - starts the response.
+ * @fields: header lines, each with its CRLF, without Content-Length,
+ *          Transfer-Encoding and Connection
+ * @length: length of the body in bytes, or -1 when unknown
  */
 void
 Fw_Caller_Start(struct fw_http_caller *c, int status, const char *fields,
                 int64_t length);
+/* Sends a part of the body; @data is copied. */
 void
 Fw_Caller_Data(struct fw_http_caller *c, const void *data, size_t len);
-/* Ends the answer as complete; the handle is void afterwards. */
+/* Completes the response; @c is invalid afterwards. */
 void
 Fw_Caller_End(struct fw_http_caller *c);
-/* Ends it as incomplete: the connection is reset. The handle is void. */
+/*
+ * Aborts the response by a connection reset, so that the caller can't mistake
+ * it for complete; @c is invalid afterwards.
+ */
 void
 Fw_Caller_Cut(struct fw_http_caller *c);
-/* Start, data and end in one. */
+/* Sends a complete response; @c is invalid afterwards. */
 void
 Fw_Caller_Answer(struct fw_http_caller *c, int status, const char *fields,
                  const char *body);
-/* The body is needed no more: frees its memory before the answer's end. */
+/* Frees the body of the request before the response ends. */
 void
 Fw_Caller_ForgetBody(struct fw_http_caller *c);
+/* Bytes of the response that the kernel has not accepted yet. */
 size_t
 Fw_Caller_Pending(const struct fw_http_caller *c);
 
