--- a/src/daemon/ini.c
+++ b/src/daemon/ini.c
@@ -6,25 +6,25 @@
 
 #include "io/addr.h"
 
-#define FW_SECRET_MIN 16 /* bytes */
-#define FW_MILLIONTHS 1e6
+#define FW_SECRET_MIN_BYTES 16
+#define FW_DECIMAL_SCALE 1e6 /* stored units per 1 of FW_INI_DECIMAL */
 
 static char *
-complain(const char *path, const char *group, const char *name,
-         const char *what)
+format_error(const char *path, const char *group, const char *name,
+             const char *problem)
 {
-    return g_strdup_printf("%s: [%s] %s: %s", path, group, name, what);
+    return g_strdup_printf("%s: [%s] %s: %s", path, group, name, problem);
 }
 
 static const char *
-read_listen(const char *text, int reachable, char *out)
+parse_address(const char *text, int reachable, char *out)
 {
     GSocketAddress *addr = Fw_Addr_Parse(text);
     int any;
 
     if (!addr || strlen(text) >= FW_URL_MAX) {
         g_clear_object(&addr);
-        return "must be an IP number with a port, like 127.0.0.1:0";
+        return "must be an IP address with a port, like 127.0.0.1:0";
     }
     any = g_inet_address_get_is_any(
         g_inet_socket_address_get_address(G_INET_SOCKET_ADDRESS(addr)));
@@ -37,7 +37,7 @@
 }
 
 static const char *
-read_url(const char *text, char *out)
+parse_url(const char *text, char *out)
 {
     GUri *uri = g_uri_parse(text, G_URI_FLAGS_NONE, NULL);
     int ok = uri && g_strcmp0(g_uri_get_scheme(uri), "http") == 0 &&
@@ -59,13 +59,13 @@
 }
 
 static const char *
-read_secret(const char *text, GBytes **out)
+parse_secret(const char *text, GBytes **out)
 {
     size_t len = strlen(text);
     guint8 *data;
 
-    if (len % 2 || len / 2 < FW_SECRET_MIN) {
-        return "must be 32 hex digits at least, two a byte";
+    if (len % 2 || len / 2 < FW_SECRET_MIN_BYTES) {
+        return "must be at least 32 hex digits, two per byte";
     }
     data = g_malloc(len / 2);
     for (size_t i = 0; i < len; i++) {
@@ -82,19 +82,19 @@
 }
 
 static const char *
-read_path(const char *text, char *out)
+parse_path(const char *text, char *out)
 {
     return text[0] == '/' && g_strlcpy(out, text, FW_URL_MAX) < FW_URL_MAX
                ? NULL
                : "must begin with a slash";
 }
 
-/* Return: NULL, or what is wrong; told without the words. */
+/* Return: NULL, or an error message to be followed by the choices. */
 static const char *
-read_choice(const char *const *words, const char *text, int64_t *out)
+parse_choice(const char *const *choices, const char *text, int64_t *out)
 {
-    for (int i = 0; words[i]; i++) {
-        if (strcmp(words[i], text) == 0) {
+    for (int i = 0; choices[i]; i++) {
+        if (strcmp(choices[i], text) == 0) {
             *out = i;
             return NULL;
         }
@@ -102,9 +102,9 @@
     return "must be";
 }
 
-/* Reads a number, or true and false as 1 and 0. Return: 0 or -EINVAL. */
+/* Parses a number, or true and false as 1 and 0. Return: 0 or -EINVAL. */
 static int
-read_number(const char *text, double *out)
+parse_number(const char *text, double *out)
 {
     char *end;
 
@@ -117,12 +117,12 @@
 }
 
 static const char *
-read_scaled(const struct fw_ini_key *key, const char *text, double scale,
-            int64_t *out)
+parse_scaled(const struct fw_ini_key *key, const char *text, double scale,
+             int64_t *out)
 {
     double v;
 
-    if (read_number(text, &v)) {
+    if (parse_number(text, &v)) {
         return "must be a number";
     }
     v = floor(v * scale);
@@ -134,7 +134,7 @@
 }
 
 static const char *
-read_name(const char *text, char *out)
+parse_name(const char *text, char *out)
 {
     for (const char *c = text; *c; c++) {
         if (!g_ascii_isalnum(*c) && !strchr("-_", *c)) {
@@ -146,29 +146,29 @@
                : "must be 1 to 47 characters";
 }
 
-/* Return: NULL, or what is wrong. */
+/* Return: NULL, or an error message. */
 static const char *
-read_value(const struct fw_ini_key *key, const char *text, void *at)
+parse_value(const struct fw_ini_key *key, const char *text, void *at)
 {
     switch (key->kind) {
     case FW_INI_NAME:
-        return read_name(text, at);
+        return parse_name(text, at);
     case FW_INI_LISTEN:
-        return read_listen(text, 0, at);
+        return parse_address(text, 0, at);
     case FW_INI_PEERS:
-        return read_listen(text, 1, at);
+        return parse_address(text, 1, at);
     case FW_INI_URL:
-        return read_url(text, at);
+        return parse_url(text, at);
     case FW_INI_SECRET:
-        return read_secret(text, at);
+        return parse_secret(text, at);
     case FW_INI_PATH:
-        return read_path(text, at);
+        return parse_path(text, at);
     case FW_INI_CHOICE:
-        return read_choice(key->words, text, at);
+        return parse_choice(key->words, text, at);
     case FW_INI_DECIMAL:
-        return read_scaled(key, text, FW_MILLIONTHS, at);
+        return parse_scaled(key, text, FW_DECIMAL_SCALE, at);
     case FW_INI_FLOOR:
-        return read_scaled(key, text, 1.0, at);
+        return parse_scaled(key, text, 1.0, at);
     case FW_INI_INT:
         return g_ascii_string_to_signed(text, 10, key->min, key->max, at, NULL)
                    ? NULL
@@ -177,12 +177,12 @@
     return "unknown kind";
 }
 
-/* A word that isn't known is told with those that are. */
+/* Error message of FW_INI_CHOICE, which lists the choices. */
 static char *
-complain_choice(const char *path, const struct fw_ini_key *key,
-                const char *what)
+format_choice_error(const char *path, const struct fw_ini_key *key,
+                    const char *problem)
 {
-    GString *text = g_string_new(what);
+    GString *text = g_string_new(problem);
     char *out;
 
     for (int i = 0; key->words[i]; i++) {
@@ -190,30 +190,30 @@
 
         g_string_append_printf(text, "%s%s", sep, key->words[i]);
     }
-    out = complain(path, key->group, key->name, text->str);
+    out = format_error(path, key->group, key->name, text->str);
     g_string_free(text, TRUE);
     return out;
 }
 
-/* A number out of bounds is told with its bounds. */
+/* Error message of an invalid value, with the bounds of a number. */
 static char *
-complain_value(const char *path, const struct fw_ini_key *key,
-               const char *what)
+format_value_error(const char *path, const struct fw_ini_key *key,
+                   const char *problem)
 {
-    double unit = key->kind == FW_INI_DECIMAL ? FW_MILLIONTHS : 1.0;
+    double unit = key->kind == FW_INI_DECIMAL ? FW_DECIMAL_SCALE : 1.0;
     char *text;
     char *out;
 
     if (key->kind == FW_INI_CHOICE) {
-        return complain_choice(path, key, what);
+        return format_choice_error(path, key, problem);
     }
     if (key->kind != FW_INI_INT && key->kind != FW_INI_FLOOR &&
         key->kind != FW_INI_DECIMAL) {
-        return complain(path, key->group, key->name, what);
+        return format_error(path, key->group, key->name, problem);
     }
-    text = g_strdup_printf("%s from %.15g to %.15g", what,
+    text = g_strdup_printf("%s from %.15g to %.15g", problem,
                            (double)key->min / unit, (double)key->max / unit);
-    out = complain(path, key->group, key->name, text);
+    out = format_error(path, key->group, key->name, text);
     g_free(text);
     return out;
 }
@@ -223,35 +223,35 @@
          void *values)
 {
     char *text = g_key_file_get_string(file, key->group, key->name, NULL);
-    const char *what;
+    const char *problem;
     char *error = NULL;
 
     if (!text && g_key_file_has_key(file, key->group, key->name, NULL)) {
-        return complain(path, key->group, key->name, "is not valid UTF-8");
+        return format_error(path, key->group, key->name, "is not valid UTF-8");
     }
     if (text && !text[0] && key->fallback) {
         g_clear_pointer(&text, g_free);
     }
     if (!text && !key->fallback) {
-        return complain(path, key->group, key->name, "is missing");
+        return format_error(path, key->group, key->name, "is missing");
     }
-    what =
-        read_value(key, text ? text : key->fallback, (char *)values + key->at);
-    if (what) {
-        error = complain_value(path, key, what);
+    problem = parse_value(key, text ? text : key->fallback,
+                          (char *)values + key->at);
+    if (problem) {
+        error = format_value_error(path, key, problem);
     }
     g_free(text);
     return error;
 }
 
-/** struct table - the keys that a file may have. */
-struct table {
+/** struct key_table - the keys that a file may have. */
+struct key_table {
     const struct fw_ini_key *keys;
     size_t n;
 };
 
 static int
-is_known(const struct table *t, const char *group, const char *name)
+is_known(const struct key_table *t, const char *group, const char *name)
 {
     for (size_t i = 0; i < t->n; i++) {
         if (strcmp(t->keys[i].group, group) == 0 &&
@@ -263,7 +263,7 @@
 }
 
 static char *
-find_unknown_key(const char *path, GKeyFile *file, const struct table *t,
+find_unknown_key(const char *path, GKeyFile *file, const struct key_table *t,
                  const char *group)
 {
     char **names = g_key_file_get_keys(file, group, NULL, NULL);
@@ -271,7 +271,7 @@
 
     for (char **n = names; n && *n && !error; n++) {
         if (!is_known(t, group, *n)) {
-            error = complain(path, group, *n, "is not a known key");
+            error = format_error(path, group, *n, "is not a known key");
         }
     }
     g_strfreev(names);
@@ -279,7 +279,7 @@
 }
 
 static char *
-find_unknown(const char *path, GKeyFile *file, const struct table *t)
+find_unknown(const char *path, GKeyFile *file, const struct key_table *t)
 {
     char **groups = g_key_file_get_groups(file, NULL);
     char *error = NULL;
@@ -295,7 +295,8 @@
 }
 
 static char *
-read_all(const char *path, GKeyFile *file, const struct table *t, void *values)
+read_all(const char *path, GKeyFile *file, const struct key_table *t,
+         void *values)
 {
     char *error = find_unknown(path, file, t);
 
@@ -309,7 +310,7 @@
 Fw_Ini_Load(const char *path, const struct fw_ini_key *keys, size_t n,
             void *values, char **error)
 {
-    const struct table t = {keys, n};
+    const struct key_table t = {keys, n};
     GKeyFile *file = g_key_file_new();
     GError *err = NULL;
 
--- a/src/daemon/ini.h
+++ b/src/daemon/ini.h
@@ -1,4 +1,4 @@
-/* Settings in INI files, read by a table of keys and checked as a whole. */
+/* Loads and validates an INI settings file according to a table of keys. */
 #ifndef FW_DAEMON_INI_H
 #define FW_DAEMON_INI_H
 
@@ -8,25 +8,27 @@
 
 #include "base/limits.h"
 
-/** enum fw_ini_kind - how a key's value is read, and into what. */
+/** enum fw_ini_kind - format of a value, and the type it is stored as. */
 enum fw_ini_kind {
     FW_INI_NAME,    /* char[FW_NAME_MAX] */
-    FW_INI_LISTEN,  /* char[FW_URL_MAX]: "ip:port", port 0 for any */
-    FW_INI_PEERS,   /* the same, but an address that others can reach */
-    FW_INI_URL,     /* char[FW_URL_MAX]: http://... */
+    FW_INI_LISTEN,  /* char[FW_URL_MAX]: "ip:port", port 0 for any free one */
+    FW_INI_PEERS,   /* char[FW_URL_MAX]: "ip:port", not a wildcard address */
+    FW_INI_URL,     /* char[FW_URL_MAX]: http://..., without a final slash */
     FW_INI_PATH,    /* char[FW_URL_MAX]: begins with a slash */
     FW_INI_SECRET,  /* GBytes *, from hex */
-    FW_INI_CHOICE,  /* int64_t: index of a word */
-    FW_INI_INT,     /* int64_t: whole number between min and max */
-    FW_INI_DECIMAL, /* int64_t: millionths of a number, min and max too */
-    FW_INI_FLOOR,   /* int64_t: a number, rounded down to a whole one */
+    FW_INI_CHOICE,  /* int64_t: index into @choices */
+    FW_INI_INT,     /* int64_t: integer from @min to @max */
+    FW_INI_DECIMAL, /* int64_t: millionths of a decimal number */
+    FW_INI_FLOOR,   /* int64_t: decimal number, rounded down */
 };
 
 /**
- * struct fw_ini_key - one key of a file.
- * @fallback: text of the default, NULL when the key must be given
- * @at: where the value goes in the struct of values
- * @words: of FW_INI_CHOICE, ends with NULL
+ * struct fw_ini_key - describes a key.
+ * @default_text: default value as in a file, NULL when the key is required
+ * @min: least value of a number, in the unit it is stored in
+ * @max: greatest value of a number, in the same unit
+ * @offset: offset of the value in the struct that is filled in
+ * @choices: accepted values of FW_INI_CHOICE, terminated by NULL
  */
 struct fw_ini_key {
     const char *group;
@@ -39,7 +41,7 @@
     const char *const *words;
 };
 
-/* Rows of a table; @at: offset of the value. */
+/* Initialisers of struct fw_ini_key; @at is the offset of the value. */
 #define FW_INI_NUMBER(group, key, fallback, min, max, at)                     \
     {                                                                         \
         group, key, FW_INI_INT, fallback, min, max, at, NULL                  \
@@ -50,19 +52,20 @@
     }
 
 /**
- * Fw_Ini_Load - reads the file @path into @values.
- * @error: what is wrong, naming file, group and key; to be freed
+ * Fw_Ini_Load - loads the file @path into the struct @values.
+ * @keys: the @n keys that the file may have; others are errors
+ * @error: set to NULL, or to a message with the file and, where they apply,
+ * the group and key; to be freed with g_free
  *
- * An empty value of a key with a default counts as not given. DECIMAL and
- * FLOOR take true and false as 1 and 0. Unknown groups
- * and keys are errors.
+ * An empty value selects the default, if the key has one. FW_INI_DECIMAL and
+ * FW_INI_FLOOR accept true and false as 1 and 0.
  *
- * Return: 0 or -EINVAL.
+ * Return: 0, or -EINVAL with an @error.
  */
 int
 Fw_Ini_Load(const char *path, const struct fw_ini_key *keys, size_t n,
             void *values, char **error);
-/* Nonzero when the file can be read and has @group. */
+/* Nonzero when the file @path can be parsed and has @group. */
 int
 Fw_Ini_HasGroup(const char *path, const char *group);
 
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* fuchsiawardd: one instance of the router. */
+/* fuchsiawardd: main program of a router instance or a relay. */
 #include <argp.h>
 #include <stdio.h>
 #include <sys/resource.h>
@@ -14,11 +14,15 @@
 const char *argp_program_version = "fuchsiawardd 0.1";
 
 static const struct argp_option options[] = {
-    {"check", 'c', "FILE", 0, "Check the settings in FILE and leave", 0},
+    {"check", 'c', "FILE", 0, "Check the settings in FILE and exit", 0},
     {0},
 };
 
-/** struct arguments - @check: only check the file */
+/**
+ * struct arguments - command line arguments.
+ * @file: settings file
+ * @check: only check the file
+ */
 struct arguments {
     const char *file;
     int check;
@@ -59,8 +63,8 @@
     .args_doc = "[SETTINGS.ini]",
     .doc = "One instance of the router for prefill and decode pools. Without "
            "an argument the file is the one named by FUCHSIAWARD_CONFIG.\v"
-           "Exit status: 0 stopped as asked (SIGTERM or SIGINT), 64 bad "
-           "arguments, 69 an address can't be listened on, 78 bad settings.",
+           "Exit status: 0 stopped by SIGTERM or SIGINT, 64 invalid "
+           "arguments, 69 cannot listen on an address, 78 invalid settings.",
 };
 
 static int
@@ -101,9 +105,8 @@
 }
 
 /*
- * A running request takes a descriptor for its caller and up to three towards
- * upstreams; the usual soft limit of 1,024 would end at some hundred requests
- * with failing accepts.
+ * A running request uses one descriptor for its caller and up to three for
+ * upstreams, so the usual soft limit of 1,024 allows a few hundred requests.
  */
 static void
 raise_descriptor_limit(void)
@@ -136,7 +139,7 @@
     return serve(s, shell);
 }
 
-/* Settings with a group [relay] are those of a relay on a platform. */
+/* Runs a relay: the settings file has the group [relay]. */
 static int
 run_relay(const char *path, int check)
 {
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -6,11 +6,11 @@
 #include "daemon/ini.h"
 
 /**
- * struct values - what the file says.
- * @out: takes texts as they are read
- * The others are handed out in the units and types of @out.
+ * struct raw_values - values in the units of the settings file.
+ * @out: holds the values that need no conversion; convert_values derives its
+ *       other members from the members below
  */
-struct values {
+struct raw_values {
     struct fw_settings out;
     int64_t body_max;
     int64_t header_max;
@@ -30,13 +30,13 @@
     int64_t max_conns_per_host;
 };
 
-#define FW_AT(field) offsetof(struct values, field)
+#define FW_OFFSET(field) offsetof(struct raw_values, field)
 #define FW_INT(group, key, fallback, min, max, field)                         \
-    FW_INI_NUMBER(group, key, fallback, min, max, FW_AT(field))
+    FW_INI_NUMBER(group, key, fallback, min, max, FW_OFFSET(field))
 #define FW_TEXT(group, key, kind, fallback, field)                            \
-    FW_INI_TEXT(group, key, kind, fallback, FW_AT(field))
+    FW_INI_TEXT(group, key, kind, fallback, FW_OFFSET(field))
 
-/* In the order of enum fw_policy. */
+/* Indexed by enum fw_policy. */
 static const char *const policies[] = {"random", "least-loaded", "full", NULL};
 
 static const struct fw_ini_key keys[] = {
@@ -58,7 +58,8 @@
     FW_INT("limits", "max-tokens-default", "256", 1, 1 << 20,
            max_tokens_default),
     FW_INT("limits", "read-timeout-s", "30", 1, 3600, read_timeout_s),
-    {"policy", "policy", FW_INI_CHOICE, "full", 0, 0, FW_AT(policy), policies},
+    {"policy", "policy", FW_INI_CHOICE, "full", 0, 0, FW_OFFSET(policy),
+     policies},
     FW_INT("policy", "ttft-ms", "850", 1, 3600000, ttft_ms),
     FW_INT("policy", "itl-ms", "43", 1, 60000, itl_ms),
     FW_INT("policy", "queue-max-ms", "5000", 0, 3600000, queue_max_ms),
@@ -73,7 +74,7 @@
 };
 
 static void
-hand_out(const struct values *v, struct fw_settings *out)
+convert_values(const struct raw_values *v, struct fw_settings *out)
 {
     struct fw_shell_opts *sh = &out->shell;
     struct fw_node_opts *node = &out->node;
@@ -102,7 +103,7 @@
 int
 Fw_Settings_Load(const char *path, struct fw_settings *out, char **error)
 {
-    struct values v = {0};
+    struct raw_values v = {0};
     int rc;
 
     memset(out, 0, sizeof(*out));
@@ -111,7 +112,7 @@
         g_bytes_unref(v.out.shell.secret);
         return rc;
     }
-    hand_out(&v, out);
+    convert_values(&v, out);
     return 0;
 }
 
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -5,16 +5,17 @@
 #include "io/shell.h"
 #include "node/node.h"
 
-/** struct fw_settings - a file that was read and checked as a whole. */
+/** struct fw_settings - validated settings, in the units of the code. */
 struct fw_settings {
     struct fw_shell_opts shell;
     struct fw_node_opts node;
 };
 
 /**
- * Fw_Settings_Load - reads and checks the INI file @path.
- * @out: to be cleared when 0 is returned
- * @error: what is wrong, naming file, group and key; to be freed
+ * Fw_Settings_Load - loads and validates the INI file @path.
+ * @out: to be cleared with Fw_Settings_Clear when 0 is returned
+ * @error: when -EINVAL is returned, a message with the file and, where they
+ *         apply, the group and key; to be freed with g_free
  *
  * Return: 0 or -EINVAL.
  */
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -112,6 +112,7 @@
     return end ? (size_t)(end - data) + 4 : 0;
 }
 
+/* Rejects NUL, and CR or LF other than as CRLF. */
 static int
 lines_end_in_crlf(const char *raw, size_t len)
 {
@@ -231,7 +232,7 @@
 }
 
 static int
-parse_framing(enum fw_http_message_type side, struct fw_http_head *h)
+parse_framing(enum fw_http_message_type type, struct fw_http_head *h)
 {
     const struct fw_http_field *length = Fw_Http_Find(h, "content-length");
     const struct fw_http_field *coding = Fw_Http_Find(h, "transfer-encoding");
@@ -240,7 +241,7 @@
         count_fields(h, "transfer-encoding") > 1 || (length && coding)) {
         return -EBADMSG;
     }
-    h->framing = side == FW_HTTP_REQUEST ? FW_HTTP_NONE : FW_HTTP_UNTIL_CLOSE;
+    h->framing = type == FW_HTTP_REQUEST ? FW_HTTP_NONE : FW_HTTP_UNTIL_CLOSE;
     if (coding) {
         if (h->minor < 1 || coding->value_len != 7 ||
             g_ascii_strncasecmp(coding->value, "chunked", 7) != 0) {
@@ -315,7 +316,7 @@
  * it reject the rest.
  */
 static int
-parse_head(enum fw_http_message_type side, size_t len, struct fw_http_head *h)
+parse_head(enum fw_http_message_type type, size_t len, struct fw_http_head *h)
 {
     static const http_parser_settings settings = {
         .on_url = on_url,
@@ -326,7 +327,7 @@
     http_parser p;
 
     http_parser_init(&p,
-                     side == FW_HTTP_REQUEST ? HTTP_REQUEST : HTTP_RESPONSE);
+                     type == FW_HTTP_REQUEST ? HTTP_REQUEST : HTTP_RESPONSE);
     p.data = h;
     p.allow_chunked_length = 1; /* rejected by parse_framing */
     http_parser_execute(&p, &settings, h->raw, len);
@@ -335,7 +336,7 @@
         return -EBADMSG;
     }
     h->minor = p.http_minor;
-    if (side == FW_HTTP_RESPONSE) {
+    if (type == FW_HTTP_RESPONSE) {
         h->status = p.status_code;
         return h->status >= 100 && h->status <= 599 ? 0 : -EBADMSG;
     }
@@ -343,7 +344,7 @@
 }
 
 int
-Fw_Http_ReadHead(enum fw_http_message_type side, const char *data, size_t len,
+Fw_Http_ReadHead(enum fw_http_message_type type, const char *data, size_t len,
                  struct fw_http_head *out)
 {
     size_t n = head_length(data, len);
@@ -353,7 +354,7 @@
     }
     *out = (struct fw_http_head){.raw = g_strndup(data, n)};
     if (!lines_end_in_crlf(out->raw, n) || !names_are_tokens(out->raw, n) ||
-        parse_head(side, n, out) || parse_framing(side, out)) {
+        parse_head(type, n, out) || parse_framing(type, out)) {
         Fw_Http_ClearHead(out);
         return -EBADMSG;
     }
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -71,7 +71,7 @@
  * it is malformed or ambiguous.
  */
 int
-Fw_Http_ReadHead(enum fw_http_message_type side, const char *data, size_t len,
+Fw_Http_ReadHead(enum fw_http_message_type type, const char *data, size_t len,
                  struct fw_http_head *out);
 void
 Fw_Http_ClearHead(struct fw_http_head *h);
--- a/tests/daemon/test_settings.c
+++ b/tests/daemon/test_settings.c
@@ -1,4 +1,4 @@
-/* The settings file: what is taken, and how each mistake is told. */
+/* Accepted settings files, and the error message of each kind of mistake. */
 #include <check.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -33,7 +33,7 @@
     return rc;
 }
 
-START_TEST(defaults_fill_what_is_not_given)
+START_TEST(missing_keys_get_defaults)
 {
     struct fw_settings s;
     char *error;
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-START_TEST(given_values_are_taken)
+START_TEST(given_values_override_defaults)
 {
     struct fw_settings s;
     char *error;
@@ -75,7 +75,7 @@
 static const struct {
     const char *text;
     const char *error;
-} wrong[] = {
+} invalid[] = {
     {FW_PLATFORM FW_SECRET, ": [instance] name: is missing"},
     {FW_INSTANCE FW_SECRET, ": [platform] log: is missing"},
     {FW_INSTANCE FW_PLATFORM, ": [peers] secret: is missing"},
@@ -88,10 +88,10 @@
     {FW_WHOLE "[policy]\npolicy=best\n",
      ": [policy] policy: must be random, least-loaded or full"},
     {FW_WHOLE "[listen]\ncallers=localhost:80\n",
-     ": [listen] callers: must be an IP number with a port, like "
+     ": [listen] callers: must be an IP address with a port, like "
      "127.0.0.1:0"},
     {FW_WHOLE "[listen]\noperators=127.0.0.1:70000\n",
-     ": [listen] operators: must be an IP number with a port, like "
+     ": [listen] operators: must be an IP address with a port, like "
      "127.0.0.1:0"},
     {FW_WHOLE "[listen]\npeers=0.0.0.0:0\n",
      ": [listen] peers: must be an address that other instances can connect "
@@ -101,7 +101,7 @@
     {FW_INSTANCE FW_SECRET "[platform]\nlog=http://x?a=1\nlist=http://h\n",
      ": [platform] log: must be a URL like http://127.0.0.1:8080"},
     {FW_INSTANCE FW_PLATFORM "[peers]\nsecret=0011\n",
-     ": [peers] secret: must be 32 hex digits at least, two a byte"},
+     ": [peers] secret: must be at least 32 hex digits, two per byte"},
     {FW_INSTANCE FW_PLATFORM
      "[peers]\nsecret=00112233445566778899aabbccddeexx\n",
      ": [peers] secret: must be hex digits"},
@@ -114,18 +114,18 @@
     {"name=one\n", ": Key file does not start with a group"},
 };
 
-START_TEST(mistakes_name_file_group_and_key)
+START_TEST(errors_name_file_group_and_key)
 {
     struct fw_settings s;
     char *error;
 
-    ck_assert_int_ne(load(wrong[_i].text, &s, &error), 0);
-    ck_assert_str_eq(error, wrong[_i].error);
+    ck_assert_int_ne(load(invalid[_i].text, &s, &error), 0);
+    ck_assert_str_eq(error, invalid[_i].error);
     g_free(error);
 }
 END_TEST
 
-START_TEST(a_missing_file_is_told)
+START_TEST(missing_file_is_an_error)
 {
     struct fw_settings s;
     char *error;
@@ -141,10 +141,10 @@
 {
     TCase *tc = Fw_Suite_New("settings");
 
-    tcase_add_test(tc, defaults_fill_what_is_not_given);
-    tcase_add_test(tc, given_values_are_taken);
-    tcase_add_loop_test(tc, mistakes_name_file_group_and_key, 0,
-                        G_N_ELEMENTS(wrong));
-    tcase_add_test(tc, a_missing_file_is_told);
+    tcase_add_test(tc, missing_keys_get_defaults);
+    tcase_add_test(tc, given_values_override_defaults);
+    tcase_add_loop_test(tc, errors_name_file_group_and_key, 0,
+                        G_N_ELEMENTS(invalid));
+    tcase_add_test(tc, missing_file_is_an_error);
     return Fw_Suite_Run(tc);
 }
