--- a/tests/base/suite.h
+++ b/tests/base/suite.h
@@ -1,14 +1,17 @@
-/* How each test program runs its cases. */
+/* A Check suite with one test case, as each test program has it. */
 #ifndef FW_TESTS_SUITE_H
 #define FW_TESTS_SUITE_H
 
 #include <check.h>
 #include <glib.h>
 
-/* A case of a suite of its own, both called @name. */
+/* Creates a suite and its test case, both called @name. */
 TCase *
 Fw_Suite_New(const char *name);
-/* Runs the suite of @tc and frees it. Return: the program's exit status. */
+/*
+ * Runs and frees the suite created last, which has @tc. Return: the exit
+ * status of the program.
+ */
 int
 Fw_Suite_Run(TCase *tc);
 
--- a/tests/base/test_base.c
+++ b/tests/base/test_base.c
@@ -1,4 +1,4 @@
-/* The small tools that everything stands on. */
+/* Lists, hashes and metrics. */
 #include <check.h>
 #include <string.h>
 
@@ -12,7 +12,7 @@
     struct fw_list link;
 };
 
-START_TEST(list_keeps_order_and_removes)
+START_TEST(list_keeps_order_and_allows_double_remove)
 {
     struct fw_list head;
     struct item items[3] = {{.value = 1}, {.value = 2}, {.value = 3}};
@@ -34,7 +34,7 @@
 }
 END_TEST
 
-START_TEST(digest_is_sha256_and_compares_whole)
+START_TEST(digest_is_sha256_and_compares_fully)
 {
     char a[FW_DIGEST_HEX];
     char b[FW_DIGEST_HEX];
@@ -70,7 +70,7 @@
 }
 END_TEST
 
-START_TEST(a_histogram_counts_up_to_each_bound)
+START_TEST(histogram_buckets_are_cumulative)
 {
     struct fw_metrics m;
     struct fw_histogram h = {.name = "fw_t_seconds", .help = "t"};
@@ -100,9 +100,9 @@
 {
     TCase *tc = Fw_Suite_New("base");
 
-    tcase_add_test(tc, list_keeps_order_and_removes);
-    tcase_add_test(tc, digest_is_sha256_and_compares_whole);
+    tcase_add_test(tc, list_keeps_order_and_allows_double_remove);
+    tcase_add_test(tc, digest_is_sha256_and_compares_fully);
     tcase_add_test(tc, metrics_print_counters_and_gauges);
-    tcase_add_test(tc, a_histogram_counts_up_to_each_bound);
+    tcase_add_test(tc, histogram_buckets_are_cumulative);
     return Fw_Suite_Run(tc);
 }
--- a/tests/http/bad_heads.h
+++ b/tests/http/bad_heads.h
@@ -1,11 +1,11 @@
 /*
- * Doubtful heads of requests: two readers could see two different messages
- * in them. Every port must refuse each of them.
+ * Malformed or ambiguous heads of requests, as used for request smuggling.
+ * Each listening port must reject all of them.
  */
 #ifndef FW_TESTS_BAD_HEADS_H
 #define FW_TESTS_BAD_HEADS_H
 
-/* A good field, to keep the doubt where it is meant. */
+/* The required field, so that only the tested defect causes a rejection. */
 #define FW_H "Host: a.example\r\n"
 #define FW_BAD_HEADS 44
 
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -1,4 +1,4 @@
-/* Calls to upstreams over real sockets, with all that upstreams do wrong. */
+/* HTTP client over real sockets, with correct and faulty upstreams. */
 #include <errno.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "tests/base/suite.h"
 #include "tests/io/rig.h"
 
-/** struct call - an exchange and what was heard of it. */
+/** struct call - an exchange and its outcome. */
 struct call {
     struct fw_exchange *x;
     GString *body;
@@ -54,12 +54,12 @@
 static const struct fw_exchange_ops ops = {
     .head = on_head, .body = on_body, .end = on_end, .fail = on_fail};
 
-static const struct fw_exchange_opts kept = {.reuse_us = 60 * FW_SEC,
-                                             .connect_us = FW_SEC};
+static const struct fw_exchange_opts reuse_opts = {.reuse_us = 60 * FW_SEC,
+                                                   .connect_us = FW_SEC};
 
 static void
-begin(struct fw_pool *p, const char *url, struct call *c,
-      const struct fw_exchange_opts *how)
+start_call(struct fw_pool *p, const char *url, struct call *c,
+           const struct fw_exchange_opts *opts)
 {
     GString *head = g_string_new(
         "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n");
@@ -67,15 +67,15 @@
     int err = 0;
 
     *c = (struct call){.body = g_string_new(NULL)};
-    c->x = Fw_Exchange_Start(p, url + strlen("http://"), head, body, how, &ops,
-                             c, &err);
+    c->x = Fw_Exchange_Start(p, url + strlen("http://"), head, body, opts,
+                             &ops, c, &err);
     ck_assert_ptr_nonnull(c->x);
     g_bytes_unref(body);
     g_string_free(head, TRUE);
 }
 
 static int
-is_over(void *ctx)
+has_ended(void *ctx)
 {
     struct call *c = ctx;
 
@@ -89,15 +89,15 @@
 }
 
 /*
- * What an upstream answers, and what comes of it: the body, or the error.
- * @close: it then ends the connection
+ * Responses of an upstream, with the expected body or error.
+ * @close: the upstream shuts down its sending side afterwards
  */
 static const struct {
-    const char *answer;
+    const char *response;
     int close;
-    const char *want; /* NULL: the call fails */
+    const char *expected_body; /* NULL: the call fails */
     int err;
-} answers[] = {
+} responses[] = {
     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 0, "ok", 0},
     {"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: "
      "2\r\n\r\nok",
@@ -120,25 +120,25 @@
     {"", 1, NULL, -EPIPE},
 };
 
-START_TEST(an_answer_is_whole_or_the_call_fails)
+START_TEST(response_is_complete_or_call_fails)
 {
     struct fw_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct rig_conn *up;
     struct call c;
 
-    begin(p, s->url, &c, &kept);
+    start_call(p, s->url, &c, &reuse_opts);
     up = Fw_RigServer_Conn(s, 0);
     Fw_RigConn_Expect(up, "\r\n\r\nhi");
-    Fw_RigConn_Send(up, answers[_i].answer, -1);
-    if (answers[_i].close) {
+    Fw_RigConn_Send(up, responses[_i].response, -1);
+    if (responses[_i].close) {
         g_socket_shutdown(up->sock, FALSE, TRUE, NULL);
     }
-    Fw_Rig_Until(is_over, &c);
-    ck_assert_int_eq(c.err, answers[_i].err);
-    if (answers[_i].want) {
+    Fw_Rig_Until(has_ended, &c);
+    ck_assert_int_eq(c.err, responses[_i].err);
+    if (responses[_i].expected_body) {
         ck_assert_int_eq(c.status, 200);
-        ck_assert_str_eq(c.body->str, answers[_i].want);
+        ck_assert_str_eq(c.body->str, responses[_i].expected_body);
     }
     else {
         ck_assert_int_eq(c.sent, FW_SENT_SOME);
@@ -150,14 +150,13 @@
 END_TEST
 
 /*
- * What must not stay behind on a connection that is used again: a second
- * answer, an answer that came before the request was out, an upstream that
- * said it closes. The next caller would be given another's answer.
+ * Whether the connection may be reused after a response. Reusing one with
+ * leftover data would give a caller the response to another request.
  */
 static const struct {
-    const char *answer;
-    int kept;
-} endings[] = {
+    const char *response;
+    int reused;
+} reuse_cases[] = {
     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 1},
     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok",
      1},
@@ -170,24 +169,24 @@
      0},
 };
 
-START_TEST(a_connection_is_used_again_only_when_it_is_clean)
+START_TEST(connection_with_leftover_data_is_not_reused)
 {
     struct fw_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
     struct call b;
 
-    begin(p, s->url, &a, &kept);
+    start_call(p, s->url, &a, &reuse_opts);
     Fw_RigConn_Expect(Fw_RigServer_Conn(s, 0), "\r\n\r\nhi");
-    Fw_RigConn_Send(Fw_RigServer_Conn(s, 0), endings[_i].answer, -1);
-    Fw_Rig_Until(is_over, &a);
+    Fw_RigConn_Send(Fw_RigServer_Conn(s, 0), reuse_cases[_i].response, -1);
+    Fw_Rig_Until(has_ended, &a);
     ck_assert_str_eq(a.body->str, "ok");
-    begin(p, s->url, &b, &kept);
+    start_call(p, s->url, &b, &reuse_opts);
     Fw_Rig_Settle();
-    if (!endings[_i].kept) {
+    if (!reuse_cases[_i].reused) {
         Fw_RigServer_Conn(s, 1);
     }
-    ck_assert_uint_eq(s->conns->len, endings[_i].kept ? 1 : 2);
+    ck_assert_uint_eq(s->conns->len, reuse_cases[_i].reused ? 1 : 2);
     Fw_Exchange_Stop(b.x);
     call_free(&a);
     call_free(&b);
@@ -197,19 +196,19 @@
 END_TEST
 
 /*
- * An upstream sends a late second answer after its connection was put aside.
- * The connection must be closed, or the next request's caller would get it.
+ * Guards against giving the next caller an unsolicited response that an
+ * upstream sent on an idle connection.
  */
-START_TEST(bytes_on_an_idle_connection_close_it)
+START_TEST(data_on_idle_connection_closes_it)
 {
     struct fw_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
 
-    begin(p, s->url, &a, &kept);
+    start_call(p, s->url, &a, &reuse_opts);
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0),
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", -1);
-    Fw_Rig_Until(is_over, &a);
+    Fw_Rig_Until(has_ended, &a);
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0), "HTTP/1.1 200 OK\r\n", -1);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(s, 0));
     call_free(&a);
@@ -219,10 +218,10 @@
 END_TEST
 
 /*
- * A request that must not run twice goes out on a connection that was idle
- * too long to trust.
+ * Guards against sending a request that must not be retried on an idle
+ * connection that the upstream may have dropped.
  */
-START_TEST(a_connection_idle_too_long_is_not_used)
+START_TEST(connection_idle_too_long_is_not_reused)
 {
     struct fw_exchange_opts fresh = {.reuse_us = 0, .connect_us = FW_SEC};
     struct fw_pool *p = Fw_Pool_New();
@@ -230,11 +229,11 @@
     struct call a;
     struct call b;
 
-    begin(p, s->url, &a, &kept);
+    start_call(p, s->url, &a, &reuse_opts);
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0),
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", -1);
-    Fw_Rig_Until(is_over, &a);
-    begin(p, s->url, &b, &fresh);
+    Fw_Rig_Until(has_ended, &a);
+    start_call(p, s->url, &b, &fresh);
     Fw_RigServer_Conn(s, 1);
     Fw_Exchange_Stop(b.x);
     Fw_Pool_Tick(p, Fw_Conn_Now() + 61 * FW_SEC);
@@ -246,7 +245,7 @@
 }
 END_TEST
 
-START_TEST(a_refused_connection_means_that_nothing_was_sent)
+START_TEST(refused_connection_reports_nothing_sent)
 {
     struct fw_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
@@ -254,8 +253,8 @@
     struct call c;
 
     Fw_RigServer_Free(s);
-    begin(p, url, &c, &kept);
-    Fw_Rig_Until(is_over, &c);
+    start_call(p, url, &c, &reuse_opts);
+    Fw_Rig_Until(has_ended, &c);
     ck_assert_int_eq(c.err, -ECONNREFUSED);
     ck_assert_int_eq(c.sent, FW_SENT_NONE);
     call_free(&c);
@@ -264,13 +263,13 @@
 }
 END_TEST
 
-START_TEST(a_stopped_call_closes_its_connection)
+START_TEST(aborted_exchange_closes_its_connection)
 {
     struct fw_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call c;
 
-    begin(p, s->url, &c, &kept);
+    start_call(p, s->url, &c, &reuse_opts);
     Fw_RigConn_Expect(Fw_RigServer_Conn(s, 0), "hi");
     Fw_Exchange_Stop(c.x);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(s, 0));
@@ -285,13 +284,13 @@
 {
     TCase *tc = Fw_Suite_New("client");
 
-    tcase_add_loop_test(tc, an_answer_is_whole_or_the_call_fails, 0,
-                        G_N_ELEMENTS(answers));
-    tcase_add_loop_test(tc, a_connection_is_used_again_only_when_it_is_clean,
-                        0, G_N_ELEMENTS(endings));
-    tcase_add_test(tc, bytes_on_an_idle_connection_close_it);
-    tcase_add_test(tc, a_connection_idle_too_long_is_not_used);
-    tcase_add_test(tc, a_refused_connection_means_that_nothing_was_sent);
-    tcase_add_test(tc, a_stopped_call_closes_its_connection);
+    tcase_add_loop_test(tc, response_is_complete_or_call_fails, 0,
+                        G_N_ELEMENTS(responses));
+    tcase_add_loop_test(tc, connection_with_leftover_data_is_not_reused, 0,
+                        G_N_ELEMENTS(reuse_cases));
+    tcase_add_test(tc, data_on_idle_connection_closes_it);
+    tcase_add_test(tc, connection_idle_too_long_is_not_reused);
+    tcase_add_test(tc, refused_connection_reports_nothing_sent);
+    tcase_add_test(tc, aborted_exchange_closes_its_connection);
     return Fw_Suite_Run(tc);
 }
--- a/tests/http/test_head.c
+++ b/tests/http/test_head.c
@@ -1,4 +1,4 @@
-/* Heads and bodies: what is taken, what is refused, and what stays as sent. */
+/* Parsing of heads and decoding of bodies. */
 #include <errno.h>
 #include <string.h>
 
@@ -6,7 +6,7 @@
 #include "tests/base/suite.h"
 #include "tests/http/bad_heads.h"
 
-START_TEST(a_doubtful_head_is_refused)
+START_TEST(ambiguous_head_is_rejected)
 {
     struct fw_http_head h;
     const char *t = fw_bad_heads[_i];
@@ -16,8 +16,7 @@
 }
 END_TEST
 
-/* Targets that other programs would rewrite; an upstream must see each byte.
- */
+/* Targets that must be forwarded byte by byte, without normalisation. */
 static const char *const targets[] = {
     "/",
     "/%7euser/%c3%a9",
@@ -33,7 +32,7 @@
     "/[x]{y}|z\"<>\\^`",
 };
 
-START_TEST(a_target_stays_as_it_was_sent)
+START_TEST(target_is_not_normalised)
 {
     char *text =
         g_strdup_printf("GET %s HTTP/1.1\r\n" FW_H "\r\n", targets[_i]);
@@ -48,7 +47,7 @@
 }
 END_TEST
 
-START_TEST(a_head_comes_in_any_number_of_parts)
+START_TEST(head_may_arrive_in_parts)
 {
     static const char text[] = "POST /x HTTP/1.1\r\nhOST:  a.example \r\n"
                                "Content-Length: 12\r\n"
@@ -73,11 +72,11 @@
 }
 END_TEST
 
-/* How a response's end is found, and whether its connection can be kept. */
+/* Framing of responses, and whether their connection can be reused. */
 static const struct {
     const char *text;
     int framing;
-    int keep;
+    int keep_alive;
 } responses[] = {
     {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", FW_HTTP_LENGTH, 1},
     {"HTTP/1.1 200 OK\r\n\r\n", FW_HTTP_UNTIL_CLOSE, 1},
@@ -93,7 +92,7 @@
     {"garbage\r\n\r\n", -1, 0},
 };
 
-START_TEST(a_response_is_framed)
+START_TEST(response_framing)
 {
     const char *t = responses[_i].text;
     struct fw_http_head h;
@@ -105,15 +104,15 @@
     }
     ck_assert_int_eq(n, (int)strlen(t));
     ck_assert_int_eq((int)h.framing, responses[_i].framing);
-    ck_assert_int_eq(h.keep_alive, responses[_i].keep);
+    ck_assert_int_eq(h.keep_alive, responses[_i].keep_alive);
     Fw_Http_ClearHead(&h);
 }
 END_TEST
 
-/* Bodies in chunks: @want is the body, or NULL for one that is refused. */
+/* Chunked bodies; @expected is NULL for malformed ones. */
 static const struct {
     const char *text;
-    const char *want;
+    const char *expected;
 } chunked[] = {
     {"0\r\n\r\n", ""},
     {"3\r\nabc\r\n0\r\n\r\n", "abc"},
@@ -135,21 +134,21 @@
     {"g\r\n", NULL},
 };
 
-/* Takes @text in steps of @step bytes; the body, or NULL. */
+/* Decodes @text in parts of @step bytes. Return: the body, or NULL. */
 static GString *
-read_chunks(const char *text, size_t step)
+decode_chunks(const char *text, size_t step)
 {
     struct fw_http_head h = {.framing = FW_HTTP_CHUNKED};
     GString *got = g_string_new(NULL);
-    struct fw_http_frame f;
+    struct fw_http_body_decoder f;
     size_t at = 0;
 
-    Fw_Http_FrameInit(&f, &h);
+    Fw_Http_BodyInit(&f, &h);
     while (!f.done && text[at]) {
         size_t part = MIN(step, strlen(text + at));
         const char *body;
         size_t len;
-        int n = Fw_Http_FrameRead(&f, text + at, part, &body, &len);
+        int n = Fw_Http_BodyRead(&f, text + at, part, &body, &len);
 
         if (n < 0) {
             g_string_free(got, TRUE);
@@ -162,17 +161,17 @@
     return got;
 }
 
-START_TEST(a_body_in_chunks_is_read_strictly)
+START_TEST(chunked_body_is_decoded_strictly)
 {
     for (size_t step = 1; step < 40; step++) {
-        GString *got = read_chunks(chunked[_i].text, step);
+        GString *got = decode_chunks(chunked[_i].text, step);
 
-        if (!chunked[_i].want) {
+        if (!chunked[_i].expected) {
             ck_assert_msg(got == NULL, "%s", chunked[_i].text);
             continue;
         }
         ck_assert_msg(got != NULL, "%s", chunked[_i].text);
-        ck_assert_str_eq(got->str, chunked[_i].want);
+        ck_assert_str_eq(got->str, chunked[_i].expected);
         g_string_free(got, TRUE);
     }
 }
@@ -183,12 +182,12 @@
 {
     TCase *tc = Fw_Suite_New("head");
 
-    tcase_add_loop_test(tc, a_doubtful_head_is_refused, 0, FW_BAD_HEADS);
-    tcase_add_loop_test(tc, a_target_stays_as_it_was_sent, 0,
+    tcase_add_loop_test(tc, ambiguous_head_is_rejected, 0, FW_BAD_HEADS);
+    tcase_add_loop_test(tc, target_is_not_normalised, 0,
                         G_N_ELEMENTS(targets));
-    tcase_add_test(tc, a_head_comes_in_any_number_of_parts);
-    tcase_add_loop_test(tc, a_response_is_framed, 0, G_N_ELEMENTS(responses));
-    tcase_add_loop_test(tc, a_body_in_chunks_is_read_strictly, 0,
+    tcase_add_test(tc, head_may_arrive_in_parts);
+    tcase_add_loop_test(tc, response_framing, 0, G_N_ELEMENTS(responses));
+    tcase_add_loop_test(tc, chunked_body_is_decoded_strictly, 0,
                         G_N_ELEMENTS(chunked));
     return Fw_Suite_Run(tc);
 }
--- a/tests/http/test_server.c
+++ b/tests/http/test_server.c
@@ -1,4 +1,4 @@
-/* Callers' connections over real sockets. */
+/* HTTP server over real sockets. */
 #include <string.h>
 
 #include "http/conn.h"
@@ -6,58 +6,58 @@
 #include "tests/base/suite.h"
 #include "tests/io/rig.h"
 
-/** struct shop - an owner of requests that notes them. */
-struct shop {
+/** struct fixture - a server that records its requests. */
+struct fixture {
     struct fw_http_server *server;
     char addr[FW_URL_MAX];
-    GString *seen; /* a line for each request */
-    struct fw_http_caller *open;
-    int gone;
-    int refused;
-    int hold; /* don't answer yet */
+    GString *requests; /* a line per request: method, target, body length */
+    struct fw_http_caller *pending;
+    int disconnected;
+    int rejected;
+    int hold_response; /* don't respond in on_request */
 };
 
 static void
 on_request(void *ctx, struct fw_http_caller *c, const struct fw_http_head *h,
            GBytes *body)
 {
-    struct shop *s = ctx;
+    struct fixture *s = ctx;
 
-    g_string_append_printf(s->seen, "%.*s %.*s %zu\n", (int)h->method_len,
+    g_string_append_printf(s->requests, "%.*s %.*s %zu\n", (int)h->method_len,
                            h->method, (int)h->target_len, h->target,
                            g_bytes_get_size(body));
-    s->open = c;
-    if (!s->hold) {
-        s->open = NULL;
+    s->pending = c;
+    if (!s->hold_response) {
+        s->pending = NULL;
         Fw_Caller_Answer(c, 200, "X-A: b\r\n", "fine");
     }
 }
 
 static void
-on_gone(void *ctx, struct fw_http_caller *c)
+on_disconnected(void *ctx, struct fw_http_caller *c)
 {
-    struct shop *s = ctx;
+    struct fixture *s = ctx;
 
-    ck_assert_ptr_eq(s->open, c);
-    s->open = NULL;
-    s->gone++;
+    ck_assert_ptr_eq(s->pending, c);
+    s->pending = NULL;
+    s->disconnected++;
 }
 
 static void
-on_refused(void *ctx, int status, const char *why)
+on_rejected(void *ctx, int status, const char *why)
 {
-    struct shop *s = ctx;
+    struct fixture *s = ctx;
 
     ck_assert_int_ge(status, 400);
     ck_assert(why[0]);
-    s->refused++;
+    s->rejected++;
 }
 
 static const struct fw_http_ops ops = {
-    .request = on_request, .gone = on_gone, .refused = on_refused};
+    .request = on_request, .gone = on_disconnected, .refused = on_rejected};
 
 static void
-shop_open(struct shop *s)
+fixture_open(struct fixture *s)
 {
     struct fw_http_limits l = {.header_bytes = 1000,
                                .body_bytes = 2000,
@@ -67,7 +67,7 @@
                                .idle_us = 9 * FW_SEC};
     int err;
 
-    *s = (struct shop){.seen = g_string_new(NULL)};
+    *s = (struct fixture){.requests = g_string_new(NULL)};
     s->server = Fw_Server_New("127.0.0.1:0", &ops, s, &err);
     ck_assert_ptr_nonnull(s->server);
     Fw_Server_SetLimits(s->server, &l);
@@ -76,18 +76,18 @@
 }
 
 static void
-shop_close(struct shop *s)
+fixture_close(struct fixture *s)
 {
     Fw_Server_Free(s->server);
-    g_string_free(s->seen, TRUE);
+    g_string_free(s->requests, TRUE);
 }
 
-/* Requests that get one refusal and a close; nothing behind them is run. */
+/* Invalid requests; data after them must not be parsed as a request. */
 static const struct {
     const char *text;
-    int filler; /* bytes of 'x' behind it */
-    const char *want;
-} bad[] = {
+    int filler; /* number of 'x' bytes sent after it */
+    const char *expected;
+} invalid[] = {
     {"GET /a HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 0, "HTTP/1.1 400 "},
     {"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n"
      "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1\r\n"
@@ -108,33 +108,33 @@
     {"nonsense\r\n\r\n", 0, "HTTP/1.1 400 "},
 };
 
-START_TEST(a_bad_request_gets_one_refusal_and_a_close)
+START_TEST(invalid_request_is_rejected_once_and_closed)
 {
-    char *filler = g_strnfill((gsize)bad[_i].filler, 'x');
+    char *filler = g_strnfill((gsize)invalid[_i].filler, 'x');
     struct rig_conn *c;
-    struct shop s;
+    struct fixture s;
 
-    shop_open(&s);
+    fixture_open(&s);
     c = Fw_RigConn_Open(s.addr);
-    Fw_RigConn_Send(c, bad[_i].text, -1);
+    Fw_RigConn_Send(c, invalid[_i].text, -1);
     Fw_RigConn_Send(c, filler, -1);
-    Fw_RigConn_Expect(c, bad[_i].want);
+    Fw_RigConn_Expect(c, invalid[_i].expected);
     Fw_RigConn_ExpectEof(c);
     ck_assert_ptr_null(strstr(c->got->str + 1, "HTTP/1.1"));
-    ck_assert_str_eq(s.seen->str, "");
-    ck_assert_int_eq(s.refused, 1);
+    ck_assert_str_eq(s.requests->str, "");
+    ck_assert_int_eq(s.rejected, 1);
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
     g_free(filler);
 }
 END_TEST
 
-START_TEST(requests_of_one_connection_are_answered_in_turn)
+START_TEST(pipelined_requests_are_answered_in_order)
 {
     struct rig_conn *c;
-    struct shop s;
+    struct fixture s;
 
-    shop_open(&s);
+    fixture_open(&s);
     c = Fw_RigConn_Open(s.addr);
     Fw_RigConn_Send(c,
                     "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n"
@@ -144,27 +144,26 @@
                     "GET /4 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
                     -1);
     Fw_RigConn_ExpectEof(c);
-    ck_assert_str_eq(s.seen->str,
+    ck_assert_str_eq(s.requests->str,
                      "POST /1 3\nGET /2 0\nPOST /3 2\nGET /4 0\n");
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
 }
 END_TEST
 
 /*
- * A caller sends a head or a body slower than the limits allow. It holds a
- * connection and memory meanwhile; it is told 408 and must not be able to
- * stay.
+ * Guards against slow callers that occupy a connection and memory: a head or
+ * body that exceeds its timeout gets 408 and a close.
  */
-START_TEST(a_slow_request_is_told_408)
+START_TEST(slow_request_gets_408)
 {
     static const char *const parts[] = {
         "GET /a HT",
         "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nx"};
     struct rig_conn *c;
-    struct shop s;
+    struct fixture s;
 
-    shop_open(&s);
+    fixture_open(&s);
     c = Fw_RigConn_Open(s.addr);
     Fw_RigConn_Send(c, parts[_i], -1);
     Fw_Rig_Settle();
@@ -174,95 +173,95 @@
     Fw_Server_Tick(s.server, Fw_Conn_Now() + 3 * FW_SEC);
     Fw_RigConn_Expect(c, "HTTP/1.1 408 ");
     Fw_RigConn_ExpectEof(c);
-    ck_assert_str_eq(s.seen->str, "");
+    ck_assert_str_eq(s.requests->str, "");
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
 }
 END_TEST
 
 static int
-is_gone(void *ctx)
+has_disconnected(void *ctx)
 {
-    return ((struct shop *)ctx)->gone;
+    return ((struct fixture *)ctx)->disconnected;
 }
 
 static int
-is_open(void *ctx)
+has_request(void *ctx)
 {
-    return ((struct shop *)ctx)->open != NULL;
+    return ((struct fixture *)ctx)->pending != NULL;
 }
 
-/* A request that waits for its answer. */
+/* Sends a request that is left without a response. */
 static struct rig_conn *
-open_request(struct shop *s)
+open_request(struct fixture *s)
 {
     struct rig_conn *c;
 
-    shop_open(s);
-    s->hold = 1;
+    fixture_open(s);
+    s->hold_response = 1;
     c = Fw_RigConn_Open(s->addr);
     Fw_RigConn_Send(c, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n", -1);
-    Fw_Rig_Until(is_open, s);
+    Fw_Rig_Until(has_request, s);
     return c;
 }
 
 /*
- * A caller leaves while its request is being worked on. Its upstream would
- * go on for nobody; the owner must hear of it at once.
+ * Guards against upstreams that keep working for a caller that has
+ * disconnected.
  */
-START_TEST(a_caller_who_leaves_is_noticed)
+START_TEST(disconnect_is_reported)
 {
-    struct shop s;
+    struct fixture s;
     struct rig_conn *c = open_request(&s);
 
     Fw_RigConn_Close(c);
-    Fw_Rig_Until(is_gone, &s);
-    shop_close(&s);
+    Fw_Rig_Until(has_disconnected, &s);
+    fixture_close(&s);
 }
 END_TEST
 
-START_TEST(an_answer_of_unknown_length_goes_out_in_chunks)
+START_TEST(response_of_unknown_length_is_chunked)
 {
-    struct shop s;
+    struct fixture s;
     struct rig_conn *c = open_request(&s);
 
-    Fw_Caller_Start(s.open, 200, "", -1);
-    Fw_Caller_Data(s.open, "hello", 5);
+    Fw_Caller_Start(s.pending, 200, "", -1);
+    Fw_Caller_Data(s.pending, "hello", 5);
     Fw_RigConn_Expect(c, "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
-    Fw_Caller_End(s.open);
+    Fw_Caller_End(s.pending);
     Fw_RigConn_Expect(c, "0\r\n\r\n");
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
 }
 END_TEST
 
 /*
- * An answer breaks off in the middle because its upstream is lost. The
- * caller must not take what it has for the whole.
+ * Guards against a caller mistaking a truncated response for a complete one,
+ * e.g. when the upstream was lost.
  */
-START_TEST(a_cut_answer_does_not_look_complete)
+START_TEST(aborted_response_does_not_look_complete)
 {
-    struct shop s;
+    struct fixture s;
     struct rig_conn *c = open_request(&s);
 
-    Fw_Caller_Start(s.open, 200, "", -1);
-    Fw_Caller_Data(s.open, "hello", 5);
+    Fw_Caller_Start(s.pending, 200, "", -1);
+    Fw_Caller_Data(s.pending, "hello", 5);
     Fw_RigConn_Expect(c, "hello");
-    Fw_Caller_Cut(s.open);
+    Fw_Caller_Cut(s.pending);
     Fw_RigConn_ExpectEof(c);
     ck_assert_ptr_null(strstr(c->got->str, "0\r\n\r\n"));
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
 }
 END_TEST
 
-START_TEST(a_stopping_server_says_close_and_drops_idle_connections)
+START_TEST(draining_server_closes_connections)
 {
     struct rig_conn *idle;
     struct rig_conn *c;
-    struct shop s;
+    struct fixture s;
 
-    shop_open(&s);
+    fixture_open(&s);
     idle = Fw_RigConn_Open(s.addr);
     c = Fw_RigConn_Open(s.addr);
     Fw_RigConn_Send(idle, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n", -1);
@@ -277,22 +276,21 @@
     Fw_RigConn_ExpectEof(idle);
     Fw_RigConn_Close(idle);
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
 }
 END_TEST
 
 /*
- * An instance can't serve its callers for a while, and those with an open
- * connection would go on asking it. Each answer ends its connection as long
- * as that lasts, and no longer.
+ * Guards against callers staying connected to an instance that can't serve
+ * them, and against closing connections for longer than that.
  */
-START_TEST(a_server_that_sends_callers_away_closes_after_each_answer)
+START_TEST(close_after_response_can_be_switched_off)
 {
-    struct rig_conn *kept;
+    struct rig_conn *reused;
     struct rig_conn *c;
-    struct shop s;
+    struct fixture s;
 
-    shop_open(&s);
+    fixture_open(&s);
     c = Fw_RigConn_Open(s.addr);
     Fw_Server_SendAway(s.server, 1);
     Fw_RigConn_Send(c, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n", -1);
@@ -300,15 +298,15 @@
     Fw_RigConn_Expect(c, "fine");
     Fw_RigConn_ExpectEof(c);
     Fw_Server_SendAway(s.server, 0);
-    kept = Fw_RigConn_Open(s.addr);
-    Fw_RigConn_Send(kept, "GET /b HTTP/1.1\r\nHost: a\r\n\r\n", -1);
-    Fw_RigConn_Expect(kept, "fine");
-    Fw_RigConn_Send(kept, "GET /c HTTP/1.1\r\nHost: a\r\n\r\n", -1);
-    Fw_RigConn_Expect(kept, "fine");
-    ck_assert(!kept->eof);
-    Fw_RigConn_Close(kept);
+    reused = Fw_RigConn_Open(s.addr);
+    Fw_RigConn_Send(reused, "GET /b HTTP/1.1\r\nHost: a\r\n\r\n", -1);
+    Fw_RigConn_Expect(reused, "fine");
+    Fw_RigConn_Send(reused, "GET /c HTTP/1.1\r\nHost: a\r\n\r\n", -1);
+    Fw_RigConn_Expect(reused, "fine");
+    ck_assert(!reused->eof);
+    Fw_RigConn_Close(reused);
     Fw_RigConn_Close(c);
-    shop_close(&s);
+    fixture_close(&s);
 }
 END_TEST
 
@@ -317,16 +315,14 @@
 {
     TCase *tc = Fw_Suite_New("server");
 
-    tcase_add_loop_test(tc, a_bad_request_gets_one_refusal_and_a_close, 0,
-                        G_N_ELEMENTS(bad));
-    tcase_add_test(tc, requests_of_one_connection_are_answered_in_turn);
-    tcase_add_loop_test(tc, a_slow_request_is_told_408, 0, 2);
-    tcase_add_test(tc, a_caller_who_leaves_is_noticed);
-    tcase_add_test(tc, an_answer_of_unknown_length_goes_out_in_chunks);
-    tcase_add_test(tc, a_cut_answer_does_not_look_complete);
-    tcase_add_test(tc,
-                   a_stopping_server_says_close_and_drops_idle_connections);
-    tcase_add_test(tc,
-                   a_server_that_sends_callers_away_closes_after_each_answer);
+    tcase_add_loop_test(tc, invalid_request_is_rejected_once_and_closed, 0,
+                        G_N_ELEMENTS(invalid));
+    tcase_add_test(tc, pipelined_requests_are_answered_in_order);
+    tcase_add_loop_test(tc, slow_request_gets_408, 0, 2);
+    tcase_add_test(tc, disconnect_is_reported);
+    tcase_add_test(tc, response_of_unknown_length_is_chunked);
+    tcase_add_test(tc, aborted_response_does_not_look_complete);
+    tcase_add_test(tc, draining_server_closes_connections);
+    tcase_add_test(tc, close_after_response_can_be_switched_off);
     return Fw_Suite_Run(tc);
 }
