--- a/src/core/log.h
+++ b/src/core/log.h
@@ -82,7 +82,7 @@
  * eventually consistent.
  * @addr: address that peers or callers of an upstream connect to
  * @domain: failure domain
- * @leaving: nonzero while the instance or upstream is draining
+ * @draining: nonzero while the instance or upstream is draining
  */
 struct fw_list_entry {
     enum fw_list_kind kind;
@@ -96,11 +96,12 @@
 /**
  * struct fw_registry_snapshot - contents of the registry.
  * @err: 0 or a negative errno
+ * @entries: valid for the current step only
  */
 struct fw_listed {
     int err;
     int n;
-    const struct fw_list_entry *entries; /* valid for the current step only */
+    const struct fw_list_entry *entries;
 };
 
 #endif
--- a/src/core/up.h
+++ b/src/core/up.h
@@ -85,7 +85,7 @@
 /**
  * struct fw_up_order - an order with a fencing token.
  * @fence: fencing token: offset of the log record that gave the sender its
- * role
+ *         role
  * @ttl_us: the upstream discards the order when it is older than this
  */
 struct fw_up_order {
@@ -119,8 +119,8 @@
  * @op: id chosen by the core, unique in this process
  * @upstream: name of the upstream
  * @url: base URL of the upstream
- * @timeout_us: longest time without data from the upstream before the call
- *              fails; 0 for a default
+ * @idle_timeout_us: longest time without data from the upstream before the
+ *                   call fails; 0 for a default
  */
 struct fw_up_start {
     uint64_t op;
@@ -183,11 +183,11 @@
  * struct fw_up_report - load report of an engine.
  * @age_us: age of the report's values when it was sent
  * @slots: decode slots
- * @busy: decode slots in use
+ * @busy_slots: decode slots in use
  * @queued_tokens: tokens waiting in the queue
  * @kv_used: memory in use for KV caches, in tokens
  * @kv_total: memory for KV caches, in tokens; 0 when unknown
- * @leaving: nonzero while the engine is draining
+ * @draining: nonzero while the engine is draining
  * @models: loaded models: "model@version" or "model@version+adapter"
  */
 struct fw_up_report {
--- a/src/daemon/ini.h
+++ b/src/daemon/ini.h
@@ -12,7 +12,7 @@
 enum fw_ini_kind {
     FW_INI_NAME,    /* char[FW_NAME_MAX] */
     FW_INI_LISTEN,  /* char[FW_URL_MAX]: "ip:port", port 0 for any free one */
-    FW_INI_PEERS,   /* char[FW_URL_MAX]: "ip:port", not a wildcard address */
+    FW_INI_PEERS,   /* char[FW_URL_MAX]: "ip:port", no wildcard */
     FW_INI_URL,     /* char[FW_URL_MAX]: http://..., without a final slash */
     FW_INI_PATH,    /* char[FW_URL_MAX]: begins with a slash */
     FW_INI_SECRET,  /* GBytes *, from hex */
@@ -41,7 +41,7 @@
     const char *const *words;
 };
 
-/* Initialisers of struct fw_ini_key; @at is the offset of the value. */
+/* Initialisers of struct fw_ini_key. */
 #define FW_INI_NUMBER(group, key, fallback, min, max, at)                     \
     {                                                                         \
         group, key, FW_INI_INT, fallback, min, max, at, NULL                  \
@@ -55,7 +55,7 @@
  * Fw_Ini_Load - loads the file @path into the struct @values.
  * @keys: the @n keys that the file may have; others are errors
  * @error: set to NULL, or to a message with the file and, where they apply,
- * the group and key; to be freed with g_free
+ *         the group and key; to be freed with g_free
  *
  * An empty value selects the default, if the key has one. FW_INI_DECIMAL and
  * FW_INI_FLOOR accept true and false as 1 and 0.
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -18,8 +18,7 @@
 /** enum fw_head_action - what to do with a response, decided on its head. */
 enum fw_take {
     FW_TAKE_IT,
-    FW_TAKE_SKIP, /* it belongs to another request: discard it, read the next
-                   */
+    FW_TAKE_SKIP, /* discard it: it belongs to another request */
 };
 
 /**
