--- a/src/core/log.h
+++ b/src/core/log.h
@@ -24,7 +24,7 @@
 };
 
 /**
- * struct fw_log_read - read records starting at offset @from.
+ * struct fw_log_read - read records starting at @from_offset.
  * @ticket: id that is returned with the result
  * @wait_us: long poll: how long the log may wait for a first record
  */
@@ -40,7 +40,7 @@
  * struct fw_log_appended - result of an append.
  * @err: 0 on success, -EAGAIN when nothing was appended, -EIO when the
  *       outcome is unknown
- * @first: offset of the first appended record when @err is 0
+ * @first_offset: offset of the first appended record when @err is 0
  */
 struct fw_log_appended {
     uint64_t ticket;
@@ -54,10 +54,10 @@
  * @err: 0 or a negative errno
  * @sent_us: monotonic time when the read was sent; every record appended
  *           before it is visible to the read, up to the requested limit
- * @first: offset of records[0]; higher than requested when older records have
- *         expired
- * @oldest: lowest offset still retained
- * @end: offset of the next record to be appended
+ * @first_offset: offset of records[0]; higher than requested when older
+ *                records have expired
+ * @oldest_offset: lowest offset still retained
+ * @end_offset: offset of the next record to be appended
  */
 struct fw_log_records {
     uint64_t ticket;
--- a/src/core/up.h
+++ b/src/core/up.h
@@ -100,8 +100,8 @@
 
 /**
  * struct fw_up_service - a call to a plain service.
- * @once: send at most once: on a new connection, without a retry by the HTTP
- *        library
+ * @at_most_once: send at most once: on a new connection, without a retry by
+ *                the HTTP library
  */
 struct fw_up_service {
     char request[FW_ID_MAX];
@@ -217,7 +217,7 @@
 
 /**
  * struct fw_up_cache_event - a prefix was cached or evicted.
- * @prefix: Fw_Hash_Bytes of the prompt's prefix, with seed 0
+ * @prefix_hash: Fw_Hash_Bytes of the prompt's prefix, with seed 0
  * @tokens: length of the prefix
  * @evicted: nonzero when the prefix was evicted, 0 when it was cached
  */
