--- a/stand/decode.c
+++ b/stand/decode.c
@@ -1,34 +1,35 @@
 /*
- * Decode: all requests of an engine advance one piece a step, and a step
- * takes a little longer the more there are.
+ * Decode: each step generates one token for every request of the batch; its
+ * duration grows with the batch size.
  */
 #include "stand/engine.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-#define SEED_BYTES 16
+#define PROMPT_HASH_BYTES 16
 
 static gboolean
-step(gpointer data);
+run_step(gpointer data);
 
 void
-Fw_StandDecode_ClearOut(struct fw_work *w)
+Fw_StandDecode_ClearOutput(struct fw_stand_request *w)
 {
-    struct fw_line *line;
+    struct fw_stand_line *line;
 
-    while ((line = g_queue_pop_head(&w->out))) {
+    while ((line = g_queue_pop_head(&w->output))) {
         g_free(line->text);
         g_free(line);
     }
 }
 
 /*
- * A piece depends on the start of the prompt and its index alone, so that a
- * second prefill with the emitted pieces added goes on as the first one did.
+ * A token depends only on its index and the first bytes of the prompt, so that
+ * generation continues identically after a new prefill of the prompt with the
+ * emitted tokens appended.
  */
 static char *
-piece_text(const struct fw_work *w, int64_t index)
+token_text(const struct fw_stand_request *w, int64_t index)
 {
     static const char *const words[] = {
         "ebb",     "flood", "slack", "survey", "module", "crew",
@@ -38,76 +39,75 @@
     gsize len;
     const char *p = g_bytes_get_data(w->prompt, &len);
     uint64_t h =
-        XXH3_64bits_withSeed(p, MIN(len, SEED_BYTES), (uint64_t)index);
+        XXH3_64bits_withSeed(p, MIN(len, PROMPT_HASH_BYTES), (uint64_t)index);
 
     return g_strdup_printf("%s-%" G_GINT64_FORMAT " ",
                            words[h % G_N_ELEMENTS(words)], index);
 }
 
 static void
-push(struct fw_work *w, char *text, int64_t due_us, int last)
+queue_line(struct fw_stand_request *w, char *text, int64_t due_us, int last)
 {
-    struct fw_line *line = g_new0(struct fw_line, 1);
+    struct fw_stand_line *line = g_new0(struct fw_stand_line, 1);
 
     line->text = text;
     line->due_us = due_us;
-    line->last = last;
-    g_queue_push_tail(&w->out, line);
+    line->is_last = last;
+    g_queue_push_tail(&w->output, line);
 }
 
 static void
-push_piece(struct fw_work *w, int64_t index, int64_t now)
+queue_token(struct fw_stand_request *w, int64_t index, int64_t now)
 {
-    struct fw_port *port = &w->engine->port;
+    struct fw_stand_port *port = &w->engine->port;
     const struct fw_stand_fault *late = Fw_StandFault_Find(port, "late");
-    int64_t due = now + (late ? late->ms * FW_MSEC : 0);
-    char *word = piece_text(w, index);
+    int64_t due = now + (late ? late->duration_ms * FW_MSEC : 0);
+    char *word = token_text(w, index);
     char *text = g_strdup_printf("{\"i\":%" G_GINT64_FORMAT ",\"t\":\"%s\"}\n",
                                  index, word);
 
     if (index % 2 == 0 && Fw_StandFault_Find(port, "out-of-order")) {
-        due += 3 * w->engine->opts->token_ms * FW_MSEC;
+        due += 3 * w->engine->opts->step_ms * FW_MSEC;
     }
     if (Fw_StandFault_Find(port, "doubled")) {
-        push(w, g_strdup(text), due, 0);
+        queue_line(w, g_strdup(text), due, 0);
     }
-    push(w, text, due, 0);
+    queue_line(w, text, due, 0);
     g_free(word);
 }
 
 static void
-push_end(struct fw_work *w, int64_t now)
+queue_end(struct fw_stand_request *w, int64_t now)
 {
-    const char *reason = w->next >= w->max_tokens ? "length" : "stop";
+    const char *reason = w->next_index >= w->max_tokens ? "length" : "stop";
     int64_t due = now;
 
-    for (const GList *l = w->out.head; l; l = l->next) {
-        due = MAX(due, ((const struct fw_line *)l->data)->due_us);
+    for (const GList *l = w->output.head; l; l = l->next) {
+        due = MAX(due, ((const struct fw_stand_line *)l->data)->due_us);
     }
-    push(w,
-         g_strdup_printf("{\"done\":true,\"reason\":\"%s\","
-                         "\"tokens\":%" G_GINT64_FORMAT "}\n",
-                         reason, w->next),
-         due, 1);
+    queue_line(w,
+               g_strdup_printf("{\"done\":true,\"reason\":\"%s\","
+                               "\"tokens\":%" G_GINT64_FORMAT "}\n",
+                               reason, w->next_index),
+               due, 1);
 }
 
-/* Sends what is due. */
 static void
-flush(struct fw_work *w, int64_t now)
+send_due_lines(struct fw_stand_request *w, int64_t now)
 {
     GList *next;
 
-    for (GList *l = w->out.head; l && w->reply; l = next) {
-        struct fw_line *line = l->data;
+    for (GList *l = w->output.head; l && w->reply; l = next) {
+        struct fw_stand_line *line = l->data;
 
         next = l->next;
         if (line->due_us > now) {
             continue;
         }
-        g_queue_delete_link(&w->out, l);
-        Fw_StandReply_Line(w->reply, line->text);
-        if (line->last) {
-            Fw_StandReply_End(w->reply);
+        g_queue_delete_link(&w->output, l);
+        Fw_StandReply_SendLine(w->reply, line->text);
+        if (line->is_last) {
+            Fw_StandReply_EndStream(w->reply);
             w->reply = NULL;
         }
         g_free(line->text);
@@ -116,151 +116,153 @@
 }
 
 static void
-client_left(void *data)
+on_disconnect(void *data)
 {
-    struct fw_work *w = data;
+    struct fw_stand_request *w = data;
 
     w->reply = NULL;
-    Fw_StandDecode_ClearOut(w);
-    Fw_StandEngine_DropIn(w, w->engine->opts->grace_ms);
+    Fw_StandDecode_ClearOutput(w);
+    Fw_StandEngine_FreeRequestAfter(w, w->engine->opts->resume_grace_ms);
 }
 
-/* One piece of one request. Return: nonzero when the engine died of it. */
+/* Generates the next token. Return: nonzero if a fault crashed the engine. */
 static int
-generate(struct fw_work *w, int64_t now)
+generate_token(struct fw_stand_request *w, int64_t now)
 {
     struct fw_stand_engine *e = w->engine;
-    int64_t for_ms;
+    int64_t outage_ms;
 
-    if (Fw_StandEngine_Dooms(e, w, "decode", &for_ms)) {
-        Fw_StandPort_Die(&e->port, for_ms);
+    if (Fw_StandEngine_TriggersCrash(e, w, "decode", &outage_ms)) {
+        Fw_StandPort_Crash(&e->port, outage_ms);
         return 1;
     }
-    if (w->next < MIN(w->max_tokens, e->opts->answer_tokens)) {
+    if (w->next_index < MIN(w->max_tokens, e->opts->answer_tokens)) {
         if (w->reply) {
-            push_piece(w, w->next, now);
+            queue_token(w, w->next_index, now);
         }
-        w->next++;
+        w->next_index++;
     }
-    if (w->next >= MIN(w->max_tokens, e->opts->answer_tokens)) {
-        w->stage = FW_STAGE_DONE;
+    if (w->next_index >= MIN(w->max_tokens, e->opts->answer_tokens)) {
+        w->stage = FW_STAND_STAGE_DONE;
         if (w->reply) {
-            push_end(w, now);
+            queue_end(w, now);
         }
-        Fw_StandEngine_DropIn(w, w->engine->opts->grace_ms);
+        Fw_StandEngine_FreeRequestAfter(w, w->engine->opts->resume_grace_ms);
     }
     return 0;
 }
 
 static int
-busy(const struct fw_stand_engine *e)
+count_active(const struct fw_stand_engine *e)
 {
     struct fw_list *pos;
     int n = 0;
 
-    FW_LIST_EACH (pos, &e->works) {
-        const struct fw_work *w = FW_LIST_ENTRY(pos, struct fw_work, link);
+    FW_LIST_EACH (pos, &e->requests) {
+        const struct fw_stand_request *w =
+            FW_LIST_ENTRY(pos, struct fw_stand_request, link);
 
-        n += w->stage == FW_STAGE_DECODE || w->out.length > 0;
+        n += w->stage == FW_STAND_STAGE_DECODE || w->output.length > 0;
     }
     return n;
 }
 
 static void
-arm_step(struct fw_stand_engine *e)
+schedule_step(struct fw_stand_engine *e)
 {
-    int n = busy(e);
+    int n = count_active(e);
 
-    if (!e->step && n) {
-        e->step = g_timeout_add(
-            (guint)(e->opts->token_ms + n * e->opts->token_slot_us / FW_MSEC),
-            step, e);
+    if (!e->step_timer && n) {
+        e->step_timer = g_timeout_add(
+            (guint)(e->opts->step_ms + n * e->opts->step_request_us / FW_MSEC),
+            run_step, e);
     }
 }
 
 static gboolean
-step(gpointer data)
+run_step(gpointer data)
 {
     struct fw_stand_engine *e = data;
     int64_t now = g_get_monotonic_time();
-    int stalled = Fw_StandEngine_Stalls(e, "decode");
+    int stalled = Fw_StandEngine_IsStalled(e, "decode");
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    e->step = 0;
-    FW_LIST_EACH_SAFE (pos, tmp, &e->works) {
-        struct fw_work *w = FW_LIST_ENTRY(pos, struct fw_work, link);
+    e->step_timer = 0;
+    FW_LIST_EACH_SAFE (pos, tmp, &e->requests) {
+        struct fw_stand_request *w =
+            FW_LIST_ENTRY(pos, struct fw_stand_request, link);
 
         if (stalled) {
             continue;
         }
-        if (w->stage == FW_STAGE_DECODE && generate(w, now)) {
+        if (w->stage == FW_STAND_STAGE_DECODE && generate_token(w, now)) {
             return G_SOURCE_REMOVE;
         }
-        flush(w, now);
+        send_due_lines(w, now);
     }
-    arm_step(e);
+    schedule_step(e);
     return G_SOURCE_REMOVE;
 }
 
-/* The pieces from an index on that were generated before. */
+/* Attaches @r and sends again the tokens from @from on. */
 static void
-replay(struct fw_work *w, struct fw_reply *r, int64_t from)
+stream_from(struct fw_stand_request *w, struct fw_stand_reply *r, int64_t from)
 {
     int64_t now = g_get_monotonic_time();
 
-    Fw_StandEngine_Attach(w, r);
-    r->gone = client_left;
-    Fw_StandReply_Start(r, "application/x-ndjson");
-    Fw_StandDecode_ClearOut(w);
-    if (w->stage == FW_STAGE_DECODE && w->timer) {
+    Fw_StandEngine_AttachReply(w, r);
+    r->on_disconnect = on_disconnect;
+    Fw_StandReply_StartStream(r, "application/x-ndjson");
+    Fw_StandDecode_ClearOutput(w);
+    if (w->stage == FW_STAND_STAGE_DECODE && w->timer) {
         g_source_remove(w->timer);
         w->timer = 0;
     }
-    for (int64_t i = from; i < w->next; i++) {
-        push_piece(w, i, now);
+    for (int64_t i = from; i < w->next_index; i++) {
+        queue_token(w, i, now);
     }
-    if (w->stage == FW_STAGE_DONE) {
-        push_end(w, now);
+    if (w->stage == FW_STAND_STAGE_DONE) {
+        queue_end(w, now);
     }
-    flush(w, now);
-    arm_step(w->engine);
+    send_due_lines(w, now);
+    schedule_step(w->engine);
 }
 
 void
-Fw_StandDecode_Resume(struct fw_stand_engine *e, struct fw_reply *r)
+Fw_StandDecode_Resume(struct fw_stand_engine *e, struct fw_stand_reply *r)
 {
     const char *id = Fw_StandReply_Str(r, "request", "");
     int64_t from = Fw_StandReply_Int(r, "from_index", 0);
-    struct fw_work *w = Fw_StandEngine_Find(e, id);
+    struct fw_stand_request *w = Fw_StandEngine_FindRequest(e, id);
 
-    if (!w || w->stage < FW_STAGE_DECODE) {
+    if (!w || w->stage < FW_STAND_STAGE_DECODE) {
         Fw_StandReply_Error(r, 404, "no such request here");
         return;
     }
     Fw_StandJournal_Add(r, "resume", id);
-    replay(w, r, MAX(from, 0));
+    stream_from(w, r, MAX(from, 0));
 }
 
 void
-Fw_StandDecode_Take(struct fw_stand_engine *e, struct fw_reply *r)
+Fw_StandDecode_Receive(struct fw_stand_engine *e, struct fw_stand_reply *r)
 {
     const char *id = Fw_StandReply_Str(r, "request", "");
     int64_t from = MAX(Fw_StandReply_Int(r, "from_index", 0), 0);
-    struct fw_work *w = Fw_StandEngine_Find(e, id);
+    struct fw_stand_request *w = Fw_StandEngine_FindRequest(e, id);
 
-    if (!w || strcmp(w->kv, Fw_StandReply_Str(r, "kv", "")) != 0 ||
-        w->stage < FW_STAGE_HELD) {
+    if (!w || strcmp(w->kv_id, Fw_StandReply_Str(r, "kv", "")) != 0 ||
+        w->stage < FW_STAND_STAGE_IMPORTED) {
         Fw_StandReply_Error(r, 410, "the KV has lapsed");
         return;
     }
-    if (w->stage == FW_STAGE_HELD) {
+    if (w->stage == FW_STAND_STAGE_IMPORTED) {
         Fw_StandJournal_Add(r, "decode", id);
         g_source_remove(w->timer);
         w->timer = 0;
-        w->stage = FW_STAGE_DECODE;
-        w->next = from;
+        w->stage = FW_STAND_STAGE_DECODE;
+        w->next_index = from;
         w->max_tokens = from + Fw_StandReply_Int(r, "max_tokens", 16);
     }
-    replay(w, r, from);
+    stream_from(w, r, from);
 }
--- a/stand/import.c
+++ b/stand/import.c
@@ -1,13 +1,14 @@
-/* Import: a KV comes from a prefill engine over a link of limited rate. */
+/* Import of a KV cache from another engine over a link of limited rate. */
 #include "stand/engine.h"
 
 #include <inttypes.h>
 #include <string.h>
 
-static struct fw_work *
-exported(const struct fw_stand_engine *e, const char *from, const char *kv)
+static struct fw_stand_request *
+find_exported(const struct fw_stand_engine *e, const char *from,
+              const char *kv)
 {
-    struct fw_port *port = Fw_Stand_Port(e->port.stand, from);
+    struct fw_stand_port *port = Fw_Stand_Port(e->port.stand, from);
     struct fw_stand_engine *source;
     struct fw_list *pos;
 
@@ -15,10 +16,11 @@
         return NULL;
     }
     source = port->owner;
-    FW_LIST_EACH (pos, &source->works) {
-        struct fw_work *w = FW_LIST_ENTRY(pos, struct fw_work, link);
+    FW_LIST_EACH (pos, &source->requests) {
+        struct fw_stand_request *w =
+            FW_LIST_ENTRY(pos, struct fw_stand_request, link);
 
-        if (w->stage == FW_STAGE_KV && strcmp(w->kv, kv) == 0) {
+        if (w->stage == FW_STAND_STAGE_EXPORTED && strcmp(w->kv_id, kv) == 0) {
             return w;
         }
     }
@@ -26,9 +28,9 @@
 }
 
 static void
-answer(struct fw_work *w)
+answer(struct fw_stand_request *w)
 {
-    struct fw_reply *r = w->reply;
+    struct fw_stand_reply *r = w->reply;
 
     w->reply = NULL;
     Fw_StandReply_Json(r, 200, "{\"transfer_ms\":%" PRId64 "}",
@@ -36,67 +38,68 @@
 }
 
 static void
-fail(struct fw_work *w)
+reject_expired(struct fw_stand_request *w)
 {
-    struct fw_reply *r = w->reply;
+    struct fw_stand_reply *r = w->reply;
 
     w->reply = NULL;
-    Fw_StandEngine_Drop(w);
+    Fw_StandEngine_FreeRequest(w);
     if (r) {
         Fw_StandReply_Error(r, 410, "the KV has lapsed");
     }
 }
 
 static gboolean
-arrived(gpointer data)
+on_transfer_done(gpointer data)
 {
-    struct fw_work *w = data;
+    struct fw_stand_request *w = data;
     struct fw_stand_engine *e = w->engine;
-    struct fw_work *source = exported(e, w->from, w->kv);
-    int64_t for_ms;
+    struct fw_stand_request *source =
+        find_exported(e, w->source_url, w->kv_id);
+    int64_t outage_ms;
 
-    if (Fw_StandEngine_Stalls(e, "import")) {
+    if (Fw_StandEngine_IsStalled(e, "import")) {
         return G_SOURCE_CONTINUE;
     }
     w->timer = 0;
     if (!source) {
-        fail(w);
+        reject_expired(w);
         return G_SOURCE_REMOVE;
     }
-    if (Fw_StandEngine_Dooms(e, w, "import", &for_ms)) {
-        Fw_StandPort_Die(&e->port, for_ms);
+    if (Fw_StandEngine_TriggersCrash(e, w, "import", &outage_ms)) {
+        Fw_StandPort_Crash(&e->port, outage_ms);
         return G_SOURCE_REMOVE;
     }
-    Fw_StandEngine_Drop(source);
-    w->stage = FW_STAGE_HELD;
-    Fw_StandEngine_DropIn(w, e->opts->lapse_ms);
+    Fw_StandEngine_FreeRequest(source);
+    w->stage = FW_STAND_STAGE_IMPORTED;
+    Fw_StandEngine_FreeRequestAfter(w, e->opts->kv_ttl_ms);
     if (w->reply) {
         answer(w);
     }
     return G_SOURCE_REMOVE;
 }
 
-/* When the last byte comes: the link carries one transfer after another. */
+/* Queues a transfer on the link. Return: time until its last byte arrives. */
 static int64_t
-transfer_us(struct fw_stand_engine *e, const char *domain, int64_t tokens)
+reserve_link_us(struct fw_stand_engine *e, const char *domain, int64_t tokens)
 {
     int64_t now = g_get_monotonic_time();
-    int64_t *free_us = g_hash_table_lookup(e->links, domain);
-    int64_t us = tokens * e->opts->kv_bytes * FW_SEC /
+    int64_t *free_us = g_hash_table_lookup(e->link_free_us, domain);
+    int64_t us = tokens * e->opts->kv_bytes_per_token * FW_SEC /
                  MAX(e->opts->link_bytes_per_s, 1);
 
     if (!free_us) {
         free_us = g_new0(int64_t, 1);
-        g_hash_table_insert(e->links, g_strdup(domain), free_us);
+        g_hash_table_insert(e->link_free_us, g_strdup(domain), free_us);
     }
     *free_us = MAX(*free_us, now) + us;
     return *free_us - now;
 }
 
 static const char *
-refusal(struct fw_stand_engine *e, int64_t tokens)
+rejection_reason(struct fw_stand_engine *e, int64_t tokens)
 {
-    struct fw_report now;
+    struct fw_stand_load now;
 
     if (strcmp(e->role, "decode") != 0) {
         return "not a decode engine";
@@ -104,68 +107,68 @@
     if (Fw_StandFault_Find(&e->port, "leaving")) {
         return "leaving";
     }
-    Fw_StandEngine_Measure(e, &now);
-    if (now.busy >= e->opts->slots ||
-        now.kv_used + tokens > e->opts->kv_total) {
+    Fw_StandEngine_MeasureLoad(e, &now);
+    if (now.busy >= e->opts->decode_slots ||
+        now.kv_used + tokens > e->opts->kv_capacity_tokens) {
         return "no slot";
     }
     return NULL;
 }
 
 static int
-known(struct fw_stand_engine *e, struct fw_reply *r, const char *id,
-      const char *kv)
+attach_known(struct fw_stand_engine *e, struct fw_stand_reply *r,
+             const char *id, const char *kv)
 {
-    struct fw_work *w = Fw_StandEngine_Find(e, id);
+    struct fw_stand_request *w = Fw_StandEngine_FindRequest(e, id);
 
     if (!w) {
         return 0;
     }
-    if (strcmp(w->kv, kv) != 0 || w->stage > FW_STAGE_HELD) {
-        Fw_StandEngine_Drop(w);
+    if (strcmp(w->kv_id, kv) != 0 || w->stage > FW_STAND_STAGE_IMPORTED) {
+        Fw_StandEngine_FreeRequest(w);
         return 0;
     }
-    Fw_StandEngine_Attach(w, r);
-    if (w->stage == FW_STAGE_HELD) {
+    Fw_StandEngine_AttachReply(w, r);
+    if (w->stage == FW_STAND_STAGE_IMPORTED) {
         answer(w);
     }
     return 1;
 }
 
 void
-Fw_StandImport_Take(struct fw_stand_engine *e, struct fw_reply *r)
+Fw_StandImport_Receive(struct fw_stand_engine *e, struct fw_stand_reply *r)
 {
     const char *id = Fw_StandReply_Str(r, "request", "");
     const char *kv = Fw_StandReply_Str(r, "kv", "");
     const char *from = Fw_StandReply_Str(r, "from", "");
-    struct fw_work *source;
-    const char *why;
-    struct fw_work *w;
+    struct fw_stand_request *source;
+    const char *reason;
+    struct fw_stand_request *w;
 
-    if (known(e, r, id, kv)) {
+    if (attach_known(e, r, id, kv)) {
         return;
     }
-    source = exported(e, from, kv);
+    source = find_exported(e, from, kv);
     if (!source) {
         Fw_StandReply_Error(r, 410, "the KV has lapsed");
         return;
     }
-    why = refusal(e, source->tokens);
-    if (why) {
-        Fw_StandReply_Error(r, 503, why);
+    reason = rejection_reason(e, source->prompt_tokens);
+    if (reason) {
+        Fw_StandReply_Error(r, 503, reason);
         return;
     }
     Fw_StandJournal_Add(r, "import", id);
-    w = Fw_StandEngine_Add(e, id);
-    w->stage = FW_STAGE_IMPORT;
-    g_strlcpy(w->kv, kv, sizeof(w->kv));
-    g_strlcpy(w->from, from, sizeof(w->from));
+    w = Fw_StandEngine_AddRequest(e, id);
+    w->stage = FW_STAND_STAGE_IMPORT;
+    g_strlcpy(w->kv_id, kv, sizeof(w->kv_id));
+    g_strlcpy(w->source_url, from, sizeof(w->source_url));
     w->prompt = g_bytes_ref(source->prompt);
-    w->tokens = source->tokens;
+    w->prompt_tokens = source->prompt_tokens;
     w->transfer_us =
-        transfer_us(e, source->engine->port.domain, source->tokens);
-    Fw_StandPrefill_Hold(source, w->transfer_us / FW_MSEC);
-    Fw_StandEngine_Attach(w, r);
-    w->timer =
-        g_timeout_add((guint)(w->transfer_us / FW_MSEC) + 1, arrived, w);
+        reserve_link_us(e, source->engine->port.domain, source->prompt_tokens);
+    Fw_StandPrefill_ExtendExpiry(source, w->transfer_us / FW_MSEC);
+    Fw_StandEngine_AttachReply(w, r);
+    w->timer = g_timeout_add((guint)(w->transfer_us / FW_MSEC) + 1,
+                             on_transfer_done, w);
 }
--- a/stand/journal.c
+++ b/stand/journal.c
@@ -1,7 +1,7 @@
-/* The journal of a port: what took effect. */
+/* Journal of the requests that took effect on a port. */
 #include "stand/port.h"
 
-#define JOURNAL_MAX 50000
+#define JOURNAL_MAX_LINES 50000
 
 static void
 add_header(const char *name, const char *value, gpointer data)
@@ -29,9 +29,10 @@
 }
 
 void
-Fw_StandJournal_Add(struct fw_reply *r, const char *effect, const char *id)
+Fw_StandJournal_Add(struct fw_stand_reply *r, const char *effect,
+                    const char *id)
 {
-    struct fw_port *port = r->port;
+    struct fw_stand_port *port = r->port;
     JsonBuilder *b = json_builder_new();
     JsonNode *root;
 
@@ -56,14 +57,14 @@
     g_queue_push_tail(&port->journal, json_to_string(root, FALSE));
     json_node_unref(root);
     g_object_unref(b);
-    if (port->journal.length > JOURNAL_MAX) {
+    if (port->journal.length > JOURNAL_MAX_LINES) {
         g_free(g_queue_pop_head(&port->journal));
         port->journal_dropped++;
     }
 }
 
 char *
-Fw_StandJournal_Text(const struct fw_port *port)
+Fw_StandJournal_Text(const struct fw_stand_port *port)
 {
     GString *s = g_string_new(NULL);
 
@@ -79,7 +80,7 @@
 }
 
 void
-Fw_StandJournal_Clear(struct fw_port *port)
+Fw_StandJournal_Clear(struct fw_stand_port *port)
 {
     char *line;
 
--- a/stand/order.c
+++ b/stand/order.c
@@ -1,4 +1,4 @@
-/* Orders to an engine: models, adapters, role; fenced or not. */
+/* Orders to load or unload models and adapters, or to change the role. */
 #include <string.h>
 
 #include "stand/engine.h"
@@ -19,11 +19,11 @@
 serves(const char *loaded, const char *model, const char *adapter)
 {
     size_t name = strcspn(loaded, "@");
-    size_t whole = strcspn(loaded, "+");
+    size_t base = strcspn(loaded, "+");
     size_t len = strlen(model);
 
-    return (len == name || len == whole) && !strncmp(loaded, model, len) &&
-           !strcmp(loaded[whole] ? loaded + whole + 1 : "", adapter);
+    return (len == name || len == base) && !strncmp(loaded, model, len) &&
+           !strcmp(loaded[base] ? loaded + base + 1 : "", adapter);
 }
 
 int
@@ -39,7 +39,7 @@
 }
 
 static void
-carry_out(struct fw_reply *r)
+execute(struct fw_stand_reply *r)
 {
     struct fw_stand_engine *e = r->port->owner;
     const char *op = Fw_StandReply_Str(r, "op", "");
@@ -48,13 +48,13 @@
         "%s@%s%s%s", Fw_StandReply_Str(r, "model", ""),
         Fw_StandReply_Str(r, "version", ""), adapter ? "+" : "",
         adapter ? Fw_StandReply_Str(r, "adapter", "") : "");
-    int at = find_model(e, ref);
+    int index = find_model(e, ref);
 
-    if (g_str_has_prefix(op, "load_") && at < 0) {
+    if (g_str_has_prefix(op, "load_") && index < 0) {
         g_ptr_array_add(e->models, g_strdup(ref));
     }
-    else if (g_str_has_prefix(op, "unload_") && at >= 0) {
-        g_ptr_array_remove_index(e->models, (guint)at);
+    else if (g_str_has_prefix(op, "unload_") && index >= 0) {
+        g_ptr_array_remove_index(e->models, (guint)index);
     }
     else if (strcmp(op, "set_role") == 0) {
         g_strlcpy(e->role, Fw_StandReply_Str(r, "role", e->role),
@@ -66,13 +66,13 @@
 }
 
 static void
-too_late(struct fw_reply *r)
+reject_expired(struct fw_stand_reply *r)
 {
     Fw_StandReply_Error(r, 410, "the order's time to live is over");
 }
 
 void
-Fw_StandOrder_Take(struct fw_stand_engine *e, struct fw_reply *r)
+Fw_StandOrder_Receive(struct fw_stand_engine *e, struct fw_stand_reply *r)
 {
     static const char *const ops[] = {"load_model",   "unload_model",
                                       "load_adapter", "unload_adapter",
@@ -81,28 +81,28 @@
         Fw_StandFault_Find(&e->port, "order-delay");
     uint64_t fence = (uint64_t)Fw_StandReply_Int(r, "fence", 0);
     const char *op = Fw_StandReply_Str(r, "op", "");
-    int64_t delay = f ? f->ms : 0;
-    int64_t load = 0;
+    int64_t delay_ms = f ? f->duration_ms : 0;
+    int64_t load_ms = 0;
 
     if (!g_strv_contains(ops, op)) {
         Fw_StandReply_Error(r, 400, "no such op");
         return;
     }
-    if (e->checks_fence && fence < e->fence) {
+    if (e->checks_fence && fence < e->highest_fence) {
         Fw_StandReply_Error(r, 409, "old fence");
         return;
     }
-    e->fence = MAX(e->fence, fence);
-    if (delay > Fw_StandReply_Int(r, "ttl_ms", INT64_MAX)) {
-        Fw_StandReply_Later(r, delay, too_late);
+    e->highest_fence = MAX(e->highest_fence, fence);
+    if (delay_ms > Fw_StandReply_Int(r, "ttl_ms", INT64_MAX)) {
+        Fw_StandReply_Schedule(r, delay_ms, reject_expired);
         return;
     }
     if (g_str_has_prefix(op, "load_")) {
-        load = Fw_StandWeights_FetchMs(e->port.stand->weights);
+        load_ms = Fw_StandWeights_ReserveFetchMs(e->port.stand->weights);
     }
-    if (load < 0) {
+    if (load_ms < 0) {
         Fw_StandReply_Error(r, 503, "the weight store is down");
         return;
     }
-    Fw_StandReply_Later(r, delay + load, carry_out);
+    Fw_StandReply_Schedule(r, delay_ms + load_ms, execute);
 }
--- a/stand/port.c
+++ b/stand/port.c
@@ -1,10 +1,10 @@
-/* A port: its server, its control calls and the faults every port knows. */
+/* Ports: listening, control requests, and faults common to all kinds. */
 #include "stand/port.h"
 
 #include <string.h>
 
 static void
-control_fault(struct fw_reply *r)
+control_fault(struct fw_stand_reply *r)
 {
     const char *method = soup_server_message_get_method(r->msg);
     const char *name = r->path + strlen("/control/fault");
@@ -25,13 +25,13 @@
 }
 
 static void
-control_about(struct fw_reply *r)
+control_about(struct fw_stand_reply *r)
 {
-    struct fw_port *port = r->port;
+    struct fw_stand_port *port = r->port;
     GString *more = g_string_new(NULL);
 
-    if (port->about) {
-        port->about(port, more);
+    if (port->describe) {
+        port->describe(port, more);
     }
     Fw_StandReply_Json(r, 200,
                        "{\"name\":\"%s\",\"kind\":\"%s\","
@@ -42,7 +42,7 @@
 }
 
 static void
-control_journal(struct fw_reply *r)
+control_journal(struct fw_stand_reply *r)
 {
     char *text = Fw_StandJournal_Text(r->port);
 
@@ -54,7 +54,7 @@
 }
 
 static void
-dispatch(struct fw_reply *r)
+dispatch(struct fw_stand_reply *r)
 {
     const struct fw_stand_fault *f;
 
@@ -68,12 +68,12 @@
         control_journal(r);
     }
     else if (Fw_StandFault_Find(r->port, "die")) {
-        Fw_StandReply_Cut(r);
+        Fw_StandReply_Abort(r);
     }
-    else if (Fw_StandFault_Hit(r->port, "hang", r->path)) {
+    else if (Fw_StandFault_Trigger(r->port, "hang", r->path)) {
         return;
     }
-    else if ((f = Fw_StandFault_Hit(r->port, "refuse", r->path))) {
+    else if ((f = Fw_StandFault_Trigger(r->port, "refuse", r->path))) {
         Fw_StandReply_Error(r, (int)f->status, "refused by a fault");
     }
     else {
@@ -86,11 +86,11 @@
            GHashTable *query, gpointer data)
 {
     (void)server;
-    Fw_StandReply_Take(data, msg, path, query, dispatch);
+    Fw_StandReply_Receive(data, msg, path, query, dispatch);
 }
 
-struct fw_port *
-Fw_StandPort_Open(struct fw_port *port, struct fw_stand *stand,
+struct fw_stand_port *
+Fw_StandPort_Open(struct fw_stand_port *port, struct fw_stand *stand,
                   const char *kind, const char *name, const char *domain)
 {
     GInetAddress *ip = g_inet_address_new_from_string("127.0.0.1");
@@ -122,32 +122,33 @@
 }
 
 static void
-cut_all(struct fw_port *port)
+disconnect_all(struct fw_stand_port *port)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &port->replies) {
-        struct fw_reply *r = FW_LIST_ENTRY(pos, struct fw_reply, link);
+        struct fw_stand_reply *r =
+            FW_LIST_ENTRY(pos, struct fw_stand_reply, link);
 
         if (!r->in_handler) {
-            Fw_StandReply_Gone(r);
+            Fw_StandReply_Disconnect(r);
         }
     }
 }
 
 static gboolean
-revive(gpointer data)
+on_restart(gpointer data)
 {
-    struct fw_port *port = data;
+    struct fw_stand_port *port = data;
 
-    port->revive = 0;
+    port->restart_timer = 0;
     Fw_StandFault_Clear(port, "die");
     return G_SOURCE_REMOVE;
 }
 
 void
-Fw_StandPort_Die(struct fw_port *port, int64_t for_ms)
+Fw_StandPort_Crash(struct fw_stand_port *port, int64_t outage_ms)
 {
     struct fw_stand_fault *f;
 
@@ -160,26 +161,27 @@
     if (port->reset) {
         port->reset(port);
     }
-    cut_all(port);
-    if (for_ms > 0) {
-        port->revive = g_timeout_add((guint)for_ms, revive, port);
+    disconnect_all(port);
+    if (outage_ms > 0) {
+        port->restart_timer =
+            g_timeout_add((guint)outage_ms, on_restart, port);
     }
 }
 
 void
-Fw_StandPort_Free(struct fw_port *port)
+Fw_StandPort_Free(struct fw_stand_port *port)
 {
-    port->changed = NULL;
+    port->on_fault_change = NULL;
     if (port->reset) {
         port->reset(port);
     }
-    cut_all(port);
+    disconnect_all(port);
     Fw_StandFault_ClearAll(port);
     Fw_StandJournal_Clear(port);
     soup_server_disconnect(port->server);
     g_object_unref(port->server);
-    if (port->clear) {
-        port->clear(port);
+    if (port->on_free) {
+        port->on_free(port);
     }
     g_free(port->owner);
 }
--- a/stand/port.h
+++ b/stand/port.h
@@ -1,5 +1,6 @@
 /*
- * One listening address of the stand-in: calls, replies, faults, journal.
+ * One HTTP server of the stand-in, on its own port: pending requests, injected
+ * faults and the journal of requests that took effect.
  */
 #ifndef FW_STAND_PORT_H
 #define FW_STAND_PORT_H
@@ -12,42 +13,51 @@
 #include "base/list.h"
 
 struct fw_stand;
-struct fw_reply;
+struct fw_stand_reply;
 
 /**
- * struct fw_stand_fault - a fault that is set.
- * @ms: a delay, or how long a death lasts; 0 for none
- * @count: hits left, or the figure the fault sets; -1 when not given
- * @after: pieces before it strikes
- * @permille: share of events that it strikes
- * @status: HTTP status it answers with
- * @path: only calls whose path starts so
- * @text: marker in a prompt
- * @stage: "prefill", "import" or "decode"; empty for each
+ * struct fw_stand_fault - an active injected fault.
+ * @duration_ms: delay, or length of the outage after a crash; an outage of 0
+ *               lasts until the fault "die" is cleared
+ * @count: remaining triggers, -1 for no limit; for "rate", "retain" and
+ *         "weights-rate" the value that the fault sets
+ * @after_tokens: generated tokens before "die-in" triggers
+ * @permille: share of cache events that are lost
+ * @status: HTTP status of the response, 503 by default
+ * @path_prefix: applies only to request paths with this prefix
+ * @prompt_marker: "poison" triggers on prompts that contain this text
+ * @stage: "prefill", "import" or "decode"; for "stall" and "poison" an empty
+ *         one means every stage
  */
 struct fw_stand_fault {
     struct fw_list link;
     char name[32];
-    int64_t ms;
+    int64_t duration_ms;
     int64_t count;
-    int64_t after;
+    int64_t after_tokens;
     int64_t permille;
     int64_t status;
-    char path[64];
-    char text[64];
+    char path_prefix[64];
+    char prompt_marker[64];
     char stage[16];
 };
 
 /**
- * struct fw_port - one SoupServer.
+ * struct fw_stand_port - one HTTP server and its state.
  * @kind: "engine", "service", "log", "list" or "weights"
- * @handle: takes a call; replies now or later
- * @reset: the process behind it died: all its memory is gone; may be NULL
- * @changed: a fault was set or cleared; may be NULL
- * @clear: frees what the owner holds, before it is freed; may be NULL
- * @about: adds ",name:value" for GET /control/about; may be NULL
+ * @replies: requests without a complete response
+ * @restart_timer: end of the outage that a crash started, 0 when not set
+ * @journal: JSON lines, oldest first
+ * @journal_dropped: lines discarded because the journal was full
+ * @owner: structure that embeds this one; allocated with g_malloc
+ * @handle: handles a request; may reply later
+ * @reset: discards the state that a crash loses; may be NULL
+ * @on_fault_change: called after a fault was set or cleared; may be NULL
+ * @on_free: releases the owner's resources before it is freed; may be NULL
+ * @describe: appends ",\"name\":value" members to the response of
+ *            GET /control/about; may be NULL
  */
-struct fw_port {
+struct fw_stand_port {
     struct fw_list link;
     struct fw_stand *stand;
     char name[FW_NAME_MAX];
@@ -57,121 +67,162 @@
     SoupServer *server;
     struct fw_list replies;
     struct fw_list faults;
-    guint revive;
+    guint restart_timer;
     GQueue journal;
     uint64_t journal_dropped;
     void *owner;
-    void (*handle)(struct fw_reply *r);
-    void (*reset)(struct fw_port *port);
-    void (*changed)(struct fw_port *port);
-    void (*clear)(struct fw_port *port);
-    void (*about)(struct fw_port *port, GString *out);
+    void (*handle)(struct fw_stand_reply *r);
+    void (*reset)(struct fw_stand_port *port);
+    void (*on_fault_change)(struct fw_stand_port *port);
+    void (*on_free)(struct fw_stand_port *port);
+    void (*describe)(struct fw_stand_port *port, GString *out);
 };
 
 /**
- * struct fw_reply - a call that has no whole answer yet.
- * @body: parsed JSON object, or NULL
- * @wait_on: of the log: stream whose next record is waited for
- * @ended: libsoup has let go of the call
- * @timer, @due: what happens later, see Fw_StandReply_Later
- * @gone: called once when the client has closed or the engine died
+ * struct fw_stand_reply - a request without a complete response.
+ * @body: request body if it is a JSON object, else NULL
+ * @body_node: request body if it is JSON, else NULL
+ * @close_watch: detects that the client closed the connection
+ * @finished_handler: id of the handler of the message's "finished" signal
+ * @timer: calls @on_timer, see Fw_StandReply_Schedule()
+ * @wait_stream: log stream whose next record completes a long poll, or NULL
+ * @in_handler: the port's handler runs; freeing is deferred until it returns
+ * @answered: the response was completed inside the handler
+ * @streaming: the response was started with Fw_StandReply_StartStream()
+ * @msg_finished: libsoup has finished the message
+ * @on_disconnect: called at most once, with @disconnect_data, when the client
+ *                 disconnects or the port crashes before the response is
+ *                 complete; may be NULL
  */
-struct fw_reply {
+struct fw_stand_reply {
     struct fw_list link;
-    struct fw_port *port;
+    struct fw_stand_port *port;
     SoupServerMessage *msg;
     char *path;
     GHashTable *query;
     JsonObject *body;
     JsonNode *body_node;
-    GSource *watch;
-    gulong finished;
+    GSource *close_watch;
+    gulong finished_handler;
     guint timer;
-    char *wait_on;
+    char *wait_stream;
     int in_handler;
-    int done;
+    int answered;
     int streaming;
-    int ended;
-    void (*due)(struct fw_reply *r);
-    void (*gone)(void *data);
-    void *data;
+    int msg_finished;
+    void (*on_timer)(struct fw_stand_reply *r);
+    void (*on_disconnect)(void *data);
+    void *disconnect_data;
 };
 
-/* Return: @port; NULL, with @port->owner freed, when no address is free. */
-struct fw_port *
-Fw_StandPort_Open(struct fw_port *port, struct fw_stand *stand,
+/**
+ * Fw_StandPort_Open - starts to listen on a free port of 127.0.0.1.
+ * @port: embedded in @port->owner, with its callbacks set
+ *
+ * Return: @port; NULL, with @port->owner freed, if it cannot listen.
+ */
+struct fw_stand_port *
+Fw_StandPort_Open(struct fw_stand_port *port, struct fw_stand *stand,
                   const char *kind, const char *name, const char *domain);
-/* Closes it and frees its owner. */
+/* Closes the server and all its connections, and frees @port->owner. */
 void
-Fw_StandPort_Free(struct fw_port *port);
-/* Drops all connections and forgets everything, for @for_ms or until the
- * fault "die" is cleared when 0. */
+Fw_StandPort_Free(struct fw_stand_port *port);
+/**
+ * Fw_StandPort_Crash - simulates a crash of the process behind @port.
+ * @outage_ms: length of the outage; 0 until the fault "die" is cleared
+ *
+ * Resets the state, closes all connections and sets the fault "die", with
+ * which new requests are dropped. Does nothing if it is set already.
+ */
 void
-Fw_StandPort_Die(struct fw_port *port, int64_t for_ms);
+Fw_StandPort_Crash(struct fw_stand_port *port, int64_t outage_ms);
 
-/* Takes a call from libsoup; the port's handler answers it. */
+/* Accepts a request from libsoup and passes it to @handle. */
 void
-Fw_StandReply_Take(struct fw_port *port, SoupServerMessage *msg,
-                   const char *path, GHashTable *query,
-                   void (*handle)(struct fw_reply *r));
-/* Each of these ends @r, which is freed. */
+Fw_StandReply_Receive(struct fw_stand_port *port, SoupServerMessage *msg,
+                      const char *path, GHashTable *query,
+                      void (*handle)(struct fw_stand_reply *r));
+/*
+ * The following send a whole response. Don't use @r afterwards: it is freed,
+ * at once or after the delay of the fault "slow". With the fault "lost-answer"
+ * a response with a status below 300 is not sent and the connection is closed.
+ * @fmt and @text of Json and Error are not escaped.
+ */
 void
-Fw_StandReply_Json(struct fw_reply *r, int status, const char *fmt, ...)
+Fw_StandReply_Json(struct fw_stand_reply *r, int status, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 void
-Fw_StandReply_Text(struct fw_reply *r, int status, const char *type,
+Fw_StandReply_Text(struct fw_stand_reply *r, int status, const char *type,
                    const char *text);
 void
-Fw_StandReply_Error(struct fw_reply *r, int status, const char *text);
-/* Drops the connection without an answer. */
+Fw_StandReply_Error(struct fw_stand_reply *r, int status, const char *text);
+/* Closes the connection without completing the response, and frees @r. */
 void
-Fw_StandReply_Cut(struct fw_reply *r);
+Fw_StandReply_Abort(struct fw_stand_reply *r);
 
-/* The same, after telling whoever works on the answer. */
+/* Closes the connection, frees @r and calls its on_disconnect. */
 void
-Fw_StandReply_Gone(struct fw_reply *r);
+Fw_StandReply_Disconnect(struct fw_stand_reply *r);
 
-/* Calls @due in @ms, unless the client has gone by then. */
+/* Calls @on_timer in @ms milliseconds unless @r is freed before. */
 void
-Fw_StandReply_Later(struct fw_reply *r, int64_t ms,
-                    void (*due)(struct fw_reply *r));
+Fw_StandReply_Schedule(struct fw_stand_reply *r, int64_t ms,
+                       void (*on_timer)(struct fw_stand_reply *r));
 
-/* A streamed answer: start, lines, end. */
+/* A chunked response: start it, send lines, end it. EndStream frees @r. */
 void
-Fw_StandReply_Start(struct fw_reply *r, const char *type);
+Fw_StandReply_StartStream(struct fw_stand_reply *r, const char *type);
 void
-Fw_StandReply_Line(struct fw_reply *r, const char *line);
+Fw_StandReply_SendLine(struct fw_stand_reply *r, const char *line);
 void
-Fw_StandReply_End(struct fw_reply *r);
+Fw_StandReply_EndStream(struct fw_stand_reply *r);
 
-/* Members of the body; a missing or wrong one gives @def. */
+/* Member @name of the JSON body; @def if missing or of another type. */
 const char *
-Fw_StandReply_Str(const struct fw_reply *r, const char *name, const char *def);
+Fw_StandReply_Str(const struct fw_stand_reply *r, const char *name,
+                  const char *def);
 int64_t
-Fw_StandReply_Int(const struct fw_reply *r, const char *name, int64_t def);
+Fw_StandReply_Int(const struct fw_stand_reply *r, const char *name,
+                  int64_t def);
+/* Parameter @name of the query string; @def if missing. */
 int64_t
-Fw_StandReply_Query(const struct fw_reply *r, const char *name, int64_t def);
+Fw_StandReply_QueryInt(const struct fw_stand_reply *r, const char *name,
+                       int64_t def);
 
-/* Faults. A hit uses up one of the fault's count. */
+/**
+ * Fw_StandFault_Set - sets a fault from the body of a control request.
+ * @o: JSON object with "name" and optionally "ms", "count", "after",
+ *     "permille", "status", "path", "text" and "stage"
+ *
+ * Return: 0; -EINVAL if the name is unknown.
+ */
 int
-Fw_StandFault_Set(struct fw_port *port, JsonObject *o);
+Fw_StandFault_Set(struct fw_stand_port *port, JsonObject *o);
+/* Return: 0; -ENOENT if the fault is not set. */
 int
-Fw_StandFault_Clear(struct fw_port *port, const char *name);
+Fw_StandFault_Clear(struct fw_stand_port *port, const char *name);
 void
-Fw_StandFault_ClearAll(struct fw_port *port);
+Fw_StandFault_ClearAll(struct fw_stand_port *port);
+/* Return: the fault if it is set, else NULL. */
 const struct fw_stand_fault *
-Fw_StandFault_Find(const struct fw_port *port, const char *name);
+Fw_StandFault_Find(const struct fw_stand_port *port, const char *name);
+/* Consumes one of the fault's remaining triggers. Return: NULL if it is not
+ * set, used up or for another path. */
 const struct fw_stand_fault *
-Fw_StandFault_Hit(struct fw_port *port, const char *name, const char *path);
+Fw_StandFault_Trigger(struct fw_stand_port *port, const char *name,
+                      const char *path);
+/* All known names, separated by spaces. */
 const char *
 Fw_StandFault_Names(void);
 
-/* Journal: what took effect, with the headers that came along. */
+/* Records that request @r took effect, with its method, path and headers. */
 void
-Fw_StandJournal_Add(struct fw_reply *r, const char *effect, const char *id);
+Fw_StandJournal_Add(struct fw_stand_reply *r, const char *effect,
+                    const char *id);
+/* The journal as JSON lines; the caller frees it. */
 char *
-Fw_StandJournal_Text(const struct fw_port *port);
+Fw_StandJournal_Text(const struct fw_stand_port *port);
 void
-Fw_StandJournal_Clear(struct fw_port *port);
+Fw_StandJournal_Clear(struct fw_stand_port *port);
 
 #endif
--- a/stand/prefill.c
+++ b/stand/prefill.c
@@ -1,73 +1,76 @@
-/* Prefill: one prompt at a time, by priority, shortened by the cache. */
+/* Prefill: one prompt at a time, by priority; cached tokens are skipped. */
 #include "stand/engine.h"
 
 #include <inttypes.h>
 #include <string.h>
 
-#define QUEUE_MAX 64
-#define START_US (3 * FW_MSEC)
+/* Limit of the queue, in units of 100 ms of prefill. */
+#define QUEUE_MAX_100MS 64
+#define PREFILL_OVERHEAD_US (3 * FW_MSEC)
 
 static void
-answer(struct fw_work *w)
+answer(struct fw_stand_request *w)
 {
-    struct fw_reply *r = w->reply;
-    int64_t left = (w->lapse_us - g_get_monotonic_time()) / FW_MSEC;
+    struct fw_stand_reply *r = w->reply;
+    int64_t left = (w->expires_us - g_get_monotonic_time()) / FW_MSEC;
 
     w->reply = NULL;
     Fw_StandReply_Json(r, 200,
                        "{\"kv\":\"%s\",\"tokens\":%" PRId64
                        ",\"cached\":%" PRId64 ",\"lapse_ms\":%" PRId64 "}",
-                       w->kv, w->tokens, w->cached, MAX(left, 0));
+                       w->kv_id, w->prompt_tokens, w->cached_tokens,
+                       MAX(left, 0));
 }
 
 void
-Fw_StandPrefill_Hold(struct fw_work *w, int64_t ms)
+Fw_StandPrefill_ExtendExpiry(struct fw_stand_request *w, int64_t ms)
 {
-    ms += w->engine->opts->lapse_ms;
-    w->lapse_us = g_get_monotonic_time() + ms * FW_MSEC;
-    Fw_StandEngine_DropIn(w, ms);
+    ms += w->engine->opts->kv_ttl_ms;
+    w->expires_us = g_get_monotonic_time() + ms * FW_MSEC;
+    Fw_StandEngine_FreeRequestAfter(w, ms);
 }
 
 static gboolean
-computed(gpointer data)
+on_prefill_done(gpointer data)
 {
-    struct fw_work *w = data;
+    struct fw_stand_request *w = data;
     struct fw_stand_engine *e = w->engine;
-    int64_t for_ms;
+    int64_t outage_ms;
 
-    if (Fw_StandEngine_Stalls(e, "prefill")) {
+    if (Fw_StandEngine_IsStalled(e, "prefill")) {
         return G_SOURCE_CONTINUE;
     }
-    if (Fw_StandEngine_Dooms(e, w, "prefill", &for_ms)) {
+    if (Fw_StandEngine_TriggersCrash(e, w, "prefill", &outage_ms)) {
         w->timer = 0;
-        Fw_StandPort_Die(&e->port, for_ms);
+        Fw_StandPort_Crash(&e->port, outage_ms);
         return G_SOURCE_REMOVE;
     }
-    w->stage = FW_STAGE_KV;
-    g_snprintf(w->kv, sizeof(w->kv), "%s-kv-%" G_GUINT64_FORMAT, e->port.name,
-               ++e->kv_seq);
+    w->stage = FW_STAND_STAGE_EXPORTED;
+    g_snprintf(w->kv_id, sizeof(w->kv_id), "%s-kv-%" G_GUINT64_FORMAT,
+               e->port.name, ++e->kv_seq);
     w->timer = 0;
-    Fw_StandPrefill_Hold(w, 0);
+    Fw_StandPrefill_ExtendExpiry(w, 0);
     if (w->reply) {
         answer(w);
     }
-    Fw_StandPrefill_Next(e);
+    Fw_StandPrefill_StartNext(e);
     return G_SOURCE_REMOVE;
 }
 
-static struct fw_work *
-first_queued(const struct fw_stand_engine *e)
+static struct fw_stand_request *
+pick_next(const struct fw_stand_engine *e)
 {
-    struct fw_work *best = NULL;
+    struct fw_stand_request *best = NULL;
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &e->works) {
-        struct fw_work *w = FW_LIST_ENTRY(pos, struct fw_work, link);
+    FW_LIST_EACH (pos, &e->requests) {
+        struct fw_stand_request *w =
+            FW_LIST_ENTRY(pos, struct fw_stand_request, link);
 
-        if (w->stage == FW_STAGE_PREFILL) {
+        if (w->stage == FW_STAND_STAGE_PREFILL) {
             return NULL;
         }
-        if (w->stage == FW_STAGE_QUEUED &&
+        if (w->stage == FW_STAND_STAGE_QUEUED &&
             (!best || w->priority > best->priority)) {
             best = w;
         }
@@ -76,26 +79,27 @@
 }
 
 void
-Fw_StandPrefill_Next(struct fw_stand_engine *e)
+Fw_StandPrefill_StartNext(struct fw_stand_engine *e)
 {
-    struct fw_work *w = first_queued(e);
+    struct fw_stand_request *w = pick_next(e);
     int64_t us;
 
     if (!w) {
         return;
     }
-    w->stage = FW_STAGE_PREFILL;
-    w->cached = Fw_StandCache_Use(e, w->prompt);
-    w->cached = MIN(w->cached, w->tokens);
-    us = START_US + (w->tokens - w->cached) * FW_SEC / e->opts->prefill_rate;
-    w->timer = g_timeout_add((guint)(us / FW_MSEC), computed, w);
+    w->stage = FW_STAND_STAGE_PREFILL;
+    w->cached_tokens = Fw_StandCache_Access(e, w->prompt);
+    w->cached_tokens = MIN(w->cached_tokens, w->prompt_tokens);
+    us = PREFILL_OVERHEAD_US + (w->prompt_tokens - w->cached_tokens) * FW_SEC /
+                                   e->opts->prefill_tokens_per_s;
+    w->timer = g_timeout_add((guint)(us / FW_MSEC), on_prefill_done, w);
 }
 
 static const char *
-refusal(struct fw_stand_engine *e, const struct fw_reply *r, int64_t tokens,
-        int *status)
+rejection_reason(struct fw_stand_engine *e, const struct fw_stand_reply *r,
+                 int64_t tokens, int *status)
 {
-    struct fw_report now;
+    struct fw_stand_load now;
 
     *status = 409;
     if (!Fw_StandOrder_HasModel(e, Fw_StandReply_Str(r, "model", ""),
@@ -109,57 +113,59 @@
     if (Fw_StandFault_Find(&e->port, "leaving")) {
         return "leaving";
     }
-    Fw_StandEngine_Measure(e, &now);
-    if (now.kv_used + tokens > e->opts->kv_total ||
-        now.queued_tokens > QUEUE_MAX * e->opts->prefill_rate / 10) {
+    Fw_StandEngine_MeasureLoad(e, &now);
+    if (now.kv_used + tokens > e->opts->kv_capacity_tokens ||
+        now.queued_tokens >
+            QUEUE_MAX_100MS * e->opts->prefill_tokens_per_s / 10) {
         return "full";
     }
     return NULL;
 }
 
-/* The same id again is the same work: its answer was lost on the way. */
+/* A repeated id is a retry: attaches it to the request in progress. */
 static int
-known(struct fw_stand_engine *e, struct fw_reply *r, const char *id)
+attach_known(struct fw_stand_engine *e, struct fw_stand_reply *r,
+             const char *id)
 {
-    struct fw_work *w = Fw_StandEngine_Find(e, id);
+    struct fw_stand_request *w = Fw_StandEngine_FindRequest(e, id);
 
-    if (!w || w->stage > FW_STAGE_KV) {
+    if (!w || w->stage > FW_STAND_STAGE_EXPORTED) {
         return 0;
     }
-    Fw_StandEngine_Attach(w, r);
-    if (w->stage == FW_STAGE_KV) {
+    Fw_StandEngine_AttachReply(w, r);
+    if (w->stage == FW_STAND_STAGE_EXPORTED) {
         answer(w);
     }
     return 1;
 }
 
 void
-Fw_StandPrefill_Take(struct fw_stand_engine *e, struct fw_reply *r)
+Fw_StandPrefill_Receive(struct fw_stand_engine *e, struct fw_stand_reply *r)
 {
     const char *id = Fw_StandReply_Str(r, "request", "");
     const char *prompt = Fw_StandReply_Str(r, "prompt", NULL);
     int64_t tokens = prompt ? (int64_t)(strlen(prompt) + 3) / 4 : 0;
-    const char *why;
-    struct fw_work *w;
+    const char *reason;
+    struct fw_stand_request *w;
     int status;
 
     if (!*id || !prompt) {
         Fw_StandReply_Error(r, 400, "request and prompt are wanted");
         return;
     }
-    if (known(e, r, id)) {
+    if (attach_known(e, r, id)) {
         return;
     }
-    why = refusal(e, r, tokens, &status);
-    if (why) {
-        Fw_StandReply_Error(r, status, why);
+    reason = rejection_reason(e, r, tokens, &status);
+    if (reason) {
+        Fw_StandReply_Error(r, status, reason);
         return;
     }
     Fw_StandJournal_Add(r, "prefill", id);
-    w = Fw_StandEngine_Add(e, id);
+    w = Fw_StandEngine_AddRequest(e, id);
     w->prompt = g_bytes_new(prompt, strlen(prompt));
-    w->tokens = tokens;
+    w->prompt_tokens = tokens;
     w->priority = (int)Fw_StandReply_Int(r, "priority", 0);
-    Fw_StandEngine_Attach(w, r);
-    Fw_StandPrefill_Next(e);
+    Fw_StandEngine_AttachReply(w, r);
+    Fw_StandPrefill_StartNext(e);
 }
--- a/stand/reply.c
+++ b/stand/reply.c
@@ -1,4 +1,4 @@
-/* Replies to calls: at once, later, streamed, or dropped. */
+/* Responses: immediate, delayed, streamed, or aborted. */
 #include <stdarg.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -6,48 +6,48 @@
 #include "stand/port.h"
 
 static void
-free_reply(struct fw_reply *r)
+free_reply(struct fw_stand_reply *r)
 {
     Fw_List_Remove(&r->link);
-    if (r->watch) {
-        g_source_destroy(r->watch);
-        g_source_unref(r->watch);
+    if (r->close_watch) {
+        g_source_destroy(r->close_watch);
+        g_source_unref(r->close_watch);
     }
     if (r->timer) {
         g_source_remove(r->timer);
     }
-    if (r->finished) {
-        g_signal_handler_disconnect(r->msg, r->finished);
+    if (r->finished_handler) {
+        g_signal_handler_disconnect(r->msg, r->finished_handler);
     }
     g_clear_pointer(&r->query, g_hash_table_unref);
     g_clear_pointer(&r->body_node, json_node_unref);
     g_object_unref(r->msg);
-    g_free(r->wait_on);
+    g_free(r->wait_stream);
     g_free(r->path);
     g_free(r);
 }
 
-/* Lets libsoup write on and lets go of the call. */
+/* Resumes libsoup's processing of the message and frees @r. */
 static void
-finish(struct fw_reply *r)
+finish(struct fw_stand_reply *r)
 {
-    r->gone = NULL;
+    r->on_disconnect = NULL;
     if (r->in_handler) {
-        r->done = 1;
+        r->answered = 1;
         return;
     }
-    if (r->finished) {
-        g_signal_handler_disconnect(r->msg, r->finished);
-        r->finished = 0;
+    if (r->finished_handler) {
+        g_signal_handler_disconnect(r->msg, r->finished_handler);
+        r->finished_handler = 0;
     }
-    if (!r->ended) {
+    if (!r->msg_finished) {
         soup_server_message_unpause(r->msg);
     }
     free_reply(r);
 }
 
 void
-Fw_StandReply_Cut(struct fw_reply *r)
+Fw_StandReply_Abort(struct fw_stand_reply *r)
 {
     GSocket *sock = soup_server_message_get_socket(r->msg);
 
@@ -65,31 +65,31 @@
 }
 
 static gboolean
-call_due(gpointer data)
+call_on_timer(gpointer data)
 {
-    struct fw_reply *r = data;
+    struct fw_stand_reply *r = data;
 
     r->timer = 0;
-    r->due(r);
+    r->on_timer(r);
     return G_SOURCE_REMOVE;
 }
 
 void
-Fw_StandReply_Later(struct fw_reply *r, int64_t ms,
-                    void (*due)(struct fw_reply *r))
+Fw_StandReply_Schedule(struct fw_stand_reply *r, int64_t ms,
+                       void (*due)(struct fw_stand_reply *r))
 {
-    r->due = due;
-    r->timer = g_timeout_add((guint)CLAMP(ms, 0, G_MAXINT), call_due, r);
+    r->on_timer = due;
+    r->timer = g_timeout_add((guint)CLAMP(ms, 0, G_MAXINT), call_on_timer, r);
 }
 
 void
-Fw_StandReply_Text(struct fw_reply *r, int status, const char *type,
+Fw_StandReply_Text(struct fw_stand_reply *r, int status, const char *type,
                    const char *text)
 {
     const struct fw_stand_fault *slow;
     int control;
 
-    r->gone = NULL;
+    r->on_disconnect = NULL;
     if (r->timer) {
         g_source_remove(r->timer);
         r->timer = 0;
@@ -97,23 +97,23 @@
     control = g_str_has_prefix(r->path, "/control/") ||
               strcmp(r->path, "/journal") == 0;
     if (!control && status < 300 &&
-        Fw_StandFault_Hit(r->port, "lost-answer", r->path)) {
-        Fw_StandReply_Cut(r);
+        Fw_StandFault_Trigger(r->port, "lost-answer", r->path)) {
+        Fw_StandReply_Abort(r);
         return;
     }
     soup_server_message_set_status(r->msg, (guint)status, NULL);
     soup_server_message_set_response(r->msg, type, SOUP_MEMORY_COPY, text,
                                      strlen(text));
-    slow = control ? NULL : Fw_StandFault_Hit(r->port, "slow", r->path);
+    slow = control ? NULL : Fw_StandFault_Trigger(r->port, "slow", r->path);
     if (slow) {
-        Fw_StandReply_Later(r, slow->ms, finish);
+        Fw_StandReply_Schedule(r, slow->duration_ms, finish);
         return;
     }
     finish(r);
 }
 
 void
-Fw_StandReply_Json(struct fw_reply *r, int status, const char *fmt, ...)
+Fw_StandReply_Json(struct fw_stand_reply *r, int status, const char *fmt, ...)
 {
     va_list ap;
     char *text;
@@ -126,13 +126,13 @@
 }
 
 void
-Fw_StandReply_Error(struct fw_reply *r, int status, const char *text)
+Fw_StandReply_Error(struct fw_stand_reply *r, int status, const char *text)
 {
     Fw_StandReply_Json(r, status, "{\"error\":\"%s\"}", text);
 }
 
 void
-Fw_StandReply_Start(struct fw_reply *r, const char *type)
+Fw_StandReply_StartStream(struct fw_stand_reply *r, const char *type)
 {
     SoupMessageHeaders *h = soup_server_message_get_response_headers(r->msg);
 
@@ -145,7 +145,7 @@
 }
 
 void
-Fw_StandReply_Line(struct fw_reply *r, const char *line)
+Fw_StandReply_SendLine(struct fw_stand_reply *r, const char *line)
 {
     soup_message_body_append(soup_server_message_get_response_body(r->msg),
                              SOUP_MEMORY_COPY, line, strlen(line));
@@ -155,14 +155,15 @@
 }
 
 void
-Fw_StandReply_End(struct fw_reply *r)
+Fw_StandReply_EndStream(struct fw_stand_reply *r)
 {
     soup_message_body_complete(soup_server_message_get_response_body(r->msg));
     finish(r);
 }
 
 const char *
-Fw_StandReply_Str(const struct fw_reply *r, const char *name, const char *def)
+Fw_StandReply_Str(const struct fw_stand_reply *r, const char *name,
+                  const char *def)
 {
     JsonNode *n = r->body ? json_object_get_member(r->body, name) : NULL;
 
@@ -173,7 +174,8 @@
 }
 
 int64_t
-Fw_StandReply_Int(const struct fw_reply *r, const char *name, int64_t def)
+Fw_StandReply_Int(const struct fw_stand_reply *r, const char *name,
+                  int64_t def)
 {
     JsonNode *n = r->body ? json_object_get_member(r->body, name) : NULL;
 
@@ -184,7 +186,8 @@
 }
 
 int64_t
-Fw_StandReply_Query(const struct fw_reply *r, const char *name, int64_t def)
+Fw_StandReply_QueryInt(const struct fw_stand_reply *r, const char *name,
+                       int64_t def)
 {
     const char *s = r->query ? g_hash_table_lookup(r->query, name) : NULL;
 
@@ -192,12 +195,12 @@
 }
 
 void
-Fw_StandReply_Gone(struct fw_reply *r)
+Fw_StandReply_Disconnect(struct fw_stand_reply *r)
 {
-    void (*gone)(void *) = r->gone;
-    void *data = r->data;
+    void (*gone)(void *) = r->on_disconnect;
+    void *data = r->disconnect_data;
 
-    Fw_StandReply_Cut(r);
+    Fw_StandReply_Abort(r);
     if (gone) {
         gone(data);
     }
@@ -207,47 +210,46 @@
 on_finished(SoupServerMessage *msg, gpointer data)
 {
     (void)msg;
-    ((struct fw_reply *)data)->ended = 1;
-    Fw_StandReply_Gone(data);
+    ((struct fw_stand_reply *)data)->msg_finished = 1;
+    Fw_StandReply_Disconnect(data);
 }
 
 /*
- * While a response is paused libsoup does not notice that the client has
- * closed; an engine would go on generating for nobody. A readable socket
- * with nothing to read tells it.
+ * libsoup does not detect that the client closed the connection while a
+ * message is paused. A readable socket without data to read shows it.
  */
 static gboolean
 on_readable(GSocket *sock, GIOCondition cond, gpointer data)
 {
-    struct fw_reply *r = data;
+    struct fw_stand_reply *r = data;
     char byte;
     ssize_t n = recv(g_socket_get_fd(sock), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
     (void)cond;
-    g_clear_pointer(&r->watch, g_source_unref);
+    g_clear_pointer(&r->close_watch, g_source_unref);
     if (n <= 0) {
-        Fw_StandReply_Gone(r);
+        Fw_StandReply_Disconnect(r);
     }
     return G_SOURCE_REMOVE;
 }
 
 static void
-watch_client(struct fw_reply *r)
+watch_client(struct fw_stand_reply *r)
 {
     GSocket *sock = soup_server_message_get_socket(r->msg);
 
-    r->finished =
+    r->finished_handler =
         g_signal_connect(r->msg, "finished", G_CALLBACK(on_finished), r);
     if (!sock) {
         return;
     }
-    r->watch = g_socket_create_source(sock, G_IO_IN, NULL);
-    g_source_set_callback(r->watch, G_SOURCE_FUNC(on_readable), r, NULL);
-    g_source_attach(r->watch, g_main_context_get_thread_default());
+    r->close_watch = g_socket_create_source(sock, G_IO_IN, NULL);
+    g_source_set_callback(r->close_watch, G_SOURCE_FUNC(on_readable), r, NULL);
+    g_source_attach(r->close_watch, g_main_context_get_thread_default());
 }
 
 static void
-parse_body(struct fw_reply *r)
+parse_body(struct fw_stand_reply *r)
 {
     SoupMessageBody *body = soup_server_message_get_request_body(r->msg);
     GBytes *bytes = soup_message_body_flatten(body);
@@ -267,11 +269,11 @@
 }
 
 void
-Fw_StandReply_Take(struct fw_port *port, SoupServerMessage *msg,
-                   const char *path, GHashTable *query,
-                   void (*handle)(struct fw_reply *r))
+Fw_StandReply_Receive(struct fw_stand_port *port, SoupServerMessage *msg,
+                      const char *path, GHashTable *query,
+                      void (*handle)(struct fw_stand_reply *r))
 {
-    struct fw_reply *r = g_new0(struct fw_reply, 1);
+    struct fw_stand_reply *r = g_new0(struct fw_stand_reply, 1);
 
     r->port = port;
     r->msg = g_object_ref(msg);
@@ -282,7 +284,7 @@
     r->in_handler = 1;
     handle(r);
     r->in_handler = 0;
-    if (r->done) {
+    if (r->answered) {
         free_reply(r);
         return;
     }
--- a/stand/service.c
+++ b/stand/service.c
@@ -1,17 +1,17 @@
-/* A plain service's server: readings may be repeated, orders may not. */
+/* Server of a plain service: idempotent readings, non-idempotent orders. */
 #include <inttypes.h>
 #include <string.h>
 
 #include "stand/stand.h"
 
-struct fw_service_port {
-    struct fw_port port;
+struct fw_stand_service {
+    struct fw_stand_port port;
     int64_t orders;
 };
 
-/* Each order that comes takes effect: nothing here hides a second one. */
+/* Ignores the idempotency key, so a repeated order takes effect twice. */
 static void
-take_order(struct fw_service_port *p, struct fw_reply *r)
+receive_order(struct fw_stand_service *p, struct fw_stand_reply *r)
 {
     SoupMessageHeaders *h = soup_server_message_get_request_headers(r->msg);
     const char *key = soup_message_headers_get_one(h, "Idempotency-Key");
@@ -22,7 +22,7 @@
 }
 
 static void
-handle(struct fw_reply *r)
+handle(struct fw_stand_reply *r)
 {
     const char *method = soup_server_message_get_method(r->msg);
 
@@ -33,17 +33,17 @@
                            "\"slack_water\":\"06:42\",\"height_cm\":112}]}");
     }
     else if (strcmp(method, "POST") == 0 && strcmp(r->path, "/orders") == 0) {
-        take_order(r->port->owner, r);
+        receive_order(r->port->owner, r);
     }
     else {
         Fw_StandReply_Error(r, 404, "no such call");
     }
 }
 
-struct fw_port *
+struct fw_stand_port *
 Fw_StandService_New(struct fw_stand *s, const char *name, const char *domain)
 {
-    struct fw_service_port *p = g_new0(struct fw_service_port, 1);
+    struct fw_stand_service *p = g_new0(struct fw_stand_service, 1);
 
     p->port.owner = p;
     p->port.handle = handle;
--- a/stand/stand.c
+++ b/stand/stand.c
@@ -1,4 +1,4 @@
-/* The whole stand-in: which ports there are. */
+/* Creates the servers of the stand-in and finds them by name. */
 #include "stand/stand.h"
 
 #include <inttypes.h>
@@ -8,37 +8,37 @@
 Fw_Stand_Defaults(struct fw_stand_opts *opts)
 {
     *opts = (struct fw_stand_opts){
-        .prefill = 2,
-        .decode = 2,
-        .services = 2,
+        .prefill_engines = 2,
+        .decode_engines = 2,
+        .service_servers = 2,
         .domains = 2,
-        .slots = 20,
-        .unchecked = 3,
+        .decode_slots = 20,
+        .unfenced_every = 3,
         .seed = 1,
         .model = "tides@1",
         .answer_tokens = 4096,
-        .token_ms = 20,
-        .token_slot_us = 500,
-        .prefill_rate = 40000,
-        .kv_total = 2000000,
+        .step_ms = 20,
+        .step_request_us = 500,
+        .prefill_tokens_per_s = 40000,
+        .kv_capacity_tokens = 2000000,
         .cache_tokens = 400000,
-        .kv_bytes = 20000,
+        .kv_bytes_per_token = 20000,
         .link_bytes_per_s = 10000000000,
-        .lapse_ms = 800,
-        .grace_ms = 2000,
+        .kv_ttl_ms = 800,
+        .resume_grace_ms = 2000,
         .load_lag_ms = 200,
-        .cache_late_ms = 300,
-        .cache_gap_permille = 20,
-        .log_rate = 400,
-        .log_retain = 200000,
+        .cache_event_delay_ms = 300,
+        .cache_event_loss_permille = 20,
+        .log_appends_per_s = 400,
+        .log_retain_records = 200000,
         .list_lag_ms = 500,
         .weights_bytes = 200000000,
-        .weights_rate = 1000000000,
+        .weights_bytes_per_s = 1000000000,
     };
 }
 
 static int
-add(struct fw_stand *s, struct fw_port *port)
+add(struct fw_stand *s, struct fw_stand_port *port)
 {
     if (!port) {
         return 0;
@@ -52,10 +52,11 @@
 {
     char name[FW_NAME_MAX];
     char domain[FW_NAME_MAX];
-    struct fw_port *port;
+    struct fw_stand_port *port;
 
     for (int64_t i = 0; i < n; i++) {
-        int fenced = !s->opts.unchecked || (i + 1) % s->opts.unchecked != 0;
+        int fenced =
+            !s->opts.unfenced_every || (i + 1) % s->opts.unfenced_every != 0;
 
         g_snprintf(name, sizeof(name), "%s-%" PRId64, kind, i);
         g_snprintf(domain, sizeof(domain), "domain-%c",
@@ -76,7 +77,8 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &s->ports) {
-        const struct fw_port *p = FW_LIST_ENTRY(pos, struct fw_port, link);
+        const struct fw_stand_port *p =
+            FW_LIST_ENTRY(pos, struct fw_stand_port, link);
 
         if (!strcmp(p->kind, "engine") || !strcmp(p->kind, "service")) {
             Fw_StandList_Add(s->list, p);
@@ -96,9 +98,9 @@
     s->weights = Fw_StandWeights_New(s);
     if (!add(s, s->list) || !add(s, s->weights) ||
         !add(s, Fw_StandLog_New(s)) ||
-        !add_upstreams(s, "prefill", opts->prefill) ||
-        !add_upstreams(s, "decode", opts->decode) ||
-        !add_upstreams(s, "grid-desk", opts->services)) {
+        !add_upstreams(s, "prefill", opts->prefill_engines) ||
+        !add_upstreams(s, "decode", opts->decode_engines) ||
+        !add_upstreams(s, "grid-desk", opts->service_servers)) {
         Fw_Stand_Free(s);
         return NULL;
     }
@@ -110,7 +112,8 @@
 Fw_Stand_Free(struct fw_stand *s)
 {
     while (!Fw_List_Empty(&s->ports)) {
-        struct fw_port *p = FW_LIST_ENTRY(s->ports.prev, struct fw_port, link);
+        struct fw_stand_port *p =
+            FW_LIST_ENTRY(s->ports.prev, struct fw_stand_port, link);
 
         Fw_List_Remove(&p->link);
         Fw_StandPort_Free(p);
@@ -119,13 +122,14 @@
     g_free(s);
 }
 
-struct fw_port *
+struct fw_stand_port *
 Fw_Stand_Port(const struct fw_stand *s, const char *name_or_url)
 {
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &s->ports) {
-        struct fw_port *p = FW_LIST_ENTRY(pos, struct fw_port, link);
+        struct fw_stand_port *p =
+            FW_LIST_ENTRY(pos, struct fw_stand_port, link);
 
         if (!strcmp(p->name, name_or_url) || !strcmp(p->url, name_or_url)) {
             return p;
@@ -141,7 +145,8 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &s->ports) {
-        const struct fw_port *p = FW_LIST_ENTRY(pos, struct fw_port, link);
+        const struct fw_stand_port *p =
+            FW_LIST_ENTRY(pos, struct fw_stand_port, link);
 
         g_string_append_printf(out, "%s\"%s\":\"%s\"",
                                out->len > 1 ? ",\n " : "", p->name, p->url);
--- a/stand/weights.c
+++ b/stand/weights.c
@@ -1,63 +1,64 @@
-/* The weight store: one fetch after another at its rate. */
+/* Weight store: fetches are served one after another at a limited rate. */
 #include <inttypes.h>
 
 #include "stand/stand.h"
 
-struct fw_weights {
-    struct fw_port port;
-    int64_t free_us;
+struct fw_stand_weights {
+    struct fw_stand_port port;
+    int64_t idle_us; /* time when all queued fetches are complete */
 };
 
 static int64_t
-rate_of(const struct fw_weights *w)
+fetch_rate(const struct fw_stand_weights *w)
 {
     const struct fw_stand_fault *f =
         Fw_StandFault_Find(&w->port, "weights-rate");
 
-    return MAX(f ? f->count : w->port.stand->opts.weights_rate, 1);
+    return MAX(f ? f->count : w->port.stand->opts.weights_bytes_per_s, 1);
 }
 
 int64_t
-Fw_StandWeights_FetchMs(struct fw_port *weights)
+Fw_StandWeights_ReserveFetchMs(struct fw_stand_port *weights)
 {
-    struct fw_weights *w = weights->owner;
+    struct fw_stand_weights *w = weights->owner;
     int64_t now = g_get_monotonic_time();
-    int64_t us = weights->stand->opts.weights_bytes * FW_SEC / rate_of(w);
+    int64_t us = weights->stand->opts.weights_bytes * FW_SEC / fetch_rate(w);
 
     if (Fw_StandFault_Find(weights, "die") ||
-        Fw_StandFault_Hit(weights, "refuse", "/weights")) {
+        Fw_StandFault_Trigger(weights, "refuse", "/weights")) {
         return -1;
     }
-    w->free_us = MAX(w->free_us, now) + us;
-    return (w->free_us - now) / FW_MSEC;
+    w->idle_us = MAX(w->idle_us, now) + us;
+    return (w->idle_us - now) / FW_MSEC;
 }
 
 static void
-sent(struct fw_reply *r)
+on_fetched(struct fw_stand_reply *r)
 {
     Fw_StandReply_Text(r, 200, "application/json", "{}");
 }
 
 static void
-handle(struct fw_reply *r)
+handle(struct fw_stand_reply *r)
 {
-    struct fw_weights *w = r->port->owner;
-    int64_t left = w->free_us - g_get_monotonic_time();
-    int64_t each = w->port.stand->opts.weights_bytes * FW_SEC / rate_of(w);
+    struct fw_stand_weights *w = r->port->owner;
+    int64_t left = w->idle_us - g_get_monotonic_time();
+    int64_t each = w->port.stand->opts.weights_bytes * FW_SEC / fetch_rate(w);
 
     if (g_str_has_prefix(r->path, "/weights/")) {
-        Fw_StandReply_Later(r, Fw_StandWeights_FetchMs(r->port), sent);
+        Fw_StandReply_Schedule(r, Fw_StandWeights_ReserveFetchMs(r->port),
+                               on_fetched);
         return;
     }
     Fw_StandReply_Json(
         r, 200, "{\"rate_bytes_per_s\":%" PRId64 ",\"active\":%" PRId64 "}",
-        rate_of(w), left > 0 ? left / MAX(each, 1) + 1 : 0);
+        fetch_rate(w), left > 0 ? left / MAX(each, 1) + 1 : 0);
 }
 
-struct fw_port *
+struct fw_stand_port *
 Fw_StandWeights_New(struct fw_stand *s)
 {
-    struct fw_weights *w = g_new0(struct fw_weights, 1);
+    struct fw_stand_weights *w = g_new0(struct fw_stand_weights, 1);
 
     w->port.owner = w;
     w->port.handle = handle;
--- a/tests/stand/client.c
+++ b/tests/stand/client.c
@@ -5,48 +5,48 @@
 
 #define WATCHDOG_S 20
 
-/** struct ask - a call under way. */
-struct ask {
+/** struct call - a request in progress. */
+struct call {
     SoupMessage *msg;
     GCancellable *cancel;
     GBytes *body;
-    int status; /* 0: no answer */
+    int status; /* 0: no response */
     int done;
 };
 
-/** struct client - @kv: of the last prefill's answer. */
+/** struct client - @kv: value of $KV, see struct step. */
 struct client {
     struct fw_stand *stand;
     SoupSession *session;
-    struct ask *started;
+    struct call *started;
     char kv[FW_ID_MAX];
 };
 
 void
-Fw_StandScript_Options(struct fw_stand_opts *opts)
+Fw_StandScript_SetDefaults(struct fw_stand_opts *opts)
 {
     Fw_Stand_Defaults(opts);
-    opts->prefill = 1;
-    opts->decode = 1;
-    opts->services = 1;
-    opts->unchecked = 2;
-    opts->token_ms = 1;
-    opts->token_slot_us = 0;
-    opts->prefill_rate = 1000000;
-    opts->lapse_ms = 900;
-    opts->grace_ms = 900;
+    opts->prefill_engines = 1;
+    opts->decode_engines = 1;
+    opts->service_servers = 1;
+    opts->unfenced_every = 2;
+    opts->step_ms = 1;
+    opts->step_request_us = 0;
+    opts->prefill_tokens_per_s = 1000000;
+    opts->kv_ttl_ms = 900;
+    opts->resume_grace_ms = 900;
     opts->load_lag_ms = 5;
-    opts->cache_late_ms = 0;
-    opts->cache_gap_permille = 0;
+    opts->cache_event_delay_ms = 0;
+    opts->cache_event_loss_permille = 0;
     opts->list_lag_ms = 0;
-    opts->log_rate = 100000;
+    opts->log_appends_per_s = 100000;
     opts->weights_bytes = 1000;
 }
 
 static void
 on_read(GObject *source, GAsyncResult *res, gpointer data)
 {
-    struct ask *a = data;
+    struct call *a = data;
 
     a->body =
         soup_session_send_and_read_finish(SOUP_SESSION(source), res, NULL);
@@ -54,7 +54,7 @@
     a->done = 1;
 }
 
-/* Replaces $KV and $NAME of ports. */
+/* Replaces $KV and the names of ports, see struct step. */
 static char *
 expand(const struct client *c, const char *text)
 {
@@ -63,7 +63,8 @@
 
     g_string_replace(s, "$KV", c->kv, 0);
     FW_LIST_EACH (pos, &c->stand->ports) {
-        const struct fw_port *p = FW_LIST_ENTRY(pos, struct fw_port, link);
+        const struct fw_stand_port *p =
+            FW_LIST_ENTRY(pos, struct fw_stand_port, link);
         char *name = g_strconcat("$", p->name, NULL);
 
         g_string_replace(s, name, p->url, 0);
@@ -72,12 +73,12 @@
     return g_string_free(s, FALSE);
 }
 
-static struct ask *
-ask(struct client *c, const struct step *s)
+static struct call *
+send_call(struct client *c, const struct step *s)
 {
-    struct ask *a = g_new0(struct ask, 1);
+    struct call *a = g_new0(struct call, 1);
     char **w = g_strsplit(s->call, " ", 3);
-    const struct fw_port *port = Fw_Stand_Port(c->stand, w[1]);
+    const struct fw_stand_port *port = Fw_Stand_Port(c->stand, w[1]);
     char *path = expand(c, w[2]);
     char *url = g_strconcat(port->url, path, NULL);
     char *body = s->body ? expand(c, s->body) : NULL;
@@ -102,28 +103,28 @@
 }
 
 static gboolean
-bark(gpointer data)
+on_timeout(gpointer data)
 {
     *(int *)data = 1;
     return G_SOURCE_CONTINUE;
 }
 
-/* Drives the loop until the call has ended. */
+/* Runs the event loop until the call is complete. */
 static void
-wait_for(const struct ask *a, const char *call)
+wait_for(const struct call *a, const char *call)
 {
-    int late = 0;
-    guint dog = g_timeout_add_seconds(WATCHDOG_S, bark, &late);
+    int timed_out = 0;
+    guint watchdog = g_timeout_add_seconds(WATCHDOG_S, on_timeout, &timed_out);
 
-    while (!a->done && !late) {
+    while (!a->done && !timed_out) {
         g_main_context_iteration(NULL, TRUE);
     }
-    g_source_remove(dog);
-    ck_assert_msg(a->done, "no end of: %s", call);
+    g_source_remove(watchdog);
+    ck_assert_msg(a->done, "request did not complete: %s", call);
 }
 
 static void
-free_ask(struct ask *a)
+free_call(struct call *a)
 {
     g_clear_pointer(&a->body, g_bytes_unref);
     g_object_unref(a->msg);
@@ -131,9 +132,10 @@
     g_free(a);
 }
 
-/* Nonzero when the answer is as @s expects it; keeps the KV it names. */
+/* Nonzero if the response matches @s; stores its KV cache id for $KV. */
 static int
-fits(struct client *c, const struct ask *a, const struct step *s, char **text)
+matches(struct client *c, const struct call *a, const struct step *s,
+        char **text)
 {
     gsize len = 0;
     const char *data = a->body ? g_bytes_get_data(a->body, &len) : "";
@@ -148,85 +150,85 @@
     if (a->status != s->status) {
         return 0;
     }
-    if (s->has && s->has[0] == '!') {
-        return !strstr(*text, s->has + 1);
+    if (s->expected && s->expected[0] == '!') {
+        return !strstr(*text, s->expected + 1);
     }
-    return !s->has || strstr(*text, s->has);
+    return !s->expected || strstr(*text, s->expected);
 }
 
 static void
-check(struct client *c, struct ask *a, const struct step *s, int number)
+check(struct client *c, struct call *a, const struct step *s, int number)
 {
     char *text;
     int ok;
 
-    wait_for(a, s->call ? s->call : "the call begun before");
-    ok = fits(c, a, s, &text);
+    wait_for(a, s->call ? s->call : "the started call");
+    ok = matches(c, a, s, &text);
     ck_assert_msg(ok, "step %d %s: status %d, %s; expected %d, %s", number,
                   s->call ? s->call : "take", a->status, text, s->status,
-                  s->has ? s->has : "anything");
+                  s->expected ? s->expected : "anything");
     g_free(text);
-    free_ask(a);
+    free_call(a);
 }
 
 static void
-until(struct client *c, const struct step *s, int number)
+poll_until(struct client *c, const struct step *s, int number)
 {
-    int late = 0;
-    guint dog = g_timeout_add_seconds(WATCHDOG_S, bark, &late);
+    int timed_out = 0;
+    guint watchdog = g_timeout_add_seconds(WATCHDOG_S, on_timeout, &timed_out);
     int ok = 0;
 
-    while (!ok && !late) {
-        struct ask *a = ask(c, s);
+    while (!ok && !timed_out) {
+        struct call *a = send_call(c, s);
         char *text;
 
         wait_for(a, s->call);
-        ok = fits(c, a, s, &text);
+        ok = matches(c, a, s, &text);
         g_free(text);
-        free_ask(a);
+        free_call(a);
     }
-    g_source_remove(dog);
-    ck_assert_msg(ok, "step %d: never so: %s %s", number, s->call,
-                  s->has ? s->has : "");
+    g_source_remove(watchdog);
+    ck_assert_msg(ok, "step %d: response never matched: %s %s", number,
+                  s->call, s->expected ? s->expected : "");
 }
 
 static void
-play_step(struct client *c, const struct step *s, int number)
+run_step(struct client *c, const struct step *s, int number)
 {
     switch (s->kind) {
-    case FW_STEP_ASK:
-        check(c, ask(c, s), s, number);
+    case FW_SCRIPT_CALL:
+        check(c, send_call(c, s), s, number);
         break;
-    case FW_STEP_UNTIL:
-        until(c, s, number);
+    case FW_SCRIPT_POLL:
+        poll_until(c, s, number);
         break;
-    case FW_STEP_START:
-        c->started = ask(c, s);
+    case FW_SCRIPT_START:
+        c->started = send_call(c, s);
         break;
-    case FW_STEP_TAKE:
+    case FW_SCRIPT_AWAIT:
         check(c, g_steal_pointer(&c->started), s, number);
         break;
-    case FW_STEP_LEAVE:
+    case FW_SCRIPT_DISCONNECT:
         ck_assert(c->started != NULL);
         g_cancellable_cancel(c->started->cancel);
-        wait_for(c->started, "a call that was given up");
-        free_ask(g_steal_pointer(&c->started));
+        wait_for(c->started, "the cancelled call");
+        free_call(g_steal_pointer(&c->started));
         break;
-    case FW_STEP_END:
+    case FW_SCRIPT_END:
         break;
     }
 }
 
 void
-Fw_StandScript_Play(const struct fw_stand_opts *opts, const struct step *steps)
+Fw_StandScript_Run(const struct fw_stand_opts *opts, const struct step *steps)
 {
     struct client c = {.stand = Fw_Stand_New(opts)};
 
     ck_assert_ptr_nonnull(c.stand);
     c.session = soup_session_new_with_options("max-conns", 64,
                                               "max-conns-per-host", 64, NULL);
-    for (int i = 0; steps[i].kind != FW_STEP_END; i++) {
-        play_step(&c, &steps[i], i + 1);
+    for (int i = 0; steps[i].kind != FW_SCRIPT_END; i++) {
+        run_step(&c, &steps[i], i + 1);
     }
     soup_session_abort(c.session);
     g_object_unref(c.session);
--- a/tests/stand/client.h
+++ b/tests/stand/client.h
@@ -1,4 +1,4 @@
-/* A client on the same loop as the stand-in, and scripts for it. */
+/* HTTP client for the stand-in on the same event loop, driven by scripts. */
 #ifndef FW_TEST_STAND_CLIENT_H
 #define FW_TEST_STAND_CLIENT_H
 
@@ -6,35 +6,37 @@
 
 /** enum step_kind - what a step of a script does. */
 enum step_kind {
-    FW_STEP_END, /* of the script */
-    FW_STEP_ASK,
-    FW_STEP_UNTIL, /* asks again and again until the answer is as expected */
-    FW_STEP_START, /* asks, and does not wait */
-    FW_STEP_TAKE,  /* the answer to the FW_STEP_START */
-    FW_STEP_LEAVE, /* closes the connection of the FW_STEP_START */
+    FW_SCRIPT_END,        /* terminates the array */
+    FW_SCRIPT_CALL,       /* sends a request and checks the response */
+    FW_SCRIPT_POLL,       /* repeats a request until the response matches */
+    FW_SCRIPT_START,      /* sends a request without waiting */
+    FW_SCRIPT_AWAIT,      /* checks the response to FW_SCRIPT_START */
+    FW_SCRIPT_DISCONNECT, /* closes the connection of FW_SCRIPT_START */
 };
 
 /**
- * struct step - one call.
- * @call: "METHOD PORT PATH"; in @body, $KV is the last prefill's KV and
- *        $PORT the base URL of the port named PORT
- * @status: expected, 0 when the connection is lost
- * @has: what the answer holds, or NULL; with a leading ! what it does not
+ * struct step - one step of a script.
+ * @call: "METHOD PORT PATH"; in the path and in @body, $KV is replaced by the
+ *        "kv" of the last successful prefill and $NAME by the base URL of the
+ *        port with that name
+ * @body: request body, or NULL
+ * @status: expected HTTP status, 0 if the connection is closed instead
+ * @expected: text that the response contains, or NULL; with a leading "!"
+ *            text that it does not contain
  */
 struct step {
     enum step_kind kind;
     const char *call;
     const char *body;
     int status;
-    const char *has;
+    const char *expected;
 };
 
-/* Runs @steps against a new stand-in made with @opts. */
+/* Runs @steps, up to FW_SCRIPT_END, against a new stand-in with @opts. */
 void
-Fw_StandScript_Play(const struct fw_stand_opts *opts,
-                    const struct step *steps);
-/* Quick engines, short lives. */
+Fw_StandScript_Run(const struct fw_stand_opts *opts, const struct step *steps);
+/* Options for tests: one server of each kind, fast engines, short timeouts. */
 void
-Fw_StandScript_Options(struct fw_stand_opts *opts);
+Fw_StandScript_SetDefaults(struct fw_stand_opts *opts);
 
 #endif
