--- a/stand/reply.c
+++ b/stand/reply.c
@@ -76,9 +76,9 @@
 
 void
 Fw_StandReply_Schedule(struct fw_stand_reply *r, int64_t ms,
-                       void (*due)(struct fw_stand_reply *r))
+                       void (*on_timer)(struct fw_stand_reply *r))
 {
-    r->on_timer = due;
+    r->on_timer = on_timer;
     r->timer = g_timeout_add((guint)CLAMP(ms, 0, G_MAXINT), call_on_timer, r);
 }
 
--- a/stand/stand.c
+++ b/stand/stand.c
@@ -38,7 +38,7 @@
 }
 
 static int
-add(struct fw_stand *s, struct fw_stand_port *port)
+add_port(struct fw_stand *s, struct fw_stand_port *port)
 {
     if (!port) {
         return 0;
@@ -64,7 +64,7 @@
         port = strcmp(kind, "grid-desk") == 0
                    ? Fw_StandService_New(s, name, domain)
                    : Fw_StandEngine_New(s, name, domain, kind, fenced);
-        if (!add(s, port)) {
+        if (!add_port(s, port)) {
             return 0;
         }
     }
@@ -96,8 +96,8 @@
     Fw_List_Init(&s->ports);
     s->list = Fw_StandList_New(s);
     s->weights = Fw_StandWeights_New(s);
-    if (!add(s, s->list) || !add(s, s->weights) ||
-        !add(s, Fw_StandLog_New(s)) ||
+    if (!add_port(s, s->list) || !add_port(s, s->weights) ||
+        !add_port(s, Fw_StandLog_New(s)) ||
         !add_upstreams(s, "prefill", opts->prefill_engines) ||
         !add_upstreams(s, "decode", opts->decode_engines) ||
         !add_upstreams(s, "grid-desk", opts->service_servers)) {
--- a/stand/wire/calls.c
+++ b/stand/wire/calls.c
@@ -1,4 +1,4 @@
-/* An engine's own calls: reservations, KV caches, orders, reports. */
+/* Control requests of an engine: reservations, KV caches, orders, reports. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -13,7 +13,8 @@
 }
 
 static void
-on_hold(struct fw_wire_server *s, struct fw_http_caller *c, GBytes *body)
+handle_reserve(struct fw_wire_server *s, struct fw_http_caller *c,
+               GBytes *body)
 {
     gsize len;
     const char *data = g_bytes_get_data(body, &len);
@@ -30,21 +31,21 @@
         json_node_unref(root);
     }
     if (tokens <= 0 || Fw_WireServer_Held(s) + tokens > s->opts.kv_tokens) {
-        Fw_Wire_NotRun(c, 503);
+        Fw_Wire_RejectNotExecuted(c, 503);
         return;
     }
-    name = Fw_Wire_Keep(s, s->holds, tokens, (int)ttl);
+    name = Fw_Wire_AddLease(s, s->reservations, tokens, (int)ttl);
     answer_json(c, 200, g_strdup_printf("{\"Hold\":\"%s\"}", name));
     g_free(name);
 }
 
 static int
-take_order(struct fw_wire_server *s, JsonObject *obj)
+apply_order(struct fw_wire_server *s, JsonObject *obj)
 {
     const char *holder;
     const char *stage;
     int64_t fence;
-    int64_t expected = s->orders;
+    int64_t expected = s->order_sequence;
 
     if (Fw_Json_Str(obj, "Holder", &holder) ||
         Fw_Json_Int(obj, "FencingToken", &fence) ||
@@ -52,29 +53,29 @@
         return 400;
     }
     Fw_Json_Int(obj, "Expected", &expected);
-    if (fence < s->fence) {
+    if (fence < s->highest_fence) {
         return 412;
     }
-    if (expected != s->orders) {
+    if (expected != s->order_sequence) {
         return 409;
     }
-    s->fence = fence;
+    s->highest_fence = fence;
     if (strcmp(stage, s->stage) == 0) {
         return 200;
     }
-    s->orders++;
+    s->order_sequence++;
     g_strlcpy(s->stage, stage, sizeof(s->stage));
     Fw_Wire_Register(s);
     return 202;
 }
 
 static void
-on_order(struct fw_wire_server *s, struct fw_http_caller *c, GBytes *body)
+handle_order(struct fw_wire_server *s, struct fw_http_caller *c, GBytes *body)
 {
     gsize len;
     const char *data = g_bytes_get_data(body, &len);
     JsonNode *root = Fw_Json_Parse(data, len);
-    int status = root ? take_order(s, json_node_get_object(root)) : 400;
+    int status = root ? apply_order(s, json_node_get_object(root)) : 400;
 
     if (root) {
         json_node_unref(root);
@@ -83,7 +84,7 @@
 }
 
 static void
-on_report(struct fw_wire_server *s, struct fw_http_caller *c)
+handle_report(struct fw_wire_server *s, struct fw_http_caller *c)
 {
     answer_json(
         c, 200,
@@ -91,20 +92,21 @@
                         "\"Sequence\":%" PRId64
                         ",\"Queued\":0,\"Active\":%u,\"KvUsed\":%" PRId64
                         ",\"KvCapacity\":%" PRId64 ",\"KvHandles\":%u}",
-                        s->stage, s->orders, g_list_length(s->runs), s->used,
-                        s->opts.kv_tokens, g_hash_table_size(s->handles)));
+                        s->stage, s->order_sequence, g_list_length(s->runs),
+                        s->active_tokens, s->opts.kv_tokens,
+                        g_hash_table_size(s->kv_handles)));
 }
 
 static int
-line_is(const struct fw_http_head *h, const char *method, const char *path)
+is_request(const struct fw_http_head *h, const char *method, const char *path)
 {
     return Fw_Http_MethodIs(h, method) && h->target_len >= strlen(path) &&
            memcmp(h->target, path, strlen(path)) == 0;
 }
 
 static void
-drop(const struct fw_http_head *h, const char *path, GHashTable *from,
-     struct fw_http_caller *c)
+handle_delete(const struct fw_http_head *h, const char *path, GHashTable *from,
+              struct fw_http_caller *c)
 {
     char *name =
         g_strndup(h->target + strlen(path), h->target_len - strlen(path));
@@ -114,23 +116,23 @@
 }
 
 int
-Fw_Wire_Call(struct fw_wire_server *s, struct fw_http_caller *c,
-             const struct fw_http_head *h, GBytes *body)
+Fw_Wire_HandleControl(struct fw_wire_server *s, struct fw_http_caller *c,
+                      const struct fw_http_head *h, GBytes *body)
 {
-    if (line_is(h, "POST", "/-/hold-take")) {
-        on_hold(s, c, body);
+    if (is_request(h, "POST", "/-/hold-take")) {
+        handle_reserve(s, c, body);
     }
-    else if (line_is(h, "DELETE", "/-/hold-drop/")) {
-        drop(h, "/-/hold-drop/", s->holds, c);
+    else if (is_request(h, "DELETE", "/-/hold-drop/")) {
+        handle_delete(h, "/-/hold-drop/", s->reservations, c);
     }
-    else if (line_is(h, "DELETE", "/-/kv-handle/")) {
-        drop(h, "/-/kv-handle/", s->handles, c);
+    else if (is_request(h, "DELETE", "/-/kv-handle/")) {
+        handle_delete(h, "/-/kv-handle/", s->kv_handles, c);
     }
-    else if (line_is(h, "GET", "/-/report")) {
-        on_report(s, c);
+    else if (is_request(h, "GET", "/-/report")) {
+        handle_report(s, c);
     }
-    else if (line_is(h, "POST", "/-/order")) {
-        on_order(s, c, body);
+    else if (is_request(h, "POST", "/-/order")) {
+        handle_order(s, c, body);
     }
     else {
         return 0;
--- a/stand/wire/config.c
+++ b/stand/wire/config.c
@@ -1,7 +1,7 @@
-/* The configuration that tests and demo use. */
+/* Routing configuration for tests and the demo. */
 #include "stand/wire/wire.h"
 
-/* One route; @rest: further members. */
+/* Appends a route; @rest: further JSON members, with a leading comma. */
 static void
 add_route(GString *out, const char *prefix, const char *kind,
           const char *service, const char *rest)
--- a/stand/wire/internal.h
+++ b/stand/wire/internal.h
@@ -1,31 +1,50 @@
-/* Shared by the files of stand/wire. */
+/* Declarations shared by the files of stand/wire. */
 #ifndef FW_STAND_WIRE_INTERNAL_H
 #define FW_STAND_WIRE_INTERNAL_H
 
 #include "base/limits.h"
 #include "stand/wire/wire.h"
 
-#define FW_STRIDE 72 /* tokens in one event */
+#define FW_TOKENS_PER_EVENT 72
 
-/** struct run - a request that is being worked on. */
+/**
+ * struct run - a request in progress.
+ * @timer: start of the response, or its next event
+ * @next_event: index of the event sent next
+ * @event_count: events of the stream; 0 if the response is not a stream
+ * @tokens: KV tokens that it occupies
+ * @prefill: nonzero for a prefill request
+ */
 struct run {
     struct fw_wire_server *server;
     struct fw_http_caller *caller;
     guint timer;
-    int piece;
-    int pieces;
+    int next_event;
+    int event_count;
     int64_t tokens;
     int prefill;
     char id[FW_ID_MAX];
     enum fw_wire_fault fault;
 };
 
-/** struct held - a reservation or a KV cache. */
-struct held {
+/** struct kv_lease - KV tokens that are kept until @expires_us. */
+struct kv_lease {
     int64_t tokens;
-    int64_t until_us;
+    int64_t expires_us;
 };
 
+/**
+ * struct fw_wire_server - an engine or a plain server.
+ * @reservations: name to struct kv_lease: capacity reserved for a decode
+ * @kv_handles: name to struct kv_lease: prefilled KV caches
+ * @last_head: head of the request started last
+ * @faults_left: requests that @fault is still injected into
+ * @active_tokens: KV tokens of @runs
+ * @order_sequence: number of orders executed
+ * @highest_fence: highest fencing token of an order
+ * @role_switch_until_us: requests are rejected before this time
+ * @register_sequence: sequence number of its entry in the store
+ */
 struct fw_wire_server {
     struct fw_http_server *http;
     struct fw_wire_store *store;
@@ -35,52 +54,57 @@
     char zone[FW_NAME_MAX];
     char stage[16];
     char addr[FW_URL_MAX];
-    GHashTable *holds;
-    GHashTable *handles;
+    GHashTable *reservations;
+    GHashTable *kv_handles;
     GList *runs;
     GString *last_head;
     enum fw_wire_fault fault;
-    int faults;
-    int faulted;
-    int begun;
-    int64_t used;
-    int64_t orders;
-    int64_t fence;
-    int64_t switch_us;
+    int faults_left;
+    int fault_triggered;
+    int started_count;
+    int64_t active_tokens;
+    int64_t order_sequence;
+    int64_t highest_fence;
+    int64_t role_switch_until_us;
     int draining;
-    int beat;
-    unsigned next_name;
+    int register_sequence;
+    unsigned next_lease_id;
 };
 
-/* Engines of this process by address, since KV caches move between them. */
-extern GHashTable *Fw_Wire_Engines;
+/* Servers of this process by address, to claim KV caches from each other. */
+extern GHashTable *Fw_Wire_ServersByAddr;
 
 /* server.c */
+/* Writes the server's entry to the store. */
 void
 Fw_Wire_Register(struct fw_wire_server *s);
-/* Field @name as a new string, empty when it is missing. */
+/* Copy of header field @name, "" if missing; the caller frees it. */
 char *
-Fw_Wire_Field(const struct fw_http_head *h, const char *name);
-/* Tokens of the entries of @t that live; the others are dropped. */
+Fw_Wire_CopyField(const struct fw_http_head *h, const char *name);
+/* Removes expired leases of @t. Return: tokens of the others. */
 int64_t
-Fw_Wire_SumOf(GHashTable *t, int64_t now);
-/* Keeps @tokens in @in for @ms. Return: its new name. */
+Fw_Wire_SumLeases(GHashTable *t, int64_t now);
+/* Adds a lease to @in for @ms. Return: its name; the caller frees it. */
 char *
-Fw_Wire_Keep(struct fw_wire_server *s, GHashTable *in, int64_t tokens, int ms);
+Fw_Wire_AddLease(struct fw_wire_server *s, GHashTable *in, int64_t tokens,
+                 int ms);
 
 /* run.c */
+/* Admits and starts a request, or rejects it. */
 void
-Fw_Wire_Begin(struct fw_wire_server *s, struct fw_http_caller *c,
-              const struct fw_http_head *h);
+Fw_Wire_StartRun(struct fw_wire_server *s, struct fw_http_caller *c,
+                 const struct fw_http_head *h);
+/* Frees @r and its tokens; does not answer the request. */
 void
-Fw_Wire_RunEnd(struct run *r);
+Fw_Wire_EndRun(struct run *r);
+/* Answers @status and that the request was not executed. */
 void
-Fw_Wire_NotRun(struct fw_http_caller *c, int status);
+Fw_Wire_RejectNotExecuted(struct fw_http_caller *c, int status);
 
-/* calls.c */
-/* The engine's own calls. Return: 0 when this is none of them. */
+/* control.c */
+/* Handles control requests. Return: 0 if the request is not one. */
 int
-Fw_Wire_Call(struct fw_wire_server *s, struct fw_http_caller *c,
-             const struct fw_http_head *h, GBytes *body);
+Fw_Wire_HandleControl(struct fw_wire_server *s, struct fw_http_caller *c,
+                      const struct fw_http_head *h, GBytes *body);
 
 #endif
--- a/stand/wire/main.c
+++ b/stand/wire/main.c
@@ -1,6 +1,6 @@
 /*
- * fwwire: a small deployment of the users' platform in one process, for the
- * demo: the store, two prefill and four decode engines, two plain servers.
+ * fwwire: a small deployment for the demo in one process: the store, two
+ * prefill and four decode engines, and two plain servers.
  */
 #include <argp.h>
 #include <errno.h>
@@ -13,25 +13,25 @@
 
 static const struct argp_option options[] = {
     {"port", 'p', "PORT", 0, "Port of the store, 0 for any", 0},
-    {"fault", 'f', "WORD", 0,
-     "What servers do to each request: full, fail, reset, break, stall", 0},
+    {"fault", 'f', "NAME", 0,
+     "Fault injected into each request: full, fail, reset, break, stall", 0},
     {0},
 };
 
-/* Requests that a fault lasts for: all of a demo's. */
-#define FW_ALWAYS 1000000
+/* Exceeds the number of requests in a demo. */
+#define FW_DEMO_FAULT_COUNT 1000000
 
-/** struct arguments - of the command line. */
+/** struct arguments - command line arguments. */
 struct arguments {
     int port;
     enum fw_wire_fault fault;
 };
 
 static int
-read_fault(const char *word, enum fw_wire_fault *out)
+parse_fault(const char *name, enum fw_wire_fault *out)
 {
     static const struct {
-        const char *word;
+        const char *name;
         enum fw_wire_fault fault;
     } faults[] = {{"full", FW_WIRE_FULL},
                   {"fail", FW_WIRE_FAIL},
@@ -40,7 +40,7 @@
                   {"stall", FW_WIRE_STALL}};
 
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
-        if (strcmp(faults[i].word, word) == 0) {
+        if (strcmp(faults[i].name, name) == 0) {
             *out = faults[i].fault;
             return 0;
         }
@@ -58,8 +58,8 @@
         args->port = atoi(arg);
         return 0;
     case 'f':
-        if (read_fault(arg, &args->fault)) {
-            argp_error(state, "no fault `%s'", arg);
+        if (parse_fault(arg, &args->fault)) {
+            argp_error(state, "unknown fault `%s'", arg);
         }
         return 0;
     default:
@@ -70,7 +70,7 @@
 static const struct argp parser = {
     .options = options,
     .parser = parse_opt,
-    .doc = "Stand-in for the users' platform. Prints the store's address.",
+    .doc = "Stand-in for the deployment platform. Prints the store's address.",
 };
 
 static const struct fw_wire_opts servers[] = {
@@ -85,7 +85,7 @@
 };
 
 static gboolean
-on_term(gpointer loop)
+on_signal(gpointer loop)
 {
     g_main_loop_quit(loop);
     return G_SOURCE_CONTINUE;
@@ -94,7 +94,7 @@
 int
 main(int argc, char **argv)
 {
-    struct fw_wire_server *all[G_N_ELEMENTS(servers)];
+    struct fw_wire_server *running[G_N_ELEMENTS(servers)];
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
     struct fw_wire_store *store;
     char *config = Fw_Wire_Config(1, "\"demo-key\"");
@@ -105,17 +105,18 @@
     g_snprintf(addr, sizeof(addr), "127.0.0.1:%d", args.port);
     store = Fw_WireStore_New(addr);
     for (size_t i = 0; i < G_N_ELEMENTS(servers); i++) {
-        all[i] = Fw_WireServer_New(store, "127.0.0.1:0", &servers[i]);
-        Fw_WireServer_SetFault(all[i], args.fault, args.fault ? FW_ALWAYS : 0);
+        running[i] = Fw_WireServer_New(store, "127.0.0.1:0", &servers[i]);
+        Fw_WireServer_SetFault(running[i], args.fault,
+                               args.fault ? FW_DEMO_FAULT_COUNT : 0);
     }
     Fw_WireStore_Put(store, "keyed.op", "config", config);
     printf("127.0.0.1:%d\n", Fw_WireStore_Port(store));
     fflush(stdout);
-    g_unix_signal_add(SIGTERM, on_term, loop);
-    g_unix_signal_add(SIGINT, on_term, loop);
+    g_unix_signal_add(SIGTERM, on_signal, loop);
+    g_unix_signal_add(SIGINT, on_signal, loop);
     g_main_loop_run(loop);
     for (size_t i = 0; i < G_N_ELEMENTS(servers); i++) {
-        Fw_WireServer_Free(all[i]);
+        Fw_WireServer_Free(running[i]);
     }
     Fw_WireStore_Free(store);
     g_main_loop_unref(loop);
--- a/stand/wire/run.c
+++ b/stand/wire/run.c
@@ -1,4 +1,4 @@
-/* Requests that a server runs: prompts read, streams, plain answers. */
+/* Execution of requests: prefill, streamed and plain responses. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -6,9 +6,9 @@
 #include "stand/wire/internal.h"
 
 void
-Fw_Wire_RunEnd(struct run *r)
+Fw_Wire_EndRun(struct run *r)
 {
-    r->server->used -= r->tokens;
+    r->server->active_tokens -= r->tokens;
     r->server->runs = g_list_remove(r->server->runs, r);
     if (r->timer) {
         g_source_remove(r->timer);
@@ -17,13 +17,13 @@
 }
 
 void
-Fw_Wire_NotRun(struct fw_http_caller *c, int status)
+Fw_Wire_RejectNotExecuted(struct fw_http_caller *c, int status)
 {
     Fw_Caller_Answer(c, status, "Not-Executed: 1\r\n", "");
 }
 
 static char *
-answer_fields(const struct run *r, const char *type)
+response_fields(const struct run *r, const char *type)
 {
     return g_strdup_printf("Request-Id: %s\r\nServer-Stamp: %s.1\r\n"
                            "Content-Type: %s\r\n",
@@ -31,35 +31,37 @@
 }
 
 static gboolean
-on_piece(gpointer data)
+send_event(gpointer data)
 {
     struct run *r = data;
     char *event;
 
-    if (r->fault == FW_WIRE_BREAK && r->piece == 3) {
+    if (r->fault == FW_WIRE_BREAK && r->next_event == 3) {
         r->timer = 0;
         Fw_Caller_Cut(r->caller);
-        Fw_Wire_RunEnd(r);
+        Fw_Wire_EndRun(r);
         return G_SOURCE_REMOVE;
     }
-    event = g_strdup_printf("id: %d\ndata: piece %d\n\n", r->piece, r->piece);
+    event = g_strdup_printf("id: %d\ndata: piece %d\n\n", r->next_event,
+                            r->next_event);
     Fw_Caller_Data(r->caller, event, strlen(event));
     g_free(event);
-    if (++r->piece < r->pieces) {
+    if (++r->next_event < r->event_count) {
         return G_SOURCE_CONTINUE;
     }
     r->timer = 0;
     Fw_Caller_End(r->caller);
-    Fw_Wire_RunEnd(r);
+    Fw_Wire_EndRun(r);
     return G_SOURCE_REMOVE;
 }
 
 static void
-end_prefill(struct run *r)
+answer_prefill(struct run *r)
 {
     struct fw_wire_server *s = r->server;
-    char *fields = answer_fields(r, "application/json");
-    char *name = Fw_Wire_Keep(s, s->handles, r->tokens, s->opts.handle_ms);
+    char *fields = response_fields(r, "application/json");
+    char *name = Fw_Wire_AddLease(s, s->kv_handles, r->tokens,
+                                  s->opts.kv_handle_ttl_ms);
     char *body = g_strdup_printf("{\"HandleId\":\"%s\",\"Tokens\":%" PRId64
                                  ",\"Version\":1}",
                                  name, r->tokens);
@@ -71,7 +73,7 @@
 }
 
 static gboolean
-on_ready(gpointer data)
+start_response(gpointer data)
 {
     struct run *r = data;
     struct fw_wire_server *s = r->server;
@@ -80,84 +82,85 @@
     r->timer = 0;
     if (r->fault == FW_WIRE_RESET) {
         Fw_Caller_Cut(r->caller);
-        Fw_Wire_RunEnd(r);
+        Fw_Wire_EndRun(r);
         return G_SOURCE_REMOVE;
     }
     if (r->prefill) {
-        end_prefill(r);
-        Fw_Wire_RunEnd(r);
+        answer_prefill(r);
+        Fw_Wire_EndRun(r);
         return G_SOURCE_REMOVE;
     }
-    if (r->pieces) {
-        fields = answer_fields(r, "text/event-stream");
+    if (r->event_count) {
+        fields = response_fields(r, "text/event-stream");
         Fw_Caller_Start(r->caller, 200, fields, -1);
         g_free(fields);
-        r->timer = g_timeout_add((guint)s->opts.piece_ms, on_piece, r);
+        r->timer =
+            g_timeout_add((guint)s->opts.event_interval_ms, send_event, r);
         return G_SOURCE_REMOVE;
     }
-    fields = answer_fields(r, "text/plain");
+    fields = response_fields(r, "text/plain");
     Fw_Caller_Answer(r->caller, r->fault == FW_WIRE_FAIL ? 500 : 200, fields,
                      "the answer");
     g_free(fields);
-    Fw_Wire_RunEnd(r);
+    Fw_Wire_EndRun(r);
     return G_SOURCE_REMOVE;
 }
 
-/* Takes the KV cache that the request names; 0 when it can't be had. */
+/* Claims the KV cache that the request names. Return: 0 if there is none. */
 static int
-take_kv(const struct fw_http_head *h)
+claim_kv(const struct fw_http_head *h)
 {
-    char *from = Fw_Wire_Field(h, "Kv-Source");
+    char *from = Fw_Wire_CopyField(h, "Kv-Source");
     char *slash = strchr(from, '/');
-    struct fw_wire_server *e = NULL;
+    struct fw_wire_server *source = NULL;
     int ok = !from[0];
 
     if (slash) {
         *slash = 0;
-        e = g_hash_table_lookup(Fw_Wire_Engines, from);
+        source = g_hash_table_lookup(Fw_Wire_ServersByAddr, from);
     }
-    if (e) {
-        Fw_Wire_SumOf(e->handles, Fw_Conn_Now());
-        ok = g_hash_table_remove(e->handles, slash + 1);
+    if (source) {
+        Fw_Wire_SumLeases(source->kv_handles, Fw_Conn_Now());
+        ok = g_hash_table_remove(source->kv_handles, slash + 1);
     }
     g_free(from);
     return ok;
 }
 
 static int64_t
-take_hold(struct fw_wire_server *s, const struct fw_http_head *h)
+claim_reservation(struct fw_wire_server *s, const struct fw_http_head *h)
 {
-    char *name = Fw_Wire_Field(h, "Kv-Hold");
-    struct held *k;
+    char *name = Fw_Wire_CopyField(h, "Kv-Hold");
+    struct kv_lease *lease;
     int64_t tokens = -1;
 
-    Fw_Wire_SumOf(s->holds, Fw_Conn_Now());
-    k = g_hash_table_lookup(s->holds, name);
-    if (k) {
-        tokens = k->tokens;
-        g_hash_table_remove(s->holds, name);
+    Fw_Wire_SumLeases(s->reservations, Fw_Conn_Now());
+    lease = g_hash_table_lookup(s->reservations, name);
+    if (lease) {
+        tokens = lease->tokens;
+        g_hash_table_remove(s->reservations, name);
     }
     g_free(name);
     return tokens;
 }
 
 static enum fw_wire_fault
-next_fault(struct fw_wire_server *s)
+take_fault(struct fw_wire_server *s)
 {
-    if (s->faults <= 0) {
+    if (s->faults_left <= 0) {
         return FW_WIRE_OK;
     }
-    s->faults--;
-    s->faulted = 1;
+    s->faults_left--;
+    s->fault_triggered = 1;
     return s->fault;
 }
 
-/* Return: tokens that the run takes, or -1 when there is no room. */
+/* Return: KV tokens of the request, -1 to reject it for lack of capacity. */
 static int64_t
-find_room(struct fw_wire_server *s, const struct fw_http_head *h,
-          int64_t in_tokens, int64_t out_tokens, int prefill)
+admit(struct fw_wire_server *s, const struct fw_http_head *h,
+      int64_t in_tokens, int64_t out_tokens, int prefill)
 {
-    int64_t tokens = prefill ? 0 : take_hold(s, h);
+    int64_t tokens = prefill ? 0 : claim_reservation(s, h);
 
     if (!s->stage[0]) {
         return (int)g_list_length(s->runs) < s->opts.slots ? 0 : -1;
@@ -171,36 +174,38 @@
             return -1;
         }
     }
-    return take_kv(h) ? tokens : -1;
+    return claim_kv(h) ? tokens : -1;
 }
 
 void
-Fw_Wire_Begin(struct fw_wire_server *s, struct fw_http_caller *c,
-              const struct fw_http_head *h)
+Fw_Wire_StartRun(struct fw_wire_server *s, struct fw_http_caller *c,
+                 const struct fw_http_head *h)
 {
-    char *stage = Fw_Wire_Field(h, "Stage");
-    char *counts = Fw_Wire_Field(h, "Token-Counts");
+    char *stage = Fw_Wire_CopyField(h, "Stage");
+    char *counts = Fw_Wire_CopyField(h, "Token-Counts");
     char *comma = strchr(counts, ',');
-    char *id = Fw_Wire_Field(h, "Request-Id");
+    char *id = Fw_Wire_CopyField(h, "Request-Id");
     int64_t in_tokens = g_ascii_strtoll(counts, NULL, 10);
     int64_t out_tokens = comma ? g_ascii_strtoll(comma + 1, NULL, 10) : 0;
     int prefill = stage[0] != 0;
-    enum fw_wire_fault fault = prefill ? FW_WIRE_OK : next_fault(s);
+    enum fw_wire_fault fault = prefill ? FW_WIRE_OK : take_fault(s);
     int64_t tokens = -1;
     struct run *r;
 
     if (fault == FW_WIRE_MOVED ||
         (s->stage[0] && prefill != (strcmp(s->stage, "prefill") == 0))) {
-        Fw_Wire_NotRun(c, 421);
+        Fw_Wire_RejectNotExecuted(c, 421);
     }
-    else if (fault == FW_WIRE_FULL || Fw_Conn_Now() < s->switch_us ||
-             (tokens = find_room(s, h, in_tokens, out_tokens, prefill)) < 0) {
-        Fw_Wire_NotRun(c, 503);
+    else if (fault == FW_WIRE_FULL ||
+             Fw_Conn_Now() < s->role_switch_until_us ||
+             (tokens = admit(s, h, in_tokens, out_tokens, prefill)) < 0) {
+        Fw_Wire_RejectNotExecuted(c, 503);
     }
     else {
-        int read_ms = s->stage[0] && (prefill || !Fw_Http_Find(h, "Kv-Source"))
-                          ? (int)(in_tokens / s->opts.read_per_ms)
-                          : 1;
+        int prefill_ms =
+            s->stage[0] && (prefill || !Fw_Http_Find(h, "Kv-Source"))
+                ? (int)(in_tokens / s->opts.prefill_tokens_per_ms)
+                : 1;
 
         r = g_new0(struct run, 1);
         r->server = s;
@@ -208,17 +213,19 @@
         r->fault = fault;
         r->tokens = tokens;
         r->prefill = prefill;
-        r->pieces = s->stage[0] && !prefill
-                        ? (int)((out_tokens + FW_STRIDE - 1) / FW_STRIDE)
-                        : 0;
+        r->event_count = s->stage[0] && !prefill
+                             ? (int)((out_tokens + FW_TOKENS_PER_EVENT - 1) /
+                                     FW_TOKENS_PER_EVENT)
+                             : 0;
         g_strlcpy(r->id, id, sizeof(r->id));
-        s->used += tokens;
-        s->begun++;
+        s->active_tokens += tokens;
+        s->started_count++;
         s->runs = g_list_prepend(s->runs, r);
         g_string_truncate(s->last_head, 0);
         g_string_append(s->last_head, h->raw);
         if (fault != FW_WIRE_STALL) {
-            r->timer = g_timeout_add((guint)MAX(read_ms, 1), on_ready, r);
+            r->timer =
+                g_timeout_add((guint)MAX(prefill_ms, 1), start_response, r);
         }
     }
     g_free(stage);
--- a/stand/wire/server.c
+++ b/stand/wire/server.c
@@ -1,11 +1,11 @@
-/* Model engines and plain servers: what they are and what they keep. */
+/* Model engines and plain servers: registration, leases, connections. */
 #include <inttypes.h>
 #include <string.h>
 
 #include "http/conn.h"
 #include "stand/wire/internal.h"
 
-GHashTable *Fw_Wire_Engines;
+GHashTable *Fw_Wire_ServersByAddr;
 
 void
 Fw_Wire_Register(struct fw_wire_server *s)
@@ -16,14 +16,14 @@
         "\"ColdRemainingMs\":0,%s%s%s\"Sequence\":%d,\"born\":1}",
         s->service, s->addr, s->zone, s->opts.slots,
         s->draining ? "draining" : "ready", s->stage[0] ? "\"Stage\":\"" : "",
-        s->stage, s->stage[0] ? "\"," : "", ++s->beat);
+        s->stage, s->stage[0] ? "\"," : "", ++s->register_sequence);
 
     Fw_WireStore_Put(s->store, "keyed.servers", s->id, entry);
     g_free(entry);
 }
 
 char *
-Fw_Wire_Field(const struct fw_http_head *h, const char *name)
+Fw_Wire_CopyField(const struct fw_http_head *h, const char *name)
 {
     const struct fw_http_field *f = Fw_Http_Find(h, name);
 
@@ -31,7 +31,7 @@
 }
 
 int64_t
-Fw_Wire_SumOf(GHashTable *t, int64_t now)
+Fw_Wire_SumLeases(GHashTable *t, int64_t now)
 {
     GHashTableIter it;
     gpointer v;
@@ -39,9 +39,9 @@
 
     g_hash_table_iter_init(&it, t);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct held *k = v;
+        struct kv_lease *k = v;
 
-        if (now < k->until_us) {
+        if (now < k->expires_us) {
             sum += k->tokens;
         }
         else {
@@ -54,46 +54,49 @@
 int64_t
 Fw_WireServer_Held(const struct fw_wire_server *s)
 {
-    return s->used + Fw_Wire_SumOf(s->holds, Fw_Conn_Now());
+    return s->active_tokens +
+           Fw_Wire_SumLeases(s->reservations, Fw_Conn_Now());
 }
 
 int
 Fw_WireServer_Handles(const struct fw_wire_server *s)
 {
-    Fw_Wire_SumOf(s->handles, Fw_Conn_Now());
-    return (int)g_hash_table_size(s->handles);
+    Fw_Wire_SumLeases(s->kv_handles, Fw_Conn_Now());
+    return (int)g_hash_table_size(s->kv_handles);
 }
 
 char *
-Fw_Wire_Keep(struct fw_wire_server *s, GHashTable *in, int64_t tokens, int ms)
+Fw_Wire_AddLease(struct fw_wire_server *s, GHashTable *in, int64_t tokens,
+                 int ms)
 {
-    char *name = g_strdup_printf("%s%u", s->id, ++s->next_name);
-    struct held *k = g_new(struct held, 1);
+    char *name = g_strdup_printf("%s%u", s->id, ++s->next_lease_id);
+    struct kv_lease *k = g_new(struct kv_lease, 1);
 
-    *k = (struct held){.tokens = tokens,
-                       .until_us = Fw_Conn_Now() + ms * FW_MSEC};
+    *k = (struct kv_lease){.tokens = tokens,
+                           .expires_us = Fw_Conn_Now() + ms * FW_MSEC};
     g_hash_table_insert(in, g_strdup(name), k);
     return name;
 }
+
 static void
 on_request(void *ctx, struct fw_http_caller *c, const struct fw_http_head *h,
            GBytes *body)
 {
     struct fw_wire_server *s = ctx;
-    char *wanted = Fw_Wire_Field(h, "Expect-Instance");
+    char *wanted = Fw_Wire_CopyField(h, "Expect-Instance");
     int other = wanted[0] && strcmp(wanted, s->id) != 0;
 
     g_free(wanted);
     if (other) {
         Fw_Caller_Answer(c, 421, "Instance-Id: other\r\n", "");
     }
-    else if (!Fw_Wire_Call(s, c, h, body)) {
-        Fw_Wire_Begin(s, c, h);
+    else if (!Fw_Wire_HandleControl(s, c, h, body)) {
+        Fw_Wire_StartRun(s, c, h);
     }
 }
 
 static void
-on_gone(void *ctx, struct fw_http_caller *c)
+on_disconnect(void *ctx, struct fw_http_caller *c)
 {
     struct fw_wire_server *s = ctx;
 
@@ -101,22 +104,23 @@
         struct run *r = l->data;
 
         if (r->caller == c) {
-            Fw_Wire_RunEnd(r);
+            Fw_Wire_EndRun(r);
             return;
         }
     }
 }
 
 static void
-on_refused(void *ctx, int status, const char *why)
+on_rejected(void *ctx, int status, const char *reason)
 {
     struct fw_wire_server *s = ctx;
 
-    g_warning("%s: %d %s", s->id, status, why);
+    g_warning("%s: request rejected with status %d: %s", s->id, status,
+              reason);
 }
 
 static const struct fw_http_ops ops = {
-    .request = on_request, .gone = on_gone, .refused = on_refused};
+    .request = on_request, .gone = on_disconnect, .refused = on_rejected};
 
 struct fw_wire_server *
 Fw_WireServer_New(struct fw_wire_store *store, const char *addr,
@@ -125,8 +129,8 @@
     struct fw_wire_server *s = g_new0(struct fw_wire_server, 1);
     int err;
 
-    if (!Fw_Wire_Engines) {
-        Fw_Wire_Engines = g_hash_table_new(g_str_hash, g_str_equal);
+    if (!Fw_Wire_ServersByAddr) {
+        Fw_Wire_ServersByAddr = g_hash_table_new(g_str_hash, g_str_equal);
     }
     s->store = store;
     s->opts = *opts;
@@ -134,15 +138,16 @@
     g_strlcpy(s->service, opts->service, sizeof(s->service));
     g_strlcpy(s->zone, opts->zone, sizeof(s->zone));
     g_strlcpy(s->stage, opts->stage, sizeof(s->stage));
-    s->holds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    s->handles =
+    s->reservations =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    s->kv_handles =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     s->last_head = g_string_new(NULL);
     s->http = Fw_Server_New(addr, &ops, s, &err);
     g_assert(s->http);
     g_snprintf(s->addr, sizeof(s->addr), "127.0.0.1:%d",
                Fw_Server_Port(s->http));
-    g_hash_table_insert(Fw_Wire_Engines, s->addr, s);
+    g_hash_table_insert(Fw_Wire_ServersByAddr, s->addr, s);
     Fw_Wire_Register(s);
     return s;
 }
@@ -151,12 +156,12 @@
 Fw_WireServer_Free(struct fw_wire_server *s)
 {
     while (s->runs) {
-        Fw_Wire_RunEnd(s->runs->data);
+        Fw_Wire_EndRun(s->runs->data);
     }
-    g_hash_table_remove(Fw_Wire_Engines, s->addr);
+    g_hash_table_remove(Fw_Wire_ServersByAddr, s->addr);
     Fw_Server_Free(s->http);
-    g_hash_table_destroy(s->holds);
-    g_hash_table_destroy(s->handles);
+    g_hash_table_destroy(s->reservations);
+    g_hash_table_destroy(s->kv_handles);
     g_string_free(s->last_head, TRUE);
     g_free(s);
 }
@@ -166,13 +171,13 @@
                        int n)
 {
     s->fault = fault;
-    s->faults = n;
+    s->faults_left = n;
 }
 
 int
 Fw_WireServer_Faulted(const struct fw_wire_server *s)
 {
-    return s->faulted;
+    return s->fault_triggered;
 }
 
 void
@@ -185,7 +190,7 @@
 int
 Fw_WireServer_Runs(const struct fw_wire_server *s)
 {
-    return s->begun;
+    return s->started_count;
 }
 
 int
--- a/stand/wire/store.c
+++ b/stand/wire/store.c
@@ -1,4 +1,4 @@
-/* The platform's store: a log with topics, some of them keyed. */
+/* The platform's store: a log of topics; those named "keyed." have keys. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -6,19 +6,19 @@
 #include "io/json.h"
 #include "stand/wire/wire.h"
 
-/** struct record - @value NULL drops its key. */
+/** struct record - @value: NULL deletes the key. */
 struct record {
     char *key;
     GBytes *value;
 };
 
-/** struct topic - @first: oldest record that can be read. */
+/** struct topic - @first: offset of the oldest readable record. */
 struct topic {
     GPtrArray *records;
     guint first;
 };
 
-/** struct waiter - a read that waits for a record. */
+/** struct waiter - a read that waits for the next record. */
 struct waiter {
     struct fw_wire_store *store;
     struct fw_http_caller *caller;
@@ -32,7 +32,7 @@
     GHashTable *topics;
     GList *waiters;
     enum fw_wire_store_mode mode;
-    int calls;
+    int request_count;
 };
 
 static void
@@ -57,7 +57,7 @@
 }
 
 static struct topic *
-topic_of(struct fw_wire_store *s, const char *name)
+get_topic(struct fw_wire_store *s, const char *name)
 {
     struct topic *t = g_hash_table_lookup(s->topics, name);
 
@@ -75,9 +75,9 @@
     return g_str_has_prefix(topic, "keyed.");
 }
 
-/* Value of @name in the target's query, as it stands there. */
+/* Decoded query parameter @name, NULL if missing; the caller frees it. */
 static char *
-query(const struct fw_http_head *h, const char *name)
+query_text(const struct fw_http_head *h, const char *name)
 {
     char *target = g_strndup(h->target, h->target_len);
     char *start = strchr(target, '?');
@@ -98,7 +98,7 @@
 static guint64
 query_number(const struct fw_http_head *h, const char *name, guint64 fallback)
 {
-    char *text = query(h, name);
+    char *text = query_text(h, name);
     guint64 v = text ? g_ascii_strtoull(text, NULL, 10) : fallback;
 
     g_free(text);
@@ -106,7 +106,7 @@
 }
 
 static void
-put_be(GString *out, guint64 v, int bytes)
+append_be(GString *out, guint64 v, int bytes)
 {
     for (int i = bytes - 1; i >= 0; i--) {
         g_string_append_c(out, (char)(v >> (8 * i)));
@@ -114,13 +114,13 @@
 }
 
 static void
-put_record(GString *out, const struct record *r, int keyed)
+append_record_frame(GString *out, const struct record *r, int keyed)
 {
     gsize len = 0;
     const char *value = r->value ? g_bytes_get_data(r->value, &len) : "";
     gsize key_len = keyed ? strlen(r->key) : 0;
 
-    put_be(out, len + (keyed ? 1 + key_len : 0), 4);
+    append_be(out, len + (keyed ? 1 + key_len : 0), 4);
     if (keyed) {
         g_string_append_c(out, (char)key_len);
         g_string_append_len(out, r->key, (gssize)key_len);
@@ -132,13 +132,14 @@
 answer_read(struct fw_wire_store *s, struct fw_http_caller *c,
             const char *topic, guint64 from)
 {
-    struct topic *t = topic_of(s, topic);
+    struct topic *t = get_topic(s, topic);
     GString *out = g_string_new(NULL);
 
-    put_be(out, t->records->len, 8);
-    put_be(out, t->first, 8);
+    append_be(out, t->records->len, 8);
+    append_be(out, t->first, 8);
     for (guint i = (guint)from; i < t->records->len; i++) {
-        put_record(out, g_ptr_array_index(t->records, i), is_keyed(topic));
+        append_record_frame(out, g_ptr_array_index(t->records, i),
+                            is_keyed(topic));
     }
     Fw_Caller_Start(c, 200, "", (int64_t)out->len);
     Fw_Caller_Data(c, out->str, out->len);
@@ -154,7 +155,7 @@
 }
 
 static void
-waiter_end(struct waiter *w)
+waiter_free(struct waiter *w)
 {
     w->store->waiters = g_list_remove(w->store->waiters, w);
     if (w->timer) {
@@ -164,18 +165,18 @@
 }
 
 static gboolean
-on_wait_over(gpointer data)
+on_wait_timeout(gpointer data)
 {
     struct waiter *w = data;
 
     w->timer = 0;
     answer_read(w->store, w->caller, w->topic, w->from);
-    waiter_end(w);
+    waiter_free(w);
     return G_SOURCE_REMOVE;
 }
 
 static void
-wake(struct fw_wire_store *s, const char *topic)
+notify_waiters(struct fw_wire_store *s, const char *topic)
 {
     GList *all = g_list_copy(s->waiters);
 
@@ -184,7 +185,7 @@
 
         if (strcmp(w->topic, topic) == 0) {
             answer_read(s, w->caller, w->topic, w->from);
-            waiter_end(w);
+            waiter_free(w);
         }
     }
     g_list_free(all);
@@ -198,7 +199,7 @@
 
     r->key = g_strdup(key);
     r->value = value;
-    g_ptr_array_add(topic_of(s, topic)->records, r);
+    g_ptr_array_add(get_topic(s, topic)->records, r);
 }
 
 void
@@ -206,22 +207,22 @@
                  const char *value)
 {
     append(s, topic, key, value ? g_bytes_new(value, strlen(value)) : NULL);
-    wake(s, topic);
+    notify_waiters(s, topic);
 }
 
 void
 Fw_WireStore_Forget(struct fw_wire_store *s, const char *topic)
 {
-    struct topic *t = topic_of(s, topic);
+    struct topic *t = get_topic(s, topic);
 
     t->first = t->records->len;
 }
 
 static void
-on_read(struct fw_wire_store *s, struct fw_http_caller *c,
-        const struct fw_http_head *h, const char *topic)
+handle_read(struct fw_wire_store *s, struct fw_http_caller *c,
+            const struct fw_http_head *h, const char *topic)
 {
-    struct topic *t = topic_of(s, topic);
+    struct topic *t = get_topic(s, topic);
     guint64 from = query_number(h, "From", 0);
     guint64 wait = query_number(h, "WaitMs", 0);
     struct waiter *w;
@@ -239,14 +240,15 @@
     w->caller = c;
     w->from = from;
     g_strlcpy(w->topic, topic, sizeof(w->topic));
-    w->timer = g_timeout_add((guint)wait, on_wait_over, w);
+    w->timer = g_timeout_add((guint)wait, on_wait_timeout, w);
     s->waiters = g_list_prepend(s->waiters, w);
 }
 
 static void
-on_newest(struct fw_wire_store *s, struct fw_http_caller *c, const char *topic)
+handle_newest(struct fw_wire_store *s, struct fw_http_caller *c,
+              const char *topic)
 {
-    struct topic *t = topic_of(s, topic);
+    struct topic *t = get_topic(s, topic);
     GString *out = g_string_new("{\"items\":[");
     const char *sep = "";
 
@@ -276,9 +278,9 @@
     answer_json(c, 200, g_string_free(out, FALSE));
 }
 
-/* One record a call is all that the product writes. */
+/* Appends the body's record; the router sends one in each request. */
 static void
-take_record(struct fw_wire_store *s, const char *topic, GBytes *body)
+append_body(struct fw_wire_store *s, const char *topic, GBytes *body)
 {
     gsize len;
     const guint8 *p = g_bytes_get_data(body, &len);
@@ -297,10 +299,10 @@
 }
 
 static void
-on_append(struct fw_wire_store *s, struct fw_http_caller *c,
-          const struct fw_http_head *h, const char *topic, GBytes *body)
+handle_append(struct fw_wire_store *s, struct fw_http_caller *c,
+              const struct fw_http_head *h, const char *topic, GBytes *body)
 {
-    struct topic *t = topic_of(s, topic);
+    struct topic *t = get_topic(s, topic);
     guint64 at = query_number(h, "At", t->records->len);
 
     if (at != t->records->len) {
@@ -312,7 +314,7 @@
         answer_json(c, 400, g_strdup("{}"));
         return;
     }
-    take_record(s, topic, body);
+    append_body(s, topic, body);
     if (s->mode == FW_WIRE_STORE_LOSING) {
         Fw_Caller_Cut(c);
     }
@@ -321,7 +323,7 @@
                     g_strdup_printf("{\"Offset\":%u,\"EndOffset\":%u}",
                                     t->records->len - 1, t->records->len));
     }
-    wake(s, topic);
+    notify_waiters(s, topic);
 }
 
 static int
@@ -337,9 +339,9 @@
            GBytes *body)
 {
     struct fw_wire_store *s = ctx;
-    char *topic = query(h, "Topic");
+    char *topic = query_text(h, "Topic");
 
-    s->calls++;
+    s->request_count++;
     if (s->mode == FW_WIRE_STORE_BUSY) {
         Fw_Caller_Answer(c, 503, "", "");
     }
@@ -347,19 +349,19 @@
         Fw_Caller_Answer(c, 400, "", "");
     }
     else if (s->mode != FW_WIRE_STORE_SILENT && path_is(h, "/-/log-read?")) {
-        on_read(s, c, h, topic);
+        handle_read(s, c, h, topic);
     }
     else if (s->mode != FW_WIRE_STORE_SILENT && path_is(h, "/-/log-newest?")) {
-        on_newest(s, c, topic);
+        handle_newest(s, c, topic);
     }
     else if (s->mode != FW_WIRE_STORE_SILENT && path_is(h, "/-/log-append?")) {
-        on_append(s, c, h, topic, body);
+        handle_append(s, c, h, topic, body);
     }
     g_free(topic);
 }
 
 static void
-on_gone(void *ctx, struct fw_http_caller *c)
+on_disconnect(void *ctx, struct fw_http_caller *c)
 {
     struct fw_wire_store *s = ctx;
 
@@ -367,21 +369,21 @@
         struct waiter *w = l->data;
 
         if (w->caller == c) {
-            waiter_end(w);
+            waiter_free(w);
             return;
         }
     }
 }
 
 static void
-on_refused(void *ctx, int status, const char *why)
+on_rejected(void *ctx, int status, const char *reason)
 {
     (void)ctx;
-    g_warning("store: %d %s", status, why);
+    g_warning("store: request rejected with status %d: %s", status, reason);
 }
 
 static const struct fw_http_ops ops = {
-    .request = on_request, .gone = on_gone, .refused = on_refused};
+    .request = on_request, .gone = on_disconnect, .refused = on_rejected};
 
 struct fw_wire_store *
 Fw_WireStore_New(const char *addr)
@@ -400,7 +402,7 @@
 Fw_WireStore_Free(struct fw_wire_store *s)
 {
     while (s->waiters) {
-        waiter_end(s->waiters->data);
+        waiter_free(s->waiters->data);
     }
     Fw_Server_Free(s->server);
     g_hash_table_destroy(s->topics);
@@ -422,7 +424,7 @@
 int
 Fw_WireStore_Calls(const struct fw_wire_store *s)
 {
-    return s->calls;
+    return s->request_count;
 }
 
 int
--- a/stand/wire/wire.h
+++ b/stand/wire/wire.h
@@ -1,7 +1,7 @@
 /*
- * Stand-ins for the users' platform in its own wire form: the store, model
- * engines and plain servers, all in one process and loop. For tests and the
- * demo; see platform/ for the same words on the product's side.
+ * Stand-in for the deployment platform in its own wire format, for tests and
+ * the demo: the store, model engines and plain servers in one process and
+ * event loop. platform/ implements the router's side of the same protocol.
  */
 #ifndef FW_STAND_WIRE_H
 #define FW_STAND_WIRE_H
@@ -11,16 +11,17 @@
 
 #include "http/server.h"
 
-/** enum fw_wire_store_mode - how the store behaves. */
+/** enum fw_wire_store_mode - how the store answers requests. */
 enum fw_wire_store_mode {
     FW_WIRE_STORE_WELL,
-    FW_WIRE_STORE_BUSY,   /* 503, nothing done */
-    FW_WIRE_STORE_SILENT, /* no answers, nothing done */
-    FW_WIRE_STORE_LOSING, /* appends are done, their answers lost */
+    FW_WIRE_STORE_BUSY,   /* status 503, no effect */
+    FW_WIRE_STORE_SILENT, /* no response, no effect */
+    FW_WIRE_STORE_LOSING, /* appends take effect, connection closed */
 };
 
 struct fw_wire_store;
 
+/* @addr: "ip:port", port 0 for any free one. Aborts if it cannot listen. */
 struct fw_wire_store *
 Fw_WireStore_New(const char *addr);
 void
@@ -29,32 +30,46 @@
 Fw_WireStore_Port(const struct fw_wire_store *s);
 void
 Fw_WireStore_SetMode(struct fw_wire_store *s, enum fw_wire_store_mode mode);
-/* The operator or a server writes; @value NULL drops the key. */
+/* Appends a record to @topic; a @value of NULL deletes @key. */
 void
 Fw_WireStore_Put(struct fw_wire_store *s, const char *topic, const char *key,
                  const char *value);
-/* The oldest records of @topic go; the newest of each key stays readable. */
+/*
+ * Makes reads of @topic fail with 410 for all offsets so far; the newest
+ * record of each key can still be read.
+ */
 void
 Fw_WireStore_Forget(struct fw_wire_store *s, const char *topic);
-/* Calls answered or not so far. */
+/* Requests received, answered or not. */
 int
 Fw_WireStore_Calls(const struct fw_wire_store *s);
-/* Records of @topic. */
+/* Records appended to @topic, truncated ones included. */
 int
 Fw_WireStore_Count(const struct fw_wire_store *s, const char *topic);
 
-/** enum fw_wire_fault - what a server does to the next request it runs. */
+/** enum fw_wire_fault - fault that a server injects into a request. */
 enum fw_wire_fault {
     FW_WIRE_OK,
-    FW_WIRE_FULL,  /* refuses it, says that it did not run */
-    FW_WIRE_FAIL,  /* 500 */
-    FW_WIRE_RESET, /* runs it and loses the answer */
-    FW_WIRE_BREAK, /* breaks a stream off after three events */
-    FW_WIRE_MOVED, /* another server has the address */
-    FW_WIRE_STALL, /* never answers */
+    FW_WIRE_FULL,  /* rejects it with 503 and Not-Executed */
+    FW_WIRE_FAIL,  /* answers 500, if it is not a stream */
+    FW_WIRE_RESET, /* runs it and closes the connection */
+    FW_WIRE_BREAK, /* closes the connection after three events */
+    FW_WIRE_MOVED, /* rejects it with 421 and Not-Executed */
+    FW_WIRE_STALL, /* starts it and never answers */
 };
 
-/** struct fw_wire_opts - one server; @stage "" for a plain one. */
+/**
+ * struct fw_wire_opts - configuration of a server.
+ * @id: name of the server, the key of its entry in the store
+ * @service: service that it belongs to
+ * @zone: failure domain
+ * @stage: "prefill" or "decode"; "" for a plain server
+ * @slots: concurrent requests; enforced by plain servers only
+ * @kv_tokens: KV cache capacity of an engine
+ * @event_interval_ms: time between two events of a stream
+ * @prefill_tokens_per_ms: prefill rate of an engine
+ * @kv_handle_ttl_ms: time after which an unclaimed KV cache is freed
+ */
 struct fw_wire_opts {
     const char *id;
     const char *service;
@@ -62,44 +77,51 @@
     const char *stage;
     int slots;
     int64_t kv_tokens;
-    int piece_ms;    /* between two events of a stream */
-    int read_per_ms; /* tokens of a prompt read in a millisecond */
-    int handle_ms;   /* life of a KV cache that nobody takes */
+    int event_interval_ms;
+    int prefill_tokens_per_ms;
+    int kv_handle_ttl_ms;
 };
 
 struct fw_wire_server;
 
-/* Registers itself in @store; @addr as "127.0.0.1:0". */
+/* Registers the server in @store. Aborts if it cannot listen on @addr. */
 struct fw_wire_server *
 Fw_WireServer_New(struct fw_wire_store *store, const char *addr,
                   const struct fw_wire_opts *opts);
 void
 Fw_WireServer_Free(struct fw_wire_server *s);
-/* For the next @n requests that it would run. */
+/* Injects @fault into the next @n requests other than prefills. */
 void
 Fw_WireServer_SetFault(struct fw_wire_server *s, enum fw_wire_fault fault,
                        int n);
-/* Has it done something wrong as told? */
+/* Nonzero once a fault has been injected. */
 int
 Fw_WireServer_Faulted(const struct fw_wire_server *s);
+/* Registers the server as draining; it still accepts requests. */
 void
 Fw_WireServer_SetDraining(struct fw_wire_server *s);
-/* Requests begun, requests under way, tokens held, caches not taken. */
+/* Requests started so far. */
 int
 Fw_WireServer_Runs(const struct fw_wire_server *s);
+/* Requests in progress. */
 int
 Fw_WireServer_Active(const struct fw_wire_server *s);
+/* KV tokens of requests in progress and of reservations. */
 int64_t
 Fw_WireServer_Held(const struct fw_wire_server *s);
+/* Prefilled KV caches that are not claimed or expired. */
 int
 Fw_WireServer_Handles(const struct fw_wire_server *s);
 const char *
 Fw_WireServer_Stage(const struct fw_wire_server *s);
-/* Head of the last request that it began to run, as it came. */
+/* Head of the request started last, as received; owned by @s. */
 const char *
 Fw_WireServer_LastHead(const struct fw_wire_server *s);
 
-/* A configuration with the routes and keys that tests and demo use. */
+/*
+ * Routing configuration of tests and the demo, as JSON that the caller frees.
+ * @keys: API keys as comma-separated JSON strings
+ */
 char *
 Fw_Wire_Config(int version, const char *keys);
 
