--- a/stand/cache.c
+++ b/stand/cache.c
@@ -48,7 +48,7 @@
     if (!oldest) {
         return;
     }
-    e->cache_used -= oldest->tokens;
+    e->cache_used_tokens -= oldest->tokens;
     publish_event(e, oldest->prefix, oldest->tokens, 1);
     g_hash_table_remove(e->cache, &oldest->prefix);
 }
@@ -61,7 +61,7 @@
     c->prefix = prefix;
     c->tokens = tokens;
     g_hash_table_insert(e->cache, &c->prefix, c);
-    e->cache_used += tokens;
+    e->cache_used_tokens += tokens;
     publish_event(e, prefix, tokens, 0);
 }
 
@@ -93,7 +93,7 @@
             cached = (int64_t)n / 4;
         }
     }
-    while (e->cache_used > e->opts->cache_tokens) {
+    while (e->cache_used_tokens > e->opts->cache_tokens) {
         evict_oldest(e);
     }
     return cached;
--- a/stand/engine.c
+++ b/stand/engine.c
@@ -100,7 +100,7 @@
         if (w->stage == FW_STAND_STAGE_DONE) {
             continue;
         }
-        r->kv_used += w->prompt_tokens + w->next_index;
+        r->kv_used_tokens += w->prompt_tokens + w->next_index;
         if (w->stage == FW_STAND_STAGE_QUEUED ||
             w->stage == FW_STAND_STAGE_PREFILL) {
             r->queued_tokens += w->prompt_tokens;
@@ -160,8 +160,8 @@
         ",\"kv_total\":%" PRId64 ",\"leaving\":%s,\"role\":\"%s\","
         "\"models\":[%s]}",
         (int64_t)((g_get_monotonic_time() - rep->measured_us) / FW_MSEC),
-        e->opts->decode_slots, rep->busy, rep->queued_tokens, rep->kv_used,
-        e->opts->kv_capacity_tokens,
+        e->opts->decode_slots, rep->busy, rep->queued_tokens,
+        rep->kv_used_tokens, e->opts->kv_capacity_tokens,
         Fw_StandFault_Find(&e->port, "leaving") ? "true" : "false", e->role,
         models->str);
     g_string_free(models, TRUE);
@@ -274,7 +274,7 @@
     g_hash_table_remove_all(e->cache);
     g_hash_table_remove_all(e->link_free_us);
     g_array_set_size(e->cache_events, 0);
-    e->cache_used = 0;
+    e->cache_used_tokens = 0;
     Fw_StandEngine_MeasureLoad(e, &e->load);
 }
 
--- a/stand/engine.h
+++ b/stand/engine.h
@@ -75,13 +75,13 @@
  * struct fw_stand_load - load of an engine at @measured_us.
  * @busy: requests in the stages import to decode
  * @queued_tokens: prompt tokens queued for or in prefill
- * @kv_used: tokens of all requests, prompt and generated
+ * @kv_used_tokens: tokens of all requests, prompt and generated
  */
 struct fw_stand_load {
     int64_t measured_us;
     int busy;
     int64_t queued_tokens;
-    int64_t kv_used;
+    int64_t kv_used_tokens;
 };
 
 /**
@@ -93,7 +93,7 @@
  * @models: loaded models, "model@version" or "model@version+adapter"
  * @link_free_us: failure domain to the time when its link is idle
  * @cache: prefix hash to struct fw_stand_cache_entry
- * @cache_used: tokens in @cache
+ * @cache_used_tokens: total of the entries in @cache
  * @cache_clock: logical time of the last access
  */
 struct fw_stand_engine {
@@ -110,7 +110,7 @@
     GPtrArray *models;
     GHashTable *link_free_us;
     GHashTable *cache;
-    int64_t cache_used;
+    int64_t cache_used_tokens;
     uint64_t cache_clock;
     GArray *cache_events;
     uint64_t cache_event_seq;
--- a/stand/import.c
+++ b/stand/import.c
@@ -8,7 +8,7 @@
 find_exported(const struct fw_stand_engine *e, const char *from,
               const char *kv)
 {
-    struct fw_stand_port *port = Fw_Stand_Port(e->port.stand, from);
+    struct fw_stand_port *port = Fw_Stand_FindPort(e->port.stand, from);
     struct fw_stand_engine *source;
     struct fw_list *pos;
 
@@ -28,7 +28,7 @@
 }
 
 static void
-answer(struct fw_stand_request *w)
+send_result(struct fw_stand_request *w)
 {
     struct fw_stand_reply *r = w->reply;
 
@@ -74,7 +74,7 @@
     w->stage = FW_STAND_STAGE_IMPORTED;
     Fw_StandEngine_FreeRequestAfter(w, e->opts->kv_ttl_ms);
     if (w->reply) {
-        answer(w);
+        send_result(w);
     }
     return G_SOURCE_REMOVE;
 }
@@ -109,7 +109,7 @@
     }
     Fw_StandEngine_MeasureLoad(e, &now);
     if (now.busy >= e->opts->decode_slots ||
-        now.kv_used + tokens > e->opts->kv_capacity_tokens) {
+        now.kv_used_tokens + tokens > e->opts->kv_capacity_tokens) {
         return "no slot";
     }
     return NULL;
@@ -130,7 +130,7 @@
     }
     Fw_StandEngine_AttachReply(w, r);
     if (w->stage == FW_STAND_STAGE_IMPORTED) {
-        answer(w);
+        send_result(w);
     }
     return 1;
 }
--- a/stand/journal.c
+++ b/stand/journal.c
@@ -4,7 +4,7 @@
 #define JOURNAL_MAX_LINES 50000
 
 static void
-add_header(const char *name, const char *value, gpointer data)
+add_string(const char *name, const char *value, gpointer data)
 {
     json_builder_set_member_name(data, name);
     json_builder_add_string_value(data, value);
@@ -39,15 +39,15 @@
     json_builder_begin_object(b);
     json_builder_set_member_name(b, "at_us");
     json_builder_add_int_value(b, g_get_monotonic_time());
-    add_header("stand", port->name, b);
-    add_header("effect", effect, b);
-    add_header("id", id, b);
-    add_header("method", soup_server_message_get_method(r->msg), b);
-    add_header("path", r->path, b);
+    add_string("stand", port->name, b);
+    add_string("effect", effect, b);
+    add_string("id", id, b);
+    add_string("method", soup_server_message_get_method(r->msg), b);
+    add_string("path", r->path, b);
     json_builder_set_member_name(b, "headers");
     json_builder_begin_object(b);
     soup_message_headers_foreach(
-        soup_server_message_get_request_headers(r->msg), add_header, b);
+        soup_server_message_get_request_headers(r->msg), add_string, b);
     json_builder_end_object(b);
     if (g_strcmp0(port->kind, "service") == 0) {
         add_body(b, r->msg);
--- a/stand/logsvc.c
+++ b/stand/logsvc.c
@@ -5,7 +5,7 @@
 #include "stand/stand.h"
 
 #define READ_MAX_RECORDS 1000
-#define WAIT_MAX_MS 60000
+#define READ_WAIT_MAX_MS 60000
 
 /** struct fw_stand_log_stream - @oldest_offset: offset of @records[0]. */
 struct fw_stand_log_stream {
@@ -151,7 +151,7 @@
         return;
     }
     r->wait_stream = g_strdup(name);
-    Fw_StandReply_Schedule(r, MIN(wait_ms, WAIT_MAX_MS), answer_read);
+    Fw_StandReply_Schedule(r, MIN(wait_ms, READ_WAIT_MAX_MS), answer_read);
 }
 
 /* Return: the records as JSON, NULL unless a non-empty array of strings. */
--- a/stand/main.c
+++ b/stand/main.c
@@ -186,7 +186,7 @@
                                               number_options[i].doc,
                                               0};
     }
-    Fw_Stand_Defaults(&m.opts);
+    Fw_Stand_SetDefaults(&m.opts);
     argp_parse(&argp, argc, argv, 0, NULL, &m);
     rc = serve(&m);
     g_free(doc);
--- a/stand/order.c
+++ b/stand/order.c
@@ -98,7 +98,7 @@
         return;
     }
     if (g_str_has_prefix(op, "load_")) {
-        load_ms = Fw_StandWeights_ReserveFetchMs(e->port.stand->weights);
+        load_ms = Fw_StandWeights_QueueFetch(e->port.stand->weights);
     }
     if (load_ms < 0) {
         Fw_StandReply_Error(r, 503, "the weight store is down");
--- a/stand/port.h
+++ b/stand/port.h
@@ -131,8 +131,9 @@
  * Fw_StandPort_Crash - simulates a crash of the process behind @port.
  * @outage_ms: length of the outage; 0 until the fault "die" is cleared
  *
- * Resets the state, closes all connections and sets the fault "die", with
- * which new requests are dropped. Does nothing if it is set already.
+ * Resets the state, closes all connections and sets the fault "die": new
+ * requests are dropped, except those for /control and /journal. Does nothing
+ * if the fault is set already.
  */
 void
 Fw_StandPort_Crash(struct fw_stand_port *port, int64_t outage_ms);
@@ -143,9 +144,10 @@
                       const char *path, GHashTable *query,
                       void (*handle)(struct fw_stand_reply *r));
 /*
- * The following send a whole response. Don't use @r afterwards: it is freed,
- * at once or after the delay of the fault "slow". With the fault "lost-answer"
- * a response with a status below 300 is not sent and the connection is closed.
+ * The following send a complete response. Don't use @r afterwards: it is
+ * freed, at once or after the delay of the fault "slow". With the fault
+ * "lost-answer" a response with a status below 300 is not sent and the
+ * connection is closed.
  * @fmt and @text of Json and Error are not escaped.
  */
 void
@@ -206,8 +208,10 @@
 /* Return: the fault if it is set, else NULL. */
 const struct fw_stand_fault *
 Fw_StandFault_Find(const struct fw_stand_port *port, const char *name);
-/* Consumes one of the fault's remaining triggers. Return: NULL if it is not
- * set, used up or for another path. */
+/*
+ * Consumes one of the fault's remaining triggers. Return: the fault; NULL if
+ * it is not set, used up, or limited to other paths than @path.
+ */
 const struct fw_stand_fault *
 Fw_StandFault_Trigger(struct fw_stand_port *port, const char *name,
                       const char *path);
--- a/stand/prefill.c
+++ b/stand/prefill.c
@@ -9,7 +9,7 @@
 #define PREFILL_OVERHEAD_US (3 * FW_MSEC)
 
 static void
-answer(struct fw_stand_request *w)
+send_result(struct fw_stand_request *w)
 {
     struct fw_stand_reply *r = w->reply;
     int64_t left = (w->expires_us - g_get_monotonic_time()) / FW_MSEC;
@@ -51,7 +51,7 @@
     w->timer = 0;
     Fw_StandPrefill_ExtendExpiry(w, 0);
     if (w->reply) {
-        answer(w);
+        send_result(w);
     }
     Fw_StandPrefill_StartNext(e);
     return G_SOURCE_REMOVE;
@@ -114,7 +114,7 @@
         return "leaving";
     }
     Fw_StandEngine_MeasureLoad(e, &now);
-    if (now.kv_used + tokens > e->opts->kv_capacity_tokens ||
+    if (now.kv_used_tokens + tokens > e->opts->kv_capacity_tokens ||
         now.queued_tokens >
             QUEUE_MAX_100MS * e->opts->prefill_tokens_per_s / 10) {
         return "full";
@@ -134,7 +134,7 @@
     }
     Fw_StandEngine_AttachReply(w, r);
     if (w->stage == FW_STAND_STAGE_EXPORTED) {
-        answer(w);
+        send_result(w);
     }
     return 1;
 }
--- a/stand/reply.c
+++ b/stand/reply.c
@@ -197,12 +197,12 @@
 void
 Fw_StandReply_Disconnect(struct fw_stand_reply *r)
 {
-    void (*gone)(void *) = r->on_disconnect;
+    void (*on_disconnect)(void *) = r->on_disconnect;
     void *data = r->disconnect_data;
 
     Fw_StandReply_Abort(r);
-    if (gone) {
-        gone(data);
+    if (on_disconnect) {
+        on_disconnect(data);
     }
 }
 
--- a/stand/stand.c
+++ b/stand/stand.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 void
-Fw_Stand_Defaults(struct fw_stand_opts *opts)
+Fw_Stand_SetDefaults(struct fw_stand_opts *opts)
 {
     *opts = (struct fw_stand_opts){
         .prefill_engines = 2,
@@ -123,7 +123,7 @@
 }
 
 struct fw_stand_port *
-Fw_Stand_Port(const struct fw_stand *s, const char *name_or_url)
+Fw_Stand_FindPort(const struct fw_stand *s, const char *name_or_url)
 {
     struct fw_list *pos;
 
--- a/stand/stand.h
+++ b/stand/stand.h
@@ -80,7 +80,7 @@
 };
 
 void
-Fw_Stand_Defaults(struct fw_stand_opts *opts);
+Fw_Stand_SetDefaults(struct fw_stand_opts *opts);
 /* Return: NULL if a server could not listen. */
 struct fw_stand *
 Fw_Stand_New(const struct fw_stand_opts *opts);
@@ -88,7 +88,7 @@
 Fw_Stand_Free(struct fw_stand *s);
 /* Return: the port with that name or base URL, or NULL. */
 struct fw_stand_port *
-Fw_Stand_Port(const struct fw_stand *s, const char *name_or_url);
+Fw_Stand_FindPort(const struct fw_stand *s, const char *name_or_url);
 /* JSON object that maps port names to base URLs; the caller frees it. */
 char *
 Fw_Stand_Describe(const struct fw_stand *s);
@@ -114,6 +114,6 @@
  * if the weight store is down.
  */
 int64_t
-Fw_StandWeights_ReserveFetchMs(struct fw_stand_port *weights);
+Fw_StandWeights_QueueFetch(struct fw_stand_port *weights);
 
 #endif
--- a/stand/weights.c
+++ b/stand/weights.c
@@ -9,7 +9,7 @@
 };
 
 static int64_t
-fetch_rate(const struct fw_stand_weights *w)
+fetch_bytes_per_s(const struct fw_stand_weights *w)
 {
     const struct fw_stand_fault *f =
         Fw_StandFault_Find(&w->port, "weights-rate");
@@ -18,11 +18,12 @@
 }
 
 int64_t
-Fw_StandWeights_ReserveFetchMs(struct fw_stand_port *weights)
+Fw_StandWeights_QueueFetch(struct fw_stand_port *weights)
 {
     struct fw_stand_weights *w = weights->owner;
     int64_t now = g_get_monotonic_time();
-    int64_t us = weights->stand->opts.weights_bytes * FW_SEC / fetch_rate(w);
+    int64_t us =
+        weights->stand->opts.weights_bytes * FW_SEC / fetch_bytes_per_s(w);
 
     if (Fw_StandFault_Find(weights, "die") ||
         Fw_StandFault_Trigger(weights, "refuse", "/weights")) {
@@ -43,16 +44,17 @@
 {
     struct fw_stand_weights *w = r->port->owner;
     int64_t left = w->idle_us - g_get_monotonic_time();
-    int64_t each = w->port.stand->opts.weights_bytes * FW_SEC / fetch_rate(w);
+    int64_t each =
+        w->port.stand->opts.weights_bytes * FW_SEC / fetch_bytes_per_s(w);
 
     if (g_str_has_prefix(r->path, "/weights/")) {
-        Fw_StandReply_Schedule(r, Fw_StandWeights_ReserveFetchMs(r->port),
+        Fw_StandReply_Schedule(r, Fw_StandWeights_QueueFetch(r->port),
                                on_fetched);
         return;
     }
     Fw_StandReply_Json(
         r, 200, "{\"rate_bytes_per_s\":%" PRId64 ",\"active\":%" PRId64 "}",
-        fetch_rate(w), left > 0 ? left / MAX(each, 1) + 1 : 0);
+        fetch_bytes_per_s(w), left > 0 ? left / MAX(each, 1) + 1 : 0);
 }
 
 struct fw_stand_port *
--- a/tests/stand/client.c
+++ b/tests/stand/client.c
@@ -25,7 +25,7 @@
 void
 Fw_StandScript_SetDefaults(struct fw_stand_opts *opts)
 {
-    Fw_Stand_Defaults(opts);
+    Fw_Stand_SetDefaults(opts);
     opts->prefill_engines = 1;
     opts->decode_engines = 1;
     opts->service_servers = 1;
@@ -78,7 +78,7 @@
 {
     struct call *a = g_new0(struct call, 1);
     char **w = g_strsplit(s->call, " ", 3);
-    const struct fw_stand_port *port = Fw_Stand_Port(c->stand, w[1]);
+    const struct fw_stand_port *port = Fw_Stand_FindPort(c->stand, w[1]);
     char *path = expand(c, w[2]);
     char *url = g_strconcat(port->url, path, NULL);
     char *body = s->body ? expand(c, s->body) : NULL;
