--- a/src/http/client.c
+++ b/src/http/client.c
@@ -19,7 +19,7 @@
  */
 #define FW_KEEP_ALIVE_MARGIN_US (600 * FW_MSEC)
 
-struct fw_pool {
+struct fw_conn_pool {
     GHashTable *idle_conns; /* by address, see idle_conns.h */
     struct fw_list active;
     struct fw_metric opened;
@@ -39,7 +39,7 @@
  * @idle_max_us: how long the connection may stay idle afterwards
  */
 struct fw_exchange {
-    struct fw_pool *pool;
+    struct fw_conn_pool *pool;
     struct fw_list link;
     struct fw_conn *conn;
     char addr[FW_URL_MAX];
@@ -57,10 +57,10 @@
     struct fw_http_body_decoder body_decoder;
 };
 
-struct fw_pool *
+struct fw_conn_pool *
 Fw_Pool_New(void)
 {
-    struct fw_pool *p = g_new0(struct fw_pool, 1);
+    struct fw_conn_pool *p = g_new0(struct fw_conn_pool, 1);
 
     p->idle_conns = Fw_IdleConns_New();
     Fw_List_Init(&p->active);
@@ -77,7 +77,7 @@
 }
 
 void
-Fw_Pool_AddMetrics(struct fw_pool *p, struct fw_metrics *m)
+Fw_Pool_AddMetrics(struct fw_conn_pool *p, struct fw_metrics *m)
 {
     Fw_Metrics_Add(m, &p->opened);
     Fw_Metrics_Add(m, &p->reused);
@@ -85,7 +85,7 @@
 }
 
 void
-Fw_Pool_Forget(struct fw_pool *p, const char *addr)
+Fw_Pool_Forget(struct fw_conn_pool *p, const char *addr)
 {
     g_hash_table_remove(p->idle_conns, addr);
 }
@@ -288,7 +288,7 @@
 }
 
 struct fw_exchange *
-Fw_Exchange_Start(struct fw_pool *p, const char *addr, const GString *head,
+Fw_Exchange_Start(struct fw_conn_pool *p, const char *addr, const GString *head,
                   GBytes *body, const struct fw_exchange_opts *opts,
                   const struct fw_exchange_ops *ops, void *ctx, int *err)
 {
@@ -334,7 +334,7 @@
 }
 
 void
-Fw_Pool_Tick(struct fw_pool *p, int64_t now_us)
+Fw_Pool_Tick(struct fw_conn_pool *p, int64_t now_us)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -353,7 +353,7 @@
 }
 
 void
-Fw_Pool_Free(struct fw_pool *p)
+Fw_Pool_Free(struct fw_conn_pool *p)
 {
     if (!p) {
         return;
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -10,8 +10,8 @@
 #include "base/metrics.h"
 #include "http/head.h"
 
-/** struct fw_pool - idle connections and running exchanges. */
-struct fw_pool;
+/** struct fw_conn_pool - idle connections and running exchanges. */
+struct fw_conn_pool;
 /** struct fw_exchange - a request and its response. */
 struct fw_exchange;
 
@@ -61,21 +61,21 @@
     int no_body;
 };
 
-struct fw_pool *
+struct fw_conn_pool *
 Fw_Pool_New(void);
 void
-Fw_Pool_Free(struct fw_pool *p);
+Fw_Pool_Free(struct fw_conn_pool *p);
 /*
  * Closes expired idle connections and enforces connect timeouts; to be called
  * periodically with the time of Fw_Conn_NowUs.
  */
 void
-Fw_Pool_Tick(struct fw_pool *p, int64_t now_us);
+Fw_Pool_Tick(struct fw_conn_pool *p, int64_t now_us);
 /* Closes the idle connections to @addr, e.g. when its server has changed. */
 void
-Fw_Pool_Forget(struct fw_pool *p, const char *addr);
+Fw_Pool_Forget(struct fw_conn_pool *p, const char *addr);
 void
-Fw_Pool_AddMetrics(struct fw_pool *p, struct fw_metrics *m);
+Fw_Pool_AddMetrics(struct fw_conn_pool *p, struct fw_metrics *m);
 
 /**
  * Fw_Exchange_Start - sends a request to @addr ("ip:port").
@@ -88,7 +88,7 @@
  * failed immediately: nothing was sent and no callback follows.
  */
 struct fw_exchange *
-Fw_Exchange_Start(struct fw_pool *p, const char *addr, const GString *head,
+Fw_Exchange_Start(struct fw_conn_pool *p, const char *addr, const GString *head,
                   GBytes *body, const struct fw_exchange_opts *opts,
                   const struct fw_exchange_ops *ops, void *ctx, int *err);
 /*
--- a/src/relayd/relayd_internal.h
+++ b/src/relayd/relayd_internal.h
@@ -66,7 +66,7 @@
     int64_t settings_mtime_us;
     int64_t settings_checked_us; /* last check of the modification time */
     struct fw_relay *relay;
-    struct fw_pool *pool;
+    struct fw_conn_pool *pool;
     struct fw_http_server *caller_server;
     struct fw_http_server *ready_server;
     struct fw_http_server *metrics_server;
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -58,7 +58,7 @@
                                                    .connect_us = FW_SEC};
 
 static void
-start_call(struct fw_pool *p, const char *url, struct call *c,
+start_call(struct fw_conn_pool *p, const char *url, struct call *c,
            const struct fw_exchange_opts *opts)
 {
     GString *head = g_string_new(
@@ -122,7 +122,7 @@
 
 START_TEST(response_is_complete_or_call_fails)
 {
-    struct fw_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct rig_conn *up;
     struct call c;
@@ -171,7 +171,7 @@
 
 START_TEST(connection_with_leftover_data_is_not_reused)
 {
-    struct fw_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
     struct call b;
@@ -201,7 +201,7 @@
  */
 START_TEST(data_on_idle_connection_closes_it)
 {
-    struct fw_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
 
@@ -224,7 +224,7 @@
 START_TEST(connection_idle_too_long_is_not_reused)
 {
     struct fw_exchange_opts fresh = {.reuse_us = 0, .connect_us = FW_SEC};
-    struct fw_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
     struct call b;
@@ -247,7 +247,7 @@
 
 START_TEST(refused_connection_reports_nothing_sent)
 {
-    struct fw_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     char *url = g_strdup(s->url);
     struct call c;
@@ -265,7 +265,7 @@
 
 START_TEST(aborted_exchange_closes_its_connection)
 {
-    struct fw_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_Pool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call c;
 
