--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -77,7 +77,7 @@
     struct fw_action *a;
 
     b->wake_us[from] = MIN(b->wake_us[from], out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             struct mail *m = g_new0(struct mail, 1);
             m->at_us = b->now_us + FW_HOP_US;
@@ -166,8 +166,8 @@
 static void
 list_all(struct bench *b)
 {
-    static struct fw_list_entry entries[FW_N_MAX];
-    struct fw_listed listed = {.n = b->n, .entries = entries};
+    static struct fw_registry_entry entries[FW_N_MAX];
+    struct fw_registry_snapshot listed = {.n = b->n, .entries = entries};
 
     memset(entries, 0, sizeof(entries));
     for (int i = 0; i < b->n; i++) {
--- a/bench/bench_http.c
+++ b/bench/bench_http.c
@@ -52,7 +52,7 @@
     (void)ctx;
     (void)h;
     (void)body;
-    Fw_Caller_Answer(c, 200, "Content-Type: text/plain\r\n", "hello");
+    Fw_Caller_Respond(c, 200, "Content-Type: text/plain\r\n", "hello");
 }
 
 static void
@@ -63,7 +63,7 @@
 }
 
 static const struct fw_http_ops ops = {.request = on_request,
-                                       .refused = on_refused};
+                                       .rejected = on_refused};
 
 static void
 serve_own(struct side *s)
--- a/bench/bench_request.c
+++ b/bench/bench_request.c
@@ -69,7 +69,7 @@
     struct fw_event ev = {.kind = FW_EV_LOG_APPENDED};
 
     ev.u.appended.ticket = a->ticket;
-    ev.u.appended.first = Fw_MemLog_Append(
+    ev.u.appended.first_offset = Fw_MemLog_Append(
         &b->log, a->stream, (const char *const *)a->records, a->n);
     g_strlcpy(ev.u.appended.stream, a->stream, FW_NAME_MAX);
     step(b, &ev);
@@ -96,7 +96,7 @@
         b->kinds[b->next] = up->kind;
         return;
     }
-    if (up->kind != FW_UP_LOAD) {
+    if (up->kind != FW_UP_LOAD_REPORT) {
         return;
     }
     ev.u.up.op = up->op;
@@ -116,7 +116,7 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_UP_START) {
             on_up(b, &a->u.up);
         }
@@ -152,7 +152,7 @@
 static void
 configure(struct bench *b)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     GString *s = g_string_new(
         "{\"kind\":\"team\",\"name\":\"a\",\"was\":0,\"value\":{"
         "\"rate\":1000000000,\"burst\":1000000000,\"priority\":1,"
@@ -241,7 +241,7 @@
     ev.u.up.op = b->ops[n];
     ev.u.up.kind = b->kinds[n];
     ev.u.up.phase = phase;
-    if (phase == FW_UP_PIECE) {
+    if (phase == FW_UP_TOKEN) {
         ev.u.up.u.token.index = index;
         ev.u.up.u.token.text = "word ";
     }
@@ -335,7 +335,7 @@
     t0 = now_s();
     for (int i = 0; i < FW_PIECES; i++) {
         for (int n = 1; n <= FW_OPEN; n++) {
-            answer(&b, n, FW_UP_PIECE, i);
+            answer(&b, n, FW_UP_TOKEN, i);
         }
     }
     piece_s = now_s() - t0;
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -94,12 +94,13 @@
     struct fw_action *a;
 
     Fw_Actions_Init(&more);
-    while ((a = Fw_Actions_Take(out))) {
-        if (a->kind == FW_ACT_UP_START && a->u.up.kind == FW_UP_LOAD) {
+    while ((a = Fw_Actions_Pop(out))) {
+        if (a->kind == FW_ACT_UP_START && a->u.up.kind == FW_UP_LOAD_REPORT) {
             const struct fw_upstream *u =
                 Fw_Config_FindUpstream(cfg, a->u.up.upstream);
-            struct fw_up_event ev = {
-                .op = a->u.up.op, .kind = FW_UP_LOAD, .phase = FW_UP_DONE};
+            struct fw_up_event ev = {.op = a->u.up.op,
+                                     .kind = FW_UP_LOAD_REPORT,
+                                     .phase = FW_UP_DONE};
 
             ev.u.report.slots = 20;
             ev.u.report.n_models = 1;
--- a/bench/load/load.h
+++ b/bench/load/load.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 #include "base/limits.h"
-#include "base/verdict.h"
+#include "base/ran.h"
 
 #define FW_LOAD_TEAMS 5
 #define FW_LOAD_CALLERS 16
--- a/bench/load/teams.c
+++ b/bench/load/teams.c
@@ -31,7 +31,7 @@
 static void
 add_key(JsonBuilder *b, const char *team, const char *key)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
 
     Fw_Hash_KeyDigest(key, digest);
     json_builder_begin_object(b);
--- a/explore/memlog.c
+++ b/explore/memlog.c
@@ -68,10 +68,11 @@
     out->ticket = read->ticket;
     g_strlcpy(out->stream, read->stream, sizeof(out->stream));
     out->sent_us = sent_us;
-    out->oldest = 1;
-    out->first = MAX(read->from, 1);
-    out->end = s->len + 1;
-    out->n = (int)MIN(out->end - MIN(out->first, out->end),
-                      (uint64_t)read->max_records);
-    out->records = (const char *const *)s->pdata + (out->first - 1);
+    out->oldest_offset = 1;
+    out->first_offset = MAX(read->from_offset, 1);
+    out->end_offset = s->len + 1;
+    out->n =
+        (int)MIN(out->end_offset - MIN(out->first_offset, out->end_offset),
+                 (uint64_t)read->max_records);
+    out->records = (const char *const *)s->pdata + (out->first_offset - 1);
 }
--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -300,7 +300,7 @@
         wd->seen[i] = 0;
     }
     for (int k = 0; k < KEYS; k++) {
-        char digest[FW_DIGEST_HEX];
+        char digest[FW_DIGEST_HEX_SIZE];
         const struct fw_key *key;
 
         g_snprintf(digest, sizeof(digest), "%064d", k);
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -93,7 +93,7 @@
 {
     struct fw_config_env_stream *s = stream_of(w, p->stream);
     struct fw_log_appended done = {.ticket = p->ticket,
-                                   .first = s->records->len + 1};
+                                   .first_offset = s->records->len + 1};
     struct fw_actions out;
 
     if (w->down || w->folds[i].cut) {
@@ -133,7 +133,7 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         switch (a->kind) {
         case FW_ACT_LOG_READ:
             keep_read(w, i, &a->u.read);
@@ -157,8 +157,8 @@
     const struct fw_config_env_stream *s = stream_of(w, p->read.stream);
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .sent_us = p->sent_us,
-                               .oldest = s->gone + 1,
-                               .end = s->records->len + 1};
+                               .oldest_offset = s->gone + 1,
+                               .end_offset = s->records->len + 1};
     struct fw_actions out;
 
     if (w->down || w->folds[i].cut ||
@@ -166,9 +166,11 @@
         r.err = -EIO;
     }
     p->open = 0;
-    r.first = MIN(MAX(p->read.from, r.oldest), r.end);
-    r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
-    r.records = (const char *const *)s->records->pdata + (r.first - 1);
+    r.first_offset =
+        MIN(MAX(p->read.from_offset, r.oldest_offset), r.end_offset);
+    r.n =
+        (int)MIN((uint64_t)p->read.max_records, r.end_offset - r.first_offset);
+    r.records = (const char *const *)s->records->pdata + (r.first_offset - 1);
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_OnRecords(w->folds[i].fold, &r, w->now, &out);
     carry(w, i, &out);
@@ -181,9 +183,9 @@
         struct fw_config_env_read *p = &w->folds[i].reads[k];
         const struct fw_config_env_stream *s = stream_of(w, p->read.stream);
 
-        if (p->open &&
-            (w->down || w->folds[i].cut || p->read.from <= s->records->len ||
-             w->now >= p->sent_us + p->read.wait_us)) {
+        if (p->open && (w->down || w->folds[i].cut ||
+                        p->read.from_offset <= s->records->len ||
+                        w->now >= p->sent_us + p->read.wait_us)) {
             answer(w, i, p);
         }
     }
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -134,19 +134,19 @@
 void
 Fw_FleetEnv_List(struct fw_fleet_env *w)
 {
-    struct fw_list_entry entries[FW_FLEET_ENV_MAX];
-    struct fw_listed listed = {.entries = entries};
+    struct fw_registry_entry entries[FW_FLEET_ENV_MAX];
+    struct fw_registry_snapshot listed = {.entries = entries};
     struct fw_actions out;
 
     memset(entries, 0, sizeof(entries));
     for (int i = 0; i < w->n; i++) {
         const struct fw_self *self = &w->sites[i].self;
-        struct fw_list_entry *e = &entries[listed.n];
+        struct fw_registry_entry *e = &entries[listed.n];
         if (!w->sites[i].up) {
             continue;
         }
         listed.n++;
-        e->kind = FW_LIST_INSTANCE;
+        e->kind = FW_REGISTRY_INSTANCE;
         g_strlcpy(e->name, self->name, sizeof(e->name));
         g_strlcpy(e->addr, self->addr, sizeof(e->addr));
         g_strlcpy(e->domain, self->domain, sizeof(e->domain));
--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_item.c
@@ -123,7 +123,7 @@
 
     item->boot = w->sites[site].self.boot;
     item->ticket = r->ticket;
-    item->offset = r->from;
+    item->offset = r->from_offset;
     item->sent_us = Fw_FleetEnv_Local(w, site);
     item->until_us = w->real_us + r->wait_us;
 }
@@ -134,7 +134,7 @@
     struct fw_action *a;
 
     w->sites[i].wake_us = MIN(w->sites[i].wake_us, out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_msg(w, i, &a->u.send);
         }
@@ -272,8 +272,9 @@
     }
     Fw_Actions_Init(&out);
     if (item->kind == FW_ITEM_APPENDED) {
-        struct fw_log_appended a = {
-            .ticket = item->ticket, .err = item->err, .first = item->offset};
+        struct fw_log_appended a = {.ticket = item->ticket,
+                                    .err = item->err,
+                                    .first_offset = item->offset};
         Fw_Roles_OnAppended(s->roles, &a, now, &out);
     }
     else {
@@ -281,9 +282,9 @@
             .ticket = item->ticket,
             .err = item->err,
             .sent_us = item->sent_us,
-            .first = item->offset,
-            .oldest = w->log_oldest,
-            .end = (uint64_t)item->until_us,
+            .first_offset = item->offset,
+            .oldest_offset = w->log_oldest,
+            .end_offset = (uint64_t)item->until_us,
             .n = item->records ? (int)item->records->len : 0,
             .records = item->records
                            ? (const char *const *)item->records->pdata
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -142,7 +142,7 @@
     struct idem_mail *m;
 
     b->sites[site].wake_us = MIN(b->sites[site].wake_us, out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_peer(b, site, &a->u.send);
         }
@@ -162,7 +162,7 @@
                                 FW_BED_HOP_US + b->log.slow_us);
             m->ticket = a->u.read.ticket;
             m->part = a->u.read.stream[strlen("idem-")] - '0';
-            m->from = a->u.read.from;
+            m->from = a->u.read.from_offset;
             m->max = a->u.read.max_records;
             m->sent_us = b->now_us;
         }
@@ -359,14 +359,14 @@
     }
     Fw_Actions_Init(&out);
     if (m->kind == FW_MAIL_APPENDED) {
-        app.first = m->first;
+        app.first_offset = m->first;
         Fw_Idem_OnAppended(s->idem, &app, b->now_us, &out);
     }
     else if (m->kind == FW_MAIL_RECORDS) {
         rec.sent_us = m->sent_us;
-        rec.first = m->first;
-        rec.oldest = m->oldest;
-        rec.end = m->end;
+        rec.first_offset = m->first;
+        rec.oldest_offset = m->oldest;
+        rec.end_offset = m->end;
         rec.n = m->n;
         rec.records = (const char *const *)m->records;
         Fw_Idem_OnRecords(s->idem, &rec, b->now_us, &out);
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -227,7 +227,7 @@
         return;
     }
     ev->phase = FW_UP_DONE;
-    r->busy = e->busy;
+    r->busy_slots = e->busy;
     g_strlcpy(r->role, e->role, sizeof(r->role));
     r->n_models = e->n_models;
     memcpy(r->models, e->models, sizeof(e->models));
@@ -270,15 +270,16 @@
 {
     struct fw_log_records r = {.ticket = c->read.ticket,
                                .sent_us = c->sent_us,
-                               .oldest = 1,
-                               .end = y->log->len + 1};
+                               .oldest_offset = 1,
+                               .end_offset = y->log->len + 1};
     struct fw_actions out;
 
     g_strlcpy(r.stream, c->read.stream, sizeof(r.stream));
     r.err = y->log_down ? -EIO : 0;
-    r.first = MIN(c->read.from, r.end);
-    r.n = (int)MIN((uint64_t)c->read.max_records, r.end - r.first);
-    r.records = (const char *const *)y->log->pdata + (r.first - 1);
+    r.first_offset = MIN(c->read.from_offset, r.end_offset);
+    r.n =
+        (int)MIN((uint64_t)c->read.max_records, r.end_offset - r.first_offset);
+    r.records = (const char *const *)y->log->pdata + (r.first_offset - 1);
     Fw_Actions_Init(&out);
     Fw_Roles_OnRecords(y->holders[c->holder].roles, &r, y->now, &out);
     carry(y, c->holder, &out);
@@ -288,7 +289,7 @@
 give_append(struct fw_order_env *y, int i, const struct fw_log_append *p)
 {
     struct fw_log_appended done = {.ticket = p->ticket,
-                                   .first = y->log->len + 1};
+                                   .first_offset = y->log->len + 1};
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
@@ -306,7 +307,7 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         struct fw_order_env_call *c = NULL;
 
         if (a->kind == FW_ACT_LOG_APPEND) {
@@ -339,7 +340,7 @@
 {
     if (c->kind == FW_ACT_LOG_READ) {
         return !y->holders[c->holder].paused &&
-               (y->log_down || c->read.from <= y->log->len ||
+               (y->log_down || c->read.from_offset <= y->log->len ||
                 y->now >= c->sent_us + c->read.wait_us);
     }
     return c->reached && !y->holders[c->holder].paused;
--- a/explore/p_request_callers.c
+++ b/explore/p_request_callers.c
@@ -18,7 +18,7 @@
 }
 
 void
-Fw_RequestEnv_SeePiece(struct fw_request_env *w, const struct fw_call_piece *p)
+Fw_RequestEnv_SeePiece(struct fw_request_env *w, const struct fw_call_token *p)
 {
     struct fw_request_env_caller *c = caller(w, p->call);
     char *want = g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->got);
@@ -128,7 +128,7 @@
 static void
 add_key(GString *items, const char *key, int was, int withdrawn)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
 
     Fw_Hash_KeyDigest(key, digest);
     g_string_append_printf(items,
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -57,7 +57,7 @@
         .kind = FW_EV_UP,
         .u.up = {.op = op->up.op,
                  .kind = op->up.kind,
-                 .phase = FW_UP_PIECE,
+                 .phase = FW_UP_TOKEN,
                  .u.token = {.index = index, .text = text}},
     };
 
@@ -114,7 +114,7 @@
     case FW_UP_PREFILL:
         g_strlcpy(up->u.kv.kv, Fw_RequestEnv_IdOf(&op->up),
                   sizeof(up->u.kv.kv));
-        up->u.kv.lapse_us = FW_REQUEST_ENV_LAPSE_US;
+        up->u.kv.ttl_us = FW_REQUEST_ENV_LAPSE_US;
         h = Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
         if (h) {
             h->lapse_us = w->now_us + FW_REQUEST_ENV_LAPSE_US;
@@ -123,7 +123,7 @@
     case FW_UP_IMPORT:
         up->u.transfer_us = FW_MSEC;
         break;
-    case FW_UP_LOAD:
+    case FW_UP_LOAD_REPORT:
         up->u.report.slots = 20;
         up->u.report.kv_total = 1 << 20;
         g_strlcpy(up->u.report.role, op->engine < 2 ? "prefill" : "decode",
@@ -131,7 +131,7 @@
         up->u.report.n_models = 1;
         g_strlcpy(up->u.report.models[0], "m@1", FW_MODELREF_MAX);
         break;
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         FW_LIST_EACH (pos, &w->held[op->engine]) {
             if (up->u.held.n < FW_REQUEST_ENV_CALLERS) {
                 ids[up->u.held.n++] =
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -101,9 +101,9 @@
         return up->u.decode.request;
     case FW_UP_CANCEL:
         return up->u.cancel.request;
-    case FW_UP_LOAD:
-    case FW_UP_HELD:
-    case FW_UP_CACHE:
+    case FW_UP_LOAD_REPORT:
+    case FW_UP_LIST_REQUESTS:
+    case FW_UP_CACHE_EVENTS:
     case FW_UP_ORDER:
     case FW_UP_SERVICE:
         break;
@@ -143,8 +143,9 @@
                           op->caller);
         }
     }
-    else if (up->kind != FW_UP_LOAD && up->kind != FW_UP_HELD &&
-             up->kind != FW_UP_CACHE) {
+    else if (up->kind != FW_UP_LOAD_REPORT &&
+             up->kind != FW_UP_LIST_REQUESTS &&
+             up->kind != FW_UP_CACHE_EVENTS) {
         op->caller = Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_IdOf(up));
     }
     if (up->kind == FW_UP_DECODE || up->kind == FW_UP_RESUME) {
@@ -188,7 +189,7 @@
     struct fw_event ev = {.kind = FW_EV_LOG_APPENDED};
 
     ev.u.appended.ticket = a->ticket;
-    ev.u.appended.first = Fw_MemLog_Append(
+    ev.u.appended.first_offset = Fw_MemLog_Append(
         &w->log, a->stream, (const char *const *)a->records, a->n);
     g_strlcpy(ev.u.appended.stream, a->stream, sizeof(ev.u.appended.stream));
     Fw_RequestEnv_Step(w, &ev);
@@ -241,9 +242,9 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         switch (a->kind) {
-        case FW_ACT_CALL_PIECE:
+        case FW_ACT_CALL_TOKEN:
             Fw_RequestEnv_SeePiece(w, &a->u.piece);
             break;
         case FW_ACT_CALL_FAIL:
@@ -265,9 +266,9 @@
             take_read(w, &a->u.read);
             break;
         case FW_ACT_CALL_START:
-        case FW_ACT_CALL_ANSWER:
+        case FW_ACT_CALL_RESPONSE:
         case FW_ACT_PEER_SEND:
-        case FW_ACT_LIST_READ:
+        case FW_ACT_REGISTRY_READ:
         case FW_ACT_NOTE:
             break;
         case FW_ACT_EXIT:
--- a/explore/p_request_env.h
+++ b/explore/p_request_env.h
@@ -107,7 +107,7 @@
 /* p_request_callers.c: what the instance says to callers, looked at. */
 void
 Fw_RequestEnv_SeePiece(struct fw_request_env *w,
-                       const struct fw_call_piece *p);
+                       const struct fw_call_token *p);
 void
 Fw_RequestEnv_SeeFail(struct fw_request_env *w, const struct fw_call_fail *f);
 void
--- a/explore/p_route.c
+++ b/explore/p_route.c
@@ -62,12 +62,12 @@
 static void
 read_list(struct route_env *s, struct leaving *l, int node)
 {
-    struct fw_list_entry e[FW_STAGE_ENGINES] = {0};
-    struct fw_listed listed = {.n = s->n_engines, .entries = e};
+    struct fw_registry_entry e[FW_STAGE_ENGINES] = {0};
+    struct fw_registry_snapshot listed = {.n = s->n_engines, .entries = e};
 
     for (int i = 0; i < s->n_engines; i++) {
-        e[i].kind = FW_LIST_UPSTREAM;
-        e[i].leaving = l->list[i];
+        e[i].kind = FW_REGISTRY_UPSTREAM;
+        e[i].draining = l->list[i];
         g_strlcpy(e[i].name, s->engine[i].name, sizeof(e[i].name));
     }
     Fw_Router_OnListed(s->router[node], &listed, s->now_us);
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -130,7 +130,7 @@
     if (e->dead) {
         return;
     }
-    if (up->kind == FW_UP_CACHE) {
+    if (up->kind == FW_UP_CACHE_EVENTS) {
         m->up.u.cache.next_seq = up->u.cache.from_seq;
         if (e->cache.n) {
             m->up.u.cache = e->cache;
@@ -138,11 +138,11 @@
         }
         return;
     }
-    rep->lag_us = e->lag_us;
+    rep->age_us = e->lag_us;
     rep->slots = 2;
-    rep->busy = e->busy;
+    rep->busy_slots = e->busy;
     rep->queued_tokens = e->queued;
-    rep->leaving = e->leaving;
+    rep->draining = e->leaving;
     rep->n_models = 1;
     g_strlcpy(rep->role, e->is_prefill ? "prefill" : "decode",
               sizeof(rep->role));
@@ -177,7 +177,7 @@
     struct fw_action *a;
 
     s->wake_us[node] = MIN(s->wake_us[node], out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_msg(s, node, &a->u.send);
         }
@@ -256,11 +256,11 @@
 static void
 introduce(struct route_env *s)
 {
-    struct fw_list_entry e[FW_ROUTE_ENV_NODES] = {0};
-    struct fw_listed listed = {.n = s->n, .entries = e};
+    struct fw_registry_entry e[FW_ROUTE_ENV_NODES] = {0};
+    struct fw_registry_snapshot listed = {.n = s->n, .entries = e};
 
     for (int i = 0; i < s->n; i++) {
-        e[i].kind = FW_LIST_INSTANCE;
+        e[i].kind = FW_REGISTRY_INSTANCE;
         g_strlcpy(e[i].name, s->self[i].name, sizeof(e[i].name));
         g_strlcpy(e[i].addr, s->self[i].addr, sizeof(e[i].addr));
         g_strlcpy(e[i].domain, s->self[i].domain, sizeof(e[i].domain));
--- a/src/base/hash.c
+++ b/src/base/hash.c
@@ -27,7 +27,7 @@
 {
     char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1);
 
-    g_strlcpy(out, hex, FW_DIGEST_HEX);
+    g_strlcpy(out, hex, FW_DIGEST_HEX_SIZE);
     g_free(hex);
 }
 
@@ -36,10 +36,11 @@
 {
     unsigned char diff = 0;
 
-    if (strlen(a) != FW_DIGEST_HEX - 1 || strlen(b) != FW_DIGEST_HEX - 1) {
+    if (strlen(a) != FW_DIGEST_HEX_SIZE - 1 ||
+        strlen(b) != FW_DIGEST_HEX_SIZE - 1) {
         return 0;
     }
-    for (size_t i = 0; i < FW_DIGEST_HEX - 1; i++) {
+    for (size_t i = 0; i < FW_DIGEST_HEX_SIZE - 1; i++) {
         diff |= (unsigned char)(a[i] ^ b[i]);
     }
     return diff == 0;
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -5,7 +5,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define FW_DIGEST_HEX 65 /* bytes of a SHA-256 in hex, with NUL */
+#define FW_DIGEST_HEX_SIZE 65 /* bytes of a SHA-256 in hex, with NUL */
 
 uint64_t
 Fw_Hash_Bytes(const void *data, size_t len, uint64_t seed);
@@ -23,7 +23,7 @@
 
 /**
  * Fw_Hash_KeyDigest - hex SHA-256 of a caller's API key.
- * @out: at least FW_DIGEST_HEX bytes
+ * @out: at least FW_DIGEST_HEX_SIZE bytes
  */
 void
 Fw_Hash_KeyDigest(const char *key, char *out);
--- a/src/config/change.h
+++ b/src/config/change.h
@@ -11,7 +11,7 @@
 
 #define FW_CHANGE_ID_MAX 40
 #define FW_CHANGE_AT_MAX 32
-#define FW_ITEM_NAME_MAX FW_DIGEST_HEX
+#define FW_ITEM_NAME_MAX FW_DIGEST_HEX_SIZE
 /*
  * Limits of one record. They have to be the same on all instances, which
  * would otherwise reach different verdicts.
--- a/src/config/change_parse.c
+++ b/src/config/change_parse.c
@@ -83,8 +83,8 @@
 int
 Fw_Digest_Valid(const char *digest)
 {
-    return strlen(digest) == FW_DIGEST_HEX - 1 &&
-           strspn(digest, "0123456789abcdef") == FW_DIGEST_HEX - 1;
+    return strlen(digest) == FW_DIGEST_HEX_SIZE - 1 &&
+           strspn(digest, "0123456789abcdef") == FW_DIGEST_HEX_SIZE - 1;
 }
 
 static int
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -46,7 +46,7 @@
 
 /** struct fw_key - API key, stored only as its SHA-256 digest. */
 struct fw_key {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     char team[FW_NAME_MAX];
     uint64_t version;
     int withdrawn;
@@ -137,7 +137,7 @@
 /** struct fw_operator - operator, identified by the digest of their key. */
 struct fw_operator {
     char name[FW_NAME_MAX];
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     uint64_t version;
     int withdrawn;
 };
--- a/src/config/config_internal.h
+++ b/src/config/config_internal.h
@@ -72,7 +72,7 @@
 int
 Fw_Field_Text(const struct fw_field_reader *r, const char *name, char *out,
               size_t size);
-/* Reads a digest into @out of FW_DIGEST_HEX bytes. */
+/* Reads a digest into @out of FW_DIGEST_HEX_SIZE bytes. */
 int
 Fw_Field_Digest(const struct fw_field_reader *r, const char *name, char *out);
 /*
--- a/src/config/config_query.c
+++ b/src/config/config_query.c
@@ -12,7 +12,7 @@
 const struct fw_team *
 Fw_Config_FindTeamByKey(const struct fw_config *cfg, const char *key)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     const struct fw_key *k;
 
     if (!key) {
@@ -65,7 +65,7 @@
 const struct fw_operator *
 Fw_Config_FindOperatorByKey(const struct fw_config *cfg, const char *key)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     const struct fw_operator *found = NULL;
     GHashTableIter it;
     void *value;
--- a/src/config/field.c
+++ b/src/config/field.c
@@ -142,7 +142,7 @@
     if (!Fw_Digest_Valid(s)) {
         return reject(r, name, node, "64 hex digits in lower case");
     }
-    g_strlcpy(out, s, FW_DIGEST_HEX);
+    g_strlcpy(out, s, FW_DIGEST_HEX_SIZE);
     return 0;
 }
 
--- a/src/config/replica_cmd.c
+++ b/src/config/replica_cmd.c
@@ -86,7 +86,7 @@
 uint64_t
 Fw_ConfigReplica_NewTicket(struct fw_config_replica *rep)
 {
-    return Fw_Owner_Number(FW_OWNER_CONFIG, ++rep->seq);
+    return Fw_Owner_MakeId(FW_OWNER_CONFIG, ++rep->seq);
 }
 
 /*
@@ -144,7 +144,7 @@
 {
     for (int i = 0; i < r->n; i++) {
         struct fw_change_result res;
-        uint64_t offset = r->first + (uint64_t)i;
+        uint64_t offset = r->first_offset + (uint64_t)i;
 
         if (offset != rep->state->cfg->next_offset) {
             continue;
@@ -186,7 +186,7 @@
     }
     rep->gap = 1;
     rep->metrics.gap.value = 1;
-    rep->oldest_offset = r->oldest;
+    rep->oldest_offset = r->oldest_offset;
     Fw_ConfigReplica_StartSearch(rep);
     Fw_ConfigReplica_BackOff(rep, now_us);
 }
@@ -197,17 +197,18 @@
 {
     uint64_t next = rep->state->cfg->next_offset;
 
-    if (MAX(r->first, r->oldest) > next && r->end > next) {
+    if (MAX(r->first_offset, r->oldest_offset) > next &&
+        r->end_offset > next) {
         enter_gap(rep, r, now_us, out);
         return;
     }
     rep->gap = 0;
     rep->metrics.gap.value = 0;
-    rep->oldest_offset = r->oldest;
+    rep->oldest_offset = r->oldest_offset;
     rep->backoff_us = FW_REPLICA_BACKOFF_MIN_US;
     rep->read_due_us = now_us;
     apply_records(rep, r, out);
-    if (rep->state->cfg->next_offset >= r->end) {
+    if (rep->state->cfg->next_offset >= r->end_offset) {
         rep->ready = 1;
     }
 }
@@ -264,9 +265,9 @@
         Fw_ConfigReplica_SendSearchRead(rep, out);
         return;
     }
-    Fw_Actions_Read(out, rep->read_ticket, FW_STREAM_CONFIG,
-                    rep->state->cfg->next_offset, FW_REPLICA_READ_RECORDS_MAX,
-                    FW_REPLICA_READ_WAIT_US);
+    Fw_Actions_ReadLog(out, rep->read_ticket, FW_STREAM_CONFIG,
+                       rep->state->cfg->next_offset,
+                       FW_REPLICA_READ_RECORDS_MAX, FW_REPLICA_READ_WAIT_US);
 }
 
 void
--- a/src/config/replica_peer.c
+++ b/src/config/replica_peer.c
@@ -50,7 +50,7 @@
     g_strlcpy(msg.u.config.u.request.snapshot_id, p->snapshot_id,
               sizeof(msg.u.config.u.request.snapshot_id));
     p->request_sent_us = now_us;
-    Fw_Actions_Send(out, p->name, p->addr, &msg);
+    Fw_Actions_SendPeer(out, p->name, p->addr, &msg);
     Fw_Actions_Wake(out, now_us + FW_PEER_RESEND_INTERVAL_US);
 }
 
@@ -110,7 +110,7 @@
 
     if (rep->state->cfg->next_offset <= req->next_offset) {
         msg.u.config.kind = FW_CONFIG_MSG_UP_TO_DATE;
-        Fw_Actions_Send(out, from, addr, &msg);
+        Fw_Actions_SendPeer(out, from, addr, &msg);
         return;
     }
     if (!p->served || p->served->header.offset <= req->next_offset) {
@@ -135,7 +135,7 @@
     }
     msg.u.config.kind = FW_CONFIG_MSG_PART;
     msg.u.config.u.part = g_strdup(g_ptr_array_index(p->served->parts, k));
-    Fw_Actions_Send(out, from, addr, &msg);
+    Fw_Actions_SendPeer(out, from, addr, &msg);
 }
 
 static void
--- a/src/config/replica_search.c
+++ b/src/config/replica_search.c
@@ -31,7 +31,8 @@
     int max =
         rep->phase == FW_REPLICA_READ_BOUNDS ? 1 : FW_SEARCH_READ_RECORDS_MAX;
 
-    Fw_Actions_Read(out, rep->read_ticket, FW_STREAM_SNAPSHOT, from, max, 0);
+    Fw_Actions_ReadLog(out, rep->read_ticket, FW_STREAM_SNAPSHOT, from, max,
+                       0);
 }
 
 static void
@@ -56,7 +57,8 @@
         struct fw_snapshot_header header;
         int rc = Fw_Snapshot_Feed(&s->assembler, r->records[i], &st, NULL);
 
-        if (rc == -EBADMSG && r->first + (uint64_t)i != s->window_start) {
+        if (rc == -EBADMSG &&
+            r->first_offset + (uint64_t)i != s->window_start) {
             rep->metrics.snap_refused.value++;
             Fw_Actions_Note(out, LOG_NOTICE, "snapshot_refused", NULL);
         }
@@ -70,7 +72,7 @@
         Fw_ConfigState_Free(s->newest);
         s->newest = st;
         Fw_Snapshot_ParseHeader(r->records[i], &header);
-        s->newest_first = r->first + (uint64_t)i + 1 - header.n_parts;
+        s->newest_first = r->first_offset + (uint64_t)i + 1 - header.n_parts;
     }
 }
 
@@ -115,15 +117,16 @@
     struct fw_replica_search *s = &rep->search;
 
     if (rep->phase == FW_REPLICA_READ_BOUNDS) {
-        s->oldest_offset = MAX(r->oldest, 1);
-        s->end_offset = r->end;
+        s->oldest_offset = MAX(r->oldest_offset, 1);
+        s->end_offset = r->end_offset;
         open_window(s);
         rep->phase = FW_REPLICA_SEARCH;
     }
     else {
         read_parts(rep, r, out);
         /* Records may have expired since the search began. */
-        s->next_offset = r->n > 0 ? r->first + (uint64_t)r->n : s->end_offset;
+        s->next_offset =
+            r->n > 0 ? r->first_offset + (uint64_t)r->n : s->end_offset;
     }
     if (s->next_offset >= s->end_offset) {
         end_window(rep, now_us, out);
--- a/src/config/replica_snapshot.c
+++ b/src/config/replica_snapshot.c
@@ -115,7 +115,7 @@
 
     w->ticket = Fw_ConfigReplica_NewTicket(rep);
     w->sent_us = now_us;
-    Fw_Actions_Append(
+    Fw_Actions_AppendLog(
         out, w->ticket, FW_STREAM_SNAPSHOT,
         (const char *const *)(w->snapshot->parts->pdata + w->next_part),
         (int)n);
@@ -129,8 +129,8 @@
 
     w->ticket = Fw_ConfigReplica_NewTicket(rep);
     w->sent_us = now_us;
-    Fw_Actions_Read(out, w->ticket, FW_STREAM_SNAPSHOT, MAX(w->tail_offset, 1),
-                    1, 0);
+    Fw_Actions_ReadLog(out, w->ticket, FW_STREAM_SNAPSHOT,
+                       MAX(w->tail_offset, 1), 1, 0);
 }
 
 void
@@ -185,24 +185,24 @@
 
     if (Fw_Snapshot_ParseHeader(r->records[0], &header) == 0 &&
         header.part + 1 == header.n_parts) {
-        if (header.offset > w->newest || r->oldest > w->newest_first) {
+        if (header.offset > w->newest || r->oldest_offset > w->newest_first) {
             w->newest = header.offset;
             w->newest_us = now_us;
-            w->newest_first = r->first + 1 - header.n_parts;
+            w->newest_first = r->first_offset + 1 - header.n_parts;
         }
     }
-    else if (w->incomplete_end == r->end) {
+    else if (w->incomplete_end == r->end_offset) {
         /* No part was added since the last check: the writer failed. */
         w->newest = 0;
     }
     else {
         /* Another writer may be at work: wait for its snapshot. */
-        w->incomplete_end = r->end;
+        w->incomplete_end = r->end_offset;
         if (w->begin_due_us) {
             w->begin_due_us = now_us + FW_SNAPSHOT_CHECK_INTERVAL_US + 1;
         }
     }
-    if (r->oldest > w->newest_first) {
+    if (r->oldest_offset > w->newest_first) {
         w->newest = 0;
     }
 }
@@ -219,14 +219,14 @@
         w->check_due_us = now_us + FW_SNAPSHOT_RETRY_DELAY_US;
         return;
     }
-    if (r->end <= r->oldest) {
+    if (r->end_offset <= r->oldest_offset) {
         w->newest = 0;
         w->tail_offset = 0;
         w->check_due_us = now_us + FW_SNAPSHOT_CHECK_INTERVAL_US;
         return;
     }
-    if (r->n < 1 || r->first + 1 != r->end) {
-        w->tail_offset = r->end - 1;
+    if (r->n < 1 || r->first_offset + 1 != r->end_offset) {
+        w->tail_offset = r->end_offset - 1;
         w->check_due_us = now_us;
         return;
     }
@@ -251,7 +251,7 @@
         return;
     }
     if (w->next_part == 0) {
-        w->newest_first = a->first;
+        w->newest_first = a->first_offset;
     }
     w->next_part += MIN(FW_SNAPSHOT_APPEND_PARTS_MAX,
                         w->snapshot->parts->len - w->next_part);
--- a/src/core/action.c
+++ b/src/core/action.c
@@ -25,9 +25,9 @@
     case FW_UP_DECODE:
     case FW_UP_RESUME:
     case FW_UP_CANCEL:
-    case FW_UP_LOAD:
-    case FW_UP_HELD:
-    case FW_UP_CACHE:
+    case FW_UP_LOAD_REPORT:
+    case FW_UP_LIST_REQUESTS:
+    case FW_UP_CACHE_EVENTS:
     case FW_UP_ORDER:
         break;
     }
@@ -54,10 +54,10 @@
 Fw_Action_Free(struct fw_action *a)
 {
     switch (a->kind) {
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
         g_free(a->u.piece.text);
         break;
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         g_bytes_unref(a->u.answer.body);
         break;
     case FW_ACT_UP_START:
@@ -77,7 +77,7 @@
     case FW_ACT_CALL_FAIL:
     case FW_ACT_UP_STOP:
     case FW_ACT_LOG_READ:
-    case FW_ACT_LIST_READ:
+    case FW_ACT_REGISTRY_READ:
     case FW_ACT_EXIT:
         break;
     }
@@ -85,7 +85,7 @@
 }
 
 struct fw_action *
-Fw_Actions_Take(struct fw_actions *out)
+Fw_Actions_Pop(struct fw_actions *out)
 {
     struct fw_action *a;
 
@@ -102,7 +102,7 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         Fw_Action_Free(a);
     }
     out->wake_us = INT64_MAX;
@@ -125,8 +125,8 @@
 }
 
 void
-Fw_Actions_Send(struct fw_actions *out, const char *to, const char *addr,
-                const struct fw_msg *msg)
+Fw_Actions_SendPeer(struct fw_actions *out, const char *to, const char *addr,
+                    const struct fw_msg *msg)
 {
     struct fw_action *a = Fw_Actions_Add(out, FW_ACT_PEER_SEND);
 
@@ -136,8 +136,8 @@
 }
 
 void
-Fw_Actions_Append(struct fw_actions *out, uint64_t ticket, const char *stream,
-                  const char *const *records, int n)
+Fw_Actions_AppendLog(struct fw_actions *out, uint64_t ticket,
+                     const char *stream, const char *const *records, int n)
 {
     struct fw_log_append *p =
         &Fw_Actions_Add(out, FW_ACT_LOG_APPEND)->u.append;
@@ -152,14 +152,14 @@
 }
 
 void
-Fw_Actions_Read(struct fw_actions *out, uint64_t ticket, const char *stream,
-                uint64_t from, int max_records, int64_t wait_us)
+Fw_Actions_ReadLog(struct fw_actions *out, uint64_t ticket, const char *stream,
+                   uint64_t from, int max_records, int64_t wait_us)
 {
     struct fw_log_read *p = &Fw_Actions_Add(out, FW_ACT_LOG_READ)->u.read;
 
     p->ticket = ticket;
     g_strlcpy(p->stream, stream, sizeof(p->stream));
-    p->from = from;
+    p->from_offset = from;
     p->max_records = max_records;
     p->wait_us = wait_us;
 }
--- a/src/core/action.h
+++ b/src/core/action.h
@@ -11,17 +11,17 @@
 /** enum fw_action_kind - tag of struct fw_action. */
 enum fw_action_kind {
     FW_ACT_CALL_START,
-    FW_ACT_CALL_PIECE,
+    FW_ACT_CALL_TOKEN,
     FW_ACT_CALL_END,
     FW_ACT_CALL_FAIL,
-    FW_ACT_CALL_ANSWER,
+    FW_ACT_CALL_RESPONSE,
     FW_ACT_UP_START,
     FW_ACT_UP_STOP, /* abort a running upstream call by closing its connection
                      */
     FW_ACT_PEER_SEND,
     FW_ACT_LOG_APPEND,
     FW_ACT_LOG_READ,
-    FW_ACT_LIST_READ,
+    FW_ACT_REGISTRY_READ,
     FW_ACT_NOTE, /* write a log line to standard error */
     FW_ACT_EXIT, /* draining is complete: exit with status 0 */
 };
@@ -65,10 +65,10 @@
     struct fw_list link;
     union {
         struct fw_call_start start;
-        struct fw_call_piece piece;
+        struct fw_call_token piece;
         struct fw_call_end end;
         struct fw_call_fail fail;
-        struct fw_call_answer answer;
+        struct fw_call_response answer;
         struct fw_up_start up;
         uint64_t stop; /* op of the call to abort */
         struct fw_peer_send send;
@@ -97,7 +97,7 @@
  * Fw_Action_Free; NULL when the list is empty.
  */
 struct fw_action *
-Fw_Actions_Take(struct fw_actions *out);
+Fw_Actions_Pop(struct fw_actions *out);
 void
 Fw_Action_Free(struct fw_action *a);
 
@@ -110,20 +110,20 @@
 
 /* Sends @msg to a peer. What @msg owns is moved into the action. */
 void
-Fw_Actions_Send(struct fw_actions *out, const char *to, const char *addr,
-                const struct fw_msg *msg);
+Fw_Actions_SendPeer(struct fw_actions *out, const char *to, const char *addr,
+                    const struct fw_msg *msg);
 
 /*
  * Appends @records, which are copied, to a stream of the platform's log.
  * @ticket is returned with the result.
  */
 void
-Fw_Actions_Append(struct fw_actions *out, uint64_t ticket, const char *stream,
-                  const char *const *records, int n);
+Fw_Actions_AppendLog(struct fw_actions *out, uint64_t ticket,
+                     const char *stream, const char *const *records, int n);
 /* Reads a stream of the platform's log; see struct fw_log_read. */
 void
-Fw_Actions_Read(struct fw_actions *out, uint64_t ticket, const char *stream,
-                uint64_t from, int max_records, int64_t wait_us);
+Fw_Actions_ReadLog(struct fw_actions *out, uint64_t ticket, const char *stream,
+                   uint64_t from, int max_records, int64_t wait_us);
 
 /**
  * Fw_Actions_Note - writes a structured log line.
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 #include "base/limits.h"
-#include "base/verdict.h"
+#include "base/ran.h"
 
 /** enum fw_call_kind - type of a request. */
 enum fw_call_kind {
@@ -53,7 +53,7 @@
 };
 
 /** struct fw_call_token - text of one output token; @index counts from 0. */
-struct fw_call_piece {
+struct fw_call_token {
     uint64_t call;
     int64_t index;
     char *text; /* owned by the action */
@@ -98,7 +98,7 @@
  * /v1/models or to an operator's request.
  * @body: reference owned by the action
  */
-struct fw_call_answer {
+struct fw_call_response {
     uint64_t call;
     char request_id[FW_ID_MAX];
     int status;
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -16,7 +16,7 @@
     FW_EV_PEER,         /* a message from an authenticated peer */
     FW_EV_LOG_APPENDED, /* result of an append to the platform's log */
     FW_EV_LOG_RECORDS,  /* result of a read of the platform's log */
-    FW_EV_LISTED,       /* contents of the platform's registry */
+    FW_EV_REGISTRY,     /* contents of the platform's registry */
     FW_EV_OPERATOR,     /* a request on the operators' port */
     FW_EV_DRAIN,        /* SIGTERM: drain, then exit */
 };
@@ -58,7 +58,7 @@
         struct fw_event_peer peer;
         struct fw_log_appended appended;
         struct fw_log_records records;
-        struct fw_listed listed;
+        struct fw_registry_snapshot listed;
         struct fw_operator_call oper;
     } u;
 };
--- a/src/core/log.h
+++ b/src/core/log.h
@@ -31,7 +31,7 @@
 struct fw_log_read {
     uint64_t ticket;
     char stream[FW_NAME_MAX];
-    uint64_t from;
+    uint64_t from_offset;
     int max_records;
     int64_t wait_us;
 };
@@ -46,7 +46,7 @@
     uint64_t ticket;
     char stream[FW_NAME_MAX];
     int err;
-    uint64_t first;
+    uint64_t first_offset;
 };
 
 /**
@@ -64,17 +64,17 @@
     char stream[FW_NAME_MAX];
     int err;
     int64_t sent_us;
-    uint64_t first;
-    uint64_t oldest;
-    uint64_t end;
+    uint64_t first_offset;
+    uint64_t oldest_offset;
+    uint64_t end_offset;
     int n;
     const char *const *records; /* JSON, valid for the current step only */
 };
 
 /** enum fw_registry_kind - type of a registry entry. */
-enum fw_list_kind {
-    FW_LIST_INSTANCE,
-    FW_LIST_UPSTREAM,
+enum fw_registry_kind {
+    FW_REGISTRY_INSTANCE,
+    FW_REGISTRY_UPSTREAM,
 };
 
 /**
@@ -84,13 +84,13 @@
  * @domain: failure domain
  * @draining: nonzero while the instance or upstream is draining
  */
-struct fw_list_entry {
-    enum fw_list_kind kind;
+struct fw_registry_entry {
+    enum fw_registry_kind kind;
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
     char domain[FW_NAME_MAX];
     char region[FW_NAME_MAX];
-    int leaving;
+    int draining;
 };
 
 /**
@@ -98,10 +98,10 @@
  * @err: 0 or a negative errno
  * @entries: valid for the current step only
  */
-struct fw_listed {
+struct fw_registry_snapshot {
     int err;
     int n;
-    const struct fw_list_entry *entries;
+    const struct fw_registry_entry *entries;
 };
 
 #endif
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -41,7 +41,7 @@
 #define FW_OWNER_OPERATE 8ULL
 
 static inline uint64_t
-Fw_Owner_Number(uint64_t owner, uint64_t n)
+Fw_Owner_MakeId(uint64_t owner, uint64_t n)
 {
     return owner << FW_OWNER_SHIFT | n;
 }
--- a/src/core/up.h
+++ b/src/core/up.h
@@ -10,18 +10,18 @@
 #include <stdint.h>
 
 #include "base/limits.h"
-#include "base/verdict.h"
+#include "base/ran.h"
 
 /** enum fw_up_kind - type of an upstream call. */
 enum fw_up_kind {
-    FW_UP_PREFILL, /* compute the KV cache of a prompt */
-    FW_UP_IMPORT,  /* fetch a KV cache from a prefill engine */
-    FW_UP_DECODE,  /* generate from an imported KV cache, streamed */
-    FW_UP_RESUME,  /* stream a running decode again from an index on */
-    FW_UP_CANCEL,  /* free the resources of a request */
-    FW_UP_LOAD,    /* get a load report */
-    FW_UP_HELD,    /* list the requests that hold memory */
-    FW_UP_CACHE,   /* get prefix cache events from a sequence number */
+    FW_UP_PREFILL,       /* compute the KV cache of a prompt */
+    FW_UP_IMPORT,        /* fetch a KV cache from a prefill engine */
+    FW_UP_DECODE,        /* generate from an imported KV cache, streamed */
+    FW_UP_RESUME,        /* stream a running decode again from an index on */
+    FW_UP_CANCEL,        /* free the resources of a request */
+    FW_UP_LOAD_REPORT,   /* get a load report */
+    FW_UP_LIST_REQUESTS, /* list the requests that hold memory */
+    FW_UP_CACHE_EVENTS,  /* get prefix cache events from a sequence number */
     FW_UP_ORDER,   /* load or unload a model or adapter, or set the role */
     FW_UP_SERVICE, /* call a plain service */
 };
@@ -111,7 +111,7 @@
     char *path; /* with query, owned by the action */
     char content_type[64];
     GBytes *body; /* may be NULL; reference owned by the action */
-    int once;
+    int at_most_once;
 };
 
 /**
@@ -127,7 +127,7 @@
     enum fw_up_kind kind;
     char upstream[FW_NAME_MAX];
     char url[FW_URL_MAX];
-    int64_t timeout_us;
+    int64_t idle_timeout_us;
     union {
         struct fw_up_prefill prefill;
         struct fw_up_import import;
@@ -146,7 +146,7 @@
  * @FW_UP_FAILED: the call has failed and is over
  */
 enum fw_up_phase {
-    FW_UP_PIECE,
+    FW_UP_TOKEN,
     FW_UP_DONE,
     FW_UP_FAILED,
 };
@@ -162,7 +162,7 @@
     char kv[FW_ID_MAX];
     int64_t tokens;
     int64_t cached_tokens;
-    int64_t lapse_us;
+    int64_t ttl_us;
 };
 
 /** struct fw_up_token - one output token; @text lives for this step only. */
@@ -191,13 +191,13 @@
  * @models: loaded models: "model@version" or "model@version+adapter"
  */
 struct fw_up_report {
-    int64_t lag_us;
+    int64_t age_us;
     int slots;
-    int busy;
+    int busy_slots;
     int64_t queued_tokens;
     int64_t kv_used;
     int64_t kv_total;
-    int leaving;
+    int draining;
     char role[16];
     int n_models;
     char models[FW_UP_MODELS_MAX][FW_MODELREF_MAX];
@@ -209,7 +209,7 @@
  * @requests: ids of the requests on the engine
  * @attached: per request, nonzero while its owner is connected; may be NULL
  */
-struct fw_up_held {
+struct fw_up_request_list {
     int n;
     const char *const *requests;
     const unsigned char *attached;
@@ -223,7 +223,7 @@
  */
 struct fw_up_cache_event {
     uint64_t seq;
-    uint64_t prefix;
+    uint64_t prefix_hash;
     int64_t tokens;
     int evicted;
 };
@@ -234,7 +234,7 @@
     const struct fw_up_cache_event *events;
 };
 
-struct fw_up_answer {
+struct fw_up_response {
     int status;
     char content_type[64];
     GBytes *body; /* valid for the current step only */
@@ -261,9 +261,9 @@
         struct fw_up_token token;
         struct fw_up_end end;
         struct fw_up_report report;
-        struct fw_up_held held;
+        struct fw_up_request_list held;
         struct fw_up_cache_batch cache;
-        struct fw_up_answer answer;
+        struct fw_up_response answer;
     } u;
 };
 
--- a/src/ctl/commands.c
+++ b/src/ctl/commands.c
@@ -111,7 +111,7 @@
            const struct fw_args *args)
 {
     char *key = Fw_Ctl_NewKey();
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     JsonObject *value = json_object_new();
     int rc;
 
@@ -137,7 +137,7 @@
                   stderr);
             return -EINVAL;
         }
-        g_strlcpy(digest, word, FW_DIGEST_HEX);
+        g_strlcpy(digest, word, FW_DIGEST_HEX_SIZE);
         return 0;
     }
     if (!fgets(line, sizeof(line), stdin)) {
@@ -151,7 +151,7 @@
 withdraw_key(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
              const struct fw_args *args)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
 
     if (read_digest(args->operands[0], digest)) {
         return FW_EXIT_INVALID;
@@ -164,7 +164,7 @@
                     const struct fw_args *args)
 {
     char *key = Fw_Ctl_NewKey();
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     JsonObject *value;
     uint64_t item_version;
     int rc = Fw_Ctl_FetchItem(ctl, cmd->kind, args->operands[0], &item_version,
@@ -200,7 +200,7 @@
                      const struct fw_args *args)
 {
     char *key = Fw_Ctl_NewKey();
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     char id[FW_CHANGE_ID_MAX];
     GDateTime *now = g_date_time_new_now_utc();
     char *at = g_date_time_format(now, "%Y-%m-%dT%H:%M:%SZ");
--- a/src/daemon/ini.c
+++ b/src/daemon/ini.c
@@ -153,9 +153,9 @@
     switch (key->kind) {
     case FW_INI_NAME:
         return parse_name(text, at);
-    case FW_INI_LISTEN:
+    case FW_INI_ADDR:
         return parse_address(text, 0, at);
-    case FW_INI_PEERS:
+    case FW_INI_REACHABLE_ADDR:
         return parse_address(text, 1, at);
     case FW_INI_URL:
         return parse_url(text, at);
@@ -164,7 +164,7 @@
     case FW_INI_PATH:
         return parse_path(text, at);
     case FW_INI_CHOICE:
-        return parse_choice(key->words, text, at);
+        return parse_choice(key->choices, text, at);
     case FW_INI_DECIMAL:
         return parse_scaled(key, text, FW_DECIMAL_SCALE, at);
     case FW_INI_FLOOR:
@@ -185,10 +185,10 @@
     GString *text = g_string_new(problem);
     char *out;
 
-    for (int i = 0; key->words[i]; i++) {
-        const char *sep = i == 0 ? " " : key->words[i + 1] ? ", " : " or ";
+    for (int i = 0; key->choices[i]; i++) {
+        const char *sep = i == 0 ? " " : key->choices[i + 1] ? ", " : " or ";
 
-        g_string_append_printf(text, "%s%s", sep, key->words[i]);
+        g_string_append_printf(text, "%s%s", sep, key->choices[i]);
     }
     out = format_error(path, key->group, key->name, text->str);
     g_string_free(text, TRUE);
@@ -229,14 +229,14 @@
     if (!text && g_key_file_has_key(file, key->group, key->name, NULL)) {
         return format_error(path, key->group, key->name, "is not valid UTF-8");
     }
-    if (text && !text[0] && key->fallback) {
+    if (text && !text[0] && key->default_text) {
         g_clear_pointer(&text, g_free);
     }
-    if (!text && !key->fallback) {
+    if (!text && !key->default_text) {
         return format_error(path, key->group, key->name, "is missing");
     }
-    problem = parse_value(key, text ? text : key->fallback,
-                          (char *)values + key->at);
+    problem = parse_value(key, text ? text : key->default_text,
+                          (char *)values + key->offset);
     if (problem) {
         error = format_value_error(path, key, problem);
     }
--- a/src/daemon/ini.h
+++ b/src/daemon/ini.h
@@ -10,9 +10,9 @@
 
 /** enum fw_ini_kind - format of a value, and the type it is stored as. */
 enum fw_ini_kind {
-    FW_INI_NAME,    /* char[FW_NAME_MAX] */
-    FW_INI_LISTEN,  /* char[FW_URL_MAX]: "ip:port", port 0 for any free one */
-    FW_INI_PEERS,   /* char[FW_URL_MAX]: "ip:port", no wildcard */
+    FW_INI_NAME, /* char[FW_NAME_MAX] */
+    FW_INI_ADDR, /* char[FW_URL_MAX]: "ip:port", port 0 for any free one */
+    FW_INI_REACHABLE_ADDR, /* char[FW_URL_MAX]: "ip:port", no wildcard */
     FW_INI_URL,     /* char[FW_URL_MAX]: http://..., without a final slash */
     FW_INI_PATH,    /* char[FW_URL_MAX]: begins with a slash */
     FW_INI_SECRET,  /* GBytes *, from hex */
@@ -34,11 +34,11 @@
     const char *group;
     const char *name;
     enum fw_ini_kind kind;
-    const char *fallback;
+    const char *default_text;
     int64_t min;
     int64_t max;
-    size_t at;
-    const char *const *words;
+    size_t offset;
+    const char *const *choices;
 };
 
 /* Initialisers of struct fw_ini_key. */
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -53,8 +53,9 @@
 /* Adds listed instances as candidates for probes. The platform's list lags, so
  * it doesn't change the state of members. */
 void
-Fw_Fleet_OnListed(struct fw_fleet *f, const struct fw_listed *listed,
-                  int64_t now_us, struct fw_actions *out);
+Fw_Fleet_OnListed(struct fw_fleet *f,
+                  const struct fw_registry_snapshot *listed, int64_t now_us,
+                  struct fw_actions *out);
 /* Announces to all members that this instance leaves. */
 void
 Fw_Fleet_Drain(struct fw_fleet *f, int64_t now_us, struct fw_actions *out);
--- a/src/fleet/fleet_cmd.c
+++ b/src/fleet/fleet_cmd.c
@@ -7,16 +7,16 @@
 /* Nonzero when @le is among the members of its region that this instance keeps
  * track of. The choice differs by instance, which spreads the load. */
 static int
-is_sampled(const struct fw_fleet *f, const struct fw_listed *listed,
-           const struct fw_list_entry *le)
+is_sampled(const struct fw_fleet *f, const struct fw_registry_snapshot *listed,
+           const struct fw_registry_entry *le)
 {
     uint64_t key = Fw_Hash_Str(f->self.name);
     uint64_t w = Fw_Hash_Weight(key, le->name);
     int above = 0;
 
     for (int i = 0; i < listed->n; i++) {
-        const struct fw_list_entry *o = &listed->entries[i];
-        above += o->kind == FW_LIST_INSTANCE && !o->leaving &&
+        const struct fw_registry_entry *o = &listed->entries[i];
+        above += o->kind == FW_REGISTRY_INSTANCE && !o->draining &&
                  strcmp(o->region, le->region) == 0 &&
                  Fw_Hash_Weight(key, o->name) > w;
     }
@@ -24,12 +24,12 @@
 }
 
 static void
-apply_listed(struct fw_fleet *f, const struct fw_listed *listed,
-             const struct fw_list_entry *le, int64_t now_us)
+apply_listed(struct fw_fleet *f, const struct fw_registry_snapshot *listed,
+             const struct fw_registry_entry *le, int64_t now_us)
 {
     struct fw_member_entry *e = Fw_Member_Find(f, le->name);
 
-    if (!e && !le->leaving &&
+    if (!e && !le->draining &&
         (strcmp(le->region, f->self.region) == 0 ||
          is_sampled(f, listed, le))) {
         e = Fw_Member_Add(f, le->name, le->addr, le->domain, le->region);
@@ -47,8 +47,9 @@
 }
 
 void
-Fw_Fleet_OnListed(struct fw_fleet *f, const struct fw_listed *listed,
-                  int64_t now_us, struct fw_actions *out)
+Fw_Fleet_OnListed(struct fw_fleet *f,
+                  const struct fw_registry_snapshot *listed, int64_t now_us,
+                  struct fw_actions *out)
 {
     GHashTableIter it;
     gpointer value;
@@ -61,7 +62,7 @@
         ((struct fw_member_entry *)value)->listed = 0;
     }
     for (int i = 0; i < listed->n; i++) {
-        if (listed->entries[i].kind == FW_LIST_INSTANCE) {
+        if (listed->entries[i].kind == FW_REGISTRY_INSTANCE) {
             apply_listed(f, listed, &listed->entries[i], now_us);
         }
     }
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -19,7 +19,7 @@
     struct fw_msg m = {.area = FW_AREA_FLEET, .u.fleet = *msg};
 
     f->sent.value++;
-    Fw_Actions_Send(out, to, addr, &m);
+    Fw_Actions_SendPeer(out, to, addr, &m);
 }
 
 void
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -57,12 +57,12 @@
 static void
 send_read(struct fw_roles *r, int64_t now_us, struct fw_actions *out)
 {
-    r->read_ticket = Fw_Owner_Number(FW_OWNER_ROLES, ++r->ticket);
+    r->read_ticket = Fw_Owner_MakeId(FW_OWNER_ROLES, ++r->ticket);
     r->read_sent_us = now_us;
     /* The first read doesn't wait for records: the stream may be idle. */
-    Fw_Actions_Read(out, r->read_ticket, r->stream, r->next_offset,
-                    FW_ROLE_READ_RECORDS_MAX,
-                    r->has_read ? FW_ROLE_LONG_POLL_US : 0);
+    Fw_Actions_ReadLog(out, r->read_ticket, r->stream, r->next_offset,
+                       FW_ROLE_READ_RECORDS_MAX,
+                       r->has_read ? FW_ROLE_LONG_POLL_US : 0);
 }
 
 static void
@@ -94,21 +94,22 @@
 apply_records(struct fw_roles *r, const struct fw_log_records *rec,
               int64_t now_us, struct fw_actions *out)
 {
-    uint64_t from = rec->n > 0 ? rec->first : MAX(rec->oldest, r->next_offset);
+    uint64_t from = rec->n > 0 ? rec->first_offset
+                               : MAX(rec->oldest_offset, r->next_offset);
 
-    if (!r->has_read && rec->oldest <= 1 && from <= 1) {
+    if (!r->has_read && rec->oldest_offset <= 1 && from <= 1) {
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
             r->slots[i].known = 1; /* read from the first record on */
         }
     }
-    if (from > r->next_offset || rec->end < r->next_offset) {
+    if (from > r->next_offset || rec->end_offset < r->next_offset) {
         reset_slots(r);
         r->next_offset = from;
     }
     r->has_read = 1;
     for (int i = 0; i < rec->n; i++) {
         struct fw_role_record one;
-        uint64_t offset = rec->first + (uint64_t)i;
+        uint64_t offset = rec->first_offset + (uint64_t)i;
         if (offset < r->next_offset) {
             continue;
         }
@@ -139,7 +140,7 @@
     }
     r->read_backoff_us = FW_ROLE_BACKOFF_MIN_US;
     apply_records(r, rec, now_us, out);
-    if (r->next_offset >= rec->end) {
+    if (r->next_offset >= rec->end_offset) {
         r->view_us = r->read_sent_us;
     }
     /* Limits the rate of reads in case the log answers them at once. */
@@ -280,10 +281,11 @@
         }
     }
     if (texts->len > 0) {
-        r->append_ticket = Fw_Owner_Number(FW_OWNER_ROLES, ++r->ticket);
+        r->append_ticket = Fw_Owner_MakeId(FW_OWNER_ROLES, ++r->ticket);
         r->append_sent_us = now_us;
-        Fw_Actions_Append(out, r->append_ticket, r->stream,
-                          (const char *const *)texts->pdata, (int)texts->len);
+        Fw_Actions_AppendLog(out, r->append_ticket, r->stream,
+                             (const char *const *)texts->pdata,
+                             (int)texts->len);
     }
     g_ptr_array_unref(texts);
 }
--- a/src/http/frame.c
+++ b/src/http/body.c
@@ -1,4 +1,4 @@
-#include "http/frame.h"
+#include "http/body.h"
 
 #include <errno.h>
 #include <glib.h>
@@ -21,11 +21,11 @@
 Fw_Http_BodyInit(struct fw_http_body_decoder *f, const struct fw_http_head *h)
 {
     *f = (struct fw_http_body_decoder){.framing = h->framing};
-    if (h->framing == FW_HTTP_LENGTH) {
+    if (h->framing == FW_HTTP_CONTENT_LENGTH) {
         f->remaining = h->length;
     }
-    f->done = h->framing == FW_HTTP_NONE ||
-              (h->framing == FW_HTTP_LENGTH && f->remaining == 0);
+    f->done = h->framing == FW_HTTP_NO_BODY ||
+              (h->framing == FW_HTTP_CONTENT_LENGTH && f->remaining == 0);
 }
 
 int
@@ -131,7 +131,7 @@
     }
     if (f->framing != FW_HTTP_CHUNKED) {
         consumed = take_data(f, data, len, body, body_len);
-        f->done = f->framing == FW_HTTP_LENGTH && f->remaining == 0;
+        f->done = f->framing == FW_HTTP_CONTENT_LENGTH && f->remaining == 0;
         return (int)consumed;
     }
     while (consumed < len && !f->done && f->state != FW_CHUNK_DATA) {
--- a/src/http/caller.c
+++ b/src/http/caller.c
@@ -11,17 +11,17 @@
 set_state(struct fw_http_caller *c, enum fw_caller_state state)
 {
     if (c->state == FW_CALLER_IDLE) {
-        c->request_start_us = Fw_Conn_Now();
+        c->request_start_us = Fw_Conn_NowUs();
     }
     c->state = state;
-    c->timer_start_us = Fw_Conn_Now();
+    c->timer_start_us = Fw_Conn_NowUs();
 }
 
 static void
 drop_request(struct fw_http_caller *c)
 {
     Fw_Http_ClearHead(&c->head);
-    Fw_Caller_ForgetBody(c);
+    Fw_Caller_ReleaseBody(c);
     if (c->body_buffer) {
         c->server->buffered_bytes -= c->body_buffer->len;
         g_clear_pointer(&c->body_buffer, g_byte_array_unref);
@@ -47,22 +47,22 @@
     GString *fields = g_string_new(NULL);
     GString *body = g_string_new(NULL);
 
-    s->ops->refused(s->ctx, status, why);
-    if (s->ops->refusal) {
-        s->ops->refusal(s->ctx, &c->head, status, why, fields, body);
+    s->ops->rejected(s->ctx, status, why);
+    if (s->ops->format_rejection) {
+        s->ops->format_rejection(s->ctx, &c->head, status, why, fields, body);
     }
     else {
         g_string_append(fields, "Content-Type: text/plain\r\n");
         g_string_append(body, why);
     }
     c->close_after = 1;
-    Fw_Caller_Answer(c, status, fields->str, body->str);
+    Fw_Caller_Respond(c, status, fields->str, body->str);
     g_string_free(fields, TRUE);
     g_string_free(body, TRUE);
 }
 
 void
-Fw_Caller_ForgetBody(struct fw_http_caller *c)
+Fw_Caller_ReleaseBody(struct fw_http_caller *c)
 {
     if (c->request_body) {
         c->server->buffered_bytes -= g_bytes_get_size(c->request_body);
@@ -78,8 +78,8 @@
     const struct fw_http_field *expect;
     size_t len;
     const char *data = Fw_Conn_Received(c->conn, &len);
-    int n = Fw_Http_ReadHead(FW_HTTP_REQUEST, data, MIN(len, l->header_bytes),
-                             &c->head);
+    int n = Fw_Http_ParseHead(FW_HTTP_REQUEST, data, MIN(len, l->header_bytes),
+                              &c->head);
 
     if (n == 0 && len >= l->header_bytes) {
         Fw_Caller_Reject(c, 431, "the head is too large");
@@ -96,14 +96,15 @@
         return 0;
     }
     Fw_Conn_Consume(c->conn, (size_t)n);
-    if (c->head.framing == FW_HTTP_LENGTH && c->head.length > l->body_bytes) {
+    if (c->head.framing == FW_HTTP_CONTENT_LENGTH &&
+        c->head.length > l->body_bytes) {
         Fw_Caller_Reject(c, 413, "the body is too large");
         return 0;
     }
     Fw_Http_BodyInit(&c->body_decoder, &c->head);
     c->body_buffer = g_byte_array_new();
     set_state(c, FW_CALLER_BODY);
-    expect = Fw_Http_Find(&c->head, "expect");
+    expect = Fw_Http_FindField(&c->head, "expect");
     if (expect && Fw_Http_HasToken(expect, "100-continue")) {
         Fw_Conn_Write(c->conn, "HTTP/1.1 100 Continue\r\n\r\n", 25);
     }
@@ -119,13 +120,13 @@
         Fw_Caller_Reject(c, 413, "the body is too large");
         return -EMSGSIZE;
     }
-    if (s->buffered_bytes + len > s->limits.held_bytes) {
+    if (s->buffered_bytes + len > s->limits.buffered_bytes) {
         Fw_Caller_Reject(c, 503, "no memory for the body");
         return -ENOMEM;
     }
     s->buffered_bytes += len;
     g_byte_array_append(c->body_buffer, (const guint8 *)part, (guint)len);
-    c->timer_start_us = Fw_Conn_Now();
+    c->timer_start_us = Fw_Conn_NowUs();
     return 0;
 }
 
@@ -169,8 +170,8 @@
 static void
 notify_disconnect(struct fw_http_caller *c)
 {
-    if (c->server->ops->gone) {
-        c->server->ops->gone(c->server->ctx, c);
+    if (c->server->ops->disconnected) {
+        c->server->ops->disconnected(c->server->ctx, c);
     }
 }
 
@@ -222,8 +223,8 @@
 {
     struct fw_http_caller *c = ctx;
 
-    if (c->state == FW_CALLER_RESPONSE && c->server->ops->drained) {
-        c->server->ops->drained(c->server->ctx, c);
+    if (c->state == FW_CALLER_RESPONSE && c->server->ops->flushed) {
+        c->server->ops->flushed(c->server->ctx, c);
     }
 }
 
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -5,9 +5,9 @@
 
 #include "base/limits.h"
 #include "base/list.h"
+#include "http/body.h"
 #include "http/conn.h"
-#include "http/frame.h"
-#include "http/kept.h"
+#include "http/idle_conns.h"
 
 /* Largest head of a response. */
 #define FW_RESPONSE_HEAD_MAX_BYTES 32768
@@ -58,7 +58,7 @@
 };
 
 struct fw_conn_pool *
-Fw_Pool_New(void)
+Fw_ConnPool_New(void)
 {
     struct fw_conn_pool *p = g_new0(struct fw_conn_pool, 1);
 
@@ -77,7 +77,7 @@
 }
 
 void
-Fw_Pool_AddMetrics(struct fw_conn_pool *p, struct fw_metrics *m)
+Fw_ConnPool_AddMetrics(struct fw_conn_pool *p, struct fw_metrics *m)
 {
     Fw_Metrics_Add(m, &p->opened);
     Fw_Metrics_Add(m, &p->reused);
@@ -85,7 +85,7 @@
 }
 
 void
-Fw_Pool_Forget(struct fw_conn_pool *p, const char *addr)
+Fw_ConnPool_CloseIdle(struct fw_conn_pool *p, const char *addr)
 {
     g_hash_table_remove(p->idle_conns, addr);
 }
@@ -151,7 +151,7 @@
 static int64_t
 keep_alive_us(const struct fw_http_head *h)
 {
-    const struct fw_http_field *f = Fw_Http_Find(h, "keep-alive");
+    const struct fw_http_field *f = Fw_Http_FindField(h, "keep-alive");
     const char *p =
         f ? g_strstr_len(f->value, (gssize)f->value_len, "timeout=") : NULL;
     int64_t us;
@@ -168,7 +168,7 @@
 handle_head(struct fw_exchange *x, struct fw_http_head *h)
 {
     x->in_callback = 1;
-    x->discarding = x->ops->head(x->ctx, h) == FW_TAKE_SKIP;
+    x->discarding = x->ops->head(x->ctx, h) == FW_HEAD_DISCARD;
     if (leave_callback(x)) {
         return 0;
     }
@@ -191,7 +191,7 @@
     struct fw_http_head h;
     size_t len;
     const char *data = Fw_Conn_Received(x->conn, &len);
-    int n = Fw_Http_ReadHead(FW_HTTP_RESPONSE, data, len, &h);
+    int n = Fw_Http_ParseHead(FW_HTTP_RESPONSE, data, len, &h);
 
     if (n < 0 || (n == 0 && len > FW_RESPONSE_HEAD_MAX_BYTES)) {
         exchange_fail(x, -EBADMSG);
@@ -275,8 +275,8 @@
 static struct fw_conn *
 obtain_conn(struct fw_exchange *x, int *err)
 {
-    struct fw_conn *conn =
-        Fw_IdleConns_Take(x->pool->idle_conns, x->addr, x->opts.reuse_us);
+    struct fw_conn *conn = Fw_IdleConns_Take(x->pool->idle_conns, x->addr,
+                                             x->opts.reuse_idle_max_us);
 
     if (conn) {
         x->pool->reused.value++;
@@ -288,8 +288,9 @@
 }
 
 struct fw_exchange *
-Fw_Exchange_Start(struct fw_conn_pool *p, const char *addr, const GString *head,
-                  GBytes *body, const struct fw_exchange_opts *opts,
+Fw_Exchange_Start(struct fw_conn_pool *p, const char *addr,
+                  const GString *head, GBytes *body,
+                  const struct fw_exchange_opts *opts,
                   const struct fw_exchange_ops *ops, void *ctx, int *err)
 {
     struct fw_exchange *x = g_new0(struct fw_exchange, 1);
@@ -299,7 +300,7 @@
     x->ctx = ctx;
     x->opts = *opts;
     x->reusable = 1;
-    x->started_us = Fw_Conn_Now();
+    x->started_us = Fw_Conn_NowUs();
     g_strlcpy(x->addr, addr, sizeof(x->addr));
     x->conn = obtain_conn(x, err);
     if (!x->conn) {
@@ -317,7 +318,7 @@
 }
 
 void
-Fw_Exchange_Stop(struct fw_exchange *x)
+Fw_Exchange_Abort(struct fw_exchange *x)
 {
     if (x->in_callback) {
         x->aborted = 1;
@@ -334,7 +335,7 @@
 }
 
 void
-Fw_Pool_Tick(struct fw_conn_pool *p, int64_t now_us)
+Fw_ConnPool_Tick(struct fw_conn_pool *p, int64_t now_us)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -344,7 +345,7 @@
         struct fw_exchange *x = FW_LIST_ENTRY(pos, struct fw_exchange, link);
 
         if (!Fw_Conn_Connected(x->conn) &&
-            now_us - x->started_us >= x->opts.connect_us) {
+            now_us - x->started_us >= x->opts.connect_timeout_us) {
             exchange_fail(x, -ETIMEDOUT);
             /* The callback may have modified the list. */
             break;
@@ -353,13 +354,13 @@
 }
 
 void
-Fw_Pool_Free(struct fw_conn_pool *p)
+Fw_ConnPool_Free(struct fw_conn_pool *p)
 {
     if (!p) {
         return;
     }
     while (!Fw_List_Empty(&p->active)) {
-        Fw_Exchange_Stop(
+        Fw_Exchange_Abort(
             FW_LIST_ENTRY(p->active.next, struct fw_exchange, link));
     }
     g_hash_table_destroy(p->idle_conns);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -16,9 +16,9 @@
 struct fw_exchange;
 
 /** enum fw_head_action - what to do with a response, decided on its head. */
-enum fw_take {
-    FW_TAKE_IT,
-    FW_TAKE_SKIP, /* discard it: it belongs to another request */
+enum fw_head_action {
+    FW_HEAD_ACCEPT,
+    FW_HEAD_DISCARD, /* discard it: it belongs to another request */
 };
 
 /**
@@ -40,7 +40,7 @@
  * @fail: @err is a negative errno, -EBADMSG for an invalid response
  */
 struct fw_exchange_ops {
-    enum fw_take (*head)(void *ctx, const struct fw_http_head *head);
+    enum fw_head_action (*head)(void *ctx, const struct fw_http_head *head);
     void (*body)(void *ctx, const char *data, size_t len);
     void (*end)(void *ctx);
     void (*fail)(void *ctx, int err, enum fw_sent sent);
@@ -56,26 +56,26 @@
  * @no_body: the response has no body, whatever its head says (HEAD)
  */
 struct fw_exchange_opts {
-    int64_t reuse_us;
-    int64_t connect_us;
+    int64_t reuse_idle_max_us;
+    int64_t connect_timeout_us;
     int no_body;
 };
 
 struct fw_conn_pool *
-Fw_Pool_New(void);
+Fw_ConnPool_New(void);
 void
-Fw_Pool_Free(struct fw_conn_pool *p);
+Fw_ConnPool_Free(struct fw_conn_pool *p);
 /*
  * Closes expired idle connections and enforces connect timeouts; to be called
  * periodically with the time of Fw_Conn_NowUs.
  */
 void
-Fw_Pool_Tick(struct fw_conn_pool *p, int64_t now_us);
+Fw_ConnPool_Tick(struct fw_conn_pool *p, int64_t now_us);
 /* Closes the idle connections to @addr, e.g. when its server has changed. */
 void
-Fw_Pool_Forget(struct fw_conn_pool *p, const char *addr);
+Fw_ConnPool_CloseIdle(struct fw_conn_pool *p, const char *addr);
 void
-Fw_Pool_AddMetrics(struct fw_conn_pool *p, struct fw_metrics *m);
+Fw_ConnPool_AddMetrics(struct fw_conn_pool *p, struct fw_metrics *m);
 
 /**
  * Fw_Exchange_Start - sends a request to @addr ("ip:port").
@@ -88,15 +88,16 @@
  * failed immediately: nothing was sent and no callback follows.
  */
 struct fw_exchange *
-Fw_Exchange_Start(struct fw_conn_pool *p, const char *addr, const GString *head,
-                  GBytes *body, const struct fw_exchange_opts *opts,
+Fw_Exchange_Start(struct fw_conn_pool *p, const char *addr,
+                  const GString *head, GBytes *body,
+                  const struct fw_exchange_opts *opts,
                   const struct fw_exchange_ops *ops, void *ctx, int *err);
 /*
  * Aborts the exchange: resets the connection, so that the upstream stops, and
  * frees the exchange. No callback follows. May be called from @head and @body.
  */
 void
-Fw_Exchange_Stop(struct fw_exchange *x);
+Fw_Exchange_Abort(struct fw_exchange *x);
 /* Pauses or resumes reading the response, for flow control. */
 void
 Fw_Exchange_Pause(struct fw_exchange *x, int paused);
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -45,7 +45,7 @@
 };
 
 int64_t
-Fw_Conn_Now(void)
+Fw_Conn_NowUs(void)
 {
     struct timespec t;
 
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -26,7 +26,7 @@
 
 /* CLOCK_BOOTTIME in microseconds; advances during suspend. */
 int64_t
-Fw_Conn_Now(void);
+Fw_Conn_NowUs(void);
 
 /*
  * Wraps an accepted socket, whose reference it takes over. No callback is made
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -29,7 +29,7 @@
 }
 
 const struct fw_http_field *
-Fw_Http_Find(const struct fw_http_head *h, const char *name)
+Fw_Http_FindField(const struct fw_http_head *h, const char *name)
 {
     for (int i = 0; i < h->n_fields; i++) {
         if (Fw_Http_FieldIs(&h->fields[i], name)) {
@@ -66,7 +66,7 @@
 }
 
 void
-Fw_Http_AddField(GString *out, const struct fw_http_field *f)
+Fw_Http_AppendField(GString *out, const struct fw_http_field *f)
 {
     g_string_append_len(out, f->name, (gssize)f->name_len);
     g_string_append(out, ": ");
@@ -75,7 +75,7 @@
 }
 
 int
-Fw_Http_HopByHop(const struct fw_http_head *h, const struct fw_http_field *f)
+Fw_Http_IsHopByHop(const struct fw_http_head *h, const struct fw_http_field *f)
 {
     static const char *const names[] = {
         "connection", "keep-alive", "proxy-connection",
@@ -209,7 +209,7 @@
         }
         h->length = h->length * 10 + (uint64_t)(f->value[i] - '0');
     }
-    h->framing = FW_HTTP_LENGTH;
+    h->framing = FW_HTTP_CONTENT_LENGTH;
     return 0;
 }
 
@@ -234,14 +234,17 @@
 static int
 parse_framing(enum fw_http_message_type type, struct fw_http_head *h)
 {
-    const struct fw_http_field *length = Fw_Http_Find(h, "content-length");
-    const struct fw_http_field *coding = Fw_Http_Find(h, "transfer-encoding");
+    const struct fw_http_field *length =
+        Fw_Http_FindField(h, "content-length");
+    const struct fw_http_field *coding =
+        Fw_Http_FindField(h, "transfer-encoding");
 
     if (count_fields(h, "content-length") > 1 ||
         count_fields(h, "transfer-encoding") > 1 || (length && coding)) {
         return -EBADMSG;
     }
-    h->framing = type == FW_HTTP_REQUEST ? FW_HTTP_NONE : FW_HTTP_UNTIL_CLOSE;
+    h->framing =
+        type == FW_HTTP_REQUEST ? FW_HTTP_NO_BODY : FW_HTTP_UNTIL_CLOSE;
     if (coding) {
         if (h->minor < 1 || coding->value_len != 7 ||
             g_ascii_strncasecmp(coding->value, "chunked", 7) != 0) {
@@ -253,7 +256,7 @@
         return -EBADMSG;
     }
     if (has_no_body(h)) {
-        h->framing = FW_HTTP_NONE;
+        h->framing = FW_HTTP_NO_BODY;
     }
     return 0;
 }
@@ -344,8 +347,8 @@
 }
 
 int
-Fw_Http_ReadHead(enum fw_http_message_type type, const char *data, size_t len,
-                 struct fw_http_head *out)
+Fw_Http_ParseHead(enum fw_http_message_type type, const char *data, size_t len,
+                  struct fw_http_head *out)
 {
     size_t n = head_length(data, len);
 
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -24,8 +24,8 @@
 
 /** enum fw_http_framing - how the end of a body is determined. */
 enum fw_http_framing {
-    FW_HTTP_NONE, /* there is no body */
-    FW_HTTP_LENGTH,
+    FW_HTTP_NO_BODY, /* there is no body */
+    FW_HTTP_CONTENT_LENGTH,
     FW_HTTP_CHUNKED,
     FW_HTTP_UNTIL_CLOSE, /* by the end of the connection; responses only */
 };
@@ -71,13 +71,13 @@
  * it is malformed or ambiguous.
  */
 int
-Fw_Http_ReadHead(enum fw_http_message_type type, const char *data, size_t len,
-                 struct fw_http_head *out);
+Fw_Http_ParseHead(enum fw_http_message_type type, const char *data, size_t len,
+                  struct fw_http_head *out);
 void
 Fw_Http_ClearHead(struct fw_http_head *h);
 /* The first field with @name, ignoring case, or NULL. */
 const struct fw_http_field *
-Fw_Http_Find(const struct fw_http_head *h, const char *name);
+Fw_Http_FindField(const struct fw_http_head *h, const char *name);
 /* Nonzero when the method is @method; methods are case-sensitive. */
 int
 Fw_Http_MethodIs(const struct fw_http_head *h, const char *method);
@@ -89,9 +89,10 @@
 Fw_Http_HasToken(const struct fw_http_field *f, const char *token);
 /* Appends @f as a header line with CRLF. */
 void
-Fw_Http_AddField(GString *out, const struct fw_http_field *f);
+Fw_Http_AppendField(GString *out, const struct fw_http_field *f);
 /* Nonzero when @f must not be forwarded (RFC 9110, section 7.6.1). */
 int
-Fw_Http_HopByHop(const struct fw_http_head *h, const struct fw_http_field *f);
+Fw_Http_IsHopByHop(const struct fw_http_head *h,
+                   const struct fw_http_field *f);
 
 #endif
--- a/src/http/http_internal.h
+++ b/src/http/http_internal.h
@@ -5,8 +5,8 @@
 #include <gio/gio.h>
 
 #include "base/list.h"
+#include "http/body.h"
 #include "http/conn.h"
-#include "http/frame.h"
 #include "http/server.h"
 
 /** enum fw_caller_state - state of a connection. */
--- a/src/http/kept.c
+++ b/src/http/idle_conns.c
@@ -1,4 +1,4 @@
-#include "http/kept.h"
+#include "http/idle_conns.h"
 
 #include "base/limits.h"
 #include "base/list.h"
@@ -96,7 +96,7 @@
     }
     i = g_new0(struct idle_conn, 1);
     i->conn = conn;
-    i->idle_since_us = Fw_Conn_Now();
+    i->idle_since_us = Fw_Conn_NowUs();
     i->expires_us = i->idle_since_us + max_idle_us;
     Fw_Conn_SetOwner(conn, &idle_conn_ops, i);
     Fw_List_Append(l, &i->link);
@@ -107,7 +107,7 @@
 Fw_IdleConns_Take(GHashTable *conns, const char *addr, int64_t idle_limit_us)
 {
     struct fw_list *l = g_hash_table_lookup(conns, addr);
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
     struct fw_conn *conn;
     struct idle_conn *i;
 
--- a/src/http/answer.c
+++ b/src/http/response.c
@@ -97,14 +97,14 @@
 }
 
 void
-Fw_Caller_Cut(struct fw_http_caller *c)
+Fw_Caller_Abort(struct fw_http_caller *c)
 {
     Fw_Caller_Free(c, 1);
 }
 
 void
-Fw_Caller_Answer(struct fw_http_caller *c, int status, const char *fields,
-                 const char *body)
+Fw_Caller_Respond(struct fw_http_caller *c, int status, const char *fields,
+                  const char *body)
 {
     Fw_Caller_Start(c, status, fields, (int64_t)strlen(body));
     Fw_Caller_Data(c, body, strlen(body));
@@ -112,7 +112,7 @@
 }
 
 size_t
-Fw_Caller_Pending(const struct fw_http_caller *c)
+Fw_Caller_Unsent(const struct fw_http_caller *c)
 {
     return Fw_Conn_Unsent(c->conn);
 }
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -5,8 +5,8 @@
 
 #include "base/limits.h"
 #include "base/list.h"
+#include "http/body.h"
 #include "http/conn.h"
-#include "http/frame.h"
 #include "http/http_internal.h"
 #include "io/addr.h"
 
@@ -20,10 +20,10 @@
 static const struct fw_http_limits default_limits = {
     .header_bytes = 16384,
     .body_bytes = 4 << 20,
-    .held_bytes = 32 << 20,
-    .head_us = 5 * FW_SEC,
-    .body_us = 15 * FW_SEC,
-    .idle_us = 60 * FW_SEC,
+    .buffered_bytes = 32 << 20,
+    .head_timeout_us = 5 * FW_SEC,
+    .body_idle_timeout_us = 15 * FW_SEC,
+    .keep_alive_timeout_us = 60 * FW_SEC,
 };
 
 static gboolean
@@ -115,7 +115,7 @@
 }
 
 void
-Fw_Server_SendAway(struct fw_http_server *s, int on)
+Fw_Server_SetCloseAfterResponse(struct fw_http_server *s, int on)
 {
     s->close_after_response = on;
 }
@@ -137,7 +137,7 @@
 }
 
 int
-Fw_Server_Busy(const struct fw_http_server *s)
+Fw_Server_CountBusy(const struct fw_http_server *s)
 {
     const struct fw_list *pos;
     int n = 0;
@@ -186,7 +186,8 @@
         c->progress_us = now_us;
         return 0;
     }
-    return s->limits.stall_us && now_us - c->progress_us >= s->limits.stall_us;
+    return s->limits.write_stall_timeout_us &&
+           now_us - c->progress_us >= s->limits.write_stall_timeout_us;
 }
 
 static int
@@ -194,8 +195,8 @@
                   const struct fw_http_caller *c, int64_t now_us)
 {
     return (c->state == FW_CALLER_HEAD || c->state == FW_CALLER_BODY) &&
-           s->limits.whole_us &&
-           now_us - c->request_start_us >= s->limits.whole_us;
+           s->limits.request_timeout_us &&
+           now_us - c->request_start_us >= s->limits.request_timeout_us;
 }
 
 static int64_t
@@ -204,11 +205,11 @@
 {
     switch (c->state) {
     case FW_CALLER_IDLE:
-        return s->limits.idle_us;
+        return s->limits.keep_alive_timeout_us;
     case FW_CALLER_HEAD:
-        return s->limits.head_us;
+        return s->limits.head_timeout_us;
     case FW_CALLER_BODY:
-        return s->limits.body_us;
+        return s->limits.body_idle_timeout_us;
     case FW_CALLER_LINGER:
         return FW_LINGER_US;
     case FW_CALLER_RESPONSE:
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -33,12 +33,12 @@
 struct fw_http_limits {
     size_t header_bytes;
     size_t body_bytes;
-    size_t held_bytes;
-    int64_t head_us;
-    int64_t body_us;
-    int64_t whole_us;
-    int64_t idle_us;
-    int64_t stall_us;
+    size_t buffered_bytes;
+    int64_t head_timeout_us;
+    int64_t body_idle_timeout_us;
+    int64_t request_timeout_us;
+    int64_t keep_alive_timeout_us;
+    int64_t write_stall_timeout_us;
 };
 
 /**
@@ -54,17 +54,18 @@
 struct fw_http_ops {
     void (*request)(void *ctx, struct fw_http_caller *c,
                     const struct fw_http_head *head, GBytes *body);
-    void (*gone)(void *ctx, struct fw_http_caller *c);
-    void (*refused)(void *ctx, int status, const char *why);
+    void (*disconnected)(void *ctx, struct fw_http_caller *c);
+    void (*rejected)(void *ctx, int status, const char *why);
     /*
      * Writes the response to a rejected request into @fields and @body;
      * @head is empty when it was not parsed. NULL for a text/plain response
      * with @why.
      */
-    void (*refusal)(void *ctx, const struct fw_http_head *head, int status,
-                    const char *why, GString *fields, GString *body);
+    void (*format_rejection)(void *ctx, const struct fw_http_head *head,
+                             int status, const char *why, GString *fields,
+                             GString *body);
     /* The kernel has accepted all data written to @c; may be NULL. */
-    void (*drained)(void *ctx, struct fw_http_caller *c);
+    void (*flushed)(void *ctx, struct fw_http_caller *c);
 };
 
 /**
@@ -90,7 +91,7 @@
  * reconnect, possibly to another instance.
  */
 void
-Fw_Server_SendAway(struct fw_http_server *s, int on);
+Fw_Server_SetCloseAfterResponse(struct fw_http_server *s, int on);
 /* Closes the connections on which no request has started. */
 void
 Fw_Server_CloseIdle(struct fw_http_server *s);
@@ -99,7 +100,7 @@
  * sending a response.
  */
 int
-Fw_Server_Busy(const struct fw_http_server *s);
+Fw_Server_CountBusy(const struct fw_http_server *s);
 int
 Fw_Server_Port(const struct fw_http_server *s);
 /* Writes "http://ip:port" as bound to @url, of at least FW_URL_MAX bytes. */
@@ -132,16 +133,16 @@
  * it for complete; @c is invalid afterwards.
  */
 void
-Fw_Caller_Cut(struct fw_http_caller *c);
+Fw_Caller_Abort(struct fw_http_caller *c);
 /* Sends a complete response; @c is invalid afterwards. */
 void
-Fw_Caller_Answer(struct fw_http_caller *c, int status, const char *fields,
-                 const char *body);
+Fw_Caller_Respond(struct fw_http_caller *c, int status, const char *fields,
+                  const char *body);
 /* Frees the body of the request before the response ends. */
 void
-Fw_Caller_ForgetBody(struct fw_http_caller *c);
+Fw_Caller_ReleaseBody(struct fw_http_caller *c);
 /* Bytes of the response that the kernel has not accepted yet. */
 size_t
-Fw_Caller_Pending(const struct fw_http_caller *c);
+Fw_Caller_Unsent(const struct fw_http_caller *c);
 
 #endif
--- a/src/http/events.h
+++ b/src/http/sse.h
@@ -10,13 +10,13 @@
  * @events: number of events
  * @line_ended: nonzero when a line feed as the next byte ends an event
  */
-struct fw_event_count {
-    int64_t n;
-    int at_line;
+struct fw_sse_counter {
+    int64_t events;
+    int line_ended;
 };
 
 /* Counts the events that end in @data, the next part of the stream. */
 void
-Fw_EventCount_Add(struct fw_event_count *c, const char *data, size_t len);
+Fw_SseCounter_Add(struct fw_sse_counter *c, const char *data, size_t len);
 
 #endif
--- a/src/idem/claim_cmd.c
+++ b/src/idem/claim_cmd.c
@@ -8,7 +8,7 @@
 uint64_t
 Fw_Idem_NewOp(struct fw_idem *c)
 {
-    return Fw_Owner_Number(FW_OWNER_IDEM, ++c->seq);
+    return Fw_Owner_MakeId(FW_OWNER_IDEM, ++c->seq);
 }
 
 static struct fw_idem_call *
@@ -70,7 +70,7 @@
     if (o->msg.rec.body) {
         g_bytes_ref(o->msg.rec.body);
     }
-    Fw_Actions_Send(out, m->name, m->addr, &msg);
+    Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
 }
 
 static void
@@ -123,7 +123,7 @@
     }
     msg.u.idem.kind = FW_IDEM_CLAIM;
     msg.u.idem.u.claim = k->claim;
-    Fw_Actions_Send(out, m->name, m->addr, &msg);
+    Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
     Fw_Actions_Wake(out, now_us + FW_IDEM_COORDINATOR_TIMEOUT_US);
 }
 
--- a/src/idem/decide_cmd.c
+++ b/src/idem/decide_cmd.c
@@ -24,7 +24,7 @@
     msg.u.idem.kind = FW_IDEM_CLAIM_REPLY;
     msg.u.idem.u.reply = *reply;
     if (m) {
-        Fw_Actions_Send(out, m->name, m->addr, &msg);
+        Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
     }
     else {
         Fw_Idem_ClearMsg(&msg.u.idem);
@@ -68,7 +68,7 @@
               struct fw_actions *out)
 {
     rq->fetch_ticket = Fw_Idem_NewOp(c);
-    Fw_Actions_Read(out, rq->fetch_ticket, p->stream, offset, 1, 0);
+    Fw_Actions_ReadLog(out, rq->fetch_ticket, p->stream, offset, 1, 0);
     rq->wait_until_us = 0;
     wait_for_outcome(p, rq, rq->deadline_us, now_us, out);
 }
--- a/src/idem/partition_cmd.c
+++ b/src/idem/partition_cmd.c
@@ -193,8 +193,8 @@
         p->ticket = Fw_Idem_NewOp(c);
         c->appends.value++;
         c->records.value += n;
-        Fw_Actions_Append(out, p->ticket, p->stream,
-                          (const char *const *)texts, n);
+        Fw_Actions_AppendLog(out, p->ticket, p->stream,
+                             (const char *const *)texts, n);
     }
     g_strfreev(texts);
 }
--- a/src/idem/partition_read.c
+++ b/src/idem/partition_read.c
@@ -9,8 +9,8 @@
                   struct fw_actions *out)
 {
     p->ticket = Fw_Idem_NewOp(c);
-    Fw_Actions_Read(out, p->ticket, p->stream, p->table.next_offset,
-                    FW_IDEM_READ_RECORDS_MAX, 0);
+    Fw_Actions_ReadLog(out, p->ticket, p->stream, p->table.next_offset,
+                       FW_IDEM_READ_RECORDS_MAX, 0);
 }
 
 static void
@@ -40,7 +40,7 @@
     if (m) {
         msg.u.idem.kind = FW_IDEM_OUTCOME_ACK;
         msg.u.idem.u.outcome_ack = rq->op;
-        Fw_Actions_Send(out, m->name, m->addr, &msg);
+        Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
     }
 }
 
@@ -100,12 +100,12 @@
         return;
     }
     p->failures = 0;
-    p->target_offset = a->first;
+    p->target_offset = a->first_offset;
     FW_LIST_EACH (pos, &p->in_flight) {
         FW_LIST_ENTRY(pos, struct fw_idem_request, link)->append_sent = 1;
         p->target_offset++;
     }
-    if (a->first != p->table.next_offset) {
+    if (a->first_offset != p->table.next_offset) {
         /* Another instance has appended to the stream in between. */
         p->phase = FW_IDEM_READING_BACK;
         Fw_Idem_StartRead(c, p, out);
@@ -151,7 +151,7 @@
         mark_in_log(p, &rec);
         Fw_Idem_ClearRecord(&rec);
     }
-    Fw_Idem_TrimTable(&p->table, MIN(r->oldest, p->table.next_offset));
+    Fw_Idem_TrimTable(&p->table, MIN(r->oldest_offset, p->table.next_offset));
 }
 
 /* Resets the table when the stream was truncated or when records that it lacks
@@ -159,15 +159,15 @@
 static int
 align_table(struct fw_idem_partition *p, const struct fw_log_records *r)
 {
-    if (r->end < p->table.next_offset) {
+    if (r->end_offset < p->table.next_offset) {
         Fw_Idem_ResetTable(&p->table, 1); /* the log was truncated */
         p->target_offset = 0;
         return 0;
     }
-    if (r->first > p->table.next_offset) {
-        Fw_Idem_ResetTable(&p->table, r->first);
+    if (r->first_offset > p->table.next_offset) {
+        Fw_Idem_ResetTable(&p->table, r->first_offset);
     }
-    return r->first == p->table.next_offset;
+    return r->first_offset == p->table.next_offset;
 }
 
 static void
@@ -197,11 +197,11 @@
     }
     p->next_poll_us = now_us + FW_IDEM_IDLE_POLL_INTERVAL_US;
     apply_records(p, r);
-    if (p->table.next_offset < r->end && r->n > 0) {
+    if (p->table.next_offset < r->end_offset && r->n > 0) {
         Fw_Idem_StartRead(c, p, out);
         return;
     }
-    if (p->table.next_offset < MAX(r->end, p->target_offset)) {
+    if (p->table.next_offset < MAX(r->end_offset, p->target_offset)) {
         /* A stale read, from before the append. */
         Fw_Idem_BackOff(c, p, now_us);
         Fw_Idem_RunPartition(c, p, now_us, out);
--- a/src/idem/record.h
+++ b/src/idem/record.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 #include "base/limits.h"
-#include "base/verdict.h"
+#include "base/ran.h"
 
 /* Larger bodies are not stored, which bounds the size of a read. */
 #define FW_IDEM_BODY_BYTES_MAX 4096
--- a/src/io/engine_decode.c
+++ b/src/io/engine_decode.c
@@ -57,7 +57,7 @@
 static int
 read_token(JsonObject *obj, struct fw_up_event *ev)
 {
-    ev->phase = FW_UP_PIECE;
+    ev->phase = FW_UP_TOKEN;
     ev->ran = FW_RAN_YES;
     if (Fw_Json_Str(obj, "t", &ev->u.token.text)) {
         return -EBADMSG;
@@ -97,7 +97,7 @@
         read_optional(obj, "cached", FW_TOKENS_MAX, &kv->cached_tokens)) {
         return -EBADMSG;
     }
-    return read_ms(obj, "lapse_ms", &kv->lapse_us);
+    return read_ms(obj, "lapse_ms", &kv->ttl_us);
 }
 
 static int
@@ -142,14 +142,15 @@
 {
     int rc;
 
-    if (read_ms(obj, "lag_ms", &r->lag_us) ||
-        read_int(obj, "slots", &r->slots) || read_int(obj, "busy", &r->busy) ||
+    if (read_ms(obj, "lag_ms", &r->age_us) ||
+        read_int(obj, "slots", &r->slots) ||
+        read_int(obj, "busy", &r->busy_slots) ||
         read_count(obj, "queued_tokens", FW_TOKENS_MAX, &r->queued_tokens) ||
         read_count(obj, "kv_used", INT64_MAX, &r->kv_used) ||
         read_count(obj, "kv_total", INT64_MAX, &r->kv_total)) {
         return -EBADMSG;
     }
-    rc = Fw_Json_Bool(obj, "leaving", &r->leaving);
+    rc = Fw_Json_Bool(obj, "leaving", &r->draining);
     if (rc && rc != -ENOENT) {
         return rc;
     }
@@ -161,7 +162,7 @@
 }
 
 static int
-read_held(JsonObject *obj, struct fw_up_held *held,
+read_held(JsonObject *obj, struct fw_up_request_list *held,
           struct fw_engine_answer *own)
 {
     JsonArray *arr;
@@ -211,7 +212,7 @@
     int rc;
 
     if (!obj || read_count(obj, "seq", INT64_MAX, &seq) ||
-        read_prefix(obj, &e->prefix) ||
+        read_prefix(obj, &e->prefix_hash) ||
         read_optional(obj, "tokens", FW_TOKENS_MAX, &e->tokens)) {
         return -EBADMSG;
     }
@@ -267,11 +268,11 @@
         return read_kv(obj, &ev->u.kv);
     case FW_UP_IMPORT:
         return read_ms(obj, "transfer_ms", &ev->u.transfer_us);
-    case FW_UP_LOAD:
+    case FW_UP_LOAD_REPORT:
         return read_report(obj, &ev->u.report);
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         return read_held(obj, &ev->u.held, own);
-    case FW_UP_CACHE:
+    case FW_UP_CACHE_EVENTS:
         return read_cache(obj, &ev->u.cache, own);
     case FW_UP_DECODE:
     case FW_UP_RESUME:
--- a/src/io/engine_encode.c
+++ b/src/io/engine_encode.c
@@ -185,7 +185,7 @@
      * a GET or PUT again by itself; on a new one it never does. Which calls
      * may be repeated is the configuration's word, not the method's.
      */
-    soup_message_add_flags(msg, p->once && !FW_FAULT("once-ignored")
+    soup_message_add_flags(msg, p->at_most_once && !FW_FAULT("once-ignored")
                                     ? SOUP_MESSAGE_NEW_CONNECTION
                                     : SOUP_MESSAGE_IDEMPOTENT);
     return msg;
@@ -204,11 +204,11 @@
         return encode_decode(up);
     case FW_UP_CANCEL:
         return encode_cancel(up);
-    case FW_UP_LOAD:
+    case FW_UP_LOAD_REPORT:
         return encode_plain(up, "GET", "/v1/load");
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         return encode_plain(up, "GET", "/v1/requests");
-    case FW_UP_CACHE:
+    case FW_UP_CACHE_EVENTS:
         return encode_cache(up);
     case FW_UP_ORDER:
         return encode_order(up);
--- a/src/io/fetch.h
+++ b/src/io/fetch.h
@@ -8,7 +8,7 @@
 #include <libsoup/soup.h>
 #include <stdint.h>
 
-#include "base/verdict.h"
+#include "base/ran.h"
 
 #define FW_FETCH_LINE_MAX 65536
 
--- a/src/io/http_call.c
+++ b/src/io/http_call.c
@@ -111,11 +111,11 @@
 
     call->req.http->slow.value++;
     Fw_HttpCall_Gone(call);
-    Fw_Caller_Cut(caller);
+    Fw_Caller_Abort(caller);
 }
 
 static void
-act_piece(struct fw_http_call *call, const struct fw_call_piece *piece)
+act_piece(struct fw_http_call *call, const struct fw_call_token *piece)
 {
     GString *out;
 
@@ -130,7 +130,7 @@
     Fw_Api_WritePiece(&call->answer, piece->text, out);
     push(call, out);
     g_string_free(out, TRUE);
-    if (Fw_Caller_Pending(call->req.caller) > FW_STREAM_QUEUE_MAX) {
+    if (Fw_Caller_Unsent(call->req.caller) > FW_STREAM_QUEUE_MAX) {
         cut_slow_reader(call);
     }
 }
@@ -181,7 +181,7 @@
 }
 
 static void
-act_answer(struct fw_http_call *call, const struct fw_call_answer *answer)
+act_answer(struct fw_http_call *call, const struct fw_call_response *answer)
 {
     struct fw_http_req req = call->req;
     char ran[40] = "";
@@ -207,13 +207,13 @@
     switch (a->kind) {
     case FW_ACT_CALL_START:
         return a->u.start.call;
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
         return a->u.piece.call;
     case FW_ACT_CALL_END:
         return a->u.end.call;
     case FW_ACT_CALL_FAIL:
         return a->u.fail.call;
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         return a->u.answer.call;
     default:
         return 0;
@@ -233,7 +233,7 @@
     case FW_ACT_CALL_START:
         act_start(call, &a->u.start);
         break;
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
         act_piece(call, &a->u.piece);
         break;
     case FW_ACT_CALL_END:
@@ -242,7 +242,7 @@
     case FW_ACT_CALL_FAIL:
         act_fail(call, &a->u.fail);
         break;
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         act_answer(call, &a->u.answer);
         break;
     default:
--- a/src/io/http_callers.c
+++ b/src/io/http_callers.c
@@ -114,7 +114,7 @@
     call.prompt_tokens = parsed.prompt_tokens;
     call.max_tokens = parsed.max_tokens;
     call.stream = parsed.stream;
-    Fw_Caller_ForgetBody(req->caller); /* the prompt is a copy */
+    Fw_Caller_ReleaseBody(req->caller); /* the prompt is a copy */
     c = Fw_HttpCall_Open(req);
     c->stream = parsed.stream;
     c->answer.api = api;
--- a/src/io/http_priv.h
+++ b/src/io/http_priv.h
@@ -38,7 +38,7 @@
 
 /**
  * struct fw_http_call - a request that the core has.
- * @whole: answered at once, by FW_ACT_CALL_ANSWER
+ * @whole: answered at once, by FW_ACT_CALL_RESPONSE
  * @text: of an answer without stream, so far
  */
 struct fw_http_call {
--- a/src/io/http_reply.c
+++ b/src/io/http_reply.c
@@ -9,7 +9,7 @@
 char *
 Fw_HttpReq_Field(const struct fw_http_req *req, const char *name)
 {
-    const struct fw_http_field *f = Fw_Http_Find(req->head, name);
+    const struct fw_http_field *f = Fw_Http_FindField(req->head, name);
 
     return f ? g_strndup(f->value, f->value_len) : NULL;
 }
@@ -35,7 +35,7 @@
 Fw_HttpReply_Id(const struct fw_http_head *head, char *id)
 {
     const struct fw_http_field *f =
-        head->raw ? Fw_Http_Find(head, "X-Request-Id") : NULL;
+        head->raw ? Fw_Http_FindField(head, "X-Request-Id") : NULL;
 
     if (f && f->value_len < FW_ID_MAX) {
         memcpy(id, f->value, f->value_len);
@@ -50,7 +50,8 @@
 char *
 Fw_HttpReply_Key(const struct fw_http_req *req)
 {
-    const struct fw_http_field *f = Fw_Http_Find(req->head, "Authorization");
+    const struct fw_http_field *f =
+        Fw_Http_FindField(req->head, "Authorization");
     size_t skip = strlen("Bearer ");
 
     if (!f || f->value_len <= skip ||
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -40,7 +40,7 @@
 tick_port(const struct fw_http_port_rec *p)
 {
     if (p->server) {
-        Fw_Server_Tick(p->server, Fw_Conn_Now());
+        Fw_Server_Tick(p->server, Fw_Conn_NowUs());
     }
 }
 
@@ -113,9 +113,9 @@
 
 static const struct fw_http_ops ops = {
     .request = on_request,
-    .gone = on_gone,
-    .refused = on_refused,
-    .refusal = Fw_HttpReply_Refusal,
+    .disconnected = on_gone,
+    .rejected = on_refused,
+    .format_rejection = Fw_HttpReply_Refusal,
 };
 
 int
@@ -125,12 +125,12 @@
     struct fw_http_limits l = {
         .header_bytes = h->opts.header_max,
         .body_bytes = h->opts.body_max,
-        .held_bytes = SIZE_MAX,
-        .head_us = h->opts.read_timeout_us,
-        .body_us = h->opts.read_timeout_us,
-        .whole_us = h->opts.read_timeout_us,
-        .idle_us = FW_KEEPALIVE_US,
-        .stall_us = FW_WRITE_STALL_US,
+        .buffered_bytes = SIZE_MAX,
+        .head_timeout_us = h->opts.read_timeout_us,
+        .body_idle_timeout_us = h->opts.read_timeout_us,
+        .request_timeout_us = h->opts.read_timeout_us,
+        .keep_alive_timeout_us = FW_KEEPALIVE_US,
+        .write_stall_timeout_us = FW_WRITE_STALL_US,
     };
     struct fw_http_port_rec *p = &h->ports[port];
     int err = 0;
@@ -152,7 +152,7 @@
     int n = 0;
 
     for (int i = 0; i < FW_PORTS; i++) {
-        n += h->ports[i].server ? Fw_Server_Busy(h->ports[i].server) : 0;
+        n += h->ports[i].server ? Fw_Server_CountBusy(h->ports[i].server) : 0;
     }
     return n > 0;
 }
--- a/src/io/list_client.c
+++ b/src/io/list_client.c
@@ -82,7 +82,7 @@
 }
 
 static int
-read_entry(JsonObject *obj, struct fw_list_entry *e)
+read_entry(JsonObject *obj, struct fw_registry_entry *e)
 {
     const char *kind;
     int rc;
@@ -95,8 +95,8 @@
     if (strcmp(kind, "instance") != 0 && strcmp(kind, "upstream") != 0) {
         return -EBADMSG;
     }
-    e->kind =
-        strcmp(kind, "instance") == 0 ? FW_LIST_INSTANCE : FW_LIST_UPSTREAM;
+    e->kind = strcmp(kind, "instance") == 0 ? FW_REGISTRY_INSTANCE
+                                            : FW_REGISTRY_UPSTREAM;
     rc = Fw_Json_CopyStr(obj, "domain", e->domain, sizeof(e->domain));
     if (rc && rc != -ENOENT) {
         return rc;
@@ -105,13 +105,13 @@
     if (rc && rc != -ENOENT) {
         return rc;
     }
-    rc = Fw_Json_Bool(obj, "leaving", &e->leaving);
+    rc = Fw_Json_Bool(obj, "leaving", &e->draining);
     return rc == -ENOENT ? 0 : rc;
 }
 
 /* An entry that makes no sense is left out: the others still count. */
 static int
-read_entries(JsonObject *obj, struct fw_list_entry **entries, int *n)
+read_entries(JsonObject *obj, struct fw_registry_entry **entries, int *n)
 {
     JsonArray *arr;
     guint len;
@@ -120,9 +120,9 @@
         return -EBADMSG;
     }
     len = json_array_get_length(arr);
-    *entries = g_new0(struct fw_list_entry, len + 1);
+    *entries = g_new0(struct fw_registry_entry, len + 1);
     for (guint i = 0; i < len; i++) {
-        struct fw_list_entry *e = &(*entries)[*n];
+        struct fw_registry_entry *e = &(*entries)[*n];
 
         if (!read_entry(Fw_Json_Element(arr, i), e)) {
             (*n)++;
@@ -163,8 +163,8 @@
 on_list(void *ctx, const struct fw_fetch_result *r)
 {
     struct fw_list_client *c = ctx;
-    struct fw_event ev = {.kind = FW_EV_LISTED};
-    struct fw_list_entry *entries = NULL;
+    struct fw_event ev = {.kind = FW_EV_REGISTRY};
+    struct fw_registry_entry *entries = NULL;
     JsonNode *root = NULL;
 
     GBytes *body;
--- a/src/io/list_client.h
+++ b/src/io/list_client.h
@@ -1,6 +1,7 @@
 /*
  * The platform's list of instances and upstreams: carries out
- * FW_ACT_LIST_READ, gives FW_EV_LISTED, and keeps this instance's own entry.
+ * FW_ACT_REGISTRY_READ, gives FW_EV_REGISTRY, and keeps this instance's own
+ * entry.
  */
 #ifndef FW_IO_LIST_CLIENT_H
 #define FW_IO_LIST_CLIENT_H
--- a/src/io/log_client.c
+++ b/src/io/log_client.c
@@ -144,7 +144,7 @@
 
     ev.u.appended.ticket = op->ticket;
     g_strlcpy(ev.u.appended.stream, op->stream, sizeof(ev.u.appended.stream));
-    ev.u.appended.err = read_first(r, &ev.u.appended.first);
+    ev.u.appended.err = read_first(r, &ev.u.appended.first_offset);
     if (ev.u.appended.err == -EIO) {
         c->unknown.value++;
     }
@@ -205,9 +205,9 @@
     JsonArray *arr;
     guint n;
 
-    if (read_offset(obj, "first", &out->first) ||
-        read_offset(obj, "oldest", &out->oldest) ||
-        read_offset(obj, "end", &out->end) ||
+    if (read_offset(obj, "first", &out->first_offset) ||
+        read_offset(obj, "oldest", &out->oldest_offset) ||
+        read_offset(obj, "end", &out->end_offset) ||
         Fw_Json_Array(obj, "records", &arr)) {
         return -EBADMSG;
     }
@@ -264,9 +264,10 @@
 Fw_LogClient_Read(struct fw_log_client *c, const struct fw_log_read *r)
 {
     struct fw_log_op *op = new_op(c, r->ticket, r->stream);
-    char *url = g_strdup_printf(
-        "%s/log/%s?from=%" PRIu64 "&max=%d&wait_ms=%" PRId64, c->url,
-        r->stream, r->from, r->max_records, (int64_t)(r->wait_us / FW_MSEC));
+    char *url =
+        g_strdup_printf("%s/log/%s?from=%" PRIu64 "&max=%d&wait_ms=%" PRId64,
+                        c->url, r->stream, r->from_offset, r->max_records,
+                        (int64_t)(r->wait_us / FW_MSEC));
 
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
--- a/src/io/shell.c
+++ b/src/io/shell.c
@@ -94,7 +94,7 @@
         Fw_Note_Log(LOG_ERR, "event_refused", NULL);
     }
     set_wake(sh, out.wake_us);
-    while ((a = Fw_Actions_Take(&out))) {
+    while ((a = Fw_Actions_Pop(&out))) {
         Fw_List_Append(&sh->todo, &a->link);
     }
     act_all(sh);
@@ -162,10 +162,10 @@
 {
     switch (a->kind) {
     case FW_ACT_CALL_START:
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
     case FW_ACT_CALL_END:
     case FW_ACT_CALL_FAIL:
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         Fw_Http_Act(sh->http, a);
         break;
     case FW_ACT_UP_START:
@@ -183,7 +183,7 @@
     case FW_ACT_LOG_READ:
         Fw_LogClient_Read(sh->log, &a->u.read);
         break;
-    case FW_ACT_LIST_READ:
+    case FW_ACT_REGISTRY_READ:
         Fw_ListClient_Read(sh->list);
         break;
     case FW_ACT_NOTE:
--- a/src/io/up_client.c
+++ b/src/io/up_client.c
@@ -97,7 +97,7 @@
     if (up->phase == FW_UP_FAILED) {
         op->client->failed.value++;
     }
-    if (up->phase != FW_UP_PIECE) {
+    if (up->phase != FW_UP_TOKEN) {
         forget(op);
     }
     sink.event(sink.ctx, &ev);
@@ -240,7 +240,8 @@
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->sessions[Fw_Hash_Str(up->url) % FW_GROUPS],
         .msg = msg,
-        .timeout_us = up->timeout_us > 0 ? up->timeout_us : 30 * FW_SEC,
+        .timeout_us =
+            up->idle_timeout_us > 0 ? up->idle_timeout_us : 30 * FW_SEC,
         .body_max =
             up->kind == FW_UP_SERVICE ? c->body_max : FW_ENGINE_BODY_MAX,
         .ctx = op,
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -239,7 +239,7 @@
         return;
     }
     l->n_sent.value++;
-    Fw_Actions_Send(out, m->name, m->addr, &wrap);
+    Fw_Actions_SendPeer(out, m->name, m->addr, &wrap);
 }
 
 static void
--- a/src/node/maintenance.c
+++ b/src/node/maintenance.c
@@ -145,7 +145,7 @@
     node->wake_us = INT64_MAX;
     if (now_us >= node->next_list_us) {
         node->next_list_us = now_us + list_interval(node);
-        Fw_Actions_Add(out, FW_ACT_LIST_READ);
+        Fw_Actions_Add(out, FW_ACT_REGISTRY_READ);
     }
     Fw_Actions_Wake(out, node->next_list_us);
     tick_configuration(node, now_us, out);
--- a/src/node/step.c
+++ b/src/node/step.c
@@ -210,7 +210,7 @@
     case FW_EV_LOG_RECORDS:
         on_records(node, &ev->u.records, now_us, out);
         break;
-    case FW_EV_LISTED:
+    case FW_EV_REGISTRY:
         Fw_Fleet_OnListed(node->fleet, &ev->u.listed, now_us, out);
         Fw_Router_OnListed(node->router, &ev->u.listed, now_us);
         break;
--- a/src/operate/answer.c
+++ b/src/operate/answer.c
@@ -16,8 +16,8 @@
 Fw_Answer_Json(uint64_t call, int status, enum fw_ran ran, JsonNode *node,
                struct fw_actions *out)
 {
-    struct fw_call_answer *a =
-        &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
+    struct fw_call_response *a =
+        &Fw_Actions_Add(out, FW_ACT_CALL_RESPONSE)->u.answer;
     char *text = json_to_string(node, FALSE);
 
     a->call = call;
--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -88,14 +88,14 @@
     }
     p = g_new0(struct fw_pending_command, 1);
     p->call = call;
-    p->ticket = Fw_Owner_Number(FW_OWNER_OPERATE, ++op->seq);
+    p->ticket = Fw_Owner_MakeId(FW_OWNER_OPERATE, ++op->seq);
     g_strlcpy(p->id, id, sizeof(p->id));
     p->deadline_us = now_us + FW_OPERATE_VERDICT_TIMEOUT_US;
     p->report = report;
     Fw_List_Append(&op->pending, &p->link);
     op->n_pending++;
     op->commands.value++;
-    Fw_Actions_Append(out, p->ticket, FW_STREAM_CONFIG, &text, 1);
+    Fw_Actions_AppendLog(out, p->ticket, FW_STREAM_CONFIG, &text, 1);
     Fw_Actions_Wake(out, p->deadline_us);
 }
 
--- a/src/operate/query.c
+++ b/src/operate/query.c
@@ -334,8 +334,8 @@
 export_sheet(const struct fw_operate_view *view,
              const struct fw_operate_request *req, struct fw_actions *out)
 {
-    struct fw_call_answer *a =
-        &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
+    struct fw_call_response *a =
+        &Fw_Actions_Add(out, FW_ACT_CALL_RESPONSE)->u.answer;
     char *text = Fw_Sheet_Export(Fw_ConfigReplica_Config(view->fold));
 
     a->call = req->call->call;
--- a/src/order/order.c
+++ b/src/order/order.c
@@ -161,7 +161,7 @@
 {
     struct fw_up_start *start = &Fw_Actions_Add(out, FW_ACT_UP_START)->u.up;
 
-    start->op = Fw_Owner_Number(FW_OWNER_ORDER, ++o->seq);
+    start->op = Fw_Owner_MakeId(FW_OWNER_ORDER, ++o->seq);
     start->kind = kind;
     g_strlcpy(start->upstream, up->name, sizeof(start->upstream));
     g_strlcpy(start->url, up->url, sizeof(start->url));
@@ -179,8 +179,8 @@
     if (!up) {
         return;
     }
-    start = start_call(o, up, e, FW_UP_LOAD, out);
-    start->timeout_us = FW_ORDER_POLL_TIMEOUT_US;
+    start = start_call(o, up, e, FW_UP_LOAD_REPORT, out);
+    start->idle_timeout_us = FW_ORDER_POLL_TIMEOUT_US;
     e->call = FW_ORDER_CALL_POLL;
 }
 
@@ -204,7 +204,7 @@
 
     start->u.order = *order;
     start->u.order.ttl_us = FW_ORDER_TTL_US;
-    start->timeout_us = FW_ORDER_TIMEOUT_US;
+    start->idle_timeout_us = FW_ORDER_TIMEOUT_US;
     e->call = FW_ORDER_CALL_ORDER;
     e->last_order = start->u.order;
     g_snprintf(e->last_order_text, sizeof(e->last_order_text),
--- a/src/order/order_event.c
+++ b/src/order/order_event.c
@@ -93,7 +93,7 @@
     struct fw_order_engine *e = find_by_op(o, ev->op);
     enum fw_order_call call;
 
-    if (!e || ev->phase == FW_UP_PIECE) {
+    if (!e || ev->phase == FW_UP_TOKEN) {
         return;
     }
     call = e->call;
--- a/src/order/order_query.c
+++ b/src/order/order_query.c
@@ -23,7 +23,7 @@
                     e->last_order.op == FW_ORDER_LOAD_ADAPTER);
         if (!e->report_us ||
             now_us > e->report_us + FW_ORDER_REPORT_MAX_AGE_US ||
-            e->report.leaving || e->drained) {
+            e->report.draining || e->drained) {
             continue;
         }
         /* An engine whose role is changing, or may be, has neither role. */
--- a/src/order/plan.c
+++ b/src/order/plan.c
@@ -154,7 +154,7 @@
 static int
 is_idle(const struct fw_up_report *r)
 {
-    return r->busy == 0 && r->queued_tokens == 0;
+    return r->busy_slots == 0 && r->queued_tokens == 0;
 }
 
 int
@@ -165,7 +165,7 @@
 {
     const char *role = role_name(up->role);
 
-    if (e->report.leaving) {
+    if (e->report.draining) {
         g_strlcpy(why, "leaving: no orders", size);
         return 0;
     }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -8,7 +8,7 @@
 #define FW_RELAY_RELAY_H
 
 #include "base/metrics.h"
-#include "base/verdict.h"
+#include "base/ran.h"
 #include "relay/types.h"
 
 struct fw_relay;
--- a/src/relayd/actions.c
+++ b/src/relayd/actions.c
@@ -34,7 +34,7 @@
     Fw_Platform_WriteRejection(r, c->request_id, fields, body);
     caller = c->caller;
     remove_request(d, c);
-    Fw_Caller_Answer(caller, r->status, fields->str, body->str);
+    Fw_Caller_Respond(caller, r->status, fields->str, body->str);
     g_string_free(fields, TRUE);
     g_string_free(body, TRUE);
 }
@@ -66,7 +66,7 @@
         Fw_Caller_End(caller);
     }
     else {
-        Fw_Caller_Cut(caller);
+        Fw_Caller_Abort(caller);
     }
 }
 
@@ -96,7 +96,7 @@
         Fw_StoreClient_ClaimLeadership(d->store, a->u.lead_end);
         break;
     case FW_RL_DO_CLOSE_IDLE:
-        Fw_Pool_Forget(d->pool, a->u.addr);
+        Fw_ConnPool_CloseIdle(d->pool, a->u.addr);
         break;
     case FW_RL_DO_LOG:
         Fw_Note_Members(a->u.log.severity, a->u.log.event, a->u.log.text);
@@ -119,7 +119,7 @@
             break;
         }
         Fw_Relay_UpstreamFailed(d->relay, *xid, -ECONNREFUSED, 0,
-                                Fw_Conn_Now(), acts);
+                                Fw_Conn_NowUs(), acts);
         Fw_UpstreamCall_Remove(d, *xid);
         g_free(xid);
     }
--- a/src/relayd/peer_snapshot.c
+++ b/src/relayd/peer_snapshot.c
@@ -165,7 +165,7 @@
     GByteArray *body;
 
     if (tc->op != FW_STORE_OP_READ || !tc->next_offset) {
-        Fw_Caller_Answer(c, 503, "", "");
+        Fw_Caller_Respond(c, 503, "", "");
         return;
     }
     body = g_byte_array_new();
@@ -191,12 +191,12 @@
         send_snapshot(c, &d->store->servers);
     }
     else {
-        Fw_Caller_Answer(c, 404, "", "");
+        Fw_Caller_Respond(c, 404, "", "");
     }
 }
 
 static const struct fw_http_ops ops = {.request = on_request,
-                                       .refused = Fw_Relayd_LogMalformed};
+                                       .rejected = Fw_Relayd_LogMalformed};
 
 int
 Fw_PeerSnapshot_Listen(struct fw_relayd *d)
--- a/src/relayd/peer_socket.c
+++ b/src/relayd/peer_socket.c
@@ -55,7 +55,7 @@
 void
 Fw_PeerSocket_SendDue(struct fw_relayd *d)
 {
-    Fw_Relay_WriteMessages(d->relay, Fw_Conn_Now(), &d->outbox);
+    Fw_Relay_WriteMessages(d->relay, Fw_Conn_NowUs(), &d->outbox);
     flush_outbox(d);
 }
 
@@ -66,7 +66,7 @@
     struct fw_rl_actions acts;
 
     Fw_RelayActions_Init(&acts);
-    Fw_Relay_PlaceQueued(d->relay, Fw_Conn_Now(), &acts);
+    Fw_Relay_PlaceQueued(d->relay, Fw_Conn_NowUs(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
@@ -79,7 +79,7 @@
 
     Fw_Addr_Print(from, addr);
     d->peer_messages_received.value++;
-    rc = Fw_Relay_ReadMessage(d->relay, addr, data, len, Fw_Conn_Now(),
+    rc = Fw_Relay_ReadMessage(d->relay, addr, data, len, Fw_Conn_NowUs(),
                               &d->outbox);
     flush_outbox(d);
     if (rc < 0) {
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -26,15 +26,15 @@
            const struct fw_http_head *head, GBytes *body)
 {
     struct fw_relayd *d = ctx;
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
     struct fw_caller_request *c;
     struct fw_rl_actions acts;
     struct fw_rl_request_info ask;
 
     if (Fw_Platform_ParseRequest(head, body, &ask)) {
         Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
-        Fw_Caller_Answer(caller, 400, "Content-Type: text/plain\r\n",
-                         "a field of the request can't be read\n");
+        Fw_Caller_Respond(caller, 400, "Content-Type: text/plain\r\n",
+                          "a field of the request can't be read\n");
         return;
     }
     c = g_new0(struct fw_caller_request, 1);
@@ -50,8 +50,8 @@
      * but keeps those that are open. Closing them after the response moves
      * their callers to another instance.
      */
-    Fw_Server_SendAway(d->caller_server,
-                       Fw_Relay_ShedsConnections(d->relay, now));
+    Fw_Server_SetCloseAfterResponse(d->caller_server,
+                                    Fw_Relay_ShedsConnections(d->relay, now));
     Fw_RelayActions_Init(&acts);
     Fw_Relay_Open(d->relay, c->id, &ask, now, &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
@@ -73,7 +73,7 @@
     g_hash_table_remove(d->requests_by_caller, caller);
     g_hash_table_remove(d->requests_by_id, &call);
     Fw_RelayActions_Init(&acts);
-    Fw_Relay_CallerLeft(d->relay, call, Fw_Conn_Now(), &acts);
+    Fw_Relay_CallerLeft(d->relay, call, Fw_Conn_NowUs(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
@@ -105,9 +105,9 @@
 
 static const struct fw_http_ops caller_ops = {
     .request = on_request,
-    .gone = on_disconnect,
-    .refused = Fw_Relayd_LogMalformed,
-    .drained = on_write_drained,
+    .disconnected = on_disconnect,
+    .rejected = Fw_Relayd_LogMalformed,
+    .flushed = on_write_drained,
 };
 
 static void
@@ -117,11 +117,11 @@
     struct fw_http_limits l = {
         .header_bytes = 16384,
         .body_bytes = 4 << 20,
-        .held_bytes = 24 << 20,
-        .head_us = 3 * FW_SEC,
-        .body_us = 15 * FW_SEC,
-        .idle_us = 15 * FW_SEC,
-        .stall_us = 15 * FW_SEC,
+        .buffered_bytes = 24 << 20,
+        .head_timeout_us = 3 * FW_SEC,
+        .body_idle_timeout_us = 15 * FW_SEC,
+        .keep_alive_timeout_us = 15 * FW_SEC,
+        .write_stall_timeout_us = 15 * FW_SEC,
     };
 
     if (!r) {
@@ -130,9 +130,11 @@
     l.header_bytes =
         r->header_bytes > 0 ? (size_t)r->header_bytes : l.header_bytes;
     l.body_bytes = r->body_bytes > 0 ? (size_t)r->body_bytes : l.body_bytes;
-    l.head_us = r->header_us > 0 ? r->header_us : l.head_us;
-    l.body_us = r->idle_us > 0 ? r->idle_us : l.body_us;
-    l.idle_us = r->idle_us > 0 ? r->idle_us : l.idle_us;
+    l.head_timeout_us = r->header_us > 0 ? r->header_us : l.head_timeout_us;
+    l.body_idle_timeout_us =
+        r->idle_us > 0 ? r->idle_us : l.body_idle_timeout_us;
+    l.keep_alive_timeout_us =
+        r->idle_us > 0 ? r->idle_us : l.keep_alive_timeout_us;
     Fw_Server_SetLimits(d->caller_server, &l);
 }
 
@@ -198,7 +200,7 @@
     if (d->drain_start_us) {
         return;
     }
-    d->drain_start_us = Fw_Conn_Now();
+    d->drain_start_us = Fw_Conn_NowUs();
     Fw_Server_Drain(d->caller_server);
     Fw_RelayActions_Init(&acts);
     Fw_Relay_Drain(d->relay, d->drain_start_us, &acts);
@@ -214,7 +216,7 @@
         return;
     }
     Fw_Server_CloseIdle(d->caller_server);
-    if (!Fw_Server_Busy(d->caller_server) ||
+    if (!Fw_Server_CountBusy(d->caller_server) ||
         past >= d->opts.relay.grace_us - FW_GRACE_MARGIN_US) {
         d->stopped = 1;
         g_main_context_wakeup(NULL);
@@ -256,7 +258,7 @@
 on_timer(gpointer data)
 {
     struct fw_relayd *d = data;
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
     struct fw_rl_actions acts;
 
     log_loop_stall(d, now);
@@ -264,7 +266,7 @@
     Fw_RelayActions_Init(&acts);
     Fw_Relay_Tick(d->relay, now, &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
-    Fw_Pool_Tick(d->pool, now);
+    Fw_ConnPool_Tick(d->pool, now);
     Fw_Server_Tick(d->caller_server, now);
     Fw_Server_Tick(d->ready_server, now);
     Fw_Server_Tick(d->metrics_server, now);
@@ -332,9 +334,9 @@
     d->opts = *opts;
     d->settings_path = g_strdup(settings_path);
     d->settings_mtime_us = settings_mtime_us(settings_path);
-    d->relay = Fw_Relay_New(&d->opts.relay, Fw_Conn_Now());
-    d->pool = Fw_Pool_New();
-    Fw_Pool_AddMetrics(d->pool, Fw_Relay_Metrics(d->relay));
+    d->relay = Fw_Relay_New(&d->opts.relay, Fw_Conn_NowUs());
+    d->pool = Fw_ConnPool_New();
+    Fw_ConnPool_AddMetrics(d->pool, Fw_Relay_Metrics(d->relay));
     Fw_Note_AddMetrics(Fw_Relay_Metrics(d->relay));
     Fw_UpstreamCall_AddMetrics(d);
     d->requests_by_caller = g_hash_table_new(NULL, NULL);
@@ -378,13 +380,13 @@
 int
 Fw_Relayd_IsReady(const struct fw_relayd *d)
 {
-    return Fw_Relay_IsReady(d->relay, Fw_Conn_Now());
+    return Fw_Relay_IsReady(d->relay, Fw_Conn_NowUs());
 }
 
 int
 Fw_Relayd_IsServerUsable(const struct fw_relayd *d, const char *id)
 {
-    return Fw_Relay_IsServerUsable(d->relay, id, Fw_Conn_Now());
+    return Fw_Relay_IsServerUsable(d->relay, id, Fw_Conn_NowUs());
 }
 
 int
@@ -409,7 +411,7 @@
     Fw_Server_Free(d->snapshot_server);
     g_hash_table_destroy(d->requests_by_caller);
     g_hash_table_destroy(d->requests_by_id);
-    Fw_Pool_Free(d->pool);
+    Fw_ConnPool_Free(d->pool);
     Fw_Relay_Free(d->relay);
     g_free(d->settings_path);
     g_free(d);
--- a/src/relayd/relayd_internal.h
+++ b/src/relayd/relayd_internal.h
@@ -6,7 +6,7 @@
 #include <syslog.h>
 
 #include "http/client.h"
-#include "http/events.h"
+#include "http/sse.h"
 #include "platform/platform.h"
 #include "relayd/relayd.h"
 
@@ -55,7 +55,7 @@
     int buffered;
     int response_started;
     int complete;
-    struct fw_event_count events;
+    struct fw_sse_counter events;
     int64_t last_chunk_us;
 };
 
--- a/src/relayd/status.c
+++ b/src/relayd/status.c
@@ -20,10 +20,10 @@
 
     (void)body;
     if (!Fw_Status_IsPath(head, d->opts.ready_path)) {
-        Fw_Caller_Answer(c, 404, "", "");
+        Fw_Caller_Respond(c, 404, "", "");
         return;
     }
-    Fw_Caller_Answer(c, ready ? 200 : 503, "", "");
+    Fw_Caller_Respond(c, ready ? 200 : 503, "", "");
 }
 
 static void
@@ -35,20 +35,20 @@
 
     (void)body;
     if (!Fw_Status_IsPath(head, "/metrics")) {
-        Fw_Caller_Answer(c, 404, "", "");
+        Fw_Caller_Respond(c, 404, "", "");
         return;
     }
     text = g_string_new(NULL);
     Fw_Metrics_Print(Fw_Relay_Metrics(d->relay), text);
-    Fw_Caller_Answer(c, 200, "Content-Type: text/plain; version=0.0.4\r\n",
-                     text->str);
+    Fw_Caller_Respond(c, 200, "Content-Type: text/plain; version=0.0.4\r\n",
+                      text->str);
     g_string_free(text, TRUE);
 }
 
 static const struct fw_http_ops ready_ops = {
-    .request = on_ready, .refused = Fw_Relayd_LogMalformed};
+    .request = on_ready, .rejected = Fw_Relayd_LogMalformed};
 static const struct fw_http_ops metrics_ops = {
-    .request = on_metrics, .refused = Fw_Relayd_LogMalformed};
+    .request = on_metrics, .rejected = Fw_Relayd_LogMalformed};
 
 int
 Fw_Status_Listen(struct fw_relayd *d)
--- a/src/relayd/store_apply.c
+++ b/src/relayd/store_apply.c
@@ -22,7 +22,7 @@
     if (!config) {
         Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
     }
-    Fw_Relay_SetRules(d->relay, config, rec->offset, Fw_Conn_Now(), acts);
+    Fw_Relay_SetRules(d->relay, config, rec->offset, Fw_Conn_NowUs(), acts);
     Fw_Rules_Unref(config);
 }
 
@@ -31,7 +31,7 @@
              struct fw_rl_actions *acts)
 {
     struct fw_rl_server_entry e;
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
 
     if (!rec->value) {
         Fw_Relay_UpdateServer(d->relay, rec->key, NULL, now, acts);
@@ -58,7 +58,7 @@
         /* Absent from registrations of older versions. */
         Fw_Json_CopyStr(obj, "domain", peer.domain, sizeof(peer.domain));
         Fw_Json_Int(obj, "cpu_ppm", &peer.cpu_ppm);
-        Fw_Relay_AddMember(d->relay, &peer, Fw_Conn_Now());
+        Fw_Relay_AddMember(d->relay, &peer, Fw_Conn_NowUs());
     }
     if (root) {
         json_node_unref(root);
--- a/src/relayd/store_client.c
+++ b/src/relayd/store_client.c
@@ -16,13 +16,13 @@
 /* Leaves time for the response after a slow connect. */
 #define FW_STORE_CONNECT_US (400 * FW_MSEC)
 
-static enum fw_take
+static enum fw_head_action
 on_head(void *ctx, const struct fw_http_head *h)
 {
     struct fw_topic_client *tc = ctx;
 
     tc->status = h->status;
-    return FW_TAKE_IT;
+    return FW_HEAD_ACCEPT;
 }
 
 static void
@@ -62,8 +62,8 @@
 static void
 request_snapshot(struct fw_topic_client *tc)
 {
-    struct fw_exchange_opts opts = {.reuse_us = FW_STORE_REUSE_US,
-                                    .connect_us = FW_STORE_CONNECT_US};
+    struct fw_exchange_opts opts = {.reuse_idle_max_us = FW_STORE_REUSE_US,
+                                    .connect_timeout_us = FW_STORE_CONNECT_US};
     GString *head = g_string_new(NULL);
     int err = 0;
 
@@ -81,8 +81,8 @@
 {
     struct fw_store_client *s = tc->store;
     struct fw_relayd *d = s->d;
-    struct fw_exchange_opts opts = {.reuse_us = FW_STORE_REUSE_US,
-                                    .connect_us = FW_STORE_CONNECT_US};
+    struct fw_exchange_opts opts = {.reuse_idle_max_us = FW_STORE_REUSE_US,
+                                    .connect_timeout_us = FW_STORE_CONNECT_US};
     GString *head;
     GBytes *body = NULL;
     int64_t wait_us;
@@ -158,7 +158,7 @@
 tick_topic(struct fw_topic_client *tc, int64_t now)
 {
     if (tc->exchange && now >= tc->deadline_us) {
-        Fw_Exchange_Stop(tc->exchange);
+        Fw_Exchange_Abort(tc->exchange);
         tc->exchange = NULL;
         Fw_TopicClient_OnFailure(tc, "timed out");
         return;
@@ -249,7 +249,7 @@
 clear_topic(struct fw_topic_client *tc)
 {
     if (tc->exchange) {
-        Fw_Exchange_Stop(tc->exchange);
+        Fw_Exchange_Abort(tc->exchange);
     }
     g_byte_array_unref(tc->body);
     g_clear_pointer(&tc->newest, g_hash_table_destroy);
--- a/src/relayd/store_response.c
+++ b/src/relayd/store_response.c
@@ -18,7 +18,7 @@
 static void
 mark_reachable(struct fw_store_client *s)
 {
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
 
     if (s->unreachable_since_us) {
         char ms[24];
@@ -41,7 +41,7 @@
                const char *why)
 {
     struct fw_store_client *s = tc->store;
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
     int64_t delay_us = FW_STORE_RETRY_US / 2 +
                        g_random_int_range(0, (gint32)FW_STORE_RETRY_US);
 
@@ -90,13 +90,13 @@
     tc->next_offset = tc->snapshot_end;
     tc->op = FW_STORE_OP_READ;
     if (tc->topic == FW_TOPIC_SERVERS) {
-        Fw_Relay_EndServerList(d->relay, Fw_Conn_Now(), acts);
+        Fw_Relay_EndServerList(d->relay, Fw_Conn_NowUs(), acts);
         Fw_Relay_SetServerListOffset(d->relay, tc->next_offset);
     }
     if (tc->topic == FW_TOPIC_INSTANCES) {
-        Fw_Relay_EndMemberList(d->relay, Fw_Conn_Now());
+        Fw_Relay_EndMemberList(d->relay, Fw_Conn_NowUs());
         tc->op = FW_STORE_OP_NEWEST;
-        tc->next_request_us = Fw_Conn_Now() + FW_INSTANCES_INTERVAL_US;
+        tc->next_request_us = Fw_Conn_NowUs() + FW_INSTANCES_INTERVAL_US;
     }
 }
 
@@ -121,7 +121,7 @@
               const struct fw_store_response *response)
 {
     struct fw_relay *r = tc->store->d->relay;
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
 
     if (tc->topic == FW_TOPIC_LEADER) {
         enum fw_rl_claim_result c = response->status == 200 ? FW_RL_CLAIM_WON
@@ -260,7 +260,7 @@
     if (tc->topic == FW_TOPIC_LEADER && tc->append_value) {
         g_clear_pointer(&tc->append_value, g_free);
         Fw_Relay_ClaimEnded(tc->store->d->relay, FW_RL_CLAIM_UNKNOWN, 0,
-                            tc->sent_us, Fw_Conn_Now());
+                            tc->sent_us, Fw_Conn_NowUs());
     }
 }
 
@@ -312,5 +312,5 @@
     Fw_Platform_ClearStoreResponse(&response);
     g_byte_array_set_size(tc->body, 0);
     Fw_Relayd_ExecuteActions(tc->store->d, &acts);
-    Fw_StoreClient_Tick(tc->store, Fw_Conn_Now());
+    Fw_StoreClient_Tick(tc->store, Fw_Conn_NowUs());
 }
--- a/src/relayd/upstream.c
+++ b/src/relayd/upstream.c
@@ -25,7 +25,7 @@
 static void
 observe_chunk_gap(struct fw_upstream_call *call)
 {
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
 
     if (call->last_chunk_us && !call->buffered) {
         Fw_Histogram_Add(&call->d->chunk_gap_s, now - call->last_chunk_us);
@@ -39,7 +39,7 @@
     struct fw_upstream_call *call = data;
 
     if (call->exchange) {
-        Fw_Exchange_Stop(call->exchange);
+        Fw_Exchange_Abort(call->exchange);
     }
     if (call->fields) {
         g_string_free(call->fields, TRUE);
@@ -72,10 +72,10 @@
     for (int i = 0; i < h->n_fields; i++) {
         const struct fw_http_field *f = &h->fields[i];
 
-        if (Fw_Http_HopByHop(h, f) || Fw_Http_FieldIs(f, "content-length")) {
+        if (Fw_Http_IsHopByHop(h, f) || Fw_Http_FieldIs(f, "content-length")) {
             continue;
         }
-        Fw_Http_AddField(out, f);
+        Fw_Http_AppendField(out, f);
     }
     return out;
 }
@@ -88,25 +88,25 @@
 
     call->response_started = 1;
     Fw_RelayActions_Init(&acts);
-    Fw_Relay_ResponseBegan(d->relay, call->xid, &call->answer, Fw_Conn_Now(),
+    Fw_Relay_ResponseBegan(d->relay, call->xid, &call->answer, Fw_Conn_NowUs(),
                            &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
-static enum fw_take
+static enum fw_head_action
 on_head(void *ctx, const struct fw_http_head *h)
 {
     struct fw_upstream_call *call = ctx;
 
     if ((call->kind == FW_RL_UP_RUN || call->kind == FW_RL_UP_PREFILL) &&
         !Fw_Platform_ResponseMatches(h, call->request_id)) {
-        return FW_TAKE_SKIP;
+        return FW_HEAD_DISCARD;
     }
     Fw_Platform_ParseResponseHead(h, &call->answer);
     call->fields = forwarded_fields(h);
     call->content_length =
-        h->framing == FW_HTTP_LENGTH ? (int64_t)h->length : -1;
-    if (h->framing == FW_HTTP_NONE) {
+        h->framing == FW_HTTP_CONTENT_LENGTH ? (int64_t)h->length : -1;
+    if (h->framing == FW_HTTP_NO_BODY) {
         call->content_length = 0;
     }
     if (call->kind == FW_RL_UP_RUN && !call->answer.not_run &&
@@ -114,7 +114,7 @@
          call->content_length > FW_BUFFERED_RESPONSE_BYTES)) {
         notify_begun(call);
     }
-    return FW_TAKE_IT;
+    return FW_HEAD_ACCEPT;
 }
 
 static void
@@ -124,12 +124,12 @@
     struct fw_caller_request *to = forward_target(call);
 
     if (call->kind == FW_RL_UP_RUN && !call->buffered) {
-        Fw_EventCount_Add(&call->events, data, len);
+        Fw_SseCounter_Add(&call->events, data, len);
     }
     if (to) {
         observe_chunk_gap(call);
         Fw_Caller_Data(to->caller, data, len);
-        if (Fw_Caller_Pending(to->caller) > FW_CALLER_BACKLOG_BYTES) {
+        if (Fw_Caller_Unsent(to->caller) > FW_CALLER_BACKLOG_BYTES) {
             Fw_Exchange_Pause(call->exchange, 1);
         }
         return;
@@ -150,12 +150,12 @@
     struct fw_upstream_call *call = ctx;
     struct fw_relayd *d = call->d;
     uint64_t xid = call->xid;
-    int64_t now = Fw_Conn_Now();
+    int64_t now = Fw_Conn_NowUs();
     struct fw_rl_actions acts;
 
     call->exchange = NULL;
     call->complete = 1;
-    call->answer.events = call->events.n;
+    call->answer.events = call->events.events;
     Fw_RelayActions_Init(&acts);
     if (Fw_Platform_ParseResponseBody(call->kind, call->body->data,
                                       call->body->len, &call->answer)) {
@@ -179,7 +179,7 @@
     call->exchange = NULL;
     Fw_RelayActions_Init(&acts);
     Fw_Relay_UpstreamFailed(d->relay, xid, err, sent == FW_SENT_SOME,
-                            Fw_Conn_Now(), &acts);
+                            Fw_Conn_NowUs(), &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
     Fw_UpstreamCall_Remove(d, xid);
 }
@@ -196,8 +196,8 @@
 {
     struct fw_caller_request *from =
         g_hash_table_lookup(d->requests_by_id, &c->call);
-    struct fw_exchange_opts opts = {.reuse_us = c->reuse_us,
-                                    .connect_us = c->connect_us};
+    struct fw_exchange_opts opts = {.reuse_idle_max_us = c->reuse_us,
+                                    .connect_timeout_us = c->connect_us};
     struct fw_upstream_call *call = g_new0(struct fw_upstream_call, 1);
     GString *head = g_string_sized_new(512);
     GBytes *body = NULL;
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -219,7 +219,7 @@
         return;
     }
     s = Fw_Request_StartUpstreamCall(
-        out, Fw_Owner_Number(FW_OWNER_REQUEST, ++rs->next_op), FW_UP_CANCEL,
+        out, Fw_Owner_MakeId(FW_OWNER_REQUEST, ++rs->next_op), FW_UP_CANCEL,
         up, FW_IMPORT_TIMEOUT_US);
     Fw_Request_EngineId(rs, seq, s->u.cancel.request,
                         sizeof(s->u.cancel.request));
--- a/src/request/events.c
+++ b/src/request/events.c
@@ -60,7 +60,7 @@
 {
     struct fw_request *rq = g_hash_table_lookup(rs->by_op, &ev->op);
 
-    if (ev->kind == FW_UP_HELD) {
+    if (ev->kind == FW_UP_LIST_REQUESTS) {
         Fw_Orphans_OnUp(rs, ev, now_us, out);
         return;
     }
@@ -82,9 +82,9 @@
         Fw_Service_OnUp(rs, rq, ev, now_us, out);
         break;
     case FW_UP_CANCEL:
-    case FW_UP_LOAD:
-    case FW_UP_HELD:
-    case FW_UP_CACHE:
+    case FW_UP_LOAD_REPORT:
+    case FW_UP_LIST_REQUESTS:
+    case FW_UP_CACHE_EVENTS:
     case FW_UP_ORDER:
         break;
     }
--- a/src/request/open.c
+++ b/src/request/open.c
@@ -74,8 +74,8 @@
 answer_models(const struct fw_requests *rs, const struct fw_call *call,
               const struct fw_team *team, struct fw_actions *out)
 {
-    struct fw_call_answer *a =
-        &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
+    struct fw_call_response *a =
+        &Fw_Actions_Add(out, FW_ACT_CALL_RESPONSE)->u.answer;
     char *text = model_list(config_of(rs), team);
 
     a->call = call->call;
--- a/src/request/orphan.c
+++ b/src/request/orphan.c
@@ -63,8 +63,8 @@
     guint64 *op = g_new(guint64, 1);
 
     s = Fw_Request_StartUpstreamCall(
-        out, Fw_Owner_Number(FW_OWNER_REAP, ++rs->next_op), FW_UP_HELD, up,
-        FW_ORPHAN_CALL_TIMEOUT_US);
+        out, Fw_Owner_MakeId(FW_OWNER_REAP, ++rs->next_op),
+        FW_UP_LIST_REQUESTS, up, FW_ORPHAN_CALL_TIMEOUT_US);
     *op = s->op;
     g_hash_table_replace(rs->orphans.pending_polls, op, g_strdup(up->name));
 }
@@ -163,7 +163,7 @@
     }
     rs->counters.orphans.value++;
     s = Fw_Request_StartUpstreamCall(
-        out, Fw_Owner_Number(FW_OWNER_REAP, ++rs->next_op), FW_UP_CANCEL, up,
+        out, Fw_Owner_MakeId(FW_OWNER_REAP, ++rs->next_op), FW_UP_CANCEL, up,
         FW_ORPHAN_CALL_TIMEOUT_US);
     g_strlcpy(s->u.cancel.request, id, sizeof(s->u.cancel.request));
     Fw_Actions_Note(out, LOG_NOTICE, "orphan_cancelled", "upstream", engine,
--- a/src/request/outbound.c
+++ b/src/request/outbound.c
@@ -11,7 +11,7 @@
         Fw_Msg_Clear(&wrapped);
         return;
     }
-    Fw_Actions_Send(out, to, m->addr, &wrapped);
+    Fw_Actions_SendPeer(out, to, m->addr, &wrapped);
 }
 
 struct fw_up_start *
@@ -23,7 +23,7 @@
 
     s->op = op;
     s->kind = kind;
-    s->timeout_us = timeout_us;
+    s->idle_timeout_us = timeout_us;
     g_strlcpy(s->upstream, up->name, sizeof(s->upstream));
     g_strlcpy(s->url, up->url, sizeof(s->url));
     return s;
--- a/src/request/pieces.c
+++ b/src/request/pieces.c
@@ -111,7 +111,7 @@
                     struct fw_actions *out)
 {
     switch (ev->phase) {
-    case FW_UP_PIECE:
+    case FW_UP_TOKEN:
         if (rq->piece_ends->len == 0) {
             Fw_Request_Trace(rs, rq, now_us, "first piece");
         }
--- a/src/request/request.c
+++ b/src/request/request.c
@@ -180,7 +180,7 @@
 Fw_Request_AssignOp(struct fw_requests *rs, struct fw_request *rq)
 {
     Fw_Request_ClearOp(rs, rq);
-    rq->op = Fw_Owner_Number(FW_OWNER_REQUEST, ++rs->next_op);
+    rq->op = Fw_Owner_MakeId(FW_OWNER_REQUEST, ++rs->next_op);
     g_hash_table_insert(rs->by_op, &rq->op, rq);
 }
 
--- a/src/request/request_internal.h
+++ b/src/request/request_internal.h
@@ -103,7 +103,7 @@
     enum fw_stage stage;
     char id[FW_ID_MAX];
     uint64_t key;
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
     char team[FW_NAME_MAX];
     char model[FW_NAME_MAX];
     GBytes *body;
--- a/src/request/request_msg.h
+++ b/src/request/request_msg.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 #include "base/limits.h"
-#include "base/verdict.h"
+#include "base/ran.h"
 
 /** enum fw_request_msg_kind - a wire value. */
 enum fw_request_msg_kind {
--- a/src/request/service.c
+++ b/src/request/service.c
@@ -36,7 +36,7 @@
               sizeof(call->content_type));
     call->path = g_strdup(rq->path);
     call->body = rq->body ? g_bytes_ref(rq->body) : NULL;
-    call->once = !rq->idempotent;
+    call->at_most_once = !rq->idempotent;
     g_strlcpy(rq->decode, up->name, sizeof(rq->decode));
     rq->stage = FW_STAGE_SERVICE;
     rq->sent_us = now_us;
@@ -128,8 +128,8 @@
     FW_LIST_EACH_SAFE (pos, tmp, &rq->subscribers) {
         struct fw_subscriber *sub =
             FW_LIST_ENTRY(pos, struct fw_subscriber, link);
-        struct fw_call_answer *a =
-            &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
+        struct fw_call_response *a =
+            &Fw_Actions_Add(out, FW_ACT_CALL_RESPONSE)->u.answer;
         a->call = sub->call;
         a->status = status;
         a->ran = FW_RAN_YES;
@@ -253,7 +253,7 @@
                 const struct fw_up_event *ev, int64_t now_us,
                 struct fw_actions *out)
 {
-    const struct fw_up_answer *a = &ev->u.answer;
+    const struct fw_up_response *a = &ev->u.answer;
 
     Fw_Request_ClearOp(rs, rq);
     Fw_Route_ReportServerResult(rs->deps.router, rq->decode,
--- a/src/request/subscriber.c
+++ b/src/request/subscriber.c
@@ -94,7 +94,7 @@
 send_piece(struct fw_requests *rs, struct fw_subscriber *sub,
            struct fw_actions *out)
 {
-    struct fw_call_piece *piece;
+    struct fw_call_token *piece;
 
     if (!sub->call) {
         struct fw_request_msg msg = {
@@ -106,7 +106,7 @@
         Fw_Request_Send(rs, sub->peer, &msg, out);
         return;
     }
-    piece = &Fw_Actions_Add(out, FW_ACT_CALL_PIECE)->u.piece;
+    piece = &Fw_Actions_Add(out, FW_ACT_CALL_TOKEN)->u.piece;
     piece->call = sub->call;
     piece->index = sub->next_index;
     piece->text = piece_text(sub->rq, sub->next_index);
--- a/src/route/coord_cmd.c
+++ b/src/route/coord_cmd.c
@@ -22,7 +22,7 @@
 {
     uint64_t *op = g_new(uint64_t, 1);
 
-    *op = Fw_Owner_Number(FW_OWNER_ROUTE, ++r->next_op);
+    *op = Fw_Owner_MakeId(FW_OWNER_ROUTE, ++r->next_op);
     g_hash_table_insert(r->ops, op, e);
     return *op;
 }
@@ -36,7 +36,7 @@
 
     up->op = new_op(r, e);
     up->kind = kind;
-    up->timeout_us = FW_POLL_TIMEOUT_US;
+    up->idle_timeout_us = FW_POLL_TIMEOUT_US;
     g_strlcpy(up->upstream, u->name, sizeof(up->upstream));
     g_strlcpy(up->url, u->url, sizeof(up->url));
     r->m.polls.value++;
@@ -52,13 +52,13 @@
     int64_t every = Fw_Coord_PollIntervalUs(r);
 
     if (!c->poll_op && now_us >= c->next_poll_us) {
-        c->poll_op = start_call(r, e, u, FW_UP_LOAD, out)->op;
+        c->poll_op = start_call(r, e, u, FW_UP_LOAD_REPORT, out)->op;
         c->next_poll_us =
             now_us + every + g_rand_int_range(r->rand, 0, (gint32)(every / 8));
     }
     if (u->role == FW_ROLE_PREFILL && !c->cache_op &&
         r->opts.policy == FW_POLICY_FULL && now_us >= c->next_cache_us) {
-        struct fw_up_start *up = start_call(r, e, u, FW_UP_CACHE, out);
+        struct fw_up_start *up = start_call(r, e, u, FW_UP_CACHE_EVENTS, out);
 
         up->u.cache.from_seq = c->next_cache_seq;
         c->cache_op = up->op;
@@ -149,11 +149,11 @@
 apply_report(struct fw_coord *c, const struct fw_up_report *rep, int64_t rate,
              int64_t now_us)
 {
-    int64_t at_us = now_us - CLAMP(rep->lag_us, 0, 10 * FW_SEC);
+    int64_t at_us = now_us - CLAMP(rep->age_us, 0, 10 * FW_SEC);
     struct fw_engine_status *status = &c->status;
 
     status->received_us = now_us;
-    status->leaving = rep->leaving;
+    status->leaving = rep->draining;
     status->is_prefill = strcmp(rep->role, "prefill") == 0;
     status->n_models = CLAMP(rep->n_models, 0, FW_UP_MODELS_MAX);
     for (int i = 0; i < status->n_models; i++) {
@@ -191,11 +191,11 @@
 
         if (ev->evicted) {
             Fw_Prefix_Remove(&r->prefixes, Fw_Engine_CacheKey(e),
-                             (uint32_t)ev->prefix);
+                             (uint32_t)ev->prefix_hash);
         }
         else {
             Fw_Prefix_Add(&r->prefixes, Fw_Engine_CacheKey(e),
-                          (uint32_t)ev->prefix);
+                          (uint32_t)ev->prefix_hash);
         }
     }
     c->next_cache_seq = batch->next_seq;
@@ -209,13 +209,13 @@
     struct fw_engine *e = g_hash_table_lookup(r->ops, &ev->op);
     struct fw_coord *c = e ? e->coord : NULL;
 
-    if (!e || ev->phase == FW_UP_PIECE) {
+    if (!e || ev->phase == FW_UP_TOKEN) {
         return;
     }
     g_hash_table_remove(r->ops, &ev->op);
     if (c && c->poll_op == ev->op) {
         c->poll_op = 0;
-        if (ev->phase == FW_UP_DONE && ev->kind == FW_UP_LOAD) {
+        if (ev->phase == FW_UP_DONE && ev->kind == FW_UP_LOAD_REPORT) {
             const struct fw_upstream *u =
                 g_hash_table_lookup(cfg->upstreams, e->name);
 
@@ -227,7 +227,7 @@
     }
     else if (c && c->cache_op == ev->op) {
         c->cache_op = 0;
-        if (ev->phase == FW_UP_DONE && ev->kind == FW_UP_CACHE) {
+        if (ev->phase == FW_UP_DONE && ev->kind == FW_UP_CACHE_EVENTS) {
             apply_cache_events(r, e, &ev->u.cache);
         }
     }
--- a/src/route/grant.c
+++ b/src/route/grant.c
@@ -86,7 +86,7 @@
     msg.u.route.u.release.ask = job->round_id;
     msg.u.route.u.release.engine = res->engine->id;
     msg.u.route.u.release.cached = cached_tokens;
-    Fw_Actions_Send(out, m->name, m->addr, &msg);
+    Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
 }
 
 void
--- a/src/route/reserve.c
+++ b/src/route/reserve.c
@@ -123,7 +123,7 @@
         res[i]->state = FW_RESERVATION_PENDING;
     }
     Fw_Coord_FillLeaving(r, &body->leaving);
-    Fw_Actions_Send(out, m->name, m->addr, &msg);
+    Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
 }
 
 static void
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -302,15 +302,15 @@
 }
 
 void
-Fw_Router_OnListed(struct fw_router *r, const struct fw_listed *listed,
-                   int64_t now_us)
+Fw_Router_OnListed(struct fw_router *r,
+                   const struct fw_registry_snapshot *listed, int64_t now_us)
 {
     (void)now_us;
     for (int i = 0; !listed->err && i < listed->n; i++) {
-        const struct fw_list_entry *e = &listed->entries[i];
+        const struct fw_registry_entry *e = &listed->entries[i];
 
-        if (e->kind == FW_LIST_UPSTREAM) {
-            Fw_Engine_Get(r, e->name)->listed_leaving = e->leaving;
+        if (e->kind == FW_REGISTRY_UPSTREAM) {
+            Fw_Engine_Get(r, e->name)->listed_leaving = e->draining;
         }
     }
 }
@@ -335,7 +335,7 @@
     }
     Fw_Coord_FillLoads(r, cfg, now_us, reply);
     Fw_Coord_FillLeaving(r, &reply->leaving);
-    Fw_Actions_Send(out, m->name, m->addr, &msg);
+    Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
 }
 
 static void
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -149,8 +149,8 @@
                struct fw_actions *out);
 /* Receives the platform's list of upstreams, which says who is leaving. */
 void
-Fw_Router_OnListed(struct fw_router *r, const struct fw_listed *listed,
-                   int64_t now_us);
+Fw_Router_OnListed(struct fw_router *r,
+                   const struct fw_registry_snapshot *listed, int64_t now_us);
 void
 Fw_Router_OnMsg(struct fw_router *r, const struct fw_config *cfg,
                 const char *from, const struct fw_route_msg *msg,
--- a/src/route/slots_cmd.c
+++ b/src/route/slots_cmd.c
@@ -80,7 +80,7 @@
 Fw_Slots_ApplyReport(struct fw_slots *s, const struct fw_up_report *rep,
                      int64_t at_us)
 {
-    int busy = CLAMP(rep->busy, 0, FW_REPORT_SLOTS_MAX);
+    int busy = CLAMP(rep->busy_slots, 0, FW_REPORT_SLOTS_MAX);
     struct fw_list *pos;
 
     if (at_us < s->report_us) {
--- a/stand/wire/config.c
+++ b/stand/wire/config.c
@@ -16,7 +16,7 @@
 }
 
 char *
-Fw_Wire_Config(int version, const char *keys)
+Fw_Wire_MakeConfig(int version, const char *keys)
 {
     GString *out = g_string_new(NULL);
 
--- a/stand/wire/calls.c
+++ b/stand/wire/control.c
@@ -8,7 +8,7 @@
 static void
 answer_json(struct fw_http_caller *c, int status, char *text)
 {
-    Fw_Caller_Answer(c, status, "Content-Type: application/json\r\n", text);
+    Fw_Caller_Respond(c, status, "Content-Type: application/json\r\n", text);
     g_free(text);
 }
 
@@ -30,7 +30,8 @@
         Fw_Json_Int(obj, "TtlMs", &ttl);
         json_node_unref(root);
     }
-    if (tokens <= 0 || Fw_WireServer_Held(s) + tokens > s->opts.kv_tokens) {
+    if (tokens <= 0 ||
+        Fw_WireServer_UsedKvTokens(s) + tokens > s->opts.kv_tokens) {
         Fw_Wire_RejectNotExecuted(c, 503);
         return;
     }
@@ -111,7 +112,7 @@
     char *name =
         g_strndup(h->target + strlen(path), h->target_len - strlen(path));
 
-    Fw_Caller_Answer(c, g_hash_table_remove(from, name) ? 200 : 404, "", "");
+    Fw_Caller_Respond(c, g_hash_table_remove(from, name) ? 200 : 404, "", "");
     g_free(name);
 }
 
--- a/stand/wire/main.c
+++ b/stand/wire/main.c
@@ -33,11 +33,11 @@
     static const struct {
         const char *name;
         enum fw_wire_fault fault;
-    } faults[] = {{"full", FW_WIRE_FULL},
-                  {"fail", FW_WIRE_FAIL},
-                  {"reset", FW_WIRE_RESET},
-                  {"break", FW_WIRE_BREAK},
-                  {"stall", FW_WIRE_STALL}};
+    } faults[] = {{"full", FW_WIRE_FAULT_FULL},
+                  {"fail", FW_WIRE_FAULT_ERROR},
+                  {"reset", FW_WIRE_FAULT_RESET},
+                  {"break", FW_WIRE_FAULT_TRUNCATE},
+                  {"stall", FW_WIRE_FAULT_STALL}};
 
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
         if (strcmp(faults[i].name, name) == 0) {
@@ -97,7 +97,7 @@
     struct fw_wire_server *running[G_N_ELEMENTS(servers)];
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
     struct fw_wire_store *store;
-    char *config = Fw_Wire_Config(1, "\"demo-key\"");
+    char *config = Fw_Wire_MakeConfig(1, "\"demo-key\"");
     struct arguments args = {0};
     char addr[32];
 
--- a/stand/wire/run.c
+++ b/stand/wire/run.c
@@ -19,7 +19,7 @@
 void
 Fw_Wire_RejectNotExecuted(struct fw_http_caller *c, int status)
 {
-    Fw_Caller_Answer(c, status, "Not-Executed: 1\r\n", "");
+    Fw_Caller_Respond(c, status, "Not-Executed: 1\r\n", "");
 }
 
 static char *
@@ -36,9 +36,9 @@
     struct run *r = data;
     char *event;
 
-    if (r->fault == FW_WIRE_BREAK && r->next_event == 3) {
+    if (r->fault == FW_WIRE_FAULT_TRUNCATE && r->next_event == 3) {
         r->timer = 0;
-        Fw_Caller_Cut(r->caller);
+        Fw_Caller_Abort(r->caller);
         Fw_Wire_EndRun(r);
         return G_SOURCE_REMOVE;
     }
@@ -66,7 +66,7 @@
                                  ",\"Version\":1}",
                                  name, r->tokens);
 
-    Fw_Caller_Answer(r->caller, 200, fields, body);
+    Fw_Caller_Respond(r->caller, 200, fields, body);
     g_free(fields);
     g_free(body);
     g_free(name);
@@ -80,8 +80,8 @@
     char *fields;
 
     r->timer = 0;
-    if (r->fault == FW_WIRE_RESET) {
-        Fw_Caller_Cut(r->caller);
+    if (r->fault == FW_WIRE_FAULT_RESET) {
+        Fw_Caller_Abort(r->caller);
         Fw_Wire_EndRun(r);
         return G_SOURCE_REMOVE;
     }
@@ -99,8 +99,8 @@
         return G_SOURCE_REMOVE;
     }
     fields = response_fields(r, "text/plain");
-    Fw_Caller_Answer(r->caller, r->fault == FW_WIRE_FAIL ? 500 : 200, fields,
-                     "the answer");
+    Fw_Caller_Respond(r->caller, r->fault == FW_WIRE_FAULT_ERROR ? 500 : 200,
+                      fields, "the answer");
     g_free(fields);
     Fw_Wire_EndRun(r);
     return G_SOURCE_REMOVE;
@@ -120,7 +120,7 @@
         source = g_hash_table_lookup(Fw_Wire_ServersByAddr, from);
     }
     if (source) {
-        Fw_Wire_SumLeases(source->kv_handles, Fw_Conn_Now());
+        Fw_Wire_SumLeases(source->kv_handles, Fw_Conn_NowUs());
         ok = g_hash_table_remove(source->kv_handles, slash + 1);
     }
     g_free(from);
@@ -134,7 +134,7 @@
     struct kv_lease *lease;
     int64_t tokens = -1;
 
-    Fw_Wire_SumLeases(s->reservations, Fw_Conn_Now());
+    Fw_Wire_SumLeases(s->reservations, Fw_Conn_NowUs());
     lease = g_hash_table_lookup(s->reservations, name);
     if (lease) {
         tokens = lease->tokens;
@@ -148,7 +148,7 @@
 take_fault(struct fw_wire_server *s)
 {
     if (s->faults_left <= 0) {
-        return FW_WIRE_OK;
+        return FW_WIRE_FAULT_NONE;
     }
     s->faults_left--;
     s->fault_triggered = 1;
@@ -170,7 +170,7 @@
     }
     if (tokens < 0) {
         tokens = in_tokens + out_tokens;
-        if (Fw_WireServer_Held(s) + tokens > s->opts.kv_tokens) {
+        if (Fw_WireServer_UsedKvTokens(s) + tokens > s->opts.kv_tokens) {
             return -1;
         }
     }
@@ -188,22 +188,22 @@
     int64_t in_tokens = g_ascii_strtoll(counts, NULL, 10);
     int64_t out_tokens = comma ? g_ascii_strtoll(comma + 1, NULL, 10) : 0;
     int prefill = stage[0] != 0;
-    enum fw_wire_fault fault = prefill ? FW_WIRE_OK : take_fault(s);
+    enum fw_wire_fault fault = prefill ? FW_WIRE_FAULT_NONE : take_fault(s);
     int64_t tokens = -1;
     struct run *r;
 
-    if (fault == FW_WIRE_MOVED ||
+    if (fault == FW_WIRE_FAULT_MOVED ||
         (s->stage[0] && prefill != (strcmp(s->stage, "prefill") == 0))) {
         Fw_Wire_RejectNotExecuted(c, 421);
     }
-    else if (fault == FW_WIRE_FULL ||
-             Fw_Conn_Now() < s->role_switch_until_us ||
+    else if (fault == FW_WIRE_FAULT_FULL ||
+             Fw_Conn_NowUs() < s->role_switch_until_us ||
              (tokens = admit(s, h, in_tokens, out_tokens, prefill)) < 0) {
         Fw_Wire_RejectNotExecuted(c, 503);
     }
     else {
         int prefill_ms =
-            s->stage[0] && (prefill || !Fw_Http_Find(h, "Kv-Source"))
+            s->stage[0] && (prefill || !Fw_Http_FindField(h, "Kv-Source"))
                 ? (int)(in_tokens / s->opts.prefill_tokens_per_ms)
                 : 1;
 
@@ -223,7 +223,7 @@
         s->runs = g_list_prepend(s->runs, r);
         g_string_truncate(s->last_head, 0);
         g_string_append(s->last_head, h->raw);
-        if (fault != FW_WIRE_STALL) {
+        if (fault != FW_WIRE_FAULT_STALL) {
             r->timer =
                 g_timeout_add((guint)MAX(prefill_ms, 1), start_response, r);
         }
--- a/stand/wire/server.c
+++ b/stand/wire/server.c
@@ -25,7 +25,7 @@
 char *
 Fw_Wire_CopyField(const struct fw_http_head *h, const char *name)
 {
-    const struct fw_http_field *f = Fw_Http_Find(h, name);
+    const struct fw_http_field *f = Fw_Http_FindField(h, name);
 
     return f ? g_strndup(f->value, f->value_len) : g_strdup("");
 }
@@ -52,16 +52,16 @@
 }
 
 int64_t
-Fw_WireServer_Held(const struct fw_wire_server *s)
+Fw_WireServer_UsedKvTokens(const struct fw_wire_server *s)
 {
     return s->active_tokens +
-           Fw_Wire_SumLeases(s->reservations, Fw_Conn_Now());
+           Fw_Wire_SumLeases(s->reservations, Fw_Conn_NowUs());
 }
 
 int
-Fw_WireServer_Handles(const struct fw_wire_server *s)
+Fw_WireServer_KvHandleCount(const struct fw_wire_server *s)
 {
-    Fw_Wire_SumLeases(s->kv_handles, Fw_Conn_Now());
+    Fw_Wire_SumLeases(s->kv_handles, Fw_Conn_NowUs());
     return (int)g_hash_table_size(s->kv_handles);
 }
 
@@ -73,7 +73,7 @@
     struct kv_lease *k = g_new(struct kv_lease, 1);
 
     *k = (struct kv_lease){.tokens = tokens,
-                           .expires_us = Fw_Conn_Now() + ms * FW_MSEC};
+                           .expires_us = Fw_Conn_NowUs() + ms * FW_MSEC};
     g_hash_table_insert(in, g_strdup(name), k);
     return name;
 }
@@ -88,7 +88,7 @@
 
     g_free(wanted);
     if (other) {
-        Fw_Caller_Answer(c, 421, "Instance-Id: other\r\n", "");
+        Fw_Caller_Respond(c, 421, "Instance-Id: other\r\n", "");
     }
     else if (!Fw_Wire_HandleControl(s, c, h, body)) {
         Fw_Wire_StartRun(s, c, h);
@@ -119,8 +119,9 @@
               reason);
 }
 
-static const struct fw_http_ops ops = {
-    .request = on_request, .gone = on_disconnect, .refused = on_rejected};
+static const struct fw_http_ops ops = {.request = on_request,
+                                       .disconnected = on_disconnect,
+                                       .rejected = on_rejected};
 
 struct fw_wire_server *
 Fw_WireServer_New(struct fw_wire_store *store, const char *addr,
@@ -175,7 +176,7 @@
 }
 
 int
-Fw_WireServer_Faulted(const struct fw_wire_server *s)
+Fw_WireServer_FaultTriggered(const struct fw_wire_server *s)
 {
     return s->fault_triggered;
 }
@@ -188,13 +189,13 @@
 }
 
 int
-Fw_WireServer_Runs(const struct fw_wire_server *s)
+Fw_WireServer_StartedCount(const struct fw_wire_server *s)
 {
     return s->started_count;
 }
 
 int
-Fw_WireServer_Active(const struct fw_wire_server *s)
+Fw_WireServer_ActiveCount(const struct fw_wire_server *s)
 {
     return (int)g_list_length(s->runs);
 }
@@ -206,7 +207,7 @@
 }
 
 const char *
-Fw_WireServer_LastHead(const struct fw_wire_server *s)
+Fw_WireServer_LastRequestHead(const struct fw_wire_server *s)
 {
     return s->last_head->str;
 }
--- a/stand/wire/store.c
+++ b/stand/wire/store.c
@@ -150,7 +150,7 @@
 static void
 answer_json(struct fw_http_caller *c, int status, char *text)
 {
-    Fw_Caller_Answer(c, status, "Content-Type: application/json\r\n", text);
+    Fw_Caller_Respond(c, status, "Content-Type: application/json\r\n", text);
     g_free(text);
 }
 
@@ -211,7 +211,7 @@
 }
 
 void
-Fw_WireStore_Forget(struct fw_wire_store *s, const char *topic)
+Fw_WireStore_Truncate(struct fw_wire_store *s, const char *topic)
 {
     struct topic *t = get_topic(s, topic);
 
@@ -315,8 +315,8 @@
         return;
     }
     append_body(s, topic, body);
-    if (s->mode == FW_WIRE_STORE_LOSING) {
-        Fw_Caller_Cut(c);
+    if (s->mode == FW_WIRE_STORE_LOST_REPLIES) {
+        Fw_Caller_Abort(c);
     }
     else {
         answer_json(c, 200,
@@ -342,19 +342,22 @@
     char *topic = query_text(h, "Topic");
 
     s->request_count++;
-    if (s->mode == FW_WIRE_STORE_BUSY) {
-        Fw_Caller_Answer(c, 503, "", "");
+    if (s->mode == FW_WIRE_STORE_UNAVAILABLE) {
+        Fw_Caller_Respond(c, 503, "", "");
     }
-    else if (s->mode != FW_WIRE_STORE_SILENT && !topic) {
-        Fw_Caller_Answer(c, 400, "", "");
+    else if (s->mode != FW_WIRE_STORE_UNRESPONSIVE && !topic) {
+        Fw_Caller_Respond(c, 400, "", "");
     }
-    else if (s->mode != FW_WIRE_STORE_SILENT && path_is(h, "/-/log-read?")) {
+    else if (s->mode != FW_WIRE_STORE_UNRESPONSIVE &&
+             path_is(h, "/-/log-read?")) {
         handle_read(s, c, h, topic);
     }
-    else if (s->mode != FW_WIRE_STORE_SILENT && path_is(h, "/-/log-newest?")) {
+    else if (s->mode != FW_WIRE_STORE_UNRESPONSIVE &&
+             path_is(h, "/-/log-newest?")) {
         handle_newest(s, c, topic);
     }
-    else if (s->mode != FW_WIRE_STORE_SILENT && path_is(h, "/-/log-append?")) {
+    else if (s->mode != FW_WIRE_STORE_UNRESPONSIVE &&
+             path_is(h, "/-/log-append?")) {
         handle_append(s, c, h, topic, body);
     }
     g_free(topic);
@@ -382,8 +385,9 @@
     g_warning("store: request rejected with status %d: %s", status, reason);
 }
 
-static const struct fw_http_ops ops = {
-    .request = on_request, .gone = on_disconnect, .refused = on_rejected};
+static const struct fw_http_ops ops = {.request = on_request,
+                                       .disconnected = on_disconnect,
+                                       .rejected = on_rejected};
 
 struct fw_wire_store *
 Fw_WireStore_New(const char *addr)
@@ -422,13 +426,13 @@
 }
 
 int
-Fw_WireStore_Calls(const struct fw_wire_store *s)
+Fw_WireStore_RequestCount(const struct fw_wire_store *s)
 {
     return s->request_count;
 }
 
 int
-Fw_WireStore_Count(const struct fw_wire_store *s, const char *topic)
+Fw_WireStore_RecordCount(const struct fw_wire_store *s, const char *topic)
 {
     const struct topic *t = g_hash_table_lookup(s->topics, topic);
 
--- a/stand/wire/wire.h
+++ b/stand/wire/wire.h
@@ -13,10 +13,10 @@
 
 /** enum fw_wire_store_mode - how the store answers requests. */
 enum fw_wire_store_mode {
-    FW_WIRE_STORE_WELL,
-    FW_WIRE_STORE_BUSY,   /* status 503, no effect */
-    FW_WIRE_STORE_SILENT, /* no response, no effect */
-    FW_WIRE_STORE_LOSING, /* appends take effect, connection closed */
+    FW_WIRE_STORE_NORMAL,
+    FW_WIRE_STORE_UNAVAILABLE,  /* status 503, no effect */
+    FW_WIRE_STORE_UNRESPONSIVE, /* no response, no effect */
+    FW_WIRE_STORE_LOST_REPLIES, /* appends take effect, connection closed */
 };
 
 struct fw_wire_store;
@@ -39,23 +39,23 @@
  * record of each key can still be read.
  */
 void
-Fw_WireStore_Forget(struct fw_wire_store *s, const char *topic);
+Fw_WireStore_Truncate(struct fw_wire_store *s, const char *topic);
 /* Requests received, answered or not. */
 int
-Fw_WireStore_Calls(const struct fw_wire_store *s);
+Fw_WireStore_RequestCount(const struct fw_wire_store *s);
 /* Records appended to @topic, truncated ones included. */
 int
-Fw_WireStore_Count(const struct fw_wire_store *s, const char *topic);
+Fw_WireStore_RecordCount(const struct fw_wire_store *s, const char *topic);
 
 /** enum fw_wire_fault - fault that a server injects into a request. */
 enum fw_wire_fault {
-    FW_WIRE_OK,
-    FW_WIRE_FULL,  /* rejects it with 503 and Not-Executed */
-    FW_WIRE_FAIL,  /* answers 500, if it is not a stream */
-    FW_WIRE_RESET, /* runs it and closes the connection */
-    FW_WIRE_BREAK, /* closes the connection after three events */
-    FW_WIRE_MOVED, /* rejects it with 421 and Not-Executed */
-    FW_WIRE_STALL, /* starts it and never answers */
+    FW_WIRE_FAULT_NONE,
+    FW_WIRE_FAULT_FULL,     /* rejects it with 503 and Not-Executed */
+    FW_WIRE_FAULT_ERROR,    /* answers 500, if it is not a stream */
+    FW_WIRE_FAULT_RESET,    /* runs it and closes the connection */
+    FW_WIRE_FAULT_TRUNCATE, /* closes the connection after three events */
+    FW_WIRE_FAULT_MOVED,    /* rejects it with 421 and Not-Executed */
+    FW_WIRE_FAULT_STALL,    /* starts it and never answers */
 };
 
 /**
@@ -96,33 +96,33 @@
                        int n);
 /* Nonzero once a fault has been injected. */
 int
-Fw_WireServer_Faulted(const struct fw_wire_server *s);
+Fw_WireServer_FaultTriggered(const struct fw_wire_server *s);
 /* Registers the server as draining; it still accepts requests. */
 void
 Fw_WireServer_SetDraining(struct fw_wire_server *s);
 /* Requests started so far. */
 int
-Fw_WireServer_Runs(const struct fw_wire_server *s);
+Fw_WireServer_StartedCount(const struct fw_wire_server *s);
 /* Requests in progress. */
 int
-Fw_WireServer_Active(const struct fw_wire_server *s);
+Fw_WireServer_ActiveCount(const struct fw_wire_server *s);
 /* KV tokens of requests in progress and of reservations. */
 int64_t
-Fw_WireServer_Held(const struct fw_wire_server *s);
+Fw_WireServer_UsedKvTokens(const struct fw_wire_server *s);
 /* Prefilled KV caches that are not claimed or expired. */
 int
-Fw_WireServer_Handles(const struct fw_wire_server *s);
+Fw_WireServer_KvHandleCount(const struct fw_wire_server *s);
 const char *
 Fw_WireServer_Stage(const struct fw_wire_server *s);
 /* Head of the request started last, as received; owned by @s. */
 const char *
-Fw_WireServer_LastHead(const struct fw_wire_server *s);
+Fw_WireServer_LastRequestHead(const struct fw_wire_server *s);
 
 /*
  * Routing configuration of tests and the demo, as JSON that the caller frees.
  * @keys: API keys as comma-separated JSON strings
  */
 char *
-Fw_Wire_Config(int version, const char *keys);
+Fw_Wire_MakeConfig(int version, const char *keys);
 
 #endif
--- a/tests/base/test_base.c
+++ b/tests/base/test_base.c
@@ -36,8 +36,8 @@
 
 START_TEST(digest_is_sha256_and_compares_fully)
 {
-    char a[FW_DIGEST_HEX];
-    char b[FW_DIGEST_HEX];
+    char a[FW_DIGEST_HEX_SIZE];
+    char b[FW_DIGEST_HEX_SIZE];
 
     Fw_Hash_KeyDigest("abc", a);
     ck_assert_str_eq(a, "ba7816bf8f01cfea414140de5dae2223"
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -129,7 +129,7 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         Fw_Rig_Execute(rig, i, a);
     }
 }
@@ -141,15 +141,17 @@
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .err = err,
                                .sent_us = p->sent_us,
-                               .oldest = s->n_expired + 1,
-                               .end = s->records->len + 1};
+                               .oldest_offset = s->n_expired + 1,
+                               .end_offset = s->records->len + 1};
     struct fw_actions out;
 
     g_strlcpy(r.stream, p->read.stream, sizeof(r.stream));
     p->open = 0;
-    r.first = MIN(MAX(p->read.from, r.oldest), r.end);
-    r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
-    r.records = (const char *const *)s->records->pdata + (r.first - 1);
+    r.first_offset =
+        MIN(MAX(p->read.from_offset, r.oldest_offset), r.end_offset);
+    r.n =
+        (int)MIN((uint64_t)p->read.max_records, r.end_offset - r.first_offset);
+    r.records = (const char *const *)s->records->pdata + (r.first_offset - 1);
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_OnRecords(rig->replicas[i], &r, rig->now, &out);
     execute_actions(rig, i, &out);
@@ -169,7 +171,7 @@
         if (rig->log_down || rig->partitioned[i]) {
             answer_read(rig, i, p, -EIO);
         }
-        else if (p->read.from <= s->records->len ||
+        else if (p->read.from_offset <= s->records->len ||
                  rig->now >= p->sent_us + p->read.wait_us) {
             answer_read(rig, i, p, 0);
         }
@@ -194,7 +196,7 @@
 {
     struct fw_rig_stream *s = stream_of(rig, p->stream);
     struct fw_log_appended done = {.ticket = p->ticket,
-                                   .first = s->records->len + 1};
+                                   .first_offset = s->records->len + 1};
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
@@ -285,7 +287,7 @@
 }
 
 static void
-store_answer(struct fw_rig *rig, const struct fw_call_answer *a)
+store_answer(struct fw_rig *rig, const struct fw_call_response *a)
 {
     struct fw_rig_answer *kept = g_new0(struct fw_rig_answer, 1);
     size_t len;
@@ -322,7 +324,7 @@
     case FW_ACT_LOG_APPEND:
         append(rig, i, &a->u.append);
         break;
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         store_answer(rig, &a->u.answer);
         break;
     case FW_ACT_PEER_SEND:
--- a/tests/config/test_snapshot.c
+++ b/tests/config/test_snapshot.c
@@ -299,7 +299,7 @@
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_RequestFromPeer(rig->replicas[i], peer, "addr", rig->now,
                                      &out);
-    while ((a = Fw_Actions_Take(&out))) {
+    while ((a = Fw_Actions_Pop(&out))) {
         Fw_Rig_Execute(rig, i, a);
     }
 }
--- a/tests/http/bad_heads.h
+++ b/tests/http/bad_heads.h
@@ -6,9 +6,9 @@
 #define FW_TESTS_BAD_HEADS_H
 
 /* The required field, so that only the tested defect causes a rejection. */
-#define FW_H "Host: a.example\r\n"
-#define FW_BAD_HEADS 44
+#define FW_HOST_FIELD "Host: a.example\r\n"
+#define FW_BAD_HEADS_COUNT 44
 
-extern const char *const fw_bad_heads[FW_BAD_HEADS];
+extern const char *const fw_bad_heads[FW_BAD_HEADS_COUNT];
 
 #endif
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -17,17 +17,17 @@
     int sent;
 };
 
-static enum fw_take
+static enum fw_head_action
 on_head(void *ctx, const struct fw_http_head *h)
 {
     struct call *c = ctx;
-    const struct fw_http_field *id = Fw_Http_Find(h, "Request-Id");
+    const struct fw_http_field *id = Fw_Http_FindField(h, "Request-Id");
 
     if (id && strncmp(id->value, "mine", 4) != 0) {
-        return FW_TAKE_SKIP;
+        return FW_HEAD_DISCARD;
     }
     c->status = h->status;
-    return FW_TAKE_IT;
+    return FW_HEAD_ACCEPT;
 }
 
 static void
@@ -54,8 +54,8 @@
 static const struct fw_exchange_ops ops = {
     .head = on_head, .body = on_body, .end = on_end, .fail = on_fail};
 
-static const struct fw_exchange_opts reuse_opts = {.reuse_us = 60 * FW_SEC,
-                                                   .connect_us = FW_SEC};
+static const struct fw_exchange_opts reuse_opts = {
+    .reuse_idle_max_us = 60 * FW_SEC, .connect_timeout_us = FW_SEC};
 
 static void
 start_call(struct fw_conn_pool *p, const char *url, struct call *c,
@@ -122,7 +122,7 @@
 
 START_TEST(response_is_complete_or_call_fails)
 {
-    struct fw_conn_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_ConnPool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct rig_conn *up;
     struct call c;
@@ -144,7 +144,7 @@
         ck_assert_int_eq(c.sent, FW_SENT_SOME);
     }
     call_free(&c);
-    Fw_Pool_Free(p);
+    Fw_ConnPool_Free(p);
     Fw_RigServer_Free(s);
 }
 END_TEST
@@ -171,7 +171,7 @@
 
 START_TEST(connection_with_leftover_data_is_not_reused)
 {
-    struct fw_conn_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_ConnPool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
     struct call b;
@@ -187,10 +187,10 @@
         Fw_RigServer_Conn(s, 1);
     }
     ck_assert_uint_eq(s->conns->len, reuse_cases[_i].reused ? 1 : 2);
-    Fw_Exchange_Stop(b.x);
+    Fw_Exchange_Abort(b.x);
     call_free(&a);
     call_free(&b);
-    Fw_Pool_Free(p);
+    Fw_ConnPool_Free(p);
     Fw_RigServer_Free(s);
 }
 END_TEST
@@ -201,7 +201,7 @@
  */
 START_TEST(data_on_idle_connection_closes_it)
 {
-    struct fw_conn_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_ConnPool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
 
@@ -212,7 +212,7 @@
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0), "HTTP/1.1 200 OK\r\n", -1);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(s, 0));
     call_free(&a);
-    Fw_Pool_Free(p);
+    Fw_ConnPool_Free(p);
     Fw_RigServer_Free(s);
 }
 END_TEST
@@ -223,8 +223,9 @@
  */
 START_TEST(connection_idle_too_long_is_not_reused)
 {
-    struct fw_exchange_opts fresh = {.reuse_us = 0, .connect_us = FW_SEC};
-    struct fw_conn_pool *p = Fw_Pool_New();
+    struct fw_exchange_opts fresh = {.reuse_idle_max_us = 0,
+                                     .connect_timeout_us = FW_SEC};
+    struct fw_conn_pool *p = Fw_ConnPool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call a;
     struct call b;
@@ -235,19 +236,19 @@
     Fw_Rig_Until(has_ended, &a);
     start_call(p, s->url, &b, &fresh);
     Fw_RigServer_Conn(s, 1);
-    Fw_Exchange_Stop(b.x);
-    Fw_Pool_Tick(p, Fw_Conn_Now() + 61 * FW_SEC);
+    Fw_Exchange_Abort(b.x);
+    Fw_ConnPool_Tick(p, Fw_Conn_NowUs() + 61 * FW_SEC);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(s, 0));
     call_free(&a);
     call_free(&b);
-    Fw_Pool_Free(p);
+    Fw_ConnPool_Free(p);
     Fw_RigServer_Free(s);
 }
 END_TEST
 
 START_TEST(refused_connection_reports_nothing_sent)
 {
-    struct fw_conn_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_ConnPool_New();
     struct rig_server *s = Fw_RigServer_New();
     char *url = g_strdup(s->url);
     struct call c;
@@ -258,23 +259,23 @@
     ck_assert_int_eq(c.err, -ECONNREFUSED);
     ck_assert_int_eq(c.sent, FW_SENT_NONE);
     call_free(&c);
-    Fw_Pool_Free(p);
+    Fw_ConnPool_Free(p);
     g_free(url);
 }
 END_TEST
 
 START_TEST(aborted_exchange_closes_its_connection)
 {
-    struct fw_conn_pool *p = Fw_Pool_New();
+    struct fw_conn_pool *p = Fw_ConnPool_New();
     struct rig_server *s = Fw_RigServer_New();
     struct call c;
 
     start_call(p, s->url, &c, &reuse_opts);
     Fw_RigConn_Expect(Fw_RigServer_Conn(s, 0), "hi");
-    Fw_Exchange_Stop(c.x);
+    Fw_Exchange_Abort(c.x);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(s, 0));
     call_free(&c);
-    Fw_Pool_Free(p);
+    Fw_ConnPool_Free(p);
     Fw_RigServer_Free(s);
 }
 END_TEST
--- a/tests/http/test_head.c
+++ b/tests/http/test_head.c
@@ -2,7 +2,7 @@
 #include <errno.h>
 #include <string.h>
 
-#include "http/frame.h"
+#include "http/body.h"
 #include "tests/base/suite.h"
 #include "tests/http/bad_heads.h"
 
@@ -10,7 +10,7 @@
 {
     struct fw_http_head h;
     const char *t = fw_bad_heads[_i];
-    int n = Fw_Http_ReadHead(FW_HTTP_REQUEST, t, strlen(t), &h);
+    int n = Fw_Http_ParseHead(FW_HTTP_REQUEST, t, strlen(t), &h);
 
     ck_assert_msg(n == -EBADMSG, "%d for %s", n, t);
 }
@@ -34,12 +34,13 @@
 
 START_TEST(target_is_not_normalised)
 {
-    char *text =
-        g_strdup_printf("GET %s HTTP/1.1\r\n" FW_H "\r\n", targets[_i]);
+    char *text = g_strdup_printf("GET %s HTTP/1.1\r\n" FW_HOST_FIELD "\r\n",
+                                 targets[_i]);
     struct fw_http_head h;
 
-    ck_assert_int_eq(Fw_Http_ReadHead(FW_HTTP_REQUEST, text, strlen(text), &h),
-                     (int)strlen(text));
+    ck_assert_int_eq(
+        Fw_Http_ParseHead(FW_HTTP_REQUEST, text, strlen(text), &h),
+        (int)strlen(text));
     ck_assert_uint_eq(h.target_len, strlen(targets[_i]));
     ck_assert_int_eq(memcmp(h.target, targets[_i], h.target_len), 0);
     Fw_Http_ClearHead(&h);
@@ -57,17 +58,20 @@
     struct fw_http_head h;
 
     for (size_t n = 0; n < whole; n++) {
-        ck_assert_int_eq(Fw_Http_ReadHead(FW_HTTP_REQUEST, text, n, &h), 0);
+        ck_assert_int_eq(Fw_Http_ParseHead(FW_HTTP_REQUEST, text, n, &h), 0);
     }
-    ck_assert_int_eq(Fw_Http_ReadHead(FW_HTTP_REQUEST, text, strlen(text), &h),
-                     (int)whole);
-    ck_assert_int_eq(h.framing, FW_HTTP_LENGTH);
+    ck_assert_int_eq(
+        Fw_Http_ParseHead(FW_HTTP_REQUEST, text, strlen(text), &h),
+        (int)whole);
+    ck_assert_int_eq(h.framing, FW_HTTP_CONTENT_LENGTH);
     ck_assert_uint_eq(h.length, 12);
     ck_assert_int_eq(h.n_fields, 5);
     ck_assert_uint_eq(h.fields[0].value_len, strlen("a.example"));
     ck_assert_int_eq(h.keep_alive, 1);
-    ck_assert_int_ne(Fw_Http_HopByHop(&h, Fw_Http_Find(&h, "x-own")), 0);
-    ck_assert_int_eq(Fw_Http_HopByHop(&h, Fw_Http_Find(&h, "x-empty")), 0);
+    ck_assert_int_ne(Fw_Http_IsHopByHop(&h, Fw_Http_FindField(&h, "x-own")),
+                     0);
+    ck_assert_int_eq(Fw_Http_IsHopByHop(&h, Fw_Http_FindField(&h, "x-empty")),
+                     0);
     Fw_Http_ClearHead(&h);
 }
 END_TEST
@@ -78,13 +82,15 @@
     int framing;
     int keep_alive;
 } responses[] = {
-    {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", FW_HTTP_LENGTH, 1},
+    {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", FW_HTTP_CONTENT_LENGTH,
+     1},
     {"HTTP/1.1 200 OK\r\n\r\n", FW_HTTP_UNTIL_CLOSE, 1},
     {"HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n", FW_HTTP_CHUNKED, 1},
-    {"HTTP/1.1 204 No\r\nContent-Length: 3\r\n\r\n", FW_HTTP_NONE, 1},
-    {"HTTP/1.1 304 Not\r\n\r\n", FW_HTTP_NONE, 1},
-    {"HTTP/1.1 100 Go\r\n\r\n", FW_HTTP_NONE, 1},
-    {"HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\n", FW_HTTP_LENGTH, 0},
+    {"HTTP/1.1 204 No\r\nContent-Length: 3\r\n\r\n", FW_HTTP_NO_BODY, 1},
+    {"HTTP/1.1 304 Not\r\n\r\n", FW_HTTP_NO_BODY, 1},
+    {"HTTP/1.1 100 Go\r\n\r\n", FW_HTTP_NO_BODY, 1},
+    {"HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\n", FW_HTTP_CONTENT_LENGTH,
+     0},
     {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", FW_HTTP_UNTIL_CLOSE, 0},
     {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", -1,
      0},
@@ -96,7 +102,7 @@
 {
     const char *t = responses[_i].text;
     struct fw_http_head h;
-    int n = Fw_Http_ReadHead(FW_HTTP_RESPONSE, t, strlen(t), &h);
+    int n = Fw_Http_ParseHead(FW_HTTP_RESPONSE, t, strlen(t), &h);
 
     if (responses[_i].framing < 0) {
         ck_assert_int_eq(n, -EBADMSG);
@@ -182,7 +188,7 @@
 {
     TCase *tc = Fw_Suite_New("head");
 
-    tcase_add_loop_test(tc, ambiguous_head_is_rejected, 0, FW_BAD_HEADS);
+    tcase_add_loop_test(tc, ambiguous_head_is_rejected, 0, FW_BAD_HEADS_COUNT);
     tcase_add_loop_test(tc, target_is_not_normalised, 0,
                         G_N_ELEMENTS(targets));
     tcase_add_test(tc, head_may_arrive_in_parts);
--- a/tests/http/test_server.c
+++ b/tests/http/test_server.c
@@ -29,7 +29,7 @@
     s->pending = c;
     if (!s->hold_response) {
         s->pending = NULL;
-        Fw_Caller_Answer(c, 200, "X-A: b\r\n", "fine");
+        Fw_Caller_Respond(c, 200, "X-A: b\r\n", "fine");
     }
 }
 
@@ -53,18 +53,19 @@
     s->rejected++;
 }
 
-static const struct fw_http_ops ops = {
-    .request = on_request, .gone = on_disconnected, .refused = on_rejected};
+static const struct fw_http_ops ops = {.request = on_request,
+                                       .disconnected = on_disconnected,
+                                       .rejected = on_rejected};
 
 static void
 fixture_open(struct fixture *s)
 {
     struct fw_http_limits l = {.header_bytes = 1000,
                                .body_bytes = 2000,
-                               .held_bytes = 3000,
-                               .head_us = 2 * FW_SEC,
-                               .body_us = 3 * FW_SEC,
-                               .idle_us = 9 * FW_SEC};
+                               .buffered_bytes = 3000,
+                               .head_timeout_us = 2 * FW_SEC,
+                               .body_idle_timeout_us = 3 * FW_SEC,
+                               .keep_alive_timeout_us = 9 * FW_SEC};
     int err;
 
     *s = (struct fixture){.requests = g_string_new(NULL)};
@@ -167,10 +168,10 @@
     c = Fw_RigConn_Open(s.addr);
     Fw_RigConn_Send(c, parts[_i], -1);
     Fw_Rig_Settle();
-    Fw_Server_Tick(s.server, Fw_Conn_Now() + 1 * FW_SEC);
+    Fw_Server_Tick(s.server, Fw_Conn_NowUs() + 1 * FW_SEC);
     Fw_Rig_Settle();
     ck_assert_uint_eq(c->got->len, 0);
-    Fw_Server_Tick(s.server, Fw_Conn_Now() + 3 * FW_SEC);
+    Fw_Server_Tick(s.server, Fw_Conn_NowUs() + 3 * FW_SEC);
     Fw_RigConn_Expect(c, "HTTP/1.1 408 ");
     Fw_RigConn_ExpectEof(c);
     ck_assert_str_eq(s.requests->str, "");
@@ -247,7 +248,7 @@
     Fw_Caller_Start(s.pending, 200, "", -1);
     Fw_Caller_Data(s.pending, "hello", 5);
     Fw_RigConn_Expect(c, "hello");
-    Fw_Caller_Cut(s.pending);
+    Fw_Caller_Abort(s.pending);
     Fw_RigConn_ExpectEof(c);
     ck_assert_ptr_null(strstr(c->got->str, "0\r\n\r\n"));
     Fw_RigConn_Close(c);
@@ -292,12 +293,12 @@
 
     fixture_open(&s);
     c = Fw_RigConn_Open(s.addr);
-    Fw_Server_SendAway(s.server, 1);
+    Fw_Server_SetCloseAfterResponse(s.server, 1);
     Fw_RigConn_Send(c, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n", -1);
     Fw_RigConn_Expect(c, "Connection: close\r\n");
     Fw_RigConn_Expect(c, "fine");
     Fw_RigConn_ExpectEof(c);
-    Fw_Server_SendAway(s.server, 0);
+    Fw_Server_SetCloseAfterResponse(s.server, 0);
     reused = Fw_RigConn_Open(s.addr);
     Fw_RigConn_Send(reused, "GET /b HTTP/1.1\r\nHost: a\r\n\r\n", -1);
     Fw_RigConn_Expect(reused, "fine");
--- a/tests/io/rig.c
+++ b/tests/io/rig.c
@@ -267,7 +267,7 @@
     g_string_append_printf(out, "up %s ran=%s status=%d err=%s",
                            phases[up->phase], Fw_Ran_Name(up->ran), up->status,
                            up->err ? g_strerror(-up->err) : "0");
-    if (up->phase == FW_UP_PIECE) {
+    if (up->phase == FW_UP_TOKEN) {
         g_string_append_printf(out, " %" PRId64 "=%s", up->u.token.index,
                                up->u.token.text);
     }
@@ -294,14 +294,15 @@
         break;
     case FW_EV_LOG_APPENDED:
         g_string_append_printf(out, "appended err=%d first=%" PRIu64 "\n",
-                               ev->u.appended.err, ev->u.appended.first);
+                               ev->u.appended.err,
+                               ev->u.appended.first_offset);
         break;
     case FW_EV_LOG_RECORDS:
         g_string_append_printf(
             out, "records err=%d n=%d %s\n", ev->u.records.err,
             ev->u.records.n, ev->u.records.n ? ev->u.records.records[0] : "");
         break;
-    case FW_EV_LISTED:
+    case FW_EV_REGISTRY:
         g_string_append_printf(
             out, "listed err=%d n=%d %s\n", ev->u.listed.err, ev->u.listed.n,
             ev->u.listed.n ? ev->u.listed.entries[0].name : "");
--- a/tests/io/test_bad_requests.c
+++ b/tests/io/test_bad_requests.c
@@ -202,7 +202,7 @@
     tcase_add_loop_test(tc, bad_requests_are_refused_with_verdict_no, 0,
                         G_N_ELEMENTS(bad_requests));
     tcase_add_loop_test(tc, a_doubtful_head_is_refused_on_both_ports, 0,
-                        FW_BAD_HEADS);
+                        FW_BAD_HEADS_COUNT);
     tcase_add_test(tc, headers_without_end_are_cut_off);
     tcase_add_loop_test(tc, garbage_harms_nobody_else, 0,
                         G_N_ELEMENTS(garbage));
--- a/tests/io/test_callers.c
+++ b/tests/io/test_callers.c
@@ -18,7 +18,7 @@
 static void
 put_piece(struct fw_actions *out, uint64_t call, const char *text)
 {
-    struct fw_call_piece *p = &Fw_Actions_Add(out, FW_ACT_CALL_PIECE)->u.piece;
+    struct fw_call_token *p = &Fw_Actions_Add(out, FW_ACT_CALL_TOKEN)->u.piece;
 
     p->call = call;
     p->text = g_strdup(text);
@@ -342,18 +342,18 @@
 answer_whole(struct rig_core *core, const struct fw_event *ev,
              struct fw_actions *out)
 {
-    struct fw_call_answer *a;
+    struct fw_call_response *a;
 
     if (ev->kind != FW_EV_CALL_OPEN && ev->kind != FW_EV_OPERATOR) {
         return;
     }
-    a = &Fw_Actions_Add(out, FW_ACT_CALL_ANSWER)->u.answer;
-    *a = (struct fw_call_answer){.call = core->last_call,
-                                 .request_id = "r-9",
-                                 .status = 409,
-                                 .content_type = "application/json",
-                                 .body = g_bytes_new("{}", 2),
-                                 .ran = FW_RAN_YES};
+    a = &Fw_Actions_Add(out, FW_ACT_CALL_RESPONSE)->u.answer;
+    *a = (struct fw_call_response){.call = core->last_call,
+                                   .request_id = "r-9",
+                                   .status = 409,
+                                   .content_type = "application/json",
+                                   .body = g_bytes_new("{}", 2),
+                                   .ran = FW_RAN_YES};
 }
 
 START_TEST(services_and_operators_reach_the_core)
--- a/tests/io/test_engine_wire.c
+++ b/tests/io/test_engine_wire.c
@@ -17,16 +17,16 @@
                          "\"queued_tokens\":7,\"kv_used\":5,\"kv_total\":9,"
                          "\"leaving\":true,\"role\":\"decode\",\"models\":["
                          "\"m@1\",\"m@1+a\"],\"more\":{}}");
-    struct fw_up_event ev = {.kind = FW_UP_LOAD};
+    struct fw_up_event ev = {.kind = FW_UP_LOAD_REPORT};
     struct fw_engine_answer own;
 
     ck_assert_int_eq(Fw_Engine_Answer(body, &ev, &own), 0);
-    ck_assert_int_eq(ev.u.report.lag_us, 95500);
+    ck_assert_int_eq(ev.u.report.age_us, 95500);
     ck_assert_int_eq(ev.u.report.slots, 20);
-    ck_assert_int_eq(ev.u.report.busy, 3);
+    ck_assert_int_eq(ev.u.report.busy_slots, 3);
     ck_assert_int_eq(ev.u.report.queued_tokens, 7);
     ck_assert_int_eq(ev.u.report.kv_total, 9);
-    ck_assert_int_eq(ev.u.report.leaving, 1);
+    ck_assert_int_eq(ev.u.report.draining, 1);
     ck_assert_str_eq(ev.u.report.role, "decode");
     ck_assert_int_eq(ev.u.report.n_models, 2);
     ck_assert_str_eq(ev.u.report.models[1], "m@1+a");
@@ -43,18 +43,18 @@
                           "\"00ff00ff00ff00ff\",\"tokens\":256,\"evicted\":"
                           "false},{\"seq\":8,\"prefix\":\"1\",\"tokens\":0,"
                           "\"evicted\":true}]}");
-    struct fw_up_event ev = {.kind = FW_UP_HELD};
+    struct fw_up_event ev = {.kind = FW_UP_LIST_REQUESTS};
     struct fw_engine_answer own;
 
     ck_assert_int_eq(Fw_Engine_Answer(held, &ev, &own), 0);
     ck_assert_int_eq(ev.u.held.n, 2);
     ck_assert_str_eq(ev.u.held.requests[0], "one.7.1");
     Fw_Engine_ClearAnswer(&own);
-    ev = (struct fw_up_event){.kind = FW_UP_CACHE};
+    ev = (struct fw_up_event){.kind = FW_UP_CACHE_EVENTS};
     ck_assert_int_eq(Fw_Engine_Answer(cache, &ev, &own), 0);
     ck_assert_int_eq(ev.u.cache.n, 2);
     ck_assert_uint_eq(ev.u.cache.next_seq, 9);
-    ck_assert_uint_eq(ev.u.cache.events[0].prefix, 0x00ff00ff00ff00ffULL);
+    ck_assert_uint_eq(ev.u.cache.events[0].prefix_hash, 0x00ff00ff00ff00ffULL);
     ck_assert_int_eq(ev.u.cache.events[1].evicted, 1);
     Fw_Engine_ClearAnswer(&own);
     g_bytes_unref(held);
@@ -71,22 +71,23 @@
     {FW_UP_IMPORT, "{\"transfer_ms\":-1}"},
     {FW_UP_IMPORT, "{\"transfer_ms\":1e300}"},
     {FW_UP_IMPORT, "{\"transfer_ms\":\"5\"}"},
-    {FW_UP_LOAD, "{\"lag_ms\":5}"},
-    {FW_UP_LOAD,
+    {FW_UP_LOAD_REPORT, "{\"lag_ms\":5}"},
+    {FW_UP_LOAD_REPORT,
      "{\"lag_ms\":5,\"slots\":99999999999,\"busy\":0,\"queued_tokens\":0,"
      "\"kv_used\":0,\"kv_total\":0}"},
-    {FW_UP_LOAD,
+    {FW_UP_LOAD_REPORT,
      "{\"lag_ms\":5,\"slots\":1,\"busy\":0,\"queued_tokens\":0,\"kv_used\":0,"
      "\"kv_total\":0,\"models\":[5]}"},
-    {FW_UP_LOAD,
+    {FW_UP_LOAD_REPORT,
      "{\"lag_ms\":5,\"slots\":1,\"busy\":0,\"queued_tokens\":0,\"kv_used\":0,"
      "\"kv_total\":0,\"role\":\"a role longer than any\"}"},
-    {FW_UP_HELD, "{\"requests\":[5]}"},
-    {FW_UP_HELD, "{\"requests\":[{\"id\":5}]}"},
-    {FW_UP_HELD, "{\"requests\":{}}"},
-    {FW_UP_CACHE, "{\"next\":1,\"events\":[{\"seq\":1}]}"},
-    {FW_UP_CACHE, "{\"next\":1,\"events\":[{\"seq\":1,\"prefix\":\"zz\"}]}"},
-    {FW_UP_CACHE, "{\"next\":-1,\"events\":[]}"},
+    {FW_UP_LIST_REQUESTS, "{\"requests\":[5]}"},
+    {FW_UP_LIST_REQUESTS, "{\"requests\":[{\"id\":5}]}"},
+    {FW_UP_LIST_REQUESTS, "{\"requests\":{}}"},
+    {FW_UP_CACHE_EVENTS, "{\"next\":1,\"events\":[{\"seq\":1}]}"},
+    {FW_UP_CACHE_EVENTS,
+     "{\"next\":1,\"events\":[{\"seq\":1,\"prefix\":\"zz\"}]}"},
+    {FW_UP_CACHE_EVENTS, "{\"next\":-1,\"events\":[]}"},
     {FW_UP_PREFILL, "[]"},
     {FW_UP_PREFILL, ""},
     {FW_UP_PREFILL,
@@ -118,9 +119,9 @@
      "DELETE",
      "/v1/requests/a%2Fb%3Fc",
      0},
-    {{.kind = FW_UP_LOAD}, "GET", "/v1/load", 0},
-    {{.kind = FW_UP_HELD}, "GET", "/v1/requests", 0},
-    {{.kind = FW_UP_CACHE, .u.cache.from_seq = 7},
+    {{.kind = FW_UP_LOAD_REPORT}, "GET", "/v1/load", 0},
+    {{.kind = FW_UP_LIST_REQUESTS}, "GET", "/v1/requests", 0},
+    {{.kind = FW_UP_CACHE_EVENTS, .u.cache.from_seq = 7},
      "GET",
      "/v1/cache-events",
      0},
--- a/tests/io/test_platform.c
+++ b/tests/io/test_platform.c
@@ -134,7 +134,7 @@
 {
     struct fw_log_read r = {.ticket = 1,
                             .stream = "roles",
-                            .from = 3,
+                            .from_offset = 3,
                             .max_records = 10,
                             .wait_us = 1500 * FW_MSEC};
     struct harness b;
--- a/tests/io/test_shell.c
+++ b/tests/io/test_shell.c
@@ -24,8 +24,8 @@
         Fw_Actions_Wake(out, g_get_monotonic_time() + FW_MSEC);
     }
     else if (ev->kind == FW_EV_TICK && !core->is_ready) {
-        struct fw_call_piece *p =
-            &Fw_Actions_Add(out, FW_ACT_CALL_PIECE)->u.piece;
+        struct fw_call_token *p =
+            &Fw_Actions_Add(out, FW_ACT_CALL_TOKEN)->u.piece;
         struct fw_call_end *e;
 
         p->call = core->last_call;
--- a/tests/io/test_upstream.c
+++ b/tests/io/test_upstream.c
@@ -36,7 +36,8 @@
 static struct fw_up_start
 up(const struct harness *b, enum fw_up_kind kind)
 {
-    struct fw_up_start s = {.op = 1, .kind = kind, .timeout_us = 20 * FW_SEC};
+    struct fw_up_start s = {
+        .op = 1, .kind = kind, .idle_timeout_us = 20 * FW_SEC};
 
     g_strlcpy(s.url, b->server->url, sizeof(s.url));
     return s;
@@ -47,7 +48,7 @@
 {
     struct fw_up_start s = up(b, FW_UP_PREFILL);
 
-    s.timeout_us = timeout_us;
+    s.idle_timeout_us = timeout_us;
     s.u.prefill = (struct fw_up_prefill){.request = "one.7.1",
                                          .team = "skippers",
                                          .model = "tides",
@@ -62,7 +63,7 @@
 {
     struct fw_up_start s = up(b, FW_UP_DECODE);
 
-    s.timeout_us = timeout_us;
+    s.idle_timeout_us = timeout_us;
     s.u.decode = (struct fw_up_decode){
         .request = "one.7.1", .kv = "kv-1", .max_tokens = 9, .from_index = 2};
     Fw_UpClient_Start(b->client, &s);
@@ -79,7 +80,7 @@
                                          .path = "/orders?x=1",
                                          .content_type = "text/plain",
                                          .body = g_bytes_new("abc", 3),
-                                         .once = once};
+                                         .at_most_once = once};
     g_strlcpy(s.u.service.method, method, sizeof(s.u.service.method));
     Fw_UpClient_Start(b->client, &s);
     g_bytes_unref(s.u.service.body);
@@ -409,7 +410,7 @@
     struct fw_up_start s;
 
     begin(&b);
-    s = up(&b, FW_UP_LOAD);
+    s = up(&b, FW_UP_LOAD_REPORT);
     g_strlcpy(s.url, "not a url", sizeof(s.url));
     Fw_UpClient_Start(b.client, &s);
     ck_assert_str_eq(b.core.seen->str, "");
--- a/tests/node/fixture.c
+++ b/tests/node/fixture.c
@@ -22,7 +22,7 @@
 static void
 add_key(GString *items, const char *key, const char *team)
 {
-    char digest[FW_DIGEST_HEX];
+    char digest[FW_DIGEST_HEX_SIZE];
 
     Fw_Hash_KeyDigest(key, digest);
     g_string_append_printf(items,
--- a/tests/node/harness.c
+++ b/tests/node/harness.c
@@ -87,7 +87,7 @@
         d->appended.err = -EAGAIN;
         return;
     }
-    d->appended.first = Fw_MemLog_Append(
+    d->appended.first_offset = Fw_MemLog_Append(
         &h->log, a->stream, (const char *const *)a->records, a->n);
     wake_reads(h, a->stream);
 }
@@ -99,7 +99,7 @@
 
     d->read = *r;
     d->sent_us = h->now_us;
-    if (!h->log_down && Fw_MemLog_End(&h->log, r->stream) <= r->from) {
+    if (!h->log_down && Fw_MemLog_End(&h->log, r->stream) <= r->from_offset) {
         d->at_us += r->wait_us;
     }
 }
@@ -133,12 +133,12 @@
     switch (up->kind) {
     case FW_UP_PREFILL:
         g_strlcpy(ev->u.kv.kv, "kv", sizeof(ev->u.kv.kv));
-        ev->u.kv.lapse_us = 800 * FW_MSEC;
+        ev->u.kv.ttl_us = 800 * FW_MSEC;
         break;
     case FW_UP_IMPORT:
         ev->u.transfer_us = 1000;
         break;
-    case FW_UP_LOAD:
+    case FW_UP_LOAD_REPORT:
         ev->u.report.slots = 20;
         ev->u.report.kv_total = 1 << 20;
         g_strlcpy(ev->u.report.role,
@@ -148,7 +148,7 @@
         g_strlcpy(ev->u.report.models[0], "m@1",
                   sizeof(ev->u.report.models[0]));
         break;
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         ev->u.held.n = (int)MIN(h->held_ids->len, 1);
         ev->u.held.attached = &h->held_attached;
         ev->u.held.requests = (const char *const *)h->held_ids->pdata;
@@ -201,10 +201,10 @@
 {
     switch (a->kind) {
     case FW_ACT_CALL_START:
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
     case FW_ACT_CALL_END:
     case FW_ACT_CALL_FAIL:
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         Fw_Harness_RecordCallerAction(h, a);
         break;
     case FW_ACT_UP_START:
@@ -222,7 +222,7 @@
     case FW_ACT_LOG_READ:
         on_read(h, node, &a->u.read);
         break;
-    case FW_ACT_LIST_READ:
+    case FW_ACT_REGISTRY_READ:
         schedule(h, node, FW_DELIVERY_LIST);
         break;
     case FW_ACT_NOTE:
@@ -239,7 +239,7 @@
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         perform_action(h, node, a);
         Fw_Action_Free(a);
     }
@@ -280,8 +280,8 @@
 static void
 deliver_list(struct harness *h, struct harness_delivery *d)
 {
-    struct fw_list_entry entries[FW_HARNESS_NODES_MAX] = {0};
-    struct fw_event ev = {.kind = FW_EV_LISTED};
+    struct fw_registry_entry entries[FW_HARNESS_NODES_MAX] = {0};
+    struct fw_event ev = {.kind = FW_EV_REGISTRY};
 
     for (int i = 0; i < h->n_nodes; i++) {
         g_snprintf(entries[i].name, FW_NAME_MAX, "instance-%d", i);
--- a/tests/node/harness.h
+++ b/tests/node/harness.h
@@ -41,8 +41,8 @@
  * @log_down: appends and reads of the log fail
  * @deliveries: struct harness_delivery
  * @calls: struct harness_call
- * @held_ids: engine-side ids; FW_UP_HELD reports the first one
- * @held_attached: that id's owner is connected, see struct fw_up_held
+ * @held_ids: engine-side ids; FW_UP_LIST_REQUESTS reports the first one
+ * @held_attached: that id's owner is connected, see struct fw_up_request_list
  * @labels: upstream to its label
  * @transcript: recorded since the last Fw_Harness_ExpectTranscript
  */
--- a/tests/node/harness_input.c
+++ b/tests/node/harness_input.c
@@ -99,7 +99,7 @@
 {
     int node = c->node;
 
-    if (ev->u.up.phase != FW_UP_PIECE) {
+    if (ev->u.up.phase != FW_UP_TOKEN) {
         Fw_List_Remove(&c->link);
         g_free(c);
     }
@@ -114,7 +114,7 @@
         .kind = FW_EV_UP,
         .u.up = {.op = c->up.op,
                  .kind = c->up.kind,
-                 .phase = FW_UP_PIECE,
+                 .phase = FW_UP_TOKEN,
                  .u.token = {.index = index, .text = text}},
     };
 
--- a/tests/node/harness_record.c
+++ b/tests/node/harness_record.c
@@ -75,18 +75,18 @@
     case FW_UP_SERVICE:
         Fw_Harness_Record(h, "%s %s %s%s", Fw_Harness_Label(h, up->upstream),
                           up->u.service.method, up->u.service.path,
-                          up->u.service.once ? " once" : "");
+                          up->u.service.at_most_once ? " once" : "");
         break;
-    case FW_UP_LOAD:
-    case FW_UP_HELD:
-    case FW_UP_CACHE:
+    case FW_UP_LOAD_REPORT:
+    case FW_UP_LIST_REQUESTS:
+    case FW_UP_CACHE_EVENTS:
     case FW_UP_ORDER:
         break;
     }
 }
 
 static void
-record_answer(struct harness *h, const struct fw_call_answer *a)
+record_answer(struct harness *h, const struct fw_call_response *a)
 {
     gsize size = 0;
     const char *body = g_bytes_get_data(a->body, &size);
@@ -102,7 +102,7 @@
     case FW_ACT_CALL_START:
         Fw_Harness_Record(h, "caller %" PRIu64 " start", a->u.start.call);
         break;
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
         Fw_Harness_Record(h, "caller %" PRIu64 " piece %" PRId64 " %s",
                           a->u.piece.call, a->u.piece.index, a->u.piece.text);
         break;
@@ -116,7 +116,7 @@
                           a->u.fail.call, a->u.fail.status, a->u.fail.code,
                           Fw_Ran_Name(a->u.fail.ran));
         break;
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         record_answer(h, &a->u.answer);
         break;
     case FW_ACT_UP_START:
@@ -124,7 +124,7 @@
     case FW_ACT_PEER_SEND:
     case FW_ACT_LOG_APPEND:
     case FW_ACT_LOG_READ:
-    case FW_ACT_LIST_READ:
+    case FW_ACT_REGISTRY_READ:
     case FW_ACT_NOTE:
     case FW_ACT_EXIT:
         break;
--- a/tests/node/script.c
+++ b/tests/node/script.c
@@ -87,7 +87,7 @@
 static void
 withdraw(struct harness *h, const char *key)
 {
-    char digest[FW_DIGEST_HEX] = "";
+    char digest[FW_DIGEST_HEX_SIZE] = "";
     char *item;
 
     ck_assert_str_ne(key, "");
--- a/tests/operate/test_operate.c
+++ b/tests/operate/test_operate.c
@@ -15,8 +15,8 @@
 static void
 create_operators(struct fw_rig *rig)
 {
-    char anna[FW_DIGEST_HEX];
-    char bruno[FW_DIGEST_HEX];
+    char anna[FW_DIGEST_HEX_SIZE];
+    char bruno[FW_DIGEST_HEX_SIZE];
     char *text;
 
     Fw_Hash_KeyDigest("anna-key", anna);
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -45,7 +45,7 @@
     char **names = g_strsplit(c->reported_models, " ", -1);
 
     g_strlcpy(e->report.role, c->reported_role, sizeof(e->report.role));
-    e->report.busy = c->busy;
+    e->report.busy_slots = c->busy;
     e->drained = c->drained;
     for (int i = 0; names[i]; i++) {
         if (names[i][0]) {
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -9,7 +9,7 @@
 static void
 parse_head(const char *text, struct fw_http_head *h)
 {
-    ck_assert_int_gt(Fw_Http_ReadHead(FW_HTTP_REQUEST, text, strlen(text), h),
+    ck_assert_int_gt(Fw_Http_ParseHead(FW_HTTP_REQUEST, text, strlen(text), h),
                      0);
 }
 
--- a/tests/relayd/router_env.c
+++ b/tests/relayd/router_env.c
@@ -14,7 +14,7 @@
 void
 Fw_RouterEnv_PutConfig(struct router_env *env, int version, const char *keys)
 {
-    char *config = Fw_Wire_Config(version, keys);
+    char *config = Fw_Wire_MakeConfig(version, keys);
 
     Fw_WireStore_Put(env->store, "keyed.op", "config", config);
     g_free(config);
--- a/tests/relayd/test_log_events.c
+++ b/tests/relayd/test_log_events.c
@@ -137,11 +137,11 @@
     wait_for_event(reader, "entry_unreadable");
     Fw_WireStore_Put(env->store, "keyed.op", "config", "{\"Version\":\"x\"}");
     wait_for_event(reader, "configuration_unreadable");
-    Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_BUSY);
+    Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_UNAVAILABLE);
     wait_for_event(reader, "store_lost");
     Fw_RouterEnv_PutConfig(env, 2, FW_KEYS);
-    Fw_WireStore_Forget(env->store, "keyed.op");
-    Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_WELL);
+    Fw_WireStore_Truncate(env->store, "keyed.op");
+    Fw_WireStore_SetMode(env->store, FW_WIRE_STORE_NORMAL);
     wait_for_event(reader, "store_back");
     wait_for_event(reader, "history_cut");
     c = Fw_RouterEnv_SendRequest(env, "GET /x",
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -10,9 +10,12 @@
 {
     struct router_env *env = ctx;
 
-    return !Fw_WireServer_Held(env->d1) && !Fw_WireServer_Held(env->d2) &&
-           !Fw_WireServer_Handles(env->p1) && !Fw_WireServer_Active(env->d1) &&
-           !Fw_WireServer_Active(env->d2) && !Fw_WireServer_Active(env->p1);
+    return !Fw_WireServer_UsedKvTokens(env->d1) &&
+           !Fw_WireServer_UsedKvTokens(env->d2) &&
+           !Fw_WireServer_KvHandleCount(env->p1) &&
+           !Fw_WireServer_ActiveCount(env->d1) &&
+           !Fw_WireServer_ActiveCount(env->d2) &&
+           !Fw_WireServer_ActiveCount(env->p1);
 }
 
 START_TEST(a_stream_goes_through_prefill_and_decode)
@@ -27,14 +30,15 @@
     Fw_RigConn_Expect(c, "id: 9\ndata: piece 9\n\n");
     Fw_RigConn_Expect(c, "\r\n0\r\n\r\n");
     ck_assert_ptr_nonnull(strstr(c->got->str, "Server-Stamp: d"));
-    ck_assert_int_eq(Fw_WireServer_Runs(env.p1), 1);
-    ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastHead(env.p1),
+    ck_assert_int_eq(Fw_WireServer_StartedCount(env.p1), 1);
+    ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastRequestHead(env.p1),
                                  "POST /outlook/%7eebb?q=%zz HTTP/1.1\r\n"));
     ck_assert_ptr_nonnull(
-        strstr(Fw_WireServer_LastHead(env.p1), "Tenant: skippers\r\n"));
-    ck_assert_ptr_null(strstr(Fw_WireServer_LastHead(env.p1), "Bearer"));
-    ck_assert_ptr_nonnull(
-        strstr(Fw_WireServer_LastHead(env.p1), "Request-Priority: 1\r\n"));
+        strstr(Fw_WireServer_LastRequestHead(env.p1), "Tenant: skippers\r\n"));
+    ck_assert_ptr_null(
+        strstr(Fw_WireServer_LastRequestHead(env.p1), "Bearer"));
+    ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastRequestHead(env.p1),
+                                 "Request-Priority: 1\r\n"));
     Fw_Rig_Until(all_released, &env);
     Fw_RigConn_Close(c);
     Fw_RouterEnv_Free(&env);
@@ -57,8 +61,8 @@
         "Stage: prefill\r\nRequest-Priority: 0\r\nX-Mine: y\r\n"
         "Connection: X-Hop\r\nX-Hop: z\r\n");
     Fw_RigConn_Expect(c, "the answer");
-    const char *seen =
-        Fw_WireServer_LastHead(Fw_WireServer_Runs(env.s1) ? env.s1 : env.s2);
+    const char *seen = Fw_WireServer_LastRequestHead(
+        Fw_WireServer_StartedCount(env.s1) ? env.s1 : env.s2);
     ck_assert_ptr_nonnull(strstr(seen, "Tenant: skippers\r\n"));
     ck_assert_ptr_nonnull(strstr(seen, "X-Mine: y\r\n"));
     ck_assert_ptr_null(strstr(seen, "others"));
@@ -80,17 +84,17 @@
     const char *want;
     int runs;
 } fault_cases[] = {
-    {"GET /read/x", FW_WIRE_OK, "HTTP/1.1 200 ", 1},
-    {"GET /read/x", FW_WIRE_FULL, "HTTP/1.1 200 ", 1},
-    {"GET /read/x", FW_WIRE_MOVED, "HTTP/1.1 200 ", 1},
-    {"GET /read/x", FW_WIRE_FAIL, "HTTP/1.1 200 ", 2},
-    {"GET /read/x", FW_WIRE_RESET, "HTTP/1.1 200 ", 2},
-    {"GET /read/x", FW_WIRE_STALL, "HTTP/1.1 200 ", 2},
-    {"POST /order/x", FW_WIRE_OK, "HTTP/1.1 200 ", 1},
-    {"POST /order/x", FW_WIRE_FULL, "HTTP/1.1 200 ", 1},
-    {"POST /order/x", FW_WIRE_MOVED, "HTTP/1.1 200 ", 1},
-    {"POST /order/x", FW_WIRE_FAIL, "HTTP/1.1 500 ", 1},
-    {"POST /order/x", FW_WIRE_RESET, "HTTP/1.1 502 ", 1},
+    {"GET /read/x", FW_WIRE_FAULT_NONE, "HTTP/1.1 200 ", 1},
+    {"GET /read/x", FW_WIRE_FAULT_FULL, "HTTP/1.1 200 ", 1},
+    {"GET /read/x", FW_WIRE_FAULT_MOVED, "HTTP/1.1 200 ", 1},
+    {"GET /read/x", FW_WIRE_FAULT_ERROR, "HTTP/1.1 200 ", 2},
+    {"GET /read/x", FW_WIRE_FAULT_RESET, "HTTP/1.1 200 ", 2},
+    {"GET /read/x", FW_WIRE_FAULT_STALL, "HTTP/1.1 200 ", 2},
+    {"POST /order/x", FW_WIRE_FAULT_NONE, "HTTP/1.1 200 ", 1},
+    {"POST /order/x", FW_WIRE_FAULT_FULL, "HTTP/1.1 200 ", 1},
+    {"POST /order/x", FW_WIRE_FAULT_MOVED, "HTTP/1.1 200 ", 1},
+    {"POST /order/x", FW_WIRE_FAULT_ERROR, "HTTP/1.1 500 ", 1},
+    {"POST /order/x", FW_WIRE_FAULT_RESET, "HTTP/1.1 502 ", 1},
 };
 
 START_TEST(a_request_to_a_faulty_server_is_retried_when_safe)
@@ -103,14 +107,16 @@
     Fw_WireServer_SetFault(env.s2, fault_cases[_i].fault, 1);
     /* The fault is cleared on both once the first attempt has met it. */
     c = Fw_RouterEnv_SendRequest(&env, fault_cases[_i].line, "");
-    while (!Fw_WireServer_Faulted(env.s1) && !Fw_WireServer_Faulted(env.s2) &&
-           fault_cases[_i].fault != FW_WIRE_OK) {
+    while (!Fw_WireServer_FaultTriggered(env.s1) &&
+           !Fw_WireServer_FaultTriggered(env.s2) &&
+           fault_cases[_i].fault != FW_WIRE_FAULT_NONE) {
         g_main_context_iteration(NULL, TRUE);
     }
-    Fw_WireServer_SetFault(env.s1, FW_WIRE_OK, 0);
-    Fw_WireServer_SetFault(env.s2, FW_WIRE_OK, 0);
+    Fw_WireServer_SetFault(env.s1, FW_WIRE_FAULT_NONE, 0);
+    Fw_WireServer_SetFault(env.s2, FW_WIRE_FAULT_NONE, 0);
     Fw_RigConn_Expect(c, fault_cases[_i].want);
-    ck_assert_int_eq(Fw_WireServer_Runs(env.s1) + Fw_WireServer_Runs(env.s2),
+    ck_assert_int_eq(Fw_WireServer_StartedCount(env.s1) +
+                         Fw_WireServer_StartedCount(env.s2),
                      fault_cases[_i].runs);
     Fw_RigConn_Close(c);
     Fw_RouterEnv_Free(&env);
@@ -127,8 +133,8 @@
     struct rig_conn *c;
 
     Fw_RouterEnv_InitAndStart(&env);
-    Fw_WireServer_SetFault(env.d1, FW_WIRE_BREAK, 1);
-    Fw_WireServer_SetFault(env.d2, FW_WIRE_BREAK, 1);
+    Fw_WireServer_SetFault(env.d1, FW_WIRE_FAULT_TRUNCATE, 1);
+    Fw_WireServer_SetFault(env.d2, FW_WIRE_FAULT_TRUNCATE, 1);
     c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/x", FW_TOKENS);
     Fw_RigConn_Expect(c, "piece 2");
     Fw_RigConn_ExpectEof(c);
@@ -149,7 +155,7 @@
 
     Fw_RouterEnv_InitAndStart(&env);
     c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/x", FW_TOKENS);
-    while (!Fw_WireServer_Active(env.p1)) {
+    while (!Fw_WireServer_ActiveCount(env.p1)) {
         g_main_context_iteration(NULL, TRUE);
     }
     Fw_RigConn_Expect(c, until[_i]);
@@ -190,8 +196,9 @@
  */
 START_TEST(keys_expire_while_the_store_is_unreachable)
 {
-    static const enum fw_wire_store_mode modes[] = {
-        FW_WIRE_STORE_BUSY, FW_WIRE_STORE_SILENT, FW_WIRE_STORE_BUSY};
+    static const enum fw_wire_store_mode modes[] = {FW_WIRE_STORE_UNAVAILABLE,
+                                                    FW_WIRE_STORE_UNRESPONSIVE,
+                                                    FW_WIRE_STORE_UNAVAILABLE};
     struct rig_conn *c;
     struct router_env env;
 
@@ -205,10 +212,10 @@
     Fw_RigConn_Expect(c, "the answer");
     Fw_RigConn_Close(c);
     if (_i == 2) {
-        Fw_WireStore_Forget(env.store, "keyed.op");
-        Fw_WireStore_Forget(env.store, "keyed.servers");
+        Fw_WireStore_Truncate(env.store, "keyed.op");
+        Fw_WireStore_Truncate(env.store, "keyed.servers");
     }
-    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_WELL);
+    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_NORMAL);
     Fw_Rig_Until(Fw_RouterEnv_IsReady, &env);
     ck_assert(!is_rejected(&env));
     Fw_RouterEnv_Free(&env);
@@ -225,18 +232,19 @@
     int before;
 
     Fw_RouterEnv_Init(&env);
-    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_LOSING);
+    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_LOST_REPLIES);
     Fw_RouterEnv_StartRouter(&env);
     ck_assert(!is_rejected(&env));
-    while (Fw_WireStore_Count(env.store, "keyed.fuchsiaward") < 2) {
+    while (Fw_WireStore_RecordCount(env.store, "keyed.fuchsiaward") < 2) {
         g_main_context_iteration(NULL, TRUE);
     }
-    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_WELL);
-    before = Fw_WireStore_Calls(env.store);
-    while (Fw_WireStore_Calls(env.store) < before + 20) {
+    Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_NORMAL);
+    before = Fw_WireStore_RequestCount(env.store);
+    while (Fw_WireStore_RequestCount(env.store) < before + 20) {
         g_main_context_iteration(NULL, TRUE);
     }
-    ck_assert_int_le(Fw_WireStore_Count(env.store, "keyed.fuchsiaward"), 4);
+    ck_assert_int_le(Fw_WireStore_RecordCount(env.store, "keyed.fuchsiaward"),
+                     4);
     ck_assert(!is_rejected(&env));
     Fw_RouterEnv_Free(&env);
 }
@@ -282,11 +290,11 @@
     while (Fw_Relayd_IsServerUsable(env.router, "s1")) {
         g_main_context_iteration(NULL, TRUE);
     }
-    before = Fw_WireServer_Runs(env.s1);
+    before = Fw_WireServer_StartedCount(env.s1);
     for (int i = 0; i < 8; i++) {
         ck_assert(!is_rejected(&env));
     }
-    ck_assert_int_eq(Fw_WireServer_Runs(env.s1), before);
+    ck_assert_int_eq(Fw_WireServer_StartedCount(env.s1), before);
     Fw_RouterEnv_Free(&env);
 }
 END_TEST
--- a/tests/route/test_policy.c
+++ b/tests/route/test_policy.c
@@ -34,7 +34,7 @@
 START_TEST(slots_correct_a_lagging_report)
 {
     const struct fw_up_report first = {.slots = 20,
-                                       .busy = slot_rows[_i].busy};
+                                       .busy_slots = slot_rows[_i].busy};
     struct fw_hold hold = {
         .owner = 1, .round_id = 2, .need_us = slot_rows[_i].need_ms * FW_MSEC};
     struct fw_slots s;
@@ -62,7 +62,7 @@
 START_TEST(slots_count_kv_memory)
 {
     const struct fw_up_report rep = {
-        .slots = 20, .busy = 1, .kv_used = 6000, .kv_total = 10000};
+        .slots = 20, .busy_slots = 1, .kv_used = 6000, .kv_total = 10000};
     struct fw_hold hold = {
         .owner = 1, .round_id = 1, .tokens = 3000, .need_us = FW_SEC};
     struct fw_slots s;
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -182,9 +182,9 @@
     struct route_env_engine *e = route_env_engine(s, unusable_rows[_i].engine);
     struct fw_upstream *u =
         g_hash_table_lookup(s->cfg->upstreams, unusable_rows[_i].engine);
-    struct fw_list_entry entry = {.kind = FW_LIST_UPSTREAM,
-                                  .leaving = unusable_rows[_i].listed};
-    struct fw_listed listed = {.n = 1, .entries = &entry};
+    struct fw_registry_entry entry = {.kind = FW_REGISTRY_UPSTREAM,
+                                      .draining = unusable_rows[_i].listed};
+    struct fw_registry_snapshot listed = {.n = 1, .entries = &entry};
 
     g_strlcpy(entry.name, e->name, sizeof(entry.name));
     Fw_Router_OnListed(s->router[0], &listed, s->now_us);
@@ -214,8 +214,10 @@
  * an engine that no longer has them cached. */
 START_TEST(gap_in_cache_events_invalidates_prefixes)
 {
-    static const struct fw_up_cache_event first[] = {{.seq = 1, .prefix = 7}};
-    static const struct fw_up_cache_event later[] = {{.seq = 4, .prefix = 9}};
+    static const struct fw_up_cache_event first[] = {
+        {.seq = 1, .prefix_hash = 7}};
+    static const struct fw_up_cache_event later[] = {
+        {.seq = 4, .prefix_hash = 9}};
     struct fw_prefixes seven = {.n = 1, .hash = {7}};
     struct fw_prefixes nine = {.n = 1, .hash = {9}};
     struct route_env *s = stage_new(1, FW_POLICY_FULL);
