--- a/src/base/ran.h
+++ b/src/base/ran.h
@@ -1,6 +1,6 @@
 /* Whether a request may have been executed by an upstream. */
-#ifndef FW_BASE_VERDICT_H
-#define FW_BASE_VERDICT_H
+#ifndef FW_BASE_RAN_H
+#define FW_BASE_RAN_H
 
 /**
  * enum fw_ran - whether a request ran; decides if it is safe to retry.
--- a/src/decide/prefill_pool.h
+++ b/src/decide/prefill_pool.h
@@ -4,8 +4,8 @@
  * With too few prefill engines prompts queue and first tokens are late; with
  * too many there is not enough KV cache memory for streams.
  */
-#ifndef FW_DECIDE_READERS_H
-#define FW_DECIDE_READERS_H
+#ifndef FW_DECIDE_PREFILL_POOL_H
+#define FW_DECIDE_PREFILL_POOL_H
 
 #include <stdint.h>
 
--- a/src/decide/service_stats.h
+++ b/src/decide/service_stats.h
@@ -1,6 +1,6 @@
 /* Measured behaviour of one service's engines and of their answers. */
-#ifndef FW_DECIDE_LEARNED_H
-#define FW_DECIDE_LEARNED_H
+#ifndef FW_DECIDE_SERVICE_STATS_H
+#define FW_DECIDE_SERVICE_STATS_H
 
 #include "base/limits.h"
 #include "decide/length.h"
--- a/src/http/body.h
+++ b/src/http/body.h
@@ -1,6 +1,6 @@
 /* Decoder for bodies of HTTP/1 messages, with any framing. */
-#ifndef FW_HTTP_FRAME_H
-#define FW_HTTP_FRAME_H
+#ifndef FW_HTTP_BODY_H
+#define FW_HTTP_BODY_H
 
 #include "http/head.h"
 
--- a/src/http/idle_conns.h
+++ b/src/http/idle_conns.h
@@ -2,8 +2,8 @@
  * Idle connections to upstreams, as a hash table by address. A connection that
  * the upstream closes is removed.
  */
-#ifndef FW_HTTP_KEPT_H
-#define FW_HTTP_KEPT_H
+#ifndef FW_HTTP_IDLE_CONNS_H
+#define FW_HTTP_IDLE_CONNS_H
 
 #include <glib.h>
 
--- a/src/http/sse.h
+++ b/src/http/sse.h
@@ -1,6 +1,6 @@
 /* Counts server-sent events in a text/event-stream body. */
-#ifndef FW_HTTP_EVENTS_H
-#define FW_HTTP_EVENTS_H
+#ifndef FW_HTTP_SSE_H
+#define FW_HTTP_SSE_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -34,7 +34,7 @@
  * @to_stage: stage that the server is switching to, or FW_RL_STAGE_NONE
  * @n_unreachable: number of instances that recently failed to connect to it
  * @running: requests
- * @reserved_tokens: KV cache that these are expected to need
+ * @kv_tokens: KV cache that these are expected to need
  * @prefill_tokens: prompts that it is processing or has queued
  */
 struct fw_rl_load {
