--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 #define SERVE_US (20 * FW_MSEC)
 #define WALL_BASE_MS 1764000000000LL
@@ -129,7 +129,7 @@
         }
         m = Fw_IdemEnv_Post(b, FW_MAIL_MSG, i, FW_BED_HOP_US);
         m->msg = send->msg;
-        send->msg.u.idem.kind = FW_IDEM_FINISHED; /* moved: owns nothing */
+        send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK; /* moved: owns nothing */
         g_strlcpy(m->sender, b->sites[site].self.name, sizeof(m->sender));
         return;
     }
@@ -142,7 +142,7 @@
     struct idem_mail *m;
 
     b->sites[site].wake_us = MIN(b->sites[site].wake_us, out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_peer(b, site, &a->u.send);
         }
@@ -162,7 +162,7 @@
                                 FW_BED_HOP_US + b->log.slow_us);
             m->ticket = a->u.read.ticket;
             m->part = a->u.read.stream[strlen("idem-")] - '0';
-            m->from = a->u.read.from;
+            m->from = a->u.read.from_offset;
             m->max = a->u.read.max_records;
             m->sent_us = b->now_us;
         }
@@ -184,7 +184,7 @@
          struct fw_actions *out)
 {
     struct fw_idem_env_site *s = &b->sites[t->site];
-    int rc = Fw_Idem_MayRun(s->idem, t->ticket, b->now_us);
+    int rc = Fw_Idem_BeginRun(s->idem, t->ticket, b->now_us);
     int effects;
 
     if (rc) {
@@ -333,8 +333,8 @@
     t->boot = s->self.boot;
     g_strlcpy(t->key, key_of(b, name), sizeof(t->key));
     Fw_Actions_Init(&out);
-    Fw_Idem_Open(s->idem, t->ticket, "grid-desk", "skippers", t->key,
-                 Fw_Hash_Str(body), b->now_us, &out);
+    Fw_Idem_Claim(s->idem, t->ticket, "grid-desk", "skippers", t->key,
+                  Fw_Hash_Str(body), b->now_us, &out);
     settle(b, site, &out);
 }
 
@@ -359,14 +359,14 @@
     }
     Fw_Actions_Init(&out);
     if (m->kind == FW_MAIL_APPENDED) {
-        app.first = m->first;
+        app.first_offset = m->first;
         Fw_Idem_OnAppended(s->idem, &app, b->now_us, &out);
     }
     else if (m->kind == FW_MAIL_RECORDS) {
         rec.sent_us = m->sent_us;
-        rec.first = m->first;
-        rec.oldest = m->oldest;
-        rec.end = m->end;
+        rec.first_offset = m->first;
+        rec.oldest_offset = m->oldest;
+        rec.end_offset = m->end;
         rec.n = m->n;
         rec.records = (const char *const *)m->records;
         Fw_Idem_OnRecords(s->idem, &rec, b->now_us, &out);
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -148,7 +148,7 @@
     c->open = g_array_new(FALSE, TRUE, sizeof(struct fw_open_ask));
     c->refunds = g_array_new(FALSE, TRUE, sizeof(struct fw_refund));
     c->granted = g_array_new(FALSE, TRUE, sizeof(struct fw_grant_note));
-    cfg->offset = 2;
+    cfg->next_offset = 2;
     cfg->teams = g_hash_table_new(g_str_hash, g_str_equal);
     add_team(c, 0, cfg->teams, "large", 1000, 5000);
     add_team(c, 1, cfg->teams, "small", 40, 400);
@@ -185,8 +185,8 @@
     }
     g_array_append_val(c->open, q);
     Fw_Actions_Init(&out);
-    Fw_Limit_Ask(w->sites[site].limit, &c->accounts[team].team, q.ticket,
-                 tokens, Fw_FleetEnv_Local(w, site), &out);
+    Fw_Limit_Request(w->sites[site].limit, &c->accounts[team].team, q.ticket,
+                     tokens, Fw_FleetEnv_Local(w, site), &out);
     Fw_FleetEnv_Carry(w, site, &out);
     take_answers(w, c);
 }
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -21,7 +21,7 @@
 };
 
 static void
-add_upstream(struct route_env *s, const char *name, enum fw_up_role role,
+add_upstream(struct route_env *s, const char *name, enum fw_upstream_role role,
              const char *domain)
 {
     struct fw_upstream *u = g_new0(struct fw_upstream, 1);
@@ -100,7 +100,7 @@
         return;
     }
     if (s->dead[to] || (s->lose_replies && send->msg.area == FW_AREA_ROUTE &&
-                        send->msg.u.route.kind == FW_ROUTE_ANSWER)) {
+                        send->msg.u.route.kind == FW_ROUTE_REPLY)) {
         return;
     }
     m = post(s, to);
@@ -130,7 +130,7 @@
     if (e->dead) {
         return;
     }
-    if (up->kind == FW_UP_CACHE) {
+    if (up->kind == FW_UP_CACHE_EVENTS) {
         m->up.u.cache.next_seq = up->u.cache.from_seq;
         if (e->cache.n) {
             m->up.u.cache = e->cache;
@@ -138,11 +138,11 @@
         }
         return;
     }
-    rep->lag_us = e->lag_us;
+    rep->age_us = e->lag_us;
     rep->slots = 2;
-    rep->busy = e->busy;
+    rep->busy_slots = e->busy;
     rep->queued_tokens = e->queued;
-    rep->leaving = e->leaving;
+    rep->draining = e->leaving;
     rep->n_models = 1;
     g_strlcpy(rep->role, e->is_prefill ? "prefill" : "decode",
               sizeof(rep->role));
@@ -177,7 +177,7 @@
     struct fw_action *a;
 
     s->wake_us[node] = MIN(s->wake_us[node], out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_msg(s, node, &a->u.send);
         }
@@ -256,11 +256,11 @@
 static void
 introduce(struct route_env *s)
 {
-    struct fw_list_entry e[FW_ROUTE_ENV_NODES] = {0};
-    struct fw_listed listed = {.n = s->n, .entries = e};
+    struct fw_registry_entry e[FW_ROUTE_ENV_NODES] = {0};
+    struct fw_registry_snapshot listed = {.n = s->n, .entries = e};
 
     for (int i = 0; i < s->n; i++) {
-        e[i].kind = FW_LIST_INSTANCE;
+        e[i].kind = FW_REGISTRY_INSTANCE;
         g_strlcpy(e[i].name, s->self[i].name, sizeof(e[i].name));
         g_strlcpy(e[i].addr, s->self[i].addr, sizeof(e[i].addr));
         g_strlcpy(e[i].domain, s->self[i].domain, sizeof(e[i].domain));
@@ -353,11 +353,11 @@
           int64_t tokens, const char *avoid)
 {
     const char *list[] = {avoid, NULL};
-    struct fw_route_ask ask = {.ticket = ticket,
-                               .prompt_tokens = tokens,
-                               .max_tokens = 10,
-                               .arrived_us = s->now_us,
-                               .avoid = list};
+    struct fw_route_request ask = {.ticket = ticket,
+                                   .prompt_tokens = tokens,
+                                   .max_tokens = 10,
+                                   .arrived_us = s->now_us,
+                                   .avoid = list};
     char *text = g_strnfill((gsize)tokens * 4, 'x');
     struct fw_actions out;
 
@@ -365,7 +365,7 @@
     g_strlcpy(ask.team, team, sizeof(ask.team));
     g_strlcpy(ask.model, "m", sizeof(ask.model));
     Fw_Actions_Init(&out);
-    Fw_Route_Ask(s->router[node], s->cfg, &ask, s->now_us, &out);
+    Fw_Route_Submit(s->router[node], s->cfg, &ask, s->now_us, &out);
     carry_out(s, node, &out);
     g_bytes_unref(ask.prompt);
 }
@@ -377,7 +377,8 @@
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    Fw_Route_Step(s->router[node], ticket, step, upstream, s->now_us, &out);
+    Fw_Route_ReportStep(s->router[node], ticket, step, upstream, s->now_us,
+                        &out);
     carry_out(s, node, &out);
 }
 
--- a/explore/relay_fleet.h
+++ b/explore/relay_fleet.h
@@ -1,6 +1,6 @@
 /*
- * Several relay cores side by side, with clocks of their own and messages
- * that are lost, late or cut off, for the seeded runs.
+ * A simulated fleet for seeded exploration: relay cores with separate clocks,
+ * whose messages are lost, delayed or blocked by partitions.
  */
 #ifndef FW_EXPLORE_RELAY_FLEET_H
 #define FW_EXPLORE_RELAY_FLEET_H
@@ -10,23 +10,38 @@
 
 #define FW_FLEET_MAX 128
 
-/** struct fleet_site - one instance; @skew_us: its clock beside the run's. */
+/**
+ * struct fleet_site - one instance.
+ * @skew_us: offset of its clock from the run's
+ * @frozen_until_us: it runs from this time of the run on
+ * @boot: number of its process lifetime
+ * @isolated: sends and receives no messages
+ * @partition: messages pass only between instances of the same partition
+ * @n_received: messages received
+ */
 struct fleet_site {
     struct fw_relay *relay;
-    struct fw_rl_acts acts;
+    struct fw_rl_actions acts;
     char name[FW_NAME_MAX];
     char addr[FW_URL_MAX];
     int64_t skew_us;
     int64_t frozen_until_us;
     uint64_t boot;
-    int cut;  /* receives from and reaches nobody */
-    int side; /* of a split; messages stay on one */
-    int got;  /* messages that arrived */
+    int isolated;
+    int partition;
+    int n_received;
 };
 
 /**
- * struct fleet - instances, and what goes between them.
- * @late: messages under way, of struct fleet_msg
+ * struct fleet - the instances and the messages between them.
+ * @n: number of @sites in use
+ * @now_us: time of the run
+ * @in_flight: messages sent and not received, of struct datagram
+ * @loss_pct, @delay_pct: percentage of messages that are lost, or delayed by
+ *     up to @delay_max_us
+ * @outbox: messages of the instance that is sending
+ * @expires_members: instances remove members that have expired
+ * @n_cross_domain: messages received from another failure domain
  */
 struct fleet {
     struct fw_run *run;
@@ -34,13 +49,13 @@
     struct fleet_site sites[FW_FLEET_MAX];
     struct fw_rl_rules *rules;
     int64_t now_us;
-    GPtrArray *late;
-    int lose_pct;
-    int late_pct;
-    int64_t late_max_us;
-    struct fw_rl_mail mail;
-    int ticks;   /* members that were silent for long are dropped */
-    int crossed; /* messages between domains */
+    GPtrArray *in_flight;
+    int loss_pct;
+    int delay_pct;
+    int64_t delay_max_us;
+    struct fw_rl_outbox outbox;
+    int expires_members;
+    int n_cross_domain;
 };
 
 void
@@ -48,27 +63,29 @@
                    struct fw_rl_rules *rules);
 void
 Fw_RelayFleet_Clear(struct fleet *f);
-/* A number below @n from the run's source. */
+/* A random number from 0 to @n - 1, from the run's generator. */
 int
-Fw_RelayFleet_Below(struct fleet *f, int n);
-/* The process is killed and starts again, knowing nothing. */
+Fw_RelayFleet_RandBelow(struct fleet *f, int n);
+/* Kills the instance and starts it without state. */
 void
 Fw_RelayFleet_Restart(struct fleet *f, int i);
+/* The time by the clock of instance @i. */
 int64_t
 Fw_RelayFleet_Now(const struct fleet *f, int i);
-/* Time goes on by @us in small steps: messages arrive, digests go out. */
+/* Advances time by @us in small steps, delivering and sending messages. */
 void
 Fw_RelayFleet_Advance(struct fleet *f, int64_t us);
-/* Instance @i sends what is due, or wanted at once. */
+/* Lets instance @i send the messages that are due, unless it is frozen. */
 void
 Fw_RelayFleet_Send(struct fleet *f, int i);
-/* Cuts the instances of one domain off from the others. */
+/* Partitions a random failure domain from the others. */
 void
-Fw_RelayFleet_Split(struct fleet *f);
-/* Ends all cuts. */
+Fw_RelayFleet_Partition(struct fleet *f);
+/* Ends all partitions and isolation. */
 void
 Fw_RelayFleet_Heal(struct fleet *f);
+/* Is instance @i not frozen? */
 int
-Fw_RelayFleet_Runs(const struct fleet *f, int i);
+Fw_RelayFleet_IsRunning(const struct fleet *f, int i);
 
 #endif
--- a/src/config/snap_read.c
+++ b/src/config/snap_read.c
@@ -1,4 +1,4 @@
-/* Snapshot parts back into a state. */
+/* Parser of snapshot parts. */
 #include <errno.h>
 #include <string.h>
 
@@ -8,10 +8,10 @@
 #include "config/snapshot.h"
 
 static int
-head_fields(JsonObject *obj, struct fw_snap_head *head)
+parse_header_fields(JsonObject *obj, struct fw_snapshot_header *header)
 {
-    struct fw_why why;
-    struct fw_field_reader r = {.obj = obj, .why = &why, .where = "snapshot"};
+    struct fw_config_error err;
+    struct fw_field_reader r = {.obj = obj, .err = &err, .where = "snapshot"};
     int64_t v;
     int64_t offset;
     int64_t k;
@@ -19,22 +19,22 @@
     char hash[17];
 
     if (Fw_Field_Int(&r, "v", 1, 1, -1, &v) ||
-        Fw_Field_Text(&r, "snap", head->id, sizeof(head->id)) ||
+        Fw_Field_Text(&r, "snap", header->id, sizeof(header->id)) ||
         Fw_Field_Int(&r, "offset", 1, INT64_MAX, -1, &offset) ||
-        Fw_Field_Int(&r, "k", 0, FW_SNAP_PARTS_MAX - 1, -1, &k) ||
-        Fw_Field_Int(&r, "n", 1, FW_SNAP_PARTS_MAX, -1, &n) ||
+        Fw_Field_Int(&r, "k", 0, FW_SNAPSHOT_PARTS_MAX - 1, -1, &k) ||
+        Fw_Field_Int(&r, "n", 1, FW_SNAPSHOT_PARTS_MAX, -1, &n) ||
         Fw_Field_Text(&r, "hash", hash, sizeof(hash)) || k >= n) {
         return -EBADMSG;
     }
-    head->offset = (uint64_t)offset;
-    head->k = (unsigned)k;
-    head->n = (unsigned)n;
-    head->hash = g_ascii_strtoull(hash, NULL, 16);
+    header->offset = (uint64_t)offset;
+    header->part = (unsigned)k;
+    header->n_parts = (unsigned)n;
+    header->hash = g_ascii_strtoull(hash, NULL, 16);
     return 0;
 }
 
 int
-Fw_Snap_ParseHead(const char *part, struct fw_snap_head *head)
+Fw_Snapshot_ParseHeader(const char *part, struct fw_snapshot_header *header)
 {
     const char *end = strchr(part, '\n');
     JsonParser *parser;
@@ -45,54 +45,59 @@
     if (!parser) {
         return -EBADMSG;
     }
-    rc = head_fields(obj, head);
+    rc = parse_header_fields(obj, header);
     g_object_unref(parser);
     return rc;
 }
 
 static void
-drop(struct fw_snap_reader *r)
+drop_assembly(struct fw_snapshot_assembly *s)
 {
-    Fw_State_Free(r->st);
-    *r = (struct fw_snap_reader){.st = NULL};
+    Fw_ConfigState_Free(s->st);
+    *s = (struct fw_snapshot_assembly){.st = NULL};
 }
 
 void
-Fw_Snap_Reset(struct fw_snap_collector *c)
+Fw_Snapshot_Reset(struct fw_snapshot_assembler *a)
 {
-    for (int i = 0; i < FW_SNAP_READERS; i++) {
-        drop(&c->readers[i]);
+    for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
+        drop_assembly(&a->assemblies[i]);
     }
 }
 
-/* The reader of @head's snapshot; a new one only for its first part. */
-static struct fw_snap_reader *
-reader_of(struct fw_snap_collector *c, const struct fw_snap_head *head)
+/*
+ * Returns the assembly of @header's snapshot. For its first part, takes an
+ * unused assembly or the least recently used one. Returns NULL for a later
+ * part of an unknown snapshot.
+ */
+static struct fw_snapshot_assembly *
+find_assembly(struct fw_snapshot_assembler *a,
+              const struct fw_snapshot_header *header)
 {
-    struct fw_snap_reader *pick = &c->readers[0];
+    struct fw_snapshot_assembly *pick = &a->assemblies[0];
 
-    for (int i = 0; i < FW_SNAP_READERS; i++) {
-        struct fw_snap_reader *r = &c->readers[i];
+    for (int i = 0; i < FW_SNAPSHOT_ASSEMBLIES_MAX; i++) {
+        struct fw_snapshot_assembly *s = &a->assemblies[i];
 
-        if (r->st && strcmp(r->head.id, head->id) == 0) {
-            return r;
+        if (s->st && strcmp(s->header.id, header->id) == 0) {
+            return s;
         }
-        if (!r->st || (pick->st && r->used < pick->used)) {
-            pick = r;
+        if (!s->st || (pick->st && s->last_feed < pick->last_feed)) {
+            pick = s;
         }
     }
-    if (head->k != 0) {
+    if (header->part != 0) {
         return NULL;
     }
-    drop(pick);
-    pick->head = *head;
-    pick->chain = head->offset;
-    pick->st = Fw_State_New();
+    drop_assembly(pick);
+    pick->header = *header;
+    pick->hash = header->offset;
+    pick->st = Fw_ConfigState_New();
     return pick;
 }
 
 static int
-read_seen(struct fw_state *st, const struct fw_field_reader *r)
+read_outcome(struct fw_config_state *st, const struct fw_field_reader *r)
 {
     char id[FW_CHANGE_ID_MAX];
     int64_t offset;
@@ -103,12 +108,13 @@
         Fw_Field_Int(r, "value", 0, FW_CHANGE_DUPLICATE, -1, &verdict)) {
         return -EBADMSG;
     }
-    Fw_State_See(st, id, (uint64_t)offset, (enum fw_change_verdict)verdict);
+    Fw_ConfigState_RecordOutcome(st, id, (uint64_t)offset,
+                                 (enum fw_change_verdict)verdict);
     return 0;
 }
 
 static int
-read_audit(struct fw_state *st, const struct fw_field_reader *r)
+read_audit(struct fw_config_state *st, const struct fw_field_reader *r)
 {
     JsonNode *value = json_object_get_member(r->obj, "value");
     char who[FW_NAME_MAX];
@@ -125,11 +131,11 @@
 }
 
 static int
-read_row(struct fw_state *st, const char *row, size_t len)
+read_row(struct fw_config_state *st, const char *row, size_t len)
 {
-    struct fw_why why;
+    struct fw_config_error err;
     struct fw_item item = {.kind = FW_ITEM_TEAM};
-    struct fw_field_reader r = {.why = &why, .where = "snapshot"};
+    struct fw_field_reader r = {.err = &err, .where = "snapshot"};
     JsonParser *parser = Fw_Json_LoadObject(row, len, &r.obj);
     char kind[16];
     int rc;
@@ -142,15 +148,15 @@
         kind[0] = '\0';
     }
     else if (strcmp(kind, "seen") == 0) {
-        rc = read_seen(st, &r);
+        rc = read_outcome(st, &r);
     }
     else if (strcmp(kind, "audit") == 0) {
         rc = read_audit(st, &r);
     }
     else {
-        rc = Fw_Item_Parse(r.obj, &item, &why);
+        rc = Fw_Item_Parse(r.obj, &item, &err);
         if (rc == 0 && !item.removed) {
-            Fw_Config_Put(st->cfg, &item, item.was);
+            Fw_Config_PutItem(st->cfg, &item, item.expected_version);
         }
         Fw_Item_Clear(&item);
     }
@@ -159,7 +165,7 @@
 }
 
 static int
-read_rows(struct fw_state *st, const char *body)
+read_rows(struct fw_config_state *st, const char *body)
 {
     while (*body) {
         const char *end = strchr(body, '\n');
@@ -173,60 +179,62 @@
 }
 
 static int
-same_snapshot(const struct fw_snap_head *a, const struct fw_snap_head *b)
+headers_match(const struct fw_snapshot_header *a,
+              const struct fw_snapshot_header *b)
 {
-    return a->offset == b->offset && a->n == b->n && a->hash == b->hash;
+    return a->offset == b->offset && a->n_parts == b->n_parts &&
+           a->hash == b->hash;
 }
 
 static int
-feed(struct fw_snap_reader *r, const struct fw_snap_head *head,
-     const char *body)
+add_part(struct fw_snapshot_assembly *s,
+         const struct fw_snapshot_header *header, const char *body)
 {
-    if (head->k < r->next) {
-        return 0; /* sent again after a lost answer */
+    if (header->part < s->next_part) {
+        return 0; /* repeated by the writer after a failed append */
     }
-    if (head->k != r->next || !same_snapshot(head, &r->head) ||
-        read_rows(r->st, body)) {
+    if (header->part != s->next_part || !headers_match(header, &s->header) ||
+        read_rows(s->st, body)) {
         return -EBADMSG;
     }
-    r->chain = Fw_Hash_Bytes(body, strlen(body), r->chain);
-    r->next++;
-    if (r->next < r->head.n) {
+    s->hash = Fw_Hash_Bytes(body, strlen(body), s->hash);
+    s->next_part++;
+    if (s->next_part < s->header.n_parts) {
         return 0;
     }
-    if (r->chain != r->head.hash && !FW_FAULT("snapshot-no-hash")) {
+    if (s->hash != s->header.hash && !FW_FAULT("snapshot-no-hash")) {
         return -EBADMSG;
     }
     return 1;
 }
 
 int
-Fw_Snap_Feed(struct fw_snap_collector *c, const char *part,
-             struct fw_state **st, unsigned *next)
+Fw_Snapshot_Feed(struct fw_snapshot_assembler *a, const char *part,
+                 struct fw_config_state **st, unsigned *next_part)
 {
-    struct fw_snap_head head;
-    struct fw_snap_reader *r;
+    struct fw_snapshot_header header;
+    struct fw_snapshot_assembly *s;
     int rc;
 
-    if (Fw_Snap_ParseHead(part, &head)) {
+    if (Fw_Snapshot_ParseHeader(part, &header)) {
         return -EBADMSG;
     }
-    r = reader_of(c, &head);
-    if (!r) {
+    s = find_assembly(a, &header);
+    if (!s) {
         return -EBADMSG;
     }
-    r->used = ++c->feeds;
-    rc = feed(r, &head, strchr(part, '\n') + 1);
-    if (next) {
-        *next = r->next;
+    s->last_feed = ++a->feeds;
+    rc = add_part(s, &header, strchr(part, '\n') + 1);
+    if (next_part) {
+        *next_part = s->next_part;
     }
     if (rc == 1) {
-        *st = r->st;
-        (*st)->cfg->offset = r->head.offset;
-        r->st = NULL;
+        *st = s->st;
+        (*st)->cfg->next_offset = s->header.offset;
+        s->st = NULL;
     }
     if (rc != 0) {
-        drop(r);
+        drop_assembly(s);
     }
     return rc;
 }
--- a/src/config/state.c
+++ b/src/config/state.c
@@ -1,4 +1,4 @@
-/* Making, freeing and asking the state; apply.c changes it by a record. */
+/* Creation, destruction and queries of the state; see apply.c for changes. */
 #include "config/state.h"
 
 #include <string.h>
@@ -11,70 +11,73 @@
     return names[v];
 }
 
-struct fw_state *
-Fw_State_New(void)
+struct fw_config_state *
+Fw_ConfigState_New(void)
 {
-    struct fw_state *st = g_new0(struct fw_state, 1);
+    struct fw_config_state *st = g_new0(struct fw_config_state, 1);
 
     st->cfg = Fw_Config_New();
     Fw_Audit_Init(&st->audit);
-    st->seen = g_new0(struct fw_seen, FW_SEEN_MAX);
-    st->seen_by_id = g_hash_table_new(g_str_hash, g_str_equal);
+    st->outcomes = g_new0(struct fw_change_outcome, FW_CHANGE_OUTCOMES_MAX);
+    st->outcomes_by_id = g_hash_table_new(g_str_hash, g_str_equal);
     return st;
 }
 
 void
-Fw_State_Free(struct fw_state *st)
+Fw_ConfigState_Free(struct fw_config_state *st)
 {
     if (!st) {
         return;
     }
     Fw_Config_Free(st->cfg);
     Fw_Audit_Clear(&st->audit);
-    g_hash_table_unref(st->seen_by_id);
-    g_free(st->seen);
+    g_hash_table_unref(st->outcomes_by_id);
+    g_free(st->outcomes);
     g_free(st);
 }
 
 void
-Fw_State_See(struct fw_state *st, const char *id, uint64_t offset,
-             enum fw_change_verdict verdict)
+Fw_ConfigState_RecordOutcome(struct fw_config_state *st, const char *id,
+                             uint64_t offset, enum fw_change_verdict verdict)
 {
-    struct fw_seen *s = &st->seen[st->seen_next];
+    struct fw_change_outcome *s = &st->outcomes[st->next_outcome];
 
-    if (st->seen_n == FW_SEEN_MAX) {
-        g_hash_table_remove(st->seen_by_id, s->id);
+    if (st->n_outcomes == FW_CHANGE_OUTCOMES_MAX) {
+        g_hash_table_remove(st->outcomes_by_id, s->id);
     }
     else {
-        st->seen_n++;
+        st->n_outcomes++;
     }
     g_strlcpy(s->id, id, sizeof(s->id));
     s->offset = offset;
     s->verdict = verdict;
-    g_hash_table_replace(st->seen_by_id, s->id, s);
-    st->seen_next = (st->seen_next + 1) % FW_SEEN_MAX;
+    g_hash_table_replace(st->outcomes_by_id, s->id, s);
+    st->next_outcome = (st->next_outcome + 1) % FW_CHANGE_OUTCOMES_MAX;
 }
 
-const struct fw_seen *
-Fw_State_Seen(const struct fw_state *st, const char *id)
+const struct fw_change_outcome *
+Fw_ConfigState_FindOutcome(const struct fw_config_state *st, const char *id)
 {
-    return g_hash_table_lookup(st->seen_by_id, id);
+    return g_hash_table_lookup(st->outcomes_by_id, id);
 }
 
 uint64_t
-Fw_State_Digest(const struct fw_state *st)
+Fw_ConfigState_Digest(const struct fw_config_state *st)
 {
-    uint64_t h = Fw_Config_Digest(st->cfg) + st->cfg->offset;
-    unsigned at = (st->seen_next + FW_SEEN_MAX - st->seen_n) % FW_SEEN_MAX;
+    uint64_t h = Fw_Config_Digest(st->cfg) + st->cfg->next_offset;
+    unsigned at =
+        (st->next_outcome + FW_CHANGE_OUTCOMES_MAX - st->n_outcomes) %
+        FW_CHANGE_OUTCOMES_MAX;
     const struct fw_list *pos;
 
-    for (unsigned i = 0; i < st->seen_n; i++) {
-        const struct fw_seen *s = &st->seen[(at + i) % FW_SEEN_MAX];
+    for (unsigned i = 0; i < st->n_outcomes; i++) {
+        const struct fw_change_outcome *s =
+            &st->outcomes[(at + i) % FW_CHANGE_OUTCOMES_MAX];
 
         h = Fw_Hash_Bytes(s->id, strlen(s->id),
                           h + s->offset * 4 + s->verdict);
     }
-    FW_LIST_EACH (pos, &st->audit.all) {
+    FW_LIST_EACH (pos, &st->audit.entries) {
         const struct fw_audit_entry *e =
             FW_LIST_ENTRY(pos, struct fw_audit_entry, link);
 
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -1,14 +1,13 @@
 /*
- * The table of members. Changing what is believed of one goes through
- * Fw_Member_SetState, so that the metrics, the log lines and the array that
- * Fw_Fleet_Pick looks at always agree with it.
+ * Member table. States are changed by Fw_Member_SetState only, which keeps
+ * metrics, log and the candidates of Fw_Fleet_Pick consistent with them.
  */
 #include "fleet/fleet.h"
 
 #include <string.h>
 #include <syslog.h>
 
-#include "fleet/member.h"
+#include "fleet/fleet_internal.h"
 
 static void
 add_metrics(struct fw_fleet *f, struct fw_metrics *metrics)
@@ -52,14 +51,14 @@
     f->self = *self;
     f->rand = g_rand_new_with_seed(seed);
     f->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    f->pick = g_ptr_array_new();
-    f->order = g_ptr_array_new_with_free_func(g_free);
+    f->candidates = g_ptr_array_new();
+    f->probe_order = g_ptr_array_new_with_free_func(g_free);
     add_metrics(f, metrics);
-    f->me =
+    f->self_entry =
         Fw_Member_Add(f, self->name, self->addr, self->domain, self->region);
-    f->me->m.boot = self->boot;
-    f->me->m.state = FW_MEMBER_ALIVE;
-    Fw_Member_Changed(f);
+    f->self_entry->m.boot = self->boot;
+    f->self_entry->m.state = FW_MEMBER_ALIVE;
+    Fw_Member_RebuildCandidates(f);
     return f;
 }
 
@@ -67,23 +66,23 @@
 Fw_Fleet_Free(struct fw_fleet *f)
 {
     g_rand_free(f->rand);
-    g_ptr_array_unref(f->pick);
-    g_ptr_array_unref(f->order);
+    g_ptr_array_unref(f->candidates);
+    g_ptr_array_unref(f->probe_order);
     g_hash_table_unref(f->entries);
     g_free(f);
 }
 
-struct fw_entry *
+struct fw_member_entry *
 Fw_Member_Find(const struct fw_fleet *f, const char *name)
 {
     return g_hash_table_lookup(f->entries, name);
 }
 
-struct fw_entry *
+struct fw_member_entry *
 Fw_Member_Add(struct fw_fleet *f, const char *name, const char *addr,
               const char *domain, const char *region)
 {
-    struct fw_entry *e = g_new0(struct fw_entry, 1);
+    struct fw_member_entry *e = g_new0(struct fw_member_entry, 1);
 
     g_strlcpy(e->m.name, name, sizeof(e->m.name));
     g_strlcpy(e->m.addr, addr, sizeof(e->m.addr));
@@ -95,9 +94,9 @@
     return e;
 }
 
-/* By name, so that the same view gives the same order of all loops. */
+/* Makes the order of the candidates independent of that of the hash table. */
 static gint
-by_name(gconstpointer a, gconstpointer b)
+compare_names(gconstpointer a, gconstpointer b)
 {
     const struct fw_member *const *x = a;
     const struct fw_member *const *y = b;
@@ -106,22 +105,22 @@
 }
 
 void
-Fw_Member_Changed(struct fw_fleet *f)
+Fw_Member_RebuildCandidates(struct fw_fleet *f)
 {
     GHashTableIter it;
     gpointer value;
 
-    g_ptr_array_set_size(f->pick, 0);
+    g_ptr_array_set_size(f->candidates, 0);
     g_hash_table_iter_init(&it, f->entries);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_entry *e = value;
+        struct fw_member_entry *e = value;
         if (e->m.state <= FW_MEMBER_SUSPECT &&
             strcmp(e->m.region, f->self.region) == 0) {
-            g_ptr_array_add(f->pick, &e->m);
+            g_ptr_array_add(f->candidates, &e->m);
         }
     }
-    g_ptr_array_sort(f->pick, by_name);
-    f->alive.value = f->pick->len;
+    g_ptr_array_sort(f->candidates, compare_names);
+    f->alive.value = f->candidates->len;
 }
 
 static const char *
@@ -133,7 +132,7 @@
 }
 
 void
-Fw_Member_SetState(struct fw_fleet *f, struct fw_entry *e,
+Fw_Member_SetState(struct fw_fleet *f, struct fw_member_entry *e,
                    enum fw_member_state state, int64_t now_us,
                    struct fw_actions *out)
 {
@@ -146,13 +145,13 @@
     e->m.state = state;
     e->suspect_until_us = 0;
     if (state == FW_MEMBER_SUSPECT) {
-        e->suspect_until_us = now_us + FW_SUSPECT_US;
+        e->suspect_until_us = now_us + FW_SUSPECT_TIMEOUT_US;
         f->suspicions.value++;
     }
     if (state == FW_MEMBER_DEAD) {
         e->backoff_us = FW_PROBE_PERIOD_US;
-        e->probe_us = now_us + e->backoff_us;
+        e->next_ping_us = now_us + e->backoff_us;
         f->deaths.value++;
     }
-    Fw_Member_Changed(f);
+    Fw_Member_RebuildCandidates(f);
 }
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -1,4 +1,4 @@
-/* The records of the stream and their fold. */
+/* Format of the role records, and their effect on the roles. */
 #include <errno.h>
 #include <inttypes.h>
 #include <json-glib/json-glib.h>
@@ -6,10 +6,10 @@
 #include <syslog.h>
 
 #include "base/fault.h"
-#include "fleet/role_slot.h"
+#include "fleet/role_internal.h"
 
 char *
-Fw_Role_Print(const struct fw_role_record *rec)
+Fw_Role_Format(const struct fw_role_record *rec)
 {
     JsonObject *o = json_object_new();
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
@@ -19,7 +19,7 @@
     json_object_set_int_member(o, "p", rec->partition);
     json_object_set_string_member(o, "i", rec->holder);
     json_object_set_int_member(o, "b", (gint64)rec->boot);
-    json_object_set_int_member(o, "was", rec->was);
+    json_object_set_int_member(o, "was", rec->replaces);
     if (rec->wait_us >= 0) {
         json_object_set_int_member(o, "wait_us", rec->wait_us);
     }
@@ -53,7 +53,7 @@
     if (get_int(o, "k", 0, &kind) || kind >= FW_ROLE_KINDS ||
         get_int(o, "p", 0, &partition) || partition >= partitions ||
         get_int(o, "b", 0, &boot) ||
-        get_int(o, "was", FW_ROLE_ANY, &rec->was) || !holder ||
+        get_int(o, "was", FW_ROLE_REPLACES_ANY, &rec->replaces) || !holder ||
         !JSON_NODE_HOLDS_VALUE(holder) ||
         json_node_get_value_type(holder) != G_TYPE_STRING) {
         return -EBADMSG;
@@ -89,9 +89,9 @@
 }
 
 /*
- * When acts may begin under a record that names this process. The last
- * holder acts for up to FW_ROLE_FRESH_US after this record took effect, and
- * what it handed out then lives for wait_us more; both by its own clock.
+ * Earliest time to act under a record. The last holder may act for up to
+ * FW_ROLE_VIEW_MAX_AGE_US after the record took effect, and what it grants
+ * lives for wait_us more, both by its own clock.
  */
 static int64_t
 acts_from(const struct fw_roles *r, const struct fw_role_slot *s,
@@ -100,50 +100,50 @@
     if (FW_FAULT("role-no-wait")) {
         return now_us;
     }
-    if (rec->was == 0) {
-        return now_us; /* nobody held it before */
+    if (rec->replaces == 0) {
+        return now_us; /* there is no last holder */
     }
-    if (Fw_Role_Mine(r, s)) {
-        return s->from_us;
+    if (Fw_Role_IsHeldHere(r, s)) {
+        return s->acts_from_us;
     }
     if (rec->wait_us >= 0) {
         return now_us + Fw_Role_WithDrift(rec->wait_us);
     }
     return now_us +
-           Fw_Role_WithDrift(FW_ROLE_FRESH_US + r->wait_us[rec->kind]);
+           Fw_Role_WithDrift(FW_ROLE_VIEW_MAX_AGE_US + r->wait_us[rec->kind]);
 }
 
 void
-Fw_Role_Fold(struct fw_roles *r, const struct fw_role_record *rec,
-             uint64_t offset, int64_t now_us, struct fw_actions *out)
+Fw_Role_Apply(struct fw_roles *r, const struct fw_role_record *rec,
+              uint64_t offset, int64_t now_us, struct fw_actions *out)
 {
     struct fw_role_slot *s = Fw_Role_Slot(r, rec->kind, rec->partition);
-    int was_mine = Fw_Role_Mine(r, s);
-    int same;
-    char number[24];
+    int was_held = Fw_Role_IsHeldHere(r, s);
+    int same_holder;
+    char role[24];
 
-    if (rec->was != FW_ROLE_ANY &&
-        (!s->known || rec->was != (int64_t)s->offset)) {
+    if (rec->replaces != FW_ROLE_REPLACES_ANY &&
+        (!s->known || rec->replaces != (int64_t)s->offset)) {
         return;
     }
-    s->from_us = acts_from(r, s, rec, now_us);
-    same = s->boot == rec->boot && strcmp(s->holder, rec->holder) == 0;
-    if (!same || !s->tenure) {
-        s->handed_from = rec->wait_us >= 0 ? s->tenure : 0;
+    s->acts_from_us = acts_from(r, s, rec, now_us);
+    same_holder = s->boot == rec->boot && strcmp(s->holder, rec->holder) == 0;
+    if (!same_holder || !s->tenure) {
+        s->predecessor_tenure = rec->wait_us >= 0 ? s->tenure : 0;
         s->tenure = offset;
     }
     s->known = 1;
-    s->first = rec->was == 0;
+    s->is_first = rec->replaces == 0;
     s->offset = offset;
     g_strlcpy(s->holder, rec->holder, sizeof(s->holder));
     s->boot = rec->boot;
-    s->folded_us = now_us;
-    s->lacking_us = 0;
-    s->stopped = r->draining && Fw_Role_Mine(r, s);
-    if (was_mine != Fw_Role_Mine(r, s)) {
-        g_snprintf(number, sizeof(number), "%d/%d", (int)rec->kind,
+    s->applied_us = now_us;
+    s->vacant_since_us = 0;
+    s->stopped = r->draining && Fw_Role_IsHeldHere(r, s);
+    if (was_held != Fw_Role_IsHeldHere(r, s)) {
+        g_snprintf(role, sizeof(role), "%d/%d", (int)rec->kind,
                    rec->partition);
-        Fw_Actions_Note(out, LOG_INFO, was_mine ? "role_lost" : "role_taken",
-                        "role", number, "holder", rec->holder, NULL);
+        Fw_Actions_Note(out, LOG_INFO, was_held ? "role_lost" : "role_taken",
+                        "role", role, "holder", rec->holder, NULL);
     }
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,10 +1,11 @@
-/* An instance's subsystems: made, freed, asked. */
+/* Creates and frees an instance's subsystems; queries. */
 #include "node/node.h"
 
 #include "node/node_internal.h"
 
-#define FW_LEASE_WAIT_US (900 * FW_SEC) /* life of token leases */
-#define FW_ORDER_WAIT_US (10 * FW_SEC)  /* life of an order */
+/* Waits of a new role holder, covering what its predecessor handed out. */
+#define FW_BUDGET_TAKEOVER_WAIT_US (900 * FW_SEC) /* life of token leases */
+#define FW_ORDER_TAKEOVER_WAIT_US (10 * FW_SEC)   /* life of an order */
 
 static void
 add_gauge(struct fw_node *node, struct fw_metric *m, const char *name,
@@ -17,12 +18,12 @@
 }
 
 static void
-make_subsystems(struct fw_node *node, int64_t now_us)
+create_subsystems(struct fw_node *node, int64_t now_us)
 {
     const struct fw_node_opts *o = &node->opts;
-    const int64_t waits[FW_ROLE_KINDS] = {
-        [FW_ROLE_BUDGET] = FW_LEASE_WAIT_US,
-        [FW_ROLE_ORDER] = FW_ORDER_WAIT_US,
+    const int64_t takeover_wait_us[FW_ROLE_KINDS] = {
+        [FW_ROLE_BUDGET] = FW_BUDGET_TAKEOVER_WAIT_US,
+        [FW_ROLE_ORDER] = FW_ORDER_TAKEOVER_WAIT_US,
     };
     struct fw_request_deps deps = {
         .self = &o->self,
@@ -34,10 +35,10 @@
     node->explain = Fw_Explain_New();
     node->operate =
         Fw_Operate_New(&o->self, o->seed + 3, &node->metrics, now_us);
-    node->fold =
-        Fw_Fold_New(o->self.name, o->seed + 2, &node->metrics, now_us);
+    node->fold = Fw_ConfigReplica_New(o->self.name, o->seed + 2,
+                                      &node->metrics, now_us);
     node->fleet = Fw_Fleet_New(&o->self, o->seed, &node->metrics);
-    node->roles = Fw_Roles_New(&o->self, o->partitions, waits);
+    node->roles = Fw_Roles_New(&o->self, o->partitions, takeover_wait_us);
     node->limit = Fw_Limit_New(&o->self, node->fleet, node->roles, o->seed + 1,
                                &node->metrics);
     node->idem =
@@ -66,7 +67,7 @@
               "age of the last successful read of the configuration log");
     add_gauge(node, &node->open_metric, "fw_requests_open",
               "requests running or waiting");
-    make_subsystems(node, now_us);
+    create_subsystems(node, now_us);
     return node;
 }
 
@@ -83,7 +84,7 @@
     Fw_Limit_Free(node->limit);
     Fw_Roles_Free(node->roles);
     Fw_Fleet_Free(node->fleet);
-    Fw_Fold_Free(node->fold);
+    Fw_ConfigReplica_Free(node->fold);
     Fw_Operate_Free(node->operate);
     Fw_Explain_Free(node->explain);
     g_free(node);
@@ -92,7 +93,7 @@
 const struct fw_config *
 Fw_Node_Config(const struct fw_node *node)
 {
-    return Fw_Fold_Config(node->fold);
+    return Fw_ConfigReplica_Config(node->fold);
 }
 
 struct fw_metrics *
@@ -104,5 +105,5 @@
 int
 Fw_Node_Ready(const struct fw_node *node)
 {
-    return !node->draining_us && node->warm;
+    return !node->drain_started_us && node->warm;
 }
--- a/src/node/step.c
+++ b/src/node/step.c
@@ -1,4 +1,5 @@
-/* The step function: hands each event on, then the answers between them. */
+/* The step function: dispatches events to subsystems and their answers to the
+ * requests. */
 #include <errno.h>
 #include <string.h>
 
@@ -23,11 +24,11 @@
 open_call(struct fw_node *node, const struct fw_call *call, int64_t now_us,
           struct fw_actions *out)
 {
-    if (node->draining_us) {
+    if (node->drain_started_us) {
         refuse(call, "draining", "this instance is stopping", out);
         return;
     }
-    if (!Fw_Fold_Ready(node->fold)) {
+    if (!Fw_ConfigReplica_IsReady(node->fold)) {
         refuse(call, "not_configured",
                "this instance has no configuration yet", out);
         return;
@@ -85,15 +86,15 @@
     case FW_AREA_CONFIG:
         m = Fw_Fleet_Find(node->fleet, peer->from);
         if (m) {
-            Fw_Fold_OnMsg(node->fold, peer->from, m->addr, &msg->u.config,
-                          now_us, out);
+            Fw_ConfigReplica_OnMsg(node->fold, peer->from, m->addr,
+                                   &msg->u.config, now_us, out);
         }
         break;
     }
 }
 
 static struct fw_operate_view
-view_of(const struct fw_node *node)
+operate_view(const struct fw_node *node)
 {
     return (struct fw_operate_view){
         .self = &node->opts.self,
@@ -110,11 +111,11 @@
 on_appended(struct fw_node *node, const struct fw_log_appended *a,
             int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_operate_view view = view_of(node);
+    const struct fw_operate_view view = operate_view(node);
 
     switch (Fw_Owner_Of(a->ticket)) {
     case FW_OWNER_CONFIG:
-        Fw_Fold_OnAppended(node->fold, a, now_us, out);
+        Fw_ConfigReplica_OnAppended(node->fold, a, now_us, out);
         break;
     case FW_OWNER_ROLES:
         Fw_Roles_OnAppended(node->roles, a, now_us, out);
@@ -136,7 +137,7 @@
 {
     switch (Fw_Owner_Of(r->ticket)) {
     case FW_OWNER_CONFIG:
-        Fw_Fold_OnRecords(node->fold, r, now_us, out);
+        Fw_ConfigReplica_OnRecords(node->fold, r, now_us, out);
         break;
     case FW_OWNER_ROLES:
         Fw_Roles_OnRecords(node->roles, r, now_us, out);
@@ -149,17 +150,18 @@
     }
 }
 
-/* Answers that subsystems have for the requests, until none is left. */
+/* Passes answers of the subsystems to the requests until none is left;
+ * handling one may produce others. */
 static void
-pump(struct fw_node *node, int64_t now_us, struct fw_actions *out)
+dispatch_answers(struct fw_node *node, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer budget;
     struct fw_route_answer pair;
     struct fw_idem_answer idem;
     int more = 1;
 
-    if (Fw_Node_Config(node)->offset != node->seen_offset) {
-        node->seen_offset = Fw_Node_Config(node)->offset;
+    if (Fw_Node_Config(node)->next_offset != node->checked_offset) {
+        node->checked_offset = Fw_Node_Config(node)->next_offset;
         Fw_Requests_OnConfig(node->requests, now_us, out);
     }
     while (more) {
@@ -183,7 +185,7 @@
 Fw_Node_Step(struct fw_node *node, const struct fw_event *ev, int64_t now_us,
              struct fw_actions *out)
 {
-    const struct fw_operate_view view = view_of(node);
+    const struct fw_operate_view view = operate_view(node);
     int rc = 0;
 
     switch (ev->kind) {
@@ -194,7 +196,7 @@
         open_call(node, &ev->u.open, now_us, out);
         break;
     case FW_EV_CALL_CLOSED:
-        Fw_Requests_Closed(node->requests, ev->u.closed, now_us, out);
+        Fw_Requests_OnCallClosed(node->requests, ev->u.closed, now_us, out);
         break;
     case FW_EV_UP:
         on_up(node, &ev->u.up, now_us, out);
@@ -208,12 +210,12 @@
     case FW_EV_LOG_RECORDS:
         on_records(node, &ev->u.records, now_us, out);
         break;
-    case FW_EV_LISTED:
+    case FW_EV_REGISTRY:
         Fw_Fleet_OnListed(node->fleet, &ev->u.listed, now_us, out);
         Fw_Router_OnListed(node->router, &ev->u.listed, now_us);
         break;
     case FW_EV_OPERATOR:
-        Fw_Operate_Open(node->operate, &view, &ev->u.oper, now_us, out);
+        Fw_Operate_HandleCall(node->operate, &view, &ev->u.oper, now_us, out);
         break;
     case FW_EV_DRAIN:
         Fw_Node_Drain(node, now_us, out);
@@ -222,8 +224,8 @@
         rc = -EINVAL;
         break;
     }
-    pump(node, now_us, out);
-    Fw_Operate_AfterFold(node->operate, &view, now_us, out);
+    dispatch_answers(node, now_us, out);
+    Fw_Operate_AnswerPending(node->operate, &view, now_us, out);
     Fw_Node_CheckDrained(node, now_us, out);
     node->open_metric.value = Fw_Requests_Count(node->requests);
     node->wake_us = MIN(node->wake_us, out->wake_us);
--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -1,31 +1,30 @@
 /*
- * What a hub and its leaves have just spent of the teams' allowances and
- * taken at servers, sent to the other hubs between two digests.
+ * Deltas, sent between hubs between two digests: the totals of tokens spent
+ * and of load that have changed since the last message.
  *
- * Without it, instances that see the same figures take the same until the
- * next digest. The level of a team's allowance then falls far below zero, and
- * a team that keeps to its rate is refused for it; one engine gets several
- * streams more than it has memory for and preempts them, while the one beside
- * it is half empty.
+ * Until instances learn of each other's decisions they grant the same tokens
+ * and choose the same engine. A team's allowance is then overdrawn and its
+ * later requests refused, and an engine's KV cache is overcommitted, so that
+ * it preempts streams while others have room.
  */
 #include <errno.h>
 
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_DELTA 4
+#define FW_MSG_TYPE_DELTA 4
 
 /* Tokens spent here and by this hub's leaves. */
 static int64_t
-spent_by_all(const struct fw_rl_allowance *p)
+total_spent(const struct fw_rl_allowance *p)
 {
-    return p->spent + p->leaves;
+    return p->spent + p->leaf_spent;
 }
 
 static int
-is_sent(const struct fw_rl_allowance *p, int only_unsent)
+should_send(const struct fw_rl_allowance *p, int only_unsent)
 {
-    return !only_unsent || spent_by_all(p) != p->sent;
+    return !only_unsent || total_spent(p) != p->digest_spent;
 }
 
 void
@@ -37,30 +36,30 @@
 
     g_hash_table_iter_init(&it, r->allowances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        n += (size_t)is_sent(v, only_unsent);
+        n += (size_t)should_send(v, only_unsent);
     }
     msgpack_pack_array(pk, n);
     g_hash_table_iter_init(&it, r->allowances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct fw_rl_allowance *p = v;
 
-        if (!is_sent(p, only_unsent)) {
+        if (!should_send(p, only_unsent)) {
             continue;
         }
         msgpack_pack_array(pk, 3);
         msgpack_pack_uint64(pk, p->hash);
-        msgpack_pack_int64(pk, spent_by_all(p));
+        msgpack_pack_int64(pk, total_spent(p));
         msgpack_pack_int64(pk, (int64_t)p->level);
-        p->sent = spent_by_all(p);
-        p->counted = p->spent;
+        p->digest_spent = total_spent(p);
+        p->acknowledged = p->spent;
     }
 }
 
 void
-Fw_Delta_Placed(struct fw_relay *r, struct fw_rl_server *s)
+Fw_Delta_NotePlacement(struct fw_relay *r, struct fw_rl_server *s)
 {
-    s->unsent = 1;
-    r->x.wants_delta = 1;
+    s->is_unsent = 1;
+    r->x.delta_pending = 1;
 }
 
 void
@@ -70,40 +69,40 @@
 
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, 6);
-    msgpack_pack_int(&pk, FW_FORM_DELTA);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_DELTA);
     Fw_Pack_Str(&pk, r->opts.name);
     msgpack_pack_uint64(&pk, r->opts.boot);
     msgpack_pack_uint64(&pk, ++r->digest_seq);
     Fw_Delta_PackSpent(r, &pk, 1);
-    Fw_Share_PackLoad(r, &pk, NULL, 1, now_us);
+    Fw_Message_PackLoad(r, &pk, NULL, 1, now_us);
 }
 
 /*
- * The first figure of an instance that was met anew, or was out of touch, is
- * where counting starts: what it spent meanwhile was its own part. One that
- * has started anew starts from nothing.
+ * The first total of an instance that is new or wasn't live is the base for
+ * later ones: what it spent before came out of its own share of the allowance.
+ * The base of an instance that has restarted is 0.
  */
 void
-Fw_Delta_TakeSpent(struct fw_relay *r, struct fw_rl_member *m, int first,
-                   const msgpack_object_array *rows, int64_t now_us)
+Fw_Delta_ApplySpent(struct fw_relay *r, struct fw_rl_member *m, int is_first,
+                    const msgpack_object_array *rows, int64_t now_us)
 {
     if (!m->spent) {
         m->spent = Fw_Rows_NewTable();
     }
     for (uint32_t i = 0; i < rows->size; i++) {
         uint64_t hash = (uint64_t)Fw_Rows_Cell(rows, i, 0);
-        int64_t *before = Fw_Rows_Slot(m->spent, hash, 0);
+        int64_t *previous = Fw_Rows_LookupOrAdd(m->spent, hash, 0);
         int64_t spent = Fw_Rows_Cell(rows, i, 1);
 
-        Fw_Allowance_Others(r, hash, first ? 0 : spent - *before,
-                            Fw_Rows_Cell(rows, i, 2), now_us);
-        *before = spent;
+        Fw_Allowance_NoteHubSpending(r, hash, is_first ? 0 : spent - *previous,
+                                     Fw_Rows_Cell(rows, i, 2), now_us);
+        *previous = spent;
     }
 }
 
 /*
- * Only from a hub that is in touch in this lifetime: where counting starts is
- * the business of whole digests.
+ * A delta is applied only after a digest of the same process lifetime within
+ * the timeout, as only digests set the base of the totals.
  */
 int
 Fw_Delta_Read(struct fw_relay *r, const msgpack_object *o, int64_t now_us)
@@ -112,28 +111,29 @@
     const msgpack_object_array *load;
     struct fw_rl_member *m;
     char name[FW_NAME_MAX];
-    uint64_t form;
+    uint64_t type;
     uint64_t boot;
     uint64_t seq;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 6 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_DELTA ||
+        Fw_Unpack_U64(o, 0, &type) || type != FW_MSG_TYPE_DELTA ||
         Fw_Unpack_Str(o, 1, name, sizeof(name)) ||
         Fw_Unpack_U64(o, 2, &boot) || Fw_Unpack_U64(o, 3, &seq)) {
         return -EBADMSG;
     }
-    spent = Fw_Rows_Of(o, 4, 3);
-    load = Fw_Rows_Of(o, 5, 6);
+    spent = Fw_Rows_Unpack(o, 4, 3);
+    load = Fw_Rows_Unpack(o, 5, 6);
     if (!spent || !load) {
         return -EBADMSG;
     }
     m = Fw_Members_Find(r, name);
-    if (!r->x.is_hub || !m || boot != m->boot || seq <= m->seq ||
-        !m->digest_us || now_us - m->digest_us >= Fw_Members_Touch(r)) {
+    if (!r->x.is_hub || !m || boot != m->boot || seq <= m->digest_seq ||
+        !m->last_digest_us ||
+        now_us - m->last_digest_us >= Fw_Members_TimeoutUs(r)) {
         return 0;
     }
-    m->seq = seq;
-    Fw_Delta_TakeSpent(r, m, 0, spent, now_us);
+    m->digest_seq = seq;
+    Fw_Delta_ApplySpent(r, m, 0, spent, now_us);
     Fw_Load_Merge(r, m, load, now_us);
     return 0;
 }
--- /dev/null
+++ b/src/relay/retry_budget.c
@@ -0,0 +1,77 @@
+/*
+ * Retry budget, which keeps retries from adding load to a failing service.
+ *
+ * The budget holds for all instances together without communication: each may
+ * retry a fixed ratio of its own requests within the window, plus an equal
+ * share of a fixed number.
+ */
+#include <string.h>
+
+#include "relay/relay_internal.h"
+
+/* Usable part of the fixed number; the rest is for unknown instances. */
+#define FW_EXTRA_PERMILLE 800
+
+static struct fw_rl_retry_budget *
+budget_of(struct fw_relay *r, const char *service, int64_t now_us)
+{
+    int64_t slot = now_us * (FW_RL_RETRY_BUDGET_SLOTS - 2) /
+                   MAX(r->opts.retry_window_us, 1);
+    struct fw_rl_retry_budget *b = NULL;
+
+    for (guint i = 0; i < r->retry_budgets->len && !b; i++) {
+        b = g_ptr_array_index(r->retry_budgets, i);
+        if (strcmp(b->service, service) != 0) {
+            b = NULL;
+        }
+    }
+    if (!b) {
+        b = g_new0(struct fw_rl_retry_budget, 1);
+        g_strlcpy(b->service, service, sizeof(b->service));
+        b->slot = slot;
+        g_ptr_array_add(r->retry_budgets, b);
+    }
+    for (int i = 0; b->slot < slot && i < FW_RL_RETRY_BUDGET_SLOTS; i++) {
+        b->slot++;
+        b->requests[b->slot % FW_RL_RETRY_BUDGET_SLOTS] = 0;
+        b->retries[b->slot % FW_RL_RETRY_BUDGET_SLOTS] = 0;
+    }
+    b->slot = slot;
+    return b;
+}
+
+void
+Fw_RetryBudget_NoteRequest(struct fw_relay *r, const char *service,
+                           int64_t now_us)
+{
+    struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
+
+    b->requests[b->slot % FW_RL_RETRY_BUDGET_SLOTS]++;
+}
+
+int
+Fw_RetryBudget_Take(struct fw_relay *r, const char *service, int n,
+                    int64_t now_us)
+{
+    struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
+    int instances = Fw_Members_Count(r, now_us, NULL);
+    int64_t requests = 0;
+    int64_t retries = 0;
+    int64_t allowed;
+
+    for (int i = 0; i < FW_RL_RETRY_BUDGET_SLOTS; i++) {
+        requests += b->requests[i];
+        retries += b->retries[i];
+    }
+    /* The ring is two slots longer than the window: scale the requests. */
+    requests =
+        requests * (FW_RL_RETRY_BUDGET_SLOTS - 2) / FW_RL_RETRY_BUDGET_SLOTS;
+    allowed = requests * r->opts.retry_ratio_ppm / 1000000 +
+              r->opts.retry_extra * FW_EXTRA_PERMILLE / 1000 / instances;
+    if (retries + n > allowed) {
+        return 0;
+    }
+    b->retries[b->slot % FW_RL_RETRY_BUDGET_SLOTS] += n;
+    r->n.retries.value += n;
+    return 1;
+}
--- a/src/relay/servers.c
+++ b/src/relay/servers.c
@@ -1,10 +1,10 @@
 /*
- * Servers as the platform lists them, each in one lifetime.
+ * Servers that the platform lists, and their health as seen by this instance.
  *
- * An entry that vanishes means that the server has left. While the store
- * was away entries also lapse for servers that live; those are back within
- * two seconds of its return. So a lapse seen around such a time counts only
- * after that, or healthy servers would be dropped all at once.
+ * A server is removed when its entry vanishes. While the store is unavailable
+ * the entries of live servers expire too, and are renewed within two seconds
+ * of its recovery. During that time unlisted servers are kept, or all healthy
+ * servers would be removed at once.
  */
 #include <errno.h>
 #include <string.h>
@@ -13,18 +13,17 @@
 #include "relay/relay_internal.h"
 
 /*
- * After a server could not be reached it is left alone for so long, doubled
- * with each further miss up to four times: a crashed server is back after
- * some seconds, and each request that tries it meanwhile loses a connection
- * timeout of its objective.
+ * Initial backoff of a server that could not be reached, and the number of
+ * times it is doubled. Each request that tries such a server loses a connect
+ * timeout; a crashed server is usually back within seconds.
  */
-#define FW_SUSPECT_US (700 * FW_MSEC)
-#define FW_SUSPECT_DOUBLINGS 2
-/* Calls without an answer in a row after which a server is left alone. */
-#define FW_SILENT_MAX 2
-/* Refused runs in a row after which an engine is left alone. */
-#define FW_REFUSALS 2
-/* Weight of the newest answer in the moving means. */
+#define FW_BACKOFF_US (700 * FW_MSEC)
+#define FW_BACKOFF_DOUBLINGS_MAX 2
+/* Consecutive timeouts that start a backoff. */
+#define FW_TIMEOUTS_MAX 2
+/* Consecutive rejected runs that start a backoff. */
+#define FW_REJECTED_RUNS_MAX 2
+/* Weight of the newest response in the moving means. */
 #define FW_MEAN_WEIGHT 0.15
 
 struct fw_rl_server *
@@ -35,7 +34,7 @@
     FW_LIST_EACH (pos, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (strcmp(s->e.id, id) == 0) {
+        if (strcmp(s->entry.id, id) == 0) {
             return s;
         }
     }
@@ -59,127 +58,131 @@
 }
 
 int
-Fw_Servers_Usable(const struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_IsUsable(const struct fw_rl_server *s, int64_t now_us)
 {
-    return !s->gone && !s->e.draining && now_us >= s->suspect_us;
+    return !s->gone && !s->entry.draining && now_us >= s->backoff_until_us;
 }
 
 int
-Fw_Relay_Usable(const struct fw_relay *r, const char *id, int64_t now_us)
+Fw_Relay_IsServerUsable(const struct fw_relay *r, const char *id,
+                        int64_t now_us)
 {
     const struct fw_rl_server *s = Fw_Servers_Find(r, id);
 
-    return s && Fw_Servers_Usable(s, now_us);
+    return s && Fw_Servers_IsUsable(s, now_us);
 }
 
 int
-Fw_Servers_Switching(const struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_IsChangingStage(const struct fw_rl_server *s, int64_t now_us)
 {
-    return now_us < s->stage_us && s->e.stage != s->to_stage;
+    return now_us < s->stage_change_until_us &&
+           s->entry.stage != s->target_stage;
 }
 
 void
-Fw_Servers_Missed(struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_NoteUnreachable(struct fw_rl_server *s, int64_t now_us)
 {
-    int doublings = MIN(s->misses, FW_SUSPECT_DOUBLINGS);
+    int doublings = MIN(s->consecutive_backoffs, FW_BACKOFF_DOUBLINGS_MAX);
 
-    s->misses++;
-    s->suspect_us = now_us + (FW_SUSPECT_US << doublings);
+    s->consecutive_backoffs++;
+    s->backoff_until_us = now_us + (FW_BACKOFF_US << doublings);
 }
 
 /*
- * One answer that stays away may have been lost while the server is well: it
- * is left alone only after the second in a row. Otherwise each loss would
- * take an engine's memory away from everybody for a while.
+ * A single response may be lost although the server is healthy. A backoff for
+ * each would take an engine's memory out of use.
  */
 void
-Fw_Servers_Silent(struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_NoteTimeout(struct fw_rl_server *s, int64_t now_us)
 {
-    s->silent++;
-    if (s->silent >= FW_SILENT_MAX) {
-        Fw_Servers_Missed(s, now_us);
+    s->timeouts++;
+    if (s->timeouts >= FW_TIMEOUTS_MAX) {
+        Fw_Servers_NoteUnreachable(s, now_us);
     }
 }
 
 /*
- * An engine whose stage is being changed still gives reservations but runs
- * nothing for twelve seconds; all that is placed there meanwhile is read in
- * vain. One refusal may have another cause (the KV cache lapsed).
+ * An engine that changes its stage grants reservations but runs nothing for
+ * twelve seconds, so prefills for it are wasted. A single rejection may have
+ * another cause, such as an expired KV cache.
  */
 void
-Fw_Servers_Refused(struct fw_rl_server *s, int64_t now_us)
+Fw_Servers_NoteRejectedRun(struct fw_rl_server *s, int64_t now_us)
 {
-    s->refusals++;
-    if (s->refusals >= FW_REFUSALS) {
-        Fw_Servers_Missed(s, now_us);
+    s->rejected_runs++;
+    if (s->rejected_runs >= FW_REJECTED_RUNS_MAX) {
+        Fw_Servers_NoteUnreachable(s, now_us);
     }
 }
 
 void
-Fw_Servers_Served(struct fw_rl_server *s, int failed, int64_t took_us)
+Fw_Servers_NoteResponse(struct fw_rl_server *s, int failed, int64_t latency_us)
 {
-    s->misses = 0;
-    s->silent = 0;
-    s->errors += FW_MEAN_WEIGHT * ((failed ? 1.0 : 0.0) - s->errors);
-    if (took_us >= 0) {
-        s->took_us =
-            s->took_us == 0
-                ? (double)took_us
-                : s->took_us + FW_MEAN_WEIGHT * ((double)took_us - s->took_us);
+    s->consecutive_backoffs = 0;
+    s->timeouts = 0;
+    s->error_rate += FW_MEAN_WEIGHT * ((failed ? 1.0 : 0.0) - s->error_rate);
+    if (latency_us >= 0) {
+        s->latency_us =
+            s->latency_us == 0
+                ? (double)latency_us
+                : s->latency_us +
+                      FW_MEAN_WEIGHT * ((double)latency_us - s->latency_us);
     }
 }
 
 void
-Fw_Servers_Worked(struct fw_rl_server *s, int64_t took_us)
+Fw_Servers_NoteServiceTime(struct fw_rl_server *s, int64_t took_us)
 {
     double took = (double)took_us;
 
-    s->work_us = s->work_us == 0
-                     ? took
-                     : s->work_us + FW_MEAN_WEIGHT * (took - s->work_us);
+    s->service_us =
+        s->service_us == 0
+            ? took
+            : s->service_us + FW_MEAN_WEIGHT * (took - s->service_us);
 }
 
 static void
-forget(const struct fw_rl_server *s, struct fw_rl_acts *out)
+close_idle_connections(const struct fw_rl_server *s, struct fw_rl_actions *out)
 {
-    g_strlcpy(Fw_Acts_Add(out, FW_RL_DO_FORGET)->u.addr, s->e.addr,
-              FW_URL_MAX);
+    g_strlcpy(Fw_RelayActions_Add(out, FW_RL_DO_CLOSE_IDLE)->u.addr,
+              s->entry.addr, FW_URL_MAX);
 }
 
 static void
-drop(struct fw_relay *r, struct fw_rl_server *s, const char *why,
-     int64_t now_us, struct fw_rl_acts *out)
+remove_server(struct fw_relay *r, struct fw_rl_server *s, const char *why,
+              int64_t now_us, struct fw_rl_actions *out)
 {
-    Fw_Acts_Log(out, r, LOG_NOTICE, "server_gone",
-                "\"server\":\"%s\",\"addr\":\"%s\",\"why\":\"%s\"", s->e.id,
-                s->e.addr, why);
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "server_gone",
+                        "\"server\":\"%s\",\"addr\":\"%s\",\"why\":\"%s\"",
+                        s->entry.id, s->entry.addr, why);
     Fw_Poison_ServerLost(r, s, now_us, out);
-    forget(s, out);
+    close_idle_connections(s, out);
     s->gone = 1;
     Fw_List_Remove(&s->link);
     Fw_Servers_Unref(s);
 }
 
 static void
-add(struct fw_relay *r, const struct fw_rl_server_entry *e,
-    struct fw_rl_acts *out)
+add_server(struct fw_relay *r, const struct fw_rl_server_entry *e,
+           struct fw_rl_actions *out)
 {
     struct fw_rl_server *s = g_new0(struct fw_rl_server, 1);
 
-    s->e = *e;
+    s->entry = *e;
     s->refs = 1;
     s->listed = 1;
     s->hash = Fw_Hash_Str(e->id);
     Fw_List_Append(&r->servers, &s->link);
-    Fw_Acts_Log(out, r, LOG_NOTICE, "server_seen",
-                "\"server\":\"%s\",\"addr\":\"%s\",\"service\":\"%s\","
-                "\"domain\":\"%s\",\"stage\":%d",
-                e->id, e->addr, e->service, e->domain, (int)e->stage);
+    Fw_RelayActions_Log(out, r, LOG_NOTICE, "server_seen",
+                        "\"server\":\"%s\",\"addr\":\"%s\",\"service\":\"%s\","
+                        "\"domain\":\"%s\",\"stage\":%d",
+                        e->id, e->addr, e->service, e->domain, (int)e->stage);
 }
 
+/* An unknown start time matches any. */
 static int
-same_lifetime(const struct fw_rl_server_entry *a,
-              const struct fw_rl_server_entry *b)
+is_same_process(const struct fw_rl_server_entry *a,
+                const struct fw_rl_server_entry *b)
 {
     return strcmp(a->addr, b->addr) == 0 &&
            strcmp(a->service, b->service) == 0 &&
@@ -187,70 +190,71 @@
 }
 
 static void
-update(struct fw_relay *r, struct fw_rl_server *s,
-       const struct fw_rl_server_entry *e, struct fw_rl_acts *out)
+update_server(struct fw_relay *r, struct fw_rl_server *s,
+              const struct fw_rl_server_entry *e, struct fw_rl_actions *out)
 {
-    if (e->draining != s->e.draining || e->stage != s->e.stage) {
-        Fw_Acts_Log(out, r, LOG_NOTICE, "server_changed",
-                    "\"server\":\"%s\",\"draining\":%d,\"stage\":%d", e->id,
-                    e->draining, (int)e->stage);
+    if (e->draining != s->entry.draining || e->stage != s->entry.stage) {
+        Fw_RelayActions_Log(out, r, LOG_NOTICE, "server_changed",
+                            "\"server\":\"%s\",\"draining\":%d,\"stage\":%d",
+                            e->id, e->draining, (int)e->stage);
     }
-    if (e->draining && !s->e.draining) {
-        forget(s, out);
+    if (e->draining && !s->entry.draining) {
+        close_idle_connections(s, out);
     }
-    s->e = *e;
+    s->entry = *e;
     s->listed = 1;
-    s->lapse_us = 0;
+    s->removal_us = 0;
 }
 
 static int
-store_was_away(const struct fw_relay *r, int64_t now_us)
+is_in_relist_grace(const struct fw_relay *r, int64_t now_us)
 {
-    return r->store_back_us &&
-           now_us - r->store_back_us < FW_RL_STORE_RETURN_US;
+    return r->store_recovered_us &&
+           now_us - r->store_recovered_us < FW_RL_RELIST_GRACE_US;
 }
 
+/* Removes a server that is no longer listed, or schedules its removal. */
 static void
-lapse(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
-      struct fw_rl_acts *out)
+remove_unlisted(struct fw_relay *r, struct fw_rl_server *s, int64_t now_us,
+                struct fw_rl_actions *out)
 {
-    if (store_was_away(r, now_us)) {
-        if (!s->lapse_us) {
-            s->lapse_us = r->store_back_us + FW_RL_STORE_RETURN_US;
+    if (is_in_relist_grace(r, now_us)) {
+        if (!s->removal_us) {
+            s->removal_us = r->store_recovered_us + FW_RL_RELIST_GRACE_US;
         }
         return;
     }
-    drop(r, s, "no longer listed", now_us, out);
+    remove_server(r, s, "no longer listed", now_us, out);
 }
 
 void
-Fw_Relay_Server(struct fw_relay *r, const char *id,
-                const struct fw_rl_server_entry *entry, int64_t now_us,
-                struct fw_rl_acts *out)
+Fw_Relay_UpdateServer(struct fw_relay *r, const char *id,
+                      const struct fw_rl_server_entry *entry, int64_t now_us,
+                      struct fw_rl_actions *out)
 {
     struct fw_rl_server *s = Fw_Servers_Find(r, id);
 
     if (!entry) {
         if (s) {
-            lapse(r, s, now_us, out);
+            remove_unlisted(r, s, now_us, out);
         }
         return;
     }
-    if (s && !same_lifetime(&s->e, entry)) {
-        drop(r, s, "started anew", now_us, out);
+    if (s && !is_same_process(&s->entry, entry)) {
+        remove_server(r, s, "started anew", now_us, out);
         s = NULL;
     }
     if (s) {
-        update(r, s, entry, out);
+        update_server(r, s, entry, out);
     }
     else {
-        add(r, entry, out);
+        add_server(r, entry, out);
     }
-    Fw_Stream_Pump(r, now_us, out);
+    Fw_Stream_PlaceQueued(r, now_us, out);
 }
 
 void
-Fw_Relay_ListBegin(struct fw_relay *r)
+Fw_Relay_BeginServerList(struct fw_relay *r)
 {
     struct fw_list *pos;
 
@@ -260,36 +264,37 @@
 }
 
 void
-Fw_Relay_ListEnd(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Relay_EndServerList(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    r->list_known = 1;
+    r->has_server_list = 1;
     FW_LIST_EACH_SAFE (pos, tmp, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (!s->listed) {
-            lapse(r, s, now_us, out);
+            remove_unlisted(r, s, now_us, out);
         }
     }
 }
 
 void
-Fw_Relay_StoreLost(struct fw_relay *r)
+Fw_Relay_StoreUnreachable(struct fw_relay *r)
 {
-    r->watch.store_lost = 1;
+    r->store_sync.store_lost = 1;
 }
 
 void
-Fw_Relay_StoreBack(struct fw_relay *r, int64_t now_us)
+Fw_Relay_StoreRecovered(struct fw_relay *r, int64_t now_us)
 {
-    r->watch.store_lost = 0;
-    r->store_back_us = now_us;
+    r->store_sync.store_lost = 0;
+    r->store_recovered_us = now_us;
 }
 
 void
-Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_acts *out)
+Fw_Servers_Tick(struct fw_relay *r, int64_t now_us, struct fw_rl_actions *out)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -297,8 +302,9 @@
     FW_LIST_EACH_SAFE (pos, tmp, &r->servers) {
         struct fw_rl_server *s = FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
-        if (s->lapse_us && now_us >= s->lapse_us) {
-            drop(r, s, "not back after the store's return", now_us, out);
+        if (s->removal_us && now_us >= s->removal_us) {
+            remove_server(r, s, "not listed after the store's recovery",
+                          now_us, out);
         }
     }
 }
--- /dev/null
+++ b/src/relay/store_sync.c
@@ -0,0 +1,317 @@
+/*
+ * Synchronization with the platform's store. The store limits the request rate
+ * of all instances together, so only two hubs poll it. The other hubs query
+ * these for their offsets, leaves get them in their hub's replies, and an
+ * instance that is behind reads the store once.
+ *
+ * An age in an answer counts from when the query was sent, so that time in
+ * transit can't make data seem newer than it is. An instance that gets no
+ * answers polls the store itself.
+ */
+#include <errno.h>
+#include <msgpack.h>
+#include <string.h>
+
+#include "base/fault.h"
+#include "base/hash.h"
+#include "core/pack.h"
+#include "relay/relay_internal.h"
+
+#define FW_MSG_TYPE_QUERY 2
+#define FW_MSG_TYPE_ANSWER 3
+
+/* Hubs that poll the store: the first by hash of name that can reach it. */
+#define FW_STORE_READERS 2
+/* Interval of a hub's queries; the next one replaces an unanswered one. */
+#define FW_QUERY_INTERVAL_HUB_US (300 * FW_MSEC)
+/* Interval of a leaf's queries, sent only while its data is stale. */
+#define FW_QUERY_INTERVAL_LEAF_US (1 * FW_SEC)
+/* Age of its data at which a hub polls the store. */
+#define FW_STORE_STALE_US (3 * FW_SEC)
+/*
+ * Age of its data at which a leaf, or an instance that polls the store, sends
+ * queries as well: the store may reject some instances while it serves others,
+ * and an instance must have newer data before callers' keys expire. A poll
+ * without errors is faster than this.
+ */
+#define FW_QUERY_WHEN_STALE_US (2 * FW_SEC)
+/* Time after the start to wait for the list of members, and for a hub. */
+#define FW_MEMBER_LIST_WAIT_US (300 * FW_MSEC)
+#define FW_HUB_WAIT_US (1 * FW_SEC)
+/* A member is live for queries if it sent a message within this time. */
+#define FW_READER_TIMEOUT_US (2500 * FW_MSEC)
+
+static int
+is_live(const struct fw_rl_member *m, int64_t now_us)
+{
+    return m->last_message_us &&
+           now_us - m->last_message_us < FW_READER_TIMEOUT_US;
+}
+
+/*
+ * After its start a hub waits for the list of members, and a leaf for its hub,
+ * before it polls the store. Otherwise all of many instances that start at
+ * once would poll it.
+ */
+static int
+waits_after_start(const struct fw_relay *r, int64_t now_us)
+{
+    int64_t wait_us = r->x.is_hub ? FW_MEMBER_LIST_WAIT_US : FW_HUB_WAIT_US;
+
+    return !(r->store_sync.members_known && r->x.is_hub) &&
+           now_us - r->start_us < wait_us;
+}
+
+int
+Fw_Relay_ReadsStore(const struct fw_relay *r, int64_t now_us)
+{
+    struct fw_list *pos;
+    int readers_before = 0;
+
+    if (!r->rules || !r->has_server_list) {
+        return !waits_after_start(r, now_us);
+    }
+    if (!r->x.is_hub) {
+        return Fw_Relay_IsIsolated(r, now_us);
+    }
+    if (now_us - r->rules_fresh_us > FW_STORE_STALE_US) {
+        return 1;
+    }
+    FW_LIST_EACH (pos, &r->members) {
+        const struct fw_rl_member *m =
+            FW_LIST_ENTRY(pos, struct fw_rl_member, link);
+
+        readers_before += m->last_digest_us &&
+                          now_us - m->last_digest_us < FW_READER_TIMEOUT_US &&
+                          !m->store_unreachable && m->hash < r->hash;
+    }
+    return readers_before < FW_STORE_READERS;
+}
+
+/*
+ * In a fleet with instances that don't poll the store, polls wait half as
+ * long: the data of a reader may be up to two waits old, and that of the
+ * instances that query it is older by the time of a query.
+ */
+int64_t
+Fw_Relay_RulesPollUs(struct fw_relay *r, int64_t base_us, int64_t now_us)
+{
+    return Fw_Members_Count(r, now_us, NULL) <= FW_STORE_READERS ? base_us
+                                                                 : base_us / 2;
+}
+
+uint64_t
+Fw_StoreSync_RulesEnd(const struct fw_relay *r)
+{
+    return r->rules ? r->rules_offset + 1 : 0;
+}
+
+/* Adds the hashes of the entries, so that their order doesn't matter. */
+uint64_t
+Fw_StoreSync_ServerListHash(const struct fw_relay *r)
+{
+    struct fw_list *pos;
+    uint64_t sum = 0;
+
+    FW_LIST_EACH (pos, &r->servers) {
+        const struct fw_rl_server *s =
+            FW_LIST_ENTRY(pos, struct fw_rl_server, link);
+        uint64_t seed = (uint64_t)s->entry.born_ms * 8 +
+                        (uint64_t)s->entry.draining * 4 +
+                        (uint64_t)s->entry.stage;
+
+        sum += Fw_Hash_Bytes(s->entry.id, strlen(s->entry.id), seed);
+    }
+    return sum;
+}
+
+void
+Fw_StoreSync_NoteMember(struct fw_relay *r, const struct fw_rl_member *m)
+{
+    if (m->rules_end > Fw_StoreSync_RulesEnd(r)) {
+        g_strlcpy(r->store_sync.rules_source, m->addr, FW_URL_MAX);
+    }
+    if (m->list_offset > r->store_sync.list_offset &&
+        m->list_hash != Fw_StoreSync_ServerListHash(r)) {
+        g_strlcpy(r->store_sync.list_source, m->addr, FW_URL_MAX);
+    }
+}
+
+int
+Fw_StoreSync_IsBehind(const struct fw_relay *r, int64_t now_us)
+{
+    struct fw_list *pos;
+
+    FW_LIST_EACH (pos, &r->members) {
+        const struct fw_rl_member *m =
+            FW_LIST_ENTRY(pos, struct fw_rl_member, link);
+
+        if (is_live(m, now_us) && m->rules_end > Fw_StoreSync_RulesEnd(r)) {
+            return 1;
+        }
+    }
+    return 0;
+}
+
+static int
+take_addr(char from[FW_URL_MAX], char addr[FW_URL_MAX])
+{
+    if (!from[0]) {
+        return 0;
+    }
+    g_strlcpy(addr, from, FW_URL_MAX);
+    from[0] = 0;
+    return 1;
+}
+
+int
+Fw_Relay_TakeRulesSource(struct fw_relay *r, char addr[FW_URL_MAX])
+{
+    return take_addr(r->store_sync.rules_source, addr);
+}
+
+int
+Fw_Relay_TakeServerListSource(struct fw_relay *r, char addr[FW_URL_MAX])
+{
+    return take_addr(r->store_sync.list_source, addr);
+}
+
+void
+Fw_Relay_EndMemberList(struct fw_relay *r, int64_t now_us)
+{
+    r->store_sync.members_known = 1;
+    Fw_Hubs_UpdateRoles(r, now_us);
+}
+
+void
+Fw_Relay_SetServerListOffset(struct fw_relay *r, uint64_t offset)
+{
+    r->store_sync.list_offset = offset;
+}
+
+/* A random live member that polls the store, or NULL. */
+static struct fw_rl_member *
+pick_reader(struct fw_relay *r, int64_t now_us)
+{
+    struct fw_rl_member *picked = NULL;
+    struct fw_list *pos;
+    int n = 0;
+
+    FW_LIST_EACH (pos, &r->members) {
+        struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
+
+        if (m->reads_store && is_live(m, now_us) &&
+            g_rand_int_range(r->rand, 0, ++n) == 0) {
+            picked = m;
+        }
+    }
+    return picked;
+}
+
+void
+Fw_StoreSync_SendQuery(struct fw_relay *r, int64_t now_us,
+                       struct fw_rl_outbox *out)
+{
+    struct fw_rl_member *m;
+    GByteArray *msg;
+    msgpack_packer pk;
+
+    int64_t interval_us =
+        r->x.is_hub ? FW_QUERY_INTERVAL_HUB_US : FW_QUERY_INTERVAL_LEAF_US;
+
+    if (now_us - r->store_sync.query_us < interval_us ||
+        (!r->x.is_hub &&
+         now_us - r->rules_fresh_us < FW_QUERY_WHEN_STALE_US) ||
+        (Fw_Relay_ReadsStore(r, now_us) &&
+         now_us - r->rules_fresh_us < FW_QUERY_WHEN_STALE_US)) {
+        return;
+    }
+    m = pick_reader(r, now_us);
+    if (!m) {
+        return;
+    }
+    r->store_sync.query_us = now_us;
+    r->store_sync.nonce = ++r->store_sync.last_nonce;
+    msg = g_byte_array_new();
+    Fw_Pack_Begin(&pk, msg);
+    msgpack_pack_array(&pk, 3);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_QUERY);
+    msgpack_pack_uint64(&pk, r->opts.boot);
+    msgpack_pack_uint64(&pk, r->store_sync.nonce);
+    Fw_Outbox_Add(out, m->addr, msg);
+    g_byte_array_unref(msg);
+}
+
+static void
+send_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
+            int64_t now_us, struct fw_rl_outbox *out)
+{
+    GByteArray *reply;
+    msgpack_packer pk;
+
+    if (!r->rules) {
+        return;
+    }
+    reply = g_byte_array_new();
+    Fw_Pack_Begin(&pk, reply);
+    msgpack_pack_array(&pk, 5);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_ANSWER);
+    msgpack_pack_uint64(&pk, f[1].via.u64);
+    msgpack_pack_uint64(&pk, f[2].via.u64);
+    msgpack_pack_uint64(&pk, Fw_StoreSync_RulesEnd(r));
+    msgpack_pack_uint64(&pk, (uint64_t)MAX(now_us - r->rules_fresh_us, 0));
+    Fw_Outbox_Add(out, addr, reply);
+    g_byte_array_unref(reply);
+}
+
+static void
+apply_answer(struct fw_relay *r, const msgpack_object *f, const char *addr,
+             int64_t now_us)
+{
+    int64_t from_us = r->store_sync.query_us;
+
+    if (f[1].via.u64 != r->opts.boot || f[2].via.u64 != r->store_sync.nonce) {
+        return; /* not to the last query */
+    }
+    r->store_sync.nonce = 0;
+    if (f[3].via.u64 > Fw_StoreSync_RulesEnd(r)) {
+        g_strlcpy(r->store_sync.rules_source, addr, FW_URL_MAX);
+    }
+    else if (f[3].via.u64 == Fw_StoreSync_RulesEnd(r)) {
+        if (FW_FAULT("fresh-from-arrival")) {
+            from_us = now_us;
+        }
+        Fw_Relay_SetFreshAsOf(r, from_us - (int64_t)f[4].via.u64);
+    }
+}
+
+static int
+all_unsigned(const msgpack_object_array *a)
+{
+    for (uint32_t i = 0; i < a->size; i++) {
+        if (a->ptr[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+            return 0;
+        }
+    }
+    return 1;
+}
+
+int
+Fw_StoreSync_Read(struct fw_relay *r, const msgpack_object *o,
+                  const char *addr, int64_t now_us, struct fw_rl_outbox *out)
+{
+    const msgpack_object_array *a = &o->via.array;
+
+    if (o->type != MSGPACK_OBJECT_ARRAY || !all_unsigned(a)) {
+        return -EBADMSG;
+    }
+    if (a->size == 3 && a->ptr[0].via.u64 == FW_MSG_TYPE_QUERY) {
+        send_answer(r, a->ptr, addr, now_us, out);
+        return 0;
+    }
+    if (a->size == 5 && a->ptr[0].via.u64 == FW_MSG_TYPE_ANSWER) {
+        apply_answer(r, a->ptr, addr, now_us);
+        return 0;
+    }
+    return -EBADMSG;
+}
--- /dev/null
+++ b/src/relayd/store_apply.c
@@ -0,0 +1,95 @@
+/* Decodes records of the platform's store and applies them to the core. */
+#include <string.h>
+
+#include "http/conn.h"
+#include "io/json.h"
+#include "io/note.h"
+#include "relayd/store_internal.h"
+
+static void
+apply_config(struct fw_relayd *d, const struct fw_store_record *rec,
+             struct fw_rl_actions *acts)
+{
+    const char *why = "record deleted";
+    struct fw_rl_rules *config = NULL;
+
+    if (!Fw_Platform_IsConfigKey(rec->key)) {
+        return;
+    }
+    if (rec->value) {
+        config = Fw_Platform_ParseConfig(rec->value, rec->len, &why);
+    }
+    if (!config) {
+        Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
+    }
+    Fw_Relay_SetRules(d->relay, config, rec->offset, Fw_Conn_NowUs(), acts);
+    Fw_Rules_Unref(config);
+}
+
+static void
+apply_server(struct fw_relayd *d, const struct fw_store_record *rec,
+             struct fw_rl_actions *acts)
+{
+    struct fw_rl_server_entry e;
+    int64_t now = Fw_Conn_NowUs();
+
+    if (!rec->value) {
+        Fw_Relay_UpdateServer(d->relay, rec->key, NULL, now, acts);
+    }
+    else if (Fw_Platform_ParseServer(rec->key, rec->value, rec->len, &e) ==
+             0) {
+        Fw_Relay_UpdateServer(d->relay, rec->key, &e, now, acts);
+    }
+    else {
+        Fw_Note_Log(LOG_WARNING, "entry_unreadable", "server", rec->key, NULL);
+    }
+}
+
+static void
+apply_instance(struct fw_relayd *d, const struct fw_store_record *rec)
+{
+    JsonNode *root = rec->value ? Fw_Json_Parse(rec->value, rec->len) : NULL;
+    JsonObject *obj = root ? json_node_get_object(root) : NULL;
+    struct fw_rl_peer peer = {0};
+
+    g_strlcpy(peer.name, rec->key, sizeof(peer.name));
+    if (obj &&
+        Fw_Json_CopyStr(obj, "addr", peer.addr, sizeof(peer.addr)) == 0) {
+        /* Absent from registrations of older versions. */
+        Fw_Json_CopyStr(obj, "domain", peer.domain, sizeof(peer.domain));
+        Fw_Json_Int(obj, "cpu_ppm", &peer.cpu_ppm);
+        Fw_Relay_AddMember(d->relay, &peer, Fw_Conn_NowUs());
+    }
+    if (root) {
+        json_node_unref(root);
+    }
+}
+
+void
+Fw_StoreClient_ApplyRecords(struct fw_relayd *d, enum fw_store_topic topic,
+                            GHashTable *newest,
+                            const struct fw_store_response *response,
+                            struct fw_rl_actions *acts)
+{
+    for (guint i = 0; i < response->records->len; i++) {
+        const struct fw_store_record *rec =
+            &g_array_index(response->records, struct fw_store_record, i);
+
+        if (newest) {
+            Fw_PeerSnapshot_Update(newest, rec);
+        }
+        switch (topic) {
+        case FW_TOPIC_CONFIG:
+            apply_config(d, rec, acts);
+            break;
+        case FW_TOPIC_SERVERS:
+            apply_server(d, rec, acts);
+            break;
+        case FW_TOPIC_INSTANCES:
+            apply_instance(d, rec);
+            break;
+        case FW_TOPIC_LEADER:
+            break;
+        }
+    }
+}
--- /dev/null
+++ b/src/relayd/upstream.c
@@ -0,0 +1,248 @@
+/* Calls to upstreams, and forwarding of their responses to callers. */
+#include <errno.h>
+#include <string.h>
+
+#include "http/conn.h"
+#include "relayd/relayd_internal.h"
+
+/*
+ * Responses up to this size are buffered until complete, so that a truncated
+ * one can be replaced by a retry on another server.
+ */
+#define FW_BUFFERED_RESPONSE_BYTES (64 * 1024)
+/* Bytes queued for a slow caller above which its upstream is paused. */
+#define FW_CALLER_BACKLOG_BYTES (256 * 1024)
+
+void
+Fw_UpstreamCall_AddMetrics(struct fw_relayd *d)
+{
+    d->chunk_gap_s.name = "fw_phase_gap_seconds";
+    d->chunk_gap_s.help = "Between two parts of a response that is passed on";
+    Fw_Metrics_AddHistogram(Fw_Relay_Metrics(d->relay), &d->chunk_gap_s);
+}
+
+/* Records the time between two chunks of an unbuffered response. */
+static void
+observe_chunk_gap(struct fw_upstream_call *call)
+{
+    int64_t now = Fw_Conn_NowUs();
+
+    if (call->last_chunk_us && !call->buffered) {
+        Fw_Histogram_Add(&call->d->chunk_gap_s, now - call->last_chunk_us);
+    }
+    call->last_chunk_us = now;
+}
+
+void
+Fw_UpstreamCall_Free(gpointer data)
+{
+    struct fw_upstream_call *call = data;
+
+    if (call->exchange) {
+        Fw_Exchange_Abort(call->exchange);
+    }
+    if (call->fields) {
+        g_string_free(call->fields, TRUE);
+    }
+    g_byte_array_unref(call->body);
+    g_free(call);
+}
+
+void
+Fw_UpstreamCall_Remove(struct fw_relayd *d, uint64_t xid)
+{
+    g_hash_table_remove(d->upstream_calls, &xid);
+}
+
+static struct fw_caller_request *
+forward_target(const struct fw_upstream_call *call)
+{
+    struct fw_caller_request *c =
+        g_hash_table_lookup(call->d->requests_by_id, &call->caller_request_id);
+
+    return c && c->forwarded_xid == call->xid ? c : NULL;
+}
+
+/* Copies the response's fields without hop-by-hop fields and framing. */
+static GString *
+forwarded_fields(const struct fw_http_head *h)
+{
+    GString *out = g_string_sized_new(256);
+
+    for (int i = 0; i < h->n_fields; i++) {
+        const struct fw_http_field *f = &h->fields[i];
+
+        if (Fw_Http_IsHopByHop(h, f) || Fw_Http_FieldIs(f, "content-length")) {
+            continue;
+        }
+        Fw_Http_AppendField(out, f);
+    }
+    return out;
+}
+
+static void
+notify_begun(struct fw_upstream_call *call)
+{
+    struct fw_relayd *d = call->d;
+    struct fw_rl_actions acts;
+
+    call->response_started = 1;
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_ResponseBegan(d->relay, call->xid, &call->answer, Fw_Conn_NowUs(),
+                           &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
+}
+
+static enum fw_head_action
+on_head(void *ctx, const struct fw_http_head *h)
+{
+    struct fw_upstream_call *call = ctx;
+
+    if ((call->kind == FW_RL_UP_RUN || call->kind == FW_RL_UP_PREFILL) &&
+        !Fw_Platform_ResponseMatches(h, call->request_id)) {
+        return FW_HEAD_DISCARD;
+    }
+    Fw_Platform_ParseResponseHead(h, &call->answer);
+    call->fields = forwarded_fields(h);
+    call->content_length =
+        h->framing == FW_HTTP_CONTENT_LENGTH ? (int64_t)h->length : -1;
+    if (h->framing == FW_HTTP_NO_BODY) {
+        call->content_length = 0;
+    }
+    if (call->kind == FW_RL_UP_RUN && !call->answer.not_run &&
+        (!call->buffered ||
+         call->content_length > FW_BUFFERED_RESPONSE_BYTES)) {
+        notify_begun(call);
+    }
+    return FW_HEAD_ACCEPT;
+}
+
+static void
+on_body(void *ctx, const char *data, size_t len)
+{
+    struct fw_upstream_call *call = ctx;
+    struct fw_caller_request *to = forward_target(call);
+
+    if (call->kind == FW_RL_UP_RUN && !call->buffered) {
+        Fw_SseCounter_Add(&call->events, data, len);
+    }
+    if (to) {
+        observe_chunk_gap(call);
+        Fw_Caller_Data(to->caller, data, len);
+        if (Fw_Caller_Unsent(to->caller) > FW_CALLER_BACKLOG_BYTES) {
+            Fw_Exchange_Pause(call->exchange, 1);
+        }
+        return;
+    }
+    if (call->response_started) {
+        return; /* no caller to forward to */
+    }
+    g_byte_array_append(call->body, (const guint8 *)data, (guint)len);
+    if (call->body->len > FW_BUFFERED_RESPONSE_BYTES &&
+        call->kind == FW_RL_UP_RUN) {
+        notify_begun(call);
+    }
+}
+
+static void
+on_end(void *ctx)
+{
+    struct fw_upstream_call *call = ctx;
+    struct fw_relayd *d = call->d;
+    uint64_t xid = call->xid;
+    int64_t now = Fw_Conn_NowUs();
+    struct fw_rl_actions acts;
+
+    call->exchange = NULL;
+    call->complete = 1;
+    call->answer.events = call->events.events;
+    Fw_RelayActions_Init(&acts);
+    if (Fw_Platform_ParseResponseBody(call->kind, call->body->data,
+                                      call->body->len, &call->answer)) {
+        Fw_Relay_UpstreamFailed(d->relay, xid, -EBADMSG, 1, now, &acts);
+    }
+    else {
+        Fw_Relay_ResponseEnded(d->relay, xid, &call->answer, now, &acts);
+    }
+    Fw_Relayd_ExecuteActions(d, &acts);
+    Fw_UpstreamCall_Remove(d, xid);
+}
+
+static void
+on_fail(void *ctx, int err, enum fw_sent sent)
+{
+    struct fw_upstream_call *call = ctx;
+    struct fw_relayd *d = call->d;
+    uint64_t xid = call->xid;
+    struct fw_rl_actions acts;
+
+    call->exchange = NULL;
+    Fw_RelayActions_Init(&acts);
+    Fw_Relay_UpstreamFailed(d->relay, xid, err, sent == FW_SENT_SOME,
+                            Fw_Conn_NowUs(), &acts);
+    Fw_Relayd_ExecuteActions(d, &acts);
+    Fw_UpstreamCall_Remove(d, xid);
+}
+
+static const struct fw_exchange_ops ops = {
+    .head = on_head,
+    .body = on_body,
+    .end = on_end,
+    .fail = on_fail,
+};
+
+void
+Fw_UpstreamCall_Start(struct fw_relayd *d, const struct fw_rl_upstream_call *c)
+{
+    struct fw_caller_request *from =
+        g_hash_table_lookup(d->requests_by_id, &c->call);
+    struct fw_exchange_opts opts = {.reuse_idle_max_us = c->reuse_us,
+                                    .connect_timeout_us = c->connect_us};
+    struct fw_upstream_call *call = g_new0(struct fw_upstream_call, 1);
+    GString *head = g_string_sized_new(512);
+    GBytes *body = NULL;
+    int err = 0;
+
+    call->d = d;
+    call->xid = c->xid;
+    call->caller_request_id = c->call;
+    call->kind = c->kind;
+    call->buffered = c->buffer_response;
+    call->content_length = -1;
+    call->body = g_byte_array_new();
+    g_hash_table_insert(d->upstream_calls, &call->xid, call);
+    if (from) {
+        g_strlcpy(call->request_id, from->request_id, FW_ID_MAX);
+        opts.no_body =
+            c->kind == FW_RL_UP_RUN && Fw_Http_MethodIs(from->head, "HEAD");
+    }
+    Fw_Platform_WriteUpstreamRequest(c, from ? from->head : NULL,
+                                     from ? from->body : NULL,
+                                     d->opts.relay.name, head, &body);
+    call->exchange = Fw_Exchange_Start(d->pool, c->addr, head, body, &opts,
+                                       &ops, call, &err);
+    if (!call->exchange) {
+        /* Reported after the current actions; see Fw_Relayd_ExecuteActions. */
+        g_queue_push_tail(&d->failed_calls,
+                          g_memdup2(&c->xid, sizeof(c->xid)));
+    }
+    g_string_free(head, TRUE);
+    if (body) {
+        g_bytes_unref(body);
+    }
+}
+
+void
+Fw_UpstreamCall_Forward(struct fw_upstream_call *call,
+                        struct fw_caller_request *to)
+{
+    int64_t length =
+        call->complete ? (int64_t)call->body->len : call->content_length;
+
+    call->response_started = 1;
+    to->forwarded_xid = call->xid;
+    Fw_Caller_Start(to->caller, call->answer.status, call->fields->str,
+                    length);
+    Fw_Caller_Data(to->caller, call->body->data, call->body->len);
+    g_byte_array_set_size(call->body, 0);
+}
--- a/src/route/admit.c
+++ b/src/route/admit.c
@@ -1,17 +1,17 @@
 #include "route/policy.h"
 
-/* Under this, a caller that comes back finds the same queue. */
+/* A caller that retries sooner finds the queue unchanged. */
 #define FW_RETRY_AFTER_MIN_US (250 * FW_MSEC)
 
 int64_t
-Fw_Admit_LatestUs(const struct fw_admit *a)
+Fw_Admit_LatestStartUs(const struct fw_admission *a)
 {
     if (a->deadline_us) {
         return a->deadline_us - a->service_us - a->stream_us;
     }
     /*
-     * A prompt too long for the target on an idle engine would never be
-     * served if it were held to the target: it is only held to the queue.
+     * A prompt that would miss the target even on an idle engine is bounded
+     * by the queue limit alone; otherwise it would never be served.
      */
     if (a->service_us >= a->ttft_us) {
         return a->arrived_us + a->queue_max_us;
--- a/src/route/queue_cmd.c
+++ b/src/route/queue_cmd.c
@@ -4,7 +4,7 @@
 Fw_Queue_Init(struct fw_queue *q, int64_t quantum)
 {
     q->teams = g_hash_table_new(g_str_hash, g_str_equal);
-    Fw_List_Init(&q->round);
+    Fw_List_Init(&q->active_teams);
     q->n = 0;
     q->quantum = quantum;
 }
@@ -25,7 +25,7 @@
 }
 
 static struct fw_queue_team *
-team_of(struct fw_queue *q, const char *name)
+get_team(struct fw_queue *q, const char *name)
 {
     struct fw_queue_team *t = g_hash_table_lookup(q->teams, name);
 
@@ -33,20 +33,21 @@
         t = g_new0(struct fw_queue_team, 1);
         g_strlcpy(t->name, name, sizeof(t->name));
         Fw_List_Init(&t->items);
-        Fw_List_Append(&q->round, &t->link);
+        Fw_List_Append(&q->active_teams, &t->link);
         g_hash_table_insert(q->teams, t->name, t);
     }
     return t;
 }
 
-/* Before the first item whose latest start is @before_us or later. */
+/* Inserts before the first item whose latest start is @before_us or later. */
 static void
-insert(struct fw_queue_team *t, struct fw_queue_item *it, int64_t before_us)
+insert_item(struct fw_queue_team *t, struct fw_queue_item *it,
+            int64_t before_us)
 {
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &t->items) {
-        if (FW_LIST_ENTRY(pos, struct fw_queue_item, link)->latest_us >=
+        if (FW_LIST_ENTRY(pos, struct fw_queue_item, link)->latest_start_us >=
             before_us) {
             break;
         }
@@ -59,7 +60,7 @@
 void
 Fw_Queue_Put(struct fw_queue *q, struct fw_queue_item *it)
 {
-    insert(team_of(q, it->team_name), it, it->latest_us + 1);
+    insert_item(get_team(q, it->team_name), it, it->latest_start_us + 1);
     q->n++;
 }
 
@@ -83,9 +84,9 @@
 struct fw_queue_item *
 Fw_Queue_Take(struct fw_queue *q)
 {
-    while (!Fw_List_Empty(&q->round)) {
+    while (!Fw_List_Empty(&q->active_teams)) {
         struct fw_queue_team *t =
-            FW_LIST_ENTRY(q->round.next, struct fw_queue_team, link);
+            FW_LIST_ENTRY(q->active_teams.next, struct fw_queue_team, link);
         struct fw_queue_item *it =
             FW_LIST_ENTRY(t->items.next, struct fw_queue_item, link);
 
@@ -96,7 +97,7 @@
         }
         t->deficit += q->quantum;
         Fw_List_Remove(&t->link);
-        Fw_List_Append(&q->round, &t->link);
+        Fw_List_Append(&q->active_teams, &t->link);
     }
     return NULL;
 }
@@ -104,11 +105,11 @@
 void
 Fw_Queue_PutBack(struct fw_queue *q, struct fw_queue_item *it)
 {
-    struct fw_queue_team *t = team_of(q, it->team_name);
+    struct fw_queue_team *t = get_team(q, it->team_name);
 
-    insert(t, it, it->latest_us);
+    insert_item(t, it, it->latest_start_us);
     q->n++;
     t->deficit += it->tokens;
     Fw_List_Remove(&t->link);
-    Fw_List_Append(q->round.next, &t->link);
+    Fw_List_Append(q->active_teams.next, &t->link);
 }
--- a/src/route/route_msg.c
+++ b/src/route/route_msg.c
@@ -14,12 +14,12 @@
 }
 
 static void
-pack_item(msgpack_packer *pk, const struct fw_route_item *it)
+pack_item(msgpack_packer *pk, const struct fw_reserve_item *it)
 {
     msgpack_pack_array(pk, 9);
     msgpack_pack_uint64(pk, it->engine);
     msgpack_pack_int(pk, it->is_prefill);
-    msgpack_pack_int(pk, it->alone);
+    msgpack_pack_int(pk, it->exclusive);
     msgpack_pack_uint64(pk, it->serving);
     msgpack_pack_int64(pk, it->tokens);
     msgpack_pack_int64(pk, it->need_us);
@@ -29,10 +29,10 @@
 }
 
 static void
-pack_want(msgpack_packer *pk, const struct fw_route_want *w)
+pack_reserve(msgpack_packer *pk, const struct fw_route_reserve *w)
 {
     msgpack_pack_array(pk, 4);
-    msgpack_pack_int(pk, FW_ROUTE_ASK);
+    msgpack_pack_int(pk, FW_ROUTE_RESERVE);
     msgpack_pack_uint64(pk, w->ask);
     msgpack_pack_array(pk, (size_t)w->n);
     for (int i = 0; i < w->n; i++) {
@@ -45,18 +45,18 @@
 pack_reply(msgpack_packer *pk, const struct fw_route_reply *p)
 {
     msgpack_pack_array(pk, 5);
-    msgpack_pack_int(pk, FW_ROUTE_ANSWER);
+    msgpack_pack_int(pk, FW_ROUTE_REPLY);
     msgpack_pack_uint64(pk, p->ask);
     msgpack_pack_array(pk, (size_t)p->n);
     for (int i = 0; i < p->n; i++) {
-        const struct fw_route_verdict *v = &p->verdict[i];
+        const struct fw_reserve_result *result = &p->verdict[i];
 
         msgpack_pack_array(pk, 5);
-        msgpack_pack_uint64(pk, v->engine);
-        msgpack_pack_int(pk, (int)v->grant);
-        msgpack_pack_int64(pk, v->wait_us);
-        msgpack_pack_int64(pk, v->cached);
-        msgpack_pack_int64(pk, v->free);
+        msgpack_pack_uint64(pk, result->engine);
+        msgpack_pack_int(pk, (int)result->status);
+        msgpack_pack_int64(pk, result->wait_us);
+        msgpack_pack_int64(pk, result->cached);
+        msgpack_pack_int64(pk, result->free_slots);
     }
     msgpack_pack_array(pk, (size_t)p->n_loads);
     for (int i = 0; i < p->n_loads; i++) {
@@ -72,10 +72,10 @@
 Fw_Route_PackMsg(msgpack_packer *pk, const struct fw_route_msg *msg)
 {
     switch (msg->kind) {
-    case FW_ROUTE_ASK:
-        pack_want(pk, &msg->u.want);
+    case FW_ROUTE_RESERVE:
+        pack_reserve(pk, &msg->u.want);
         return;
-    case FW_ROUTE_ANSWER:
+    case FW_ROUTE_REPLY:
         pack_reply(pk, &msg->u.reply);
         return;
     case FW_ROUTE_RELEASE:
@@ -92,9 +92,9 @@
     msgpack_pack_int(pk, FW_ROUTE_NONE);
 }
 
-/* The array at @i with at most @max elements, else NULL. */
+/* Returns the array at @i, or NULL if it has more than @max elements. */
 static const msgpack_object *
-bounded(const msgpack_object *obj, uint32_t i, int max)
+unpack_bounded_array(const msgpack_object *obj, uint32_t i, int max)
 {
     const msgpack_object *arr = Fw_Unpack_Array(obj, i);
 
@@ -105,7 +105,7 @@
 unpack_hashes(const msgpack_object *obj, uint32_t i, uint64_t *hash, int max,
               int *n)
 {
-    const msgpack_object *arr = bounded(obj, i, max);
+    const msgpack_object *arr = unpack_bounded_array(obj, i, max);
 
     if (!arr) {
         return -EBADMSG;
@@ -119,9 +119,9 @@
     return 0;
 }
 
-/* A duration or count: never negative, so that sums cannot run away. */
+/* Unpacks a duration or count, bounded so that sums do not overflow. */
 static int
-unpack_amount(const msgpack_object *obj, uint32_t i, int64_t *out)
+unpack_non_negative(const msgpack_object *obj, uint32_t i, int64_t *out)
 {
     if (Fw_Unpack_I64(obj, i, out) || *out < 0 || *out > (1LL << 40)) {
         return -EBADMSG;
@@ -130,28 +130,29 @@
 }
 
 static int
-unpack_item(const msgpack_object *o, struct fw_route_item *it)
+unpack_item(const msgpack_object *o, struct fw_reserve_item *it)
 {
     int64_t prefill;
     int64_t alone;
 
     if (Fw_Unpack_U64(o, 0, &it->engine) || Fw_Unpack_I64(o, 1, &prefill) ||
         Fw_Unpack_I64(o, 2, &alone) || Fw_Unpack_U64(o, 3, &it->serving) ||
-        unpack_amount(o, 4, &it->tokens) ||
-        unpack_amount(o, 5, &it->need_us) || Fw_Unpack_U64(o, 6, &it->from) ||
-        unpack_amount(o, 7, &it->transfer_us)) {
+        unpack_non_negative(o, 4, &it->tokens) ||
+        unpack_non_negative(o, 5, &it->need_us) ||
+        Fw_Unpack_U64(o, 6, &it->from) ||
+        unpack_non_negative(o, 7, &it->transfer_us)) {
         return -EBADMSG;
     }
     it->is_prefill = prefill != 0;
-    it->alone = alone != 0;
+    it->exclusive = alone != 0;
     return unpack_hashes(o, 8, it->prefixes.hash, FW_PREFIX_LEVELS,
                          &it->prefixes.n);
 }
 
 static int
-unpack_want(const msgpack_object *o, struct fw_route_want *w)
+unpack_reserve(const msgpack_object *o, struct fw_route_reserve *w)
 {
-    const msgpack_object *arr = bounded(o, 2, FW_ROUTE_ITEMS_MAX);
+    const msgpack_object *arr = unpack_bounded_array(o, 2, FW_ROUTE_ITEMS_MAX);
 
     if (!arr || Fw_Unpack_U64(o, 1, &w->ask)) {
         return -EBADMSG;
@@ -167,32 +168,35 @@
 }
 
 static int
-unpack_verdict(const msgpack_object *o, struct fw_route_verdict *v)
+unpack_result(const msgpack_object *o, struct fw_reserve_result *result)
 {
     int64_t grant;
 
-    if (Fw_Unpack_U64(o, 0, &v->engine) || Fw_Unpack_I64(o, 1, &grant) ||
-        grant < 0 || grant >= FW_GRANT_KINDS ||
-        unpack_amount(o, 2, &v->wait_us) || unpack_amount(o, 3, &v->cached) ||
-        unpack_amount(o, 4, &v->free)) {
+    if (Fw_Unpack_U64(o, 0, &result->engine) || Fw_Unpack_I64(o, 1, &grant) ||
+        grant < 0 || grant >= FW_RESERVE_STATUSES ||
+        unpack_non_negative(o, 2, &result->wait_us) ||
+        unpack_non_negative(o, 3, &result->cached) ||
+        unpack_non_negative(o, 4, &result->free_slots)) {
         return -EBADMSG;
     }
-    v->grant = (enum fw_grant)grant;
+    result->status = (enum fw_reserve_status)grant;
     return 0;
 }
 
 static int
 unpack_reply(const msgpack_object *o, struct fw_route_reply *p)
 {
-    const msgpack_object *verdicts = bounded(o, 2, FW_ROUTE_ITEMS_MAX);
-    const msgpack_object *loads = bounded(o, 3, FW_ROUTE_LOADS_MAX);
+    const msgpack_object *results =
+        unpack_bounded_array(o, 2, FW_ROUTE_ITEMS_MAX);
+    const msgpack_object *loads =
+        unpack_bounded_array(o, 3, FW_ROUTE_LOADS_MAX);
 
-    if (!verdicts || !loads || Fw_Unpack_U64(o, 1, &p->ask)) {
+    if (!results || !loads || Fw_Unpack_U64(o, 1, &p->ask)) {
         return -EBADMSG;
     }
-    p->n = (int)verdicts->via.array.size;
+    p->n = (int)results->via.array.size;
     for (int i = 0; i < p->n; i++) {
-        if (unpack_verdict(&verdicts->via.array.ptr[i], &p->verdict[i])) {
+        if (unpack_result(&results->via.array.ptr[i], &p->verdict[i])) {
             return -EBADMSG;
         }
     }
@@ -201,8 +205,8 @@
         const msgpack_object *l = &loads->via.array.ptr[i];
 
         if (Fw_Unpack_U64(l, 0, &p->load[i].engine) ||
-            unpack_amount(l, 1, &p->load[i].wait_us) ||
-            unpack_amount(l, 2, &p->load[i].free)) {
+            unpack_non_negative(l, 1, &p->load[i].wait_us) ||
+            unpack_non_negative(l, 2, &p->load[i].free)) {
             return -EBADMSG;
         }
     }
@@ -222,9 +226,9 @@
     switch (kind) {
     case FW_ROUTE_NONE:
         return 0;
-    case FW_ROUTE_ASK:
-        return unpack_want(obj, &msg->u.want);
-    case FW_ROUTE_ANSWER:
+    case FW_ROUTE_RESERVE:
+        return unpack_reserve(obj, &msg->u.want);
+    case FW_ROUTE_REPLY:
         return unpack_reply(obj, &msg->u.reply);
     case FW_ROUTE_RELEASE:
         if (Fw_Unpack_U64(obj, 1, &msg->u.release.ask) ||
--- a/src/route/slots_query.c
+++ b/src/route/slots_query.c
@@ -3,16 +3,16 @@
 #include "route/slots.h"
 
 /*
- * A slot counts from its promise to its release. A report alone would miss
- * those whose KV is still on its way, and show those that are free again.
- * Slots that may come free until then are not counted on: a KV that finds no
- * slot is a wasted prefill.
+ * A slot counts from its reservation to its release; a report alone would
+ * miss slots whose KV has not arrived and include those freed since. Slots
+ * expected to become free are not counted on, since a KV that finds no slot
+ * wastes a prefill.
  */
 int
 Fw_Slots_Busy(const struct fw_slots *s)
 {
     const struct fw_list *pos;
-    int busy = s->extra;
+    int busy = s->other_busy;
 
     FW_LIST_EACH (pos, &s->holds) {
         busy += !FW_LIST_ENTRY(pos, struct fw_hold, link)->released_us;
@@ -30,9 +30,9 @@
 Fw_Slots_Fits(const struct fw_slots *s, int64_t tokens)
 {
     const struct fw_list *pos;
-    int64_t used = s->extra_kv + tokens;
+    int64_t used = s->other_kv_tokens + tokens;
 
-    if (s->kv_total == 0) {
+    if (s->kv_total_tokens == 0) {
         return 1;
     }
     FW_LIST_EACH (pos, &s->holds) {
@@ -40,18 +40,18 @@
 
         used += h->released_us ? 0 : h->tokens;
     }
-    return used <= s->kv_total;
+    return used <= s->kv_total_tokens;
 }
 
 int
-Fw_Slots_Alone(const struct fw_slots *s)
+Fw_Slots_IsExclusive(const struct fw_slots *s)
 {
     const struct fw_list *pos;
 
     FW_LIST_EACH (pos, &s->holds) {
         const struct fw_hold *h = FW_LIST_ENTRY(pos, struct fw_hold, link);
 
-        if (h->alone && !h->released_us) {
+        if (h->exclusive && !h->released_us) {
             return 1;
         }
     }
--- a/stand/journal.c
+++ b/stand/journal.c
@@ -1,10 +1,10 @@
-/* The journal of a port: what took effect. */
+/* Journal of the requests that took effect on a port. */
 #include "stand/port.h"
 
-#define JOURNAL_MAX 50000
+#define JOURNAL_MAX_LINES 50000
 
 static void
-add_header(const char *name, const char *value, gpointer data)
+add_string(const char *name, const char *value, gpointer data)
 {
     json_builder_set_member_name(data, name);
     json_builder_add_string_value(data, value);
@@ -29,24 +29,25 @@
 }
 
 void
-Fw_StandJournal_Add(struct fw_reply *r, const char *effect, const char *id)
+Fw_StandJournal_Add(struct fw_stand_reply *r, const char *effect,
+                    const char *id)
 {
-    struct fw_port *port = r->port;
+    struct fw_stand_port *port = r->port;
     JsonBuilder *b = json_builder_new();
     JsonNode *root;
 
     json_builder_begin_object(b);
     json_builder_set_member_name(b, "at_us");
     json_builder_add_int_value(b, g_get_monotonic_time());
-    add_header("stand", port->name, b);
-    add_header("effect", effect, b);
-    add_header("id", id, b);
-    add_header("method", soup_server_message_get_method(r->msg), b);
-    add_header("path", r->path, b);
+    add_string("stand", port->name, b);
+    add_string("effect", effect, b);
+    add_string("id", id, b);
+    add_string("method", soup_server_message_get_method(r->msg), b);
+    add_string("path", r->path, b);
     json_builder_set_member_name(b, "headers");
     json_builder_begin_object(b);
     soup_message_headers_foreach(
-        soup_server_message_get_request_headers(r->msg), add_header, b);
+        soup_server_message_get_request_headers(r->msg), add_string, b);
     json_builder_end_object(b);
     if (g_strcmp0(port->kind, "service") == 0) {
         add_body(b, r->msg);
@@ -56,14 +57,14 @@
     g_queue_push_tail(&port->journal, json_to_string(root, FALSE));
     json_node_unref(root);
     g_object_unref(b);
-    if (port->journal.length > JOURNAL_MAX) {
+    if (port->journal.length > JOURNAL_MAX_LINES) {
         g_free(g_queue_pop_head(&port->journal));
         port->journal_dropped++;
     }
 }
 
 char *
-Fw_StandJournal_Text(const struct fw_port *port)
+Fw_StandJournal_Text(const struct fw_stand_port *port)
 {
     GString *s = g_string_new(NULL);
 
@@ -79,7 +80,7 @@
 }
 
 void
-Fw_StandJournal_Clear(struct fw_port *port)
+Fw_StandJournal_Clear(struct fw_stand_port *port)
 {
     char *line;
 
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -4,20 +4,20 @@
 #include <string.h>
 
 static char *
-peer_name(int i)
+replica_name(int i)
 {
     return g_strdup_printf("fold%d", i);
 }
 
-static struct fw_fold *
-new_fold(const struct fw_rig *rig, int i)
+static struct fw_config_replica *
+new_replica(const struct fw_rig *rig, int i)
 {
-    char *name = peer_name(i);
-    struct fw_fold *f = Fw_Fold_New(
+    char *name = replica_name(i);
+    struct fw_config_replica *rep = Fw_ConfigReplica_New(
         name, (uint32_t)(i + 1 + rig->now / FW_RIG_STEP_US), NULL, rig->now);
 
     g_free(name);
-    return f;
+    return rep;
 }
 
 static void
@@ -33,7 +33,7 @@
 new_operate(struct fw_rig *rig, int i)
 {
     struct fw_self *self = &rig->selves[i];
-    char *name = peer_name(i);
+    char *name = replica_name(i);
 
     g_strlcpy(self->name, name, sizeof(self->name));
     self->boot = 1764748800000;
@@ -45,7 +45,7 @@
 view_of(const struct fw_rig *rig, int i)
 {
     return (struct fw_operate_view){.self = &rig->selves[i],
-                                    .fold = rig->folds[i]};
+                                    .fold = rig->replicas[i]};
 }
 
 struct fw_rig *
@@ -60,7 +60,7 @@
     rig->notes = g_hash_table_new(g_str_hash, g_str_equal);
     rig->answers = g_ptr_array_new_with_free_func(free_answer);
     for (int i = 0; i < n; i++) {
-        rig->folds[i] = new_fold(rig, i);
+        rig->replicas[i] = new_replica(rig, i);
         rig->operates[i] = new_operate(rig, i);
     }
     return rig;
@@ -71,7 +71,7 @@
 {
     for (int i = 0; i < rig->n; i++) {
         Fw_Operate_Free(rig->operates[i]);
-        Fw_Fold_Free(rig->folds[i]);
+        Fw_ConfigReplica_Free(rig->replicas[i]);
     }
     g_ptr_array_unref(rig->answers);
     g_ptr_array_unref(rig->config.records);
@@ -83,8 +83,8 @@
 void
 Fw_Rig_Restart(struct fw_rig *rig, int i)
 {
-    Fw_Fold_Free(rig->folds[i]);
-    rig->folds[i] = new_fold(rig, i);
+    Fw_ConfigReplica_Free(rig->replicas[i]);
+    rig->replicas[i] = new_replica(rig, i);
     memset(rig->reads[i], 0, sizeof(rig->reads[i]));
 }
 
@@ -111,10 +111,10 @@
 }
 
 void
-Fw_Rig_AgeOut(struct fw_rig_stream *s, uint64_t keep)
+Fw_Rig_Expire(struct fw_rig_stream *s, uint64_t keep)
 {
     if (s->records->len > keep) {
-        s->gone = s->records->len - keep;
+        s->n_expired = s->records->len - keep;
     }
 }
 
@@ -125,12 +125,12 @@
 }
 
 static void
-do_actions(struct fw_rig *rig, int i, struct fw_actions *out)
+execute_actions(struct fw_rig *rig, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
-    while ((a = Fw_Actions_Take(out))) {
-        Fw_Rig_Carry(rig, i, a);
+    while ((a = Fw_Actions_Pop(out))) {
+        Fw_Rig_Execute(rig, i, a);
     }
 }
 
@@ -141,18 +141,20 @@
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .err = err,
                                .sent_us = p->sent_us,
-                               .oldest = s->gone + 1,
-                               .end = s->records->len + 1};
+                               .oldest_offset = s->n_expired + 1,
+                               .end_offset = s->records->len + 1};
     struct fw_actions out;
 
     g_strlcpy(r.stream, p->read.stream, sizeof(r.stream));
     p->open = 0;
-    r.first = MIN(MAX(p->read.from, r.oldest), r.end);
-    r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
-    r.records = (const char *const *)s->records->pdata + (r.first - 1);
+    r.first_offset =
+        MIN(MAX(p->read.from_offset, r.oldest_offset), r.end_offset);
+    r.n =
+        (int)MIN((uint64_t)p->read.max_records, r.end_offset - r.first_offset);
+    r.records = (const char *const *)s->records->pdata + (r.first_offset - 1);
     Fw_Actions_Init(&out);
-    Fw_Fold_OnRecords(rig->folds[i], &r, rig->now, &out);
-    do_actions(rig, i, &out);
+    Fw_ConfigReplica_OnRecords(rig->replicas[i], &r, rig->now, &out);
+    execute_actions(rig, i, &out);
 }
 
 static void
@@ -166,10 +168,10 @@
             continue;
         }
         s = stream_of(rig, p->read.stream);
-        if (rig->down || rig->cut[i]) {
+        if (rig->log_down || rig->partitioned[i]) {
             answer_read(rig, i, p, -EIO);
         }
-        else if (p->read.from <= s->records->len ||
+        else if (p->read.from_offset <= s->records->len ||
                  rig->now >= p->sent_us + p->read.wait_us) {
             answer_read(rig, i, p, 0);
         }
@@ -177,7 +179,7 @@
 }
 
 static void
-keep_read(struct fw_rig *rig, int i, const struct fw_log_read *read)
+store_read(struct fw_rig *rig, int i, const struct fw_log_read *read)
 {
     for (int k = 0; k < 4; k++) {
         if (!rig->reads[i][k].open) {
@@ -186,7 +188,7 @@
             return;
         }
     }
-    g_error("more reads at once than expected");
+    g_error("too many pending reads");
 }
 
 static void
@@ -194,11 +196,11 @@
 {
     struct fw_rig_stream *s = stream_of(rig, p->stream);
     struct fw_log_appended done = {.ticket = p->ticket,
-                                   .first = s->records->len + 1};
+                                   .first_offset = s->records->len + 1};
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
-    if (rig->down || rig->cut[i]) {
+    if (rig->log_down || rig->partitioned[i]) {
         done.err = -EAGAIN;
     }
     if (!done.err && rig->drop_appends > 0) {
@@ -219,12 +221,12 @@
         Fw_Operate_OnAppended(rig->operates[i], &view, &done, rig->now, &out);
     }
     else {
-        Fw_Fold_OnAppended(rig->folds[i], &done, rig->now, &out);
+        Fw_ConfigReplica_OnAppended(rig->replicas[i], &done, rig->now, &out);
     }
-    do_actions(rig, i, &out);
+    execute_actions(rig, i, &out);
 }
 
-/* Messages go through the wire form, so that it is tested too. */
+/* Delivers a message, encoded and decoded as on the wire. */
 static void
 send_msg(struct fw_rig *rig, int i, const struct fw_peer_send *p)
 {
@@ -233,7 +235,7 @@
     msgpack_unpacked msg;
     struct fw_msg got;
     struct fw_actions out;
-    char *from = peer_name(i);
+    char *from = replica_name(i);
     int to = p->to[4] - '0';
 
     msgpack_sbuffer_init(&buf);
@@ -244,10 +246,10 @@
                   MSGPACK_UNPACK_SUCCESS);
     g_assert_true(Fw_Msg_Unpack(&msg.data, &got) == 0);
     Fw_Actions_Init(&out);
-    if (!rig->cut[i] && !rig->cut[to]) {
-        Fw_Fold_OnMsg(rig->folds[to], from, "addr", &got.u.config, rig->now,
-                      &out);
-        do_actions(rig, to, &out);
+    if (!rig->partitioned[i] && !rig->partitioned[to]) {
+        Fw_ConfigReplica_OnMsg(rig->replicas[to], from, "addr", &got.u.config,
+                               rig->now, &out);
+        execute_actions(rig, to, &out);
     }
     Fw_Msg_Clear(&got);
     msgpack_unpacked_destroy(&msg);
@@ -256,14 +258,14 @@
 }
 
 static void
-after_fold(struct fw_rig *rig, int i)
+update_operate(struct fw_rig *rig, int i)
 {
     struct fw_operate_view view = view_of(rig, i);
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    Fw_Operate_AfterFold(rig->operates[i], &view, rig->now, &out);
-    do_actions(rig, i, &out);
+    Fw_Operate_AnswerPending(rig->operates[i], &view, rig->now, &out);
+    execute_actions(rig, i, &out);
 }
 
 void
@@ -277,15 +279,15 @@
     g_strlcpy(c.method, method, sizeof(c.method));
     c.body = body ? g_bytes_new_static(body, strlen(body)) : NULL;
     Fw_Actions_Init(&out);
-    Fw_Operate_Open(rig->operates[i], &view, &c, rig->now, &out);
-    do_actions(rig, i, &out);
+    Fw_Operate_HandleCall(rig->operates[i], &view, &c, rig->now, &out);
+    execute_actions(rig, i, &out);
     if (c.body) {
         g_bytes_unref(c.body);
     }
 }
 
 static void
-keep_answer(struct fw_rig *rig, const struct fw_call_answer *a)
+store_answer(struct fw_rig *rig, const struct fw_call_response *a)
 {
     struct fw_rig_answer *kept = g_new0(struct fw_rig_answer, 1);
     size_t len;
@@ -298,7 +300,7 @@
 }
 
 const struct fw_rig_answer *
-Fw_Rig_Answer(const struct fw_rig *rig, uint64_t call)
+Fw_Rig_FindAnswer(const struct fw_rig *rig, uint64_t call)
 {
     for (unsigned i = 0; i < rig->answers->len; i++) {
         const struct fw_rig_answer *a = g_ptr_array_index(rig->answers, i);
@@ -311,19 +313,19 @@
 }
 
 void
-Fw_Rig_Carry(struct fw_rig *rig, int i, struct fw_action *a)
+Fw_Rig_Execute(struct fw_rig *rig, int i, struct fw_action *a)
 {
     int n;
 
     switch (a->kind) {
     case FW_ACT_LOG_READ:
-        keep_read(rig, i, &a->u.read);
+        store_read(rig, i, &a->u.read);
         break;
     case FW_ACT_LOG_APPEND:
         append(rig, i, &a->u.append);
         break;
-    case FW_ACT_CALL_ANSWER:
-        keep_answer(rig, &a->u.answer);
+    case FW_ACT_CALL_RESPONSE:
+        store_answer(rig, &a->u.answer);
         break;
     case FW_ACT_PEER_SEND:
         send_msg(rig, i, &a->u.send);
@@ -350,10 +352,10 @@
             struct fw_actions out;
 
             Fw_Actions_Init(&out);
-            Fw_Fold_Tick(rig->folds[i], rig->now, &out);
-            do_actions(rig, i, &out);
+            Fw_ConfigReplica_Tick(rig->replicas[i], rig->now, &out);
+            execute_actions(rig, i, &out);
             serve_reads(rig, i);
-            after_fold(rig, i);
+            update_operate(rig, i);
         }
     }
 }
@@ -362,13 +364,13 @@
 Fw_Rig_Rate(const struct fw_rig *rig, int i, const char *name)
 {
     const struct fw_team *team =
-        Fw_Config_Team(Fw_Fold_Config(rig->folds[i]), name);
+        Fw_Config_FindTeam(Fw_ConfigReplica_Config(rig->replicas[i]), name);
 
     return team ? team->rate : -1;
 }
 
 int
-Fw_Rig_Notes(const struct fw_rig *rig, const char *event)
+Fw_Rig_CountNotes(const struct fw_rig *rig, const char *event)
 {
     return GPOINTER_TO_INT(g_hash_table_lookup(rig->notes, event));
 }
--- a/tests/config/test_fold.c
+++ b/tests/config/test_fold.c
@@ -1,7 +1,7 @@
-/* The fold of the configuration log: verdicts on records, one by one. */
+/* Verdicts on single records of the configuration log. */
 #include <check.h>
 
-#include "config/fold.h"
+#include "config/replica.h"
 #include "tests/base/suite.h"
 
 #define FW_REC(id, items)                                                     \
@@ -14,7 +14,7 @@
 struct verdict_case {
     const char *record;
     const char *verdict;
-    int64_t rate_after; /* of team a, -1 when there is none */
+    int64_t rate_after; /* of team a, -1 if it doesn't exist */
 };
 
 static const struct verdict_case verdicts[] = {
@@ -43,29 +43,28 @@
 };
 
 /*
- * Records reach the log from several operators, from tools of another
- * version, and by mistake. A caller would notice a wrong verdict as a rate
- * that nobody asked for, or as an instance that stops at a bad record.
+ * Guards against wrong values from conflicting, repeated or malformed records,
+ * and against replicas that stop at one.
  */
-START_TEST(each_record_gets_its_verdict)
+START_TEST(records_get_their_verdicts)
 {
-    struct fw_state *st = Fw_State_New();
+    struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_change_result res;
 
     for (size_t i = 0; i < G_N_ELEMENTS(verdicts); i++) {
         const struct verdict_case *c = &verdicts[i];
         const struct fw_team *team;
 
-        Fw_State_Apply(st, c->record, &res);
+        Fw_ConfigState_Apply(st, c->record, &res);
         ck_assert_msg(!strcmp(Fw_Change_VerdictName(res.verdict), c->verdict),
                       "record %zu: %s (%s)", i + 1,
-                      Fw_Change_VerdictName(res.verdict), res.why.text);
-        team = Fw_Config_Team(st->cfg, "a");
+                      Fw_Change_VerdictName(res.verdict), res.error.text);
+        team = Fw_Config_FindTeam(st->cfg, "a");
         ck_assert_int_eq(team ? team->rate : -1, c->rate_after);
-        ck_assert_uint_eq(st->cfg->offset, i + 2);
+        ck_assert_uint_eq(st->cfg->next_offset, i + 2);
         ck_assert_uint_eq(st->audit.n, i + 1);
     }
-    Fw_State_Free(st);
+    Fw_ConfigState_Free(st);
 }
 END_TEST
 
@@ -74,6 +73,6 @@
 {
     TCase *tc = Fw_Suite_New("fold");
 
-    tcase_add_test(tc, each_record_gets_its_verdict);
+    tcase_add_test(tc, records_get_their_verdicts);
     return Fw_Suite_Run(tc);
 }
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -1,4 +1,4 @@
-/* The wire's words, decoded once and written back. */
+/* Parsing and writing of the platform's wire format. */
 #include <errno.h>
 #include <string.h>
 
@@ -7,38 +7,38 @@
 #include "tests/base/suite.h"
 
 static void
-head_of(const char *text, struct fw_http_head *h)
+parse_head(const char *text, struct fw_http_head *h)
 {
-    ck_assert_int_gt(Fw_Http_ReadHead(FW_HTTP_REQUEST, text, strlen(text), h),
+    ck_assert_int_gt(Fw_Http_ParseHead(FW_HTTP_REQUEST, text, strlen(text), h),
                      0);
 }
 
 #define FW_HEAD "POST /a/b?c=d HTTP/1.1\r\nHost: H.Example:80\r\n"
 
-START_TEST(a_request_is_decoded)
+START_TEST(a_request_is_parsed)
 {
     struct fw_http_head h;
-    struct fw_rl_ask a;
+    struct fw_rl_request_info a;
 
-    head_of(FW_HEAD "Request-Id: 9c\r\nAuthorization: bearer key1\r\n"
-                    "Deadline-Ms: 1500\r\nToken-Counts: 1460, 80\r\n"
-                    "Length-Hint: 44\r\nLast-Event-Id: 7\r\n\r\n",
-            &h);
-    ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), 0);
+    parse_head(FW_HEAD "Request-Id: 9c\r\nAuthorization: bearer key1\r\n"
+                       "Deadline-Ms: 1500\r\nToken-Counts: 1460, 80\r\n"
+                       "Length-Hint: 44\r\nLast-Event-Id: 7\r\n\r\n",
+               &h);
+    ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), 0);
     ck_assert_str_eq(a.id, "9c");
     ck_assert_str_eq(a.host, "h.example");
     ck_assert_str_eq(a.path, "/a/b");
     ck_assert_str_eq(a.key, "key1");
-    ck_assert_int_eq(a.left_us, 1500 * FW_MSEC);
+    ck_assert_int_eq(a.timeout_us, 1500 * FW_MSEC);
     ck_assert_int_eq(a.tokens_in, 1460);
-    ck_assert_int_eq(a.tokens_out, 80);
-    ck_assert_int_eq(a.hint_out, 44);
-    ck_assert_int_eq(a.last_event, 7);
+    ck_assert_int_eq(a.tokens_out_max, 80);
+    ck_assert_int_eq(a.tokens_out_hint, 44);
+    ck_assert_int_eq(a.last_event_id, 7);
     Fw_Http_ClearHead(&h);
 }
 END_TEST
 
-/* Fields that can't be what they should: the request is refused. */
+/* Guards against malformed fields that are ignored or misread. */
 static const char *const bad_fields[] = {
     "Deadline-Ms: soon\r\n",          "Deadline-Ms: -1\r\n",
     "Deadline-Ms: 1.5\r\n",           "Token-Counts: 5\r\n",
@@ -47,20 +47,20 @@
     "Last-Event-Id: 1x\r\n",
 };
 
-START_TEST(a_field_that_cannot_be_read_is_an_error)
+START_TEST(malformed_fields_are_rejected)
 {
     char *text = g_strdup_printf(FW_HEAD "%s\r\n", bad_fields[_i]);
     struct fw_http_head h;
-    struct fw_rl_ask a;
+    struct fw_rl_request_info a;
 
-    head_of(text, &h);
-    ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), -EBADMSG);
+    parse_head(text, &h);
+    ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), -EBADMSG);
     Fw_Http_ClearHead(&h);
     g_free(text);
 }
 END_TEST
 
-START_TEST(an_overlong_or_foreign_key_is_no_key)
+START_TEST(overlong_keys_and_other_schemes_are_no_key)
 {
     static const char *const fields[] = {
         "Authorization: Basic abc\r\n", "Authorization: Bearer\r\n",
@@ -69,37 +69,37 @@
         "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n"};
     char *text = g_strdup_printf(FW_HEAD "%s\r\n", fields[_i]);
     struct fw_http_head h;
-    struct fw_rl_ask a;
+    struct fw_rl_request_info a;
 
-    head_of(text, &h);
-    ck_assert_int_eq(Fw_Platform_ReadAsk(&h, NULL, &a), 0);
+    parse_head(text, &h);
+    ck_assert_int_eq(Fw_Platform_ParseRequest(&h, NULL, &a), 0);
     ck_assert_str_eq(a.key, "");
     Fw_Http_ClearHead(&h);
     g_free(text);
 }
 END_TEST
 
-START_TEST(a_call_is_written_with_the_routers_own_fields)
+START_TEST(forwarded_requests_carry_the_routers_fields)
 {
-    struct fw_rl_up_call c = {.kind = FW_RL_UP_RUN,
-                              .addr = "10.0.0.1:80",
-                              .server = "i-1",
-                              .team = "t",
-                              .left_us = 1234567,
-                              .urgency = 3,
-                              .hold = "H",
-                              .kv_addr = "10.0.0.2:80",
-                              .kv = "K"};
+    struct fw_rl_upstream_call c = {.kind = FW_RL_UP_RUN,
+                                    .addr = "10.0.0.1:80",
+                                    .server = "i-1",
+                                    .team = "t",
+                                    .timeout_us = 1234567,
+                                    .priority = 3,
+                                    .reservation = "H",
+                                    .kv_addr = "10.0.0.2:80",
+                                    .kv_handle = "K"};
     GString *out = g_string_new(NULL);
     struct fw_http_head h;
     GBytes *body;
     GBytes *sent = g_bytes_new_static("hi", 2);
 
-    head_of(FW_HEAD "Content-Length: 2\r\nAuthorization: Bearer k\r\n"
-                    "Tenant: x\r\nKv-Hold: x\r\nDeadline-Ms: 9\r\n"
-                    "Connection: X\r\nX: y\r\nAccept: z\r\n\r\n",
-            &h);
-    Fw_Platform_WriteCall(&c, &h, sent, "me", out, &body);
+    parse_head(FW_HEAD "Content-Length: 2\r\nAuthorization: Bearer k\r\n"
+                       "Tenant: x\r\nKv-Hold: x\r\nDeadline-Ms: 9\r\n"
+                       "Connection: X\r\nX: y\r\nAccept: z\r\n\r\n",
+               &h);
+    Fw_Platform_WriteUpstreamRequest(&c, &h, sent, "me", out, &body);
     ck_assert_str_eq(out->str, "POST /a/b?c=d HTTP/1.1\r\n"
                                "Host: H.Example:80\r\n"
                                "Accept: z\r\n"
@@ -118,13 +118,13 @@
 }
 END_TEST
 
-/* Calls of the router's own. */
+/* Requests that the router sends on its own behalf. */
 static const struct {
-    struct fw_rl_up_call call;
+    struct fw_rl_upstream_call call;
     const char *head;
     const char *body;
 } calls[] = {
-    {{.kind = FW_RL_UP_HOLD,
+    {{.kind = FW_RL_UP_RESERVE,
       .addr = "a:1",
       .server = "i",
       .tokens = 32,
@@ -133,23 +133,29 @@
      "Content-Type: application/json\r\nContent-Length: 26\r\n"
      "Expect-Instance: i\r\n\r\n",
      "{\"Tokens\":32,\"TtlMs\":2000}"},
-    {{.kind = FW_RL_UP_DROP_HOLD, .addr = "a:1", .server = "i", .hold = "H"},
+    {{.kind = FW_RL_UP_RELEASE,
+      .addr = "a:1",
+      .server = "i",
+      .reservation = "H"},
      "DELETE /-/hold-drop/H HTTP/1.1\r\nHost: a:1\r\n"
      "Expect-Instance: i\r\n\r\n",
      NULL},
-    {{.kind = FW_RL_UP_DROP_KV, .addr = "a:1", .server = "i", .kv = "K"},
+    {{.kind = FW_RL_UP_FREE_KV,
+      .addr = "a:1",
+      .server = "i",
+      .kv_handle = "K"},
      "DELETE /-/kv-handle/K HTTP/1.1\r\nHost: a:1\r\n"
      "Expect-Instance: i\r\n\r\n",
      NULL},
     {{.kind = FW_RL_UP_REPORT, .addr = "a:1", .server = "i"},
      "GET /-/report HTTP/1.1\r\nHost: a:1\r\nExpect-Instance: i\r\n\r\n",
      NULL},
-    {{.kind = FW_RL_UP_STAGE,
+    {{.kind = FW_RL_UP_SET_STAGE,
       .addr = "a:1",
       .server = "i",
       .stage = FW_RL_STAGE_PREFILL,
       .fence = 41,
-      .expected = 2},
+      .expected_orders = 2},
      "POST /-/order HTTP/1.1\r\nHost: a:1\r\n"
      "Content-Type: application/json\r\nContent-Length: 84\r\n"
      "Expect-Instance: i\r\n\r\n",
@@ -157,12 +163,13 @@
      "\"FencingToken\":41,\"Expected\":2}"},
 };
 
-START_TEST(a_call_of_the_routers_own_is_written)
+START_TEST(requests_of_the_routers_own_are_written)
 {
     GString *out = g_string_new(NULL);
     GBytes *body = NULL;
 
-    Fw_Platform_WriteCall(&calls[_i].call, NULL, NULL, "me", out, &body);
+    Fw_Platform_WriteUpstreamRequest(&calls[_i].call, NULL, NULL, "me", out,
+                                     &body);
     if (calls[_i].body) {
         gsize len;
         const char *data = g_bytes_get_data(body, &len);
@@ -180,16 +187,16 @@
 }
 END_TEST
 
-/* Answers' bodies: @want is the name read, NULL for an error. */
+/* @want: the handle read from the body, NULL for an error. */
 static const struct {
-    enum fw_rl_up_kind kind;
+    enum fw_rl_upstream_kind kind;
     const char *body;
     const char *want;
 } bodies[] = {
-    {FW_RL_UP_HOLD, "{\"Hold\":\"h1\"}", "h1"},
-    {FW_RL_UP_HOLD, "{\"Hold\":7}", NULL},
-    {FW_RL_UP_HOLD, "{\"Hold\":\"\"}", NULL},
-    {FW_RL_UP_HOLD, "nonsense", NULL},
+    {FW_RL_UP_RESERVE, "{\"Hold\":\"h1\"}", "h1"},
+    {FW_RL_UP_RESERVE, "{\"Hold\":7}", NULL},
+    {FW_RL_UP_RESERVE, "{\"Hold\":\"\"}", NULL},
+    {FW_RL_UP_RESERVE, "nonsense", NULL},
     {FW_RL_UP_PREFILL, "{\"HandleId\":\"k1\",\"Tokens\":5,\"Version\":1}",
      "k1"},
     {FW_RL_UP_PREFILL, "{\"Tokens\":5}", NULL},
@@ -199,36 +206,37 @@
     {FW_RL_UP_RUN, "whatever it says", ""},
 };
 
-START_TEST(the_body_of_an_answer_is_decoded)
+START_TEST(response_bodies_are_parsed)
 {
-    struct fw_rl_up_answer a = {.status = 200};
-    int rc = Fw_Platform_ReadBody(bodies[_i].kind, bodies[_i].body,
-                                  strlen(bodies[_i].body), &a);
+    struct fw_rl_upstream_response a = {.status = 200};
+    int rc = Fw_Platform_ParseResponseBody(bodies[_i].kind, bodies[_i].body,
+                                           strlen(bodies[_i].body), &a);
 
     if (!bodies[_i].want) {
         ck_assert_int_eq(rc, -EBADMSG);
         return;
     }
     ck_assert_int_eq(rc, 0);
-    ck_assert_str_eq(a.name, bodies[_i].want);
+    ck_assert_str_eq(a.handle, bodies[_i].want);
 }
 END_TEST
 
-/* Another writer's rows are left out; what is said of the others holds. */
-START_TEST(the_runs_of_a_report_are_decoded)
+/* Guards against a row of unknown form that discards the whole report. */
+START_TEST(runs_of_a_report_are_parsed)
 {
     static const char text[] =
         "{\"Stage\":\"decode\",\"Busy\":false,\"Sequence\":2,\"Runs\":["
         "[\"r1\",3400,31,5],[\"r2\",12],7,[[],1,2,3],[\"r3\",900,0,5]]}";
-    struct fw_rl_up_answer a = {.status = 200};
+    struct fw_rl_upstream_response a = {.status = 200};
 
     ck_assert_int_eq(
-        Fw_Platform_ReadBody(FW_RL_UP_REPORT, text, strlen(text), &a), 0);
-    ck_assert_int_eq(a.n_runs, 2);
-    ck_assert_uint_eq(a.runs[0].id, Fw_Hash_Str("r1"));
-    ck_assert_int_eq(a.runs[0].tokens, 3400);
-    ck_assert_int_eq(a.runs[0].events, 31);
-    ck_assert_uint_eq(a.runs[1].id, Fw_Hash_Str("r3"));
+        Fw_Platform_ParseResponseBody(FW_RL_UP_REPORT, text, strlen(text), &a),
+        0);
+    ck_assert_int_eq(a.n_streams, 2);
+    ck_assert_uint_eq(a.streams[0].id, Fw_Hash_Str("r1"));
+    ck_assert_int_eq(a.streams[0].tokens, 3400);
+    ck_assert_int_eq(a.streams[0].events, 31);
+    ck_assert_uint_eq(a.streams[1].id, Fw_Hash_Str("r3"));
 }
 END_TEST
 
@@ -236,7 +244,7 @@
     "{\"Name\":\"r\",\"Host\":\"A.example\",\"PathPrefix\":\"/x/\","          \
     "\"Kind\":\"safe\",\"TimeoutMs\":1500.5,\"Service\":\"s\"}"
 
-START_TEST(a_configuration_is_decoded)
+START_TEST(a_configuration_is_parsed)
 {
     static const char text[] =
         "{\"Version\":7,\"Routes\":[" FW_ROUTE
@@ -254,7 +262,7 @@
     struct fw_rl_rules *rules;
     const char *why;
 
-    rules = Fw_Platform_ReadRules(text, strlen(text), &why);
+    rules = Fw_Platform_ParseConfig(text, strlen(text), &why);
     ck_assert_msg(rules != NULL, "%s", why);
     r = Fw_Rules_Route(rules, "a.example", "/x/z");
     ck_assert_str_eq(r->name, "r");
@@ -268,7 +276,7 @@
     ck_assert_ptr_null(Fw_Rules_Route(rules, "a.example", "/x"));
     ck_assert_ptr_null(Fw_Rules_Route(rules, "b.example", "/x/"));
     ck_assert_int_eq(Fw_Rules_Service(rules, "e")->engine.kv_tokens, 107196);
-    ck_assert_int_eq(Fw_Rules_Service(rules, "e")->engine.handle_us, 500000);
+    ck_assert_int_eq(Fw_Rules_Service(rules, "e")->engine.kv_ttl_us, 500000);
     ck_assert_str_eq(Fw_Rules_Team(rules, "k")->name, "t");
     ck_assert_ptr_null(Fw_Rules_Team(rules, "K"));
     ck_assert_int_eq(rules->body_bytes, 99);
@@ -276,8 +284,8 @@
 }
 END_TEST
 
-/* Configurations that are refused as a whole; the old one stays in force. */
-static const char *const bad_rules[] = {
+/* Guards against invalid configurations that are applied in part. */
+static const char *const bad_configs[] = {
     "",
     "[]",
     "{\"Version\":\"7\"}",
@@ -291,17 +299,17 @@
     "{\"Version\":7,\"Limits\":{\"MaxBodyBytes\":\"x\"}}",
 };
 
-START_TEST(a_bad_configuration_is_refused_with_a_reason)
+START_TEST(invalid_configurations_are_rejected_with_a_reason)
 {
     const char *why = NULL;
 
-    ck_assert_ptr_null(
-        Fw_Platform_ReadRules(bad_rules[_i], strlen(bad_rules[_i]), &why));
+    ck_assert_ptr_null(Fw_Platform_ParseConfig(bad_configs[_i],
+                                               strlen(bad_configs[_i]), &why));
     ck_assert_ptr_nonnull(why);
 }
 END_TEST
 
-START_TEST(a_servers_entry_is_decoded)
+START_TEST(a_server_registration_is_parsed)
 {
     static const char text[] =
         "{\"Service\":\"s\",\"Address\":\"10.1.2.3:80\",\"Zone\":\"z\","
@@ -310,28 +318,29 @@
         "\"born\":1700000000000,\"Models\":[]}";
     struct fw_rl_server_entry e;
 
-    ck_assert_int_eq(Fw_Platform_ReadServer("i-1", text, strlen(text), &e), 0);
+    ck_assert_int_eq(Fw_Platform_ParseServer("i-1", text, strlen(text), &e),
+                     0);
     ck_assert_str_eq(e.id, "i-1");
     ck_assert_str_eq(e.addr, "10.1.2.3:80");
     ck_assert_str_eq(e.domain, "z");
     ck_assert_int_eq(e.draining, 1);
     ck_assert_int_eq(e.stage, FW_RL_STAGE_PREFILL);
     ck_assert_int_eq(e.born_ms, 1700000000000);
-    ck_assert_int_eq(e.cold_us, 1500000);
+    ck_assert_int_eq(e.warmup_us, 1500000);
 }
 END_TEST
 
-START_TEST(records_are_read_as_they_were_written)
+START_TEST(appended_records_are_read_back)
 {
     GString *head = g_string_new(NULL);
     GString *raw = g_string_new(NULL);
-    struct fw_records got;
+    struct fw_store_response got;
     GBytes *body;
     gsize len;
     const char *data;
 
-    Fw_Platform_WriteAppend(FW_TOPIC_MEMBERS, 5, "n1", "value", "h", head,
-                            &body);
+    Fw_Platform_WriteAppendRequest(FW_TOPIC_INSTANCES, 5, "n1", "value", "h",
+                                   head, &body);
     ck_assert_str_eq(head->str,
                      "POST /-/log-append?Topic=keyed.fuchsiaward&part=0&At=5 "
                      "HTTP/1.1\r\nHost: h\r\nContent-Length: 12\r\n\r\n");
@@ -340,24 +349,28 @@
     g_string_append_len(raw, data, (gssize)len);
     g_string_append_len(raw, "\0\0\0\3\2n1", 7);
     g_string_append_len(raw, "\0\0\0\2\x09n", 6);
-    ck_assert_int_eq(Fw_Platform_ReadRecords(FW_TOPIC_MEMBERS, 3, 200,
-                                             raw->str, raw->len, &got),
+    ck_assert_int_eq(Fw_Platform_ParseReadResponse(FW_TOPIC_INSTANCES, 3, 200,
+                                                   raw->str, raw->len, &got),
                      0);
-    ck_assert_uint_eq(got.end, 6);
-    ck_assert_uint_eq(got.next, 6);
-    ck_assert_uint_eq(got.all->len, 2); /* the last can't be split */
-    ck_assert_str_eq(g_array_index(got.all, struct fw_record, 0).key, "n1");
-    ck_assert_uint_eq(g_array_index(got.all, struct fw_record, 0).len, 5);
-    ck_assert_ptr_null(g_array_index(got.all, struct fw_record, 1).value);
-    Fw_Platform_ClearRecords(&got);
-    ck_assert_int_eq(Fw_Platform_ReadRecords(FW_TOPIC_MEMBERS, 3, 200,
-                                             raw->str, raw->len - 1, &got),
+    ck_assert_uint_eq(got.end_offset, 6);
+    ck_assert_uint_eq(got.next_offset, 6);
+    ck_assert_uint_eq(got.records->len, 2); /* the last has no valid key */
+    ck_assert_str_eq(g_array_index(got.records, struct fw_store_record, 0).key,
+                     "n1");
+    ck_assert_uint_eq(
+        g_array_index(got.records, struct fw_store_record, 0).len, 5);
+    ck_assert_ptr_null(
+        g_array_index(got.records, struct fw_store_record, 1).value);
+    Fw_Platform_ClearStoreResponse(&got);
+    ck_assert_int_eq(Fw_Platform_ParseReadResponse(FW_TOPIC_INSTANCES, 3, 200,
+                                                   raw->str, raw->len - 1,
+                                                   &got),
                      -EBADMSG);
-    Fw_Platform_ClearRecords(&got);
-    ck_assert_int_eq(
-        Fw_Platform_ReadRecords(FW_TOPIC_MEMBERS, 3, 200, "x", 1, &got),
-        -EBADMSG);
-    Fw_Platform_ClearRecords(&got);
+    Fw_Platform_ClearStoreResponse(&got);
+    ck_assert_int_eq(Fw_Platform_ParseReadResponse(FW_TOPIC_INSTANCES, 3, 200,
+                                                   "x", 1, &got),
+                     -EBADMSG);
+    Fw_Platform_ClearStoreResponse(&got);
     g_bytes_unref(body);
     g_string_free(head, TRUE);
     g_string_free(raw, TRUE);
@@ -369,20 +382,20 @@
 {
     TCase *tc = Fw_Suite_New("platform");
 
-    tcase_add_test(tc, a_request_is_decoded);
-    tcase_add_loop_test(tc, a_field_that_cannot_be_read_is_an_error, 0,
+    tcase_add_test(tc, a_request_is_parsed);
+    tcase_add_loop_test(tc, malformed_fields_are_rejected, 0,
                         G_N_ELEMENTS(bad_fields));
-    tcase_add_loop_test(tc, an_overlong_or_foreign_key_is_no_key, 0, 3);
-    tcase_add_test(tc, a_call_is_written_with_the_routers_own_fields);
-    tcase_add_loop_test(tc, a_call_of_the_routers_own_is_written, 0,
+    tcase_add_loop_test(tc, overlong_keys_and_other_schemes_are_no_key, 0, 3);
+    tcase_add_test(tc, forwarded_requests_carry_the_routers_fields);
+    tcase_add_loop_test(tc, requests_of_the_routers_own_are_written, 0,
                         G_N_ELEMENTS(calls));
-    tcase_add_test(tc, the_runs_of_a_report_are_decoded);
-    tcase_add_loop_test(tc, the_body_of_an_answer_is_decoded, 0,
+    tcase_add_test(tc, runs_of_a_report_are_parsed);
+    tcase_add_loop_test(tc, response_bodies_are_parsed, 0,
                         G_N_ELEMENTS(bodies));
-    tcase_add_test(tc, a_configuration_is_decoded);
-    tcase_add_loop_test(tc, a_bad_configuration_is_refused_with_a_reason, 0,
-                        G_N_ELEMENTS(bad_rules));
-    tcase_add_test(tc, a_servers_entry_is_decoded);
-    tcase_add_test(tc, records_are_read_as_they_were_written);
+    tcase_add_test(tc, a_configuration_is_parsed);
+    tcase_add_loop_test(tc, invalid_configurations_are_rejected_with_a_reason,
+                        0, G_N_ELEMENTS(bad_configs));
+    tcase_add_test(tc, a_server_registration_is_parsed);
+    tcase_add_test(tc, appended_records_are_read_back);
     return Fw_Suite_Run(tc);
 }
--- /dev/null
+++ b/tests/relay/script_world.c
@@ -0,0 +1,190 @@
+/* Script commands about everything but requests. */
+#include <check.h>
+#include <msgpack.h>
+#include <string.h>
+
+#include "base/hash.h"
+#include "core/pack.h"
+#include "tests/relay/script_internal.h"
+
+static void
+add_route(struct relay_script_run *run, struct fw_rl_rules *rules,
+          const char *prefix, enum fw_rl_route_kind kind, const char *service)
+{
+    struct fw_rl_route_rule *r = Fw_Rules_AddRoute(rules);
+
+    g_strlcpy(r->name, service, sizeof(r->name));
+    g_strlcpy(r->host, "h", sizeof(r->host));
+    g_strlcpy(r->prefix, prefix, sizeof(r->prefix));
+    r->kind = kind;
+    r->timeout_us =
+        Fw_RelayScript_GetNumber(run, "timeout_ms", 10000) * FW_MSEC;
+    r->objective_us = 900 * FW_MSEC;
+    r->attempts = (int)Fw_RelayScript_GetNumber(run, "attempts", 2);
+    r->generates = kind == FW_RL_STREAM;
+    r->resumable = strcmp(prefix, "/resume/") == 0;
+    r->anonymous = strcmp(prefix, "/open/") == 0;
+    r->n_targets = 1;
+    r->targets[0].weight = 1;
+    g_strlcpy(r->targets[0].service, service, FW_NAME_MAX);
+}
+
+/*
+ * Routes to the service "plain": /read/ (idempotent), /order/ (runs at most
+ * once) and /open/ (idempotent, no key needed). Routes to the service "llm":
+ * /gen/ and /resume/ (resumable). Teams: "a" with key ka and, unless keys=1,
+ * "b" with key kb.
+ */
+static struct fw_rl_rules *
+make_rules(struct relay_script_run *run)
+{
+    struct fw_rl_rules *rules = Fw_Rules_New();
+    struct fw_rl_service_rule *s;
+
+    rules->version = (int64_t)Fw_RelayScript_GetArg(run, 1);
+    add_route(run, rules, "/read/", FW_RL_IDEMPOTENT, "plain");
+    add_route(run, rules, "/open/", FW_RL_IDEMPOTENT, "plain");
+    add_route(run, rules, "/order/", FW_RL_NON_IDEMPOTENT, "plain");
+    add_route(run, rules, "/gen/", FW_RL_STREAM, "llm");
+    add_route(run, rules, "/resume/", FW_RL_STREAM, "llm");
+    g_strlcpy(Fw_Rules_AddService(rules)->name, "plain", FW_NAME_MAX);
+    s = Fw_Rules_AddService(rules);
+    g_strlcpy(s->name, "llm", FW_NAME_MAX);
+    s->has_engines = 1;
+    s->engine = (struct fw_rl_engine_spec){
+        .slots = (int)Fw_RelayScript_GetNumber(run, "slots", 8),
+        .kv_tokens = Fw_RelayScript_GetNumber(run, "kv", 20000),
+        .kv_ttl_us = 500 * FW_MSEC,
+        .reservation_ttl_us = 2 * FW_SEC,
+        .stage_change_us = 6 * FW_SEC};
+    for (int i = 0; i < Fw_RelayScript_GetNumber(run, "keys", 2); i++) {
+        struct fw_rl_team_rule *t = Fw_Rules_AddTeam(rules);
+
+        g_strlcpy(t->name, i ? "b" : "a", FW_NAME_MAX);
+        t->rate = Fw_RelayScript_GetNumber(run, "rate", 0);
+        t->burst = Fw_RelayScript_GetNumber(run, "burst", 0);
+        t->plain_cost = 200;
+        t->priority = -1;
+        Fw_Rules_AddKey(rules, i ? "kb" : "ka", t);
+    }
+    Fw_Rules_Index(rules);
+    return rules;
+}
+
+void
+Fw_RelayScript_DoServer(struct relay_script_run *run)
+{
+    struct fw_rl_server_entry e = {.slots = 4};
+
+    g_strlcpy(e.id, run->word[1], sizeof(e.id));
+    g_strlcpy(e.service, run->word[2], sizeof(e.service));
+    g_snprintf(e.addr, sizeof(e.addr), "%s:1", run->word[1]);
+    e.stage = strcmp(run->word[3], "prefill") == 0  ? FW_RL_STAGE_PREFILL
+              : strcmp(run->word[3], "decode") == 0 ? FW_RL_STAGE_DECODE
+                                                    : FW_RL_STAGE_NONE;
+    e.draining = Fw_RelayScript_HasWord(run, "draining");
+    e.born_ms = Fw_RelayScript_GetNumber(run, "born", 1);
+    Fw_Relay_UpdateServer(run->r, e.id, &e, run->now_us, &run->acts);
+}
+
+/*
+ * Delivers a digest from the instance @name. Unless @team is NULL it reports
+ * that team's allowance: @spent tokens in all, @level left.
+ */
+static void
+send_digest(struct relay_script_run *run, const char *name, const char *team,
+            int64_t spent, int64_t level)
+{
+    GByteArray *msg = g_byte_array_new();
+    struct fw_rl_outbox mail;
+    msgpack_packer pk;
+
+    Fw_Pack_Begin(&pk, msg);
+    msgpack_pack_array(&pk, 12);
+    msgpack_pack_int(&pk, 7);
+    Fw_Pack_Str(&pk, name);
+    msgpack_pack_uint64(&pk, Fw_Hash_Str(""));
+    msgpack_pack_int64(&pk, 0);
+    msgpack_pack_uint64(&pk, 1);
+    msgpack_pack_uint64(&pk, ++run->digest_seq);
+    msgpack_pack_array(&pk, 0);
+    msgpack_pack_array(&pk, team ? 1 : 0);
+    if (team) {
+        msgpack_pack_array(&pk, 3);
+        msgpack_pack_uint64(&pk, Fw_Hash_Str(team));
+        msgpack_pack_int64(&pk, spent);
+        msgpack_pack_int64(&pk, level);
+    }
+    msgpack_pack_array(&pk, 0);
+    msgpack_pack_array(&pk, 0);
+    msgpack_pack_array(&pk, 1);
+    msgpack_pack_array(&pk, FW_RL_STORE_STATE_COLUMNS);
+    msgpack_pack_int(&pk, 1);
+    for (int i = 1; i < FW_RL_STORE_STATE_COLUMNS; i++) {
+        msgpack_pack_uint64(&pk, 0);
+    }
+    msgpack_pack_array(&pk, 0);
+    Fw_Outbox_Init(&mail);
+    ck_assert_int_ge(Fw_Relay_ReadMessage(run->r, "127.0.0.9:1", msg->data,
+                                          msg->len, run->now_us, &mail),
+                     0);
+    Fw_Outbox_Clear(&mail);
+    g_ptr_array_unref(mail.all);
+    g_byte_array_unref(msg);
+}
+
+void
+Fw_RelayScript_DoRules(struct relay_script_run *run)
+{
+    struct fw_rl_rules *rules = make_rules(run);
+
+    Fw_Relay_SetRules(run->r, rules, (uint64_t)rules->version, run->now_us,
+                      &run->acts);
+    Fw_Rules_Unref(rules);
+}
+
+void
+Fw_RelayScript_DoOptions(struct relay_script_run *run)
+{
+    struct fw_relay_opts *o = &run->opts;
+
+    o->queue_limit_us =
+        Fw_RelayScript_GetNumber(run, "queue_ms", 500) * FW_MSEC;
+    o->key_stale_us =
+        Fw_RelayScript_GetNumber(run, "stale_ms", 4000) * FW_MSEC;
+    o->reserve_permille = (int)Fw_RelayScript_GetNumber(run, "reserve", 1000);
+    o->prefill_permille = (int)Fw_RelayScript_GetNumber(run, "prefill", 50);
+    o->retry_extra = Fw_RelayScript_GetNumber(run, "extra", 100);
+    o->local_prefill_us =
+        Fw_RelayScript_GetNumber(run, "here_ms", 600) * FW_MSEC;
+    o->log_sample = (int)Fw_RelayScript_GetNumber(run, "sample", 1);
+    o->tolerance_tokens = Fw_RelayScript_GetNumber(run, "tolerance", 0);
+    o->lease_us = Fw_RelayScript_GetNumber(run, "lease_ms", 3000) * FW_MSEC;
+    Fw_Relay_SetOpts(run->r, o);
+}
+
+void
+Fw_RelayScript_DoLead(struct relay_script_run *run)
+{
+    enum fw_rl_claim_result c =
+        Fw_RelayScript_HasWord(run, "made")    ? FW_RL_CLAIM_WON
+        : Fw_RelayScript_HasWord(run, "taken") ? FW_RL_CLAIM_LOST
+                                               : FW_RL_CLAIM_UNKNOWN;
+
+    Fw_Relay_ClaimEnded(run->r, c, Fw_RelayScript_GetArg(run, 2),
+                        run->claim_sent_us, run->now_us);
+}
+
+void
+Fw_RelayScript_DoMember(struct relay_script_run *run)
+{
+    send_digest(run, run->word[1], NULL, 0, 0);
+}
+
+void
+Fw_RelayScript_DoSpent(struct relay_script_run *run)
+{
+    send_digest(run, run->word[1], run->word[2],
+                (int64_t)Fw_RelayScript_GetArg(run, 3),
+                Fw_RelayScript_GetNumber(run, "level", 0));
+}
