--- a/src/request/open.c
+++ b/src/request/open.c
@@ -157,8 +157,7 @@
     }
     if (call->prompt_tokens > rs->deps.prompt_tokens_max) {
         Fw_Request_Refuse(out, call, 413, "prompt_too_long",
-                          "the prompt exceeds the maximum number of tokens",
-                          0);
+                          "the prompt is longer than is served", 0);
         return;
     }
     if (join_local(rs, call, team, out)) {
@@ -191,7 +190,7 @@
 
     if (!team) {
         Fw_Request_Refuse(out, call, 401, "unauthorized",
-                          "the bearer key is missing or not valid", 0);
+                          "no valid key came with the request", 0);
         return;
     }
     switch (call->kind) {
@@ -215,8 +214,8 @@
 
     rq->stage_deadline_us = 0;
     if (!team) {
-        Fw_Request_Fail(rs, rq, 401, "unauthorized",
-                        "the team is no longer configured", 0, now_us, out);
+        Fw_Request_Fail(rs, rq, 401, "unauthorized", "the team is gone", 0,
+                        now_us, out);
         return;
     }
     rq->stage = FW_STAGE_BUDGET;
--- a/src/request/service.c
+++ b/src/request/service.c
@@ -150,23 +150,20 @@
     const char *message;
     enum fw_ran ran;
 } idem_errors[] = {
-    [FW_IDEM_OUTCOME_UNKNOWN] =
-        {409, "outcome_unknown",
-         "an earlier call with this key began; its outcome is unknown",
-         FW_RAN_MAYBE},
+    [FW_IDEM_OUTCOME_UNKNOWN] = {409, "outcome_unknown",
+                                 "begun before; whether it ran is not known",
+                                 FW_RAN_MAYBE},
     [FW_IDEM_NOT_RUN] = {409, "not_run",
-                         "an earlier call with this key did not run; send it "
+                         "an earlier try with this key did not run; send it "
                          "again",
                          FW_RAN_NO},
     [FW_IDEM_MISMATCH] = {422, "idempotency_mismatch",
-                          "the key was used with a different request",
-                          FW_RAN_NO},
-    [FW_IDEM_TOO_OLD] =
-        {409, "idempotency_key_too_old",
-         "the key is older than the retention period of records",
-         FW_RAN_MAYBE},
+                          "the key was used with another request", FW_RAN_NO},
+    [FW_IDEM_TOO_OLD] = {409, "idempotency_key_too_old",
+                         "the key is older than records are kept",
+                         FW_RAN_MAYBE},
     [FW_IDEM_UNAVAILABLE] = {503, "log_unavailable",
-                             "calls that are not idempotent need the log",
+                             "calls that may not be repeated need the log",
                              FW_RAN_NO},
 };
 
@@ -197,8 +194,8 @@
     else if (Fw_Idem_BeginRun(rs->deps.idem, rq->ticket, now_us) != 0) {
         rq->stage = FW_STAGE_IDLE;
         Fw_Request_Fail(rs, rq, 503, "paused",
-                        "the permission to run the call expired", FW_SEC,
-                        now_us, out);
+                        "the right to run the call lapsed", FW_SEC, now_us,
+                        out);
     }
     else {
         send_to_server(rs, rq, now_us, out);
