--- a/bench/bench_request.c
+++ b/bench/bench_request.c
@@ -300,7 +300,7 @@
         .u.ids = {.engine = "decode-1234", .boot = 1796255655000, .n = 20}};
     struct fw_request_msg strike = {
         .kind = FW_REQUEST_STRIKE,
-        .u.strike = {.ticket = 70000, .print = UINT64_MAX}};
+        .u.strike = {.ticket = 70000, .fingerprint = UINT64_MAX}};
 
     for (int i = 0; i < 20; i++) {
         held.u.ids.seqs[i] = 100000;
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -240,15 +240,15 @@
 print_wire(void)
 {
     struct fw_msg m = {.area = FW_AREA_ROUTE};
-    struct fw_reserve_item *it = &m.u.route.u.want.item[0];
+    struct fw_reserve_item *it = &m.u.route.u.reserve.item[0];
     size_t ask_p;
     size_t ask_d;
     size_t reply;
     size_t release;
 
     m.u.route.kind = FW_ROUTE_RESERVE;
-    m.u.route.u.want.ask = G_MAXUINT32 / 3;
-    m.u.route.u.want.n = 1;
+    m.u.route.u.reserve.round_id = G_MAXUINT32 / 3;
+    m.u.route.u.reserve.n = 1;
     *it = (struct fw_reserve_item){.engine = G_MAXUINT64 / 3,
                                    .is_prefill = 1,
                                    .serving = G_MAXUINT32 / 5,
@@ -261,27 +261,27 @@
     it->is_prefill = 0;
     it->prefixes.n = 0;
     it->need_us = 200000;
-    it->from = G_MAXUINT32 / 9;
+    it->from_domain = G_MAXUINT32 / 9;
     it->transfer_us = 60000;
     ask_d = packed(&m);
     memset(&m.u.route.u, 0, sizeof(m.u.route.u));
     m.u.route.kind = FW_ROUTE_REPLY;
-    m.u.route.u.reply.ask = G_MAXUINT32 / 3;
+    m.u.route.u.reply.round_id = G_MAXUINT32 / 3;
     m.u.route.u.reply.n = 1;
-    m.u.route.u.reply.verdict[0].engine = G_MAXUINT64 / 3;
-    m.u.route.u.reply.verdict[0].wait_us = 90000;
-    m.u.route.u.reply.verdict[0].cached = 2048;
+    m.u.route.u.reply.result[0].engine = G_MAXUINT64 / 3;
+    m.u.route.u.reply.result[0].wait_us = 90000;
+    m.u.route.u.reply.result[0].cached_tokens = 2048;
     m.u.route.u.reply.n_loads = FW_ROUTE_LOADS_MAX;
     for (int i = 0; i < FW_ROUTE_LOADS_MAX; i++) {
         m.u.route.u.reply.load[i] = (struct fw_route_load){
-            .engine = G_MAXUINT64 / 3, .wait_us = 90000, .free = 9};
+            .engine = G_MAXUINT64 / 3, .wait_us = 90000, .free_slots = 9};
     }
     reply = packed(&m);
     memset(&m.u.route.u, 0, sizeof(m.u.route.u));
     m.u.route.kind = FW_ROUTE_RELEASE;
-    m.u.route.u.release.ask = G_MAXUINT32 / 3;
+    m.u.route.u.release.round_id = G_MAXUINT32 / 3;
     m.u.route.u.release.engine = G_MAXUINT64 / 3;
-    m.u.route.u.release.cached = 2048;
+    m.u.route.u.release.cached_tokens = 2048;
     release = packed(&m);
     printf("wire: ask %zu (prefill) and %zu (decode), answer %zu, release "
            "%zu bytes; a request with both engines elsewhere: %zu in 6 "
--- a/explore/relay_orders.c
+++ b/explore/relay_orders.c
@@ -182,10 +182,10 @@
             g_array_index(s->acts.all, struct fw_rl_action, k);
 
         if (a.kind == FW_RL_DO_CLAIM_ROLE) {
-            send_claim(w, i, a.u.lead_end);
+            send_claim(w, i, a.u.claim_offset);
         }
         else if (a.kind == FW_RL_DO_CALL) {
-            respond(w, i, &a.u.ask);
+            respond(w, i, &a.u.upstream_call);
         }
     }
     g_array_set_size(s->acts.all, 0);
--- a/explore/relay_requests.c
+++ b/explore/relay_requests.c
@@ -97,7 +97,7 @@
     switch (a->kind) {
     case FW_RL_DO_CALL:
         p = g_new0(struct pending, 1);
-        p->call = a->u.ask;
+        p->call = a->u.upstream_call;
         g_ptr_array_add(w->pending, p);
         break;
     case FW_RL_DO_CANCEL_CALL:
@@ -107,7 +107,8 @@
         }
         break;
     case FW_RL_DO_REJECT:
-        record_end(w, a->u.refuse.call, a->u.refuse.status == 503, "refused");
+        record_end(w, a->u.rejection.call, a->u.rejection.status == 503,
+                   "refused");
         break;
     case FW_RL_DO_FINISH:
         record_end(w, a->u.call, 0, "finished");
--- a/src/relay/call.c
+++ b/src/relay/call.c
@@ -26,7 +26,7 @@
     up->call = c ? c->id : 0;
     g_strlcpy(up->addr, s->entry.addr, sizeof(up->addr));
     g_strlcpy(up->server, s->entry.id, sizeof(up->server));
-    Fw_RelayActions_Add(out, FW_RL_DO_CALL)->u.ask = *up;
+    Fw_RelayActions_Add(out, FW_RL_DO_CALL)->u.upstream_call = *up;
     if (c) {
         c->op = op;
     }
@@ -171,11 +171,11 @@
                         Fw_Relay_UsToMs(now_us - c->opened_us),
                         Fw_Relay_UsToMs(retry_us));
     a = Fw_RelayActions_Add(out, FW_RL_DO_REJECT);
-    a->u.refuse = (struct fw_rl_rejection){.call = c->id,
-                                           .status = status,
-                                           .retry_us = retry_us,
-                                           .reason = reason,
-                                           .ran = c->ran};
+    a->u.rejection = (struct fw_rl_rejection){.call = c->id,
+                                              .status = status,
+                                              .retry_us = retry_us,
+                                              .reason = reason,
+                                              .ran = c->ran};
     Fw_Call_End(r, c, now_us, out);
 }
 
@@ -185,8 +185,8 @@
 {
     struct fw_rl_action *a = Fw_RelayActions_Add(out, FW_RL_DO_FORWARD);
 
-    a->u.pass.call = c->id;
-    a->u.pass.xid = c->op->xid;
+    a->u.forward.call = c->id;
+    a->u.forward.xid = c->op->xid;
     c->is_forwarded = 1;
     c->response_us = now_us;
     c->ran = FW_RAN_YES;
--- a/src/relay/load.c
+++ b/src/relay/load.c
@@ -39,7 +39,7 @@
 {
     struct load_total *s = find_or_add_total(r, row->hash);
 
-    s->by_scope[scope].to_stage[row->load.to_stage] += sign;
+    s->by_scope[scope].to_stage[row->load.target_stage] += sign;
     s->by_scope[scope].n_unreachable += sign * row->load.n_unreachable;
     s->by_scope[scope].running += sign * row->load.running;
     s->by_scope[scope].reserved_tokens += sign * row->load.kv_tokens;
@@ -67,10 +67,10 @@
         .load = {.running = (int)Fw_Rows_Cell(rows, i, 1),
                  .kv_tokens = Fw_Rows_Cell(rows, i, 2),
                  .prefill_tokens = Fw_Rows_Cell(rows, i, 3),
-                 .to_stage = stage == FW_RL_STAGE_PREFILL ||
-                                     stage == FW_RL_STAGE_DECODE
-                                 ? (enum fw_rl_stage)stage
-                                 : FW_RL_STAGE_NONE,
+                 .target_stage = stage == FW_RL_STAGE_PREFILL ||
+                                         stage == FW_RL_STAGE_DECODE
+                                     ? (enum fw_rl_stage)stage
+                                     : FW_RL_STAGE_NONE,
                  .n_unreachable = (int)Fw_Rows_Cell(rows, i, 5)}};
 }
 
@@ -163,7 +163,7 @@
     out->prefill_tokens = s->by_scope[scope].prefill_tokens;
     for (int k = FW_RL_STAGE_PREFILL; k <= FW_RL_STAGE_DECODE; k++) {
         if (s->by_scope[scope].to_stage[k] > 0) {
-            out->to_stage = (enum fw_rl_stage)k;
+            out->target_stage = (enum fw_rl_stage)k;
         }
     }
 }
@@ -180,8 +180,8 @@
 void
 Fw_Load_Add(struct fw_rl_load *to, const struct fw_rl_load *more, int sign)
 {
-    if (sign > 0 && more->to_stage != FW_RL_STAGE_NONE) {
-        to->to_stage = more->to_stage;
+    if (sign > 0 && more->target_stage != FW_RL_STAGE_NONE) {
+        to->target_stage = more->target_stage;
     }
     to->n_unreachable += sign * more->n_unreachable;
     to->running += sign * more->running;
--- a/src/relay/message.c
+++ b/src/relay/message.c
@@ -77,13 +77,14 @@
 {
     struct fw_rl_load part;
 
-    *out = (struct fw_rl_load){
-        .to_stage = Fw_Servers_IsChangingStage(s, now_us) ? s->target_stage
-                                                          : FW_RL_STAGE_NONE,
-        .n_unreachable = now_us < s->backoff_until_us,
-        .running = s->running,
-        .kv_tokens = s->kv_tokens,
-        .prefill_tokens = s->prefill_tokens};
+    *out = (struct fw_rl_load){.target_stage =
+                                   Fw_Servers_IsChangingStage(s, now_us)
+                                       ? s->target_stage
+                                       : FW_RL_STAGE_NONE,
+                               .n_unreachable = now_us < s->backoff_until_us,
+                               .running = s->running,
+                               .kv_tokens = s->kv_tokens,
+                               .prefill_tokens = s->prefill_tokens};
     if (!r->x.is_hub) {
         return;
     }
@@ -100,7 +101,7 @@
 static int
 is_empty(const struct fw_rl_load *l)
 {
-    return l->to_stage == FW_RL_STAGE_NONE && !l->n_unreachable &&
+    return l->target_stage == FW_RL_STAGE_NONE && !l->n_unreachable &&
            !l->running && !l->kv_tokens && !l->prefill_tokens;
 }
 
@@ -112,7 +113,7 @@
     msgpack_pack_int64(pk, l->running);
     msgpack_pack_int64(pk, l->kv_tokens);
     msgpack_pack_int64(pk, l->prefill_tokens);
-    msgpack_pack_int64(pk, (int64_t)l->to_stage);
+    msgpack_pack_int64(pk, (int64_t)l->target_stage);
     msgpack_pack_int64(pk, l->n_unreachable);
 }
 
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -31,14 +31,14 @@
 
 /**
  * struct fw_rl_load - load that instances have placed on a server.
- * @to_stage: stage that the server is switching to, or FW_RL_STAGE_NONE
+ * @target_stage: stage that the server is switching to, or FW_RL_STAGE_NONE
  * @n_unreachable: number of instances that recently failed to connect to it
  * @running: requests
  * @kv_tokens: KV cache that these are expected to need
  * @prefill_tokens: prompts that it is processing or has queued
  */
 struct fw_rl_load {
-    enum fw_rl_stage to_stage;
+    enum fw_rl_stage target_stage;
     int n_unreachable;
     int running;
     int64_t kv_tokens;
--- a/src/relay/place.c
+++ b/src/relay/place.c
@@ -59,12 +59,13 @@
 {
     struct fw_rl_load peers;
 
-    *out = (struct fw_rl_load){
-        .to_stage = Fw_Servers_IsChangingStage(s, now_us) ? s->target_stage
-                                                          : FW_RL_STAGE_NONE,
-        .running = s->running,
-        .kv_tokens = s->kv_tokens,
-        .prefill_tokens = s->prefill_tokens};
+    *out = (struct fw_rl_load){.target_stage =
+                                   Fw_Servers_IsChangingStage(s, now_us)
+                                       ? s->target_stage
+                                       : FW_RL_STAGE_NONE,
+                               .running = s->running,
+                               .kv_tokens = s->kv_tokens,
+                               .prefill_tokens = s->prefill_tokens};
     for (int scope = 0; scope < FW_RL_SCOPES; scope++) {
         Fw_Load_GetTotal(r, s->hash, (enum fw_rl_scope)scope, &peers);
         Fw_Load_Add(out, &peers, 1);
@@ -172,7 +173,8 @@
 static int
 is_changing_stage(const struct fw_rl_server *s, const struct fw_rl_load *l)
 {
-    return l->to_stage != FW_RL_STAGE_NONE && l->to_stage != s->entry.stage;
+    return l->target_stage != FW_RL_STAGE_NONE &&
+           l->target_stage != s->entry.stage;
 }
 
 /*
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -155,21 +155,21 @@
 
 /**
  * struct fw_rl_action - an action for the shell to carry out.
- * @u: argument, by @kind; for FW_RL_DO_CLAIM_ROLE, @u.lead_end is the log
+ * @u: argument, by @kind; for FW_RL_DO_CLAIM_ROLE, @u.claim_offset is the log
  *     offset at which the claim must be appended
  */
 struct fw_rl_action {
     enum fw_rl_action_kind kind;
     union {
-        struct fw_rl_rejection refuse;
+        struct fw_rl_rejection rejection;
         struct {
             uint64_t call;
             uint64_t xid;
-        } pass;
+        } forward;
         uint64_t call; /* FINISH, ABORT */
-        struct fw_rl_upstream_call ask;
+        struct fw_rl_upstream_call upstream_call;
         uint64_t xid; /* CANCEL_CALL */
-        uint64_t lead_end;
+        uint64_t claim_offset;
         char addr[FW_URL_MAX];
         struct fw_rl_log_line log;
     } u;
--- a/src/relay/stage_order.c
+++ b/src/relay/stage_order.c
@@ -309,7 +309,7 @@
     }
     else if (is_role_free(r, now_us)) {
         r->order_lease.claim_pending = 1;
-        Fw_RelayActions_Add(out, FW_RL_DO_CLAIM_ROLE)->u.lead_end =
+        Fw_RelayActions_Add(out, FW_RL_DO_CLAIM_ROLE)->u.claim_offset =
             r->order_lease.log_end;
     }
 }
--- a/src/relayd/actions.c
+++ b/src/relayd/actions.c
@@ -75,10 +75,10 @@
 {
     switch (a->kind) {
     case FW_RL_DO_REJECT:
-        reject(d, &a->u.refuse);
+        reject(d, &a->u.rejection);
         break;
     case FW_RL_DO_FORWARD:
-        forward(d, a->u.pass.call, a->u.pass.xid);
+        forward(d, a->u.forward.call, a->u.forward.xid);
         break;
     case FW_RL_DO_FINISH:
         end_response(d, a->u.call, 1);
@@ -87,13 +87,13 @@
         end_response(d, a->u.call, 0);
         break;
     case FW_RL_DO_CALL:
-        Fw_UpstreamCall_Start(d, &a->u.ask);
+        Fw_UpstreamCall_Start(d, &a->u.upstream_call);
         break;
     case FW_RL_DO_CANCEL_CALL:
         Fw_UpstreamCall_Remove(d, a->u.xid);
         break;
     case FW_RL_DO_CLAIM_ROLE:
-        Fw_StoreClient_ClaimLeadership(d->store, a->u.lead_end);
+        Fw_StoreClient_ClaimLeadership(d->store, a->u.claim_offset);
         break;
     case FW_RL_DO_CLOSE_IDLE:
         Fw_ConnPool_CloseIdle(d->pool, a->u.addr);
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -20,7 +20,7 @@
          * exceed its target and the router would refuse it. */
         .arrived_us = rq->attempts > 0 ? now_us : rq->arrived_us,
         .avoid = avoid,
-        .alone = rq->strikes > 0,
+        .exclusive = rq->strikes > 0,
     };
 
     for (int i = 0; i < rq->n_failed_upstreams; i++) {
@@ -124,7 +124,7 @@
         return;
     }
     Fw_Request_Trace(rs, rq, now_us, "pair %s > %s: %s", ans->prefill,
-                     ans->decode, ans->why);
+                     ans->decode, ans->explanation);
     g_strlcpy(rq->prefill, ans->prefill, sizeof(rq->prefill));
     g_strlcpy(rq->decode, ans->decode, sizeof(rq->decode));
     rq->attempts++;
--- a/src/request/request_msg.c
+++ b/src/request/request_msg.c
@@ -98,7 +98,7 @@
     case FW_REQUEST_STRIKE_RESULT:
     case FW_REQUEST_QUARANTINE:
         msgpack_pack_uint64(pk, msg->u.strike.ticket);
-        msgpack_pack_uint64(pk, msg->u.strike.print);
+        msgpack_pack_uint64(pk, msg->u.strike.fingerprint);
         msgpack_pack_int64(pk, msg->u.strike.ttl_us);
         break;
     }
@@ -173,7 +173,7 @@
 unpack_strike(const msgpack_object *obj, struct fw_request_strike *strike)
 {
     if (Fw_Unpack_U64(obj, 1, &strike->ticket) ||
-        Fw_Unpack_U64(obj, 2, &strike->print) ||
+        Fw_Unpack_U64(obj, 2, &strike->fingerprint) ||
         Fw_Unpack_I64(obj, 3, &strike->ttl_us) || strike->ttl_us < 0) {
         return -EBADMSG;
     }
--- a/src/request/request_msg.h
+++ b/src/request/request_msg.h
@@ -96,7 +96,7 @@
  */
 struct fw_request_strike {
     uint64_t ticket;
-    uint64_t print;
+    uint64_t fingerprint;
     int64_t ttl_us;
 };
 
--- a/src/request/strike.c
+++ b/src/request/strike.c
@@ -10,7 +10,7 @@
     GPtrArray *members = Fw_Fleet_Members(rs->deps.fleet);
     struct fw_request_msg msg = {
         .kind = FW_REQUEST_QUARANTINE,
-        .u.strike = {.print = fingerprint, .ttl_us = ttl_us},
+        .u.strike = {.fingerprint = fingerprint, .ttl_us = ttl_us},
     };
 
     /* The caller may resend through any instance. */
@@ -47,7 +47,7 @@
         Fw_Fleet_Pick(rs->deps.fleet, rq->fingerprint, 0);
     struct fw_request_msg msg = {
         .kind = FW_REQUEST_STRIKE,
-        .u.strike = {.ticket = rq->ticket, .print = rq->fingerprint},
+        .u.strike = {.ticket = rq->ticket, .fingerprint = rq->fingerprint},
     };
 
     if (!m || Fw_Fleet_IsSelf(rs->deps.fleet, m)) {
@@ -89,7 +89,7 @@
         .u.strike = *strike,
     };
 
-    msg.u.strike.ttl_us = count_strike(rs, strike->print, now_us, out);
+    msg.u.strike.ttl_us = count_strike(rs, strike->fingerprint, now_us, out);
     Fw_Request_Send(rs, from, &msg, out);
 }
 
@@ -106,7 +106,7 @@
         return;
     }
     if (msg->kind == FW_REQUEST_QUARANTINE) {
-        Fw_Poison_Quarantine(&rs->poison, s->print, s->ttl_us, now_us);
+        Fw_Poison_Quarantine(&rs->poison, s->fingerprint, s->ttl_us, now_us);
         return;
     }
     rq = Fw_Request_ByTicket(rs, s->ticket);
--- a/src/route/coord_query.c
+++ b/src/route/coord_query.c
@@ -28,8 +28,9 @@
 Fw_Coord_FillLoads(const struct fw_router *r, const struct fw_config *cfg,
                    int64_t now_us, struct fw_route_reply *reply)
 {
-    guint start =
-        r->engine_list->len ? (guint)(reply->ask % r->engine_list->len) : 0;
+    guint start = r->engine_list->len
+                      ? (guint)(reply->round_id % r->engine_list->len)
+                      : 0;
 
     reply->n_loads = 0;
     for (guint i = 0; i < r->engine_list->len; i++) {
@@ -46,7 +47,7 @@
             continue;
         }
         l->engine = e->id;
-        l->free = Fw_Slots_Free(&e->coord->slots);
+        l->free_slots = Fw_Slots_Free(&e->coord->slots);
         l->wait_us = Fw_Engine_WaitUs(e, now_us);
         if (++reply->n_loads == FW_ROUTE_LOADS_MAX) {
             return;
--- a/src/route/coord_reserve.c
+++ b/src/route/coord_reserve.c
@@ -40,7 +40,7 @@
     result->wait_us = Fw_Backlog_WaitUs(&c->backlog, now_us);
     work.cached_tokens = Fw_Prefix_CachedTokens(
         &r->prefixes, Fw_Engine_CacheKey(e), &item->prefixes);
-    result->cached = work.cached_tokens * c->cache_hit_permille / 1000;
+    result->cached_tokens = work.cached_tokens * c->cache_hit_permille / 1000;
     if (Fw_Slots_IsExclusive(&c->slots) ||
         (item->exclusive && result->wait_us > 0)) {
         result->status = FW_RESERVE_FULL;
@@ -53,8 +53,9 @@
     }
     result->status = FW_RESERVE_GRANTED;
     work.tokens = item->tokens;
-    work.compute_us = Fw_Cost_PrefillUs(item->tokens, result->cached, rate) +
-                      FW_PREFILL_OVERHEAD_US;
+    work.compute_us =
+        Fw_Cost_PrefillUs(item->tokens, result->cached_tokens, rate) +
+        FW_PREFILL_OVERHEAD_US;
 
     Fw_Backlog_Add(&c->backlog, &work);
     if (item->exclusive) {
@@ -91,7 +92,7 @@
                struct fw_reserve_result *result)
 {
     struct fw_coord *c = e->coord;
-    struct fw_kv_link_state *link = find_link(c, item->from);
+    struct fw_kv_link_state *link = find_link(c, item->from_domain);
     int64_t need_us = now_us + item->need_us;
     int64_t ready_us = MAX(need_us - item->transfer_us, now_us);
     int64_t link_wait_us = MAX(link->busy_until_us - ready_us, 0);
--- a/src/route/engine_cmd.c
+++ b/src/route/engine_cmd.c
@@ -87,7 +87,7 @@
     struct fw_engine *e = Fw_Engine_Find(r, load->engine);
 
     if (e) {
-        e->free_slots = load->free;
+        e->free_slots = load->free_slots;
         e->wait_us = load->wait_us;
         e->load_us = now_us;
     }
--- a/src/route/grant.c
+++ b/src/route/grant.c
@@ -38,7 +38,7 @@
 
     g_strlcpy(ans->prefill, p->name, sizeof(ans->prefill));
     g_strlcpy(ans->decode, d->name, sizeof(ans->decode));
-    g_strlcpy(ans->why, job->explanation, sizeof(ans->why));
+    g_strlcpy(ans->explanation, job->explanation, sizeof(ans->explanation));
     job->state = FW_JOB_RUNNING;
     job->granted_us = now_us;
     p->prefilling++;
@@ -83,9 +83,9 @@
         return;
     }
     msg.u.route.kind = FW_ROUTE_RELEASE;
-    msg.u.route.u.release.ask = job->round_id;
+    msg.u.route.u.release.round_id = job->round_id;
     msg.u.route.u.release.engine = res->engine->id;
-    msg.u.route.u.release.cached = cached_tokens;
+    msg.u.route.u.release.cached_tokens = cached_tokens;
     Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
 }
 
--- a/src/route/reserve.c
+++ b/src/route/reserve.c
@@ -40,7 +40,7 @@
         return;
     }
     it->tokens += job->max_tokens;
-    it->from = p ? (uint32_t)Fw_Hash_Str(p->domain) : 0;
+    it->from_domain = p ? (uint32_t)Fw_Hash_Str(p->domain) : 0;
     it->transfer_us = job->decode.service_us;
     it->need_us = job->prefill.wait_us + job->prefill.service_us +
                   job->decode.service_us;
@@ -58,16 +58,17 @@
     uint64_t key = Fw_Engine_CacheKey(job->prefill.engine);
 
     for (int i = 0; i < job->prefixes.n; i++) {
-        if (Fw_Prefix_LevelTokens(i) > result->cached) {
+        if (Fw_Prefix_LevelTokens(i) > result->cached_tokens) {
             Fw_Prefix_Remove(&r->prefixes, key, job->prefixes.hash[i]);
         }
         else {
             Fw_Prefix_Add(&r->prefixes, key, job->prefixes.hash[i]);
         }
     }
-    job->cached_tokens = result->cached;
-    job->prefill.service_us = Fw_Cost_PrefillUs(
-        job->prompt_tokens, result->cached, u ? MAX(u->prefill_rate, 1) : 1);
+    job->cached_tokens = result->cached_tokens;
+    job->prefill.service_us =
+        Fw_Cost_PrefillUs(job->prompt_tokens, result->cached_tokens,
+                          u ? MAX(u->prefill_rate, 1) : 1);
 }
 
 static void
@@ -114,10 +115,10 @@
              struct fw_reservation *const *res, int n, struct fw_actions *out)
 {
     struct fw_msg msg = {.area = FW_AREA_ROUTE};
-    struct fw_route_reserve *body = &msg.u.route.u.want;
+    struct fw_route_reserve *body = &msg.u.route.u.reserve;
 
     msg.u.route.kind = FW_ROUTE_RESERVE;
-    body->ask = job->round_id;
+    body->round_id = job->round_id;
     for (int i = 0; i < n; i++) {
         fill_item(cfg, job, res[i], &body->item[body->n++]);
         res[i]->state = FW_RESERVATION_PENDING;
@@ -297,13 +298,13 @@
                    const struct fw_route_reply *reply, int64_t now_us,
                    struct fw_actions *out)
 {
-    struct fw_job *job = g_hash_table_lookup(r->rounds, &reply->ask);
+    struct fw_job *job = g_hash_table_lookup(r->rounds, &reply->round_id);
 
     for (int i = 0; i < reply->n_loads; i++) {
         Fw_Engine_UpdateLoad(r, &reply->load[i], now_us);
     }
     for (int i = 0; i < reply->n; i++) {
-        const struct fw_reserve_result *result = &reply->verdict[i];
+        const struct fw_reserve_result *result = &reply->result[i];
         struct fw_reservation *res =
             job ? find_pending(job, result->engine) : NULL;
 
@@ -311,7 +312,7 @@
             apply_result(r, cfg, job, res, result, now_us);
         }
         else {
-            release_unclaimed(r, result, reply->ask, now_us, out);
+            release_unclaimed(r, result, reply->round_id, now_us, out);
         }
     }
     if (!job || job->state != FW_JOB_RESERVING ||
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -178,14 +178,14 @@
     }
     job = g_new0(struct fw_job, 1);
     job->ticket = req->ticket;
-    job->model_queue = get_model_queue(r, req->model, req->alone);
+    job->model_queue = get_model_queue(r, req->model, req->exclusive);
     g_strlcpy(job->queue_item.team_name, req->team,
               sizeof(job->queue_item.team_name));
     job->prompt_tokens = MAX(req->prompt_tokens, 1);
     job->max_tokens = MAX(req->max_tokens, 1);
     job->deadline_us = req->deadline_us;
     job->arrived_us = req->arrived_us;
-    job->exclusive = req->alone;
+    job->exclusive = req->exclusive;
     job->avoid = g_strdupv((char **)req->avoid);
     Fw_List_Init(&job->queue_item.link);
     Fw_List_Init(&job->reserving);
@@ -328,10 +328,11 @@
         return;
     }
     msg.u.route.kind = FW_ROUTE_REPLY;
-    reply->ask = req->ask;
+    reply->round_id = req->round_id;
     for (int i = 0; i < req->n; i++) {
-        Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), req->ask, &req->item[i],
-                         now_us, &reply->verdict[reply->n++], out);
+        Fw_Coord_Reserve(r, cfg, Fw_Hash_Str(from), req->round_id,
+                         &req->item[i], now_us, &reply->result[reply->n++],
+                         out);
     }
     Fw_Coord_FillLoads(r, cfg, now_us, reply);
     Fw_Coord_FillLeaving(r, &reply->leaving);
@@ -345,7 +346,8 @@
     struct fw_engine *e = Fw_Engine_Find(r, rel->engine);
 
     if (e) {
-        Fw_Coord_Release(e, Fw_Hash_Str(from), rel->ask, rel->cached, now_us);
+        Fw_Coord_Release(e, Fw_Hash_Str(from), rel->round_id,
+                         rel->cached_tokens, now_us);
     }
 }
 
@@ -357,8 +359,8 @@
     Fw_Index_Sync(r, cfg);
     switch (msg->kind) {
     case FW_ROUTE_RESERVE:
-        Fw_Engine_MarkLeaving(r, &msg->u.want.leaving, now_us);
-        on_reserve(r, cfg, from, &msg->u.want, now_us, out);
+        Fw_Engine_MarkLeaving(r, &msg->u.reserve.leaving, now_us);
+        on_reserve(r, cfg, from, &msg->u.reserve, now_us, out);
         break;
     case FW_ROUTE_REPLY:
         Fw_Engine_MarkLeaving(r, &msg->u.reply.leaving, now_us);
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -59,7 +59,7 @@
     int64_t deadline_us;
     int64_t arrived_us;
     const char *const *avoid;
-    int alone;
+    int exclusive;
 };
 
 /**
@@ -77,7 +77,7 @@
     int64_t retry_after_us;
     char prefill[FW_NAME_MAX];
     char decode[FW_NAME_MAX];
-    char why[160];
+    char explanation[160];
 };
 
 /** enum fw_route_step - progress of a routed request. */
--- a/src/route/route_msg.c
+++ b/src/route/route_msg.c
@@ -23,7 +23,7 @@
     msgpack_pack_uint64(pk, it->serving);
     msgpack_pack_int64(pk, it->tokens);
     msgpack_pack_int64(pk, it->need_us);
-    msgpack_pack_uint64(pk, it->from);
+    msgpack_pack_uint64(pk, it->from_domain);
     msgpack_pack_int64(pk, it->transfer_us);
     pack_hashes(pk, it->prefixes.hash, it->prefixes.n);
 }
@@ -33,7 +33,7 @@
 {
     msgpack_pack_array(pk, 4);
     msgpack_pack_int(pk, FW_ROUTE_RESERVE);
-    msgpack_pack_uint64(pk, w->ask);
+    msgpack_pack_uint64(pk, w->round_id);
     msgpack_pack_array(pk, (size_t)w->n);
     for (int i = 0; i < w->n; i++) {
         pack_item(pk, &w->item[i]);
@@ -46,16 +46,16 @@
 {
     msgpack_pack_array(pk, 5);
     msgpack_pack_int(pk, FW_ROUTE_REPLY);
-    msgpack_pack_uint64(pk, p->ask);
+    msgpack_pack_uint64(pk, p->round_id);
     msgpack_pack_array(pk, (size_t)p->n);
     for (int i = 0; i < p->n; i++) {
-        const struct fw_reserve_result *result = &p->verdict[i];
+        const struct fw_reserve_result *result = &p->result[i];
 
         msgpack_pack_array(pk, 5);
         msgpack_pack_uint64(pk, result->engine);
         msgpack_pack_int(pk, (int)result->status);
         msgpack_pack_int64(pk, result->wait_us);
-        msgpack_pack_int64(pk, result->cached);
+        msgpack_pack_int64(pk, result->cached_tokens);
         msgpack_pack_int64(pk, result->free_slots);
     }
     msgpack_pack_array(pk, (size_t)p->n_loads);
@@ -63,7 +63,7 @@
         msgpack_pack_array(pk, 3);
         msgpack_pack_uint64(pk, p->load[i].engine);
         msgpack_pack_int64(pk, p->load[i].wait_us);
-        msgpack_pack_int64(pk, p->load[i].free);
+        msgpack_pack_int64(pk, p->load[i].free_slots);
     }
     pack_hashes(pk, p->leaving.engine, p->leaving.n);
 }
@@ -73,7 +73,7 @@
 {
     switch (msg->kind) {
     case FW_ROUTE_RESERVE:
-        pack_reserve(pk, &msg->u.want);
+        pack_reserve(pk, &msg->u.reserve);
         return;
     case FW_ROUTE_REPLY:
         pack_reply(pk, &msg->u.reply);
@@ -81,9 +81,9 @@
     case FW_ROUTE_RELEASE:
         msgpack_pack_array(pk, 4);
         msgpack_pack_int(pk, FW_ROUTE_RELEASE);
-        msgpack_pack_uint64(pk, msg->u.release.ask);
+        msgpack_pack_uint64(pk, msg->u.release.round_id);
         msgpack_pack_uint64(pk, msg->u.release.engine);
-        msgpack_pack_int64(pk, msg->u.release.cached);
+        msgpack_pack_int64(pk, msg->u.release.cached_tokens);
         return;
     case FW_ROUTE_NONE:
         break;
@@ -139,7 +139,7 @@
         Fw_Unpack_I64(o, 2, &alone) || Fw_Unpack_U64(o, 3, &it->serving) ||
         unpack_non_negative(o, 4, &it->tokens) ||
         unpack_non_negative(o, 5, &it->need_us) ||
-        Fw_Unpack_U64(o, 6, &it->from) ||
+        Fw_Unpack_U64(o, 6, &it->from_domain) ||
         unpack_non_negative(o, 7, &it->transfer_us)) {
         return -EBADMSG;
     }
@@ -154,7 +154,7 @@
 {
     const msgpack_object *arr = unpack_bounded_array(o, 2, FW_ROUTE_ITEMS_MAX);
 
-    if (!arr || Fw_Unpack_U64(o, 1, &w->ask)) {
+    if (!arr || Fw_Unpack_U64(o, 1, &w->round_id)) {
         return -EBADMSG;
     }
     w->n = (int)arr->via.array.size;
@@ -175,7 +175,7 @@
     if (Fw_Unpack_U64(o, 0, &result->engine) || Fw_Unpack_I64(o, 1, &grant) ||
         grant < 0 || grant >= FW_RESERVE_STATUSES ||
         unpack_non_negative(o, 2, &result->wait_us) ||
-        unpack_non_negative(o, 3, &result->cached) ||
+        unpack_non_negative(o, 3, &result->cached_tokens) ||
         unpack_non_negative(o, 4, &result->free_slots)) {
         return -EBADMSG;
     }
@@ -191,12 +191,12 @@
     const msgpack_object *loads =
         unpack_bounded_array(o, 3, FW_ROUTE_LOADS_MAX);
 
-    if (!results || !loads || Fw_Unpack_U64(o, 1, &p->ask)) {
+    if (!results || !loads || Fw_Unpack_U64(o, 1, &p->round_id)) {
         return -EBADMSG;
     }
     p->n = (int)results->via.array.size;
     for (int i = 0; i < p->n; i++) {
-        if (unpack_result(&results->via.array.ptr[i], &p->verdict[i])) {
+        if (unpack_result(&results->via.array.ptr[i], &p->result[i])) {
             return -EBADMSG;
         }
     }
@@ -206,7 +206,7 @@
 
         if (Fw_Unpack_U64(l, 0, &p->load[i].engine) ||
             unpack_non_negative(l, 1, &p->load[i].wait_us) ||
-            unpack_non_negative(l, 2, &p->load[i].free)) {
+            unpack_non_negative(l, 2, &p->load[i].free_slots)) {
             return -EBADMSG;
         }
     }
@@ -227,13 +227,13 @@
     case FW_ROUTE_NONE:
         return 0;
     case FW_ROUTE_RESERVE:
-        return unpack_reserve(obj, &msg->u.want);
+        return unpack_reserve(obj, &msg->u.reserve);
     case FW_ROUTE_REPLY:
         return unpack_reply(obj, &msg->u.reply);
     case FW_ROUTE_RELEASE:
-        if (Fw_Unpack_U64(obj, 1, &msg->u.release.ask) ||
+        if (Fw_Unpack_U64(obj, 1, &msg->u.release.round_id) ||
             Fw_Unpack_U64(obj, 2, &msg->u.release.engine) ||
-            Fw_Unpack_I64(obj, 3, &msg->u.release.cached)) {
+            Fw_Unpack_I64(obj, 3, &msg->u.release.cached_tokens)) {
             return -EBADMSG;
         }
         return 0;
--- a/src/route/route_msg.h
+++ b/src/route/route_msg.h
@@ -64,7 +64,7 @@
     uint64_t serving;
     int64_t tokens;
     int64_t need_us;
-    uint64_t from;
+    uint64_t from_domain;
     int64_t transfer_us;
     struct fw_prefixes prefixes;
 };
@@ -80,7 +80,7 @@
     uint64_t engine;
     enum fw_reserve_status status;
     int64_t wait_us;
-    int64_t cached;
+    int64_t cached_tokens;
     int64_t free_slots;
 };
 
@@ -92,7 +92,7 @@
 struct fw_route_load {
     uint64_t engine;
     int64_t wait_us;
-    int64_t free;
+    int64_t free_slots;
 };
 
 /**
@@ -109,7 +109,7 @@
  * @round_id: the sender's number for the round of reservations
  */
 struct fw_route_reserve {
-    uint64_t ask;
+    uint64_t round_id;
     int n;
     struct fw_reserve_item item[FW_ROUTE_ITEMS_MAX];
     struct fw_route_leaving leaving;
@@ -120,9 +120,9 @@
  * @round_id: the round of the request
  */
 struct fw_route_reply {
-    uint64_t ask;
+    uint64_t round_id;
     int n;
-    struct fw_reserve_result verdict[FW_ROUTE_ITEMS_MAX];
+    struct fw_reserve_result result[FW_ROUTE_ITEMS_MAX];
     int n_loads;
     struct fw_route_load load[FW_ROUTE_LOADS_MAX];
     struct fw_route_leaving leaving;
@@ -135,16 +135,16 @@
  *          -1 for a prefill that was not started, and for a decode slot
  */
 struct fw_route_release {
-    uint64_t ask;
+    uint64_t round_id;
     uint64_t engine;
-    int64_t cached;
+    int64_t cached_tokens;
 };
 
 /** struct fw_route_msg - a message; @kind selects the member, owns nothing. */
 struct fw_route_msg {
     enum fw_route_msg_kind kind;
     union {
-        struct fw_route_reserve want;
+        struct fw_route_reserve reserve;
         struct fw_route_reply reply;
         struct fw_route_release release;
     } u;
--- a/tests/relay/engines.c
+++ b/tests/relay/engines.c
@@ -233,11 +233,11 @@
             g_array_index(w->acts.all, struct fw_rl_action, i);
 
         if (a.kind == FW_RL_DO_CALL) {
-            handle_call(w, &a.u.ask);
+            handle_call(w, &a.u.upstream_call);
         }
         else if (a.kind == FW_RL_DO_REJECT) {
             w->res->rejected++;
-            find_stream(w, a.u.refuse.call)->is_over = 1;
+            find_stream(w, a.u.rejection.call)->is_over = 1;
         }
         else if (a.kind == FW_RL_DO_FINISH) {
             find_stream(w, a.u.call)->is_over = 1;
--- a/tests/relay/plain_servers.c
+++ b/tests/relay/plain_servers.c
@@ -82,7 +82,7 @@
             g_array_index(f->acts.all, struct fw_rl_action, i);
 
         if (a.kind == FW_RL_DO_CALL) {
-            handle_call(f, &a.u.ask);
+            handle_call(f, &a.u.upstream_call);
         }
         else if (a.kind == FW_RL_DO_REJECT) {
             f->res->rejected++;
--- a/tests/relay/script.c
+++ b/tests/relay/script.c
@@ -90,14 +90,15 @@
 
     switch (a->kind) {
     case FW_RL_DO_REJECT:
-        g_string_append_printf(
-            out, "  refuse %d %d %s ran=%s%s\n", (int)a->u.refuse.call,
-            a->u.refuse.status, a->u.refuse.reason,
-            Fw_Ran_Name(a->u.refuse.ran), retry_delay(a->u.refuse.retry_us));
+        g_string_append_printf(out, "  refuse %d %d %s ran=%s%s\n",
+                               (int)a->u.rejection.call, a->u.rejection.status,
+                               a->u.rejection.reason,
+                               Fw_Ran_Name(a->u.rejection.ran),
+                               retry_delay(a->u.rejection.retry_us));
         break;
     case FW_RL_DO_FORWARD:
-        g_string_append_printf(out, "  pass %d from %d\n", (int)a->u.pass.call,
-                               (int)a->u.pass.xid);
+        g_string_append_printf(out, "  pass %d from %d\n",
+                               (int)a->u.forward.call, (int)a->u.forward.xid);
         break;
     case FW_RL_DO_FINISH:
         g_string_append_printf(out, "  finish %d\n", (int)a->u.call);
@@ -106,13 +107,13 @@
         g_string_append_printf(out, "  cut %d\n", (int)a->u.call);
         break;
     case FW_RL_DO_CALL:
-        print_ask(out, &a->u.ask);
+        print_ask(out, &a->u.upstream_call);
         break;
     case FW_RL_DO_CANCEL_CALL:
         g_string_append_printf(out, "  stop %d\n", (int)a->u.xid);
         break;
     case FW_RL_DO_CLAIM_ROLE:
-        g_string_append_printf(out, "  claim at %d\n", (int)a->u.lead_end);
+        g_string_append_printf(out, "  claim at %d\n", (int)a->u.claim_offset);
         run->claim_sent_us = run->now_us;
         break;
     case FW_RL_DO_CLOSE_IDLE:
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -312,7 +312,7 @@
                                    .prompt_tokens = 100,
                                    .max_tokens = 10,
                                    .arrived_us = s->now_us,
-                                   .alone = 1};
+                                   .exclusive = 1};
     struct fw_actions out;
 
     route_env_engine(s, "d0")->busy = 1;
