--- a/bench/load/compare.c
+++ b/bench/load/compare.c
@@ -1,6 +1,6 @@
 /*
- * Several policies under the same arrivals, one after the other and again:
- * what else the machine does then falls on all of them.
+ * Runs several policies with the same arrivals. The runs are interleaved so
+ * that other load on the machine affects all policies alike.
  */
 #include <errno.h>
 #include <string.h>
@@ -8,37 +8,38 @@
 #include "bench/load/load.h"
 
 static int
-tool(char **argv)
+run_tool(char **argv)
 {
     GError *err = NULL;
     char *out = NULL;
-    char *text = NULL;
+    char *errors = NULL;
     int status = 0;
 
     if (!g_spawn_sync(NULL, argv, NULL, G_SPAWN_DEFAULT, NULL, NULL, &out,
-                      &text, &status, &err)) {
+                      &errors, &status, &err)) {
         g_printerr("fwload: %s: %s\n", argv[0], err->message);
         g_error_free(err);
         return -EIO;
     }
     if (status != 0) {
-        g_printerr("%s", text);
+        g_printerr("%s", errors);
     }
     g_free(out);
-    g_free(text);
+    g_free(errors);
     return status == 0 ? 0 : -EIO;
 }
 
 static int
-fleet_up(const struct fw_experiment *e, const char *policy, const char *dir,
-         uint32_t seed)
+start_fleet(const struct fw_experiment *e, const char *policy, const char *dir,
+            uint32_t seed)
 {
-    char *stand = g_strdup_printf("--domains %d %s", e->domains, e->stand);
+    char *stand_options =
+        g_strdup_printf("--domains %d %s", e->domains, e->stand_options);
     char num[5][16];
-    int values[] = {e->instances, e->prefill, e->decode, e->services,
-                    (int)seed};
+    int values[] = {e->instances, e->prefill_engines, e->decode_engines,
+                    e->service_servers, (int)seed};
     char *argv[] = {"tools/fleet", "up",           "--dir",      (char *)dir,
-                    "--policy",    (char *)policy, "--stand",    stand,
+                    "--policy",    (char *)policy, "--stand",    stand_options,
                     "--instances", num[0],         "--prefill",  num[1],
                     "--decode",    num[2],         "--services", num[3],
                     "--seed",      num[4],         NULL};
@@ -47,25 +48,25 @@
     for (int i = 0; i < 5; i++) {
         g_snprintf(num[i], sizeof(num[i]), "%d", values[i]);
     }
-    rc = tool(argv);
-    g_free(stand);
+    rc = run_tool(argv);
+    g_free(stand_options);
     return rc;
 }
 
 static int
-run_one(const struct fw_experiment *e, const struct fw_compare *c, int policy,
-        int repeat, struct fw_score *score)
+run_policy(const struct fw_experiment *e, const struct fw_comparison *c,
+           int policy, int repeat, struct fw_loadgen_stats *stats)
 {
     uint32_t seed = e->seed + (uint32_t)repeat;
     char *dir = g_strdup_printf("%s/%s-%d", c->dir, c->policy[policy], repeat);
     char *file = g_build_filename(dir, "fleet.json", NULL);
     char *down[] = {"tools/fleet", "down", "--dir", dir, NULL};
-    int rc = fleet_up(e, c->policy[policy], dir, seed);
+    int rc = start_fleet(e, c->policy[policy], dir, seed);
 
     if (rc == 0) {
-        rc = Fw_Load_Run(e, seed, file, score);
-        /* A killed instance does not end by itself. */
-        if (tool(down) && e->fault != FW_LOAD_KILL && rc == 0) {
+        rc = Fw_Loadgen_Run(e, seed, file, stats);
+        /* tools/fleet down fails if an instance was killed. */
+        if (run_tool(down) && e->fault != FW_LOADGEN_FAULT_KILL && rc == 0) {
             rc = -EIO;
         }
     }
@@ -75,14 +76,14 @@
 }
 
 int
-Fw_Compare_Run(const struct fw_experiment *e, struct fw_compare *c)
+Fw_Comparison_Run(const struct fw_experiment *e, struct fw_comparison *c)
 {
-    c->score = g_new0(struct fw_score, c->repeats * c->n);
+    c->stats = g_new0(struct fw_loadgen_stats, c->repeats * c->n_policies);
     for (int r = 0; r < c->repeats; r++) {
-        for (int i = 0; i < c->n; i++) {
-            /* Another one begins each time. */
-            int p = (i + r) % c->n;
-            int rc = run_one(e, c, p, r, &c->score[r * c->n + p]);
+        for (int i = 0; i < c->n_policies; i++) {
+            /* Each repeat starts with another policy. */
+            int p = (i + r) % c->n_policies;
+            int rc = run_policy(e, c, p, r, &c->stats[r * c->n_policies + p]);
 
             if (rc) {
                 g_printerr("fwload: %s, repeat %d: %s\n", c->policy[p], r,
--- a/bench/load/fleet_file.c
+++ b/bench/load/fleet_file.c
@@ -5,7 +5,7 @@
 #include "io/json.h"
 
 static int
-read_callers(JsonObject *root, struct fw_load_fleet *f)
+read_callers(JsonObject *root, struct fw_loadgen_fleet *f)
 {
     JsonArray *arr;
 
@@ -13,19 +13,19 @@
         return -EINVAL;
     }
     for (guint i = 0; i < json_array_get_length(arr); i++) {
-        if (f->n_callers == FW_LOAD_CALLERS ||
+        if (f->n_instances == FW_LOADGEN_INSTANCES_MAX ||
             json_node_get_value_type(json_array_get_element(arr, i)) !=
                 G_TYPE_STRING) {
             return -EINVAL;
         }
-        f->caller[f->n_callers++] =
+        f->caller_urls[f->n_instances++] =
             g_strdup(json_array_get_string_element(arr, i));
     }
-    return f->n_callers ? 0 : -EINVAL;
+    return f->n_instances ? 0 : -EINVAL;
 }
 
 static int
-read_maps(JsonObject *root, struct fw_load_fleet *f)
+read_stands_and_pids(JsonObject *root, struct fw_loadgen_fleet *f)
 {
     JsonObject *stands;
     JsonObject *pids;
@@ -40,7 +40,8 @@
         const char *url;
 
         if (Fw_Json_Str(stands, l->data, &url) == 0) {
-            g_hash_table_insert(f->stands, g_strdup(l->data), g_strdup(url));
+            g_hash_table_insert(f->stand_urls, g_strdup(l->data),
+                                g_strdup(url));
         }
     }
     g_list_free(names);
@@ -54,13 +55,13 @@
         }
     }
     g_list_free(names);
-    return g_hash_table_contains(f->stands, "log") ? 0 : -EINVAL;
+    return g_hash_table_contains(f->stand_urls, "log") ? 0 : -EINVAL;
 }
 
-struct fw_load_fleet *
-Fw_LoadFleet_Read(const char *file, GString *err)
+struct fw_loadgen_fleet *
+Fw_LoadgenFleet_Read(const char *file, GString *err)
 {
-    struct fw_load_fleet *f;
+    struct fw_loadgen_fleet *f;
     GError *gerr = NULL;
     JsonNode *root;
     char *text;
@@ -73,13 +74,14 @@
     }
     root = Fw_Json_Parse(text, len);
     g_free(text);
-    f = g_new0(struct fw_load_fleet, 1);
-    f->stands = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    f = g_new0(struct fw_loadgen_fleet, 1);
+    f->stand_urls =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     f->pids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     if (!root || read_callers(json_node_get_object(root), f) ||
-        read_maps(json_node_get_object(root), f)) {
-        g_string_printf(err, "%s: not the description of a fleet", file);
-        Fw_LoadFleet_Free(f);
+        read_stands_and_pids(json_node_get_object(root), f)) {
+        g_string_printf(err, "%s: invalid fleet description", file);
+        Fw_LoadgenFleet_Free(f);
         f = NULL;
     }
     if (root) {
@@ -89,12 +91,12 @@
 }
 
 void
-Fw_LoadFleet_Free(struct fw_load_fleet *f)
+Fw_LoadgenFleet_Free(struct fw_loadgen_fleet *f)
 {
-    for (int i = 0; i < f->n_callers; i++) {
-        g_free(f->caller[i]);
+    for (int i = 0; i < f->n_instances; i++) {
+        g_free(f->caller_urls[i]);
     }
-    g_hash_table_unref(f->stands);
+    g_hash_table_unref(f->stand_urls);
     g_hash_table_unref(f->pids);
     g_free(f);
 }
--- a/bench/load/http.c
+++ b/bench/load/http.c
@@ -1,10 +1,10 @@
 #include "bench/load/load.h"
 #include "io/fetch.h"
 
-#define FW_ANSWER_MAX (256 << 20)
+#define FW_RESPONSE_MAX_BYTES (256 << 20)
 
-/** struct waiting - a call that the loop is run for. */
-struct waiting {
+/** struct sync_call - a call and the main loop that waits for it. */
+struct sync_call {
     GMainLoop *loop;
     int status;
     GBytes *body;
@@ -13,7 +13,7 @@
 static void
 on_done(void *ctx, const struct fw_fetch_result *result)
 {
-    struct waiting *w = ctx;
+    struct sync_call *w = ctx;
 
     w->status = result->err ? 0 : result->status;
     w->body = result->body ? g_bytes_ref(result->body) : NULL;
@@ -21,15 +21,15 @@
 }
 
 int
-Fw_LoadHttp_Call(SoupSession *session, const char *method, const char *url,
-                 const char *json, const char *key, GBytes **body)
+Fw_LoadgenHttp_Call(SoupSession *session, const char *method, const char *url,
+                    const char *json, const char *key, GBytes **body)
 {
-    struct waiting w = {.loop = g_main_loop_new(NULL, FALSE)};
+    struct sync_call w = {.loop = g_main_loop_new(NULL, FALSE)};
     SoupMessage *msg = Fw_Fetch_Message(method, url, json);
     struct fw_fetch_opts opts = {.session = session,
                                  .msg = msg,
                                  .timeout_us = 20 * FW_SEC,
-                                 .body_max = FW_ANSWER_MAX,
+                                 .body_max = FW_RESPONSE_MAX_BYTES,
                                  .ctx = &w,
                                  .done = on_done};
 
--- a/bench/load/journal.c
+++ b/bench/load/journal.c
@@ -1,8 +1,8 @@
 /*
- * What took effect, from the journals of the stand-ins. A prefill whose
- * engine-side request no decode engine ever decoded was wasted; that of a
- * caller who went away counts as well, with every policy alike. Its size
- * comes from the length of the call: four bytes a token.
+ * Reads from the journals of the stand-ins which requests took effect. The
+ * prefill of a request that no decode engine decoded is wasted, also if the
+ * client cancelled it. Tokens are estimated from Content-Length, at 4 bytes
+ * per token.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,16 +10,22 @@
 #include "bench/load/load.h"
 #include "io/json.h"
 
-/** struct entries - what the journals hold. */
-struct entries {
-    GHashTable *decoded;  /* engine-side ids */
-    GHashTable *orders;   /* idempotency key to count */
-    GHashTable *prefills; /* engine-side id to tokens */
-    int whole;
+/**
+ * struct journal_effects - what took effect according to the journals.
+ * @decoded: set of engine request ids
+ * @orders: idempotency key to number of times the order took effect
+ * @prefills: engine request id to prefill tokens
+ * @complete: all journals were read and all their lines are valid
+ */
+struct journal_effects {
+    GHashTable *decoded;
+    GHashTable *orders;
+    GHashTable *prefills;
+    int complete;
 };
 
 static void
-read_line(struct entries *en, const char *line, size_t len)
+add_line(struct journal_effects *effects, const char *line, size_t len)
 {
     JsonNode *root = Fw_Json_Parse(line, len);
     JsonObject *o;
@@ -29,12 +35,12 @@
     const char *length = "0";
 
     if (!root) {
-        en->whole = 0;
+        effects->complete = 0;
         return;
     }
     o = json_node_get_object(root);
     if (Fw_Json_Str(o, "effect", &effect) || Fw_Json_Str(o, "id", &id)) {
-        en->whole = 0;
+        effects->complete = 0;
         json_node_unref(root);
         return;
     }
@@ -42,32 +48,34 @@
         (void)Fw_Json_Str(headers, "Content-Length", &length);
     }
     if (strcmp(effect, "decode") == 0) {
-        g_hash_table_add(en->decoded, g_strdup(id));
+        g_hash_table_add(effects->decoded, g_strdup(id));
     }
     else if (strcmp(effect, "prefill") == 0) {
         g_hash_table_insert(
-            en->prefills, g_strdup(id),
+            effects->prefills, g_strdup(id),
             GINT_TO_POINTER((int)(strtol(length, NULL, 10) / 4)));
     }
     else if (strcmp(effect, "order") == 0) {
-        int n = GPOINTER_TO_INT(g_hash_table_lookup(en->orders, id));
+        int n = GPOINTER_TO_INT(g_hash_table_lookup(effects->orders, id));
 
-        g_hash_table_insert(en->orders, g_strdup(id), GINT_TO_POINTER(n + 1));
+        g_hash_table_insert(effects->orders, g_strdup(id),
+                            GINT_TO_POINTER(n + 1));
     }
     json_node_unref(root);
 }
 
 static void
-read_journal(struct entries *en, SoupSession *session, const char *base)
+read_journal(struct journal_effects *effects, SoupSession *session,
+             const char *base)
 {
     char *url = g_strconcat(base, "/journal", NULL);
     GBytes *body = NULL;
     const char *p;
     gsize len = 0;
 
-    if (Fw_LoadHttp_Call(session, "GET", url, NULL, NULL, &body) != 200 ||
+    if (Fw_LoadgenHttp_Call(session, "GET", url, NULL, NULL, &body) != 200 ||
         !body) {
-        en->whole = 0;
+        effects->complete = 0;
         g_free(url);
         return;
     }
@@ -78,7 +86,7 @@
         gsize n = nl ? (gsize)(nl - p) : len;
 
         if (n > 0) {
-            read_line(en, p, n);
+            add_line(effects, p, n);
         }
         p += n + (nl != NULL);
         len -= n + (nl != NULL);
@@ -87,67 +95,70 @@
 }
 
 static void
-count_prefills(const struct entries *en, struct fw_score *score)
+count_prefills(const struct journal_effects *effects,
+               struct fw_loadgen_stats *stats)
 {
     GHashTableIter it;
     gpointer id;
     gpointer tokens;
 
-    g_hash_table_iter_init(&it, en->prefills);
+    g_hash_table_iter_init(&it, effects->prefills);
     while (g_hash_table_iter_next(&it, &id, &tokens)) {
-        score->prefill_tokens += GPOINTER_TO_INT(tokens);
-        if (!g_hash_table_contains(en->decoded, id)) {
-            score->wasted_tokens += GPOINTER_TO_INT(tokens);
+        stats->prefill_tokens += GPOINTER_TO_INT(tokens);
+        if (!g_hash_table_contains(effects->decoded, id)) {
+            stats->wasted_prefill_tokens += GPOINTER_TO_INT(tokens);
         }
     }
 }
 
 static void
-count_orders(const struct entries *en, const GArray *plan,
-             struct fw_score *score)
+count_orders(const struct journal_effects *effects, const GArray *schedule,
+             struct fw_loadgen_stats *stats)
 {
-    for (guint i = 0; i < plan->len; i++) {
-        const struct fw_shot *s = &g_array_index(plan, struct fw_shot, i);
-        int n = GPOINTER_TO_INT(g_hash_table_lookup(en->orders, s->id));
+    for (guint i = 0; i < schedule->len; i++) {
+        const struct fw_loadgen_request *s =
+            &g_array_index(schedule, struct fw_loadgen_request, i);
+        int n = GPOINTER_TO_INT(g_hash_table_lookup(effects->orders, s->id));
 
-        if (s->kind != FW_SHOT_ORDER) {
+        if (s->kind != FW_LOADGEN_ORDER) {
             continue;
         }
-        score->orders_sent++;
-        score->orders_doubled += n > 1;
-        score->orders_dropped += s->whole && n == 0;
-        score->orders_false_no += s->ran_no && n > 0;
+        stats->orders_sent++;
+        stats->orders_duplicated += n > 1;
+        stats->orders_lost += s->complete && n == 0;
+        stats->orders_false_not_executed += s->not_executed && n > 0;
     }
 }
 
 void
-Fw_Score_Journals(const struct fw_load_fleet *f, SoupSession *session,
-                  const GArray *plan, struct fw_score *s)
+Fw_LoadgenStats_AddJournals(const struct fw_loadgen_fleet *f,
+                            SoupSession *session, const GArray *schedule,
+                            struct fw_loadgen_stats *s)
 {
-    struct entries en = {
+    struct journal_effects effects = {
         .decoded =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
         .orders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
         .prefills =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
-        .whole = 1,
+        .complete = 1,
     };
     GHashTableIter it;
     gpointer name;
     gpointer url;
 
-    g_hash_table_iter_init(&it, f->stands);
+    g_hash_table_iter_init(&it, f->stand_urls);
     while (g_hash_table_iter_next(&it, &name, &url)) {
         if (g_str_has_prefix(name, "prefill-") ||
             g_str_has_prefix(name, "decode-") ||
             g_str_has_prefix(name, "grid-desk-")) {
-            read_journal(&en, session, url);
+            read_journal(&effects, session, url);
         }
     }
-    count_prefills(&en, s);
-    count_orders(&en, plan, s);
-    s->journal_whole = en.whole;
-    g_hash_table_unref(en.decoded);
-    g_hash_table_unref(en.orders);
-    g_hash_table_unref(en.prefills);
+    count_prefills(&effects, s);
+    count_orders(&effects, schedule, s);
+    s->journals_complete = effects.complete;
+    g_hash_table_unref(effects.decoded);
+    g_hash_table_unref(effects.orders);
+    g_hash_table_unref(effects.prefills);
 }
--- a/bench/load/load.h
+++ b/bench/load/load.h
@@ -1,8 +1,8 @@
 /*
- * fwload: open-loop load on a fleet, and what came of it.
+ * fwload: an open-loop load generator.
  *
- * Arrivals are drawn in advance from a seed and sent at their time whether or
- * not earlier ones were answered, so a slow router can't slow its own load.
+ * The arrival times are computed from a seed before the run, and each request
+ * is sent at its time whether or not earlier ones have been answered.
  */
 #ifndef FW_LOAD_LOAD_H
 #define FW_LOAD_LOAD_H
@@ -15,22 +15,24 @@
 #include "base/limits.h"
 #include "base/verdict.h"
 
-#define FW_LOAD_TEAMS 5
-#define FW_LOAD_CALLERS 16
+#define FW_LOADGEN_TEAMS 5
+#define FW_LOADGEN_INSTANCES_MAX 16
 
-/** enum fw_load_fault - what is done to the fleet half way. */
-enum fw_load_fault {
-    FW_LOAD_NO_FAULT,
-    FW_LOAD_KILL, /* one instance, which takes no callers, is killed */
-    FW_LOAD_LOG_DOWN,
+/** enum fw_loadgen_fault - the fault injected during a run. */
+enum fw_loadgen_fault {
+    FW_LOADGEN_FAULT_NONE,
+    FW_LOADGEN_FAULT_KILL,     /* SIGKILL to the last instance, which gets no
+                                  requests, after a third of the run */
+    FW_LOADGEN_FAULT_LOG_DOWN, /* the log answers 503 for the whole run */
 };
 
 /**
- * struct fw_load_team - a tenant.
- * @weight: its part of the arrivals, of the sum of all
- * @rate, @burst: what it is entitled to, in tokens
+ * struct fw_loadgen_team - a team that sends requests.
+ * @weight: share of all arrivals, relative to the weights of the other teams
+ * @rate: rate limit in tokens per second
+ * @burst: capacity of the token bucket in tokens
  */
-struct fw_load_team {
+struct fw_loadgen_team {
     char name[FW_NAME_MAX];
     int weight;
     int64_t rate;
@@ -38,226 +40,302 @@
 };
 
 /**
- * struct fw_experiment - what is run; see docs/operations.
- * @per_s: arrivals a second of all kinds
- * @noisy: index of the team that sends @noisy_times as much, or -1
- * @docs: documents of each team, whose text its prompts begin with
- * @doc_bytes, @tail_bytes: of the document and of the caller's own part
- * @out_tokens: wanted of an answer, least and most
- * @order_permille ... of all arrivals; @cancel_permille, @deadline_permille
- *                 of the completions
- * @settle_s: pause before the first arrival, in which leaders of the teams
- *            settle and buckets fill
- * @stand: options for the stand-ins
+ * struct fw_experiment - parameters of a run; see docs/operations.
+ * @arrivals_per_s: mean arrival rate of all requests, without the surplus of
+ *                  the noisy team
+ * @domains: number of failure domains
+ * @noisy_team: index of the team whose weight is multiplied by
+ *              @noisy_factor, or -1
+ * @docs_per_team: documents per team; a prompt is a document and a suffix
+ * @doc_bytes: least and largest size of a document
+ * @suffix_bytes: least and largest size of a suffix
+ * @output_tokens: least and largest max_tokens of a completion
+ * @order_permille: fraction of all arrivals that are orders
+ * @service_get_permille: fraction of all arrivals that are GETs to a service
+ * @cancel_permille: fraction of the completions that the client cancels
+ * @deadline_permille: fraction of the completions that carry a deadline
+ * @settle_s: pause before the first arrival, for the budget leaders to be
+ *            elected and the token buckets to fill
+ * @stand_options: command-line options of the stand-in servers
  */
 struct fw_experiment {
     char workload[FW_NAME_MAX];
     uint32_t seed;
-    int seconds;
-    double per_s;
+    int duration_s;
+    double arrivals_per_s;
     int instances;
     int domains;
-    int prefill;
-    int decode;
-    int services;
-    struct fw_load_team team[FW_LOAD_TEAMS];
-    int noisy;
-    int noisy_times;
-    int docs;
+    int prefill_engines;
+    int decode_engines;
+    int service_servers;
+    struct fw_loadgen_team team[FW_LOADGEN_TEAMS];
+    int noisy_team;
+    int noisy_factor;
+    int docs_per_team;
     int doc_bytes[2];
-    int tail_bytes[2];
-    int out_tokens[2];
+    int suffix_bytes[2];
+    int output_tokens[2];
     int order_permille;
-    int reading_permille;
+    int service_get_permille;
     int cancel_permille;
     int deadline_permille;
     int deadline_s;
     int settle_s;
-    int64_t ttft_us;
-    int64_t itl_us;
-    enum fw_load_fault fault;
-    char stand[256];
+    int64_t ttft_target_us;
+    int64_t itl_target_us;
+    enum fw_loadgen_fault fault;
+    char stand_options[256];
 };
 
-/** enum fw_shot_kind - what a caller asks for. */
-enum fw_shot_kind {
-    FW_SHOT_COMPLETION,
-    FW_SHOT_ORDER,
-    FW_SHOT_READING,
+enum fw_loadgen_kind {
+    FW_LOADGEN_COMPLETION,
+    FW_LOADGEN_ORDER,
+    FW_LOADGEN_SERVICE_GET,
 };
 
 /**
- * struct fw_shot - one arrival and what became of it.
- * @within: its team was within its rate and burst when it was sent, by this
- *          tool's own account
- * @status: HTTP status, 0 when none came
- * @whole: all pieces and the closing line came
+ * struct fw_loadgen_request - a scheduled request and its outcome.
+ * @arrival_us: scheduled time since the start of the run
+ * @doc_index: which of the team's documents the prompt starts with
+ * @cancel_after_us: time from sending to cancelling, 0 for never
+ * @deadline_us: deadline relative to the time of sending, 0 for none
+ * @id: request id, also the idempotency key of an order
+ * @within_limit: the team's rate limit, as modelled by fwload, allowed it
+ * @sent_us: monotonic time, as are @first_us and @last_us
+ * @first_us: time of the first piece of a completion
+ * @last_us: time of the last piece, or of the end of the response if later
+ * @pieces: stream events with generated text
+ * @status: HTTP status, 0 without a response
+ * @not_executed: the response says that the request was not executed
+ * @complete: a completion's stream reached [DONE]; any other request got 200
+ * @finished: the response ended, or the client stopped waiting for it
  */
-struct fw_shot {
-    int64_t at_us;
-    enum fw_shot_kind kind;
+struct fw_loadgen_request {
+    int64_t arrival_us;
+    enum fw_loadgen_kind kind;
     int team;
-    int doc;
-    int tail_bytes;
+    int doc_index;
+    int suffix_bytes;
     int64_t prompt_tokens;
     int64_t max_tokens;
     int64_t cancel_after_us;
     int64_t deadline_us;
     char id[FW_ID_MAX];
-    int within;
+    int within_limit;
     int cancelled;
     int64_t sent_us;
     int64_t first_us;
     int64_t last_us;
     int64_t pieces;
     int status;
-    int ran_no;
-    int whole;
-    int ended;
+    int not_executed;
+    int complete;
+    int finished;
 };
 
 /* workload.c */
-/* Return: 0, or -EINVAL for an unknown name. */
+/* Sets @e to a built-in workload. Returns 0, or -EINVAL for an unknown one. */
 int
-Fw_Load_Builtin(struct fw_experiment *e, const char *workload);
-/* Reads an INI file; @err names file, group and key of what is wrong. */
+Fw_Experiment_InitBuiltin(struct fw_experiment *e, const char *workload);
+/*
+ * Reads an INI file. Returns 0, or a negative errno with a message in @err
+ * that names the file and, if there is one, the key.
+ */
 int
-Fw_Load_Read(struct fw_experiment *e, const char *file, GString *err);
+Fw_Experiment_Read(struct fw_experiment *e, const char *file, GString *err);
 
-/* plan.c */
-/* Array of struct fw_shot in order of time. */
+/* schedule.c */
+/* Returns an array of struct fw_loadgen_request, ordered by arrival time. */
 GArray *
-Fw_Load_Plan(const struct fw_experiment *e, uint32_t seed);
-/* The prompt of @shot; the same document text for the same team and doc. */
+Fw_Loadgen_BuildSchedule(const struct fw_experiment *e, uint32_t seed);
+/*
+ * Returns the prompt of @req, to be freed with g_free(). Requests with the
+ * same team and document share a prefix.
+ */
 char *
-Fw_Load_Prompt(const struct fw_experiment *e, const struct fw_shot *shot);
+Fw_Loadgen_BuildPrompt(const struct fw_experiment *e,
+                       const struct fw_loadgen_request *req);
 
-/**
- * struct fw_histogram - counts in buckets a 32nd of an octave wide: a value
- * read back is at most 1.1 % off.
+/*
+ * Latencies in us are counted in logarithmic buckets, 32 per octave, so a
+ * quantile is within 1.1 % of the true value.
  */
-#define FW_HIST_PER_OCTAVE 32
-#define FW_HIST_BUCKETS (32 * FW_HIST_PER_OCTAVE)
-struct fw_histogram {
-    int64_t n;
-    int64_t bucket[FW_HIST_BUCKETS];
+#define FW_LATENCY_BUCKETS_PER_OCTAVE 32
+#define FW_LATENCY_BUCKETS (32 * FW_LATENCY_BUCKETS_PER_OCTAVE)
+struct fw_latency_histogram {
+    int64_t count;
+    int64_t counts[FW_LATENCY_BUCKETS];
 };
 
-/* histogram.c; @us from 1 on. */
+/* histogram.c */
+/* Adds a latency; less than 1 us counts as 1 us. */
 void
-Fw_Hist_Add(struct fw_histogram *h, int64_t us);
+Fw_LatencyHistogram_Add(struct fw_latency_histogram *h, int64_t us);
+/* Returns quantile @q, from 0 to 1, in us, or 0 for an empty histogram. */
 double
-Fw_Hist_Quantile(const struct fw_histogram *h, double q);
+Fw_LatencyHistogram_Quantile(const struct fw_latency_histogram *h, double q);
 
-/** struct fw_account - this tool's own model of a team's rate and burst. */
-struct fw_account {
+/**
+ * struct fw_loadgen_bucket - token bucket that models a team's rate limit.
+ * @updated_us: time of the last refill; 0 for a new bucket, which is full
+ */
+struct fw_loadgen_bucket {
     double tokens;
-    int64_t at_us;
+    int64_t updated_us;
 };
 
-/* account.c */
+/* bucket.c */
+/* Refills the bucket and takes @tokens. Returns 0 if it holds fewer. */
 int
-Fw_Account_Take(struct fw_account *a, const struct fw_load_team *t,
-                int64_t tokens, int64_t now_us);
+Fw_LoadgenBucket_TryTake(struct fw_loadgen_bucket *b,
+                         const struct fw_loadgen_team *t, int64_t tokens,
+                         int64_t now_us);
 void
-Fw_Account_Give(struct fw_account *a, const struct fw_load_team *t,
-                int64_t tokens);
+Fw_LoadgenBucket_Refund(struct fw_loadgen_bucket *b,
+                        const struct fw_loadgen_team *t, int64_t tokens);
 
-/** struct fw_load_fleet - where everything is, from fleet.json. */
-struct fw_load_fleet {
-    int n_callers;
-    char *caller[FW_LOAD_CALLERS];
-    GHashTable *stands; /* name to base URL */
-    GHashTable *pids;   /* name to pid */
+/**
+ * struct fw_loadgen_fleet - addresses and processes from fleet.json.
+ * @caller_urls: base URLs of the instances for callers
+ * @stand_urls: base URLs of the stand-in servers, by name
+ * @pids: process ids of the instances and of fwstand, by name
+ */
+struct fw_loadgen_fleet {
+    int n_instances;
+    char *caller_urls[FW_LOADGEN_INSTANCES_MAX];
+    GHashTable *stand_urls;
+    GHashTable *pids;
 };
 
 /* fleet_file.c */
-struct fw_load_fleet *
-Fw_LoadFleet_Read(const char *file, GString *err);
+/* Returns NULL with a message in @err if the file is invalid. */
+struct fw_loadgen_fleet *
+Fw_LoadgenFleet_Read(const char *file, GString *err);
 void
-Fw_LoadFleet_Free(struct fw_load_fleet *f);
+Fw_LoadgenFleet_Free(struct fw_loadgen_fleet *f);
 
-/* http.c: one call at a time, waited for. Return: status or 0. */
+/* http.c */
+/*
+ * Sends a request and waits for the response. @key, if not NULL, is the
+ * bearer token. If @body isn't NULL, it is set to the response body, which
+ * the caller unrefs and which may be NULL. Returns the HTTP status, or 0 if
+ * there was no complete response.
+ */
 int
-Fw_LoadHttp_Call(SoupSession *session, const char *method, const char *url,
-                 const char *json, const char *key, GBytes **body);
+Fw_LoadgenHttp_Call(SoupSession *session, const char *method, const char *url,
+                    const char *json, const char *key, GBytes **body);
 
-/* teams.c: gives the teams and their keys to the fleet, and waits until all
- * instances know them. @keys: FW_LOAD_TEAMS texts, to be freed. */
+/* teams.c */
+/*
+ * Writes the teams and a new key for each to the configuration log, and waits
+ * until every instance accepts the keys and knows all others. @keys has room
+ * for FW_LOADGEN_TEAMS strings, which the caller frees, also after an error.
+ * Returns 0, -EIO or -ETIMEDOUT.
+ */
 int
-Fw_LoadTeams_Apply(const struct fw_experiment *e,
-                   const struct fw_load_fleet *f, SoupSession *session,
-                   char **keys);
+Fw_LoadgenTeams_Apply(const struct fw_experiment *e,
+                      const struct fw_loadgen_fleet *f, SoupSession *session,
+                      char **keys);
 
 /**
- * struct fw_score - what a run is judged by; see docs/operations.
- * @worst_quiet_share: the same among the teams that keep to their share
- * @wrongful: answered with an error though within rate and burst
- * @failed: neither whole nor answered with an error
+ * struct fw_loadgen_stats - results of a run; see docs/operations.
+ * @goodput_per_s: completions per second that met their latency targets or
+ *                 their deadline
+ * @goodput_share: share of these among the completions within the rate limit
+ * @worst_team_share: the least goodput share of a team
+ * @worst_compliant_team_share: the least of a team that isn't the noisy one
+ * @wrongful_refusals: completions within the rate limit that got an error
+ * @wrongful_rate_limited: wrongful refusals with status 429
+ * @wrongful_permille: wrongful refusals per 1000 completions within the limit
+ * @failed: completions that got neither an error nor a complete response
+ * @orders_duplicated: orders that took effect more than once
+ * @orders_lost: orders that were answered 200 but did not take effect
+ * @orders_false_not_executed: orders that were reported as not executed but
+ *                             took effect
+ * @journals_complete: zero if a stand-in's journal could not be read in full
  */
-struct fw_score {
-    double good_per_s;
-    double good_share;
-    double wasted_tokens;
+struct fw_loadgen_stats {
+    double goodput_per_s;
+    double goodput_share;
+    double wasted_prefill_tokens;
     double prefill_tokens;
     double worst_team_share;
     char worst_team[FW_NAME_MAX];
-    double worst_quiet_share;
-    double wrongful;
-    double wrongful_rate; /* of them by rate limit */
+    double worst_compliant_team_share;
+    double wrongful_refusals;
+    double wrongful_rate_limited;
     double wrongful_permille;
-    double sent;
+    double completions_sent;
     double failed;
     double orders_sent;
-    double orders_doubled;
-    double orders_dropped;
-    double orders_false_no;
-    struct fw_histogram ttft;
-    struct fw_histogram itl;
-    int journal_whole;
+    double orders_duplicated;
+    double orders_lost;
+    double orders_false_not_executed;
+    struct fw_latency_histogram ttft;
+    struct fw_latency_histogram itl;
+    int journals_complete;
 };
 
-/* shoot.c: sends the plan; returns when all are answered or given up. */
+/* sender.c */
+/*
+ * Sends the requests of @schedule and records their outcome there. Returns
+ * when all have finished, or 40 s after the last was sent.
+ */
 void
-Fw_Load_Shoot(const struct fw_experiment *e, const struct fw_load_fleet *f,
-              SoupSession *session, char **keys, GArray *plan,
-              struct fw_score *score);
+Fw_Loadgen_Send(const struct fw_experiment *e,
+                const struct fw_loadgen_fleet *f, SoupSession *session,
+                char **keys, GArray *schedule, struct fw_loadgen_stats *stats);
 
-/* score.c */
+/* stats.c */
 void
-Fw_Score_Shots(const struct fw_experiment *e, const GArray *plan,
-               struct fw_score *s);
-/* journal.c: wasted prefill and orders, from the stand-ins. */
+Fw_LoadgenStats_AddRequests(const struct fw_experiment *e,
+                            const GArray *schedule,
+                            struct fw_loadgen_stats *s);
+/* journal.c */
+/* Adds prefill tokens and the effects of orders from the stand-ins. */
 void
-Fw_Score_Journals(const struct fw_load_fleet *f, SoupSession *session,
-                  const GArray *plan, struct fw_score *s);
+Fw_LoadgenStats_AddJournals(const struct fw_loadgen_fleet *f,
+                            SoupSession *session, const GArray *schedule,
+                            struct fw_loadgen_stats *s);
 
-/* run.c: one run against a running fleet. Return: 0 or -errno. */
+/* run.c */
+/* Loads a running fleet once. Returns 0 or a negative errno. */
 int
-Fw_Load_Run(const struct fw_experiment *e, uint32_t seed,
-            const char *fleet_file, struct fw_score *score);
+Fw_Loadgen_Run(const struct fw_experiment *e, uint32_t seed,
+               const char *fleet_file, struct fw_loadgen_stats *stats);
 
-/** struct fw_compare - interleaved runs of several policies. */
 #define FW_POLICIES_MAX 4
-struct fw_compare {
-    int n;
+/**
+ * struct fw_comparison - runs of one experiment with several policies.
+ * @repeats: runs of each policy
+ * @dir: parent directory of the fleets' directories
+ * @stats: of run r with policy p at index r * @n_policies + p
+ */
+struct fw_comparison {
+    int n_policies;
     char *policy[FW_POLICIES_MAX];
     int repeats;
     const char *dir;
-    struct fw_score *score; /* repeats times n */
+    struct fw_loadgen_stats *stats;
 };
 
-/* compare.c: starts and ends the fleets itself. */
+/* compare.c */
+/*
+ * Starts a fleet for each run and stops it afterwards. Allocates the stats,
+ * which the caller frees, also after an error. Returns 0 or a negative errno.
+ */
 int
-Fw_Compare_Run(const struct fw_experiment *e, struct fw_compare *c);
+Fw_Comparison_Run(const struct fw_experiment *e, struct fw_comparison *c);
 
 /* report.c */
+/* Returns the metrics of all policies as JSON, to be freed with g_free(). */
 char *
-Fw_Report_Json(const struct fw_experiment *e, const struct fw_compare *c);
+Fw_Report_Json(const struct fw_experiment *e, const struct fw_comparison *c);
 void
-Fw_Report_Table(const struct fw_experiment *e, const struct fw_compare *c);
-/* plot.c: goodput, wasted prefill, worst team, wrongful refusals as SVG. */
+Fw_Report_Table(const struct fw_experiment *e, const struct fw_comparison *c);
+/* plot.c */
+/* Returns a bar chart as SVG, to be freed with g_free(). */
 char *
-Fw_Plot_Svg(const struct fw_experiment *e, const struct fw_compare *c);
+Fw_Plot_Svg(const struct fw_experiment *e, const struct fw_comparison *c);
 
 #endif
--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -1,4 +1,4 @@
-/* fwload: the load and experiment tool. */
+/* Command line of fwload. */
 #include <argp.h>
 #include <stdlib.h>
 #include <string.h>
@@ -21,19 +21,18 @@
     {"fleet", FW_KEY_FLEET, "FILE", 0, "run: fleet.json of a running fleet",
      0},
     {"policies", FW_KEY_POLICIES, "A,B,..", 0,
-     "compare: the last is set against the others (random,least-loaded,full)",
+     "compare: policies to run; the ratios compare the last one to each of "
+     "the others (random,least-loaded,full)",
      0},
-    {"repeats", FW_KEY_REPEATS, "N", 0, "compare: runs of each (3)", 0},
+    {"repeats", FW_KEY_REPEATS, "N", 0, "compare: runs per policy (3)", 0},
     {"dir", FW_KEY_DIR, "DIR", 0,
-     "compare: where the fleets write "
-     "(build/load)",
-     0},
-    {"json", FW_KEY_JSON, "FILE", 0, "write the figures as JSON", 0},
-    {"plot", FW_KEY_PLOT, "FILE", 0, "write the figures as SVG", 0},
+     "compare: directory for the fleets' files (build/load)", 0},
+    {"json", FW_KEY_JSON, "FILE", 0, "write the metrics as JSON", 0},
+    {"plot", FW_KEY_PLOT, "FILE", 0, "write a bar chart as SVG", 0},
     {0},
 };
 
-/** struct arguments - of the command line. */
+/** struct arguments - command-line arguments. */
 struct arguments {
     const char *verb;
     const char *file;
@@ -60,7 +59,7 @@
     case FW_KEY_REPEATS:
         a->repeats = atoi(arg); // NOLINT(cert-err34-c): checked below
         if (a->repeats < 1 || a->repeats > 100) {
-            argp_error(state, "--repeats: 1 to 100 is wanted");
+            argp_error(state, "--repeats must be from 1 to 100");
         }
         return 0;
     case FW_KEY_DIR:
@@ -89,7 +88,7 @@
             argp_usage(state);
         }
         if (strcmp(a->verb, "run") == 0 && !a->fleet) {
-            argp_error(state, "run: --fleet is wanted");
+            argp_error(state, "run: --fleet is required");
         }
         return 0;
     default:
@@ -113,7 +112,7 @@
 }
 
 static int
-split_policies(struct fw_compare *c, const char *list)
+split_policies(struct fw_comparison *c, const char *list)
 {
     char **part = g_strsplit(list, ",", FW_POLICIES_MAX + 1);
 
@@ -122,28 +121,28 @@
             g_strfreev(part);
             return EX_USAGE;
         }
-        c->policy[c->n++] = g_strdup(part[i]);
+        c->policy[c->n_policies++] = g_strdup(part[i]);
     }
     g_strfreev(part);
-    return c->n ? 0 : EX_USAGE;
+    return c->n_policies ? 0 : EX_USAGE;
 }
 
 static int
 execute(const struct arguments *a, const struct fw_experiment *e,
-        struct fw_compare *c)
+        struct fw_comparison *c)
 {
     int rc;
 
     if (strcmp(a->verb, "run") == 0) {
-        c->n = 1;
+        c->n_policies = 1;
         c->repeats = 1;
         c->policy[0] = g_strdup("run");
-        c->score = g_new0(struct fw_score, 1);
-        rc = Fw_Load_Run(e, e->seed, a->fleet, c->score);
+        c->stats = g_new0(struct fw_loadgen_stats, 1);
+        rc = Fw_Loadgen_Run(e, e->seed, a->fleet, c->stats);
     }
     else {
         rc = split_policies(c, a->policies);
-        rc = rc ? rc : Fw_Compare_Run(e, c);
+        rc = rc ? rc : Fw_Comparison_Run(e, c);
     }
     if (rc) {
         return rc < 0 ? EX_SOFTWARE : rc;
@@ -160,7 +159,8 @@
         options,
         parse,
         "run|compare EXPERIMENT.ini",
-        "Puts load on a fleet and measures what comes back. `run' takes a "
+        "Loads a fleet and reports goodput, latency and refusals. `run' uses "
+        "a "
         "running fleet, `compare' starts one for each policy and repeat.",
         NULL,
         NULL,
@@ -168,7 +168,7 @@
     struct arguments a = {.policies = (char[]){"random,least-loaded,full"},
                           .repeats = 3,
                           .dir = "build/load"};
-    struct fw_compare c = {0};
+    struct fw_comparison c = {0};
     GString *err = g_string_new(NULL);
     struct fw_experiment e;
     int rc;
@@ -176,17 +176,17 @@
     argp_parse(&argp, argc, argv, 0, NULL, &a);
     c.repeats = a.repeats;
     c.dir = a.dir;
-    if (Fw_Load_Read(&e, a.file, err)) {
+    if (Fw_Experiment_Read(&e, a.file, err)) {
         g_printerr("fwload: %s\n", err->str);
         rc = EX_CONFIG;
     }
     else {
         rc = execute(&a, &e, &c);
     }
-    for (int i = 0; i < c.n; i++) {
+    for (int i = 0; i < c.n_policies; i++) {
         g_free(c.policy[i]);
     }
-    g_free(c.score);
+    g_free(c.stats);
     g_string_free(err, TRUE);
     return rc;
 }
--- a/bench/load/plan.c
+++ b/bench/load/plan.c
@@ -1,27 +1,28 @@
-/* Arrivals drawn from a seed, and the prompts they bring. */
+/* Generates Poisson arrivals and their prompts from a seed. */
 #include <math.h>
 
 #include "bench/load/load.h"
 
 static int
-between(GRand *r, const int range[2])
+draw_range(GRand *r, const int range[2])
 {
     return g_rand_int_range(r, range[0], range[1] + 1);
 }
 
 static int
-pick_team(const struct fw_experiment *e, GRand *r)
+draw_team(const struct fw_experiment *e, GRand *r)
 {
-    int weight[FW_LOAD_TEAMS];
+    int weight[FW_LOADGEN_TEAMS];
     int sum = 0;
     int x;
 
-    for (int i = 0; i < FW_LOAD_TEAMS; i++) {
-        weight[i] = e->team[i].weight * (i == e->noisy ? e->noisy_times : 1);
+    for (int i = 0; i < FW_LOADGEN_TEAMS; i++) {
+        weight[i] =
+            e->team[i].weight * (i == e->noisy_team ? e->noisy_factor : 1);
         sum += weight[i];
     }
     x = g_rand_int_range(r, 0, sum);
-    for (int i = 0; i < FW_LOAD_TEAMS; i++) {
+    for (int i = 0; i < FW_LOADGEN_TEAMS; i++) {
         x -= weight[i];
         if (x < 0) {
             return i;
@@ -30,40 +31,44 @@
     return 0;
 }
 
-/* The noisy team's surplus comes on top of what the others send. */
+/* The noisy team's surplus does not reduce the rate of the other teams. */
 static double
-rate_of(const struct fw_experiment *e)
+total_arrivals_per_s(const struct fw_experiment *e)
 {
     int sum = 0;
     int extra = 0;
 
-    for (int i = 0; i < FW_LOAD_TEAMS; i++) {
+    for (int i = 0; i < FW_LOADGEN_TEAMS; i++) {
         sum += e->team[i].weight;
-        extra += i == e->noisy ? e->team[i].weight * (e->noisy_times - 1) : 0;
+        extra +=
+            i == e->noisy_team ? e->team[i].weight * (e->noisy_factor - 1) : 0;
     }
-    return e->per_s * (sum + extra) / sum;
+    return e->arrivals_per_s * (sum + extra) / sum;
 }
 
+/* Depends on the team and the document only, not on the schedule's seed. */
 static int
-doc_bytes(const struct fw_experiment *e, int team, int doc)
+doc_length(const struct fw_experiment *e, int team, int doc)
 {
     GRand *r = g_rand_new_with_seed((guint32)(team * 1000 + doc + 1));
-    int n = between(r, e->doc_bytes);
+    int n = draw_range(r, e->doc_bytes);
 
     g_rand_free(r);
     return n;
 }
 
 static void
-draw_completion(const struct fw_experiment *e, GRand *r, struct fw_shot *s)
+draw_completion(const struct fw_experiment *e, GRand *r,
+                struct fw_loadgen_request *s)
 {
     double u = g_rand_double(r);
 
-    /* Few documents are asked about often, many seldom. */
-    s->doc = (int)(u * u * e->docs);
-    s->tail_bytes = between(r, e->tail_bytes);
-    s->prompt_tokens = (doc_bytes(e, s->team, s->doc) + s->tail_bytes) / 4;
-    s->max_tokens = between(r, e->out_tokens);
+    /* Skewed towards the first documents. */
+    s->doc_index = (int)(u * u * e->docs_per_team);
+    s->suffix_bytes = draw_range(r, e->suffix_bytes);
+    s->prompt_tokens =
+        (doc_length(e, s->team, s->doc_index) + s->suffix_bytes) / 4;
+    s->max_tokens = draw_range(r, e->output_tokens);
     if (g_rand_int_range(r, 0, 1000) < e->cancel_permille) {
         s->cancel_after_us = g_rand_int_range(r, 50, 2000) * FW_MSEC;
     }
@@ -73,62 +78,64 @@
 }
 
 GArray *
-Fw_Load_Plan(const struct fw_experiment *e, uint32_t seed)
+Fw_Loadgen_BuildSchedule(const struct fw_experiment *e, uint32_t seed)
 {
-    GArray *plan = g_array_new(FALSE, TRUE, sizeof(struct fw_shot));
+    GArray *schedule =
+        g_array_new(FALSE, TRUE, sizeof(struct fw_loadgen_request));
     GRand *r = g_rand_new_with_seed(seed);
-    double per_s = rate_of(e);
+    double arrivals_per_s = total_arrivals_per_s(e);
     double t = 0;
 
     for (;;) {
-        struct fw_shot s = {0};
+        struct fw_loadgen_request s = {0};
         int x;
 
-        t += -log(1 - g_rand_double(r)) / per_s;
-        if (t >= e->seconds) {
+        t += -log(1 - g_rand_double(r)) / arrivals_per_s;
+        if (t >= e->duration_s) {
             break;
         }
-        s.at_us = (int64_t)(t * FW_SEC);
-        s.team = pick_team(e, r);
+        s.arrival_us = (int64_t)(t * FW_SEC);
+        s.team = draw_team(e, r);
         x = g_rand_int_range(r, 0, 1000);
-        s.kind = x < e->order_permille ? FW_SHOT_ORDER
-                 : x < e->order_permille + e->reading_permille
-                     ? FW_SHOT_READING
-                     : FW_SHOT_COMPLETION;
-        if (s.kind == FW_SHOT_COMPLETION) {
+        s.kind = x < e->order_permille ? FW_LOADGEN_ORDER
+                 : x < e->order_permille + e->service_get_permille
+                     ? FW_LOADGEN_SERVICE_GET
+                     : FW_LOADGEN_COMPLETION;
+        if (s.kind == FW_LOADGEN_COMPLETION) {
             draw_completion(e, r, &s);
         }
-        g_snprintf(s.id, sizeof(s.id), "load-%u-%u", seed, plan->len);
-        g_array_append_val(plan, s);
+        g_snprintf(s.id, sizeof(s.id), "load-%u-%u", seed, schedule->len);
+        g_array_append_val(schedule, s);
     }
     g_rand_free(r);
-    return plan;
+    return schedule;
 }
 
 static void
-add_words(GString *out, gsize upto, guint32 seed)
+append_words(GString *out, gsize len, guint32 seed)
 {
     static const char *const words[] = {
         "tide ",    "quay ",  "gust ", "ebb ",     "survey ", "panel ",
         "lagging ", "fibre ", "crew ", "turbine ", "slack ",  "berth "};
     GRand *r = g_rand_new_with_seed(seed);
 
-    while (out->len < upto) {
+    while (out->len < len) {
         g_string_append(
             out, words[g_rand_int_range(r, 0, (gint32)G_N_ELEMENTS(words))]);
         g_string_append_printf(out, "%x ", g_rand_int(r) & 0xffff);
     }
-    g_string_truncate(out, upto);
+    g_string_truncate(out, len);
     g_rand_free(r);
 }
 
 char *
-Fw_Load_Prompt(const struct fw_experiment *e, const struct fw_shot *shot)
+Fw_Loadgen_BuildPrompt(const struct fw_experiment *e,
+                       const struct fw_loadgen_request *req)
 {
     GString *out = g_string_new(NULL);
-    gsize doc = (gsize)doc_bytes(e, shot->team, shot->doc);
+    gsize doc = (gsize)doc_length(e, req->team, req->doc_index);
 
-    add_words(out, doc, (guint32)(shot->team * 1000 + shot->doc + 7));
-    add_words(out, doc + (gsize)shot->tail_bytes, g_str_hash(shot->id));
+    append_words(out, doc, (guint32)(req->team * 1000 + req->doc_index + 7));
+    append_words(out, doc + (gsize)req->suffix_bytes, g_str_hash(req->id));
     return g_string_free(out, FALSE);
 }
--- a/bench/load/report.c
+++ b/bench/load/report.c
@@ -5,42 +5,43 @@
 #include "bench/load/load.h"
 #include "io/json.h"
 
-/** struct measure - one figure of a run. */
-struct measure {
+/** struct metric - a metric of a run and its name in reports. */
+struct metric {
     const char *name;
-    double (*of)(const struct fw_score *s);
+    double (*get)(const struct fw_loadgen_stats *s);
 };
 
-#define MEASURE(f)                                                            \
-    static double f##_of(const struct fw_score *s)                            \
+#define METRIC(f)                                                             \
+    static double get_##f(const struct fw_loadgen_stats *s)                   \
     {                                                                         \
         return s->f;                                                          \
     }
-MEASURE(good_per_s)
-MEASURE(good_share)
-MEASURE(wasted_tokens)
-MEASURE(worst_team_share)
-MEASURE(worst_quiet_share)
-MEASURE(wrongful)
-MEASURE(wrongful_rate)
-MEASURE(wrongful_permille)
-MEASURE(sent)
-MEASURE(failed)
-MEASURE(orders_sent)
-MEASURE(orders_doubled)
-MEASURE(orders_dropped)
-MEASURE(orders_false_no)
+METRIC(goodput_per_s)
+METRIC(goodput_share)
+METRIC(wasted_prefill_tokens)
+METRIC(worst_team_share)
+METRIC(worst_compliant_team_share)
+METRIC(wrongful_refusals)
+METRIC(wrongful_rate_limited)
+METRIC(wrongful_permille)
+METRIC(completions_sent)
+METRIC(failed)
+METRIC(orders_sent)
+METRIC(orders_duplicated)
+METRIC(orders_lost)
+METRIC(orders_false_not_executed)
 
 static double
-wasted_share_of(const struct fw_score *s)
+get_wasted_prefill_share(const struct fw_loadgen_stats *s)
 {
-    return s->prefill_tokens > 0 ? s->wasted_tokens / s->prefill_tokens : 0;
+    return s->prefill_tokens > 0 ? s->wasted_prefill_tokens / s->prefill_tokens
+                                 : 0;
 }
 
 #define QUANTILE(h, q, digits)                                                \
-    static double h##_p##digits##_of(const struct fw_score *s)                \
+    static double get_##h##_p##digits(const struct fw_loadgen_stats *s)       \
     {                                                                         \
-        return Fw_Hist_Quantile(&s->h, q) / FW_MSEC;                          \
+        return Fw_LatencyHistogram_Quantile(&s->h, q) / FW_MSEC;              \
     }
 QUANTILE(ttft, 0.50, 50)
 QUANTILE(ttft, 0.95, 95)
@@ -49,31 +50,31 @@
 QUANTILE(itl, 0.95, 95)
 QUANTILE(itl, 0.99, 99)
 
-static const struct measure measures[] = {
-    {"goodput_per_s", good_per_s_of},
-    {"good_share", good_share_of},
-    {"wasted_prefill_tokens", wasted_tokens_of},
-    {"wasted_prefill_share", wasted_share_of},
-    {"worst_team_share", worst_team_share_of},
-    {"worst_quiet_team_share", worst_quiet_share_of},
-    {"wrongful_refusals", wrongful_of},
-    {"wrongful_rate_limited", wrongful_rate_of},
-    {"wrongful_permille", wrongful_permille_of},
-    {"completions_sent", sent_of},
-    {"failed", failed_of},
-    {"ttft_p50_ms", ttft_p50_of},
-    {"ttft_p95_ms", ttft_p95_of},
-    {"ttft_p99_ms", ttft_p99_of},
-    {"itl_p50_ms", itl_p50_of},
-    {"itl_p95_ms", itl_p95_of},
-    {"itl_p99_ms", itl_p99_of},
-    {"orders_sent", orders_sent_of},
-    {"orders_doubled", orders_doubled_of},
-    {"orders_dropped", orders_dropped_of},
-    {"orders_false_no", orders_false_no_of},
+static const struct metric metrics[] = {
+    {"goodput_per_s", get_goodput_per_s},
+    {"good_share", get_goodput_share},
+    {"wasted_prefill_tokens", get_wasted_prefill_tokens},
+    {"wasted_prefill_share", get_wasted_prefill_share},
+    {"worst_team_share", get_worst_team_share},
+    {"worst_quiet_team_share", get_worst_compliant_team_share},
+    {"wrongful_refusals", get_wrongful_refusals},
+    {"wrongful_rate_limited", get_wrongful_rate_limited},
+    {"wrongful_permille", get_wrongful_permille},
+    {"completions_sent", get_completions_sent},
+    {"failed", get_failed},
+    {"ttft_p50_ms", get_ttft_p50},
+    {"ttft_p95_ms", get_ttft_p95},
+    {"ttft_p99_ms", get_ttft_p99},
+    {"itl_p50_ms", get_itl_p50},
+    {"itl_p95_ms", get_itl_p95},
+    {"itl_p99_ms", get_itl_p99},
+    {"orders_sent", get_orders_sent},
+    {"orders_doubled", get_orders_duplicated},
+    {"orders_dropped", get_orders_lost},
+    {"orders_false_no", get_orders_false_not_executed},
 };
 
-/** struct spread - of one figure over the repeats. */
+/** struct spread - a metric over the repeats. */
 struct spread {
     double min;
     double median;
@@ -81,7 +82,7 @@
 };
 
 static int
-by_value(const void *a, const void *b)
+compare_doubles(const void *a, const void *b)
 {
     double x = *(const double *)a;
     double y = *(const double *)b;
@@ -90,41 +91,49 @@
 }
 
 static struct spread
-spread_of(double *v, int n)
+compute_spread(double *v, int n)
 {
-    qsort(v, (size_t)n, sizeof(*v), by_value);
+    qsort(v, (size_t)n, sizeof(*v), compare_doubles);
     return (struct spread){v[0], (v[(n - 1) / 2] + v[n / 2]) / 2, v[n - 1]};
 }
 
 static struct spread
-figure(const struct fw_compare *c, int policy, const struct measure *m)
+metric_spread(const struct fw_comparison *c, int policy,
+              const struct metric *metric)
 {
     double *v = g_new(double, c->repeats);
     struct spread s;
 
     for (int r = 0; r < c->repeats; r++) {
-        v[r] = m->of(&c->score[r * c->n + policy]);
+        v[r] = metric->get(&c->stats[r * c->n_policies + policy]);
     }
-    s = spread_of(v, c->repeats);
+    s = compute_spread(v, c->repeats);
     g_free(v);
     return s;
 }
 
-/* Of the last policy to @policy, run by run. Return: 0 when one is 0. */
+/*
+ * Computes the ratios of the last policy to @policy, repeat by repeat. Returns
+ * 0 if the metric isn't positive for @policy in some repeat.
+ */
 static int
-ratio(const struct fw_compare *c, int policy, const struct measure *m,
-      struct spread *out)
+compute_ratio(const struct fw_comparison *c, int policy,
+              const struct metric *metric, struct spread *out)
 {
     double *v = g_new(double, c->repeats);
     int ok = 1;
 
     for (int r = 0; r < c->repeats; r++) {
-        double base = m->of(&c->score[r * c->n + policy]);
+        double base = metric->get(&c->stats[r * c->n_policies + policy]);
 
         ok &= base > 0;
-        v[r] = base > 0 ? m->of(&c->score[r * c->n + c->n - 1]) / base : 0;
+        v[r] = base > 0
+                   ? metric->get(
+                         &c->stats[r * c->n_policies + c->n_policies - 1]) /
+                         base
+                   : 0;
     }
-    *out = spread_of(v, c->repeats);
+    *out = compute_spread(v, c->repeats);
     g_free(v);
     return ok;
 }
@@ -144,23 +153,23 @@
 }
 
 char *
-Fw_Report_Json(const struct fw_experiment *e, const struct fw_compare *c)
+Fw_Report_Json(const struct fw_experiment *e, const struct fw_comparison *c)
 {
     JsonBuilder *b = json_builder_new();
 
     json_builder_begin_object(b);
     Fw_Json_SetStr(b, "workload", e->workload);
-    Fw_Json_SetInt(b, "seconds", e->seconds);
+    Fw_Json_SetInt(b, "seconds", e->duration_s);
     Fw_Json_SetInt(b, "repeats", c->repeats);
     Fw_Json_SetInt(b, "seed", e->seed);
     Fw_Json_SetStr(b, "histogram_error", "1.1 %");
     json_builder_set_member_name(b, "policies");
     json_builder_begin_object(b);
-    for (int p = 0; p < c->n; p++) {
+    for (int p = 0; p < c->n_policies; p++) {
         json_builder_set_member_name(b, c->policy[p]);
         json_builder_begin_object(b);
-        for (size_t i = 0; i < G_N_ELEMENTS(measures); i++) {
-            add_spread(b, measures[i].name, figure(c, p, &measures[i]));
+        for (size_t i = 0; i < G_N_ELEMENTS(metrics); i++) {
+            add_spread(b, metrics[i].name, metric_spread(c, p, &metrics[i]));
         }
         json_builder_end_object(b);
     }
@@ -170,12 +179,12 @@
 }
 
 static void
-print_ratios(const struct fw_compare *c, const struct measure *m)
+print_ratios(const struct fw_comparison *c, const struct metric *metric)
 {
-    for (int p = 0; p < c->n - 1; p++) {
+    for (int p = 0; p < c->n_policies - 1; p++) {
         struct spread s;
 
-        if (ratio(c, p, m, &s)) {
+        if (compute_ratio(c, p, metric, &s)) {
             printf("  %5.2f [%.2f..%.2f]", s.median, s.min, s.max);
         }
         else {
@@ -185,34 +194,35 @@
 }
 
 void
-Fw_Report_Table(const struct fw_experiment *e, const struct fw_compare *c)
+Fw_Report_Table(const struct fw_experiment *e, const struct fw_comparison *c)
 {
-    printf("%s, %d s, %d repeats; median [least..most]\n%-22s", e->workload,
-           e->seconds, c->repeats, "");
-    for (int p = 0; p < c->n; p++) {
+    printf("%s, %d s, %d repeats; median [min..max]\n%-22s", e->workload,
+           e->duration_s, c->repeats, "");
+    for (int p = 0; p < c->n_policies; p++) {
         printf(" %27s", c->policy[p]);
     }
-    for (int p = 0; p < c->n - 1; p++) {
+    for (int p = 0; p < c->n_policies - 1; p++) {
         printf("  to %15s", c->policy[p]);
     }
     printf("\n");
-    for (size_t i = 0; i < G_N_ELEMENTS(measures); i++) {
-        printf("%-22s", measures[i].name);
-        for (int p = 0; p < c->n; p++) {
-            struct spread s = figure(c, p, &measures[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(metrics); i++) {
+        printf("%-22s", metrics[i].name);
+        for (int p = 0; p < c->n_policies; p++) {
+            struct spread s = metric_spread(c, p, &metrics[i]);
 
             printf(" %9.2f [%7.2f..%7.2f]", s.median, s.min, s.max);
         }
-        print_ratios(c, &measures[i]);
+        print_ratios(c, &metrics[i]);
         printf("\n");
     }
-    for (int p = 0; p < c->n; p++) {
-        printf("worst-served with %s: %s\n", c->policy[p],
-               c->score[p].worst_team);
+    for (int p = 0; p < c->n_policies; p++) {
+        printf("worst-served team with %s: %s\n", c->policy[p],
+               c->stats[p].worst_team);
     }
-    for (int i = 0; i < c->repeats * c->n; i++) {
-        if (!c->score[i].journal_whole) {
-            printf("a journal was not whole: waste and orders are partial\n");
+    for (int i = 0; i < c->repeats * c->n_policies; i++) {
+        if (!c->stats[i].journals_complete) {
+            printf("a journal is incomplete: wasted prefill and order counts "
+                   "are partial\n");
             return;
         }
     }
--- a/bench/load/score.c
+++ b/bench/load/score.c
@@ -1,51 +1,55 @@
-/* What the shots show; see docs/operations/load-and-experiments.md. */
+/* Results of the requests; see docs/operations/load-and-experiments.md. */
 #include <string.h>
 
 #include "bench/load/load.h"
 
-#define FW_FEW 5 /* shots of a team below which its share says nothing */
+/* Teams with fewer completions within the limit aren't compared. */
+#define FW_TEAM_SAMPLES_MIN 5
 
 static int
-refused(const struct fw_shot *s)
+is_error(const struct fw_loadgen_request *s)
 {
-    return s->ended && s->status >= 400;
+    return s->finished && s->status >= 400;
 }
 
 static int
-good(const struct fw_experiment *e, const struct fw_shot *s)
+meets_targets(const struct fw_experiment *e,
+              const struct fw_loadgen_request *s)
 {
     int64_t gap;
 
-    if (!s->whole || s->pieces == 0) {
+    if (!s->complete || s->pieces == 0) {
         return 0;
     }
     if (s->deadline_us) {
         return s->last_us - s->sent_us <= s->deadline_us;
     }
     gap = s->pieces > 1 ? (s->last_us - s->first_us) / (s->pieces - 1) : 0;
-    return s->first_us - s->sent_us <= e->ttft_us && gap <= e->itl_us;
+    return s->first_us - s->sent_us <= e->ttft_target_us &&
+           gap <= e->itl_target_us;
 }
 
-/** struct tally - completions of one team within its rate. */
-struct tally {
-    int entitled;
+/** struct team_counts - completions of a team within its rate limit. */
+struct team_counts {
+    int total;
     int good;
 };
 
 static void
-worst_team(const struct fw_experiment *e, const struct tally *t,
-           struct fw_score *s)
+set_worst_team(const struct fw_experiment *e, const struct team_counts *t,
+               struct fw_loadgen_stats *s)
 {
     s->worst_team_share = 1;
-    s->worst_quiet_share = 1;
-    for (int i = 0; i < FW_LOAD_TEAMS; i++) {
-        double share = t[i].entitled ? (double)t[i].good / t[i].entitled : 1;
+    s->worst_compliant_team_share = 1;
+    for (int i = 0; i < FW_LOADGEN_TEAMS; i++) {
+        double share = t[i].total ? (double)t[i].good / t[i].total : 1;
 
-        if (t[i].entitled < FW_FEW) {
+        if (t[i].total < FW_TEAM_SAMPLES_MIN) {
             continue;
         }
-        if (i != e->noisy) {
-            s->worst_quiet_share = MIN(s->worst_quiet_share, share);
+        if (i != e->noisy_team) {
+            s->worst_compliant_team_share =
+                MIN(s->worst_compliant_team_share, share);
         }
         if (share < s->worst_team_share) {
             s->worst_team_share = share;
@@ -55,39 +59,42 @@
 }
 
 void
-Fw_Score_Shots(const struct fw_experiment *e, const GArray *plan,
-               struct fw_score *s)
+Fw_LoadgenStats_AddRequests(const struct fw_experiment *e,
+                            const GArray *schedule, struct fw_loadgen_stats *s)
 {
-    struct tally team[FW_LOAD_TEAMS] = {{0}};
-    int entitled = 0;
-    int entitled_good = 0;
+    struct team_counts team[FW_LOADGEN_TEAMS] = {{0}};
+    int within_limit = 0;
+    int within_limit_good = 0;
     int all_good = 0;
 
-    for (guint i = 0; i < plan->len; i++) {
-        const struct fw_shot *sh = &g_array_index(plan, struct fw_shot, i);
-        int ok = good(e, sh);
+    for (guint i = 0; i < schedule->len; i++) {
+        const struct fw_loadgen_request *req =
+            &g_array_index(schedule, struct fw_loadgen_request, i);
+        int ok = meets_targets(e, req);
 
-        if (sh->kind != FW_SHOT_COMPLETION || sh->cancelled) {
+        if (req->kind != FW_LOADGEN_COMPLETION || req->cancelled) {
             continue;
         }
-        s->sent++;
+        s->completions_sent++;
         all_good += ok;
-        if (sh->first_us && !sh->deadline_us) {
-            Fw_Hist_Add(&s->ttft, sh->first_us - sh->sent_us);
+        if (req->first_us && !req->deadline_us) {
+            Fw_LatencyHistogram_Add(&s->ttft, req->first_us - req->sent_us);
         }
-        s->failed += !sh->whole && !refused(sh);
-        if (!sh->within) {
+        s->failed += !req->complete && !is_error(req);
+        if (!req->within_limit) {
             continue;
         }
-        entitled++;
-        entitled_good += ok;
-        team[sh->team].entitled++;
-        team[sh->team].good += ok;
-        s->wrongful += refused(sh);
-        s->wrongful_rate += refused(sh) && sh->status == 429;
+        within_limit++;
+        within_limit_good += ok;
+        team[req->team].total++;
+        team[req->team].good += ok;
+        s->wrongful_refusals += is_error(req);
+        s->wrongful_rate_limited += is_error(req) && req->status == 429;
     }
-    s->good_per_s = (double)all_good / e->seconds;
-    s->good_share = entitled ? (double)entitled_good / entitled : 1;
-    s->wrongful_permille = entitled ? 1000.0 * s->wrongful / entitled : 0;
-    worst_team(e, team, s);
+    s->goodput_per_s = (double)all_good / e->duration_s;
+    s->goodput_share =
+        within_limit ? (double)within_limit_good / within_limit : 1;
+    s->wrongful_permille =
+        within_limit ? 1000.0 * s->wrongful_refusals / within_limit : 0;
+    set_worst_team(e, team, s);
 }
--- a/bench/load/shoot.c
+++ b/bench/load/shoot.c
@@ -1,4 +1,4 @@
-/* Sends the plan at its times, and notes what comes back. */
+/* Sends the scheduled requests and records their outcome. */
 #include <signal.h>
 #include <string.h>
 #include <sys/types.h>
@@ -8,72 +8,80 @@
 #include "io/fetch.h"
 #include "io/json.h"
 
-#define FW_SILENCE_US (40 * FW_SEC)
-#define FW_BODY_MAX (1 << 20)
-#define FW_LAST_WAIT_US (40 * FW_SEC)
-
-/** struct shooting - a run under way. */
-struct shooting {
-    const struct fw_experiment *e;
-    const struct fw_load_fleet *f;
+#define FW_IDLE_TIMEOUT_US (40 * FW_SEC)
+#define FW_BODY_MAX_BYTES (1 << 20)
+#define FW_DRAIN_TIMEOUT_US (40 * FW_SEC)
+
+/**
+ * struct sender - state of a run.
+ * @buckets: rate limits of the teams
+ * @next: index of the next request in @schedule
+ * @n_open: calls that have not finished
+ * @n_targets: instances that get requests, the first ones of the fleet
+ * @calls: the open calls
+ * @drain_timer: source id, 0 if not running, as is @fault_timer
+ */
+struct sender {
+    const struct fw_experiment *experiment;
+    const struct fw_loadgen_fleet *fleet;
     SoupSession *session;
     char **keys;
-    GArray *plan;
-    struct fw_score *score;
-    struct fw_account account[FW_LOAD_TEAMS];
+    GArray *schedule;
+    struct fw_loadgen_stats *stats;
+    struct fw_loadgen_bucket buckets[FW_LOADGEN_TEAMS];
     GMainLoop *loop;
     int64_t start_us;
     guint next;
-    int open;
-    int callers;
-    struct fw_list flights;
-    guint give_up; /* timers */
-    guint fault;
+    int n_open;
+    int n_targets;
+    struct fw_list calls;
+    guint drain_timer;
+    guint fault_timer;
 };
 
-/** struct flight - one call under way. */
-struct flight {
-    struct shooting *sh;
-    struct fw_shot *shot;
+/** struct call - an HTTP request that has not finished. */
+struct call {
+    struct sender *sender;
+    struct fw_loadgen_request *req;
     SoupMessage *msg;
     struct fw_fetch *fetch;
-    guint cancel;
+    guint cancel_timer;
     struct fw_list link;
 };
 
 static void
-quit_if_over(struct shooting *sh)
+quit_if_done(struct sender *sender)
 {
-    if (sh->open == 0 && sh->next == sh->plan->len) {
-        g_main_loop_quit(sh->loop);
+    if (sender->n_open == 0 && sender->next == sender->schedule->len) {
+        g_main_loop_quit(sender->loop);
     }
 }
 
 static void
-land(struct flight *fl)
+finish_call(struct call *call)
 {
-    struct shooting *sh = fl->sh;
+    struct sender *sender = call->sender;
 
-    if (fl->cancel) {
-        g_source_remove(fl->cancel);
+    if (call->cancel_timer) {
+        g_source_remove(call->cancel_timer);
     }
-    fl->shot->ended = 1;
-    sh->open--;
-    Fw_List_Remove(&fl->link);
-    g_object_unref(fl->msg);
-    g_free(fl);
-    quit_if_over(sh);
+    call->req->finished = 1;
+    sender->n_open--;
+    Fw_List_Remove(&call->link);
+    g_object_unref(call->msg);
+    g_free(call);
+    quit_if_done(sender);
 }
 
 static int
 on_line(void *ctx, const char *line, size_t len)
 {
-    struct flight *fl = ctx;
-    struct fw_shot *s = fl->shot;
+    struct call *call = ctx;
+    struct fw_loadgen_request *s = call->req;
     int64_t now = g_get_monotonic_time();
 
     if (len >= 12 && strncmp(line, "data: [DONE]", 12) == 0) {
-        s->whole = 1;
+        s->complete = 1;
         return 0;
     }
     if (!g_strstr_len(line, (gssize)len, "\"finish_reason\":null")) {
@@ -83,7 +91,7 @@
         s->first_us = now;
     }
     else {
-        Fw_Hist_Add(&fl->sh->score->itl, now - s->last_us);
+        Fw_LatencyHistogram_Add(&call->sender->stats->itl, now - s->last_us);
     }
     s->last_us = now;
     return 0;
@@ -92,41 +100,42 @@
 static void
 on_done(void *ctx, const struct fw_fetch_result *result)
 {
-    struct flight *fl = ctx;
-    struct fw_shot *s = fl->shot;
+    struct call *call = ctx;
+    struct fw_loadgen_request *s = call->req;
     const char *ran = soup_message_headers_get_one(
-        soup_message_get_response_headers(fl->msg), "Fuchsiaward-Ran");
+        soup_message_get_response_headers(call->msg), "Fuchsiaward-Ran");
 
     s->status = result->status;
-    s->ran_no = ran && strcmp(ran, "no") == 0;
+    s->not_executed = ran && strcmp(ran, "no") == 0;
     s->last_us = MAX(s->last_us, g_get_monotonic_time());
-    if (s->kind != FW_SHOT_COMPLETION) {
-        s->whole = !result->err && result->status == 200;
+    if (s->kind != FW_LOADGEN_COMPLETION) {
+        s->complete = !result->err && result->status == 200;
     }
-    else if (s->ran_no && s->within) {
-        Fw_Account_Give(&fl->sh->account[s->team], &fl->sh->e->team[s->team],
-                        s->prompt_tokens + s->max_tokens);
+    else if (s->not_executed && s->within_limit) {
+        Fw_LoadgenBucket_Refund(&call->sender->buckets[s->team],
+                                &call->sender->experiment->team[s->team],
+                                s->prompt_tokens + s->max_tokens);
     }
-    land(fl);
+    finish_call(call);
 }
 
 static gboolean
 on_cancel(gpointer data)
 {
-    struct flight *fl = data;
+    struct call *call = data;
 
-    fl->cancel = 0;
-    fl->shot->cancelled = 1;
-    Fw_Fetch_Cancel(fl->fetch);
-    land(fl);
+    call->cancel_timer = 0;
+    call->req->cancelled = 1;
+    Fw_Fetch_Cancel(call->fetch);
+    finish_call(call);
     return G_SOURCE_REMOVE;
 }
 
 static SoupMessage *
-completion(const struct shooting *sh, const struct fw_shot *s,
-           const char *base)
+build_completion(const struct sender *sender,
+                 const struct fw_loadgen_request *s, const char *base)
 {
-    char *prompt = Fw_Load_Prompt(sh->e, s);
+    char *prompt = Fw_Loadgen_BuildPrompt(sender->experiment, s);
     char *url = g_strconcat(base, "/v1/completions", NULL);
     JsonBuilder *b = json_builder_new();
     SoupMessage *msg;
@@ -159,17 +168,17 @@
 }
 
 static SoupMessage *
-message_of(const struct shooting *sh, const struct fw_shot *s,
-           const char *base)
+build_message(const struct sender *sender, const struct fw_loadgen_request *s,
+              const char *base)
 {
     SoupMessage *msg;
     char *url;
     char *body;
 
     switch (s->kind) {
-    case FW_SHOT_COMPLETION:
-        return completion(sh, s, base);
-    case FW_SHOT_ORDER:
+    case FW_LOADGEN_COMPLETION:
+        return build_completion(sender, s, base);
+    case FW_LOADGEN_ORDER:
         url = g_strconcat(base, "/v1/services/grid-desk/orders", NULL);
         body = g_strdup_printf("{\"order\":\"%s\"}", s->id);
         msg = Fw_Fetch_Message("POST", url, body);
@@ -180,7 +189,7 @@
                                          "Idempotency-Key", s->id);
         }
         return msg;
-    case FW_SHOT_READING:
+    case FW_LOADGEN_SERVICE_GET:
         break;
     }
     url = g_strconcat(base, "/v1/services/grid-desk/readings", NULL);
@@ -190,169 +199,172 @@
 }
 
 static void
-shoot(struct shooting *sh, struct fw_shot *s)
+send_request(struct sender *sender, struct fw_loadgen_request *s)
 {
-    const char *base = sh->f->caller[sh->next % (guint)sh->callers];
-    struct flight *fl = g_new0(struct flight, 1);
-    struct fw_fetch_opts opts = {.session = sh->session,
-                                 .timeout_us = FW_SILENCE_US,
-                                 .body_max = FW_BODY_MAX,
-                                 .ctx = fl,
+    const char *base =
+        sender->fleet->caller_urls[sender->next % (guint)sender->n_targets];
+    struct call *call = g_new0(struct call, 1);
+    struct fw_fetch_opts opts = {.session = sender->session,
+                                 .timeout_us = FW_IDLE_TIMEOUT_US,
+                                 .body_max = FW_BODY_MAX_BYTES,
+                                 .ctx = call,
                                  .done = on_done};
     SoupMessageHeaders *h;
-    char *bearer = g_strconcat("Bearer ", sh->keys[s->team], NULL);
-
-    fl->sh = sh;
-    fl->shot = s;
-    fl->msg = g_object_ref(message_of(sh, s, base));
-    opts.msg = fl->msg;
-    opts.line = s->kind == FW_SHOT_COMPLETION ? on_line : NULL;
-    h = soup_message_get_request_headers(fl->msg);
+    char *bearer = g_strconcat("Bearer ", sender->keys[s->team], NULL);
+
+    call->sender = sender;
+    call->req = s;
+    call->msg = g_object_ref(build_message(sender, s, base));
+    opts.msg = call->msg;
+    opts.line = s->kind == FW_LOADGEN_COMPLETION ? on_line : NULL;
+    h = soup_message_get_request_headers(call->msg);
     soup_message_headers_replace(h, "Authorization", bearer);
     soup_message_headers_replace(h, "X-Request-Id", s->id);
     g_free(bearer);
     s->sent_us = g_get_monotonic_time();
-    if (s->kind == FW_SHOT_COMPLETION) {
-        s->within =
-            Fw_Account_Take(&sh->account[s->team], &sh->e->team[s->team],
-                            s->prompt_tokens + s->max_tokens, s->sent_us);
+    if (s->kind == FW_LOADGEN_COMPLETION) {
+        s->within_limit = Fw_LoadgenBucket_TryTake(
+            &sender->buckets[s->team], &sender->experiment->team[s->team],
+            s->prompt_tokens + s->max_tokens, s->sent_us);
     }
-    sh->open++;
-    Fw_List_Append(&sh->flights, &fl->link);
-    fl->fetch = Fw_Fetch_Start(&opts);
+    sender->n_open++;
+    Fw_List_Append(&sender->calls, &call->link);
+    call->fetch = Fw_Fetch_Start(&opts);
     if (s->cancel_after_us) {
-        fl->cancel = g_timeout_add((guint)(s->cancel_after_us / FW_MSEC),
-                                   on_cancel, fl);
+        call->cancel_timer = g_timeout_add(
+            (guint)(s->cancel_after_us / FW_MSEC), on_cancel, call);
     }
 }
 
 static gboolean
-on_give_up(gpointer data)
+on_drain_timeout(gpointer data)
 {
-    struct shooting *sh = data;
+    struct sender *sender = data;
 
-    sh->give_up = 0;
-    g_main_loop_quit(sh->loop);
+    sender->drain_timer = 0;
+    g_main_loop_quit(sender->loop);
     return G_SOURCE_REMOVE;
 }
 
 static gboolean
-on_due(gpointer data)
+on_send_time(gpointer data)
 {
-    struct shooting *sh = data;
-    int64_t now = g_get_monotonic_time() - sh->start_us;
+    struct sender *sender = data;
+    int64_t now = g_get_monotonic_time() - sender->start_us;
 
-    while (sh->next < sh->plan->len) {
-        struct fw_shot *s = &g_array_index(sh->plan, struct fw_shot, sh->next);
+    while (sender->next < sender->schedule->len) {
+        struct fw_loadgen_request *s = &g_array_index(
+            sender->schedule, struct fw_loadgen_request, sender->next);
 
-        if (s->at_us > now) {
+        if (s->arrival_us > now) {
             g_source_set_ready_time(g_main_current_source(),
-                                    sh->start_us + s->at_us);
+                                    sender->start_us + s->arrival_us);
             return G_SOURCE_CONTINUE;
         }
-        shoot(sh, s);
-        sh->next++;
+        send_request(sender, s);
+        sender->next++;
     }
-    sh->give_up =
-        g_timeout_add((guint)(FW_LAST_WAIT_US / FW_MSEC), on_give_up, sh);
-    quit_if_over(sh);
+    sender->drain_timer = g_timeout_add((guint)(FW_DRAIN_TIMEOUT_US / FW_MSEC),
+                                        on_drain_timeout, sender);
+    quit_if_done(sender);
     return G_SOURCE_REMOVE;
 }
 
 static gboolean
-on_fault(gpointer data)
+on_fault_time(gpointer data)
 {
-    struct shooting *sh = data;
-    char *name = g_strdup_printf("instance-%d", sh->f->n_callers - 1);
-    int pid = GPOINTER_TO_INT(g_hash_table_lookup(sh->f->pids, name));
+    struct sender *sender = data;
+    char *name =
+        g_strdup_printf("instance-%d", sender->fleet->n_instances - 1);
+    int pid = GPOINTER_TO_INT(g_hash_table_lookup(sender->fleet->pids, name));
 
     if (pid > 1) {
         (void)kill((pid_t)pid, SIGKILL);
     }
     g_free(name);
-    sh->fault = 0;
+    sender->fault_timer = 0;
     return G_SOURCE_REMOVE;
 }
 
-/* Outside the loop of the run: a call of its own. */
+/* Not to be called while the run's main loop is running. */
 static void
-set_log(const struct shooting *sh, int down)
+set_log_fault(const struct sender *sender, int down)
 {
     char *url =
-        g_strconcat(g_hash_table_lookup(sh->f->stands, "log"),
+        g_strconcat(g_hash_table_lookup(sender->fleet->stand_urls, "log"),
                     down ? "/control/fault" : "/control/fault/refuse", NULL);
 
-    (void)Fw_LoadHttp_Call(
-        sh->session, down ? "POST" : "DELETE", url,
+    (void)Fw_LoadgenHttp_Call(
+        sender->session, down ? "POST" : "DELETE", url,
         down ? "{\"name\":\"refuse\",\"status\":503}" : NULL, NULL, NULL);
     g_free(url);
 }
 
 static gboolean
-on_due_dispatch(GSource *source, GSourceFunc callback, gpointer data)
+dispatch_send(GSource *source, GSourceFunc callback, gpointer data)
 {
     (void)source;
     return callback(data);
 }
 
 static void
-drop_timer(guint id)
+remove_timer(guint id)
 {
     if (id) {
         g_source_remove(id);
     }
 }
 
-/* Those that never ended: their calls must not outlive the run. */
+/* The remaining calls hold pointers into the sender and the schedule. */
 static void
-land_rest(struct shooting *sh)
+cancel_remaining(struct sender *sender)
 {
-    while (!Fw_List_Empty(&sh->flights)) {
-        struct flight *fl =
-            FW_LIST_ENTRY(sh->flights.next, struct flight, link);
+    while (!Fw_List_Empty(&sender->calls)) {
+        struct call *call =
+            FW_LIST_ENTRY(sender->calls.next, struct call, link);
 
-        Fw_Fetch_Cancel(fl->fetch);
-        land(fl);
+        Fw_Fetch_Cancel(call->fetch);
+        finish_call(call);
     }
 }
 
-static GSourceFuncs due_funcs = {.dispatch = on_due_dispatch};
+static GSourceFuncs send_source_funcs = {.dispatch = dispatch_send};
 
 void
-Fw_Load_Shoot(const struct fw_experiment *e, const struct fw_load_fleet *f,
-              SoupSession *session, char **keys, GArray *plan,
-              struct fw_score *score)
+Fw_Loadgen_Send(const struct fw_experiment *e,
+                const struct fw_loadgen_fleet *f, SoupSession *session,
+                char **keys, GArray *schedule, struct fw_loadgen_stats *stats)
 {
-    struct shooting sh = {.e = e,
-                          .f = f,
-                          .session = session,
-                          .keys = keys,
-                          .plan = plan,
-                          .score = score,
-                          .loop = g_main_loop_new(NULL, FALSE),
-                          .callers = f->n_callers};
-    GSource *due = g_source_new(&due_funcs, sizeof(GSource));
-
-    Fw_List_Init(&sh.flights);
-    if (e->fault == FW_LOAD_LOG_DOWN) {
-        set_log(&sh, 1);
+    struct sender sender = {.experiment = e,
+                            .fleet = f,
+                            .session = session,
+                            .keys = keys,
+                            .schedule = schedule,
+                            .stats = stats,
+                            .loop = g_main_loop_new(NULL, FALSE),
+                            .n_targets = f->n_instances};
+    GSource *send_source = g_source_new(&send_source_funcs, sizeof(GSource));
+
+    Fw_List_Init(&sender.calls);
+    if (e->fault == FW_LOADGEN_FAULT_LOG_DOWN) {
+        set_log_fault(&sender, 1);
     }
-    sh.start_us = g_get_monotonic_time();
-    if (e->fault == FW_LOAD_KILL) {
-        sh.callers--;
-        sh.fault =
-            g_timeout_add((guint)(e->seconds * 1000 / 3), on_fault, &sh);
+    sender.start_us = g_get_monotonic_time();
+    if (e->fault == FW_LOADGEN_FAULT_KILL) {
+        sender.n_targets--;
+        sender.fault_timer = g_timeout_add((guint)(e->duration_s * 1000 / 3),
+                                           on_fault_time, &sender);
     }
-    g_source_set_callback(due, on_due, &sh, NULL);
-    g_source_set_ready_time(due, sh.start_us);
-    g_source_attach(due, NULL);
-    g_source_unref(due);
-    g_main_loop_run(sh.loop);
-    drop_timer(sh.give_up);
-    drop_timer(sh.fault);
-    land_rest(&sh);
-    if (e->fault == FW_LOAD_LOG_DOWN) {
-        set_log(&sh, 0);
+    g_source_set_callback(send_source, on_send_time, &sender, NULL);
+    g_source_set_ready_time(send_source, sender.start_us);
+    g_source_attach(send_source, NULL);
+    g_source_unref(send_source);
+    g_main_loop_run(sender.loop);
+    remove_timer(sender.drain_timer);
+    remove_timer(sender.fault_timer);
+    cancel_remaining(&sender);
+    if (e->fault == FW_LOADGEN_FAULT_LOG_DOWN) {
+        set_log_fault(&sender, 0);
     }
-    g_main_loop_unref(sh.loop);
+    g_main_loop_unref(sender.loop);
 }
--- a/bench/load/teams.c
+++ b/bench/load/teams.c
@@ -1,4 +1,4 @@
-/* The teams of a workload, written to the fleet's configuration log. */
+/* Writes a workload's teams and their keys to the configuration log. */
 #include <errno.h>
 #include <unistd.h>
 
@@ -6,11 +6,11 @@
 #include "bench/load/load.h"
 #include "io/json.h"
 
-#define FW_TEAMS_TRIES 200
-#define FW_TEAMS_PAUSE_US (100 * FW_MSEC)
+#define FW_POLLS_MAX 200
+#define FW_POLL_INTERVAL_US (100 * FW_MSEC)
 
 static void
-add_team(JsonBuilder *b, const struct fw_load_team *t)
+add_team(JsonBuilder *b, const struct fw_loadgen_team *t)
 {
     json_builder_begin_object(b);
     Fw_Json_SetStr(b, "kind", "team");
@@ -45,7 +45,7 @@
     json_builder_end_object(b);
 }
 
-/* The change as one record, inside the body of an append. */
+/* Returns an append request whose one record adds all teams and keys. */
 static char *
 append_body(const struct fw_experiment *e, char **keys)
 {
@@ -62,7 +62,7 @@
     Fw_Json_SetStr(b, "at", at);
     json_builder_set_member_name(b, "items");
     json_builder_begin_array(b);
-    for (int i = 0; i < FW_LOAD_TEAMS; i++) {
+    for (int i = 0; i < FW_LOADGEN_TEAMS; i++) {
         add_team(b, &e->team[i]);
         add_key(b, e->team[i].name, keys[i]);
     }
@@ -84,12 +84,12 @@
 }
 
 static int
-known_everywhere(const struct fw_load_fleet *f, SoupSession *session,
-                 const char *key)
+all_know_key(const struct fw_loadgen_fleet *f, SoupSession *session,
+             const char *key)
 {
-    for (int i = 0; i < f->n_callers; i++) {
-        char *url = g_strconcat(f->caller[i], "/v1/models", NULL);
-        int status = Fw_LoadHttp_Call(session, "GET", url, NULL, key, NULL);
+    for (int i = 0; i < f->n_instances; i++) {
+        char *url = g_strconcat(f->caller_urls[i], "/v1/models", NULL);
+        int status = Fw_LoadgenHttp_Call(session, "GET", url, NULL, key, NULL);
 
         g_free(url);
         if (status != 200) {
@@ -99,22 +99,24 @@
     return 1;
 }
 
-/* Nonzero when every instance knows all others; an older fleet than this
- * load is what is measured, not one that is still forming. */
+/*
+ * Returns nonzero when every instance knows all others, so that a fleet that
+ * is still forming isn't measured.
+ */
 static int
-joined(const struct fw_load_fleet *f, SoupSession *session)
+fleet_is_formed(const struct fw_loadgen_fleet *f, SoupSession *session)
 {
-    char *want = g_strdup_printf("\nfw_fleet_members %d\n", f->n_callers);
+    char *want = g_strdup_printf("\nfw_fleet_members %d\n", f->n_instances);
     int all = 1;
 
-    for (int i = 0; i < f->n_callers && all; i++) {
-        char *url = g_strconcat(f->caller[i], "/metrics", NULL);
+    for (int i = 0; i < f->n_instances && all; i++) {
+        char *url = g_strconcat(f->caller_urls[i], "/metrics", NULL);
         GBytes *body = NULL;
         gsize len = 0;
 
-        all =
-            Fw_LoadHttp_Call(session, "GET", url, NULL, NULL, &body) == 200 &&
-            body;
+        all = Fw_LoadgenHttp_Call(session, "GET", url, NULL, NULL, &body) ==
+                  200 &&
+              body;
         if (all) {
             const char *text = g_bytes_get_data(body, &len);
 
@@ -130,33 +132,33 @@
 }
 
 int
-Fw_LoadTeams_Apply(const struct fw_experiment *e,
-                   const struct fw_load_fleet *f, SoupSession *session,
-                   char **keys)
+Fw_LoadgenTeams_Apply(const struct fw_experiment *e,
+                      const struct fw_loadgen_fleet *f, SoupSession *session,
+                      char **keys)
 {
-    char *url = g_strconcat(g_hash_table_lookup(f->stands, "log"),
+    char *url = g_strconcat(g_hash_table_lookup(f->stand_urls, "log"),
                             "/log/config", NULL);
     char *body;
     int status;
 
-    for (int i = 0; i < FW_LOAD_TEAMS; i++) {
+    for (int i = 0; i < FW_LOADGEN_TEAMS; i++) {
         char *uuid = g_uuid_string_random();
 
         keys[i] = g_strconcat("load-", uuid, NULL);
         g_free(uuid);
     }
     body = append_body(e, keys);
-    status = Fw_LoadHttp_Call(session, "POST", url, body, NULL, NULL);
+    status = Fw_LoadgenHttp_Call(session, "POST", url, body, NULL, NULL);
     g_free(body);
     g_free(url);
     if (status != 200) {
         return -EIO;
     }
-    for (int i = 0; i < FW_TEAMS_TRIES; i++) {
-        if (known_everywhere(f, session, keys[0]) && joined(f, session)) {
+    for (int i = 0; i < FW_POLLS_MAX; i++) {
+        if (all_know_key(f, session, keys[0]) && fleet_is_formed(f, session)) {
             return 0;
         }
-        g_usleep(FW_TEAMS_PAUSE_US);
+        g_usleep(FW_POLL_INTERVAL_US);
     }
     return -ETIMEDOUT;
 }
