--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -1,14 +1,14 @@
 /*
- * Budgets: the scheme built and three plainer ones through the same scripts.
+ * Compares schemes for distributed rate limits under the same faults.
  *
- * static    each instance spends rate and burst over the number of instances
- * log       one leader by log record, asked for each request, no leases
- * majority  one leader by a lease of the majority of the members present in
- *           its own view, asked for each request
- * leases    the scheme built (src/limit), on fakes of network and log
+ * static    each instance enforces an equal share of rate and burst
+ * log       a leader, recorded in the log, decides on each request
+ * majority  a leader, elected in each network partition, decides on each
+ *           request
+ * leases    the implementation in src/limit, on a simulated network and log
  *
- * An account per team, as if one place alone spent, tells overspend and
- * wrongful refusals: those made while the account had the tokens.
+ * A central token bucket per team is the reference: it shows overspending,
+ * and wrongful refusals, which are those of requests that it would grant.
  */
 #include <stdio.h>
 #include <string.h>
@@ -17,35 +17,47 @@
 #include "explore/p_limit.h"
 
 #define STEP_US (50 * FW_MSEC)
-#define TERM_US (900 * FW_SEC)
-#define DETECT_US (8 * FW_SEC) /* silence until an instance is held dead */
-#define FRESH_US (5 * FW_SEC)
-
-/** struct result - over both teams. */
+#define LEADER_TERM_US (900 * FW_SEC)
+#define FAILURE_DETECTION_US (8 * FW_SEC)
+#define LEASE_US (5 * FW_SEC)
+
+/**
+ * struct result - totals of both teams.
+ * @failover_s: from the loss of the leader until another acts, -1 if none
+ * @bytes_per_s: sent per instance, as is @msgs_per_s
+ */
 struct result {
-    int asked;
+    int requests;
     int refused;
-    int wrongful;
-    int64_t over;
-    int64_t spent;
-    double serving_s; /* from the leader's loss to the next, -1 for none */
-    double bytes;     /* per instance and second, sent */
-    double msgs;
+    int wrongful_refusals;
+    int64_t overspent_tokens;
+    int64_t spent_tokens;
+    double failover_s;
+    double bytes_per_s;
+    double msgs_per_s;
 };
 
-/** struct plain - state of the three plain schemes. */
-struct plain {
-    int up[SITES];
-    int group[SITES];
-    int seen_group[SITES];
-    int64_t group_us; /* when the groups changed */
-    int64_t pause_us[SITES];
+/**
+ * struct baseline - state of the schemes other than leases. Arrays of size 2
+ * are indexed by partition; scheme log uses only the first element.
+ * @partition: 0 or 1, the side of the network that each instance is on
+ * @detected_partition: the same, as the instances know it after a delay
+ * @leads_from_us: when a new leader may start to grant
+ * @lease_renewed_us: last proof of leadership
+ * @leader_seen_us: when the leader was last reachable
+ */
+struct baseline {
+    int up[INSTANCES];
+    int partition[INSTANCES];
+    int detected_partition[INSTANCES];
+    int64_t partition_changed_us;
+    int64_t paused_until_us[INSTANCES];
     int log_down;
-    int leader[2];        /* by group */
-    int64_t from_us[2];   /* when it may begin */
-    int64_t fresh_us[2];  /* its last proof */
-    int64_t missed_us[2]; /* since when it is silent */
-    struct fw_account buckets[SITES][FW_ACCOUNT_TEAMS];
+    int leader[2]; /* -1 for none */
+    int64_t leads_from_us[2];
+    int64_t lease_renewed_us[2];
+    int64_t leader_seen_us[2];
+    struct fw_account buckets[INSTANCES][FW_ACCOUNT_TEAMS];
 };
 
 static const struct event *
@@ -53,7 +65,7 @@
 {
     const struct event *e = &s->events[*i];
 
-    if (*i >= EVENTS_MAX || e->op == FW_OP_END || e->at_s * FW_SEC > at_us) {
+    if (*i >= EVENTS_MAX || e->op == FW_OP_END || e->time_s * FW_SEC > at_us) {
         return NULL;
     }
     (*i)++;
@@ -61,7 +73,7 @@
 }
 
 static int
-take(struct fw_account *b, int64_t tokens, int64_t now_us)
+try_take(struct fw_account *b, int64_t tokens, int64_t now_us)
 {
     Fw_Account_Settle(b, now_us);
     if (b->level < (double)tokens) {
@@ -72,13 +84,13 @@
 }
 
 static int
-runs(const struct plain *p, int i, int64_t now_us)
+is_running(const struct baseline *p, int i, int64_t now_us)
 {
-    return p->up[i] && now_us >= p->pause_us[i];
+    return p->up[i] && now_us >= p->paused_until_us[i];
 }
 
 static void
-plain_event(struct plain *p, const struct event *e, int64_t now_us)
+baseline_apply_event(struct baseline *p, const struct event *e, int64_t now_us)
 {
     int leader = p->leader[0];
 
@@ -87,14 +99,14 @@
         p->up[leader] = 0;
         break;
     case FW_OP_PAUSE_LEADER:
-        p->pause_us[leader] = now_us + e->a * FW_SEC;
+        p->paused_until_us[leader] = now_us + e->arg * FW_SEC;
         break;
-    case FW_OP_SPLIT:
-    case FW_OP_JOIN:
-        for (int i = 0; i < SITES; i++) {
-            p->group[i] = e->op == FW_OP_SPLIT && i >= e->a;
+    case FW_OP_PARTITION:
+    case FW_OP_HEAL:
+        for (int i = 0; i < INSTANCES; i++) {
+            p->partition[i] = e->op == FW_OP_PARTITION && i >= e->arg;
         }
-        p->group_us = now_us;
+        p->partition_changed_us = now_us;
         break;
     case FW_OP_LOG_DOWN:
     case FW_OP_LOG_UP:
@@ -104,7 +116,7 @@
         break;
     case FW_OP_KILL:
     case FW_OP_START:
-        p->up[e->a] = e->op == FW_OP_START;
+        p->up[e->arg] = e->op == FW_OP_START;
         break;
     case FW_OP_END:
         break;
@@ -112,84 +124,90 @@
 }
 
 static int
-first_running(const struct plain *p, int group, int64_t now_us)
+find_running(const struct baseline *p, int partition, int64_t now_us)
 {
-    for (int i = 0; i < SITES; i++) {
-        if (runs(p, i, now_us) && p->group[i] == group) {
+    for (int i = 0; i < INSTANCES; i++) {
+        if (is_running(p, i, now_us) && p->partition[i] == partition) {
             return i;
         }
     }
     return -1;
 }
 
-/* The leader of group @g (all are one for the log) proves itself, or is
- * replaced after its silence was noticed, with an empty bucket. */
+/*
+ * Renews the lease of the leader of partition @g, or replaces it when it has
+ * been unreachable for FAILURE_DETECTION_US. The new leader's buckets start
+ * empty. Scheme log has a single leader, with @g 0.
+ */
 static void
-plain_lead(struct plain *p, int by_log, int g, int64_t now_us)
+update_leader(struct baseline *p, int by_log, int g, int64_t now_us)
 {
     int l = p->leader[g];
-    int proves = l >= 0 && runs(p, l, now_us) &&
-                 (by_log ? !p->log_down : p->group[l] == g);
-    int there = l >= 0 && runs(p, l, now_us) && (by_log || p->group[l] == g);
+    int renews = l >= 0 && is_running(p, l, now_us) &&
+                 (by_log ? !p->log_down : p->partition[l] == g);
+    int present =
+        l >= 0 && is_running(p, l, now_us) && (by_log || p->partition[l] == g);
     int next;
 
-    if (proves) {
-        p->fresh_us[g] = now_us;
+    if (renews) {
+        p->lease_renewed_us[g] = now_us;
     }
-    if (there) {
-        p->missed_us[g] = now_us;
+    if (present) {
+        p->leader_seen_us[g] = now_us;
     }
-    if (there || now_us < p->missed_us[g] + DETECT_US ||
+    if (present || now_us < p->leader_seen_us[g] + FAILURE_DETECTION_US ||
         (by_log && p->log_down)) {
         return;
     }
-    next = first_running(p, by_log ? p->group[0] : g, now_us);
+    next = find_running(p, by_log ? p->partition[0] : g, now_us);
     if (next < 0) {
         return;
     }
     p->leader[g] = next;
-    p->from_us[g] = now_us + FRESH_US;
-    p->missed_us[g] = now_us;
+    p->leads_from_us[g] = now_us + LEASE_US;
+    p->leader_seen_us[g] = now_us;
     for (int t = 0; t < FW_ACCOUNT_TEAMS; t++) {
         p->buckets[next][t].level = 0;
-        p->buckets[next][t].at_us = p->from_us[g];
+        p->buckets[next][t].at_us = p->leads_from_us[g];
     }
 }
 
 static void
-plain_tick(struct plain *p, int by_log, int64_t now_us)
+baseline_tick(struct baseline *p, int by_log, int64_t now_us)
 {
-    plain_lead(p, by_log, 0, now_us);
-    if (!by_log && now_us >= p->group_us + DETECT_US) {
-        memcpy(p->seen_group, p->group, sizeof(p->group));
+    update_leader(p, by_log, 0, now_us);
+    if (!by_log && now_us >= p->partition_changed_us + FAILURE_DETECTION_US) {
+        memcpy(p->detected_partition, p->partition, sizeof(p->partition));
     }
-    if (!by_log && p->seen_group[SITES - 1] != 0) {
-        plain_lead(p, by_log, 1, now_us);
+    if (!by_log && p->detected_partition[INSTANCES - 1] != 0) {
+        update_leader(p, by_log, 1, now_us);
     }
 }
 
 static int
-plain_ask(struct plain *p, int by_log, int site, int team, int64_t tokens,
-          int64_t now_us)
+baseline_request(struct baseline *p, int by_log, int instance, int team,
+                 int64_t tokens, int64_t now_us)
 {
-    int g = by_log ? 0 : p->seen_group[site];
+    int g = by_log ? 0 : p->detected_partition[instance];
     int l = p->leader[g];
 
-    if (l < 0 || !runs(p, l, now_us) || p->group[l] != p->group[site] ||
-        now_us < p->from_us[g] || now_us >= p->fresh_us[g] + FRESH_US) {
+    if (l < 0 || !is_running(p, l, now_us) ||
+        p->partition[l] != p->partition[instance] ||
+        now_us < p->leads_from_us[g] ||
+        now_us >= p->lease_renewed_us[g] + LEASE_US) {
         return 0;
     }
-    return take(&p->buckets[l][team], tokens, now_us);
+    return try_take(&p->buckets[l][team], tokens, now_us);
 }
 
 static void
-plain_init(struct plain *p, const struct script *s,
-           const struct fw_account *accounts, int parts)
+baseline_init(struct baseline *p, const struct script *s,
+              const struct fw_account *accounts, int parts)
 {
     memset(p, 0, sizeof(*p));
     p->leader[1] = -1;
-    for (int i = 0; i < SITES; i++) {
-        p->up[i] = i < s->first;
+    for (int i = 0; i < INSTANCES; i++) {
+        p->up[i] = i < s->initial_instances;
         for (int t = 0; t < FW_ACCOUNT_TEAMS; t++) {
             p->buckets[i][t] = accounts[t];
             p->buckets[i][t].team.rate /= parts;
@@ -199,47 +217,49 @@
     }
 }
 
-/* A running instance that the balancer chooses, and a size around a fifth
- * of a second of the team's rate. */
+/*
+ * Draws the instance that receives a request, and its tokens: on average a
+ * fifth of what the team's rate allows per second.
+ */
 static int
-draw(GRand *rand, const int *up, const struct fw_account *a, int64_t *tokens)
+draw_request(GRand *rand, const int *up, const struct fw_account *a,
+             int64_t *tokens)
 {
-    int site = g_rand_int_range(rand, 0, SITES);
+    int instance = g_rand_int_range(rand, 0, INSTANCES);
 
     *tokens = 1 + g_rand_int_range(rand, 0, (gint32)(a->team.rate * 2 / 5));
-    for (int i = 0; i < SITES && !up[site]; i++) {
-        site = (site + 1) % SITES;
+    for (int i = 0; i < INSTANCES && !up[instance]; i++) {
+        instance = (instance + 1) % INSTANCES;
     }
-    return site;
+    return instance;
 }
 
-/* Whether team @a asks in this step: 5 requests a second at its full rate. */
+/* At a demand of 1 a team sends 5 requests per second on average. */
 static int
-asks_now(GRand *rand, const struct script *s)
+is_request_due(GRand *rand, const struct script *s)
 {
-    return g_rand_double(rand) < s->load * 5 * STEP_US / FW_SEC;
+    return g_rand_double(rand) < s->demand * 5 * STEP_US / FW_SEC;
 }
 
 static void
-account(struct fw_account *a, struct result *r, int granted, int64_t tokens,
-        int64_t now_us)
+record_outcome(struct fw_account *a, struct result *r, int granted,
+               int64_t tokens, int64_t now_us)
 {
     Fw_Account_Settle(a, now_us);
-    r->asked++;
+    r->requests++;
     if (!granted) {
         r->refused++;
-        r->wrongful += a->level >= (double)tokens;
+        r->wrongful_refusals += a->level >= (double)tokens;
         return;
     }
-    r->spent += tokens;
+    r->spent_tokens += tokens;
     a->level -= (double)tokens;
     if (a->level < -1) {
-        r->over += (int64_t)-a->level;
+        r->overspent_tokens += (int64_t)-a->level;
         a->level = 0;
     }
 }
 
-/** enum scheme - in the order of the lines printed. */
 enum scheme {
     FW_SCHEME_STATIC,
     FW_SCHEME_LOG,
@@ -249,48 +269,50 @@
 };
 
 static void
-run_plain(const struct script *s, enum scheme scheme, struct result *r)
+run_baseline(const struct script *s, enum scheme scheme, struct result *r)
 {
     struct fw_limit_check c;
     struct fw_fleet_env w;
-    struct plain p;
+    struct baseline p;
     GRand *rand = g_rand_new_with_seed(1);
     int by_log = scheme == FW_SCHEME_LOG;
     int next = 0;
 
     Fw_FleetEnv_Init(&w, NULL, 0);
-    Fw_LimitCheck_Init(&c, &w, TERM_US); /* for the teams */
-    plain_init(&p, s, c.accounts, scheme == FW_SCHEME_STATIC ? SITES : 1);
-    for (int64_t t = 0; t < s->secs * FW_SEC; t += STEP_US) {
+    Fw_LimitCheck_Init(&c, &w, LEADER_TERM_US); /* defines the teams */
+    baseline_init(&p, s, c.accounts,
+                  scheme == FW_SCHEME_STATIC ? INSTANCES : 1);
+    for (int64_t t = 0; t < s->duration_s * FW_SEC; t += STEP_US) {
         const struct event *e;
         while ((e = next_event(s, &next, t))) {
-            plain_event(&p, e, t);
+            baseline_apply_event(&p, e, t);
         }
-        plain_tick(&p, by_log, t);
+        baseline_tick(&p, by_log, t);
         for (int k = 0; k < FW_ACCOUNT_TEAMS; k++) {
             int64_t tokens;
-            int site;
+            int instance;
             int granted;
-            if (!asks_now(rand, s)) {
+            if (!is_request_due(rand, s)) {
                 continue;
             }
-            site = draw(rand, p.up, &c.accounts[k], &tokens);
+            instance = draw_request(rand, p.up, &c.accounts[k], &tokens);
             granted =
                 scheme == FW_SCHEME_STATIC
-                    ? runs(&p, site, t) && take(&p.buckets[site][k], tokens, t)
-                    : plain_ask(&p, by_log, site, k, tokens, t);
-            if (runs(&p, site, t)) {
-                account(&c.accounts[k], r, granted, tokens, t);
+                    ? is_running(&p, instance, t) &&
+                          try_take(&p.buckets[instance][k], tokens, t)
+                    : baseline_request(&p, by_log, instance, k, tokens, t);
+            if (is_running(&p, instance, t)) {
+                record_outcome(&c.accounts[k], r, granted, tokens, t);
             }
         }
     }
-    r->serving_s = -1;
+    r->failover_s = -1;
     g_rand_free(rand);
     Fw_LimitCheck_Clear(&c, &w);
 }
 
 static int
-leader_of(const struct fw_fleet_env *w)
+find_acting_leader(const struct fw_fleet_env *w)
 {
     for (int i = 0; i < w->n; i++) {
         if (Fw_FleetEnv_Runs(w, i) &&
@@ -302,9 +324,9 @@
     return -1;
 }
 
-/* Who leads by the log, though it may not act just now. */
+/* Returns the leader by the log, which may not be allowed to act now. */
 static int
-holder_of(const struct fw_fleet_env *w)
+find_recorded_leader(const struct fw_fleet_env *w)
 {
     for (int i = 0; i < w->n; i++) {
         const char *name = w->sites[i].up ? Fw_Roles_Holder(w->sites[i].roles,
@@ -320,24 +342,25 @@
 }
 
 static void
-world_event(struct fw_fleet_env *w, const struct event *e)
+env_apply_event(struct fw_fleet_env *w, const struct event *e)
 {
-    int leader = holder_of(w);
+    int leader = find_recorded_leader(w);
 
     switch (e->op) {
     case FW_OP_KILL_LEADER:
     case FW_OP_KILL:
-        Fw_FleetEnv_Kill(w, e->op == FW_OP_KILL ? e->a : leader);
+        Fw_FleetEnv_Kill(w, e->op == FW_OP_KILL ? e->arg : leader);
         break;
     case FW_OP_PAUSE_LEADER:
-        Fw_FleetEnv_Pause(w, leader, e->a * FW_SEC);
+        Fw_FleetEnv_Pause(w, leader, e->arg * FW_SEC);
         break;
-    case FW_OP_SPLIT:
-    case FW_OP_JOIN:
-        for (int i = 0; i < SITES; i++) {
+    case FW_OP_PARTITION:
+    case FW_OP_HEAL:
+        for (int i = 0; i < INSTANCES; i++) {
             for (int j = 0; j < i; j++) {
-                Fw_FleetEnv_Cut(
-                    w, i, j, e->op == FW_OP_SPLIT && (i < e->a) != (j < e->a));
+                Fw_FleetEnv_Cut(w, i, j,
+                                e->op == FW_OP_PARTITION &&
+                                    (i < e->arg) != (j < e->arg));
             }
         }
         break;
@@ -346,10 +369,10 @@
         w->log_down = e->op == FW_OP_LOG_DOWN;
         break;
     case FW_OP_DRAIN:
-        Fw_FleetEnv_Drain(w, e->a);
+        Fw_FleetEnv_Drain(w, e->arg);
         break;
     case FW_OP_START:
-        Fw_FleetEnv_Start(w, e->a);
+        Fw_FleetEnv_Start(w, e->arg);
         break;
     case FW_OP_END:
         break;
@@ -367,51 +390,51 @@
     int64_t lost_us = -1;
     int next = 0;
 
-    Fw_FleetEnv_Init(&w, &run, SITES);
-    Fw_LimitCheck_Init(&c, &w, TERM_US);
-    for (int i = 0; i < s->first; i++) {
+    Fw_FleetEnv_Init(&w, &run, INSTANCES);
+    Fw_LimitCheck_Init(&c, &w, LEADER_TERM_US);
+    for (int i = 0; i < s->initial_instances; i++) {
         Fw_FleetEnv_Start(&w, i);
     }
     Fw_FleetEnv_Advance(&w, 5 * FW_SEC);
-    w.lose_pct = s->lose_pct;
+    w.lose_pct = s->message_loss_pct;
     w.n_bytes = 0;
     w.n_sent = 0;
-    r->serving_s = -1;
-    for (int64_t t = 0; t < s->secs * FW_SEC; t += STEP_US) {
+    r->failover_s = -1;
+    for (int64_t t = 0; t < s->duration_s * FW_SEC; t += STEP_US) {
         const struct event *e;
-        int up[SITES];
+        int up[INSTANCES];
         while ((e = next_event(s, &next, t))) {
-            world_event(&w, e);
+            env_apply_event(&w, e);
             if (e->op == FW_OP_KILL_LEADER) {
                 lost_us = t;
             }
         }
-        if (lost_us >= 0 && r->serving_s < 0 && leader_of(&w) >= 0) {
-            r->serving_s = (double)(t - lost_us) / FW_SEC;
+        if (lost_us >= 0 && r->failover_s < 0 && find_acting_leader(&w) >= 0) {
+            r->failover_s = (double)(t - lost_us) / FW_SEC;
         }
-        for (int i = 0; i < SITES; i++) {
+        for (int i = 0; i < INSTANCES; i++) {
             up[i] = w.sites[i].up && !w.sites[i].draining;
         }
         for (int k = 0; k < FW_ACCOUNT_TEAMS; k++) {
             int64_t tokens;
-            int site;
-            if (asks_now(rand, s)) {
-                site = draw(rand, up, &c.accounts[k], &tokens);
-                Fw_LimitCheck_Ask(&c, &w, site, k, tokens);
+            int instance;
+            if (is_request_due(rand, s)) {
+                instance = draw_request(rand, up, &c.accounts[k], &tokens);
+                Fw_LimitCheck_Ask(&c, &w, instance, k, tokens);
             }
         }
         g_string_set_size(run.trace, 0);
         Fw_FleetEnv_Advance(&w, STEP_US);
     }
     for (int k = 0; k < FW_ACCOUNT_TEAMS; k++) {
-        r->asked += c.accounts[k].granted + c.accounts[k].refused;
+        r->requests += c.accounts[k].granted + c.accounts[k].refused;
         r->refused += c.accounts[k].refused;
-        r->spent += c.accounts[k].spent;
-        r->wrongful += c.accounts[k].wrongful;
+        r->spent_tokens += c.accounts[k].spent;
+        r->wrongful_refusals += c.accounts[k].wrongful;
     }
-    r->over = c.over;
-    r->msgs = (double)w.n_sent / s->secs / SITES;
-    r->bytes = (double)w.n_bytes / s->secs / SITES;
+    r->overspent_tokens = c.over;
+    r->msgs_per_s = (double)w.n_sent / s->duration_s / INSTANCES;
+    r->bytes_per_s = (double)w.n_bytes / s->duration_s / INSTANCES;
     Fw_LimitCheck_Clear(&c, &w);
     g_rand_free(rand);
     g_rand_free(run.rand);
@@ -433,12 +456,13 @@
                 run_leases(&scripts[i], &r);
             }
             else {
-                run_plain(&scripts[i], (enum scheme)k, &r);
+                run_baseline(&scripts[i], (enum scheme)k, &r);
             }
             printf("%-24s %-9s %7d %7d %8d %7" G_GINT64_FORMAT
                    " %9" G_GINT64_FORMAT " %7.1f %7.0f %6.1f\n",
-                   scripts[i].name, names[k], r.asked, r.refused, r.wrongful,
-                   r.over, r.spent, r.serving_s, r.bytes, r.msgs);
+                   scripts[i].name, names[k], r.requests, r.refused,
+                   r.wrongful_refusals, r.overspent_tokens, r.spent_tokens,
+                   r.failover_s, r.bytes_per_s, r.msgs_per_s);
         }
     }
     return 0;
--- a/bench/limit_scripts.h
+++ b/bench/limit_scripts.h
@@ -1,17 +1,17 @@
-/* The scripts that all schemes of bench_limit go through. */
+/* Scripts of faults that bench_limit runs with each scheme. */
 #ifndef FW_BENCH_LIMIT_SCRIPTS_H
 #define FW_BENCH_LIMIT_SCRIPTS_H
 
-#define SITES 9
+#define INSTANCES 9
 #define EVENTS_MAX 24
 
-/** enum op - what a script does to instance @a. */
-enum op {
-    FW_OP_END,
+/** enum fw_op - a scripted event; @arg is an instance unless noted. */
+enum fw_op {
+    FW_OP_END, /* no more events */
     FW_OP_KILL_LEADER,
-    FW_OP_PAUSE_LEADER, /* for @a seconds */
-    FW_OP_SPLIT,        /* the first @a instances from the others */
-    FW_OP_JOIN,         /* all links again */
+    FW_OP_PAUSE_LEADER, /* for @arg seconds */
+    FW_OP_PARTITION,    /* the first @arg instances from the others */
+    FW_OP_HEAL,         /* restores all links */
     FW_OP_LOG_DOWN,
     FW_OP_LOG_UP,
     FW_OP_DRAIN,
@@ -20,53 +20,57 @@
 };
 
 struct event {
-    int at_s;
-    enum op op;
-    int a;
+    int time_s;
+    enum fw_op op;
+    int arg;
 };
 
-/** struct script - @load: demand as a part of the teams' rates. */
+/**
+ * struct script - a run of a scheme.
+ * @demand: requested tokens as a multiple of the teams' rates
+ * @initial_instances: number of instances that run from the start
+ */
 struct script {
     const char *name;
-    int secs;
-    double load;
-    int first; /* instances up from the start */
-    int lose_pct;
+    int duration_s;
+    double demand;
+    int initial_instances;
+    int message_loss_pct;
     struct event events[EVENTS_MAX];
 };
 
 static const struct script scripts[] = {
-    {"calm", 600, 0.8, SITES, 0, {{0, FW_OP_END, 0}}},
-    {"five times the rate", 600, 5.0, SITES, 0, {{0, FW_OP_END, 0}}},
+    {"calm", 600, 0.8, INSTANCES, 0, {{0, FW_OP_END, 0}}},
+    {"five times the rate", 600, 5.0, INSTANCES, 0, {{0, FW_OP_END, 0}}},
     {"split 4 from 5, busy",
      600,
      5.0,
-     SITES,
+     INSTANCES,
      0,
-     {{300, FW_OP_SPLIT, 4}, {360, FW_OP_JOIN, 0}}},
-    {"leader killed", 1260, 0.8, SITES, 0, {{300, FW_OP_KILL_LEADER, 0}}},
+     {{300, FW_OP_PARTITION, 4}, {360, FW_OP_HEAL, 0}}},
+    {"leader killed", 1260, 0.8, INSTANCES, 0, {{300, FW_OP_KILL_LEADER, 0}}},
     {"leader paused 60 s",
      600,
      0.8,
-     SITES,
+     INSTANCES,
      0,
      {{300, FW_OP_PAUSE_LEADER, 60}}},
     {"split 4 from 5, 60 s",
      600,
      0.8,
-     SITES,
+     INSTANCES,
      0,
-     {{300, FW_OP_SPLIT, 4}, {360, FW_OP_JOIN, 0}}},
+     {{300, FW_OP_PARTITION, 4}, {360, FW_OP_HEAL, 0}}},
     {"log down 600 s",
      1200,
      0.8,
-     SITES,
+     INSTANCES,
      0,
      {{300, FW_OP_LOG_DOWN, 0}, {900, FW_OP_LOG_UP, 0}}},
     {"log down, leader killed",
      1200,
      0.8,
-     SITES,
+     INSTANCES,
      0,
      {{300, FW_OP_LOG_DOWN, 0},
       {310, FW_OP_KILL_LEADER, 0},
@@ -74,7 +78,7 @@
     {"rolling restart",
      600,
      0.8,
-     SITES,
+     INSTANCES,
      0,
      {{100, FW_OP_DRAIN, 0},
       {110, FW_OP_KILL, 0},
@@ -105,7 +109,7 @@
       {120, FW_OP_START, 6},
       {122, FW_OP_START, 7},
       {124, FW_OP_START, 8}}},
-    {"5 in 100 messages lost", 600, 0.8, SITES, 5, {{0, FW_OP_END, 0}}},
+    {"5 in 100 messages lost", 600, 0.8, INSTANCES, 5, {{0, FW_OP_END, 0}}},
 };
 
 #endif
--- a/bench/load/shoot.c
+++ b/bench/load/shoot.c
@@ -286,7 +286,7 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Not to be called while the run's main loop is running. */
+/* Runs a main loop of its own, so it isn't called from callbacks. */
 static void
 set_log_fault(const struct sender *sender, int down)
 {
--- a/bench/load/teams.c
+++ b/bench/load/teams.c
@@ -45,7 +45,7 @@
     json_builder_end_object(b);
 }
 
-/* Returns an append request whose one record adds all teams and keys. */
+/* Returns the body of an append whose only record adds teams and keys. */
 static char *
 append_body(const struct fw_experiment *e, char **keys)
 {
