--- a/bench/bench_digest.c
+++ b/bench/bench_digest.c
@@ -1,6 +1,6 @@
 /*
- * What a digest costs that names every team: written by one instance, taken
- * in by another. The size is that of docs/CAPACITY.md, 12,000 teams.
+ * Measures the CPU time to write a digest of every team and to read it on
+ * another instance, with the number of teams in docs/CAPACITY.md.
  */
 #include <stdio.h>
 #include <time.h>
@@ -58,12 +58,12 @@
     struct fw_rl_rules *rules = make_rules();
     struct fw_relay *from = make_relay("a", rules);
     struct fw_relay *to = make_relay("b", rules);
-    double wrote_s = 0;
-    double took_s = 0;
+    double write_s = 0;
+    double read_s = 0;
     guint bytes = 0;
-    struct fw_rl_outbox mail;
+    struct fw_rl_outbox outbox;
 
-    Fw_Outbox_Init(&mail);
+    Fw_Outbox_Init(&outbox);
     for (int i = 0; i < FW_ROUNDS; i++) {
         int64_t now_us = FW_SEC + i * 150 * FW_MSEC;
         GByteArray *msg = g_byte_array_new();
@@ -73,17 +73,17 @@
         Fw_Digest_Write(from, now_us, msg);
         t1 = now_s();
         g_assert(Fw_Relay_ReadMessage(to, "127.0.0.1:1", msg->data, msg->len,
-                                      now_us, &mail) >= 0);
-        Fw_Outbox_Clear(&mail);
-        took_s += now_s() - t1;
-        wrote_s += t1 - t0;
+                                      now_us, &outbox) >= 0);
+        Fw_Outbox_Clear(&outbox);
+        read_s += now_s() - t1;
+        write_s += t1 - t0;
         bytes = msg->len;
         g_byte_array_unref(msg);
     }
-    printf("%d teams, %u bytes: written in %.2f ms, taken in %.2f ms\n",
-           FW_TEAMS, bytes, wrote_s * 1e3 / FW_ROUNDS,
-           took_s * 1e3 / FW_ROUNDS);
-    g_ptr_array_unref(mail.all);
+    printf("%d teams, %u bytes: written in %.2f ms, read in %.2f ms\n",
+           FW_TEAMS, bytes, write_s * 1e3 / FW_ROUNDS,
+           read_s * 1e3 / FW_ROUNDS);
+    g_ptr_array_unref(outbox.all);
     Fw_Relay_Free(from);
     Fw_Relay_Free(to);
     Fw_Rules_Unref(rules);
--- a/bench/bench_entry.c
+++ b/bench/bench_entry.c
@@ -1,12 +1,12 @@
 /*
- * What an entry instance costs: requests a second on one core against a bare
- * server of the same library, and time to first token added over talking to
- * the engines straight.
+ * Measures an instance that callers connect to: its requests per second of
+ * CPU time, compared to a minimal libsoup server, and the time to first token
+ * that it adds to direct requests to the engines.
  *
- * The instance and the stand-ins are real processes, started by tools/fleet
- * into build/bench-entry. Costs are processor time of the serving process or
- * thread, so a busy machine changes them little; delays are wall time, the
- * two ways taken in turns.
+ * The instance and the stand-ins are processes that tools/fleet starts.
+ * Throughput is based on the CPU time of the serving process or thread, so
+ * that other load on the machine affects it little. Latency is wall time;
+ * direct and routed requests alternate.
  */
 #include <json-glib/json-glib.h>
 #include <libsoup/soup.h>
@@ -22,12 +22,13 @@
 #include "base/limits.h"
 #include "io/addr.h"
 
-#define FW_DIR "build/bench-entry"
-#define FW_CONNS 32
-#define FW_LOAD_US (3 * FW_SEC)
-#define FW_DELAY_RUNS 300
-#define FW_MEDIAN 150 /* of the runs, sorted */
-#define FW_95TH 285
+#define FW_FLEET_DIR "build/bench-entry"
+#define FW_CONNECTIONS 32
+#define FW_LOAD_DURATION_US (3 * FW_SEC)
+#define FW_LATENCY_RUNS 300
+/* Indices into the sorted latencies. */
+#define FW_MEDIAN_INDEX 150
+#define FW_P95_INDEX 285
 #define FW_PROMPT_BYTES 16384
 
 static void
@@ -37,12 +38,15 @@
     exit(1);
 }
 
-/** struct conn - one kept connection. */
+/**
+ * struct conn - a persistent connection with at most one open request.
+ * @first_us: arrival of the first streamed token, 0 before
+ */
 struct conn {
     int fd;
-    GString *in;
+    GString *response;
     int64_t sent_us;
-    int64_t first_us; /* when the first piece of a stream was there */
+    int64_t first_us;
 };
 
 static void
@@ -54,7 +58,7 @@
     g_socket_address_to_native(at, &sa, sizeof(sa), NULL);
     g_object_unref(at);
     c->fd = socket(AF_INET, SOCK_STREAM, 0);
-    c->in = g_string_new(NULL);
+    c->response = g_string_new(NULL);
     if (connect(c->fd, (struct sockaddr *)&sa, sizeof(struct sockaddr_in))) {
         die("connect failed");
     }
@@ -64,15 +68,15 @@
 close_conn(struct conn *c)
 {
     close(c->fd);
-    g_string_free(c->in, TRUE);
+    g_string_free(c->response, TRUE);
 }
 
 static void
-send_text(struct conn *c, const char *text)
+send_request(struct conn *c, const char *text)
 {
     size_t len = strlen(text);
 
-    g_string_truncate(c->in, 0);
+    g_string_truncate(c->response, 0);
     c->sent_us = g_get_monotonic_time();
     c->first_us = 0;
     while (len > 0) {
@@ -86,12 +90,12 @@
     }
 }
 
-/* Nonzero when a whole answer is there, by its length or its last chunk. */
+/* Returns nonzero if the response is complete. */
 static int
-is_whole(const struct conn *c)
+is_complete(const struct conn *c)
 {
-    const char *end = strstr(c->in->str, "\r\n\r\n");
-    const char *length = strstr(c->in->str, "Content-Length: ");
+    const char *end = strstr(c->response->str, "\r\n\r\n");
+    const char *length = strstr(c->response->str, "Content-Length: ");
 
     if (!end) {
         return 0;
@@ -99,42 +103,42 @@
     if (length && length < end) {
         gsize want = (gsize)strtoul(length + 16, NULL, 10);
 
-        return c->in->len >= (gsize)(end + 4 - c->in->str) + want;
+        return c->response->len >= (gsize)(end + 4 - c->response->str) + want;
     }
-    return g_str_has_suffix(c->in->str, "\r\n0\r\n\r\n");
+    return g_str_has_suffix(c->response->str, "\r\n0\r\n\r\n");
 }
 
 static void
-read_some(struct conn *c)
+receive(struct conn *c)
 {
     char buf[16384];
     ssize_t n = recv(c->fd, buf, sizeof(buf), 0);
 
     if (n <= 0) {
-        die("the connection was closed");
+        die("connection closed or failed");
     }
-    g_string_append_len(c->in, buf, n);
-    if (!c->first_us &&
-        (strstr(c->in->str, "\"text\":\"") || strstr(c->in->str, "{\"i\":"))) {
+    g_string_append_len(c->response, buf, n);
+    if (!c->first_us && (strstr(c->response->str, "\"text\":\"") ||
+                         strstr(c->response->str, "{\"i\":"))) {
         c->first_us = g_get_monotonic_time();
     }
 }
 
 static void
-ask(struct conn *c, const char *text)
+exchange(struct conn *c, const char *text)
 {
-    send_text(c, text);
-    while (!is_whole(c)) {
-        read_some(c);
+    send_request(c, text);
+    while (!is_complete(c)) {
+        receive(c);
     }
-    if (!g_str_has_prefix(c->in->str, "HTTP/1.1 20")) {
-        fprintf(stderr, "%.300s\n", c->in->str);
-        die("a request was refused");
+    if (!g_str_has_prefix(c->response->str, "HTTP/1.1 20")) {
+        fprintf(stderr, "%.300s\n", c->response->str);
+        die("request failed");
     }
 }
 
 static char *
-post(const char *path, const char *key, const char *body)
+format_post(const char *path, const char *key, const char *body)
 {
     return g_strdup_printf("POST %s HTTP/1.1\r\nHost: x\r\n"
                            "Authorization: Bearer %s\r\n"
@@ -142,54 +146,59 @@
                            path, key, strlen(body), body);
 }
 
-/* Keeps @text under way on all connections; how many were answered. */
+/*
+ * Sends @text repeatedly on all connections for FW_LOAD_DURATION_US. Returns
+ * the number of responses.
+ */
 static int64_t
-load(const char *url, const char *text)
+run_load(const char *url, const char *text)
 {
-    struct conn conns[FW_CONNS];
-    struct pollfd fds[FW_CONNS];
-    int64_t until = g_get_monotonic_time() + FW_LOAD_US;
+    struct conn conns[FW_CONNECTIONS];
+    struct pollfd fds[FW_CONNECTIONS];
+    int64_t until = g_get_monotonic_time() + FW_LOAD_DURATION_US;
     int64_t done = 0;
 
-    for (int i = 0; i < FW_CONNS; i++) {
+    for (int i = 0; i < FW_CONNECTIONS; i++) {
         open_conn(&conns[i], url);
-        send_text(&conns[i], text);
+        send_request(&conns[i], text);
         fds[i] = (struct pollfd){.fd = conns[i].fd, .events = POLLIN};
     }
     while (g_get_monotonic_time() < until) {
-        poll(fds, FW_CONNS, 1000);
-        for (int i = 0; i < FW_CONNS; i++) {
+        poll(fds, FW_CONNECTIONS, 1000);
+        for (int i = 0; i < FW_CONNECTIONS; i++) {
             if (!fds[i].revents) {
                 continue;
             }
-            read_some(&conns[i]);
-            if (is_whole(&conns[i])) {
-                if (!g_str_has_prefix(conns[i].in->str, "HTTP/1.1 200")) {
-                    fprintf(stderr, "%.300s\n", conns[i].in->str);
-                    die("a request was refused under load");
+            receive(&conns[i]);
+            if (is_complete(&conns[i])) {
+                if (!g_str_has_prefix(conns[i].response->str,
+                                      "HTTP/1.1 200")) {
+                    fprintf(stderr, "%.300s\n", conns[i].response->str);
+                    die("request failed under load");
                 }
                 done++;
-                send_text(&conns[i], text);
+                send_request(&conns[i], text);
             }
         }
     }
-    for (int i = 0; i < FW_CONNS; i++) {
+    for (int i = 0; i < FW_CONNECTIONS; i++) {
         close_conn(&conns[i]);
     }
     return done;
 }
 
 static void
-tell_load(const char *what, int64_t done, int64_t cpu_us)
+print_throughput(const char *what, int64_t done, int64_t cpu_us)
 {
-    printf("%-44s %8.0f requests a core-second, %6.1f us each "
+    printf("%-44s %8.0f requests per core-second, %6.1f us each "
            "(%" G_GINT64_FORMAT " in %d s)\n",
            what, (double)done * FW_SEC / (double)cpu_us,
-           (double)cpu_us / (double)done, done, (int)(FW_LOAD_US / FW_SEC));
+           (double)cpu_us / (double)done, done,
+           (int)(FW_LOAD_DURATION_US / FW_SEC));
 }
 
-/** struct bare - the library's server alone, on a thread. */
-struct bare {
+/** struct bare_server - a minimal libsoup server on its own thread. */
+struct bare_server {
     GMainContext *context;
     GMainLoop *loop;
     char url[FW_URL_MAX];
@@ -200,8 +209,8 @@
 };
 
 static void
-answer_bare(SoupServer *server, SoupServerMessage *msg, const char *path,
-            GHashTable *query, gpointer data)
+on_bare_request(SoupServer *server, SoupServerMessage *msg, const char *path,
+                GHashTable *query, gpointer data)
 {
     (void)server;
     (void)path;
@@ -213,15 +222,15 @@
 }
 
 static gpointer
-run_bare(gpointer data)
+run_bare_server(gpointer data)
 {
-    struct bare *b = data;
+    struct bare_server *b = data;
     SoupServer *server;
     GSList *uris;
 
     g_main_context_push_thread_default(b->context);
     server = soup_server_new(NULL, NULL);
-    soup_server_add_handler(server, NULL, answer_bare, NULL, NULL);
+    soup_server_add_handler(server, NULL, on_bare_request, NULL, NULL);
     soup_server_listen_local(server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, NULL);
     uris = soup_server_get_uris(server);
     g_snprintf(b->url, sizeof(b->url), "http://127.0.0.1:%d",
@@ -240,7 +249,7 @@
 }
 
 static int64_t
-clock_us(clockid_t clock)
+get_clock_us(clockid_t clock)
 {
     struct timespec ts;
 
@@ -249,31 +258,32 @@
 }
 
 static void
-bench_bare(const char *text)
+bench_bare_server(const char *text)
 {
-    struct bare b = {0};
+    struct bare_server b = {0};
     GThread *thread;
     int64_t before;
     int64_t done;
 
     b.context = g_main_context_new();
     b.loop = g_main_loop_new(b.context, FALSE);
-    thread = g_thread_new("bare", run_bare, &b);
+    thread = g_thread_new("bare", run_bare_server, &b);
     g_mutex_lock(&b.lock);
     while (!b.is_ready) {
         g_cond_wait(&b.ready, &b.lock);
     }
     g_mutex_unlock(&b.lock);
-    before = clock_us(b.clock);
-    done = load(b.url, text);
-    tell_load("bare server of the library", done, clock_us(b.clock) - before);
+    before = get_clock_us(b.clock);
+    done = run_load(b.url, text);
+    print_throughput("minimal libsoup server", done,
+                     get_clock_us(b.clock) - before);
     g_main_loop_quit(b.loop);
     g_thread_join(thread);
     g_main_loop_unref(b.loop);
     g_main_context_unref(b.context);
 }
 
-/** struct fleet - what tools/fleet started. */
+/** struct fleet - addresses and key from fleet.json. */
 struct fleet {
     JsonNode *root;
     const char *entry;
@@ -300,13 +310,14 @@
     JsonObject *obj;
     JsonParser *parser = json_parser_new();
 
-    run_fleet("tools/fleet up --instances 1 --dir " FW_DIR
+    run_fleet("tools/fleet up --instances 1 --dir " FW_FLEET_DIR
               " --prefill 4 --decode 8 --rate 1000000000 --burst 1000000000"
               " --stand \"--slots=100 --token-ms=1 --token-slot-us=0"
               " --answer-tokens=8 --prefill-rate=100000000"
               " --link-rate=10000000000\"");
-    if (!json_parser_load_from_file(parser, FW_DIR "/fleet.json", NULL)) {
-        die("no fleet.json");
+    if (!json_parser_load_from_file(parser, FW_FLEET_DIR "/fleet.json",
+                                    NULL)) {
+        die("can't read fleet.json");
     }
     f->root = json_parser_steal_root(parser);
     g_object_unref(parser);
@@ -322,9 +333,9 @@
     f->decode = json_object_get_string_member(obj, "decode-0");
 }
 
-/* Processor time of the instance, in steps of a clock tick. */
+/* Returns the CPU time of a process, with the resolution of a clock tick. */
 static int64_t
-process_us(int64_t pid)
+process_cpu_us(int64_t pid)
 {
     char *path = g_strdup_printf("/proc/%" G_GINT64_FORMAT "/stat", pid);
     char *text = NULL;
@@ -337,7 +348,7 @@
     if (!after || sscanf(after + 2,
                          "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu",
                          &user, &sys) != 2) {
-        die("no /proc/PID/stat");
+        die("can't read /proc/PID/stat");
     }
     g_free(text);
     g_free(path);
@@ -345,16 +356,16 @@
 }
 
 static void
-bench_load(const struct fleet *f, const char *what, const char *text)
+bench_instance(const struct fleet *f, const char *what, const char *text)
 {
-    int64_t before = process_us(f->pid);
-    int64_t done = load(f->entry, text);
+    int64_t before = process_cpu_us(f->pid);
+    int64_t done = run_load(f->entry, text);
 
-    tell_load(what, done, process_us(f->pid) - before);
+    print_throughput(what, done, process_cpu_us(f->pid) - before);
 }
 
 static int
-by_value(const void *a, const void *b)
+compare_int64(const void *a, const void *b)
 {
     const int64_t *x = a;
     const int64_t *y = b;
@@ -363,18 +374,19 @@
 }
 
 static void
-tell_delay(const char *what, int64_t *us)
+print_latency(const char *what, int64_t *us)
 {
-    qsort(us, FW_DELAY_RUNS, sizeof(*us), by_value);
-    printf("%-44s median %.2f ms, 95 in 100 below %.2f ms\n", what,
-           (double)us[FW_MEDIAN] / FW_MSEC, (double)us[FW_95TH] / FW_MSEC);
+    qsort(us, FW_LATENCY_RUNS, sizeof(*us), compare_int64);
+    printf("%-44s median %.2f ms, p95 %.2f ms\n", what,
+           (double)us[FW_MEDIAN_INDEX] / FW_MSEC,
+           (double)us[FW_P95_INDEX] / FW_MSEC);
 }
 
 static char *
-json_member(const struct conn *c, const char *name)
+get_json_string(const struct conn *c, const char *name)
 {
     char *key = g_strdup_printf("\"%s\":\"", name);
-    const char *at = strstr(c->in->str, key);
+    const char *at = strstr(c->response->str, key);
     const char *from = at ? at + strlen(key) : "";
     char *out = g_strndup(from, strcspn(from, "\""));
 
@@ -382,36 +394,36 @@
     return out;
 }
 
-/* The three calls that the router makes, made straight. */
+/* Sends the router's three engine requests directly. Returns TTFT in us. */
 static int64_t
-straight(struct conn *prefill, struct conn *decode, const struct fleet *f,
-         const char *prompt, int i)
+time_direct_request(struct conn *prefill, struct conn *decode,
+                    const struct fleet *f, const char *prompt, int i)
 {
     char *body = g_strdup_printf("{\"request\":\"bench.1.%d\",\"model\":"
                                  "\"tides\",\"adapter\":\"\",\"prompt\":"
                                  "\"%s\",\"priority\":1}",
                                  i, prompt);
-    char *text = post("/v1/prefill", "-", body);
+    char *text = format_post("/v1/prefill", "-", body);
     char *kv;
     int64_t begun;
 
-    ask(prefill, text);
+    exchange(prefill, text);
     begun = prefill->sent_us;
-    kv = json_member(prefill, "kv");
+    kv = get_json_string(prefill, "kv");
     g_free(body);
     g_free(text);
     body = g_strdup_printf("{\"request\":\"bench.1.%d\",\"kv\":\"%s\","
                            "\"from\":\"%s\",\"tokens\":%d}",
                            i, kv, f->prefill, FW_PROMPT_BYTES / 4);
-    text = post("/v1/kv/import", "-", body);
-    ask(decode, text);
+    text = format_post("/v1/kv/import", "-", body);
+    exchange(decode, text);
     g_free(body);
     g_free(text);
     body = g_strdup_printf("{\"request\":\"bench.1.%d\",\"kv\":\"%s\","
                            "\"max_tokens\":8,\"from_index\":0}",
                            i, kv);
-    text = post("/v1/decode", "-", body);
-    ask(decode, text);
+    text = format_post("/v1/decode", "-", body);
+    exchange(decode, text);
     g_free(body);
     g_free(text);
     g_free(kv);
@@ -419,24 +431,25 @@
 }
 
 static int64_t
-routed(struct conn *entry, const struct fleet *f, const char *prompt)
+time_routed_request(struct conn *entry, const struct fleet *f,
+                    const char *prompt)
 {
     char *body = g_strdup_printf("{\"model\":\"tides\",\"prompt\":\"%s\","
                                  "\"max_tokens\":8,\"stream\":true}",
                                  prompt);
-    char *text = post("/v1/completions", f->key, body);
+    char *text = format_post("/v1/completions", f->key, body);
 
-    ask(entry, text);
+    exchange(entry, text);
     g_free(body);
     g_free(text);
     return entry->first_us - entry->sent_us;
 }
 
 static void
-bench_delay(const struct fleet *f)
+bench_latency(const struct fleet *f)
 {
-    static int64_t a[FW_DELAY_RUNS];
-    static int64_t b[FW_DELAY_RUNS];
+    static int64_t direct_us[FW_LATENCY_RUNS];
+    static int64_t routed_us[FW_LATENCY_RUNS];
     struct conn prefill;
     struct conn decode;
     struct conn entry;
@@ -445,18 +458,19 @@
     open_conn(&prefill, f->prefill);
     open_conn(&decode, f->decode);
     open_conn(&entry, f->entry);
-    for (int i = 0; i < FW_DELAY_RUNS; i++) {
-        /* No two prompts alike, so that no cache shortens one of them. */
+    for (int i = 0; i < FW_LATENCY_RUNS; i++) {
+        /* Distinct prompts, so that no prefix is cached. */
         g_snprintf(prompt, 16, "a%013d ", i);
         prompt[15] = 'x';
-        a[i] = straight(&prefill, &decode, f, prompt, i);
+        direct_us[i] = time_direct_request(&prefill, &decode, f, prompt, i);
         prompt[0] = 'b';
-        b[i] = routed(&entry, f, prompt);
+        routed_us[i] = time_routed_request(&entry, f, prompt);
     }
-    tell_delay("first token, engines straight", a);
-    tell_delay("first token, through the instance", b);
+    print_latency("TTFT, direct", direct_us);
+    print_latency("TTFT, through the instance", routed_us);
     printf("%-44s median %.2f ms\n", "added by the instance",
-           (double)(b[FW_MEDIAN] - a[FW_MEDIAN]) / FW_MSEC);
+           (double)(routed_us[FW_MEDIAN_INDEX] - direct_us[FW_MEDIAN_INDEX]) /
+               FW_MSEC);
     close_conn(&prefill);
     close_conn(&decode);
     close_conn(&entry);
@@ -468,24 +482,24 @@
 {
     struct fleet f;
     char *models;
-    char *whole;
-    char *stream;
+    char *unstreamed;
+    char *streamed;
 
     setvbuf(stdout, NULL, _IOLBF, 0);
     start_fleet(&f);
     models = g_strdup_printf("GET /v1/models HTTP/1.1\r\nHost: x\r\n"
                              "Authorization: Bearer %s\r\n\r\n",
                              f.key);
-    whole = post("/v1/completions", f.key,
-                 "{\"model\":\"tides\",\"prompt\":\"low water\"}");
-    stream = post("/v1/completions", f.key,
-                  "{\"model\":\"tides\",\"prompt\":\"low water\","
-                  "\"stream\":true}");
-    bench_bare(whole);
-    bench_load(&f, "instance: models of a key", models);
-    bench_load(&f, "instance: completion of 8 tokens, whole", whole);
-    bench_load(&f, "instance: completion of 8 tokens, streamed", stream);
-    bench_delay(&f);
-    run_fleet("tools/fleet down --dir " FW_DIR);
+    unstreamed = format_post("/v1/completions", f.key,
+                             "{\"model\":\"tides\",\"prompt\":\"low water\"}");
+    streamed = format_post("/v1/completions", f.key,
+                           "{\"model\":\"tides\",\"prompt\":\"low water\","
+                           "\"stream\":true}");
+    bench_bare_server(unstreamed);
+    bench_instance(&f, "instance: models of a key", models);
+    bench_instance(&f, "instance: completion of 8 tokens", unstreamed);
+    bench_instance(&f, "instance: completion of 8 tokens, streamed", streamed);
+    bench_latency(&f);
+    run_fleet("tools/fleet down --dir " FW_FLEET_DIR);
     return 0;
 }
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -1,7 +1,6 @@
 /*
- * What membership and roles cost one instance in a region of N instances:
- * messages, bytes and time, and how they grow. N fleets are stepped in one
- * process with nothing lost, after all know each other.
+ * Measures membership and roles in regions of different sizes: messages, CPU
+ * time and heap of an instance after startup, without message loss.
  */
 #include <inttypes.h>
 #include <malloc.h>
@@ -12,32 +11,39 @@
 #include "core/msg.h"
 #include "fleet/fleet.h"
 
-#define FW_HOP_US 500
-#define FW_WARM_US (30 * FW_SEC)
-#define FW_RUN_S 60.0
-#define FW_RUN_US ((int64_t)FW_RUN_S * FW_SEC)
-#define FW_N_MAX 106
+#define FW_LINK_LATENCY_US 500
+#define FW_WARMUP_US (30 * FW_SEC)
+#define FW_MEASURE_S 60.0
+#define FW_MEASURE_US ((int64_t)FW_MEASURE_S * FW_SEC)
+#define FW_INSTANCES_MAX 106
 
-struct mail {
+/** struct message - a message between instances @from and @to. */
+struct message {
     struct fw_list link;
-    int64_t at_us;
+    int64_t arrival_us;
     int from;
     int to;
     size_t size;
     struct fw_msg msg;
 };
 
+/**
+ * struct bench - a simulated region.
+ * @messages: sent or received by instance 0, as are @bytes
+ * @cpu_s: CPU time of instance 0
+ * @steps: calls into instance 0
+ */
 struct bench {
     int n;
-    struct fw_fleet *fleets[FW_N_MAX];
-    struct fw_metrics metrics[FW_N_MAX];
-    struct fw_self selves[FW_N_MAX];
-    int64_t wake_us[FW_N_MAX];
+    struct fw_fleet *fleets[FW_INSTANCES_MAX];
+    struct fw_metrics metrics[FW_INSTANCES_MAX];
+    struct fw_self selves[FW_INSTANCES_MAX];
+    int64_t wake_us[FW_INSTANCES_MAX];
     int64_t now_us;
-    struct fw_list mail;
-    uint64_t messages; /* to and from instance 0 */
+    struct fw_list in_flight;
+    uint64_t messages;
     uint64_t bytes;
-    double spent_s; /* in instance 0 */
+    double cpu_s;
     uint64_t steps;
 };
 
@@ -66,30 +72,30 @@
 }
 
 static int
-index_of(const char *name)
+instance_index(const char *name)
 {
     return (int)g_ascii_strtoll(name + strlen("instance-"), NULL, 10);
 }
 
 static void
-take(struct bench *b, int from, struct fw_actions *out)
+perform_actions(struct bench *b, int from, struct fw_actions *out)
 {
     struct fw_action *a;
 
     b->wake_us[from] = MIN(b->wake_us[from], out->wake_us);
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
-            struct mail *m = g_new0(struct mail, 1);
-            m->at_us = b->now_us + FW_HOP_US;
-            m->from = from;
-            m->to = index_of(a->u.send.to);
-            m->msg = a->u.send.msg;
-            m->size = packed_size(&m->msg);
+            struct message *message = g_new0(struct message, 1);
+            message->arrival_us = b->now_us + FW_LINK_LATENCY_US;
+            message->from = from;
+            message->to = instance_index(a->u.send.to);
+            message->msg = a->u.send.msg;
+            message->size = packed_size(&message->msg);
             memset(&a->u.send.msg, 0, sizeof(a->u.send.msg));
-            Fw_List_Append(&b->mail, &m->link);
-            if (from == 0 || m->to == 0) {
+            Fw_List_Append(&b->in_flight, &message->link);
+            if (from == 0 || message->to == 0) {
                 b->messages++;
-                b->bytes += m->size;
+                b->bytes += message->size;
             }
         }
         Fw_Action_Free(a);
@@ -97,22 +103,22 @@
 }
 
 static void
-deliver(struct bench *b, struct mail *m)
+deliver(struct bench *b, struct message *message)
 {
     struct fw_actions out;
     double t0 = now_s();
 
-    Fw_List_Remove(&m->link);
+    Fw_List_Remove(&message->link);
     Fw_Actions_Init(&out);
-    Fw_Fleet_OnMsg(b->fleets[m->to], b->selves[m->from].name, &m->msg.u.fleet,
-                   b->now_us, &out);
-    if (m->to == 0) {
-        b->spent_s += now_s() - t0;
+    Fw_Fleet_OnMsg(b->fleets[message->to], b->selves[message->from].name,
+                   &message->msg.u.fleet, b->now_us, &out);
+    if (message->to == 0) {
+        b->cpu_s += now_s() - t0;
         b->steps++;
     }
-    take(b, m->to, &out);
-    Fw_Msg_Clear(&m->msg);
-    g_free(m);
+    perform_actions(b, message->to, &out);
+    Fw_Msg_Clear(&message->msg);
+    g_free(message);
 }
 
 static void
@@ -125,10 +131,10 @@
     Fw_Actions_Init(&out);
     Fw_Fleet_Tick(b->fleets[i], b->now_us, &out);
     if (i == 0) {
-        b->spent_s += now_s() - t0;
+        b->cpu_s += now_s() - t0;
         b->steps++;
     }
-    take(b, i, &out);
+    perform_actions(b, i, &out);
 }
 
 static void
@@ -137,36 +143,37 @@
     int64_t until = b->now_us + us;
 
     for (;;) {
-        struct mail *m = Fw_List_Empty(&b->mail)
-                             ? NULL
-                             : FW_LIST_ENTRY(b->mail.next, struct mail, link);
-        int64_t at = m ? m->at_us : INT64_MAX;
-        int who = -1;
+        struct message *message =
+            Fw_List_Empty(&b->in_flight)
+                ? NULL
+                : FW_LIST_ENTRY(b->in_flight.next, struct message, link);
+        int64_t at = message ? message->arrival_us : INT64_MAX;
+        int instance = -1;
 
         for (int i = 0; i < b->n; i++) {
             if (b->wake_us[i] < at) {
                 at = b->wake_us[i];
-                who = i;
+                instance = i;
             }
         }
-        if (at > until || (who < 0 && !m)) {
+        if (at > until || (instance < 0 && !message)) {
             break;
         }
         b->now_us = MAX(b->now_us, at);
-        if (who >= 0) {
-            tick(b, who);
+        if (instance >= 0) {
+            tick(b, instance);
         }
         else {
-            deliver(b, m);
+            deliver(b, message);
         }
     }
     b->now_us = until;
 }
 
 static void
-list_all(struct bench *b)
+deliver_list(struct bench *b)
 {
-    static struct fw_list_entry entries[FW_N_MAX];
+    static struct fw_list_entry entries[FW_INSTANCES_MAX];
     struct fw_listed listed = {.n = b->n, .entries = entries};
 
     memset(entries, 0, sizeof(entries));
@@ -180,7 +187,7 @@
         struct fw_actions out;
         Fw_Actions_Init(&out);
         Fw_Fleet_OnListed(b->fleets[i], &listed, b->now_us, &out);
-        take(b, i, &out);
+        perform_actions(b, i, &out);
     }
 }
 
@@ -194,7 +201,7 @@
     memset(&b, 0, sizeof(b));
     b.n = n;
     b.now_us = FW_SEC;
-    Fw_List_Init(&b.mail);
+    Fw_List_Init(&b.in_flight);
     for (int i = 0; i < n; i++) {
         struct fw_self *s = &b.selves[i];
         g_snprintf(s->name, FW_NAME_MAX, "instance-%d", i);
@@ -206,27 +213,28 @@
         b.fleets[i] = Fw_Fleet_New(s, (uint32_t)i, &b.metrics[i]);
         b.wake_us[i] = b.now_us;
     }
-    list_all(&b);
-    run(&b, FW_WARM_US);
+    deliver_list(&b);
+    run(&b, FW_WARMUP_US);
     heap = (mallinfo2().uordblks - before.uordblks) / (size_t)n;
     b.messages = 0;
     b.bytes = 0;
-    b.spent_s = 0;
+    b.cpu_s = 0;
     b.steps = 0;
-    run(&b, FW_RUN_US);
+    run(&b, FW_MEASURE_US);
     printf("fleet_n%d_messages_per_s %.2f\n", n,
-           (double)b.messages / FW_RUN_S);
-    printf("fleet_n%d_bytes_per_s %.1f\n", n, (double)b.bytes / FW_RUN_S);
-    printf("fleet_n%d_core_us_per_s %.1f\n", n, b.spent_s * 1e6 / FW_RUN_S);
+           (double)b.messages / FW_MEASURE_S);
+    printf("fleet_n%d_bytes_per_s %.1f\n", n, (double)b.bytes / FW_MEASURE_S);
+    printf("fleet_n%d_core_us_per_s %.1f\n", n, b.cpu_s * 1e6 / FW_MEASURE_S);
     printf("fleet_n%d_state_bytes %zu\n", n, heap);
     for (int i = 0; i < n; i++) {
         Fw_Fleet_Free(b.fleets[i]);
     }
-    while (!Fw_List_Empty(&b.mail)) {
-        struct mail *m = FW_LIST_ENTRY(b.mail.next, struct mail, link);
-        Fw_List_Remove(&m->link);
-        Fw_Msg_Clear(&m->msg);
-        g_free(m);
+    while (!Fw_List_Empty(&b.in_flight)) {
+        struct message *message =
+            FW_LIST_ENTRY(b.in_flight.next, struct message, link);
+        Fw_List_Remove(&message->link);
+        Fw_Msg_Clear(&message->msg);
+        g_free(message);
     }
 }
 
--- a/bench/bench_fold.c
+++ b/bench/bench_fold.c
@@ -1,7 +1,6 @@
 /*
- * The configuration at the size planned for: 12,000 teams, 24,000 keys and
- * 1,200 upstreams. Prints the time to fold them, the bytes they take, and the
- * size and times of a snapshot.
+ * Measures the configuration state of a fleet of the target size: time to
+ * apply its records, heap, and time and size of a snapshot.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -12,11 +11,11 @@
 #define TEAMS 12000
 #define KEYS 24000
 #define UPSTREAMS 1200
-#define PER_RECORD 100
-#define CHANGES 3400 /* a day's, one item each */
+#define ITEMS_PER_RECORD 100
+#define CHANGES_PER_DAY 3400 /* of one item each */
 
 static double
-seconds(void)
+now_s(void)
 {
     return (double)g_get_monotonic_time() / 1e6;
 }
@@ -29,9 +28,8 @@
     return m.uordblks + m.hblkhd;
 }
 
-/* Bytes resident at their highest. */
 static long
-peak_kib(void)
+peak_rss_kib(void)
 {
     struct rusage ru;
 
@@ -81,14 +79,15 @@
     const int counts[] = {TEAMS, KEYS, UPSTREAMS};
 
     for (int kind = 0; kind < 3; kind++) {
-        for (int i = 0; i < counts[kind]; i += PER_RECORD) {
+        for (int i = 0; i < counts[kind]; i += ITEMS_PER_RECORD) {
             GString *s = g_string_new(NULL);
 
             g_string_printf(s,
                             "{\"v\":1,\"id\":\"c-%d-%d\",\"who\":\"anna\","
                             "\"at\":\"2026-12-02T09:00:00Z\",\"items\":[",
                             kind, i);
-            for (int k = i; k < i + PER_RECORD && k < counts[kind]; k++) {
+            for (int k = i; k < i + ITEMS_PER_RECORD && k < counts[kind];
+                 k++) {
                 g_string_append_c(s, k > i ? ',' : ' ');
                 add[kind](s, k);
             }
@@ -100,7 +99,7 @@
 }
 
 static void
-fold_all(struct fw_config_state *st, GPtrArray *records)
+apply_records(struct fw_config_state *st, GPtrArray *records)
 {
     struct fw_change_result res;
 
@@ -112,14 +111,14 @@
     }
 }
 
-/* A day of single changes, each to one team. */
+/* Applies CHANGES_PER_DAY changes to single teams. Returns the time in s. */
 static double
-fold_changes(struct fw_config_state *st)
+apply_changes(struct fw_config_state *st)
 {
     struct fw_change_result res;
     double t = 0;
 
-    for (int i = 0; i < CHANGES; i++) {
+    for (int i = 0; i < CHANGES_PER_DAY; i++) {
         char name[24];
         char *text;
         double t0;
@@ -131,9 +130,9 @@
             "\"name\":\"%s\",\"was\":%" G_GUINT64_FORMAT
             ",\"value\":{\"rate\":%d,\"burst\":5}}]}",
             i, name, Fw_Config_ItemVersion(st->cfg, FW_ITEM_TEAM, name), i);
-        t0 = seconds();
+        t0 = now_s();
         Fw_ConfigState_Apply(st, text, &res);
-        t += seconds() - t0;
+        t += now_s() - t0;
         g_assert(res.verdict == FW_CHANGE_ACCEPTED);
         g_free(text);
     }
@@ -145,19 +144,19 @@
 {
     struct fw_snapshot_assembler c = {.feeds = 0};
     struct fw_config_state *st = NULL;
-    double t0 = seconds();
+    double t0 = now_s();
     double longest = 0;
 
     for (unsigned k = 0; k < text->parts->len; k++) {
-        double t1 = seconds();
+        double t1 = now_s();
 
         Fw_Snapshot_Feed(&c, g_ptr_array_index(text->parts, k), &st, NULL);
-        longest = MAX(longest, seconds() - t1);
+        longest = MAX(longest, now_s() - t1);
     }
     printf("snapshot read            %8.3f s, longest part %.4f s\n",
-           seconds() - t0, longest);
+           now_s() - t0, longest);
     if (!st || Fw_ConfigState_Digest(st) != digest) {
-        g_error("the snapshot does not give the state back");
+        g_error("state read from the snapshot differs");
     }
     Fw_ConfigState_Free(st);
 }
@@ -169,31 +168,30 @@
     size_t before = heap_bytes();
     struct fw_config_state *st = Fw_ConfigState_New();
     struct fw_snapshot *text;
-    double t0 = seconds();
+    double t0 = now_s();
     double t;
 
-    fold_all(st, records);
-    printf("fold of %d teams, %d keys, %d upstreams\n", TEAMS, KEYS,
-           UPSTREAMS);
-    printf("folded in                %8.3f s (%u records)\n", seconds() - t0,
+    apply_records(st, records);
+    printf("%d teams, %d keys, %d upstreams\n", TEAMS, KEYS, UPSTREAMS);
+    printf("records applied          %8.3f s (%u records)\n", now_s() - t0,
            records->len);
     printf("state                    %8.2f MB\n",
            (double)(heap_bytes() - before) / 1e6);
-    t = fold_changes(st);
-    printf("a day's %d changes     %8.3f s, %.0f us each\n", CHANGES, t,
-           t / CHANGES * 1e6);
+    t = apply_changes(st);
+    printf("a day's %d changes     %8.3f s, %.0f us each\n", CHANGES_PER_DAY,
+           t, t / CHANGES_PER_DAY * 1e6);
     printf("state after them         %8.2f MB (audit %.2f MB in it)\n",
            (double)(heap_bytes() - before) / 1e6,
            (double)st->audit.bytes / 1e6);
-    t0 = seconds();
+    t0 = now_s();
     text = Fw_Snapshot_Write(st, "s-bench");
-    printf("snapshot written         %8.3f s\n", seconds() - t0);
+    printf("snapshot written         %8.3f s\n", now_s() - t0);
     printf("snapshot                 %8.2f MB in %u parts\n",
            (double)text->bytes / 1e6, text->parts->len);
     read_snapshot(text, Fw_ConfigState_Digest(st));
     Fw_Snapshot_Free(text);
-    printf("resident at most         %8.1f MB (records and snapshot twice)\n",
-           (double)peak_kib() * 1024 / 1e6);
+    printf("peak resident            %8.1f MB (records and snapshot twice)\n",
+           (double)peak_rss_kib() * 1024 / 1e6);
     Fw_ConfigState_Free(st);
     g_ptr_array_unref(records);
     return 0;
--- a/bench/bench_http.c
+++ b/bench/bench_http.c
@@ -1,8 +1,7 @@
 /*
- * The HTTP layer for callers beside a server of libsoup: requests a second
- * of processor time, and memory a kept connection. Each serves in a thread
- * of its own with a loop of its own; the load comes from the main thread over
- * loopback and isn't counted.
+ * Compares the HTTP server of src/http with libsoup: requests per second of
+ * CPU time, and heap per idle connection. Each server runs in a thread whose
+ * CPU time is measured; the main thread is the client.
  */
 #include <libsoup/soup.h>
 #include <malloc.h>
@@ -16,18 +15,18 @@
 
 #include "http/server.h"
 
-#define FW_CONNS 32
-#define FW_ROUNDS 1500 /* requests on each connection */
-#define FW_IDLE_CONNS 500
+#define FW_CONNECTIONS 32
+#define FW_REQUESTS_PER_CONNECTION 1500
+#define FW_IDLE_CONNECTIONS 500
 
 static const char request[] = "GET /read/x HTTP/1.1\r\nHost: a.example\r\n"
                               "Request-Id: 9c41d07be2a35f68\r\n"
                               "Authorization: Bearer abcdefgh\r\n\r\n";
 
-/** struct side - one server; @port is set once it listens. */
-struct side {
+/** struct server_thread - a server; @port is 0 until it listens. */
+struct server_thread {
     const char *name;
-    void (*serve)(struct side *s);
+    void (*serve)(struct server_thread *s);
     GMainContext *context;
     GMainLoop *loop;
     int port;
@@ -37,7 +36,7 @@
 };
 
 static void
-say_ready(struct side *s, int port)
+signal_ready(struct server_thread *s, int port)
 {
     g_mutex_lock(&s->lock);
     s->port = port;
@@ -66,14 +65,14 @@
                                        .refused = on_refused};
 
 static void
-serve_own(struct side *s)
+serve_own(struct server_thread *s)
 {
     int err;
     struct fw_http_server *server =
         Fw_Server_New("127.0.0.1:0", &ops, NULL, &err);
 
     g_assert(server);
-    say_ready(s, Fw_Server_Port(server));
+    signal_ready(s, Fw_Server_Port(server));
     g_main_loop_run(s->loop);
     Fw_Server_Free(server);
 }
@@ -92,7 +91,7 @@
 }
 
 static void
-serve_soup(struct side *s)
+serve_soup(struct server_thread *s)
 {
     SoupServer *server = soup_server_new("raw-paths", TRUE, NULL);
     GSList *uris;
@@ -101,17 +100,17 @@
     g_assert(soup_server_listen_local(server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY,
                                       NULL));
     uris = soup_server_get_uris(server);
-    say_ready(s, g_uri_get_port(uris->data));
+    signal_ready(s, g_uri_get_port(uris->data));
     g_slist_free_full(uris, (GDestroyNotify)g_uri_unref);
     g_main_loop_run(s->loop);
     g_object_unref(server);
 }
 
-/* The layer attaches to the default context: each thread's own is that. */
+/* Servers attach to the thread-default context. */
 static void *
-run_side(void *data)
+run_thread(void *data)
 {
-    struct side *s = data;
+    struct server_thread *s = data;
 
     g_main_context_push_thread_default(s->context);
     s->serve(s);
@@ -120,7 +119,7 @@
 }
 
 static int
-dial(int port)
+connect_to(int port)
 {
     struct sockaddr_in to = {.sin_family = AF_INET,
                              .sin_port = htons((uint16_t)port),
@@ -134,9 +133,9 @@
     return fd;
 }
 
-/* Sends one request and reads its answer, which fits one segment. */
+/* Sends a request and waits for the end of the response. */
 static void
-ask(int fd)
+exchange(int fd)
 {
     char buf[4096];
     size_t len = 0;
@@ -148,7 +147,7 @@
         ssize_t n = read(fd, buf + len, sizeof(buf) - len);
 
         if (n <= 0) {
-            fprintf(stderr, "bench_http: answer broke off\n");
+            fprintf(stderr, "bench_http: response cut off\n");
             exit(1);
         }
         len += (size_t)n;
@@ -156,7 +155,7 @@
 }
 
 static double
-cpu_s(const struct side *s)
+thread_cpu_s(const struct server_thread *s)
 {
     clockid_t clock;
     struct timespec t;
@@ -167,58 +166,59 @@
 }
 
 static size_t
-in_use(void)
+heap_bytes(void)
 {
     return mallinfo2().uordblks;
 }
 
 static void
-measure(struct side *s)
+measure(struct server_thread *s)
 {
-    int fds[FW_CONNS];
-    int idle[FW_IDLE_CONNS];
+    int fds[FW_CONNECTIONS];
+    int idle[FW_IDLE_CONNECTIONS];
     double before;
-    double spent;
+    double cpu_used_s;
     size_t memory;
 
-    for (int i = 0; i < FW_CONNS; i++) {
-        fds[i] = dial(s->port);
-        ask(fds[i]);
+    for (int i = 0; i < FW_CONNECTIONS; i++) {
+        fds[i] = connect_to(s->port);
+        exchange(fds[i]);
     }
-    before = cpu_s(s);
-    for (int k = 0; k < FW_ROUNDS; k++) {
-        for (int i = 0; i < FW_CONNS; i++) {
-            ask(fds[i]);
+    before = thread_cpu_s(s);
+    for (int k = 0; k < FW_REQUESTS_PER_CONNECTION; k++) {
+        for (int i = 0; i < FW_CONNECTIONS; i++) {
+            exchange(fds[i]);
         }
     }
-    spent = cpu_s(s) - before;
-    memory = in_use();
-    for (int i = 0; i < FW_IDLE_CONNS; i++) {
-        idle[i] = dial(s->port);
-        ask(idle[i]);
+    cpu_used_s = thread_cpu_s(s) - before;
+    memory = heap_bytes();
+    for (int i = 0; i < FW_IDLE_CONNECTIONS; i++) {
+        idle[i] = connect_to(s->port);
+        exchange(idle[i]);
     }
-    memory = in_use() - memory;
-    printf("%-8s %8.0f requests a core-second, %6zu bytes a kept "
+    memory = heap_bytes() - memory;
+    printf("%-8s %8.0f requests per core-second, %6zu bytes per idle "
            "connection\n",
-           s->name, FW_CONNS * FW_ROUNDS / spent, memory / FW_IDLE_CONNS);
-    for (int i = 0; i < FW_CONNS; i++) {
+           s->name, FW_CONNECTIONS * FW_REQUESTS_PER_CONNECTION / cpu_used_s,
+           memory / FW_IDLE_CONNECTIONS);
+    for (int i = 0; i < FW_CONNECTIONS; i++) {
         close(fds[i]);
     }
-    for (int i = 0; i < FW_IDLE_CONNS; i++) {
+    for (int i = 0; i < FW_IDLE_CONNECTIONS; i++) {
         close(idle[i]);
     }
 }
 
 static void
-play(const char *name, void (*serve)(struct side *))
+bench_server(const char *name, void (*serve)(struct server_thread *))
 {
-    struct side s = {.name = name, .serve = serve};
+    struct server_thread s = {.name = name, .serve = serve};
 
     s.context = g_main_context_new();
     s.loop = g_main_loop_new(s.context, FALSE);
     g_mutex_init(&s.lock);
     g_cond_init(&s.ready);
-    pthread_create(&s.thread, NULL, run_side, &s);
+    pthread_create(&s.thread, NULL, run_thread, &s);
     g_mutex_lock(&s.lock);
     while (!s.port) {
         g_cond_wait(&s.ready, &s.lock);
@@ -235,7 +235,7 @@
 main(void)
 {
     mallopt(M_MMAP_THRESHOLD, 1 << 30);
-    play("own", serve_own);
-    play("libsoup", serve_soup);
+    bench_server("own", serve_own);
+    bench_server("libsoup", serve_soup);
     return 0;
 }
--- a/bench/bench_open.c
+++ b/bench/bench_open.c
@@ -1,6 +1,6 @@
 /*
- * Heap that the shell holds for an open call, its connection included: a
- * shell whose core answers nothing, in this process, with many calls open.
+ * Measures the shell's heap per open call, including the connection. The
+ * core is a stub that never answers.
  */
 #include <malloc.h>
 #include <netinet/in.h>
@@ -22,7 +22,7 @@
     exit(1);
 }
 
-/* The descriptor stays open; nothing is allocated for it here. */
+/* Leaves the connection open. */
 static void
 send_request(const char *url)
 {
@@ -41,33 +41,32 @@
     }
 }
 
-static int opened;
+static int opened_calls;
 
 static int
-count_open(void *ctx, const struct fw_event *ev, int64_t now_us,
-           struct fw_actions *out)
+on_event(void *ctx, const struct fw_event *ev, int64_t now_us,
+         struct fw_actions *out)
 {
     (void)ctx;
     (void)now_us;
     (void)out;
-    opened += ev->kind == FW_EV_CALL_OPEN;
+    opened_calls += ev->kind == FW_EV_CALL_OPEN;
     return 0;
 }
 
 static int
-always(const void *ctx)
+always_ready(const void *ctx)
 {
     (void)ctx;
     return 1;
 }
 
-/* A shell whose core answers nothing, with many calls open. */
 int
 main(void)
 {
     struct fw_metrics metrics;
     struct fw_core core = {
-        .step = count_open, .ready = always, .metrics = &metrics};
+        .step = on_event, .ready = always_ready, .metrics = &metrics};
     struct fw_self self = {.name = "bench", .boot = 1};
     struct fw_shell_opts opts = {
         .callers = "127.0.0.1:0",
@@ -91,18 +90,16 @@
     Fw_Note_Setup("bench", fopen("/dev/null", "w"));
     shell = Fw_Shell_New(&opts, &self, &err);
     if (!shell || Fw_Shell_Start(shell, &core)) {
-        die("the shell does not start");
+        die("can't start the shell");
     }
     before = mallinfo2().uordblks;
     for (int i = 1; i <= FW_OPEN_CALLS; i++) {
         send_request(Fw_Shell_CallersUrl(shell));
-        while (opened < i) {
+        while (opened_calls < i) {
             g_main_context_iteration(NULL, TRUE);
         }
     }
-    printf("%-44s %zu bytes each (%d open)\n",
-           "heap of the shell for an open "
-           "call",
+    printf("%-44s %zu bytes each (%d open)\n", "shell heap per open call",
            (mallinfo2().uordblks - before) / FW_OPEN_CALLS, FW_OPEN_CALLS);
-    return 0; /* the connections end with the process */
+    return 0;
 }
--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -1,7 +1,7 @@
 /*
- * Processor time of one message between two instances, both ends, over
- * loopback: codec, HMAC, frames, sockets and loop. One message at a time, as
- * sparse control traffic is, so that nothing is saved by batching.
+ * Measures the CPU time of a message between two instances over loopback, for
+ * sender and receiver together. Messages are sent one at a time, because
+ * sparse control traffic isn't batched either.
  */
 #include <stdio.h>
 #include <string.h>
@@ -9,17 +9,20 @@
 
 #include "io/peer.h"
 
-#define FW_WARM 200
+#define FW_WARMUP_MESSAGES 200
 #define FW_MESSAGES 20000
 #define FW_SECRET "0123456789abcdef0123456789abcdef"
 
-/** struct end - one instance; @got: messages that arrived. */
-struct end {
+/**
+ * struct endpoint - an instance.
+ * @target: value of @received at which it quits the loop
+ */
+struct endpoint {
     struct fw_self self;
     struct fw_peers *peers;
-    struct end *other;
-    int got;
-    int want;
+    struct endpoint *other;
+    int received;
+    int target;
     GMainLoop *loop;
 };
 
@@ -33,7 +36,7 @@
 }
 
 static void
-send_one(struct end *e)
+send_one(struct endpoint *e)
 {
     struct fw_peer_send send = {
         .msg = {.area = FW_AREA_REQUEST,
@@ -50,13 +53,13 @@
 static void
 on_event(void *ctx, const struct fw_event *ev)
 {
-    struct end *e = ctx;
+    struct endpoint *e = ctx;
 
     if (ev->kind != FW_EV_PEER) {
         return;
     }
-    e->got++;
-    if (e->got >= e->want) {
+    e->received++;
+    if (e->received >= e->target) {
         g_main_loop_quit(e->loop);
         return;
     }
@@ -64,7 +67,7 @@
 }
 
 static int
-start(struct end *e, const char *name, GMainLoop *loop)
+start(struct endpoint *e, const char *name, GMainLoop *loop)
 {
     struct fw_sink sink = {.ctx = e, .event = on_event};
     GBytes *secret = g_bytes_new_static(FW_SECRET, strlen(FW_SECRET));
@@ -78,10 +81,10 @@
 }
 
 static void
-exchange(struct end *a, int messages)
+exchange(struct endpoint *a, int messages)
 {
-    a->want = a->got + messages / 2;
-    a->other->want = G_MAXINT;
+    a->target = a->received + messages / 2;
+    a->other->target = G_MAXINT;
     send_one(a);
     g_main_loop_run(a->loop);
 }
@@ -90,8 +93,8 @@
 main(void)
 {
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
-    struct end a = {0};
-    struct end b = {0};
+    struct endpoint a = {0};
+    struct endpoint b = {0};
     double t0;
 
     a.other = &b;
@@ -100,7 +103,7 @@
         fputs("bench_peer: can't listen\n", stderr);
         return 1;
     }
-    exchange(&a, FW_WARM);
+    exchange(&a, FW_WARMUP_MESSAGES);
     t0 = now_s();
     exchange(&a, FW_MESSAGES);
     printf("message_cpu_us %.1f (both ends together)\n",
--- a/bench/bench_region.c
+++ b/bench/bench_region.c
@@ -1,7 +1,7 @@
 /*
- * Membership and budgets of one region at the size of docs/CAPACITY.md: 53
- * instances, 12,000 teams, 53 partitions, on fakes of network and log.
- * Prints what one instance sends, spends and keeps, idle and loaded.
+ * Measures membership and budgets in a region of the size in
+ * docs/CAPACITY.md, on a simulated network and log: messages, CPU time and
+ * heap per instance, idle and under load.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -10,14 +10,14 @@
 
 #include "explore/p_fleet_env.h"
 
-#define SITES 53
+#define INSTANCES 53
 #define TEAMS 12000
-#define SECS 60
-#define ASKS_PER_S 17 /* of each instance */
+#define DURATION_S 60
+#define REQUESTS_PER_S 17 /* per instance */
 #define PICKS 1000000
 
 static void
-take_answers(struct fw_fleet_env *w, void *arg)
+count_grants(struct fw_fleet_env *w, void *arg)
 {
     int *granted = arg;
     struct fw_limit_answer ans;
@@ -37,9 +37,9 @@
 }
 
 static void
-report(const char *what, struct fw_fleet_env *w, double cpu)
+print_traffic(const char *what, struct fw_fleet_env *w, double cpu)
 {
-    const double n = (double)SITES * SECS;
+    const double n = (double)INSTANCES * DURATION_S;
 
     printf("%-8s fleet %6.1f B/s %4.1f msgs/s  budgets %6.1f B/s %4.1f msgs/s "
            " cpu %.3f %% of a core, fakes included\n",
@@ -52,9 +52,10 @@
 }
 
 static void
-ask_some(struct fw_fleet_env *w, struct fw_team *teams, uint64_t *ticket)
+request_from_all(struct fw_fleet_env *w, struct fw_team *teams,
+                 uint64_t *ticket)
 {
-    for (int i = 0; i < SITES; i++) {
+    for (int i = 0; i < INSTANCES; i++) {
         struct fw_actions out;
         Fw_Actions_Init(&out);
         Fw_Limit_Request(
@@ -73,7 +74,7 @@
     for (uint64_t i = 0; i < PICKS; i++) {
         sum += Fw_Fleet_Pick(w->sites[0].fleet, i, 0)->boot;
     }
-    printf("Fw_Fleet_Pick among %d: %.0f ns (%d)\n", SITES,
+    printf("Fw_Fleet_Pick among %d: %.0f ns (%d)\n", INSTANCES,
            (cpu_s() - begin) * 1e9 / PICKS, (int)(sum % 2));
 }
 
@@ -84,28 +85,28 @@
     double begin;
     size_t before = mallinfo2().uordblks;
 
-    for (int i = 0; i < SITES; i++) {
+    for (int i = 0; i < INSTANCES; i++) {
         Fw_FleetEnv_Start(w, i);
         g_string_set_size(w->run->trace, 0);
     }
     Fw_FleetEnv_Advance(w, 30 * FW_SEC);
     printf("start    fleet %.0f B in 30 s, each\n",
-           (double)w->area_bytes[FW_AREA_FLEET] / SITES);
+           (double)w->area_bytes[FW_AREA_FLEET] / INSTANCES);
     g_string_set_size(w->run->trace, 0);
     memset(w->area_bytes, 0, sizeof(w->area_bytes));
     memset(w->area_msgs, 0, sizeof(w->area_msgs));
     begin = cpu_s();
-    Fw_FleetEnv_Advance(w, SECS * FW_SEC);
-    report("idle", w, cpu_s() - begin);
+    Fw_FleetEnv_Advance(w, DURATION_S * FW_SEC);
+    print_traffic("idle", w, cpu_s() - begin);
     begin = cpu_s();
-    for (int i = 0; i < SECS * ASKS_PER_S; i++) {
-        ask_some(w, teams, &ticket);
-        Fw_FleetEnv_Advance(w, FW_SEC / ASKS_PER_S);
+    for (int i = 0; i < DURATION_S * REQUESTS_PER_S; i++) {
+        request_from_all(w, teams, &ticket);
+        Fw_FleetEnv_Advance(w, FW_SEC / REQUESTS_PER_S);
     }
-    report("loaded", w, cpu_s() - begin);
+    print_traffic("loaded", w, cpu_s() - begin);
     printf("granted %d of %d; heap of one instance %.0f KB\n", *granted,
            (int)ticket,
-           (double)(mallinfo2().uordblks - before) / SITES / 1024);
+           (double)(mallinfo2().uordblks - before) / INSTANCES / 1024);
     bench_pick(w);
 }
 
@@ -119,7 +120,7 @@
     struct fw_team *teams = g_new0(struct fw_team, TEAMS);
     int granted = 0;
 
-    Fw_FleetEnv_Init(w, &r, SITES);
+    Fw_FleetEnv_Init(w, &r, INSTANCES);
     cfg.teams = g_hash_table_new(g_str_hash, g_str_equal);
     for (int i = 0; i < TEAMS; i++) {
         teams[i] =
@@ -128,10 +129,10 @@
         g_hash_table_insert(cfg.teams, teams[i].name, &teams[i]);
     }
     w->use_roles = 1;
-    w->partitions = SITES;
+    w->partitions = INSTANCES;
     w->wait_us[FW_ROLE_BUDGET] = 900 * FW_SEC;
     w->cfg = &cfg;
-    w->check = take_answers;
+    w->check = count_grants;
     w->arg = &granted;
     run(w, teams, &granted);
     Fw_FleetEnv_Clear(w);
--- a/bench/bench_request.c
+++ b/bench/bench_request.c
@@ -1,8 +1,8 @@
 /*
- * What an open request costs: bytes of state, time per piece and per whole
- * request in the core, without I/O; and the bytes of the messages that
- * concern requests. A look-up in a plain hash table, timed in the same run,
- * is the unit to compare with.
+ * Measures requests in the core, without I/O: heap per open request, CPU time
+ * to start and end a request and per streamed piece, and the encoded size of
+ * the messages between instances. A hash table lookup is timed for
+ * comparison.
  */
 #include <inttypes.h>
 #include <malloc.h>
@@ -15,21 +15,26 @@
 #include "explore/memlog.h"
 #include "node/node.h"
 
-#define FW_OPEN 1000
+#define FW_OPEN_REQUESTS 1000
 #define FW_PIECES 200
 #define FW_PROMPT_BYTES 40000
-#define FW_LOOKUPS 1000000
+#define FW_HASH_LOOKUPS 1000000
 
-/** struct bench - one node; @ops: upstream calls by caller, 0 for none. */
+/**
+ * struct bench - a node and its simulated environment.
+ * @ops: upstream operation of each call, 0 for none; @kinds: its kind
+ * @pending_reads: struct fw_log_read, to be answered by advance()
+ * @call: the call that new upstream operations belong to
+ */
 struct bench {
     struct fw_node *node;
     int64_t now_us;
     int64_t wake_us;
-    uint64_t ops[FW_OPEN + 1];
-    enum fw_up_kind kinds[FW_OPEN + 1];
+    uint64_t ops[FW_OPEN_REQUESTS + 1];
+    enum fw_up_kind kinds[FW_OPEN_REQUESTS + 1];
     struct fw_memlog log;
-    GQueue reads;
-    uint64_t next;
+    GQueue pending_reads;
+    uint64_t call;
 };
 
 static double
@@ -42,7 +47,7 @@
 }
 
 static size_t
-heap(void)
+heap_bytes(void)
 {
     struct mallinfo2 m = mallinfo2();
 
@@ -50,7 +55,7 @@
 }
 
 static void
-take(struct bench *b, struct fw_actions *out);
+perform_actions(struct bench *b, struct fw_actions *out);
 
 static void
 step(struct bench *b, const struct fw_event *ev)
@@ -60,7 +65,7 @@
     Fw_Actions_Init(&out);
     Fw_Node_Step(b->node, ev, b->now_us, &out);
     b->wake_us = out.wake_us;
-    take(b, &out);
+    perform_actions(b, &out);
 }
 
 static void
@@ -76,7 +81,7 @@
 }
 
 static void
-answer_read(struct bench *b, const struct fw_log_read *r)
+complete_read(struct bench *b, const struct fw_log_read *r)
 {
     struct fw_event ev = {.kind = FW_EV_LOG_RECORDS};
 
@@ -85,15 +90,15 @@
 }
 
 static void
-on_up(struct bench *b, const struct fw_up_start *up)
+on_upstream_start(struct bench *b, const struct fw_up_start *up)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
     struct fw_up_report *r = &ev.u.up.u.report;
 
     if (up->kind == FW_UP_PREFILL || up->kind == FW_UP_IMPORT ||
         up->kind == FW_UP_DECODE) {
-        b->ops[b->next] = up->op;
-        b->kinds[b->next] = up->kind;
+        b->ops[b->call] = up->op;
+        b->kinds[b->call] = up->kind;
         return;
     }
     if (up->kind != FW_UP_LOAD) {
@@ -102,7 +107,7 @@
     ev.u.up.op = up->op;
     ev.u.up.kind = up->kind;
     ev.u.up.phase = FW_UP_DONE;
-    r->slots = FW_OPEN;
+    r->slots = FW_OPEN_REQUESTS;
     r->kv_total = 1LL << 40;
     g_strlcpy(r->role, up->upstream[0] == 'p' ? "prefill" : "decode",
               sizeof(r->role));
@@ -112,19 +117,19 @@
 }
 
 static void
-take(struct bench *b, struct fw_actions *out)
+perform_actions(struct bench *b, struct fw_actions *out)
 {
     struct fw_action *a;
 
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_UP_START) {
-            on_up(b, &a->u.up);
+            on_upstream_start(b, &a->u.up);
         }
         else if (a->kind == FW_ACT_LOG_APPEND) {
             on_append(b, &a->u.append);
         }
         else if (a->kind == FW_ACT_LOG_READ) {
-            g_queue_push_tail(&b->reads,
+            g_queue_push_tail(&b->pending_reads,
                               g_memdup2(&a->u.read, sizeof(a->u.read)));
         }
         Fw_Action_Free(a);
@@ -132,14 +137,14 @@
 }
 
 static void
-pass(struct bench *b, int64_t us)
+advance(struct bench *b, int64_t us)
 {
     struct fw_event tick = {.kind = FW_EV_TICK};
     int64_t until = b->now_us + us;
 
-    for (guint n = b->reads.length; n > 0; n--) {
-        struct fw_log_read *r = g_queue_pop_head(&b->reads);
-        answer_read(b, r);
+    for (guint n = b->pending_reads.length; n > 0; n--) {
+        struct fw_log_read *r = g_queue_pop_head(&b->pending_reads);
+        complete_read(b, r);
         g_free(r);
     }
     while (b->wake_us <= until) {
@@ -169,7 +174,7 @@
             "\"role\":\"%s\",\"fencing\":\"checked\",\"slots\":%d,"
             "\"prefill_rate\":1000000000,\"drained\":false,\"links\":[{"
             "\"domain\":\"d\",\"bytes_per_s\":100000000000}]}},",
-            e ? "d0" : "p0", e ? "decode" : "prefill", FW_OPEN);
+            e ? "d0" : "p0", e ? "decode" : "prefill", FW_OPEN_REQUESTS);
     }
     Fw_Hash_KeyDigest("key", digest);
     g_string_append_printf(s,
@@ -182,7 +187,7 @@
 }
 
 static void
-setup(struct bench *b)
+init(struct bench *b)
 {
     struct fw_node_opts opts = {
         .self = {.name = "instance-0",
@@ -207,11 +212,11 @@
     b->now_us = FW_SEC;
     b->wake_us = b->now_us;
     Fw_MemLog_Init(&b->log);
-    g_queue_init(&b->reads);
+    g_queue_init(&b->pending_reads);
     configure(b);
     b->node = Fw_Node_New(&opts, b->now_us);
     for (int i = 0; i < 100; i++) {
-        pass(b, 100 * FW_MSEC);
+        advance(b, 100 * FW_MSEC);
     }
 }
 
@@ -221,7 +226,7 @@
     struct fw_event ev = {.kind = FW_EV_CALL_OPEN};
     struct fw_call *c = &ev.u.open;
 
-    b->next = (uint64_t)n;
+    b->call = (uint64_t)n;
     c->call = (uint64_t)n;
     c->key = "key";
     c->prompt = prompt;
@@ -233,11 +238,12 @@
 }
 
 static void
-answer(struct bench *b, int n, enum fw_up_phase phase, int64_t index)
+send_upstream_event(struct bench *b, int n, enum fw_up_phase phase,
+                    int64_t index)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
 
-    b->next = (uint64_t)n;
+    b->call = (uint64_t)n;
     ev.u.up.op = b->ops[n];
     ev.u.up.kind = b->kinds[n];
     ev.u.up.phase = phase;
@@ -252,24 +258,24 @@
 }
 
 static double
-lookup_ns(void)
+measure_lookup_ns(void)
 {
     GHashTable *t = g_hash_table_new(g_int64_hash, g_int64_equal);
-    static gint64 keys[FW_OPEN];
+    static gint64 keys[FW_OPEN_REQUESTS];
     double t0;
     int64_t found = 0;
 
-    for (gint64 i = 0; i < FW_OPEN; i++) {
+    for (gint64 i = 0; i < FW_OPEN_REQUESTS; i++) {
         keys[i] = i * 7919;
         g_hash_table_insert(t, &keys[i], &keys[i]);
     }
     t0 = now_s();
-    for (int i = 0; i < FW_LOOKUPS; i++) {
-        found += g_hash_table_lookup(t, &keys[i % FW_OPEN]) != NULL;
+    for (int i = 0; i < FW_HASH_LOOKUPS; i++) {
+        found += g_hash_table_lookup(t, &keys[i % FW_OPEN_REQUESTS]) != NULL;
     }
     t0 = now_s() - t0;
     g_hash_table_unref(t);
-    return found == FW_LOOKUPS ? t0 / FW_LOOKUPS * 1e9 : 0;
+    return found == FW_HASH_LOOKUPS ? t0 / FW_HASH_LOOKUPS * 1e9 : 0;
 }
 
 static void
@@ -322,33 +328,36 @@
     double open_s;
     double piece_s;
 
-    setup(&b);
-    before = heap();
+    init(&b);
+    before = heap_bytes();
     t0 = now_s();
-    for (int n = 1; n <= FW_OPEN; n++) {
+    for (int n = 1; n <= FW_OPEN_REQUESTS; n++) {
         open_call(&b, n, prompt);
-        answer(&b, n, FW_UP_DONE, 0);
-        answer(&b, n, FW_UP_DONE, 0);
+        send_upstream_event(&b, n, FW_UP_DONE, 0);
+        send_upstream_event(&b, n, FW_UP_DONE, 0);
     }
     open_s = now_s() - t0;
-    printf("request_state_bytes %zu\n", (heap() - before) / FW_OPEN);
+    printf("request_state_bytes %zu\n",
+           (heap_bytes() - before) / FW_OPEN_REQUESTS);
     t0 = now_s();
     for (int i = 0; i < FW_PIECES; i++) {
-        for (int n = 1; n <= FW_OPEN; n++) {
-            answer(&b, n, FW_UP_PIECE, i);
+        for (int n = 1; n <= FW_OPEN_REQUESTS; n++) {
+            send_upstream_event(&b, n, FW_UP_PIECE, i);
         }
     }
     piece_s = now_s() - t0;
     printf("request_state_with_%d_pieces_bytes %zu\n", FW_PIECES,
-           (heap() - before) / FW_OPEN);
+           (heap_bytes() - before) / FW_OPEN_REQUESTS);
     t0 = now_s();
-    for (int n = 1; n <= FW_OPEN; n++) {
-        answer(&b, n, FW_UP_DONE, 0);
+    for (int n = 1; n <= FW_OPEN_REQUESTS; n++) {
+        send_upstream_event(&b, n, FW_UP_DONE, 0);
     }
-    printf("request_open_to_decode_ns %.0f\n", open_s / FW_OPEN * 1e9);
-    printf("request_piece_ns %.0f\n", piece_s / FW_OPEN / FW_PIECES * 1e9);
-    printf("request_end_ns %.0f\n", (now_s() - t0) / FW_OPEN * 1e9);
-    printf("hash_lookup_ns %.1f\n", lookup_ns());
+    printf("request_open_to_decode_ns %.0f\n",
+           open_s / FW_OPEN_REQUESTS * 1e9);
+    printf("request_piece_ns %.0f\n",
+           piece_s / FW_OPEN_REQUESTS / FW_PIECES * 1e9);
+    printf("request_end_ns %.0f\n", (now_s() - t0) / FW_OPEN_REQUESTS * 1e9);
+    printf("hash_lookup_ns %.1f\n", measure_lookup_ns());
     print_messages();
     Fw_Node_Free(b.node);
     g_bytes_unref(prompt);
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -1,7 +1,7 @@
 /*
- * Cost of one routing decision in the core, at today's size and at the size
- * aimed at, beside a plain hash-table look-up timed in the same run; bytes
- * of state, and bytes on the wire.
+ * Measures routing decisions in the core, for today's deployments and for the
+ * target size: time, compared to a hash table lookup, heap, and the encoded
+ * size of messages.
  */
 #include <glib.h>
 #include <malloc.h>
@@ -16,12 +16,11 @@
 #include "route/route.h"
 #include "route/router.h"
 
-#define ROUNDS 20000
+#define DECISIONS 20000
 #define LOOKUPS 2000000
 #define PROMPT_BYTES 8192
 
-/** struct size - of a fleet. */
-struct size {
+struct fleet_size {
     const char *name;
     int instances;
     int upstreams;
@@ -29,10 +28,10 @@
     int models;
 };
 
-static const struct size sizes[] = {
+static const struct fleet_size sizes[] = {
     {"today (Mares do Tejo)", 9, 9, 5, 1},
     {"today (Fraserlight)", 9, 14, 5, 1},
-    {"letter 1", 320, 1200, 12000, 11},
+    {"target", 320, 1200, 12000, 11},
 };
 
 static int64_t
@@ -45,7 +44,7 @@
 }
 
 static size_t
-heap(void)
+heap_bytes(void)
 {
     return mallinfo2().uordblks;
 }
@@ -64,7 +63,7 @@
 }
 
 static struct fw_config *
-config_of(const struct size *z)
+build_config(const struct fleet_size *z)
 {
     struct fw_config *cfg = Fw_Config_New();
 
@@ -85,7 +84,7 @@
     return cfg;
 }
 
-/* Answers the polls among @out at once: idle engines, all as configured. */
+/* Answers the load polls in @out with reports of idle engines. */
 static void
 answer_polls(struct fw_router *r, const struct fw_config *cfg, int64_t now_us,
              struct fw_actions *out)
@@ -117,26 +116,27 @@
 }
 
 static void
-ask_one(struct fw_router *r, const struct fw_config *cfg, const struct size *z,
-        GBytes *prompt, uint64_t n, int64_t now_us, struct fw_actions *out)
+submit_request(struct fw_router *r, const struct fw_config *cfg,
+               const struct fleet_size *z, GBytes *prompt, uint64_t n,
+               int64_t now_us, struct fw_actions *out)
 {
-    struct fw_route_request ask = {.ticket = n,
-                                   .prompt = prompt,
-                                   .prompt_tokens = PROMPT_BYTES / 4,
-                                   .max_tokens = 100,
-                                   .arrived_us = now_us};
+    struct fw_route_request request = {.ticket = n,
+                                       .prompt = prompt,
+                                       .prompt_tokens = PROMPT_BYTES / 4,
+                                       .max_tokens = 100,
+                                       .arrived_us = now_us};
 
-    g_snprintf(ask.team, sizeof(ask.team), "team-%d",
+    g_snprintf(request.team, sizeof(request.team), "team-%d",
                (int)(n * 7919 % (uint64_t)z->teams));
-    g_snprintf(ask.model, sizeof(ask.model), "model-%d",
+    g_snprintf(request.model, sizeof(request.model), "model-%d",
                (int)(n % (uint64_t)z->models));
-    Fw_Route_Submit(r, cfg, &ask, now_us, out);
+    Fw_Route_Submit(r, cfg, &request, now_us, out);
 }
 
-/* Nanoseconds of a decision: asked, granted here, computed, done. */
+/* Returns ns per request that is submitted, granted locally and completed. */
 static double
-time_decisions(struct fw_router *r, const struct fw_config *cfg,
-               const struct size *z)
+measure_decisions_ns(struct fw_router *r, const struct fw_config *cfg,
+                     const struct fleet_size *z)
 {
     char *text = g_strnfill(PROMPT_BYTES, 'x');
     GBytes *prompt = g_bytes_new_take(text, PROMPT_BYTES);
@@ -152,10 +152,10 @@
         Fw_Router_Tick(r, cfg, now_us, &out);
         answer_polls(r, cfg, now_us, &out);
     }
-    for (uint64_t n = 1; n <= ROUNDS; n++) {
+    for (uint64_t n = 1; n <= DECISIONS; n++) {
         int64_t start = now_ns();
 
-        ask_one(r, cfg, z, prompt, n, now_us, &out);
+        submit_request(r, cfg, z, prompt, n, now_us, &out);
         while (Fw_Route_TakeAnswer(r, &ans)) {
             granted += ans.status == 0;
         }
@@ -164,7 +164,7 @@
         spent += now_ns() - start;
         Fw_Actions_Clear(&out);
         Fw_Actions_Init(&out);
-        /* The pace of one instance of the largest size: 17 a second. */
+        /* 17 requests per second, the rate per instance at the target size. */
         now_us += 59 * FW_MSEC;
         if (n % 2 == 0) {
             Fw_Router_Tick(r, cfg, now_us, &out);
@@ -173,16 +173,16 @@
     }
     Fw_Actions_Clear(&out);
     g_bytes_unref(prompt);
-    if (granted < ROUNDS * 9 / 10) {
-        printf("  only %d of %d granted: the figure is of refusals\n", granted,
-               ROUNDS);
+    if (granted < DECISIONS * 9 / 10) {
+        printf("  only %d of %d granted: the time is that of refusals\n",
+               granted, DECISIONS);
     }
-    return (double)spent / ROUNDS;
+    return (double)spent / DECISIONS;
 }
 
-/* A tick when nothing is due but the scan for what is coordinated here. */
+/* Returns ns per tick of an idle router. */
 static double
-time_ticks(struct fw_router *r, const struct fw_config *cfg)
+measure_ticks_ns(struct fw_router *r, const struct fw_config *cfg)
 {
     struct fw_actions out;
     int64_t now_us = 100000 * FW_SEC;
@@ -200,7 +200,7 @@
 }
 
 static double
-time_lookups(const struct fw_config *cfg, const struct size *z)
+measure_lookups_ns(const struct fw_config *cfg, const struct fleet_size *z)
 {
     char(*names)[FW_NAME_MAX] = g_malloc_n(1024, FW_NAME_MAX);
     volatile gconstpointer sink;
@@ -220,7 +220,7 @@
 }
 
 static size_t
-packed(const struct fw_msg *msg)
+packed_size(const struct fw_msg *msg)
 {
     msgpack_sbuffer buf;
     msgpack_packer pk;
@@ -234,14 +234,14 @@
     return n;
 }
 
-/* Messages of one request whose two engines have two coordinators. */
+/* Sizes for a request whose engines are coordinated by two instances. */
 static void
 print_wire(void)
 {
     struct fw_msg m = {.area = FW_AREA_ROUTE};
     struct fw_reserve_item *it = &m.u.route.u.want.item[0];
-    size_t ask_p;
-    size_t ask_d;
+    size_t reserve_prefill;
+    size_t reserve_decode;
     size_t reply;
     size_t release;
 
@@ -256,13 +256,13 @@
     for (int i = 0; i < 4; i++) {
         it->prefixes.hash[i] = G_MAXUINT32 / 7;
     }
-    ask_p = packed(&m);
+    reserve_prefill = packed_size(&m);
     it->is_prefill = 0;
     it->prefixes.n = 0;
     it->need_us = 200000;
     it->from = G_MAXUINT32 / 9;
     it->transfer_us = 60000;
-    ask_d = packed(&m);
+    reserve_decode = packed_size(&m);
     memset(&m.u.route.u, 0, sizeof(m.u.route.u));
     m.u.route.kind = FW_ROUTE_REPLY;
     m.u.route.u.reply.ask = G_MAXUINT32 / 3;
@@ -275,22 +275,22 @@
         m.u.route.u.reply.load[i] = (struct fw_route_load){
             .engine = G_MAXUINT64 / 3, .wait_us = 90000, .free = 9};
     }
-    reply = packed(&m);
+    reply = packed_size(&m);
     memset(&m.u.route.u, 0, sizeof(m.u.route.u));
     m.u.route.kind = FW_ROUTE_RELEASE;
     m.u.route.u.release.ask = G_MAXUINT32 / 3;
     m.u.route.u.release.engine = G_MAXUINT64 / 3;
     m.u.route.u.release.cached = 2048;
-    release = packed(&m);
-    printf("wire: ask %zu (prefill) and %zu (decode), answer %zu, release "
-           "%zu bytes; a request with both engines elsewhere: %zu in 6 "
+    release = packed_size(&m);
+    printf("wire: reserve %zu (prefill) and %zu (decode), reply %zu, release "
+           "%zu bytes; a request with both engines remote: %zu in 6 "
            "messages\n",
-           ask_p, ask_d, reply, release,
-           ask_p + ask_d + 2 * reply + 2 * release);
+           reserve_prefill, reserve_decode, reply, release,
+           reserve_prefill + reserve_decode + 2 * reply + 2 * release);
 }
 
 static void
-run(const struct size *z)
+run(const struct fleet_size *z)
 {
     struct fw_self self = {.name = "instance-0", .boot = 1};
     struct fw_route_opts opts = {.policy = FW_POLICY_FULL,
@@ -300,7 +300,7 @@
                                  .retry_permille = 100,
                                  .seed = 1};
     struct fw_metrics metrics;
-    struct fw_config *cfg = config_of(z);
+    struct fw_config *cfg = build_config(z);
     struct fw_fleet *fleet;
     struct fw_router *r;
     size_t before;
@@ -310,14 +310,15 @@
     g_strlcpy(self.addr, "127.0.0.1:1", sizeof(self.addr));
     Fw_Metrics_Init(&metrics);
     fleet = Fw_Fleet_New(&self, 1, &metrics);
-    before = heap();
+    before = heap_bytes();
     r = Fw_Router_New(&self, fleet, &opts, &metrics);
-    lookup = time_lookups(cfg, z);
-    decision = time_decisions(r, cfg, z);
-    printf("%-22s %4d upstreams %5d teams: decision %7.0f ns, look-up %4.0f "
+    lookup = measure_lookups_ns(cfg, z);
+    decision = measure_decisions_ns(r, cfg, z);
+    printf("%-22s %4d upstreams %5d teams: decision %7.0f ns, lookup %4.0f "
            "ns (%.0f times), tick %6.0f ns, state %zu KB\n",
            z->name, z->upstreams, z->teams, decision, lookup,
-           decision / lookup, time_ticks(r, cfg), (heap() - before) / 1024);
+           decision / lookup, measure_ticks_ns(r, cfg),
+           (heap_bytes() - before) / 1024);
     Fw_Router_Free(r);
     Fw_Fleet_Free(fleet);
     Fw_Config_Free(cfg);
@@ -326,13 +327,13 @@
 int
 main(void)
 {
-    printf("One instance that coordinates every engine itself: the whole "
-           "decision, asker's and coordinators' part.\n");
+    printf("One instance coordinates all engines, so a decision includes the "
+           "work of the coordinators.\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         run(&sizes[i]);
     }
     print_wire();
-    printf("state: %zu bytes an engine, %zu more where coordinated, %zu a "
+    printf("state: %zu bytes per engine, %zu more if coordinated, %zu per "
            "request, %zu for all prefixes\n",
            sizeof(struct fw_engine), sizeof(struct fw_coord),
            sizeof(struct fw_job), sizeof(struct fw_prefix_table));
--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -160,8 +160,7 @@
         parse,
         "run|compare EXPERIMENT.ini",
         "Loads a fleet and reports goodput, latency and refusals. `run' uses "
-        "a "
-        "running fleet, `compare' starts one for each policy and repeat.",
+        "a running fleet, `compare' starts one for each policy and repeat.",
         NULL,
         NULL,
         NULL};
