--- a/tools/completion.bash
+++ b/tools/completion.bash
@@ -1,4 +1,5 @@
-# Completion for bash: source it, or put it where bash-completion looks.
+# Bash completion of fuchsiaward. Source this file, or install it for
+# bash-completion.
 _fuchsiaward() {
     local cur=${COMP_WORDS[COMP_CWORD]} words=() i
     for ((i = 1; i < COMP_CWORD; i++)); do
