--- a/tests/system/common.sh
+++ b/tests/system/common.sh
@@ -1,5 +1,5 @@
-# Shared by the runs over real processes: a fleet in a directory of its own,
-# taken down at the end whatever happens.
+# Helpers for system tests with a fleet of real processes. The fleet uses a
+# temporary directory and is stopped when the script exits.
 set -eu
 root=$(cd "$(dirname "$0")/../.." && pwd)
 dir=$(mktemp -d)
@@ -36,7 +36,7 @@
     exit 1
 }
 
-# up ARGUMENTS...: starts a fleet with quick engines.
+# up ARGUMENTS...: starts a fleet with the arguments of tools/fleet up.
 up() {
     "$root/tools/fleet" up --dir "$dir" "$@"
 }
@@ -45,7 +45,7 @@
     jq -r "$1" "$dir/fleet.json"
 }
 
-# wait_for SECONDS COMMAND...: until the command succeeds.
+# wait_for SECONDS COMMAND...: retries the command until it succeeds.
 wait_for() {
     local tries=$(($1 * 20))
     shift
@@ -57,7 +57,8 @@
     return 1
 }
 
-# make_request FILE WORDS MAX_TOKENS
+# make_request FILE PHRASES MAX_TOKENS: writes a streamed completion request
+# whose prompt is a phrase repeated PHRASES times.
 make_request() {
     # shellcheck disable=SC2046
     jq -n --arg p "$(printf "survey of pier $3 %.0s" $(seq "$2"))" \
@@ -65,25 +66,26 @@
         '{model: "tides", stream: true, max_tokens: $max, prompt: $p}' > "$1"
 }
 
-# ask URL KEY REQUEST OUT: the streamed answer as it comes.
+# ask URL KEY REQUEST OUT: writes the streamed response to OUT as it arrives.
 ask() {
     curl -sN -m 40 -H "Authorization: Bearer $2" \
         -H 'Content-Type: application/json' -d "@$3" "$1/v1/completions" > "$4"
 }
 
-# The indices of the pieces in an answer, in a row.
+# pieces FILE: prints the indices of the pieces in a response on one line.
 pieces() {
     sed -n 's/^data: {/{/p' "$1" | jq -r '.choices[0].text // empty' |
         tr -d '\r' | sed -n 's/.*-\([0-9]*\) *$/\1/p' | tr '\n' ' '
 }
 
-# whole FILE N: all N pieces once, in order, and the end.
+# whole FILE N: whether the response has pieces 0 to N - 1, each once and in
+# order, and [DONE].
 whole() {
     [ "$(pieces "$1")" = "$(seq -s ' ' 0 $(($2 - 1))) " ] &&
         grep -q '^data: \[DONE\]' "$1"
 }
 
-# Every engine's requests, one line each.
+# Prints the ids of the requests that engines hold, one per line.
 held() {
     local url
     for url in $(field '.stands | to_entries[] | select(.key | test("^(prefill|decode)-")) | .value'); do
--- a/tests/system/drain.sh
+++ b/tests/system/drain.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# SIGTERM while a stream runs: not ready at once, new requests refused with
-# verdict "no", the stream ends whole, exit status 0.
+# SIGTERM during a stream: the instance becomes unready, refuses new requests
+# as not executed, completes the stream and exits with status 0.
 . "$(dirname "$0")/common.sh"
 
 up --instances 2
@@ -23,7 +23,7 @@
 ran=$(curl -s -m 5 -o "$dir/refusal" -D - -H "Authorization: Bearer $key" \
     -d "@$dir/request.json" "$url/v1/completions" | tr -d '\r' |
     sed -n 's/^Fuchsiaward-Ran: //Ip')
-# A closed port is a refusal too: nothing of the request was sent.
+# If the port is closed, there is no response, and nothing was sent.
 [ "$ran" = no ] || [ ! -s "$dir/refusal" ] ||
     breach "a new request got: $(cat "$dir/refusal")"
 
--- a/tests/system/events.sh
+++ b/tests/system/events.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# docs/OPERATIONS.md has a row for each event that the relay logs and each
-# metric that it serves, and none that it doesn't.
+# docs/OPERATIONS.md must have a row for each event that the relay logs and
+# each metric that it serves, and none for an event that nothing logs.
 set -eu
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 page=docs/OPERATIONS.md
 src="src/relay src/relayd src/io/note.c"
-# The event is the first text in lower case of the call.
+# The event is the first lower-case string literal of the call.
 cat $(find $src -name '*.c') | tr '\n' ' ' |
     grep -oE 'Fw_(Acts|Note)_Log\( *[^";]*("[a-z_]+"( : "[a-z_]+")?)' |
     grep -oE '"[a-z_]+"' | tr -d '"' | sort -u > "$dir/logged"
@@ -26,7 +26,8 @@
     grep -oE '"fw_[a-z_]+"' | tr -d '"' | sort -u > "$dir/served"
 for m in $(cat "$dir/served"); do
     grep -q "$m" $page && continue
-    # `fw_requests_total`, `_passed_total` are written short.
+    # Rows of several metrics abbreviate the later ones: `fw_requests_total`,
+    # `_passed_total`.
     short=$(echo "$m" | sed 's/^fw_[a-z]*_/_/')
     grep -qx -- "$short" "$dir/told_metrics" || { echo "no row for $m"; bad=1; }
 done
--- a/tests/system/explain.sh
+++ b/tests/system/explain.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The three ways of docs/OPERATIONS.md from a failed request's id to its
-# cause, on real processes and their saved logs alone.
+# `fuchsiaward explain` must find the cause of a failed request from its id
+# and the relay's log, in the three cases of docs/OPERATIONS.md.
 set -eu
 dir=$(mktemp -d)
 pids=
@@ -10,7 +10,7 @@
     rm -rf "$dir"
 }
 trap finish EXIT
-# A field of the line that tells where the relay listens.
+# Prints a field of the event `started`, which has the relay's addresses.
 at() {
     sed -n "s/.*\"event\":\"started\".*\"$1\":\"\([^\"]*\)\".*/\1/p" "$dir/log"
 }
@@ -53,7 +53,7 @@
 }
 why() { build/fuchsiaward explain --log "$dir/log" "$1" > "$dir/why"; }
 
-# Refused within its rate: every engine is asked and has no room.
+# Refused within the rate limit because no engine has capacity.
 begin ""
 for n in 1 2 3 4 5 6 7 8 9 10 11 12; do
     ask /outlook/x -H "Request-Id: fill-$n" -H 'Token-Counts: 5000,15000' \
@@ -69,7 +69,7 @@
 must "$dir/metrics" 'fw_phase_first_seconds_bucket'
 end
 
-# Broken off in mid-stream: the engine that ran it is named.
+# Interrupted stream: the log names the decode engine.
 begin break
 ask /outlook/x -H 'Request-Id: b-1' -H 'Token-Counts: 500,3600' -d x \
     > "$dir/code"
@@ -80,7 +80,7 @@
 must "$dir/why" 'cut .*server=d'
 end
 
-# An order answered 502: sent once, its outcome unknown, never sent again.
+# Order answered 502: its outcome is unknown, and it is not sent again.
 begin reset
 code=$(ask /order/x -H 'Request-Id: o-1' -d '{}')
 [ "$code" = 502 ] || { echo "wanted 502, got $code"; exit 1; }
--- a/tests/system/once.sh
+++ b/tests/system/once.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# One order, given with the same Idempotency-Key through every instance at
-# once and again later, takes effect once; each caller hears what became of it.
+# An order sent with one Idempotency-Key through all instances concurrently,
+# and again later, must take effect once. Each response must tell its outcome.
 . "$(dirname "$0")/common.sh"
 
 up --instances 3
--- a/tests/system/operators.sh
+++ b/tests/system/operators.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The operators' tool against three instances: keys, teams, drains, a sheet,
-# a conflict. What each page in docs/operations shows is done here.
+# Operator commands against three instances: keys, teams, draining, sheets and
+# conflicting changes, as documented in docs/operations.
 set -u
 dir=$(mktemp -d)
 fw=build/fuchsiaward
@@ -22,7 +22,7 @@
     fi
 }
 
-# status KEY: what a caller with that key is answered by each instance
+# status KEY: prints the HTTP status that each instance returns for the key
 status() {
     local url
     for url in $(jq -r '.callers[]' "$dir/fleet.json"); do
@@ -45,11 +45,11 @@
 expect 7 env FUCHSIAWARD_FLEET= FUCHSIAWARD_KEY=wrong $fw show config \
     --instances "$(jq -r '.operators | join(",")' "$dir/fleet.json")"
 
-# the example of docs/operations/sheet.md fits the first version
+# the example of docs/operations/sheet.md applies to the initial configuration
 expect 0 $fw sheet check docs/example-sheet.csv
 same 3 "$(grep -c '^change ' "$dir/out")"
 
-# the first operator's record is one that the log's readers accept
+# the record of the first operator is valid
 expect 0 $fw operator first bruno
 jq -cRs '{records: [rtrimstr("\n")]}' "$dir/out" |
     curl -sf -o /dev/null -d @- "$(jq -r .stands.log "$dir/fleet.json")/log/config" ||
@@ -93,7 +93,7 @@
 expect 0 $fw sheet apply "$dir/sheet.csv" --wait
 same 1500 "$($fw show teams crews-2 --json | jq '.[0].value.rate')"
 
-# a change made on an old version
+# a change based on an outdated version
 printf '{"items":[{"kind":"team","name":"crews-2","was":1,"value":{"rate":1,"burst":1}}]}' \
     > "$dir/change.json"
 expect 2 $fw change "$dir/change.json"
--- a/tests/system/order_faults.sh
+++ b/tests/system/order_faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Orders while things fail: the log's answer lost, the log down, the server's
-# answer lost, the instance killed. No order takes effect twice, and a "not
-# run" is true.
+# Orders under faults: lost response of the log, log down, lost response of
+# the server, killed instance. No order may take effect twice, and none that
+# was reported as not executed may take effect.
 . "$(dirname "$0")/common.sh"
 down_may_fail=1
 
@@ -10,7 +10,7 @@
 log=$(field .stands.log)
 desks=$(field '.stands | to_entries[] | select(.key | startswith("grid-desk")) | .value')
 
-# order INSTANCE KEY: "STATUS RAN" of the answer.
+# order INSTANCE KEY: sends an order and prints "STATUS RAN" of the response.
 order() {
     local status
     status=$(curl -s -m 20 -o "$dir/answer" -D "$dir/headers" -w '%{http_code}' \
@@ -20,7 +20,7 @@
     echo "$status $(jq -r '.error.ran // "yes"' "$dir/answer")"
 }
 
-# taken KEY: how often it took effect.
+# taken KEY: prints how many times the order took effect.
 taken() {
     local url
     for url in $desks; do
--- a/tests/system/orphans.sh
+++ b/tests/system/orphans.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# An instance is killed while its streams run: the engines are freed within
-# seconds, and the streams of the others go on.
+# An instance is killed during its streams: the engines must release its
+# requests within limit_s, and streams of other instances must complete.
 . "$(dirname "$0")/common.sh"
 down_may_fail=1
 
--- a/tests/system/rolling.sh
+++ b/tests/system/rolling.sh
@@ -1,8 +1,6 @@
 #!/usr/bin/env bash
-# All nine instances are replaced one after the other while callers read. A
-# caller whose stream runs on the instance that stops must get all of it, and
-# a caller who comes then, and whom the balancer leads elsewhere when one
-# instance refuses or is gone, must be served.
+# Rolling restart of all instances under load. Streams on the instance that
+# stops must complete, and new requests must be served by another instance.
 . "$(dirname "$0")/common.sh"
 
 instances=9
@@ -10,7 +8,8 @@
 key=$(field .keys.skippers)
 make_request "$dir/request.json" 200 40
 
-# As a balancer would: another instance when one is not ready or refuses.
+# balanced INSTANCE OUT: like a load balancer, tries the next instance if one
+# is unready or refuses the request as not executed.
 balanced() {
     local url out=$2 i
     for i in 0 1 2; do
--- a/tests/system/whole.sh
+++ b/tests/system/whole.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A long document is answered whole through prefill and decode, and no
-# upstream sees the caller's key.
+# Completions with long and short prompts must be complete, engines must
+# release them, and no upstream may see a caller's or operator's key.
 . "$(dirname "$0")/common.sh"
 
 up --instances 2
--- a/tests/system/wire_names.sh
+++ b/tests/system/wire_names.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The platform's wire form may change without the product: its names stand in
-# platform/ only. A name that leaks is noticed here.
+# Names of the platform's wire format must not be used outside platform/, so
+# that the format can change independently. src/ is searched for them.
 set -u
 names='Expect-Instance|Server-Stamp|Prompt-Prefix|Token-Counts|Kv-Source'
 names="$names|Kv-Hold|Not-Executed|Request-Priority|Length-Hint|Deadline-Ms"
