--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -8,7 +8,7 @@
 
 const char *argp_program_version = "fwload 0.1";
 
-enum fw_main_key {
+enum option_key {
     FW_KEY_FLEET = 1,
     FW_KEY_POLICIES,
     FW_KEY_REPEATS,
@@ -34,7 +34,7 @@
 
 /** struct arguments - command-line arguments. */
 struct arguments {
-    const char *verb;
+    const char *command;
     const char *file;
     const char *fleet;
     const char *json;
@@ -45,7 +45,7 @@
 };
 
 static error_t
-parse(int key, char *arg, struct argp_state *state)
+parse_option(int key, char *arg, struct argp_state *state)
 {
     struct arguments *a = state->input;
 
@@ -72,8 +72,8 @@
         a->plot = arg;
         return 0;
     case ARGP_KEY_ARG:
-        if (!a->verb) {
-            a->verb = arg;
+        if (!a->command) {
+            a->command = arg;
         }
         else if (!a->file) {
             a->file = arg;
@@ -83,11 +83,11 @@
         }
         return 0;
     case ARGP_KEY_END:
-        if (!a->file ||
-            (strcmp(a->verb, "run") != 0 && strcmp(a->verb, "compare") != 0)) {
+        if (!a->file || (strcmp(a->command, "run") != 0 &&
+                         strcmp(a->command, "compare") != 0)) {
             argp_usage(state);
         }
-        if (strcmp(a->verb, "run") == 0 && !a->fleet) {
+        if (strcmp(a->command, "run") == 0 && !a->fleet) {
             argp_error(state, "run: --fleet is required");
         }
         return 0;
@@ -133,7 +133,7 @@
 {
     int rc;
 
-    if (strcmp(a->verb, "run") == 0) {
+    if (strcmp(a->command, "run") == 0) {
         c->n_policies = 1;
         c->repeats = 1;
         c->policy[0] = g_strdup("run");
@@ -157,7 +157,7 @@
 {
     static const struct argp argp = {
         options,
-        parse,
+        parse_option,
         "run|compare EXPERIMENT.ini",
         "Loads a fleet and reports goodput, latency and refusals. `run' uses "
         "a running fleet, `compare' starts one for each policy and repeat.",
