--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -173,8 +173,8 @@
 static void
 deliver_list(struct bench *b)
 {
-    static struct fw_list_entry entries[FW_INSTANCES_MAX];
-    struct fw_listed listed = {.n = b->n, .entries = entries};
+    static struct fw_registry_entry entries[FW_INSTANCES_MAX];
+    struct fw_registry_snapshot listed = {.n = b->n, .entries = entries};
 
     memset(entries, 0, sizeof(entries));
     for (int i = 0; i < b->n; i++) {
--- a/bench/bench_request.c
+++ b/bench/bench_request.c
@@ -342,7 +342,7 @@
     t0 = now_s();
     for (int i = 0; i < FW_PIECES; i++) {
         for (int n = 1; n <= FW_OPEN_REQUESTS; n++) {
-            send_upstream_event(&b, n, FW_UP_PIECE, i);
+            send_upstream_event(&b, n, FW_UP_TOKEN, i);
         }
     }
     piece_s = now_s() - t0;
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -240,7 +240,7 @@
 print_wire(void)
 {
     struct fw_msg m = {.area = FW_AREA_ROUTE};
-    struct fw_reserve_item *it = &m.u.route.u.want.item[0];
+    struct fw_reserve_item *it = &m.u.route.u.reserve.item[0];
     size_t reserve_prefill;
     size_t reserve_decode;
     size_t reply;
@@ -281,7 +281,7 @@
     m.u.route.kind = FW_ROUTE_RELEASE;
     m.u.route.u.release.round_id = G_MAXUINT32 / 3;
     m.u.route.u.release.engine = G_MAXUINT64 / 3;
-    m.u.route.u.release.cached = 2048;
+    m.u.route.u.release.cached_tokens = 2048;
     release = packed_size(&m);
     printf("wire: reserve %zu (prefill) and %zu (decode), reply %zu, release "
            "%zu bytes; a request with both engines remote: %zu in 6 "
