--- a/explore/explore.h
+++ b/explore/explore.h
@@ -45,7 +45,7 @@
 extern const struct fw_promise Fw_Promises[];
 
 const struct fw_promise *
-Fw_Promise_Find(const char *name);
+Fw_Property_Find(const char *name);
 /* Runs one seed. Return: 0, or 1 when the promise was broken. */
 int
 Fw_Promise_Run(const struct fw_promise *p, guint32 seed, int steps,
--- a/explore/main.c
+++ b/explore/main.c
@@ -92,7 +92,7 @@
         g_string_free(report, TRUE);
         return 0;
     }
-    p = Fw_Promise_Find(o.promise);
+    p = Fw_Property_Find(o.promise);
     if (!p) {
         fprintf(stderr, "explore: no promise named %s\n", o.promise);
         g_string_free(report, TRUE);
--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -27,10 +27,10 @@
 static uint64_t
 draw_version(struct fw_config_env *w, enum fw_item_kind kind, const char *name)
 {
-    uint64_t v = Fw_Config_ItemVersion(w->right->cfg, kind, name);
+    uint64_t v = Fw_Config_ItemVersion(w->reference->cfg, kind, name);
 
-    if (Fw_ConfigEnv_Below(w, 4) == 0) {
-        return v ? (uint64_t)Fw_ConfigEnv_Below(w, (int)v) : 1;
+    if (Fw_ConfigEnv_RandBelow(w, 4) == 0) {
+        return v ? (uint64_t)Fw_ConfigEnv_RandBelow(w, (int)v) : 1;
     }
     return v;
 }
@@ -41,20 +41,21 @@
     char name[FW_ITEM_NAME_MAX];
     uint64_t was;
 
-    if (Fw_ConfigEnv_Below(w, 3) > 0) {
-        g_snprintf(name, sizeof(name), "t%d", Fw_ConfigEnv_Below(w, TEAMS));
+    if (Fw_ConfigEnv_RandBelow(w, 3) > 0) {
+        g_snprintf(name, sizeof(name), "t%d",
+                   Fw_ConfigEnv_RandBelow(w, TEAMS));
         was = draw_version(w, FW_ITEM_TEAM, name);
         return g_strdup_printf(
             "{\"kind\":\"team\",\"name\":\"%s\",\"was\":%" G_GUINT64_FORMAT
             ",\"value\":{\"rate\":%d,\"burst\":1}}",
-            name, was, 1 + Fw_ConfigEnv_Below(w, 9));
+            name, was, 1 + Fw_ConfigEnv_RandBelow(w, 9));
     }
-    g_snprintf(name, sizeof(name), "%064d", Fw_ConfigEnv_Below(w, KEYS));
+    g_snprintf(name, sizeof(name), "%064d", Fw_ConfigEnv_RandBelow(w, KEYS));
     was = draw_version(w, FW_ITEM_KEY, name);
     return g_strdup_printf(
         "{\"kind\":\"key\",\"name\":\"%s\",\"was\":%" G_GUINT64_FORMAT
         ",\"value\":{\"team\":\"t0\",\"withdrawn\":%s}}",
-        name, was, Fw_ConfigEnv_Below(w, 3) == 0 ? "true" : "false");
+        name, was, Fw_ConfigEnv_RandBelow(w, 3) == 0 ? "true" : "false");
 }
 
 static void
@@ -66,15 +67,15 @@
     char *text = g_strdup_printf(
         "{\"v\":1,\"id\":\"c-%u\",\"who\":\"anna\",\"at\":\"t\","
         "\"items\":[%s]}",
-        Fw_ConfigEnv_Below(w, 20) == 0 ? 1 : w->config.records->len, item);
+        Fw_ConfigEnv_RandBelow(w, 20) == 0 ? 1 : w->config.records->len, item);
 
-    if (w->down) {
+    if (w->log_down) {
         g_free(text);
         g_free(item);
         return;
     }
     Fw_ConfigEnv_Append(w, text, &res);
-    Fw_Run_Trace(w->run, "%8.1f append %u %s %s", (double)w->now / FW_SEC,
+    Fw_Run_Trace(w->run, "%8.1f append %u %s %s", (double)w->now_us / FW_SEC,
                  w->config.records->len, Fw_Change_VerdictName(res.verdict),
                  item);
     if (c->after_append) {
@@ -96,15 +97,15 @@
     }
     part = g_strdup(g_ptr_array_index(
         w->snapshot.records,
-        Fw_ConfigEnv_Below(w, (int)w->snapshot.records->len)));
+        Fw_ConfigEnv_RandBelow(w, (int)w->snapshot.records->len)));
     rate = strstr(part, "\"rate\":");
-    if (rate && Fw_ConfigEnv_Below(w, 2)) {
+    if (rate && Fw_ConfigEnv_RandBelow(w, 2)) {
         rate[7] = rate[7] == '5' ? '6' : '5';
         /* Another name, so that it is read for itself. */
         strstr(part, "\"snap\":\"")[8] = 'x';
     }
     Fw_Run_Trace(w->run, "%8.1f old or changed snapshot",
-                 (double)w->now / FW_SEC);
+                 (double)w->now_us / FW_SEC);
     g_ptr_array_add(w->snapshot.records, part);
 }
 
@@ -112,13 +113,13 @@
 age_out(struct fw_config_env *w)
 {
     struct fw_config_env_stream *s =
-        Fw_ConfigEnv_Below(w, 4) ? &w->config : &w->snapshot;
-    uint64_t keep = (uint64_t)Fw_ConfigEnv_Below(w, 8);
+        Fw_ConfigEnv_RandBelow(w, 4) ? &w->config : &w->snapshot;
+    uint64_t keep = (uint64_t)Fw_ConfigEnv_RandBelow(w, 8);
 
     if (s->records->len > keep) {
-        s->gone = MAX(s->gone, s->records->len - keep);
+        s->expired = MAX(s->expired, s->records->len - keep);
         Fw_Run_Trace(w->run, "%8.1f %s keeps %" G_GUINT64_FORMAT,
-                     (double)w->now / FW_SEC,
+                     (double)w->now_us / FW_SEC,
                      s == &w->config ? "config" : "snapshot", keep);
     }
 }
@@ -126,22 +127,22 @@
 static void
 do_fault(struct fw_config_env *w)
 {
-    int i = Fw_ConfigEnv_Below(w, FW_CONFIG_ENV_FOLDS);
-    double at = (double)w->now / FW_SEC;
+    int i = Fw_ConfigEnv_RandBelow(w, FW_CONFIG_ENV_REPLICAS);
+    double at = (double)w->now_us / FW_SEC;
 
-    switch (Fw_ConfigEnv_Below(w, 7)) {
+    switch (Fw_ConfigEnv_RandBelow(w, 7)) {
     case 0:
         Fw_Run_Trace(w->run, "%8.1f restart fold%d", at, i);
         Fw_ConfigEnv_Start(w, i);
         break;
     case 1:
-        w->folds[i].cut = !w->folds[i].cut;
+        w->replicas[i].isolated = !w->replicas[i].isolated;
         Fw_Run_Trace(w->run, "%8.1f %s fold%d", at,
-                     w->folds[i].cut ? "cut" : "join", i);
+                     w->replicas[i].isolated ? "cut" : "join", i);
         break;
     case 2:
-        w->down = !w->down;
-        Fw_Run_Trace(w->run, "%8.1f log %s", at, w->down ? "down" : "up");
+        w->log_down = !w->log_down;
+        Fw_Run_Trace(w->run, "%8.1f log %s", at, w->log_down ? "down" : "up");
         break;
     case 3:
         age_out(w);
@@ -151,8 +152,8 @@
         break;
     default:
         Fw_Run_Trace(w->run, "%8.1f writer fold%d", at, i);
-        Fw_ConfigReplica_SetSnapshotWriter(w->folds[i].fold,
-                                           Fw_ConfigEnv_Below(w, 4) > 0);
+        Fw_ConfigReplica_SetSnapshotWriter(w->replicas[i].replica,
+                                           Fw_ConfigEnv_RandBelow(w, 4) > 0);
         break;
     }
 }
@@ -160,12 +161,12 @@
 static void
 look_at_all(struct fw_config_env *w, const struct check *c)
 {
-    for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
+    for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
         if (c->look) {
             c->look(w, i, c->ctx);
         }
-        w->folds[i].top =
-            Fw_ConfigReplica_Config(w->folds[i].fold)->next_offset;
+        w->replicas[i].last_offset =
+            Fw_ConfigReplica_Config(w->replicas[i].replica)->next_offset;
     }
 }
 
@@ -175,23 +176,23 @@
     struct fw_config_env w;
 
     Fw_ConfigEnv_Init(&w, run);
-    w.lose_pct = 10;
+    w.loss_pct = 10;
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        Fw_ConfigEnv_Advance(&w,
-                             (1 + Fw_ConfigEnv_Below(&w, 30)) * 100 * FW_MSEC);
+        Fw_ConfigEnv_Advance(&w, (1 + Fw_ConfigEnv_RandBelow(&w, 30)) * 100 *
+                                     FW_MSEC);
         look_at_all(&w, c);
-        if (Fw_ConfigEnv_Below(&w, 2) == 0) {
+        if (Fw_ConfigEnv_RandBelow(&w, 2) == 0) {
             append_change(&w, c);
         }
-        if (Fw_ConfigEnv_Below(&w, 4) == 0) {
+        if (Fw_ConfigEnv_RandBelow(&w, 4) == 0) {
             do_fault(&w);
         }
-        if (Fw_ConfigEnv_Below(&w, 60) == 0) {
-            for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
-                w.folds[i].cut = 0;
+        if (Fw_ConfigEnv_RandBelow(&w, 60) == 0) {
+            for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
+                w.replicas[i].isolated = 0;
             }
-            w.down = 0;
-            Fw_Run_Trace(run, "%8.1f heal", (double)w.now / FW_SEC);
+            w.log_down = 0;
+            Fw_Run_Trace(run, "%8.1f heal", (double)w.now_us / FW_SEC);
             Fw_ConfigEnv_Advance(&w, HEAL_US);
             look_at_all(&w, c);
         }
@@ -202,7 +203,8 @@
 static void
 look_same(struct fw_config_env *w, int i, void *ctx)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(w->folds[i].fold);
+    const struct fw_config *cfg =
+        Fw_ConfigReplica_Config(w->replicas[i].replica);
     uint64_t right = g_array_index(w->digests, uint64_t, cfg->next_offset - 1);
 
     (void)ctx;
@@ -221,14 +223,15 @@
 static void
 look_back(struct fw_config_env *w, int i, void *ctx)
 {
-    uint64_t now = Fw_ConfigReplica_Config(w->folds[i].fold)->next_offset;
+    uint64_t now =
+        Fw_ConfigReplica_Config(w->replicas[i].replica)->next_offset;
 
     (void)ctx;
-    if (now < w->folds[i].top) {
+    if (now < w->replicas[i].last_offset) {
         Fw_Run_Breach(w->run,
                       "fold%d went from offset %" G_GUINT64_FORMAT
                       " to %" G_GUINT64_FORMAT,
-                      i, w->folds[i].top, now);
+                      i, w->replicas[i].last_offset, now);
     }
 }
 
@@ -285,18 +288,20 @@
 
 /* Bit k of an entry: key k has been seen withdrawn by that process. */
 struct withdrawn {
-    unsigned seen[FW_CONFIG_ENV_FOLDS];
-    const struct fw_config_replica *process[FW_CONFIG_ENV_FOLDS];
+    unsigned seen[FW_CONFIG_ENV_REPLICAS];
+    const struct fw_config_replica *process[FW_CONFIG_ENV_REPLICAS];
 };
 
 static void
 look_key(struct fw_config_env *w, int i, void *ctx)
 {
     struct withdrawn *wd = ctx;
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(w->folds[i].fold);
+    const struct fw_config *cfg =
+        Fw_ConfigReplica_Config(w->replicas[i].replica);
 
-    if (wd->process[i] != w->folds[i].fold || w->folds[i].top == 0) {
-        wd->process[i] = w->folds[i].fold;
+    if (wd->process[i] != w->replicas[i].replica ||
+        w->replicas[i].last_offset == 0) {
+        wd->process[i] = w->replicas[i].replica;
         wd->seen[i] = 0;
     }
     for (int k = 0; k < KEYS; k++) {
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -6,7 +6,7 @@
 #define STEP_US (100 * FW_MSEC)
 
 int
-Fw_ConfigEnv_Below(struct fw_config_env *w, int n)
+Fw_ConfigEnv_RandBelow(struct fw_config_env *w, int n)
 {
     return g_rand_int_range(w->run->rand, 0, n);
 }
@@ -14,7 +14,7 @@
 static void
 note_digest(struct fw_config_env *w)
 {
-    uint64_t d = Fw_Config_Digest(w->right->cfg);
+    uint64_t d = Fw_Config_Digest(w->reference->cfg);
 
     g_array_append_val(w->digests, d);
 }
@@ -22,13 +22,13 @@
 void
 Fw_ConfigEnv_Init(struct fw_config_env *w, struct fw_run *run)
 {
-    *w = (struct fw_config_env){.run = run, .now = FW_SEC};
+    *w = (struct fw_config_env){.run = run, .now_us = FW_SEC};
     w->config.records = g_ptr_array_new_with_free_func(g_free);
     w->snapshot.records = g_ptr_array_new_with_free_func(g_free);
-    w->right = Fw_ConfigState_New();
+    w->reference = Fw_ConfigState_New();
     w->digests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     note_digest(w);
-    for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
+    for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
         Fw_ConfigEnv_Start(w, i);
     }
 }
@@ -36,10 +36,10 @@
 void
 Fw_ConfigEnv_Clear(struct fw_config_env *w)
 {
-    for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
-        Fw_ConfigReplica_Free(w->folds[i].fold);
+    for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
+        Fw_ConfigReplica_Free(w->replicas[i].replica);
     }
-    Fw_ConfigState_Free(w->right);
+    Fw_ConfigState_Free(w->reference);
     g_array_unref(w->digests);
     g_ptr_array_unref(w->config.records);
     g_ptr_array_unref(w->snapshot.records);
@@ -51,9 +51,9 @@
     char name[16];
 
     g_snprintf(name, sizeof(name), "fold%d", i);
-    Fw_ConfigReplica_Free(w->folds[i].fold);
-    w->folds[i] = (struct fw_config_env_fold){
-        .fold = Fw_ConfigReplica_New(name, ++w->starts, NULL, w->now)};
+    Fw_ConfigReplica_Free(w->replicas[i].replica);
+    w->replicas[i] = (struct fw_config_env_replica){
+        .replica = Fw_ConfigReplica_New(name, ++w->starts, NULL, w->now_us)};
 }
 
 void
@@ -61,7 +61,7 @@
                     struct fw_change_result *res)
 {
     g_ptr_array_add(w->config.records, g_strdup(text));
-    Fw_ConfigState_Apply(w->right, text, res);
+    Fw_ConfigState_Apply(w->reference, text, res);
     note_digest(w);
 }
 
@@ -77,12 +77,12 @@
 static void
 keep_read(struct fw_config_env *w, int i, const struct fw_log_read *read)
 {
-    for (int k = 0; k < FW_CONFIG_ENV_READS; k++) {
-        struct fw_config_env_read *r = &w->folds[i].reads[k];
+    for (int k = 0; k < FW_CONFIG_ENV_READS_MAX; k++) {
+        struct fw_config_env_read *r = &w->replicas[i].reads[k];
 
         if (!r->open) {
             *r = (struct fw_config_env_read){
-                .read = *read, .sent_us = w->now, .open = 1};
+                .read = *read, .sent_us = w->now_us, .open = 1};
             return;
         }
     }
@@ -96,17 +96,18 @@
                                    .first = s->records->len + 1};
     struct fw_actions out;
 
-    if (w->down || w->folds[i].cut) {
+    if (w->log_down || w->replicas[i].isolated) {
         done.err = -EAGAIN;
     }
     for (int k = 0; k < p->n && !done.err; k++) {
         g_ptr_array_add(s->records, g_strdup(p->records[k]));
     }
-    if (!done.err && Fw_ConfigEnv_Below(w, 100) < w->lose_pct) {
+    if (!done.err && Fw_ConfigEnv_RandBelow(w, 100) < w->loss_pct) {
         done.err = -EIO;
     }
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_OnAppended(w->folds[i].fold, &done, w->now, &out);
+    Fw_ConfigReplica_OnAppended(w->replicas[i].replica, &done, w->now_us,
+                                &out);
     carry(w, i, &out);
 }
 
@@ -117,14 +118,14 @@
     char from[16];
     struct fw_actions out;
 
-    if (w->folds[i].cut || w->folds[to].cut ||
-        Fw_ConfigEnv_Below(w, 100) < w->lose_pct) {
+    if (w->replicas[i].isolated || w->replicas[to].isolated ||
+        Fw_ConfigEnv_RandBelow(w, 100) < w->loss_pct) {
         return;
     }
     g_snprintf(from, sizeof(from), "fold%d", i);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_OnMsg(w->folds[to].fold, from, "addr", &p->msg.u.config,
-                           w->now, &out);
+    Fw_ConfigReplica_OnMsg(w->replicas[to].replica, from, "addr",
+                           &p->msg.u.config, w->now_us, &out);
     carry(w, to, &out);
 }
 
@@ -157,12 +158,12 @@
     const struct fw_config_env_stream *s = stream_of(w, p->read.stream);
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .sent_us = p->sent_us,
-                               .oldest = s->gone + 1,
+                               .oldest = s->expired + 1,
                                .end = s->records->len + 1};
     struct fw_actions out;
 
-    if (w->down || w->folds[i].cut ||
-        Fw_ConfigEnv_Below(w, 100) < w->lose_pct) {
+    if (w->log_down || w->replicas[i].isolated ||
+        Fw_ConfigEnv_RandBelow(w, 100) < w->loss_pct) {
         r.err = -EIO;
     }
     p->open = 0;
@@ -170,20 +171,20 @@
     r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
     r.records = (const char *const *)s->records->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_OnRecords(w->folds[i].fold, &r, w->now, &out);
+    Fw_ConfigReplica_OnRecords(w->replicas[i].replica, &r, w->now_us, &out);
     carry(w, i, &out);
 }
 
 static void
 serve(struct fw_config_env *w, int i)
 {
-    for (int k = 0; k < FW_CONFIG_ENV_READS; k++) {
-        struct fw_config_env_read *p = &w->folds[i].reads[k];
+    for (int k = 0; k < FW_CONFIG_ENV_READS_MAX; k++) {
+        struct fw_config_env_read *p = &w->replicas[i].reads[k];
         const struct fw_config_env_stream *s = stream_of(w, p->read.stream);
 
-        if (p->open &&
-            (w->down || w->folds[i].cut || p->read.from <= s->records->len ||
-             w->now >= p->sent_us + p->read.wait_us)) {
+        if (p->open && (w->log_down || w->replicas[i].isolated ||
+                        p->read.from <= s->records->len ||
+                        w->now_us >= p->sent_us + p->read.wait_us)) {
             answer(w, i, p);
         }
     }
@@ -192,34 +193,35 @@
 static void
 ask_peer(struct fw_config_env *w, int i)
 {
-    struct fw_config_replica *f = w->folds[i].fold;
+    struct fw_config_replica *f = w->replicas[i].replica;
     struct fw_actions out;
     char name[16];
-    int peer = (i + 1 + Fw_ConfigEnv_Below(w, FW_CONFIG_ENV_FOLDS - 1)) %
-               FW_CONFIG_ENV_FOLDS;
+    int peer =
+        (i + 1 + Fw_ConfigEnv_RandBelow(w, FW_CONFIG_ENV_REPLICAS - 1)) %
+        FW_CONFIG_ENV_REPLICAS;
 
-    if (!Fw_ConfigReplica_NeedsPeer(f, w->now)) {
+    if (!Fw_ConfigReplica_NeedsPeer(f, w->now_us)) {
         return;
     }
     g_snprintf(name, sizeof(name), "fold%d", peer);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_RequestFromPeer(f, name, "addr", w->now, &out);
+    Fw_ConfigReplica_RequestFromPeer(f, name, "addr", w->now_us, &out);
     carry(w, i, &out);
 }
 
 void
 Fw_ConfigEnv_Advance(struct fw_config_env *w, int64_t us)
 {
-    int64_t until = w->now + us;
+    int64_t until = w->now_us + us;
 
-    while (w->now < until) {
-        w->now += STEP_US;
-        for (int i = 0; i < FW_CONFIG_ENV_FOLDS; i++) {
+    while (w->now_us < until) {
+        w->now_us += STEP_US;
+        for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
             struct fw_actions out;
 
             ask_peer(w, i);
             Fw_Actions_Init(&out);
-            Fw_ConfigReplica_Tick(w->folds[i].fold, w->now, &out);
+            Fw_ConfigReplica_Tick(w->replicas[i].replica, w->now_us, &out);
             carry(w, i, &out);
             serve(w, i);
         }
--- a/explore/p_config_env.h
+++ b/explore/p_config_env.h
@@ -5,13 +5,14 @@
 #include "config/replica.h"
 #include "explore/explore.h"
 
-#define FW_CONFIG_ENV_FOLDS 4
-#define FW_CONFIG_ENV_READS 4
+#define FW_CONFIG_ENV_REPLICAS 4
+#define FW_CONFIG_ENV_READS_MAX 4
 
-/** struct fw_config_env_stream - offsets start at 1; @gone have aged out. */
+/** struct fw_config_env_stream - offsets start at 1; @expired have aged out.
+ */
 struct fw_config_env_stream {
     GPtrArray *records;
-    uint64_t gone;
+    uint64_t expired;
 };
 
 /** struct fw_config_env_read - a read that the log holds back. */
@@ -21,31 +22,32 @@
     int open;
 };
 
-/** struct fw_config_env_fold - one instance; @top: highest offset in force. */
-struct fw_config_env_fold {
-    struct fw_config_replica *fold;
-    struct fw_config_env_read reads[FW_CONFIG_ENV_READS];
-    int cut;
-    uint64_t top;
+/** struct fw_config_env_replica - one instance; @last_offset: highest offset
+ * in force. */
+struct fw_config_env_replica {
+    struct fw_config_replica *replica;
+    struct fw_config_env_read reads[FW_CONFIG_ENV_READS_MAX];
+    int isolated;
+    uint64_t last_offset;
 };
 
 /**
  * struct fw_config_env - the folds, their log, and what is right.
- * @down: the log answers nobody
- * @lose_pct: messages and answers lost, in a hundred
- * @right: folds each record as it is appended, never fails
+ * @log_down: the log answers nobody
+ * @loss_pct: messages and answers lost, in a hundred
+ * @reference: folds each record as it is appended, never fails
  * @digests: of the configuration before each offset, uint64_t
  */
 struct fw_config_env {
     struct fw_run *run;
-    struct fw_config_env_fold folds[FW_CONFIG_ENV_FOLDS];
+    struct fw_config_env_replica replicas[FW_CONFIG_ENV_REPLICAS];
     struct fw_config_env_stream config;
     struct fw_config_env_stream snapshot;
-    int down;
-    int lose_pct;
-    int64_t now;
+    int log_down;
+    int loss_pct;
+    int64_t now_us;
     unsigned starts;
-    struct fw_config_state *right;
+    struct fw_config_state *reference;
     GArray *digests;
 };
 
@@ -54,7 +56,7 @@
 void
 Fw_ConfigEnv_Clear(struct fw_config_env *w);
 int
-Fw_ConfigEnv_Below(struct fw_config_env *w, int n);
+Fw_ConfigEnv_RandBelow(struct fw_config_env *w, int n);
 void
 Fw_ConfigEnv_Start(struct fw_config_env *w, int i);
 /* Appends to stream "config"; the verdict goes to @res. */
--- a/explore/p_fleet.c
+++ b/explore/p_fleet.c
@@ -15,14 +15,15 @@
 start_all(struct fw_fleet_env *w)
 {
     for (int i = 0; i < w->n; i++) {
-        w->sites[i].ppm = Fw_FleetEnv_Below(w, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
+        w->sites[i].drift_ppm =
+            Fw_FleetEnv_Below(w, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
         Fw_FleetEnv_Start(w, i);
         Fw_FleetEnv_Advance(w, Fw_FleetEnv_Below(w, 300) * FW_MSEC);
     }
 }
 
 void
-Fw_Explore_Fault(struct fw_fleet_env *w)
+Fw_FleetEnv_InjectFault(struct fw_fleet_env *w)
 {
     int i = Fw_FleetEnv_Below(w, w->n);
     int j = (i + 1 + Fw_FleetEnv_Below(w, w->n - 1)) % w->n;
@@ -46,9 +47,9 @@
     case 2:
     case 3:
         Fw_Run_Trace(w->run, "%8.3f %s %s %s", at,
-                     w->sites[i].cut[j] ? "join" : "cut", name,
+                     w->sites[i].link_down[j] ? "join" : "cut", name,
                      w->sites[j].self.name);
-        Fw_FleetEnv_Cut(w, i, j, !w->sites[i].cut[j]);
+        Fw_FleetEnv_Cut(w, i, j, !w->sites[i].link_down[j]);
         break;
     case 4:
         w->log_down = !w->log_down;
@@ -64,13 +65,13 @@
 }
 
 void
-Fw_Explore_Heal(struct fw_fleet_env *w)
+Fw_FleetEnv_ClearFaults(struct fw_fleet_env *w)
 {
     w->log_down = 0;
     for (int i = 0; i < w->n; i++) {
         w->sites[i].pause_until_us = 0;
         for (int j = 0; j < w->n; j++) {
-            w->sites[i].cut[j] = 0;
+            w->sites[i].link_down[j] = 0;
         }
     }
     Fw_Run_Trace(w->run, "%8.3f heal", (double)w->real_us / FW_SEC);
@@ -78,7 +79,7 @@
 
 /* A suspect one is still chosen and asked, so it is not held for gone. */
 static int
-is_right(const struct fw_site *them, const struct fw_member *m)
+is_right(const struct fw_fleet_env_instance *them, const struct fw_member *m)
 {
     if (!them->up) {
         return !m || m->state == FW_MEMBER_DEAD;
@@ -95,7 +96,7 @@
 {
     for (int i = 0; i < w->n; i++) {
         for (int j = 0; j < w->n; j++) {
-            const struct fw_site *them = &w->sites[j];
+            const struct fw_fleet_env_instance *them = &w->sites[j];
             const struct fw_member *m;
             if (!w->sites[i].up) {
                 continue;
@@ -119,17 +120,17 @@
     Fw_FleetEnv_Init(&w, run, SITES);
     w.lose_pct = 5;
     w.double_pct = 5;
-    w.late_pct = 5;
-    w.late_max_us = 5 * FW_SEC;
+    w.delay_pct = 5;
+    w.delay_max_us = 5 * FW_SEC;
     start_all(&w);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         Fw_FleetEnv_Advance(&w, Fw_FleetEnv_Below(&w, 1000) * FW_MSEC);
         if (Fw_FleetEnv_Below(&w, 100) < 10) {
-            Fw_Explore_Fault(&w);
+            Fw_FleetEnv_InjectFault(&w);
         }
         if (Fw_FleetEnv_Below(&w, 100) < 2) {
-            Fw_Explore_Heal(&w);
-            Fw_FleetEnv_List(&w);
+            Fw_FleetEnv_ClearFaults(&w);
+            Fw_FleetEnv_PublishInstances(&w);
             w.lose_pct = 0; /* "messages flow again" */
             Fw_FleetEnv_Advance(&w, QUIET_US);
             check_converged(&w);
@@ -146,7 +147,7 @@
     for (int k = 0; k < (int)FW_ROLE_KINDS; k++) {
         const char *holder = NULL;
         for (int i = 0; i < w->n; i++) {
-            const struct fw_site *s = &w->sites[i];
+            const struct fw_fleet_env_instance *s = &w->sites[i];
             if (!Fw_FleetEnv_Runs(w, i) ||
                 Fw_Roles_MayAct(s->roles, (enum fw_role_kind)k, 0,
                                 Fw_FleetEnv_Local(w, i), NULL)) {
@@ -172,17 +173,17 @@
     w.wait_us[FW_ROLE_BUDGET] = 3 * FW_SEC;
     w.lose_pct = 5;
     w.double_pct = 5;
-    w.late_pct = 5;
-    w.late_max_us = 20 * FW_SEC;
+    w.delay_pct = 5;
+    w.delay_max_us = 20 * FW_SEC;
     w.check = check_holders;
     start_all(&w);
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         Fw_FleetEnv_Advance(&w, Fw_FleetEnv_Below(&w, 1000) * FW_MSEC);
         if (Fw_FleetEnv_Below(&w, 100) < 8) {
-            Fw_Explore_Fault(&w);
+            Fw_FleetEnv_InjectFault(&w);
         }
         if (Fw_FleetEnv_Below(&w, 100) < 4) {
-            Fw_Explore_Heal(&w);
+            Fw_FleetEnv_ClearFaults(&w);
         }
         if (Fw_FleetEnv_Below(&w, 200) < 1 && w.records->len > 3) {
             w.log_oldest = w.records->len - 2; /* older ones age out */
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -17,10 +17,10 @@
     w->real_us = FW_SEC;
     w->partitions = 1;
     w->log_oldest = 1;
-    w->items = g_ptr_array_new();
+    w->deliveries = g_ptr_array_new();
     w->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < n; i++) {
-        struct fw_site *s = &w->sites[i];
+        struct fw_fleet_env_instance *s = &w->sites[i];
         g_snprintf(s->self.name, sizeof(s->self.name), "n%d", i + 1);
         g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", i + 1);
         g_strlcpy(s->self.domain, "d", sizeof(s->self.domain));
@@ -37,10 +37,10 @@
             Fw_FleetEnv_Kill(w, i);
         }
     }
-    for (guint i = 0; i < w->items->len; i++) {
-        Fw_Item_Free(g_ptr_array_index(w->items, i));
+    for (guint i = 0; i < w->deliveries->len; i++) {
+        Fw_FleetEnv_FreeDelivery(g_ptr_array_index(w->deliveries, i));
     }
-    g_ptr_array_unref(w->items);
+    g_ptr_array_unref(w->deliveries);
     g_ptr_array_unref(w->records);
 }
 
@@ -53,9 +53,9 @@
 int64_t
 Fw_FleetEnv_Local(const struct fw_fleet_env *w, int i)
 {
-    const struct fw_site *s = &w->sites[i];
+    const struct fw_fleet_env_instance *s = &w->sites[i];
 
-    return s->offset_us + w->real_us + w->real_us / 1000 * s->ppm / 1000;
+    return s->offset_us + w->real_us + w->real_us / 1000 * s->drift_ppm / 1000;
 }
 
 int
@@ -67,7 +67,7 @@
 void
 Fw_FleetEnv_Start(struct fw_fleet_env *w, int i)
 {
-    struct fw_site *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &w->sites[i];
 
     s->self.boot += BOOT_STEP;
     Fw_Metrics_Init(&s->metrics);
@@ -85,13 +85,13 @@
     s->draining = 0;
     s->pause_until_us = 0;
     s->wake_us = Fw_FleetEnv_Local(w, i);
-    Fw_FleetEnv_List(w);
+    Fw_FleetEnv_PublishInstances(w);
 }
 
 void
 Fw_FleetEnv_Kill(struct fw_fleet_env *w, int i)
 {
-    struct fw_site *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &w->sites[i];
 
     g_clear_pointer(&s->limit, Fw_Limit_Free);
     g_clear_pointer(&s->roles, Fw_Roles_Free);
@@ -108,7 +108,7 @@
 void
 Fw_FleetEnv_Drain(struct fw_fleet_env *w, int i)
 {
-    struct fw_site *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &w->sites[i];
     struct fw_actions out;
     int64_t now = Fw_FleetEnv_Local(w, i);
 
@@ -127,14 +127,14 @@
 void
 Fw_FleetEnv_Cut(struct fw_fleet_env *w, int i, int j, int cut)
 {
-    w->sites[i].cut[j] = cut;
-    w->sites[j].cut[i] = cut;
+    w->sites[i].link_down[j] = cut;
+    w->sites[j].link_down[i] = cut;
 }
 
 void
-Fw_FleetEnv_List(struct fw_fleet_env *w)
+Fw_FleetEnv_PublishInstances(struct fw_fleet_env *w)
 {
-    struct fw_list_entry entries[FW_FLEET_ENV_MAX];
+    struct fw_list_entry entries[FW_FLEET_ENV_INSTANCES_MAX];
     struct fw_listed listed = {.entries = entries};
     struct fw_actions out;
 
@@ -167,7 +167,7 @@
 static int64_t
 tick_at(const struct fw_fleet_env *w, int i)
 {
-    const struct fw_site *s = &w->sites[i];
+    const struct fw_fleet_env_instance *s = &w->sites[i];
     int64_t ahead;
 
     if (!s->up || s->wake_us == INT64_MAX) {
@@ -181,7 +181,7 @@
 static void
 tick_site(struct fw_fleet_env *w, int i)
 {
-    struct fw_site *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &w->sites[i];
     struct fw_actions out;
     int64_t now = Fw_FleetEnv_Local(w, i);
 
@@ -197,12 +197,12 @@
     Fw_FleetEnv_Carry(w, i, &out);
 }
 
-/* The next thing due no later than @until: an item, or a tick of a site. */
+/* The next thing due no later than @until: an d, or a tick of a site. */
 static int
 step_next(struct fw_fleet_env *w, int64_t until)
 {
-    struct fw_item *item = Fw_Item_Next(w);
-    int64_t at = item ? item->at_us : INT64_MAX;
+    struct fw_fleet_env_delivery *d = Fw_FleetEnv_NextDelivery(w);
+    int64_t at = d ? d->at_us : INT64_MAX;
     int site = -1;
 
     for (int i = 0; i < w->n; i++) {
@@ -222,7 +222,7 @@
         tick_site(w, site);
     }
     else {
-        Fw_Item_Deliver(w, item);
+        Fw_FleetEnv_PerformDelivery(w, d);
     }
     if (w->check) {
         w->check(w, w->arg);
--- a/explore/p_fleet_env.h
+++ b/explore/p_fleet_env.h
@@ -12,26 +12,27 @@
 #include "fleet/role.h"
 #include "limit/limit.h"
 
-#define FW_FLEET_ENV_MAX 64
+#define FW_FLEET_ENV_INSTANCES_MAX 64
 
 /**
- * struct fw_site - one instance under test.
- * @ppm: how much faster than real time its clock runs
+ * struct fw_fleet_env_instance - one instance under test.
+ * @drift_ppm: how much faster than real time its clock runs
  * @up: the process lives; @pause_until_us: in real time
  */
-struct fw_site {
+struct fw_fleet_env_instance {
     struct fw_self self;
     struct fw_fleet *fleet;
     struct fw_roles *roles;
     struct fw_limit *limit;
     struct fw_metrics metrics;
     int64_t offset_us;
-    int64_t ppm;
+    int64_t drift_ppm;
     int64_t wake_us; /* by its own clock */
     int64_t pause_until_us;
     int up;
     int draining;
-    int cut[FW_FLEET_ENV_MAX]; /* messages to that site are lost */
+    int link_down[FW_FLEET_ENV_INSTANCES_MAX]; /* messages to that site are
+                                                  lost */
 };
 
 /** struct fw_fleet_env - @n sites and what lies between them. */
@@ -41,15 +42,16 @@
     int n;
     int partitions;
     int64_t wait_us[FW_ROLE_KINDS];
-    struct fw_site sites[FW_FLEET_ENV_MAX];
-    GPtrArray *items;    /* what is under way, struct fw_item */
+    struct fw_fleet_env_instance sites[FW_FLEET_ENV_INSTANCES_MAX];
+    GPtrArray
+        *deliveries;     /* what is under way, struct fw_fleet_env_delivery */
     GPtrArray *records;  /* of the log, char * */
     uint64_t log_oldest; /* oldest offset still kept */
     int log_down;
     int lose_pct;
     int double_pct;
-    int late_pct; /* of messages and log answers */
-    int64_t late_max_us;
+    int delay_pct; /* of messages and log answers */
+    int64_t delay_max_us;
     int use_roles;
     const struct fw_config *cfg; /* NULL: no budgets */
     uint64_t n_sent;
@@ -79,7 +81,7 @@
 Fw_FleetEnv_Cut(struct fw_fleet_env *w, int i, int j, int cut);
 /* Each site hears the platform's list: all that are up. */
 void
-Fw_FleetEnv_List(struct fw_fleet_env *w);
+Fw_FleetEnv_PublishInstances(struct fw_fleet_env *w);
 void
 Fw_FleetEnv_Advance(struct fw_fleet_env *w, int64_t us);
 int64_t
--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_item.c
@@ -9,26 +9,26 @@
 #define GIVE_UP_US (3 * FW_SEC)
 
 void
-Fw_Item_Free(struct fw_item *item)
+Fw_FleetEnv_FreeDelivery(struct fw_fleet_env_delivery *d)
 {
-    if (item->msg) {
-        g_bytes_unref(item->msg);
+    if (d->msg) {
+        g_bytes_unref(d->msg);
     }
-    if (item->records) {
-        g_ptr_array_unref(item->records);
+    if (d->records) {
+        g_ptr_array_unref(d->records);
     }
-    g_free(item);
+    g_free(d);
 }
 
-struct fw_item *
-Fw_Item_Next(const struct fw_fleet_env *w)
+struct fw_fleet_env_delivery *
+Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *w)
 {
-    struct fw_item *best = NULL;
+    struct fw_fleet_env_delivery *best = NULL;
 
-    for (guint i = 0; i < w->items->len; i++) {
-        struct fw_item *item = g_ptr_array_index(w->items, i);
-        if (!best || item->at_us < best->at_us) {
-            best = item;
+    for (guint i = 0; i < w->deliveries->len; i++) {
+        struct fw_fleet_env_delivery *d = g_ptr_array_index(w->deliveries, i);
+        if (!best || d->at_us < best->at_us) {
+            best = d;
         }
     }
     return best;
@@ -39,22 +39,23 @@
 {
     int64_t max = FAST_US;
 
-    if (Fw_FleetEnv_Below(w, 100) < w->late_pct) {
-        max = MAX(w->late_max_us, FAST_US);
+    if (Fw_FleetEnv_Below(w, 100) < w->delay_pct) {
+        max = MAX(w->delay_max_us, FAST_US);
     }
     return FW_MSEC / 2 + (int64_t)(g_rand_double(w->run->rand) * (double)max);
 }
 
-static struct fw_item *
-add_item(struct fw_fleet_env *w, enum fw_item_kind kind, int site)
+static struct fw_fleet_env_delivery *
+schedule(struct fw_fleet_env *w, enum fw_fleet_env_delivery_kind kind,
+         int site)
 {
-    struct fw_item *item = g_new0(struct fw_item, 1);
+    struct fw_fleet_env_delivery *d = g_new0(struct fw_fleet_env_delivery, 1);
 
-    item->kind = kind;
-    item->site = site;
-    item->at_us = w->real_us + travel(w);
-    g_ptr_array_add(w->items, item);
-    return item;
+    d->kind = kind;
+    d->site = site;
+    d->at_us = w->real_us + travel(w);
+    g_ptr_array_add(w->deliveries, d);
+    return d;
 }
 
 static int
@@ -89,16 +90,17 @@
     w->area_bytes[send->msg.area] += buf.size;
     w->area_msgs[send->msg.area]++;
     msgpack_sbuffer_destroy(&buf);
-    if (w->sites[from].cut[to] || Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
+    if (w->sites[from].link_down[to] ||
+        Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
         copies = 0;
     }
     else if (Fw_FleetEnv_Below(w, 100) < w->double_pct) {
         copies = 2;
     }
     for (int i = 0; i < copies; i++) {
-        struct fw_item *item = add_item(w, FW_ITEM_MSG, to);
-        item->from = from;
-        item->msg = g_bytes_ref(bytes);
+        struct fw_fleet_env_delivery *d = schedule(w, FW_FLEET_ENV_MSG, to);
+        d->from = from;
+        d->msg = g_bytes_ref(bytes);
     }
     g_bytes_unref(bytes);
 }
@@ -106,26 +108,26 @@
 static void
 send_append(struct fw_fleet_env *w, int site, const struct fw_log_append *a)
 {
-    struct fw_item *item = add_item(w, FW_ITEM_APPEND, site);
+    struct fw_fleet_env_delivery *d = schedule(w, FW_FLEET_ENV_APPEND, site);
 
-    item->boot = w->sites[site].self.boot;
-    item->ticket = a->ticket;
-    item->records = g_ptr_array_new_with_free_func(g_free);
+    d->boot = w->sites[site].self.boot;
+    d->ticket = a->ticket;
+    d->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < a->n; i++) {
-        g_ptr_array_add(item->records, g_strdup(a->records[i]));
+        g_ptr_array_add(d->records, g_strdup(a->records[i]));
     }
 }
 
 static void
 send_read(struct fw_fleet_env *w, int site, const struct fw_log_read *r)
 {
-    struct fw_item *item = add_item(w, FW_ITEM_READ, site);
+    struct fw_fleet_env_delivery *d = schedule(w, FW_FLEET_ENV_READ, site);
 
-    item->boot = w->sites[site].self.boot;
-    item->ticket = r->ticket;
-    item->offset = r->from;
-    item->sent_us = Fw_FleetEnv_Local(w, site);
-    item->until_us = w->real_us + r->wait_us;
+    d->boot = w->sites[site].self.boot;
+    d->ticket = r->ticket;
+    d->offset = r->from;
+    d->sent_us = Fw_FleetEnv_Local(w, site);
+    d->until_us = w->real_us + r->wait_us;
 }
 
 void
@@ -161,17 +163,17 @@
 }
 
 static void
-deliver_msg(struct fw_fleet_env *w, struct fw_item *item)
+deliver_msg(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
 {
-    struct fw_site *s = &w->sites[item->site];
-    const char *from = w->sites[item->from].self.name;
+    struct fw_fleet_env_instance *s = &w->sites[d->site];
+    const char *from = w->sites[d->from].self.name;
     struct fw_actions out;
     struct fw_msg msg;
     msgpack_unpacked u;
     gsize size;
-    const char *data = g_bytes_get_data(item->msg, &size);
+    const char *data = g_bytes_get_data(d->msg, &size);
     size_t off = 0;
-    int64_t now = Fw_FleetEnv_Local(w, item->site);
+    int64_t now = Fw_FleetEnv_Local(w, d->site);
 
     if (!s->up) {
         return;
@@ -192,17 +194,18 @@
         Fw_Msg_Clear(&msg);
     }
     msgpack_unpacked_destroy(&u);
-    Fw_FleetEnv_Carry(w, item->site, &out);
+    Fw_FleetEnv_Carry(w, d->site, &out);
 }
 
 /* The append reaches the log; its answer may be lost or late all the same. */
 static void
-reach_append(struct fw_fleet_env *w, struct fw_item *item)
+reach_append(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
 {
-    struct fw_item *back = add_item(w, FW_ITEM_APPENDED, item->site);
+    struct fw_fleet_env_delivery *back =
+        schedule(w, FW_FLEET_ENV_APPENDED, d->site);
 
-    back->boot = item->boot;
-    back->ticket = item->ticket;
+    back->boot = d->boot;
+    back->ticket = d->ticket;
     if (Fw_FleetEnv_Below(w, 100) < w->lose_pct) { /* lost before the log */
         back->err = -EIO;
         back->at_us += GIVE_UP_US;
@@ -213,8 +216,8 @@
         return;
     }
     back->offset = w->records->len + 1;
-    for (guint i = 0; i < item->records->len; i++) {
-        const char *text = g_ptr_array_index(item->records, i);
+    for (guint i = 0; i < d->records->len; i++) {
+        const char *text = g_ptr_array_index(d->records, i);
         g_ptr_array_add(w->records, g_strdup(text));
         Fw_Run_Trace(w->run, "%8.3f log %u %s", (double)w->real_us / FW_SEC,
                      w->records->len, text);
@@ -227,26 +230,26 @@
 }
 
 static void
-reach_read(struct fw_fleet_env *w, struct fw_item *item)
+reach_read(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
 {
-    uint64_t from = MAX(item->offset, w->log_oldest);
-    struct fw_item *back;
+    uint64_t from = MAX(d->offset, w->log_oldest);
+    struct fw_fleet_env_delivery *back;
 
-    if (!w->log_down && from > w->records->len &&
-        w->real_us < item->until_us) {
-        struct fw_item *hold = add_item(w, FW_ITEM_READ, item->site);
-        hold->boot = item->boot;
-        hold->ticket = item->ticket;
-        hold->offset = item->offset;
-        hold->sent_us = item->sent_us;
-        hold->until_us = item->until_us;
+    if (!w->log_down && from > w->records->len && w->real_us < d->until_us) {
+        struct fw_fleet_env_delivery *hold =
+            schedule(w, FW_FLEET_ENV_READ, d->site);
+        hold->boot = d->boot;
+        hold->ticket = d->ticket;
+        hold->offset = d->offset;
+        hold->sent_us = d->sent_us;
+        hold->until_us = d->until_us;
         hold->at_us = w->real_us + HOLD_US;
         return;
     }
-    back = add_item(w, FW_ITEM_RECORDS, item->site);
-    back->boot = item->boot;
-    back->ticket = item->ticket;
-    back->sent_us = item->sent_us;
+    back = schedule(w, FW_FLEET_ENV_RECORDS, d->site);
+    back->boot = d->boot;
+    back->ticket = d->ticket;
+    back->sent_us = d->sent_us;
     back->offset = from;
     back->until_us = (int64_t)w->records->len + 1; /* end */
     if (w->log_down || Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
@@ -261,64 +264,64 @@
 }
 
 static void
-deliver_log(struct fw_fleet_env *w, struct fw_item *item)
+deliver_log(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
 {
-    struct fw_site *s = &w->sites[item->site];
+    struct fw_fleet_env_instance *s = &w->sites[d->site];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(w, item->site);
+    int64_t now = Fw_FleetEnv_Local(w, d->site);
 
-    if (!s->up || !s->roles || s->self.boot != item->boot) {
+    if (!s->up || !s->roles || s->self.boot != d->boot) {
         return;
     }
     Fw_Actions_Init(&out);
-    if (item->kind == FW_ITEM_APPENDED) {
+    if (d->kind == FW_FLEET_ENV_APPENDED) {
         struct fw_log_appended a = {
-            .ticket = item->ticket, .err = item->err, .first = item->offset};
+            .ticket = d->ticket, .err = d->err, .first = d->offset};
         Fw_Roles_OnAppended(s->roles, &a, now, &out);
     }
     else {
         struct fw_log_records r = {
-            .ticket = item->ticket,
-            .err = item->err,
-            .sent_us = item->sent_us,
-            .first = item->offset,
+            .ticket = d->ticket,
+            .err = d->err,
+            .sent_us = d->sent_us,
+            .first = d->offset,
             .oldest = w->log_oldest,
-            .end = (uint64_t)item->until_us,
-            .n = item->records ? (int)item->records->len : 0,
-            .records = item->records
-                           ? (const char *const *)item->records->pdata
-                           : NULL,
+            .end = (uint64_t)d->until_us,
+            .n = d->records ? (int)d->records->len : 0,
+            .records =
+                d->records ? (const char *const *)d->records->pdata : NULL,
         };
         Fw_Roles_OnRecords(s->roles, &r, now, &out);
     }
-    Fw_FleetEnv_Carry(w, item->site, &out);
+    Fw_FleetEnv_Carry(w, d->site, &out);
 }
 
 void
-Fw_Item_Deliver(struct fw_fleet_env *w, struct fw_item *item)
+Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *w,
+                            struct fw_fleet_env_delivery *d)
 {
-    int to_site = item->kind != FW_ITEM_APPEND && item->kind != FW_ITEM_READ;
+    int to_site =
+        d->kind != FW_FLEET_ENV_APPEND && d->kind != FW_FLEET_ENV_READ;
 
-    if (to_site && w->sites[item->site].up &&
-        !Fw_FleetEnv_Runs(w, item->site)) {
-        item->at_us = w->sites[item->site].pause_until_us;
+    if (to_site && w->sites[d->site].up && !Fw_FleetEnv_Runs(w, d->site)) {
+        d->at_us = w->sites[d->site].pause_until_us;
         return;
     }
-    g_ptr_array_remove(w->items, item);
-    switch (item->kind) {
-    case FW_ITEM_MSG:
-        deliver_msg(w, item);
+    g_ptr_array_remove(w->deliveries, d);
+    switch (d->kind) {
+    case FW_FLEET_ENV_MSG:
+        deliver_msg(w, d);
         break;
-    case FW_ITEM_APPEND:
-        reach_append(w, item);
+    case FW_FLEET_ENV_APPEND:
+        reach_append(w, d);
         break;
-    case FW_ITEM_READ:
-        reach_read(w, item);
+    case FW_FLEET_ENV_READ:
+        reach_read(w, d);
         break;
-    case FW_ITEM_APPENDED:
-    case FW_ITEM_RECORDS:
-        deliver_log(w, item);
+    case FW_FLEET_ENV_APPENDED:
+    case FW_FLEET_ENV_RECORDS:
+        deliver_log(w, d);
         break;
     }
-    Fw_Item_Free(item);
+    Fw_FleetEnv_FreeDelivery(d);
 }
--- a/explore/p_fleet_item.h
+++ b/explore/p_fleet_item.h
@@ -4,23 +4,24 @@
 
 #include "explore/p_fleet_env.h"
 
-/** enum fw_item_kind - a message, or one leg of a call to the log. */
-enum fw_item_kind {
-    FW_ITEM_MSG,
-    FW_ITEM_APPEND,   /* on its way to the log */
-    FW_ITEM_APPENDED, /* the answer */
-    FW_ITEM_READ,
-    FW_ITEM_RECORDS,
+/** enum fw_fleet_env_delivery_kind - a message, or one leg of a call to the
+ * log. */
+enum fw_fleet_env_delivery_kind {
+    FW_FLEET_ENV_MSG,
+    FW_FLEET_ENV_APPEND,   /* on its way to the log */
+    FW_FLEET_ENV_APPENDED, /* the answer */
+    FW_FLEET_ENV_READ,
+    FW_FLEET_ENV_RECORDS,
 };
 
 /**
- * struct fw_item - due at real time @at_us.
+ * struct fw_fleet_env_delivery - due at real time @at_us.
  * @site: whom a message goes to, or whose call it is
  * @boot: of the process that called the log
  * @until_us: how long the log may hold a read back
  */
-struct fw_item {
-    enum fw_item_kind kind;
+struct fw_fleet_env_delivery {
+    enum fw_fleet_env_delivery_kind kind;
     int64_t at_us;
     int site;
     int from;
@@ -35,12 +36,13 @@
 };
 
 /* The item due first, or NULL; the earlier made wins a tie. */
-struct fw_item *
-Fw_Item_Next(const struct fw_fleet_env *w);
+struct fw_fleet_env_delivery *
+Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *w);
 /* Takes @item off and does it. */
 void
-Fw_Item_Deliver(struct fw_fleet_env *w, struct fw_item *item);
+Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *w,
+                            struct fw_fleet_env_delivery *d);
 void
-Fw_Item_Free(struct fw_item *item);
+Fw_FleetEnv_FreeDelivery(struct fw_fleet_env_delivery *d);
 
 #endif
--- a/explore/p_idem.c
+++ b/explore/p_idem.c
@@ -72,7 +72,7 @@
     static const char *const names[] = {"kill or start", "pause", "cut"};
     int site = below(run, b->n);
     int what = below(run, G_N_ELEMENTS(names));
-    struct fw_idem_env_site *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &b->sites[site];
 
     Fw_Run_Trace(run, "%8.3f instance %d: %s", (double)b->now_us / FW_SEC,
                  site, names[what]);
@@ -108,7 +108,7 @@
     Fw_IdemEnv_Advance(b, HEAL_US);
     for (guint i = 0; i < b->tries->len && !b->breach[0]; i++) {
         const struct fw_idem_env_try *t = g_ptr_array_index(b->tries, i);
-        const struct fw_idem_env_site *s = &b->sites[t->site];
+        const struct fw_idem_env_instance *s = &b->sites[t->site];
 
         if (!t->answered && s->up && s->self.boot == t->boot) {
             Fw_Run_Breach(run, "call %u was never answered", i + 1);
@@ -122,12 +122,13 @@
 {
     struct fw_idem_env b;
 
-    Fw_IdemEnv_Init(&b, FW_BED_SITES, run->trace);
+    Fw_IdemEnv_Init(&b, FW_IDEM_ENV_INSTANCES, run->trace);
     for (int step = 0; step < run->steps && !b.breach[0]; step++) {
         int what = below(run, 20);
 
         b.service = (enum fw_idem_env_service)(
-            below(run, 10) < 7 ? FW_BED_ANSWERS : 1 + below(run, 2));
+            below(run, 10) < 7 ? FW_IDEM_ENV_SERVICE_ANSWERS
+                               : 1 + below(run, 2));
         if (what < 12) {
             open_one(run, &b, step);
         }
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -12,10 +12,10 @@
 static void
 free_mail(gpointer data)
 {
-    struct idem_mail *m = data;
+    struct fw_idem_env_delivery *m = data;
 
     g_strfreev(m->records);
-    if (m->kind == FW_MAIL_MSG) {
+    if (m->kind == FW_IDEM_ENV_MSG) {
         Fw_Msg_Clear(&m->msg);
     }
     g_free(m);
@@ -28,12 +28,13 @@
     b->n = n;
     b->trace = trace;
     b->now_us = FW_SEC;
-    b->mail = g_ptr_array_new_with_free_func(free_mail);
+    b->deliveries = g_ptr_array_new_with_free_func(free_mail);
     b->tries = g_ptr_array_new_with_free_func(g_free);
     b->effects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    b->names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    b->keys_by_name =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     b->log.retain = 1000000;
-    for (int i = 0; i < FW_BED_PARTS; i++) {
+    for (int i = 0; i < FW_IDEM_ENV_PARTITIONS; i++) {
         b->log.records[i] = g_ptr_array_new_with_free_func(g_free);
         b->log.oldest[i] = 1;
     }
@@ -45,7 +46,7 @@
 void
 Fw_IdemEnv_Kill(struct fw_idem_env *b, int site)
 {
-    struct fw_idem_env_site *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &b->sites[site];
 
     if (!s->up) {
         return;
@@ -61,19 +62,19 @@
     for (int i = 0; i < b->n; i++) {
         Fw_IdemEnv_Kill(b, i);
     }
-    for (int i = 0; i < FW_BED_PARTS; i++) {
+    for (int i = 0; i < FW_IDEM_ENV_PARTITIONS; i++) {
         g_ptr_array_unref(b->log.records[i]);
     }
-    g_ptr_array_unref(b->mail);
+    g_ptr_array_unref(b->deliveries);
     g_ptr_array_unref(b->tries);
     g_hash_table_unref(b->effects);
-    g_hash_table_unref(b->names);
+    g_hash_table_unref(b->keys_by_name);
 }
 
 void
 Fw_IdemEnv_Start(struct fw_idem_env *b, int site)
 {
-    struct fw_idem_env_site *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &b->sites[site];
     struct fw_actions none;
 
     memset(s, 0, sizeof(*s));
@@ -97,22 +98,23 @@
         }
     }
     Fw_Actions_Clear(&none);
-    s->idem = Fw_Idem_New(&s->self, s->fleet, FW_BED_PARTS, &s->metrics);
+    s->idem =
+        Fw_Idem_New(&s->self, s->fleet, FW_IDEM_ENV_PARTITIONS, &s->metrics);
     s->up = 1;
     s->wake_us = b->now_us;
 }
 
-struct idem_mail *
-Fw_IdemEnv_Post(struct fw_idem_env *b, enum idem_mail_kind kind, int site,
-                int64_t delay_us)
+struct fw_idem_env_delivery *
+Fw_IdemEnv_Schedule(struct fw_idem_env *b, enum fw_idem_env_delivery_kind kind,
+                    int site, int64_t delay_us)
 {
-    struct idem_mail *m = g_new0(struct idem_mail, 1);
+    struct fw_idem_env_delivery *m = g_new0(struct fw_idem_env_delivery, 1);
 
     m->kind = kind;
     m->site = site;
     m->boot = b->sites[site].self.boot;
     m->at_us = b->now_us + delay_us;
-    g_ptr_array_add(b->mail, m);
+    g_ptr_array_add(b->deliveries, m);
     return m;
 }
 
@@ -120,14 +122,14 @@
 send_peer(struct fw_idem_env *b, int site, struct fw_peer_send *send)
 {
     for (int i = 0; i < b->n; i++) {
-        struct fw_idem_env_site *to = &b->sites[i];
-        struct idem_mail *m;
+        struct fw_idem_env_instance *to = &b->sites[i];
+        struct fw_idem_env_delivery *m;
 
         if (strcmp(to->self.name, send->to) != 0 || !to->up || to->cut ||
             b->sites[site].cut) {
             continue;
         }
-        m = Fw_IdemEnv_Post(b, FW_MAIL_MSG, i, FW_BED_HOP_US);
+        m = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_MSG, i, FW_IDEM_ENV_HOP_US);
         m->msg = send->msg;
         send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK; /* moved: owns nothing */
         g_strlcpy(m->sender, b->sites[site].self.name, sizeof(m->sender));
@@ -139,7 +141,7 @@
 carry(struct fw_idem_env *b, int site, struct fw_actions *out)
 {
     struct fw_action *a;
-    struct idem_mail *m;
+    struct fw_idem_env_delivery *m;
 
     b->sites[site].wake_us = MIN(b->sites[site].wake_us, out->wake_us);
     while ((a = Fw_Actions_Take(out))) {
@@ -147,8 +149,8 @@
             send_peer(b, site, &a->u.send);
         }
         else if (a->kind == FW_ACT_LOG_APPEND) {
-            m = Fw_IdemEnv_Post(b, FW_MAIL_APPEND, site,
-                                FW_BED_HOP_US + b->log.slow_us);
+            m = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_APPEND, site,
+                                    FW_IDEM_ENV_HOP_US + b->log.slow_us);
             m->ticket = a->u.append.ticket;
             m->part = a->u.append.stream[strlen("idem-")] - '0';
             m->n = a->u.append.n;
@@ -158,8 +160,8 @@
             }
         }
         else if (a->kind == FW_ACT_LOG_READ) {
-            m = Fw_IdemEnv_Post(b, FW_MAIL_READ, site,
-                                FW_BED_HOP_US + b->log.slow_us);
+            m = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_READ, site,
+                                    FW_IDEM_ENV_HOP_US + b->log.slow_us);
             m->ticket = a->u.read.ticket;
             m->part = a->u.read.stream[strlen("idem-")] - '0';
             m->from = a->u.read.from;
@@ -183,24 +185,24 @@
 run_call(struct fw_idem_env *b, struct fw_idem_env_try *t, int number,
          struct fw_actions *out)
 {
-    struct fw_idem_env_site *s = &b->sites[t->site];
+    struct fw_idem_env_instance *s = &b->sites[t->site];
     int rc = Fw_Idem_BeginRun(s->idem, t->ticket, b->now_us);
     int effects;
 
     if (rc) {
-        t->verdict_no = 1;
+        t->told_not_run = 1;
         g_string_append_printf(b->trace, "%d may not run: %s\n", number,
                                rc == -ESTALE ? "stale" : "already");
         return;
     }
-    if (b->service == FW_BED_REFUSES) {
+    if (b->service == FW_IDEM_ENV_SERVICE_REFUSES) {
         g_string_append_printf(b->trace, "%d not begun\n", number);
         Fw_Idem_Finish(s->idem, t->ticket, FW_RAN_NO, 0, "", NULL, b->now_us,
                        out);
-        t->verdict_no = 1;
+        t->told_not_run = 1;
         return;
     }
-    if (t->verdict_no) {
+    if (t->told_not_run) {
         breach(b, "a call whose caller was told 'not run' is sent", t->key);
     }
     g_string_append_printf(b->trace, "%d sent\n", number);
@@ -210,7 +212,8 @@
     if (++t->sends > 1 || effects > 1) {
         breach(b, "an order took effect twice", t->key);
     }
-    t->ran = b->service == FW_BED_LOSES ? FW_RAN_MAYBE : FW_RAN_YES;
+    t->ran = b->service == FW_IDEM_ENV_SERVICE_LOSES_ANSWER ? FW_RAN_MAYBE
+                                                            : FW_RAN_YES;
     t->finish_us = b->now_us + SERVE_US;
     s->wake_us = MIN(s->wake_us, t->finish_us);
 }
@@ -238,10 +241,10 @@
                                    names[ans.result], len ? " " : "", (int)len,
                                    body);
         }
-        t->verdict_no |= ans.result == FW_IDEM_UNAVAILABLE ||
-                         ans.result == FW_IDEM_NOT_RUN ||
-                         ans.result == FW_IDEM_MISMATCH;
-        if (t->verdict_no && t->sends) {
+        t->told_not_run |= ans.result == FW_IDEM_UNAVAILABLE ||
+                           ans.result == FW_IDEM_NOT_RUN ||
+                           ans.result == FW_IDEM_MISMATCH;
+        if (t->told_not_run && t->sends) {
             breach(b, "'not run' is told of a call that was sent", t->key);
         }
         if (ans.result == FW_IDEM_UNAVAILABLE && ans.retry_after_us < FW_SEC) {
@@ -254,7 +257,7 @@
 static void
 finish_calls(struct fw_idem_env *b, int site, struct fw_actions *out)
 {
-    struct fw_idem_env_site *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &b->sites[site];
 
     for (guint i = 0; i < b->tries->len; i++) {
         struct fw_idem_env_try *t = g_ptr_array_index(b->tries, i);
@@ -287,7 +290,7 @@
 static void
 tick(struct fw_idem_env *b, int site)
 {
-    struct fw_idem_env_site *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &b->sites[site];
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
@@ -301,7 +304,7 @@
 key_of(struct fw_idem_env *b, const char *name)
 {
     const char *at = strchr(name, '@');
-    char *key = g_hash_table_lookup(b->names, name);
+    char *key = g_hash_table_lookup(b->keys_by_name, name);
     int64_t issued_ms;
 
     if (!at || key) {
@@ -311,7 +314,7 @@
                 g_ascii_strtoll(at + 1, NULL, 10) * 1000;
     key = g_strdup_printf("%013" G_GINT64_FORMAT "-%.*s", issued_ms,
                           (int)(at - name), name);
-    g_hash_table_insert(b->names, g_strdup(name), key);
+    g_hash_table_insert(b->keys_by_name, g_strdup(name), key);
     return key;
 }
 
@@ -319,7 +322,7 @@
 Fw_IdemEnv_Open(struct fw_idem_env *b, int site, const char *name,
                 const char *body)
 {
-    struct fw_idem_env_site *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &b->sites[site];
     struct fw_idem_env_try *t;
     struct fw_actions out;
 
@@ -339,30 +342,30 @@
 }
 
 static void
-deliver(struct fw_idem_env *b, struct idem_mail *m)
+deliver(struct fw_idem_env *b, struct fw_idem_env_delivery *m)
 {
-    struct fw_idem_env_site *s = &b->sites[m->site];
+    struct fw_idem_env_instance *s = &b->sites[m->site];
     struct fw_log_appended app = {.ticket = m->ticket, .err = m->err};
     struct fw_log_records rec = {.ticket = m->ticket, .err = m->err};
     struct fw_actions out;
 
-    if (m->kind == FW_MAIL_APPEND) {
-        Fw_IdemEnv_TakeAppend(b, m);
+    if (m->kind == FW_IDEM_ENV_APPEND) {
+        Fw_IdemEnv_HandleAppend(b, m);
         return;
     }
-    if (m->kind == FW_MAIL_READ) {
-        Fw_IdemEnv_TakeRead(b, m);
+    if (m->kind == FW_IDEM_ENV_READ) {
+        Fw_IdemEnv_HandleRead(b, m);
         return;
     }
     if (!s->up || s->self.boot != m->boot) {
         return;
     }
     Fw_Actions_Init(&out);
-    if (m->kind == FW_MAIL_APPENDED) {
+    if (m->kind == FW_IDEM_ENV_APPENDED) {
         app.first = m->first;
         Fw_Idem_OnAppended(s->idem, &app, b->now_us, &out);
     }
-    else if (m->kind == FW_MAIL_RECORDS) {
+    else if (m->kind == FW_IDEM_ENV_RECORDS) {
         rec.sent_us = m->sent_us;
         rec.first = m->first;
         rec.oldest = m->oldest;
@@ -379,23 +382,23 @@
 
 /* When @m can be delivered: a paused instance hears nothing. */
 static int64_t
-due(const struct fw_idem_env *b, const struct idem_mail *m)
+due(const struct fw_idem_env *b, const struct fw_idem_env_delivery *m)
 {
-    if (m->kind == FW_MAIL_APPEND || m->kind == FW_MAIL_READ) {
+    if (m->kind == FW_IDEM_ENV_APPEND || m->kind == FW_IDEM_ENV_READ) {
         return m->at_us;
     }
     return MAX(m->at_us, b->sites[m->site].paused_us);
 }
 
-static struct idem_mail *
+static struct fw_idem_env_delivery *
 next_mail(struct fw_idem_env *b, int64_t until_us, int *tick_site)
 {
-    struct idem_mail *best = NULL;
+    struct fw_idem_env_delivery *best = NULL;
     int64_t at = until_us + 1;
 
     *tick_site = -1;
-    for (guint i = 0; i < b->mail->len; i++) {
-        struct idem_mail *m = g_ptr_array_index(b->mail, i);
+    for (guint i = 0; i < b->deliveries->len; i++) {
+        struct fw_idem_env_delivery *m = g_ptr_array_index(b->deliveries, i);
 
         if (due(b, m) < at) {
             at = due(b, m);
@@ -403,7 +406,7 @@
         }
     }
     for (int i = 0; i < b->n; i++) {
-        struct fw_idem_env_site *s = &b->sites[i];
+        struct fw_idem_env_instance *s = &b->sites[i];
 
         if (s->up && MAX(s->wake_us, s->paused_us) < at) {
             at = MAX(s->wake_us, s->paused_us);
@@ -425,7 +428,7 @@
 
     for (;;) {
         int site;
-        struct idem_mail *m = next_mail(b, until, &site);
+        struct fw_idem_env_delivery *m = next_mail(b, until, &site);
 
         if (++steps > 200000) {
             breach(b, "the instances never come to rest", "-");
@@ -433,7 +436,7 @@
         }
         if (m) {
             deliver(b, m);
-            g_ptr_array_remove(b->mail, m);
+            g_ptr_array_remove(b->deliveries, m);
         }
         else if (site >= 0) {
             tick(b, site);
--- a/explore/p_idem_env.h
+++ b/explore/p_idem_env.h
@@ -9,22 +9,22 @@
 #include "fleet/fleet.h"
 #include "idem/idem.h"
 
-#define FW_BED_SITES 3
-#define FW_BED_PARTS 2
+#define FW_IDEM_ENV_INSTANCES 3
+#define FW_IDEM_ENV_PARTITIONS 2
 
 /** enum fw_idem_env_service - what becomes of a call that is sent. */
 enum fw_idem_env_service {
-    FW_BED_ANSWERS,
-    FW_BED_LOSES,   /* takes effect, the answer is lost */
-    FW_BED_REFUSES, /* the connection is never made */
+    FW_IDEM_ENV_SERVICE_ANSWERS,
+    FW_IDEM_ENV_SERVICE_LOSES_ANSWER, /* takes effect, the answer is lost */
+    FW_IDEM_ENV_SERVICE_REFUSES,      /* the connection is never made */
 };
 
 /**
- * struct fw_idem_env_site - one instance.
+ * struct fw_idem_env_instance - one instance.
  * @paused_us: until then nothing reaches it and it does nothing
  * @cut: peers and this one do not hear each other
  */
-struct fw_idem_env_site {
+struct fw_idem_env_instance {
     struct fw_self self;
     struct fw_fleet *fleet;
     struct fw_idem *idem;
@@ -37,7 +37,7 @@
 
 /**
  * struct fw_idem_env_try - one call by a caller.
- * @verdict_no: its caller was told "not run"
+ * @told_not_run: its caller was told "not run"
  * @sends: how often it was sent; more than one is a breach
  */
 struct fw_idem_env_try {
@@ -46,7 +46,7 @@
     uint64_t boot;
     char key[FW_ID_MAX];
     int answered;
-    int verdict_no;
+    int told_not_run;
     int sends;
     int64_t finish_us; /* 0: nothing to finish */
     enum fw_ran ran;
@@ -60,8 +60,8 @@
  * @retain: records kept a stream
  */
 struct fw_idem_env_log {
-    GPtrArray *records[FW_BED_PARTS];
-    uint64_t oldest[FW_BED_PARTS];
+    GPtrArray *records[FW_IDEM_ENV_PARTITIONS];
+    uint64_t oldest[FW_IDEM_ENV_PARTITIONS];
     int down;
     int lose;
     int drop;
@@ -75,12 +75,12 @@
  */
 struct fw_idem_env {
     int n;
-    struct fw_idem_env_site sites[FW_BED_SITES];
+    struct fw_idem_env_instance sites[FW_IDEM_ENV_INSTANCES];
     struct fw_idem_env_log log;
-    GPtrArray *mail;
+    GPtrArray *deliveries;
     GPtrArray *tries;
-    GHashTable *effects; /* key to count */
-    GHashTable *names;   /* name of the script to key */
+    GHashTable *effects;      /* key to count */
+    GHashTable *keys_by_name; /* name of the script to key */
     enum fw_idem_env_service service;
     int64_t now_us;
     GString *trace;
--- a/explore/p_idem_log.c
+++ b/explore/p_idem_log.c
@@ -9,7 +9,7 @@
 #define FW_TIMEOUT_US (5 * FW_SEC)
 
 static void
-store(struct fw_idem_env *b, const struct idem_mail *m)
+store(struct fw_idem_env *b, const struct fw_idem_env_delivery *m)
 {
     GPtrArray *recs = b->log.records[m->part];
 
@@ -25,18 +25,19 @@
 }
 
 void
-Fw_IdemEnv_TakeAppend(struct fw_idem_env *b, struct idem_mail *m)
+Fw_IdemEnv_HandleAppend(struct fw_idem_env *b, struct fw_idem_env_delivery *m)
 {
     struct fw_idem_env_log *l = &b->log;
     uint64_t first = l->oldest[m->part] + l->records[m->part]->len;
-    struct idem_mail *back;
+    struct fw_idem_env_delivery *back;
 
     if (m->err) { /* a late one: nobody waits any more */
         store(b, m);
         return;
     }
     l->appends++;
-    back = Fw_IdemEnv_Post(b, FW_MAIL_APPENDED, m->site, FW_BED_HOP_US);
+    back = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_APPENDED, m->site,
+                               FW_IDEM_ENV_HOP_US);
     back->boot = m->boot;
     back->ticket = m->ticket;
     back->part = m->part;
@@ -55,8 +56,8 @@
         back->err = -EIO;
     }
     else if (l->late > 0) {
-        struct idem_mail *again =
-            Fw_IdemEnv_Post(b, FW_MAIL_APPEND, m->site, FW_LATE_US);
+        struct fw_idem_env_delivery *again =
+            Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_APPEND, m->site, FW_LATE_US);
 
         l->late--;
         back->err = -EIO;
@@ -71,12 +72,13 @@
 }
 
 void
-Fw_IdemEnv_TakeRead(struct fw_idem_env *b, const struct idem_mail *m)
+Fw_IdemEnv_HandleRead(struct fw_idem_env *b,
+                      const struct fw_idem_env_delivery *m)
 {
     struct fw_idem_env_log *l = &b->log;
     GPtrArray *recs = l->records[m->part];
-    struct idem_mail *back =
-        Fw_IdemEnv_Post(b, FW_MAIL_RECORDS, m->site, FW_BED_HOP_US);
+    struct fw_idem_env_delivery *back = Fw_IdemEnv_Schedule(
+        b, FW_IDEM_ENV_RECORDS, m->site, FW_IDEM_ENV_HOP_US);
 
     back->boot = m->boot;
     back->ticket = m->ticket;
--- a/explore/p_idem_mail.h
+++ b/explore/p_idem_mail.h
@@ -5,19 +5,19 @@
 #include "explore/p_idem_env.h"
 
 /* From one instance to another, or to the log. */
-#define FW_BED_HOP_US (1 * FW_MSEC)
+#define FW_IDEM_ENV_HOP_US (1 * FW_MSEC)
 
-enum idem_mail_kind {
-    FW_MAIL_APPEND, /* reaches the log */
-    FW_MAIL_READ,
-    FW_MAIL_APPENDED, /* reaches an instance */
-    FW_MAIL_RECORDS,
-    FW_MAIL_MSG,
+enum fw_idem_env_delivery_kind {
+    FW_IDEM_ENV_APPEND, /* reaches the log */
+    FW_IDEM_ENV_READ,
+    FW_IDEM_ENV_APPENDED, /* reaches an instance */
+    FW_IDEM_ENV_RECORDS,
+    FW_IDEM_ENV_MSG,
 };
 
-/** struct idem_mail - something under way. */
-struct idem_mail {
-    enum idem_mail_kind kind;
+/** struct fw_idem_env_delivery - something under way. */
+struct fw_idem_env_delivery {
+    enum fw_idem_env_delivery_kind kind;
     int64_t at_us;
     int site;
     uint64_t boot;
@@ -36,13 +36,14 @@
     struct fw_msg msg;
 };
 
-struct idem_mail *
-Fw_IdemEnv_Post(struct fw_idem_env *b, enum idem_mail_kind kind, int site,
-                int64_t delay_us);
+struct fw_idem_env_delivery *
+Fw_IdemEnv_Schedule(struct fw_idem_env *b, enum fw_idem_env_delivery_kind kind,
+                    int site, int64_t delay_us);
 /* p_idem_log.c: what reaches the log. */
 void
-Fw_IdemEnv_TakeAppend(struct fw_idem_env *b, struct idem_mail *m);
+Fw_IdemEnv_HandleAppend(struct fw_idem_env *b, struct fw_idem_env_delivery *m);
 void
-Fw_IdemEnv_TakeRead(struct fw_idem_env *b, const struct idem_mail *m);
+Fw_IdemEnv_HandleRead(struct fw_idem_env *b,
+                      const struct fw_idem_env_delivery *m);
 
 #endif
--- a/explore/p_limit.c
+++ b/explore/p_limit.c
@@ -25,10 +25,11 @@
     refunds = Fw_FleetEnv_Below(&w, 2); /* without them the check is sharper */
     w.lose_pct = 3;
     w.double_pct = 8;
-    w.late_pct = 4;
-    w.late_max_us = 40 * FW_SEC; /* longer than a lease lives */
+    w.delay_pct = 4;
+    w.delay_max_us = 40 * FW_SEC; /* longer than a lease lives */
     for (int i = 0; i < SITES; i++) {
-        w.sites[i].ppm = Fw_FleetEnv_Below(&w, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
+        w.sites[i].drift_ppm =
+            Fw_FleetEnv_Below(&w, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
         Fw_FleetEnv_Start(&w, i);
     }
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
@@ -42,13 +43,13 @@
                               1 + Fw_FleetEnv_Below(&w, (gint32)most));
         }
         if (refunds && Fw_FleetEnv_Below(&w, 100) < 20) {
-            Fw_LimitCheck_Refund(&c, &w);
+            Fw_LimitCheck_RefundRandom(&c, &w);
         }
         if (Fw_FleetEnv_Below(&w, 100) < 3) {
-            Fw_Explore_Fault(&w);
+            Fw_FleetEnv_InjectFault(&w);
         }
         if (Fw_FleetEnv_Below(&w, 100) < 2) {
-            Fw_Explore_Heal(&w);
+            Fw_FleetEnv_ClearFaults(&w);
         }
     }
     Fw_Run_Trace(run, "large: granted %d refused %d wrongful %d",
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -26,16 +26,17 @@
 void
 Fw_Account_Settle(struct fw_account *a, int64_t real_us);
 
-/** struct fw_grant_note - a granted request that may be refunded. */
-struct fw_grant_note {
+/** struct fw_limit_check_grant - a granted request that may be refunded. */
+struct fw_limit_check_grant {
     int site;
     uint64_t boot;
     int team;
     int64_t tokens;
 };
 
-/** struct fw_refund - tokens that may come back to a bucket until then. */
-struct fw_refund {
+/** struct fw_limit_check_refund - tokens that may come back to a bucket until
+ * then. */
+struct fw_limit_check_refund {
     int team;
     double tokens;
     int64_t until_us;
@@ -45,16 +46,16 @@
 struct fw_limit_check {
     struct fw_account accounts[FW_ACCOUNT_TEAMS];
     uint64_t ticket;
-    GArray *open;     /* struct fw_open_ask, asked and unanswered */
-    GArray *granted;  /* struct fw_grant_note */
-    GArray *refunds;  /* struct fw_refund */
+    GArray *pending;  /* struct fw_limit_check_request, asked and unanswered */
+    GArray *granted;  /* struct fw_limit_check_grant */
+    GArray *refunds;  /* struct fw_limit_check_refund */
     int64_t over;     /* tokens spent over rate and burst */
     int64_t retry_us; /* of the last refusal */
     int strict;       /* the first overspend is a breach */
 };
 
-/** struct fw_open_ask - @ticket of @site asked for @tokens. */
-struct fw_open_ask {
+/** struct fw_limit_check_request - @ticket of @site asked for @tokens. */
+struct fw_limit_check_request {
     uint64_t ticket;
     int site;
     int team;
@@ -75,7 +76,7 @@
                         int site, int team, int64_t tokens);
 /* A finished request gives back some of what it was granted. */
 void
-Fw_LimitCheck_Refund(struct fw_limit_check *c, struct fw_fleet_env *w);
+Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *w);
 
 void
 Fw_Explore_Limit(struct fw_run *run);
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -27,7 +27,8 @@
 draw_refunds(struct fw_limit_check *c, int team, double missing)
 {
     for (guint i = 0; i < c->refunds->len; i++) {
-        struct fw_refund *r = &g_array_index(c->refunds, struct fw_refund, i);
+        struct fw_limit_check_refund *r =
+            &g_array_index(c->refunds, struct fw_limit_check_refund, i);
         double take = r->team == team ? MIN(missing, r->tokens) : 0;
         r->tokens -= take;
         missing -= take;
@@ -39,8 +40,8 @@
 settle_refunds(struct fw_limit_check *c, int64_t real_us)
 {
     for (guint i = c->refunds->len; i > 0; i--) {
-        struct fw_refund r =
-            g_array_index(c->refunds, struct fw_refund, i - 1);
+        struct fw_limit_check_refund r =
+            g_array_index(c->refunds, struct fw_limit_check_refund, i - 1);
         struct fw_account *a = &c->accounts[r.team];
         if (real_us < r.until_us) {
             continue;
@@ -53,13 +54,13 @@
 
 static void
 on_granted(struct fw_limit_check *c, struct fw_fleet_env *w,
-           const struct fw_open_ask *q)
+           const struct fw_limit_check_request *q)
 {
     struct fw_account *a = &c->accounts[q->team];
-    struct fw_grant_note note = {.site = q->site,
-                                 .boot = w->sites[q->site].self.boot,
-                                 .team = q->team,
-                                 .tokens = q->tokens};
+    struct fw_limit_check_grant note = {.site = q->site,
+                                        .boot = w->sites[q->site].self.boot,
+                                        .team = q->team,
+                                        .tokens = q->tokens};
 
     settle_refunds(c, w->real_us);
     Fw_Account_Settle(a, w->real_us);
@@ -91,13 +92,14 @@
 on_answer(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
           const struct fw_limit_answer *ans)
 {
-    for (guint i = 0; i < c->open->len; i++) {
-        struct fw_open_ask q = g_array_index(c->open, struct fw_open_ask, i);
+    for (guint i = 0; i < c->pending->len; i++) {
+        struct fw_limit_check_request q =
+            g_array_index(c->pending, struct fw_limit_check_request, i);
         struct fw_account *a = &c->accounts[q.team];
         if (q.ticket != ans->ticket || q.site != site) {
             continue;
         }
-        g_array_remove_index_fast(c->open, i);
+        g_array_remove_index_fast(c->pending, i);
         if (ans->granted) {
             on_granted(c, w, &q);
         }
@@ -145,9 +147,11 @@
     struct fw_config *cfg = g_new0(struct fw_config, 1);
 
     memset(c, 0, sizeof(*c));
-    c->open = g_array_new(FALSE, TRUE, sizeof(struct fw_open_ask));
-    c->refunds = g_array_new(FALSE, TRUE, sizeof(struct fw_refund));
-    c->granted = g_array_new(FALSE, TRUE, sizeof(struct fw_grant_note));
+    c->pending =
+        g_array_new(FALSE, TRUE, sizeof(struct fw_limit_check_request));
+    c->refunds =
+        g_array_new(FALSE, TRUE, sizeof(struct fw_limit_check_refund));
+    c->granted = g_array_new(FALSE, TRUE, sizeof(struct fw_limit_check_grant));
     cfg->next_offset = 2;
     cfg->teams = g_hash_table_new(g_str_hash, g_str_equal);
     add_team(c, 0, cfg->teams, "large", 1000, 5000);
@@ -167,7 +171,7 @@
     Fw_FleetEnv_Clear(w);
     g_hash_table_unref(cfg->teams);
     g_free(cfg);
-    g_array_unref(c->open);
+    g_array_unref(c->pending);
     g_array_unref(c->granted);
     g_array_unref(c->refunds);
 }
@@ -176,14 +180,14 @@
 Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
                   int team, int64_t tokens)
 {
-    struct fw_open_ask q = {
+    struct fw_limit_check_request q = {
         .ticket = ++c->ticket, .site = site, .team = team, .tokens = tokens};
     struct fw_actions out;
 
     if (!Fw_FleetEnv_Runs(w, site)) {
         return;
     }
-    g_array_append_val(c->open, q);
+    g_array_append_val(c->pending, q);
     Fw_Actions_Init(&out);
     Fw_Limit_Request(w->sites[site].limit, &c->accounts[team].team, q.ticket,
                      tokens, Fw_FleetEnv_Local(w, site), &out);
@@ -196,10 +200,10 @@
                         int site, int team, int64_t tokens)
 {
     struct fw_account *a = &c->accounts[team];
-    struct fw_refund refund = {
+    struct fw_limit_check_refund refund = {
         .team = team,
         .tokens = (double)tokens,
-        .until_us = w->real_us + w->late_max_us + FW_REFUND_US,
+        .until_us = w->real_us + w->delay_max_us + FW_REFUND_US,
     };
     struct fw_actions out;
 
@@ -214,16 +218,16 @@
 }
 
 void
-Fw_LimitCheck_Refund(struct fw_limit_check *c, struct fw_fleet_env *w)
+Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *w)
 {
-    struct fw_grant_note note;
+    struct fw_limit_check_grant note;
     guint i;
 
     if (c->granted->len == 0) {
         return;
     }
     i = (guint)Fw_FleetEnv_Below(w, (gint32)c->granted->len);
-    note = g_array_index(c->granted, struct fw_grant_note, i);
+    note = g_array_index(c->granted, struct fw_limit_check_grant, i);
     g_array_remove_index_fast(c->granted, i);
     if (!Fw_FleetEnv_Runs(w, note.site) ||
         w->sites[note.site].self.boot != note.boot || note.tokens == 0) {
--- a/explore/p_order.c
+++ b/explore/p_order.c
@@ -42,7 +42,7 @@
         &y->holders[below(run, FW_ORDER_ENV_HOLDERS)];
 
     h->paused = !h->paused;
-    Fw_Run_Trace(run, "%8.1f %s %s", (double)y->now / FW_SEC,
+    Fw_Run_Trace(run, "%8.1f %s %s", (double)y->now_us / FW_SEC,
                  h->paused ? "pause" : "go on", h->self.name);
 }
 
@@ -51,7 +51,7 @@
 {
     struct fw_order_env_engine *e =
         &y->engines[below(run, FW_ORDER_ENV_ENGINES)];
-    double at = (double)y->now / FW_SEC;
+    double at = (double)y->now_us / FW_SEC;
     const char *role = draw_role(run);
 
     switch (below(run, 7)) {
@@ -79,7 +79,7 @@
         break;
     default:
         Fw_Run_Trace(run, "%8.1f %s shall be %s", at, e->name, role);
-        Fw_OrderEnv_Configure(y, e->name, role);
+        Fw_OrderEnv_SetConfiguredRole(y, e->name, role);
         break;
     }
 }
@@ -101,7 +101,7 @@
 static void
 check_fences(struct fw_run *run, const struct fw_order_env *y)
 {
-    if (y->backward) {
+    if (y->fence_regressed) {
         Fw_Run_Breach(run, "an older order took effect after a newer one");
     }
 }
@@ -123,7 +123,7 @@
         Fw_OrderEnv_Run(y, (1 + below(run, 50)) * 100 * FW_MSEC);
         lines = Fw_OrderEnv_Journal(y);
         if (lines[0]) {
-            Fw_Run_Trace(run, "%8.1f %s", (double)y->now / FW_SEC,
+            Fw_Run_Trace(run, "%8.1f %s", (double)y->now_us / FW_SEC,
                          g_strchomp(lines));
         }
         g_free(lines);
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -44,7 +44,7 @@
     y->log = g_ptr_array_new_with_free_func(g_free);
     y->calls = g_ptr_array_new_with_free_func(g_free);
     y->journal = g_string_new(NULL);
-    y->now = FW_SEC;
+    y->now_us = FW_SEC;
     put(y, "{\"kind\":\"pool\",\"name\":\"p\",\"was\":0,\"value\":"
            "{\"serves\":[{\"model\":\"m\",\"version\":\"1\"}]}}");
     return y;
@@ -75,8 +75,8 @@
 }
 
 void
-Fw_OrderEnv_Configure(struct fw_order_env *y, const char *name,
-                      const char *role)
+Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *y, const char *name,
+                              const char *role)
 {
     char *text = g_strdup_printf(
         "{\"kind\":\"upstream\",\"name\":\"%s\",\"was\":0,\"value\":"
@@ -94,7 +94,7 @@
     struct fw_order_env_engine *e = &y->engines[y->n_engines++];
     char **names = g_strsplit(models, " ", -1);
 
-    Fw_OrderEnv_Configure(y, name, role);
+    Fw_OrderEnv_SetConfiguredRole(y, name, role);
     g_strlcpy(e->name, name, sizeof(e->name));
     g_strlcpy(e->role, now, sizeof(e->role));
     e->checks = 1;
@@ -118,7 +118,7 @@
 
     stop(h);
     g_snprintf(h->self.name, sizeof(h->self.name), "holder%d", holder);
-    h->self.boot = (uint64_t)y->now;
+    h->self.boot = (uint64_t)y->now_us;
     g_strlcpy(h->self.addr, "addr", sizeof(h->self.addr));
     g_strlcpy(h->self.domain, "d", sizeof(h->self.domain));
     g_strlcpy(h->self.region, "r", sizeof(h->self.region));
@@ -161,7 +161,7 @@
 
     g_snprintf(ref, sizeof(ref), "%s@%s%s%s", o->model, o->version,
                o->adapter[0] ? "+" : "", o->adapter);
-    y->backward |= o->fence < e->fence;
+    y->fence_regressed |= o->fence < e->fence;
     e->fence = MAX(e->fence, o->fence);
     switch (o->op) {
     case FW_ORDER_LOAD_MODEL:
@@ -200,7 +200,7 @@
         add_line(y, c, "old fence");
         return;
     }
-    if (y->now > c->sent_us + o->ttl_us) {
+    if (y->now_us > c->sent_us + o->ttl_us) {
         ev->status = 410;
         add_line(y, c, "too late");
         return;
@@ -261,7 +261,7 @@
         return;
     }
     Fw_Actions_Init(&out);
-    Fw_Orders_OnUp(h->orders, y->cfg, &c->ev, y->now, &out);
+    Fw_Orders_OnUp(h->orders, y->cfg, &c->ev, y->now_us, &out);
     carry(y, c->holder, &out);
 }
 
@@ -280,7 +280,7 @@
     r.n = (int)MIN((uint64_t)c->read.max_records, r.end - r.first);
     r.records = (const char *const *)y->log->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
-    Fw_Roles_OnRecords(y->holders[c->holder].roles, &r, y->now, &out);
+    Fw_Roles_OnRecords(y->holders[c->holder].roles, &r, y->now_us, &out);
     carry(y, c->holder, &out);
 }
 
@@ -297,7 +297,7 @@
         g_ptr_array_add(y->log, g_strdup(p->records[k]));
     }
     Fw_Actions_Init(&out);
-    Fw_Roles_OnAppended(y->holders[i].roles, &done, y->now, &out);
+    Fw_Roles_OnAppended(y->holders[i].roles, &done, y->now_us, &out);
     carry(y, i, &out);
 }
 
@@ -316,8 +316,8 @@
             c = g_new0(struct fw_order_env_call, 1);
             c->holder = i;
             c->kind = a->kind;
-            c->sent_us = y->now;
-            c->due_us = y->now;
+            c->sent_us = y->now_us;
+            c->due_us = y->now_us;
             g_ptr_array_add(y->calls, c);
         }
         if (a->kind == FW_ACT_LOG_READ) {
@@ -340,7 +340,7 @@
     if (c->kind == FW_ACT_LOG_READ) {
         return !y->holders[c->holder].paused &&
                (y->log_down || c->read.from <= y->log->len ||
-                y->now >= c->sent_us + c->read.wait_us);
+                y->now_us >= c->sent_us + c->read.wait_us);
     }
     return c->reached && !y->holders[c->holder].paused;
 }
@@ -351,7 +351,8 @@
     for (unsigned k = 0; k < y->calls->len;) {
         struct fw_order_env_call *c = g_ptr_array_index(y->calls, k);
 
-        if (c->kind == FW_ACT_UP_START && !c->reached && y->now >= c->due_us) {
+        if (c->kind == FW_ACT_UP_START && !c->reached &&
+            y->now_us >= c->due_us) {
             reach_engine(y, c);
         }
         if (!is_due(y, c)) {
@@ -372,10 +373,10 @@
 void
 Fw_OrderEnv_Run(struct fw_order_env *y, int64_t us)
 {
-    int64_t until = y->now + us;
+    int64_t until = y->now_us + us;
 
-    while (y->now < until) {
-        y->now += STEP_US;
+    while (y->now_us < until) {
+        y->now_us += STEP_US;
         for (int i = 0; i < FW_ORDER_ENV_HOLDERS; i++) {
             struct fw_order_env_holder *h = &y->holders[i];
             struct fw_actions out;
@@ -384,8 +385,8 @@
                 continue;
             }
             Fw_Actions_Init(&out);
-            Fw_Orders_Tick(h->orders, y->cfg, y->now, &out);
-            Fw_Roles_Tick(h->roles, h->fleet, y->now, &out);
+            Fw_Orders_Tick(h->orders, y->cfg, y->now_us, &out);
+            Fw_Roles_Tick(h->roles, h->fleet, y->now_us, &out);
             carry(y, i, &out);
         }
         serve(y);
--- a/explore/p_order_env.h
+++ b/explore/p_order_env.h
@@ -48,7 +48,8 @@
  * @order_delay_us: how long orders are on their way
  * @poll_delay_us: how long an engine's report takes
  * @lose_answers: so many orders take effect without an answer
- * @backward: an order took effect after one with a larger fencing number
+ * @fence_regressed: an order took effect after one with a larger fencing
+ * number
  */
 struct fw_order_env {
     struct fw_order_env_holder holders[FW_ORDER_ENV_HOLDERS];
@@ -57,12 +58,12 @@
     struct fw_config *cfg;
     GPtrArray *log;
     GPtrArray *calls;
-    int64_t now;
+    int64_t now_us;
     int log_down;
     int64_t order_delay_us;
     int64_t poll_delay_us;
     int lose_answers;
-    int backward;
+    int fence_regressed;
     GString *journal;
 };
 
@@ -71,7 +72,7 @@
 Fw_OrderEnv_New(void);
 void
 Fw_OrderEnv_Free(struct fw_order_env *y);
-/* An engine of pool p; @role as configured, @now as it is, models apart by
+/* An engine of pool p; @role as configured, @now_us as it is, models apart by
  * blanks. */
 struct fw_order_env_engine *
 Fw_OrderEnv_Engine(struct fw_order_env *y, const char *name, const char *role,
@@ -82,8 +83,8 @@
 Fw_OrderEnv_Run(struct fw_order_env *y, int64_t us);
 /* What the configuration wants of an engine. */
 void
-Fw_OrderEnv_Configure(struct fw_order_env *y, const char *name,
-                      const char *role);
+Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *y, const char *name,
+                              const char *role);
 int
 Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *y);
 /* The journal since the last call; free it. */
--- a/explore/p_request.c
+++ b/explore/p_request.c
@@ -12,13 +12,13 @@
 {
     struct fw_request_env_op *op;
 
-    w->calm = 1;
+    w->no_faults = 1;
     for (int i = 0; i < FW_CALM_ROUNDS && !w->run->breach[0]; i++) {
-        for (int j = 0; j < FW_OPS_PER_ROUND && (op = Fw_RequestEnv_AnyOp(w));
-             j++) {
-            Fw_RequestEnv_Answer(w, op, 1);
+        for (int j = 0;
+             j < FW_OPS_PER_ROUND && (op = Fw_RequestEnv_RandomOp(w)); j++) {
+            Fw_RequestEnv_AnswerOp(w, op, 1);
         }
-        Fw_RequestEnv_Pass(w, 100 * FW_MSEC);
+        Fw_RequestEnv_Advance(w, 100 * FW_MSEC);
     }
 }
 
@@ -29,21 +29,21 @@
     int dice = g_rand_int_range(rand, 0, 100);
     struct fw_request_env_op *op;
 
-    if (dice < 8 && w->n_callers < FW_REQUEST_ENV_CALLERS) {
-        Fw_RequestEnv_Ask(w);
+    if (dice < 8 && w->n_callers < FW_REQUEST_ENV_CALLERS_MAX) {
+        Fw_RequestEnv_OpenCall(w);
     }
     else if (dice < 11 && w->n_callers > 0) {
-        Fw_RequestEnv_Close(w, g_rand_int_range(rand, 0, w->n_callers));
+        Fw_RequestEnv_CloseCall(w, g_rand_int_range(rand, 0, w->n_callers));
     }
     else if (dice < 12) {
-        Fw_RequestEnv_Crash(w,
-                            g_rand_int_range(rand, 0, FW_REQUEST_ENV_ENGINES));
+        Fw_RequestEnv_CrashEngine(
+            w, g_rand_int_range(rand, 0, FW_REQUEST_ENV_ENGINES));
     }
     else if (dice < 30) {
-        Fw_RequestEnv_Pass(w, g_rand_int_range(rand, 1, 100) * FW_MSEC);
+        Fw_RequestEnv_Advance(w, g_rand_int_range(rand, 1, 100) * FW_MSEC);
     }
-    else if ((op = Fw_RequestEnv_AnyOp(w))) {
-        Fw_RequestEnv_Answer(w, op, g_rand_int_range(rand, 0, 25) != 0);
+    else if ((op = Fw_RequestEnv_RandomOp(w))) {
+        Fw_RequestEnv_AnswerOp(w, op, g_rand_int_range(rand, 0, 25) != 0);
     }
 }
 
@@ -57,17 +57,17 @@
     Fw_RequestEnv_Init(&w, run);
     for (int i = 0; i < run->steps && !run->breach[0]; i++) {
         if (i == withdraw_at) {
-            Fw_RequestEnv_Withdraw(&w);
+            Fw_RequestEnv_WithdrawKey(&w);
         }
         one_step(&w);
     }
     for (int i = 0; i < w.n_callers && !run->breach[0]; i++) {
-        Fw_RequestEnv_Close(&w, i);
+        Fw_RequestEnv_CloseCall(&w, i);
     }
     calm_down(&w);
-    if (!run->breach[0] && Fw_RequestEnv_Held(&w) > 0) {
+    if (!run->breach[0] && Fw_RequestEnv_CountHeld(&w) > 0) {
         Fw_Run_Breach(run, "engines still hold %d requests of nobody",
-                      Fw_RequestEnv_Held(&w));
+                      Fw_RequestEnv_CountHeld(&w));
     }
     Fw_RequestEnv_Fini(&w);
 }
@@ -80,17 +80,17 @@
     int dice = g_rand_int_range(rand, 0, 100);
     struct fw_request_env_op *op;
 
-    if (dice < 8 && w->n_callers < FW_REQUEST_ENV_CALLERS) {
-        Fw_RequestEnv_Ask(w);
+    if (dice < 8 && w->n_callers < FW_REQUEST_ENV_CALLERS_MAX) {
+        Fw_RequestEnv_OpenCall(w);
     }
     else if (dice < 10 && w->n_callers > 0) {
-        Fw_RequestEnv_Close(w, g_rand_int_range(rand, 0, w->n_callers));
+        Fw_RequestEnv_CloseCall(w, g_rand_int_range(rand, 0, w->n_callers));
     }
     else if (dice < 25) {
-        Fw_RequestEnv_Pass(w, g_rand_int_range(rand, 1, 20) * FW_MSEC);
+        Fw_RequestEnv_Advance(w, g_rand_int_range(rand, 1, 20) * FW_MSEC);
     }
-    else if ((op = Fw_RequestEnv_AnyOp(w))) {
-        Fw_RequestEnv_Answer(w, op, 1);
+    else if ((op = Fw_RequestEnv_RandomOp(w))) {
+        Fw_RequestEnv_AnswerOp(w, op, 1);
     }
 }
 
@@ -103,7 +103,7 @@
     struct fw_request_env w;
 
     Fw_RequestEnv_Init(&w, run);
-    w.calm = 1;
+    w.no_faults = 1;
     for (int i = 0; i < run->steps && !run->breach[0]; i++) {
         quiet_step(&w);
     }
@@ -111,7 +111,7 @@
         Fw_RequestEnv_Drain(&w);
         /* Longer than handovers take: one that does not wait for its callers
          * leaves now. */
-        Fw_RequestEnv_Pass(&w, FW_STOP_PAUSE_US);
+        Fw_RequestEnv_Advance(&w, FW_STOP_PAUSE_US);
     }
     calm_down(&w);
     for (int i = 0; i < w.n_callers && !run->breach[0]; i++) {
--- a/explore/p_request_callers.c
+++ b/explore/p_request_callers.c
@@ -18,21 +18,21 @@
 }
 
 void
-Fw_RequestEnv_SeePiece(struct fw_request_env *w, const struct fw_call_piece *p)
+Fw_RequestEnv_OnPiece(struct fw_request_env *w, const struct fw_call_piece *p)
 {
     struct fw_request_env_caller *c = caller(w, p->call);
-    char *want = g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->got);
+    char *want = g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->n_pieces);
 
-    if (p->index != c->got || strcmp(p->text, want) != 0) {
+    if (p->index != c->n_pieces || strcmp(p->text, want) != 0) {
         Fw_Run_Breach(w->run, "caller %" PRIu64 " got %s in place of %s",
                       p->call - 1, p->text, want);
     }
-    c->got++;
+    c->n_pieces++;
     g_free(want);
 }
 
 void
-Fw_RequestEnv_SeeFail(struct fw_request_env *w, const struct fw_call_fail *f)
+Fw_RequestEnv_OnFail(struct fw_request_env *w, const struct fw_call_fail *f)
 {
     struct fw_request_env_caller *c = caller(w, f->call);
 
@@ -43,27 +43,27 @@
         Fw_Run_Breach(w->run, "caller %" PRIu64 " is cut off by the stop",
                       f->call - 1);
     }
-    if (f->ran == FW_RAN_NO && c->began) {
+    if (f->ran == FW_RAN_NO && c->started) {
         Fw_Run_Breach(w->run, "caller %" PRIu64 " is told that it did not run",
                       f->call - 1);
     }
 }
 
 void
-Fw_RequestEnv_SeeEnd(struct fw_request_env *w, const struct fw_call_end *e)
+Fw_RequestEnv_OnEnd(struct fw_request_env *w, const struct fw_call_end *e)
 {
     struct fw_request_env_caller *c = caller(w, e->call);
 
     c->open = 0;
     Fw_Run_Trace(w->run, "caller %" PRIu64 " has all", e->call - 1);
-    if (c->got != FW_REQUEST_ENV_PIECES) {
+    if (c->n_pieces != FW_REQUEST_ENV_PIECES) {
         Fw_Run_Breach(w->run, "caller %" PRIu64 " has %d pieces at the end",
-                      e->call - 1, c->got);
+                      e->call - 1, c->n_pieces);
     }
 }
 
 void
-Fw_RequestEnv_SeeExit(struct fw_request_env *w)
+Fw_RequestEnv_OnExit(struct fw_request_env *w)
 {
     w->exited = 1;
     for (int i = 0; i < w->n_callers; i++) {
@@ -74,7 +74,7 @@
 }
 
 void
-Fw_RequestEnv_Ask(struct fw_request_env *w)
+Fw_RequestEnv_OpenCall(struct fw_request_env *w)
 {
     int n = w->n_callers++;
     struct fw_request_env_caller *c = &w->callers[n];
@@ -102,7 +102,7 @@
 }
 
 void
-Fw_RequestEnv_Close(struct fw_request_env *w, int n)
+Fw_RequestEnv_CloseCall(struct fw_request_env *w, int n)
 {
     struct fw_event ev = {.kind = FW_EV_CALL_CLOSED,
                           .u.closed = w->callers[n].call};
@@ -169,7 +169,7 @@
 }
 
 void
-Fw_RequestEnv_Withdraw(struct fw_request_env *w)
+Fw_RequestEnv_WithdrawKey(struct fw_request_env *w)
 {
     GString *items = g_string_new(NULL);
 
@@ -177,7 +177,7 @@
     Fw_MemLog_Change(&w->log, items->str);
     g_string_free(items, TRUE);
     Fw_Run_Trace(w->run, "key-a is withdrawn");
-    Fw_RequestEnv_Pass(w, 1);
+    Fw_RequestEnv_Advance(w, 1);
     w->withdrawn = 1;
     for (int i = 0; i < w->n_callers; i++) {
         if (w->callers[i].open && w->callers[i].key[4] == 'a') {
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -8,19 +8,19 @@
 static void
 engine_begins(struct fw_request_env *w, struct fw_request_env_op *op)
 {
-    struct fw_request_env_held *h =
-        Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
+    struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
+        w, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
-    op->begun = 1;
+    op->started = 1;
     switch (op->up.kind) {
     case FW_UP_PREFILL:
     case FW_UP_IMPORT:
-        Fw_RequestEnv_Hold(w, op->engine, Fw_RequestEnv_IdOf(&op->up),
-                           op->caller);
+        Fw_RequestEnv_HoldRequest(
+            w, op->engine, Fw_RequestEnv_RequestId(&op->up), op->caller);
         break;
     case FW_UP_CANCEL:
         if (h) {
-            Fw_RequestEnv_DropHeld(h);
+            Fw_RequestEnv_FreeHeld(h);
         }
         break;
     default:
@@ -32,7 +32,7 @@
 fail(struct fw_request_env *w, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int reached = op->begun || g_rand_boolean(w->run->rand);
+    int reached = op->started || g_rand_boolean(w->run->rand);
 
     if (reached && op->engine >= 0) {
         engine_begins(w, op);
@@ -44,7 +44,7 @@
     ev.u.up.err = reached ? -ETIMEDOUT : -ECONNREFUSED;
     Fw_Run_Trace(w->run, "%s fails call %d of caller %d, reached %d",
                  op->up.upstream, (int)op->up.kind, op->caller, reached);
-    Fw_RequestEnv_DropOp(op);
+    Fw_RequestEnv_FreeOp(op);
     Fw_RequestEnv_Step(w, &ev);
 }
 
@@ -70,24 +70,24 @@
 stream(struct fw_request_env *w, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int dice = w->calm ? 9 : g_rand_int_range(w->run->rand, 0, 10);
-    struct fw_request_env_held *h =
-        Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
+    int dice = w->no_faults ? 9 : g_rand_int_range(w->run->rand, 0, 10);
+    struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
+        w, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
     if (!h) {
         fail(w, op);
         return;
     }
-    if (dice == 0 && op->next > op->first) {
-        send_piece(w, op, op->next - 1); /* doubled */
+    if (dice == 0 && op->next_piece > op->first_piece) {
+        send_piece(w, op, op->next_piece - 1); /* doubled */
     }
-    else if (dice == 1 && op->next + 1 < FW_REQUEST_ENV_PIECES) {
-        op->next++; /* lost, or late: the one after it comes first */
-        send_piece(w, op, op->next);
-        op->next++;
+    else if (dice == 1 && op->next_piece + 1 < FW_REQUEST_ENV_PIECES) {
+        op->next_piece++; /* lost, or late: the one after it comes first */
+        send_piece(w, op, op->next_piece);
+        op->next_piece++;
     }
-    else if (op->next < FW_REQUEST_ENV_PIECES) {
-        send_piece(w, op, op->next++);
+    else if (op->next_piece < FW_REQUEST_ENV_PIECES) {
+        send_piece(w, op, op->next_piece++);
     }
     else {
         ev.u.up.op = op->up.op;
@@ -96,9 +96,9 @@
         ev.u.up.u.end.tokens = FW_REQUEST_ENV_PIECES;
         g_strlcpy(ev.u.up.u.end.reason, "length",
                   sizeof(ev.u.up.u.end.reason));
-        h->lapse_us =
-            w->now_us + FW_REQUEST_ENV_LAPSE_US; /* done, kept a while */
-        Fw_RequestEnv_DropOp(op);
+        h->expires_us =
+            w->now_us + FW_REQUEST_ENV_KV_TTL_US; /* done, kept a while */
+        Fw_RequestEnv_FreeOp(op);
         Fw_RequestEnv_Step(w, &ev);
     }
 }
@@ -112,12 +112,13 @@
 
     switch (op->up.kind) {
     case FW_UP_PREFILL:
-        g_strlcpy(up->u.kv.kv, Fw_RequestEnv_IdOf(&op->up),
+        g_strlcpy(up->u.kv.kv, Fw_RequestEnv_RequestId(&op->up),
                   sizeof(up->u.kv.kv));
-        up->u.kv.lapse_us = FW_REQUEST_ENV_LAPSE_US;
-        h = Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
+        up->u.kv.lapse_us = FW_REQUEST_ENV_KV_TTL_US;
+        h = Fw_RequestEnv_FindHeld(w, op->engine,
+                                   Fw_RequestEnv_RequestId(&op->up));
         if (h) {
-            h->lapse_us = w->now_us + FW_REQUEST_ENV_LAPSE_US;
+            h->expires_us = w->now_us + FW_REQUEST_ENV_KV_TTL_US;
         }
         break;
     case FW_UP_IMPORT:
@@ -133,7 +134,7 @@
         break;
     case FW_UP_HELD:
         FW_LIST_EACH (pos, &w->held[op->engine]) {
-            if (up->u.held.n < FW_REQUEST_ENV_CALLERS) {
+            if (up->u.held.n < FW_REQUEST_ENV_CALLERS_MAX) {
                 ids[up->u.held.n++] =
                     FW_LIST_ENTRY(pos, struct fw_request_env_held, link)->id;
             }
@@ -146,10 +147,10 @@
 }
 
 void
-Fw_RequestEnv_Answer(struct fw_request_env *w, struct fw_request_env_op *op,
-                     int ok)
+Fw_RequestEnv_AnswerOp(struct fw_request_env *w, struct fw_request_env_op *op,
+                       int ok)
 {
-    const char *ids[FW_REQUEST_ENV_CALLERS];
+    const char *ids[FW_REQUEST_ENV_CALLERS_MAX];
     struct fw_event ev = {.kind = FW_EV_UP};
 
     if (!ok) {
@@ -157,7 +158,7 @@
         return;
     }
     if (op->up.kind == FW_UP_IMPORT &&
-        Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_IdOf(&op->up)) < 0) {
+        Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_RequestId(&op->up)) < 0) {
         fail(w, op); /* the KV has lapsed */
         return;
     }
@@ -171,19 +172,19 @@
     ev.u.up.phase = FW_UP_DONE;
     ev.u.up.status = 200;
     fill_answer(w, op, &ev.u.up, ids);
-    Fw_RequestEnv_DropOp(op);
+    Fw_RequestEnv_FreeOp(op);
     Fw_RequestEnv_Step(w, &ev);
 }
 
 void
-Fw_RequestEnv_Crash(struct fw_request_env *w, int engine)
+Fw_RequestEnv_CrashEngine(struct fw_request_env *w, int engine)
 {
     struct fw_list *pos;
     int again = 1;
 
     Fw_Run_Trace(w->run, "%s crashes", Fw_RequestEnv_EngineName(engine));
     while (!Fw_List_Empty(&w->held[engine])) {
-        Fw_RequestEnv_DropHeld(FW_LIST_ENTRY(
+        Fw_RequestEnv_FreeHeld(FW_LIST_ENTRY(
             w->held[engine].next, struct fw_request_env_held, link));
     }
     while (again) {
@@ -191,14 +192,14 @@
         FW_LIST_EACH (pos, &w->ops) {
             struct fw_request_env_op *op =
                 FW_LIST_ENTRY(pos, struct fw_request_env_op, link);
-            if (op->engine == engine && !op->begun) {
+            if (op->engine == engine && !op->started) {
                 struct fw_event ev = {.kind = FW_EV_UP};
                 ev.u.up.op = op->up.op;
                 ev.u.up.kind = op->up.kind;
                 ev.u.up.phase = FW_UP_FAILED;
                 ev.u.up.ran = FW_RAN_MAYBE;
                 ev.u.up.err = -ECONNRESET;
-                Fw_RequestEnv_DropOp(op);
+                Fw_RequestEnv_FreeOp(op);
                 Fw_RequestEnv_Step(w, &ev);
                 again = 1;
                 break;
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -55,15 +55,15 @@
 }
 
 void
-Fw_RequestEnv_DropHeld(struct fw_request_env_held *h)
+Fw_RequestEnv_FreeHeld(struct fw_request_env_held *h)
 {
     Fw_List_Remove(&h->link);
     g_free(h);
 }
 
 void
-Fw_RequestEnv_Hold(struct fw_request_env *w, int engine, const char *id,
-                   int caller)
+Fw_RequestEnv_HoldRequest(struct fw_request_env *w, int engine, const char *id,
+                          int caller)
 {
     struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(w, engine, id);
 
@@ -74,7 +74,7 @@
         Fw_List_Append(&w->held[engine], &h->link);
     }
     if (caller >= 0) {
-        w->callers[caller].began = 1;
+        w->callers[caller].started = 1;
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 const char *
-Fw_RequestEnv_IdOf(const struct fw_up_start *up)
+Fw_RequestEnv_RequestId(const struct fw_up_start *up)
 {
     switch (up->kind) {
     case FW_UP_PREFILL:
@@ -145,17 +145,17 @@
     }
     else if (up->kind != FW_UP_LOAD && up->kind != FW_UP_HELD &&
              up->kind != FW_UP_CACHE) {
-        op->caller = Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_IdOf(up));
+        op->caller = Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_RequestId(up));
     }
     if (up->kind == FW_UP_DECODE || up->kind == FW_UP_RESUME) {
-        op->next = up->u.decode.from_index;
-        op->first = op->next;
+        op->next_piece = up->u.decode.from_index;
+        op->first_piece = op->next_piece;
     }
     Fw_List_Append(&w->ops, &op->link);
 }
 
 void
-Fw_RequestEnv_DropOp(struct fw_request_env_op *op)
+Fw_RequestEnv_FreeOp(struct fw_request_env_op *op)
 {
     Fw_List_Remove(&op->link);
     g_free(op);
@@ -174,10 +174,11 @@
             /* It may have reached the engine all the same. */
             if (op->up.kind == FW_UP_PREFILL && op->caller >= 0 &&
                 g_rand_boolean(w->run->rand)) {
-                Fw_RequestEnv_Hold(w, op->engine, Fw_RequestEnv_IdOf(&op->up),
-                                   op->caller);
+                Fw_RequestEnv_HoldRequest(w, op->engine,
+                                          Fw_RequestEnv_RequestId(&op->up),
+                                          op->caller);
             }
-            Fw_RequestEnv_DropOp(op);
+            Fw_RequestEnv_FreeOp(op);
         }
     }
 }
@@ -244,13 +245,13 @@
     while ((a = Fw_Actions_Take(out))) {
         switch (a->kind) {
         case FW_ACT_CALL_PIECE:
-            Fw_RequestEnv_SeePiece(w, &a->u.piece);
+            Fw_RequestEnv_OnPiece(w, &a->u.piece);
             break;
         case FW_ACT_CALL_FAIL:
-            Fw_RequestEnv_SeeFail(w, &a->u.fail);
+            Fw_RequestEnv_OnFail(w, &a->u.fail);
             break;
         case FW_ACT_CALL_END:
-            Fw_RequestEnv_SeeEnd(w, &a->u.end);
+            Fw_RequestEnv_OnEnd(w, &a->u.end);
             break;
         case FW_ACT_UP_START:
             take_up(w, &a->u.up);
@@ -271,7 +272,7 @@
         case FW_ACT_NOTE:
             break;
         case FW_ACT_EXIT:
-            Fw_RequestEnv_SeeExit(w);
+            Fw_RequestEnv_OnExit(w);
             break;
         }
         Fw_Action_Free(a);
@@ -287,15 +288,15 @@
         FW_LIST_EACH_SAFE (pos, tmp, &w->held[e]) {
             struct fw_request_env_held *h =
                 FW_LIST_ENTRY(pos, struct fw_request_env_held, link);
-            if (h->lapse_us && h->lapse_us <= w->now_us) {
-                Fw_RequestEnv_DropHeld(h);
+            if (h->expires_us && h->expires_us <= w->now_us) {
+                Fw_RequestEnv_FreeHeld(h);
             }
         }
     }
 }
 
 void
-Fw_RequestEnv_Pass(struct fw_request_env *w, int64_t us)
+Fw_RequestEnv_Advance(struct fw_request_env *w, int64_t us)
 {
     int64_t until = w->now_us + us;
     struct fw_event tick = {.kind = FW_EV_TICK};
@@ -345,7 +346,7 @@
     Fw_RequestEnv_Configure(w);
     w->node = Fw_Node_New(&opts, w->now_us);
     while (!Fw_Node_Ready(w->node)) {
-        Fw_RequestEnv_Pass(w, 100 * FW_MSEC);
+        Fw_RequestEnv_Advance(w, 100 * FW_MSEC);
     }
 }
 
@@ -353,12 +354,12 @@
 Fw_RequestEnv_Fini(struct fw_request_env *w)
 {
     while (!Fw_List_Empty(&w->ops)) {
-        Fw_RequestEnv_DropOp(
+        Fw_RequestEnv_FreeOp(
             FW_LIST_ENTRY(w->ops.next, struct fw_request_env_op, link));
     }
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
         while (!Fw_List_Empty(&w->held[e])) {
-            Fw_RequestEnv_DropHeld(FW_LIST_ENTRY(
+            Fw_RequestEnv_FreeHeld(FW_LIST_ENTRY(
                 w->held[e].next, struct fw_request_env_held, link));
         }
     }
@@ -372,7 +373,7 @@
 }
 
 int
-Fw_RequestEnv_Held(const struct fw_request_env *w)
+Fw_RequestEnv_CountHeld(const struct fw_request_env *w)
 {
     const struct fw_list *pos;
     int n = 0;
@@ -386,7 +387,7 @@
 }
 
 struct fw_request_env_op *
-Fw_RequestEnv_AnyOp(struct fw_request_env *w)
+Fw_RequestEnv_RandomOp(struct fw_request_env *w)
 {
     struct fw_list *pos;
     int n = 0;
--- a/explore/p_request_env.h
+++ b/explore/p_request_env.h
@@ -11,19 +11,19 @@
 #include "node/node.h"
 
 #define FW_REQUEST_ENV_ENGINES 4 /* p0, p1 prefill; d0, d1 decode */
-#define FW_REQUEST_ENV_CALLERS 400
+#define FW_REQUEST_ENV_CALLERS_MAX 400
 #define FW_REQUEST_ENV_PIECES 5 /* length of each whole answer */
-#define FW_REQUEST_ENV_LAPSE_US (800 * FW_MSEC)
+#define FW_REQUEST_ENV_KV_TTL_US (800 * FW_MSEC)
 
 /**
  * struct fw_request_env_held - what an engine holds for an attempt.
- * @lapse_us: freed by itself then, 0 for never
+ * @expires_us: freed by itself then, 0 for never
  */
 struct fw_request_env_held {
     struct fw_list link;
     char id[FW_ID_MAX];
     int caller;
-    int64_t lapse_us;
+    int64_t expires_us;
 };
 
 /** struct fw_request_env_op - an upstream call that has no answer yet. */
@@ -32,9 +32,9 @@
     struct fw_up_start up;
     int caller;
     int engine;
-    int begun;    /* the engine has started on it */
-    int64_t next; /* of a stream: index of the next piece */
-    int64_t first;
+    int started;        /* the engine has started on it */
+    int64_t next_piece; /* of a stream: index of the next piece */
+    int64_t first_piece;
 };
 
 /** struct fw_request_env_read - a read of the log that has no answer yet. */
@@ -47,15 +47,15 @@
 /**
  * struct fw_request_env_caller - one caller and what it has seen.
  * @call: handle, 0 before it asks
- * @got: pieces so far
- * @began: an engine began some attempt of it
+ * @n_pieces: pieces so far
+ * @started: an engine began some attempt of it
  */
 struct fw_request_env_caller {
     uint64_t call;
     char key[8];
-    int got;
+    int n_pieces;
     int open;
-    int began;
+    int started;
 };
 
 struct fw_request_env {
@@ -65,14 +65,14 @@
     int64_t wake_us;
     struct fw_list ops;
     struct fw_list held[FW_REQUEST_ENV_ENGINES];
-    struct fw_request_env_caller callers[FW_REQUEST_ENV_CALLERS];
+    struct fw_request_env_caller callers[FW_REQUEST_ENV_CALLERS_MAX];
     int n_callers;
     struct fw_memlog log;
     struct fw_list reads; /* answered when time passes */
     int withdrawn;
     int draining;
     int exited;
-    int calm; /* no more faults: all is answered well */
+    int no_faults; /* no more faults: all is answered well */
 };
 
 void
@@ -81,39 +81,38 @@
 Fw_RequestEnv_Fini(struct fw_request_env *w);
 /* Lets @us pass, with all ticks and lapses due. */
 void
-Fw_RequestEnv_Pass(struct fw_request_env *w, int64_t us);
+Fw_RequestEnv_Advance(struct fw_request_env *w, int64_t us);
 void
-Fw_RequestEnv_Ask(struct fw_request_env *w);
+Fw_RequestEnv_OpenCall(struct fw_request_env *w);
 void
-Fw_RequestEnv_Close(struct fw_request_env *w, int caller);
+Fw_RequestEnv_CloseCall(struct fw_request_env *w, int caller);
 /* The instance is told to stop. */
 void
 Fw_RequestEnv_Drain(struct fw_request_env *w);
 void
-Fw_RequestEnv_Withdraw(struct fw_request_env *w);
+Fw_RequestEnv_WithdrawKey(struct fw_request_env *w);
 /* Answers the call, well or not as @ok says, or sends a piece of it. */
 void
-Fw_RequestEnv_Answer(struct fw_request_env *w, struct fw_request_env_op *op,
-                     int ok);
+Fw_RequestEnv_AnswerOp(struct fw_request_env *w, struct fw_request_env_op *op,
+                       int ok);
 void
-Fw_RequestEnv_Crash(struct fw_request_env *w, int engine);
+Fw_RequestEnv_CrashEngine(struct fw_request_env *w, int engine);
 struct fw_request_env_op *
-Fw_RequestEnv_AnyOp(struct fw_request_env *w);
+Fw_RequestEnv_RandomOp(struct fw_request_env *w);
 /* Requests held by all engines. */
 int
-Fw_RequestEnv_Held(const struct fw_request_env *w);
+Fw_RequestEnv_CountHeld(const struct fw_request_env *w);
 
 /* For the environment's own files. */
 /* p_request_callers.c: what the instance says to callers, looked at. */
 void
-Fw_RequestEnv_SeePiece(struct fw_request_env *w,
-                       const struct fw_call_piece *p);
+Fw_RequestEnv_OnPiece(struct fw_request_env *w, const struct fw_call_piece *p);
 void
-Fw_RequestEnv_SeeFail(struct fw_request_env *w, const struct fw_call_fail *f);
+Fw_RequestEnv_OnFail(struct fw_request_env *w, const struct fw_call_fail *f);
 void
-Fw_RequestEnv_SeeEnd(struct fw_request_env *w, const struct fw_call_end *e);
+Fw_RequestEnv_OnEnd(struct fw_request_env *w, const struct fw_call_end *e);
 void
-Fw_RequestEnv_SeeExit(struct fw_request_env *w);
+Fw_RequestEnv_OnExit(struct fw_request_env *w);
 /* Teams, keys and engines as the operator would write them. */
 void
 Fw_RequestEnv_Configure(struct fw_request_env *w);
@@ -125,15 +124,15 @@
 struct fw_request_env_held *
 Fw_RequestEnv_FindHeld(struct fw_request_env *w, int engine, const char *id);
 void
-Fw_RequestEnv_Hold(struct fw_request_env *w, int engine, const char *id,
-                   int caller);
+Fw_RequestEnv_HoldRequest(struct fw_request_env *w, int engine, const char *id,
+                          int caller);
 void
-Fw_RequestEnv_DropHeld(struct fw_request_env_held *h);
+Fw_RequestEnv_FreeHeld(struct fw_request_env_held *h);
 /* Engine-side id that a call is about, "" for none. */
 const char *
-Fw_RequestEnv_IdOf(const struct fw_up_start *up);
+Fw_RequestEnv_RequestId(const struct fw_up_start *up);
 void
-Fw_RequestEnv_DropOp(struct fw_request_env_op *op);
+Fw_RequestEnv_FreeOp(struct fw_request_env_op *op);
 /* Whom an attempt belongs to, from what engines hold; -1 for unknown. */
 int
 Fw_RequestEnv_CallerOfId(struct fw_request_env *w, const char *id);
--- a/explore/p_route.c
+++ b/explore/p_route.c
@@ -19,9 +19,10 @@
 /** struct leaving - what the check knows. */
 struct leaving {
     struct fw_run *run;
-    int64_t said_us[FW_STAGE_ENGINES];   /* by the engine, 0: stays */
-    int64_t listed_us[FW_STAGE_ENGINES]; /* read by the last instance */
-    int list[FW_STAGE_ENGINES];          /* what the list says */
+    int64_t said_us[FW_ROUTE_ENV_ENGINES_MAX]; /* by the engine, 0: stays */
+    int64_t
+        listed_us[FW_ROUTE_ENV_ENGINES_MAX]; /* read by the last instance */
+    int list[FW_ROUTE_ENV_ENGINES_MAX];      /* what the list says */
     int64_t read_us[NODES];
     uint64_t ticket;
 };
@@ -62,7 +63,7 @@
 static void
 read_list(struct route_env *s, struct leaving *l, int node)
 {
-    struct fw_list_entry e[FW_STAGE_ENGINES] = {0};
+    struct fw_list_entry e[FW_ROUTE_ENV_ENGINES_MAX] = {0};
     struct fw_listed listed = {.n = s->n_engines, .entries = e};
 
     for (int i = 0; i < s->n_engines; i++) {
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -256,7 +256,7 @@
 static void
 introduce(struct route_env *s)
 {
-    struct fw_list_entry e[FW_ROUTE_ENV_NODES] = {0};
+    struct fw_list_entry e[FW_ROUTE_ENV_INSTANCES_MAX] = {0};
     struct fw_listed listed = {.n = s->n, .entries = e};
 
     for (int i = 0; i < s->n; i++) {
--- a/explore/p_route_env.h
+++ b/explore/p_route_env.h
@@ -11,8 +11,8 @@
 #include "route/route.h"
 #include "route/router.h"
 
-#define FW_ROUTE_ENV_NODES 3
-#define FW_STAGE_ENGINES 8
+#define FW_ROUTE_ENV_INSTANCES_MAX 3
+#define FW_ROUTE_ENV_ENGINES_MAX 8
 
 /** struct route_env_engine - what an engine says of itself. */
 struct route_env_engine {
@@ -30,17 +30,17 @@
 struct route_env {
     int n;
     enum fw_policy policy;
-    struct fw_self self[FW_ROUTE_ENV_NODES];
-    struct fw_metrics metrics[FW_ROUTE_ENV_NODES];
-    struct fw_fleet *fleet[FW_ROUTE_ENV_NODES];
-    struct fw_router *router[FW_ROUTE_ENV_NODES];
-    int64_t wake_us[FW_ROUTE_ENV_NODES];
-    int dead[FW_ROUTE_ENV_NODES];
+    struct fw_self self[FW_ROUTE_ENV_INSTANCES_MAX];
+    struct fw_metrics metrics[FW_ROUTE_ENV_INSTANCES_MAX];
+    struct fw_fleet *fleet[FW_ROUTE_ENV_INSTANCES_MAX];
+    struct fw_router *router[FW_ROUTE_ENV_INSTANCES_MAX];
+    int64_t wake_us[FW_ROUTE_ENV_INSTANCES_MAX];
+    int dead[FW_ROUTE_ENV_INSTANCES_MAX];
     int lose_replies; /* answers of coordinators are lost on the way */
     struct fw_config *cfg;
     int64_t now_us;
     int n_engines;
-    struct route_env_engine engine[FW_STAGE_ENGINES];
+    struct route_env_engine engine[FW_ROUTE_ENV_ENGINES_MAX];
     struct fw_list mail;
     GString *seen;
     GRand *rand; /* NULL: no message is lost by chance */
--- a/explore/run.c
+++ b/explore/run.c
@@ -29,7 +29,7 @@
 }
 
 const struct fw_promise *
-Fw_Promise_Find(const char *name)
+Fw_Property_Find(const char *name)
 {
     for (const struct fw_promise *p = Fw_Promises; p->name; p++) {
         if (strcmp(p->name, name) == 0) {
