--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -17,69 +17,71 @@
 
 /** struct check - what a run looks at. */
 struct check {
-    void (*after_append)(struct fw_config_env *w, const char *text,
+    void (*after_append)(struct fw_config_env *env, const char *text,
                          const struct fw_change_result *res, void *ctx);
-    void (*look)(struct fw_config_env *w, int i, void *ctx);
+    void (*look)(struct fw_config_env *env, int i, void *ctx);
     void *ctx;
 };
 
 /* Mostly the version in force, at times an old or a made-up one. */
 static uint64_t
-draw_version(struct fw_config_env *w, enum fw_item_kind kind, const char *name)
+draw_version(struct fw_config_env *env, enum fw_item_kind kind,
+             const char *name)
 {
-    uint64_t v = Fw_Config_ItemVersion(w->reference->cfg, kind, name);
+    uint64_t v = Fw_Config_ItemVersion(env->reference->cfg, kind, name);
 
-    if (Fw_ConfigEnv_RandBelow(w, 4) == 0) {
-        return v ? (uint64_t)Fw_ConfigEnv_RandBelow(w, (int)v) : 1;
+    if (Fw_ConfigEnv_RandBelow(env, 4) == 0) {
+        return v ? (uint64_t)Fw_ConfigEnv_RandBelow(env, (int)v) : 1;
     }
     return v;
 }
 
 static char *
-draw_item(struct fw_config_env *w)
+draw_item(struct fw_config_env *env)
 {
     char name[FW_ITEM_NAME_MAX];
     uint64_t was;
 
-    if (Fw_ConfigEnv_RandBelow(w, 3) > 0) {
+    if (Fw_ConfigEnv_RandBelow(env, 3) > 0) {
         g_snprintf(name, sizeof(name), "t%d",
-                   Fw_ConfigEnv_RandBelow(w, TEAMS));
-        was = draw_version(w, FW_ITEM_TEAM, name);
+                   Fw_ConfigEnv_RandBelow(env, TEAMS));
+        was = draw_version(env, FW_ITEM_TEAM, name);
         return g_strdup_printf(
             "{\"kind\":\"team\",\"name\":\"%s\",\"was\":%" G_GUINT64_FORMAT
             ",\"value\":{\"rate\":%d,\"burst\":1}}",
-            name, was, 1 + Fw_ConfigEnv_RandBelow(w, 9));
+            name, was, 1 + Fw_ConfigEnv_RandBelow(env, 9));
     }
-    g_snprintf(name, sizeof(name), "%064d", Fw_ConfigEnv_RandBelow(w, KEYS));
-    was = draw_version(w, FW_ITEM_KEY, name);
+    g_snprintf(name, sizeof(name), "%064d", Fw_ConfigEnv_RandBelow(env, KEYS));
+    was = draw_version(env, FW_ITEM_KEY, name);
     return g_strdup_printf(
         "{\"kind\":\"key\",\"name\":\"%s\",\"was\":%" G_GUINT64_FORMAT
         ",\"value\":{\"team\":\"t0\",\"withdrawn\":%s}}",
-        name, was, Fw_ConfigEnv_RandBelow(w, 3) == 0 ? "true" : "false");
+        name, was, Fw_ConfigEnv_RandBelow(env, 3) == 0 ? "true" : "false");
 }
 
 static void
-append_change(struct fw_config_env *w, const struct check *c)
+append_change(struct fw_config_env *env, const struct check *c)
 {
     struct fw_change_result res;
-    char *item = draw_item(w);
+    char *item = draw_item(env);
     /* A small space of ids, so that some come twice. */
     char *text = g_strdup_printf(
         "{\"v\":1,\"id\":\"c-%u\",\"who\":\"anna\",\"at\":\"t\","
         "\"items\":[%s]}",
-        Fw_ConfigEnv_RandBelow(w, 20) == 0 ? 1 : w->config.records->len, item);
+        Fw_ConfigEnv_RandBelow(env, 20) == 0 ? 1 : env->config.records->len,
+        item);
 
-    if (w->log_down) {
+    if (env->log_down) {
         g_free(text);
         g_free(item);
         return;
     }
-    Fw_ConfigEnv_Append(w, text, &res);
-    Fw_Run_Trace(w->run, "%8.1f append %u %s %s", (double)w->now_us / FW_SEC,
-                 w->config.records->len, Fw_Change_VerdictName(res.verdict),
-                 item);
+    Fw_ConfigEnv_Append(env, text, &res);
+    Fw_Run_Trace(env->run, "%8.1f append %u %s %s",
+                 (double)env->now_us / FW_SEC, env->config.records->len,
+                 Fw_Change_VerdictName(res.verdict), item);
     if (c->after_append) {
-        c->after_append(w, text, &res, c->ctx);
+        c->after_append(env, text, &res, c->ctx);
     }
     g_free(text);
     g_free(item);
@@ -87,130 +89,132 @@
 
 /* An old snapshot comes again, or one with a digit changed. */
 static void
-append_bad_snapshot(struct fw_config_env *w)
+append_bad_snapshot(struct fw_config_env *env)
 {
     char *part;
     char *rate;
 
-    if (w->snapshot.records->len == 0) {
+    if (env->snapshot.records->len == 0) {
         return;
     }
     part = g_strdup(g_ptr_array_index(
-        w->snapshot.records,
-        Fw_ConfigEnv_RandBelow(w, (int)w->snapshot.records->len)));
+        env->snapshot.records,
+        Fw_ConfigEnv_RandBelow(env, (int)env->snapshot.records->len)));
     rate = strstr(part, "\"rate\":");
-    if (rate && Fw_ConfigEnv_RandBelow(w, 2)) {
+    if (rate && Fw_ConfigEnv_RandBelow(env, 2)) {
         rate[7] = rate[7] == '5' ? '6' : '5';
         /* Another name, so that it is read for itself. */
         strstr(part, "\"snap\":\"")[8] = 'x';
     }
-    Fw_Run_Trace(w->run, "%8.1f old or changed snapshot",
-                 (double)w->now_us / FW_SEC);
-    g_ptr_array_add(w->snapshot.records, part);
+    Fw_Run_Trace(env->run, "%8.1f old or changed snapshot",
+                 (double)env->now_us / FW_SEC);
+    g_ptr_array_add(env->snapshot.records, part);
 }
 
 static void
-age_out(struct fw_config_env *w)
+age_out(struct fw_config_env *env)
 {
     struct fw_config_env_stream *s =
-        Fw_ConfigEnv_RandBelow(w, 4) ? &w->config : &w->snapshot;
-    uint64_t keep = (uint64_t)Fw_ConfigEnv_RandBelow(w, 8);
+        Fw_ConfigEnv_RandBelow(env, 4) ? &env->config : &env->snapshot;
+    uint64_t keep = (uint64_t)Fw_ConfigEnv_RandBelow(env, 8);
 
     if (s->records->len > keep) {
         s->expired = MAX(s->expired, s->records->len - keep);
-        Fw_Run_Trace(w->run, "%8.1f %s keeps %" G_GUINT64_FORMAT,
-                     (double)w->now_us / FW_SEC,
-                     s == &w->config ? "config" : "snapshot", keep);
+        Fw_Run_Trace(env->run, "%8.1f %s keeps %" G_GUINT64_FORMAT,
+                     (double)env->now_us / FW_SEC,
+                     s == &env->config ? "config" : "snapshot", keep);
     }
 }
 
 static void
-do_fault(struct fw_config_env *w)
+do_fault(struct fw_config_env *env)
 {
-    int i = Fw_ConfigEnv_RandBelow(w, FW_CONFIG_ENV_REPLICAS);
-    double at = (double)w->now_us / FW_SEC;
+    int i = Fw_ConfigEnv_RandBelow(env, FW_CONFIG_ENV_REPLICAS);
+    double at = (double)env->now_us / FW_SEC;
 
-    switch (Fw_ConfigEnv_RandBelow(w, 7)) {
+    switch (Fw_ConfigEnv_RandBelow(env, 7)) {
     case 0:
-        Fw_Run_Trace(w->run, "%8.1f restart fold%d", at, i);
-        Fw_ConfigEnv_Start(w, i);
+        Fw_Run_Trace(env->run, "%8.1f restart fold%d", at, i);
+        Fw_ConfigEnv_Start(env, i);
         break;
     case 1:
-        w->replicas[i].isolated = !w->replicas[i].isolated;
-        Fw_Run_Trace(w->run, "%8.1f %s fold%d", at,
-                     w->replicas[i].isolated ? "cut" : "join", i);
+        env->replicas[i].isolated = !env->replicas[i].isolated;
+        Fw_Run_Trace(env->run, "%8.1f %s fold%d", at,
+                     env->replicas[i].isolated ? "cut" : "join", i);
         break;
     case 2:
-        w->log_down = !w->log_down;
-        Fw_Run_Trace(w->run, "%8.1f log %s", at, w->log_down ? "down" : "up");
+        env->log_down = !env->log_down;
+        Fw_Run_Trace(env->run, "%8.1f log %s", at,
+                     env->log_down ? "down" : "up");
         break;
     case 3:
-        age_out(w);
+        age_out(env);
         break;
     case 4:
-        append_bad_snapshot(w);
+        append_bad_snapshot(env);
         break;
     default:
-        Fw_Run_Trace(w->run, "%8.1f writer fold%d", at, i);
-        Fw_ConfigReplica_SetSnapshotWriter(w->replicas[i].replica,
-                                           Fw_ConfigEnv_RandBelow(w, 4) > 0);
+        Fw_Run_Trace(env->run, "%8.1f writer fold%d", at, i);
+        Fw_ConfigReplica_SetSnapshotWriter(env->replicas[i].replica,
+                                           Fw_ConfigEnv_RandBelow(env, 4) > 0);
         break;
     }
 }
 
 static void
-look_at_all(struct fw_config_env *w, const struct check *c)
+look_at_all(struct fw_config_env *env, const struct check *c)
 {
     for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
         if (c->look) {
-            c->look(w, i, c->ctx);
+            c->look(env, i, c->ctx);
         }
-        w->replicas[i].last_offset =
-            Fw_ConfigReplica_Config(w->replicas[i].replica)->next_offset;
+        env->replicas[i].last_offset =
+            Fw_ConfigReplica_Config(env->replicas[i].replica)->next_offset;
     }
 }
 
 static void
 run_shelf(struct fw_run *run, const struct check *c)
 {
-    struct fw_config_env w;
+    struct fw_config_env env;
 
-    Fw_ConfigEnv_Init(&w, run);
-    w.loss_pct = 10;
+    Fw_ConfigEnv_Init(&env, run);
+    env.loss_pct = 10;
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        Fw_ConfigEnv_Advance(&w, (1 + Fw_ConfigEnv_RandBelow(&w, 30)) * 100 *
-                                     FW_MSEC);
-        look_at_all(&w, c);
-        if (Fw_ConfigEnv_RandBelow(&w, 2) == 0) {
-            append_change(&w, c);
+        Fw_ConfigEnv_Advance(&env, (1 + Fw_ConfigEnv_RandBelow(&env, 30)) *
+                                       100 * FW_MSEC);
+        look_at_all(&env, c);
+        if (Fw_ConfigEnv_RandBelow(&env, 2) == 0) {
+            append_change(&env, c);
         }
-        if (Fw_ConfigEnv_RandBelow(&w, 4) == 0) {
-            do_fault(&w);
+        if (Fw_ConfigEnv_RandBelow(&env, 4) == 0) {
+            do_fault(&env);
         }
-        if (Fw_ConfigEnv_RandBelow(&w, 60) == 0) {
+        if (Fw_ConfigEnv_RandBelow(&env, 60) == 0) {
             for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
-                w.replicas[i].isolated = 0;
+                env.replicas[i].isolated = 0;
             }
-            w.log_down = 0;
-            Fw_Run_Trace(run, "%8.1f heal", (double)w.now_us / FW_SEC);
-            Fw_ConfigEnv_Advance(&w, HEAL_US);
-            look_at_all(&w, c);
+            env.log_down = 0;
+            Fw_Run_Trace(run, "%8.1f heal", (double)env.now_us / FW_SEC);
+            Fw_ConfigEnv_Advance(&env, HEAL_US);
+            look_at_all(&env, c);
         }
     }
-    Fw_ConfigEnv_Clear(&w);
+    Fw_ConfigEnv_Clear(&env);
 }
 
 static void
-look_same(struct fw_config_env *w, int i, void *ctx)
+look_same(struct fw_config_env *env, int i, void *ctx)
 {
     const struct fw_config *cfg =
-        Fw_ConfigReplica_Config(w->replicas[i].replica);
-    uint64_t right = g_array_index(w->digests, uint64_t, cfg->next_offset - 1);
+        Fw_ConfigReplica_Config(env->replicas[i].replica);
+    uint64_t right =
+        g_array_index(env->digests, uint64_t, cfg->next_offset - 1);
 
     (void)ctx;
     if (Fw_Config_Digest(cfg) != right) {
-        Fw_Run_Breach(w->run, "fold%d differs at offset %" G_GUINT64_FORMAT, i,
-                      cfg->next_offset);
+        Fw_Run_Breach(env->run, "fold%d differs at offset %" G_GUINT64_FORMAT,
+                      i, cfg->next_offset);
     }
 }
 
@@ -221,17 +225,17 @@
 }
 
 static void
-look_back(struct fw_config_env *w, int i, void *ctx)
+look_back(struct fw_config_env *env, int i, void *ctx)
 {
     uint64_t now =
-        Fw_ConfigReplica_Config(w->replicas[i].replica)->next_offset;
+        Fw_ConfigReplica_Config(env->replicas[i].replica)->next_offset;
 
     (void)ctx;
-    if (now < w->replicas[i].last_offset) {
-        Fw_Run_Breach(w->run,
+    if (now < env->replicas[i].last_offset) {
+        Fw_Run_Breach(env->run,
                       "fold%d went from offset %" G_GUINT64_FORMAT
                       " to %" G_GUINT64_FORMAT,
-                      i, w->replicas[i].last_offset, now);
+                      i, env->replicas[i].last_offset, now);
     }
 }
 
@@ -247,7 +251,7 @@
 };
 
 static void
-after_update(struct fw_config_env *w, const char *text,
+after_update(struct fw_config_env *env, const char *text,
              const struct fw_change_result *res, void *ctx)
 {
     struct versions *v = ctx;
@@ -264,14 +268,14 @@
         uint64_t last = GPOINTER_TO_SIZE(g_hash_table_lookup(v->last, key));
 
         if (last != ch.items[i].expected_version) {
-            Fw_Run_Breach(w->run,
+            Fw_Run_Breach(env->run,
                           "%s made on %" G_GUINT64_FORMAT
                           " was accepted over %" G_GUINT64_FORMAT,
                           ch.items[i].name, ch.items[i].expected_version,
                           last);
         }
         g_hash_table_insert(v->last, key,
-                            GSIZE_TO_POINTER(w->config.records->len));
+                            GSIZE_TO_POINTER(env->config.records->len));
     }
     Fw_Change_Clear(&ch);
 }
@@ -293,15 +297,15 @@
 };
 
 static void
-look_key(struct fw_config_env *w, int i, void *ctx)
+look_key(struct fw_config_env *env, int i, void *ctx)
 {
     struct withdrawn *wd = ctx;
     const struct fw_config *cfg =
-        Fw_ConfigReplica_Config(w->replicas[i].replica);
+        Fw_ConfigReplica_Config(env->replicas[i].replica);
 
-    if (wd->process[i] != w->replicas[i].replica ||
-        w->replicas[i].last_offset == 0) {
-        wd->process[i] = w->replicas[i].replica;
+    if (wd->process[i] != env->replicas[i].replica ||
+        env->replicas[i].last_offset == 0) {
+        wd->process[i] = env->replicas[i].replica;
         wd->seen[i] = 0;
     }
     for (int k = 0; k < KEYS; k++) {
@@ -314,7 +318,7 @@
             wd->seen[i] |= 1U << k;
         }
         else if (wd->seen[i] & (1U << k)) {
-            Fw_Run_Breach(w->run, "fold%d: key %d works again", i, k);
+            Fw_Run_Breach(env->run, "fold%d: key %d works again", i, k);
         }
     }
 }
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -6,144 +6,145 @@
 #define STEP_US (100 * FW_MSEC)
 
 int
-Fw_ConfigEnv_RandBelow(struct fw_config_env *w, int n)
+Fw_ConfigEnv_RandBelow(struct fw_config_env *env, int n)
 {
-    return g_rand_int_range(w->run->rand, 0, n);
+    return g_rand_int_range(env->run->rand, 0, n);
 }
 
 static void
-note_digest(struct fw_config_env *w)
+note_digest(struct fw_config_env *env)
 {
-    uint64_t d = Fw_Config_Digest(w->reference->cfg);
+    uint64_t d = Fw_Config_Digest(env->reference->cfg);
 
-    g_array_append_val(w->digests, d);
+    g_array_append_val(env->digests, d);
 }
 
 void
-Fw_ConfigEnv_Init(struct fw_config_env *w, struct fw_run *run)
+Fw_ConfigEnv_Init(struct fw_config_env *env, struct fw_run *run)
 {
-    *w = (struct fw_config_env){.run = run, .now_us = FW_SEC};
-    w->config.records = g_ptr_array_new_with_free_func(g_free);
-    w->snapshot.records = g_ptr_array_new_with_free_func(g_free);
-    w->reference = Fw_ConfigState_New();
-    w->digests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    note_digest(w);
+    *env = (struct fw_config_env){.run = run, .now_us = FW_SEC};
+    env->config.records = g_ptr_array_new_with_free_func(g_free);
+    env->snapshot.records = g_ptr_array_new_with_free_func(g_free);
+    env->reference = Fw_ConfigState_New();
+    env->digests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    note_digest(env);
     for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
-        Fw_ConfigEnv_Start(w, i);
+        Fw_ConfigEnv_Start(env, i);
     }
 }
 
 void
-Fw_ConfigEnv_Clear(struct fw_config_env *w)
+Fw_ConfigEnv_Clear(struct fw_config_env *env)
 {
     for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
-        Fw_ConfigReplica_Free(w->replicas[i].replica);
+        Fw_ConfigReplica_Free(env->replicas[i].replica);
     }
-    Fw_ConfigState_Free(w->reference);
-    g_array_unref(w->digests);
-    g_ptr_array_unref(w->config.records);
-    g_ptr_array_unref(w->snapshot.records);
+    Fw_ConfigState_Free(env->reference);
+    g_array_unref(env->digests);
+    g_ptr_array_unref(env->config.records);
+    g_ptr_array_unref(env->snapshot.records);
 }
 
 void
-Fw_ConfigEnv_Start(struct fw_config_env *w, int i)
+Fw_ConfigEnv_Start(struct fw_config_env *env, int i)
 {
     char name[16];
 
     g_snprintf(name, sizeof(name), "fold%d", i);
-    Fw_ConfigReplica_Free(w->replicas[i].replica);
-    w->replicas[i] = (struct fw_config_env_replica){
-        .replica = Fw_ConfigReplica_New(name, ++w->starts, NULL, w->now_us)};
+    Fw_ConfigReplica_Free(env->replicas[i].replica);
+    env->replicas[i] = (struct fw_config_env_replica){
+        .replica =
+            Fw_ConfigReplica_New(name, ++env->starts, NULL, env->now_us)};
 }
 
 void
-Fw_ConfigEnv_Append(struct fw_config_env *w, const char *text,
+Fw_ConfigEnv_Append(struct fw_config_env *env, const char *text,
                     struct fw_change_result *res)
 {
-    g_ptr_array_add(w->config.records, g_strdup(text));
-    Fw_ConfigState_Apply(w->reference, text, res);
-    note_digest(w);
+    g_ptr_array_add(env->config.records, g_strdup(text));
+    Fw_ConfigState_Apply(env->reference, text, res);
+    note_digest(env);
 }
 
 static struct fw_config_env_stream *
-stream_of(struct fw_config_env *w, const char *name)
+stream_of(struct fw_config_env *env, const char *name)
 {
-    return strcmp(name, FW_STREAM_CONFIG) == 0 ? &w->config : &w->snapshot;
+    return strcmp(name, FW_STREAM_CONFIG) == 0 ? &env->config : &env->snapshot;
 }
 
 static void
-carry(struct fw_config_env *w, int i, struct fw_actions *out);
+carry(struct fw_config_env *env, int i, struct fw_actions *out);
 
 static void
-keep_read(struct fw_config_env *w, int i, const struct fw_log_read *read)
+keep_read(struct fw_config_env *env, int i, const struct fw_log_read *read)
 {
     for (int k = 0; k < FW_CONFIG_ENV_READS_MAX; k++) {
-        struct fw_config_env_read *r = &w->replicas[i].reads[k];
+        struct fw_config_env_read *r = &env->replicas[i].reads[k];
 
         if (!r->open) {
             *r = (struct fw_config_env_read){
-                .read = *read, .sent_us = w->now_us, .open = 1};
+                .read = *read, .sent_us = env->now_us, .open = 1};
             return;
         }
     }
 }
 
 static void
-append(struct fw_config_env *w, int i, const struct fw_log_append *p)
+append(struct fw_config_env *env, int i, const struct fw_log_append *p)
 {
-    struct fw_config_env_stream *s = stream_of(w, p->stream);
+    struct fw_config_env_stream *s = stream_of(env, p->stream);
     struct fw_log_appended done = {.ticket = p->ticket,
                                    .first = s->records->len + 1};
     struct fw_actions out;
 
-    if (w->log_down || w->replicas[i].isolated) {
+    if (env->log_down || env->replicas[i].isolated) {
         done.err = -EAGAIN;
     }
     for (int k = 0; k < p->n && !done.err; k++) {
         g_ptr_array_add(s->records, g_strdup(p->records[k]));
     }
-    if (!done.err && Fw_ConfigEnv_RandBelow(w, 100) < w->loss_pct) {
+    if (!done.err && Fw_ConfigEnv_RandBelow(env, 100) < env->loss_pct) {
         done.err = -EIO;
     }
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_OnAppended(w->replicas[i].replica, &done, w->now_us,
+    Fw_ConfigReplica_OnAppended(env->replicas[i].replica, &done, env->now_us,
                                 &out);
-    carry(w, i, &out);
+    carry(env, i, &out);
 }
 
 static void
-send_msg(struct fw_config_env *w, int i, const struct fw_peer_send *p)
+send_msg(struct fw_config_env *env, int i, const struct fw_peer_send *p)
 {
     int to = p->to[4] - '0';
     char from[16];
     struct fw_actions out;
 
-    if (w->replicas[i].isolated || w->replicas[to].isolated ||
-        Fw_ConfigEnv_RandBelow(w, 100) < w->loss_pct) {
+    if (env->replicas[i].isolated || env->replicas[to].isolated ||
+        Fw_ConfigEnv_RandBelow(env, 100) < env->loss_pct) {
         return;
     }
     g_snprintf(from, sizeof(from), "fold%d", i);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_OnMsg(w->replicas[to].replica, from, "addr",
-                           &p->msg.u.config, w->now_us, &out);
-    carry(w, to, &out);
+    Fw_ConfigReplica_OnMsg(env->replicas[to].replica, from, "addr",
+                           &p->msg.u.config, env->now_us, &out);
+    carry(env, to, &out);
 }
 
 static void
-carry(struct fw_config_env *w, int i, struct fw_actions *out)
+carry(struct fw_config_env *env, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
     while ((a = Fw_Actions_Take(out))) {
         switch (a->kind) {
         case FW_ACT_LOG_READ:
-            keep_read(w, i, &a->u.read);
+            keep_read(env, i, &a->u.read);
             break;
         case FW_ACT_LOG_APPEND:
-            append(w, i, &a->u.append);
+            append(env, i, &a->u.append);
             break;
         case FW_ACT_PEER_SEND:
-            send_msg(w, i, &a->u.send);
+            send_msg(env, i, &a->u.send);
             break;
         default:
             break;
@@ -153,17 +154,17 @@
 }
 
 static void
-answer(struct fw_config_env *w, int i, struct fw_config_env_read *p)
+answer(struct fw_config_env *env, int i, struct fw_config_env_read *p)
 {
-    const struct fw_config_env_stream *s = stream_of(w, p->read.stream);
+    const struct fw_config_env_stream *s = stream_of(env, p->read.stream);
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .sent_us = p->sent_us,
                                .oldest = s->expired + 1,
                                .end = s->records->len + 1};
     struct fw_actions out;
 
-    if (w->log_down || w->replicas[i].isolated ||
-        Fw_ConfigEnv_RandBelow(w, 100) < w->loss_pct) {
+    if (env->log_down || env->replicas[i].isolated ||
+        Fw_ConfigEnv_RandBelow(env, 100) < env->loss_pct) {
         r.err = -EIO;
     }
     p->open = 0;
@@ -171,59 +172,60 @@
     r.n = (int)MIN((uint64_t)p->read.max_records, r.end - r.first);
     r.records = (const char *const *)s->records->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_OnRecords(w->replicas[i].replica, &r, w->now_us, &out);
-    carry(w, i, &out);
+    Fw_ConfigReplica_OnRecords(env->replicas[i].replica, &r, env->now_us,
+                               &out);
+    carry(env, i, &out);
 }
 
 static void
-serve(struct fw_config_env *w, int i)
+serve(struct fw_config_env *env, int i)
 {
     for (int k = 0; k < FW_CONFIG_ENV_READS_MAX; k++) {
-        struct fw_config_env_read *p = &w->replicas[i].reads[k];
-        const struct fw_config_env_stream *s = stream_of(w, p->read.stream);
+        struct fw_config_env_read *p = &env->replicas[i].reads[k];
+        const struct fw_config_env_stream *s = stream_of(env, p->read.stream);
 
-        if (p->open && (w->log_down || w->replicas[i].isolated ||
+        if (p->open && (env->log_down || env->replicas[i].isolated ||
                         p->read.from <= s->records->len ||
-                        w->now_us >= p->sent_us + p->read.wait_us)) {
-            answer(w, i, p);
+                        env->now_us >= p->sent_us + p->read.wait_us)) {
+            answer(env, i, p);
         }
     }
 }
 
 static void
-ask_peer(struct fw_config_env *w, int i)
+ask_peer(struct fw_config_env *env, int i)
 {
-    struct fw_config_replica *f = w->replicas[i].replica;
+    struct fw_config_replica *f = env->replicas[i].replica;
     struct fw_actions out;
     char name[16];
     int peer =
-        (i + 1 + Fw_ConfigEnv_RandBelow(w, FW_CONFIG_ENV_REPLICAS - 1)) %
+        (i + 1 + Fw_ConfigEnv_RandBelow(env, FW_CONFIG_ENV_REPLICAS - 1)) %
         FW_CONFIG_ENV_REPLICAS;
 
-    if (!Fw_ConfigReplica_NeedsPeer(f, w->now_us)) {
+    if (!Fw_ConfigReplica_NeedsPeer(f, env->now_us)) {
         return;
     }
     g_snprintf(name, sizeof(name), "fold%d", peer);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_RequestFromPeer(f, name, "addr", w->now_us, &out);
-    carry(w, i, &out);
+    Fw_ConfigReplica_RequestFromPeer(f, name, "addr", env->now_us, &out);
+    carry(env, i, &out);
 }
 
 void
-Fw_ConfigEnv_Advance(struct fw_config_env *w, int64_t us)
+Fw_ConfigEnv_Advance(struct fw_config_env *env, int64_t us)
 {
-    int64_t until = w->now_us + us;
+    int64_t until = env->now_us + us;
 
-    while (w->now_us < until) {
-        w->now_us += STEP_US;
+    while (env->now_us < until) {
+        env->now_us += STEP_US;
         for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
             struct fw_actions out;
 
-            ask_peer(w, i);
+            ask_peer(env, i);
             Fw_Actions_Init(&out);
-            Fw_ConfigReplica_Tick(w->replicas[i].replica, w->now_us, &out);
-            carry(w, i, &out);
-            serve(w, i);
+            Fw_ConfigReplica_Tick(env->replicas[i].replica, env->now_us, &out);
+            carry(env, i, &out);
+            serve(env, i);
         }
     }
 }
--- a/explore/p_config_env.h
+++ b/explore/p_config_env.h
@@ -52,19 +52,19 @@
 };
 
 void
-Fw_ConfigEnv_Init(struct fw_config_env *w, struct fw_run *run);
+Fw_ConfigEnv_Init(struct fw_config_env *env, struct fw_run *run);
 void
-Fw_ConfigEnv_Clear(struct fw_config_env *w);
+Fw_ConfigEnv_Clear(struct fw_config_env *env);
 int
-Fw_ConfigEnv_RandBelow(struct fw_config_env *w, int n);
+Fw_ConfigEnv_RandBelow(struct fw_config_env *env, int n);
 void
-Fw_ConfigEnv_Start(struct fw_config_env *w, int i);
+Fw_ConfigEnv_Start(struct fw_config_env *env, int i);
 /* Appends to stream "config"; the verdict goes to @res. */
 void
-Fw_ConfigEnv_Append(struct fw_config_env *w, const char *text,
+Fw_ConfigEnv_Append(struct fw_config_env *env, const char *text,
                     struct fw_change_result *res);
 /* Time goes on, in small steps. */
 void
-Fw_ConfigEnv_Advance(struct fw_config_env *w, int64_t us);
+Fw_ConfigEnv_Advance(struct fw_config_env *env, int64_t us);
 
 #endif
--- a/explore/p_fleet.h
+++ b/explore/p_fleet.h
@@ -12,8 +12,8 @@
 
 /* A fault drawn from the seed; and the end of all that can end. */
 void
-Fw_FleetEnv_InjectFault(struct fw_fleet_env *w);
+Fw_FleetEnv_InjectFault(struct fw_fleet_env *env);
 void
-Fw_FleetEnv_ClearFaults(struct fw_fleet_env *w);
+Fw_FleetEnv_ClearFaults(struct fw_fleet_env *env);
 
 #endif
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -9,18 +9,18 @@
 #define BOOT_STEP 1000
 
 void
-Fw_FleetEnv_Init(struct fw_fleet_env *w, struct fw_run *run, int n)
+Fw_FleetEnv_Init(struct fw_fleet_env *env, struct fw_run *run, int n)
 {
-    memset(w, 0, sizeof(*w));
-    w->run = run;
-    w->n = n;
-    w->real_us = FW_SEC;
-    w->partitions = 1;
-    w->log_oldest = 1;
-    w->deliveries = g_ptr_array_new();
-    w->records = g_ptr_array_new_with_free_func(g_free);
+    memset(env, 0, sizeof(*env));
+    env->run = run;
+    env->n = n;
+    env->real_us = FW_SEC;
+    env->partitions = 1;
+    env->log_oldest = 1;
+    env->deliveries = g_ptr_array_new();
+    env->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < n; i++) {
-        struct fw_fleet_env_instance *s = &w->sites[i];
+        struct fw_fleet_env_instance *s = &env->sites[i];
         g_snprintf(s->self.name, sizeof(s->self.name), "n%d", i + 1);
         g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", i + 1);
         g_strlcpy(s->self.domain, "d", sizeof(s->self.domain));
@@ -30,53 +30,54 @@
 }
 
 void
-Fw_FleetEnv_Clear(struct fw_fleet_env *w)
+Fw_FleetEnv_Clear(struct fw_fleet_env *env)
 {
-    for (int i = 0; i < w->n; i++) {
-        if (w->sites[i].up) {
-            Fw_FleetEnv_Kill(w, i);
+    for (int i = 0; i < env->n; i++) {
+        if (env->sites[i].up) {
+            Fw_FleetEnv_Kill(env, i);
         }
     }
-    for (guint i = 0; i < w->deliveries->len; i++) {
-        Fw_FleetEnv_FreeDelivery(g_ptr_array_index(w->deliveries, i));
+    for (guint i = 0; i < env->deliveries->len; i++) {
+        Fw_FleetEnv_FreeDelivery(g_ptr_array_index(env->deliveries, i));
     }
-    g_ptr_array_unref(w->deliveries);
-    g_ptr_array_unref(w->records);
+    g_ptr_array_unref(env->deliveries);
+    g_ptr_array_unref(env->records);
 }
 
 gint32
-Fw_FleetEnv_Below(struct fw_fleet_env *w, gint32 n)
+Fw_FleetEnv_Below(struct fw_fleet_env *env, gint32 n)
 {
-    return g_rand_int_range(w->run->rand, 0, n);
+    return g_rand_int_range(env->run->rand, 0, n);
 }
 
 int64_t
-Fw_FleetEnv_Local(const struct fw_fleet_env *w, int i)
+Fw_FleetEnv_Local(const struct fw_fleet_env *env, int i)
 {
-    const struct fw_fleet_env_instance *s = &w->sites[i];
+    const struct fw_fleet_env_instance *s = &env->sites[i];
 
-    return s->offset_us + w->real_us + w->real_us / 1000 * s->drift_ppm / 1000;
+    return s->offset_us + env->real_us +
+           env->real_us / 1000 * s->drift_ppm / 1000;
 }
 
 int
-Fw_FleetEnv_Runs(const struct fw_fleet_env *w, int i)
+Fw_FleetEnv_Runs(const struct fw_fleet_env *env, int i)
 {
-    return w->sites[i].up && w->real_us >= w->sites[i].pause_until_us;
+    return env->sites[i].up && env->real_us >= env->sites[i].pause_until_us;
 }
 
 void
-Fw_FleetEnv_Start(struct fw_fleet_env *w, int i)
+Fw_FleetEnv_Start(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &env->sites[i];
 
     s->self.boot += BOOT_STEP;
     Fw_Metrics_Init(&s->metrics);
     s->fleet = Fw_Fleet_New(&s->self, (uint32_t)(s->self.boot + (uint64_t)i),
                             &s->metrics);
-    if (w->use_roles) {
-        s->roles = Fw_Roles_New(&s->self, w->partitions, w->wait_us);
+    if (env->use_roles) {
+        s->roles = Fw_Roles_New(&s->self, env->partitions, env->wait_us);
     }
-    if (w->cfg) {
+    if (env->cfg) {
         s->limit =
             Fw_Limit_New(&s->self, s->fleet, s->roles,
                          (uint32_t)(s->self.boot + (uint64_t)i), &s->metrics);
@@ -84,14 +85,14 @@
     s->up = 1;
     s->draining = 0;
     s->pause_until_us = 0;
-    s->wake_us = Fw_FleetEnv_Local(w, i);
-    Fw_FleetEnv_PublishInstances(w);
+    s->wake_us = Fw_FleetEnv_Local(env, i);
+    Fw_FleetEnv_PublishInstances(env);
 }
 
 void
-Fw_FleetEnv_Kill(struct fw_fleet_env *w, int i)
+Fw_FleetEnv_Kill(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &env->sites[i];
 
     g_clear_pointer(&s->limit, Fw_Limit_Free);
     g_clear_pointer(&s->roles, Fw_Roles_Free);
@@ -100,17 +101,17 @@
 }
 
 void
-Fw_FleetEnv_Pause(struct fw_fleet_env *w, int i, int64_t us)
+Fw_FleetEnv_Pause(struct fw_fleet_env *env, int i, int64_t us)
 {
-    w->sites[i].pause_until_us = w->real_us + us;
+    env->sites[i].pause_until_us = env->real_us + us;
 }
 
 void
-Fw_FleetEnv_Drain(struct fw_fleet_env *w, int i)
+Fw_FleetEnv_Drain(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &env->sites[i];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(w, i);
+    int64_t now = Fw_FleetEnv_Local(env, i);
 
     Fw_Actions_Init(&out);
     s->draining = 1;
@@ -121,28 +122,28 @@
     if (s->roles) {
         Fw_Roles_Drain(s->roles, s->fleet, now, &out);
     }
-    Fw_FleetEnv_Carry(w, i, &out);
+    Fw_FleetEnv_Carry(env, i, &out);
 }
 
 void
-Fw_FleetEnv_Cut(struct fw_fleet_env *w, int i, int j, int cut)
+Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int cut)
 {
-    w->sites[i].link_down[j] = cut;
-    w->sites[j].link_down[i] = cut;
+    env->sites[i].link_down[j] = cut;
+    env->sites[j].link_down[i] = cut;
 }
 
 void
-Fw_FleetEnv_PublishInstances(struct fw_fleet_env *w)
+Fw_FleetEnv_PublishInstances(struct fw_fleet_env *env)
 {
     struct fw_list_entry entries[FW_FLEET_ENV_INSTANCES_MAX];
     struct fw_listed listed = {.entries = entries};
     struct fw_actions out;
 
     memset(entries, 0, sizeof(entries));
-    for (int i = 0; i < w->n; i++) {
-        const struct fw_self *self = &w->sites[i].self;
+    for (int i = 0; i < env->n; i++) {
+        const struct fw_self *self = &env->sites[i].self;
         struct fw_list_entry *e = &entries[listed.n];
-        if (!w->sites[i].up) {
+        if (!env->sites[i].up) {
             continue;
         }
         listed.n++;
@@ -152,38 +153,38 @@
         g_strlcpy(e->domain, self->domain, sizeof(e->domain));
         g_strlcpy(e->region, self->region, sizeof(e->region));
     }
-    for (int i = 0; i < w->n; i++) {
-        if (!Fw_FleetEnv_Runs(w, i)) {
+    for (int i = 0; i < env->n; i++) {
+        if (!Fw_FleetEnv_Runs(env, i)) {
             continue;
         }
         Fw_Actions_Init(&out);
-        Fw_Fleet_OnListed(w->sites[i].fleet, &listed, Fw_FleetEnv_Local(w, i),
-                          &out);
-        Fw_FleetEnv_Carry(w, i, &out);
+        Fw_Fleet_OnListed(env->sites[i].fleet, &listed,
+                          Fw_FleetEnv_Local(env, i), &out);
+        Fw_FleetEnv_Carry(env, i, &out);
     }
 }
 
-/* Real time at which site @i wants its tick, INT64_MAX when it is down. */
+/* Real time at which instance @i wants its tick, INT64_MAX when it is down. */
 static int64_t
-tick_at(const struct fw_fleet_env *w, int i)
+tick_at(const struct fw_fleet_env *env, int i)
 {
-    const struct fw_fleet_env_instance *s = &w->sites[i];
+    const struct fw_fleet_env_instance *s = &env->sites[i];
     int64_t ahead;
 
     if (!s->up || s->wake_us == INT64_MAX) {
         return INT64_MAX;
     }
-    ahead = MAX(s->wake_us - Fw_FleetEnv_Local(w, i), 0);
+    ahead = MAX(s->wake_us - Fw_FleetEnv_Local(env, i), 0);
     ahead += ahead / 1000 + FW_MSEC;
-    return MAX(w->real_us + ahead, s->pause_until_us);
+    return MAX(env->real_us + ahead, s->pause_until_us);
 }
 
 static void
-tick_site(struct fw_fleet_env *w, int i)
+tick_instance(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &w->sites[i];
+    struct fw_fleet_env_instance *s = &env->sites[i];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(w, i);
+    int64_t now = Fw_FleetEnv_Local(env, i);
 
     Fw_Actions_Init(&out);
     s->wake_us = INT64_MAX;
@@ -192,50 +193,50 @@
         Fw_Roles_Tick(s->roles, s->fleet, now, &out);
     }
     if (s->limit) {
-        Fw_Limit_Tick(s->limit, w->cfg, now, &out);
+        Fw_Limit_Tick(s->limit, env->cfg, now, &out);
     }
-    Fw_FleetEnv_Carry(w, i, &out);
+    Fw_FleetEnv_Carry(env, i, &out);
 }
 
-/* The next thing due no later than @until: an d, or a tick of a site. */
+/* The next thing due no later than @until: an d, or a tick of a instance. */
 static int
-step_next(struct fw_fleet_env *w, int64_t until)
+step_next(struct fw_fleet_env *env, int64_t until)
 {
-    struct fw_fleet_env_delivery *d = Fw_FleetEnv_NextDelivery(w);
+    struct fw_fleet_env_delivery *d = Fw_FleetEnv_NextDelivery(env);
     int64_t at = d ? d->at_us : INT64_MAX;
-    int site = -1;
+    int instance = -1;
 
-    for (int i = 0; i < w->n; i++) {
-        if (tick_at(w, i) < at) {
-            at = tick_at(w, i);
-            site = i;
+    for (int i = 0; i < env->n; i++) {
+        if (tick_at(env, i) < at) {
+            at = tick_at(env, i);
+            instance = i;
         }
     }
     if (at > until) {
         return 0;
     }
-    w->real_us = MAX(w->real_us, at);
-    if (w->check) {
-        w->check(w, w->arg); /* one that wakes up acts before it hears */
+    env->real_us = MAX(env->real_us, at);
+    if (env->check) {
+        env->check(env, env->arg); /* one that wakes up acts before it hears */
     }
-    if (site >= 0) {
-        tick_site(w, site);
+    if (instance >= 0) {
+        tick_instance(env, instance);
     }
     else {
-        Fw_FleetEnv_PerformDelivery(w, d);
+        Fw_FleetEnv_PerformDelivery(env, d);
     }
-    if (w->check) {
-        w->check(w, w->arg);
+    if (env->check) {
+        env->check(env, env->arg);
     }
     return 1;
 }
 
 void
-Fw_FleetEnv_Advance(struct fw_fleet_env *w, int64_t us)
+Fw_FleetEnv_Advance(struct fw_fleet_env *env, int64_t us)
 {
-    int64_t until = w->real_us + us;
+    int64_t until = env->real_us + us;
 
-    while (!w->run->breach[0] && step_next(w, until)) {
+    while (!env->run->breach[0] && step_next(env, until)) {
     }
-    w->real_us = until;
+    env->real_us = until;
 }
--- a/explore/p_fleet_env.h
+++ b/explore/p_fleet_env.h
@@ -31,7 +31,7 @@
     int64_t pause_until_us;
     int up;
     int draining;
-    int link_down[FW_FLEET_ENV_INSTANCES_MAX]; /* messages to that site are
+    int link_down[FW_FLEET_ENV_INSTANCES_MAX]; /* messages to that instance are
                                                   lost */
 };
 
@@ -59,39 +59,39 @@
     uint64_t area_bytes[FW_AREA_CONFIG + 1];
     uint64_t area_msgs[FW_AREA_CONFIG + 1];
     /* After every event; @arg is the caller's. */
-    void (*check)(struct fw_fleet_env *w, void *arg);
+    void (*check)(struct fw_fleet_env *env, void *arg);
     void *arg;
 };
 
-/* Clears @w, makes @n sites that are not up; the caller sets the rest. */
+/* Clears @env, makes @n sites that are not up; the caller sets the rest. */
 void
-Fw_FleetEnv_Init(struct fw_fleet_env *w, struct fw_run *run, int n);
+Fw_FleetEnv_Init(struct fw_fleet_env *env, struct fw_run *run, int n);
 void
-Fw_FleetEnv_Clear(struct fw_fleet_env *w);
+Fw_FleetEnv_Clear(struct fw_fleet_env *env);
 void
-Fw_FleetEnv_Start(struct fw_fleet_env *w, int i);
+Fw_FleetEnv_Start(struct fw_fleet_env *env, int i);
 void
-Fw_FleetEnv_Kill(struct fw_fleet_env *w, int i);
+Fw_FleetEnv_Kill(struct fw_fleet_env *env, int i);
 void
-Fw_FleetEnv_Pause(struct fw_fleet_env *w, int i, int64_t us);
+Fw_FleetEnv_Pause(struct fw_fleet_env *env, int i, int64_t us);
 void
-Fw_FleetEnv_Drain(struct fw_fleet_env *w, int i);
+Fw_FleetEnv_Drain(struct fw_fleet_env *env, int i);
 /* Both ways. */
 void
-Fw_FleetEnv_Cut(struct fw_fleet_env *w, int i, int j, int cut);
-/* Each site hears the platform's list: all that are up. */
+Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int cut);
+/* Each instance hears the platform's list: all that are up. */
 void
-Fw_FleetEnv_PublishInstances(struct fw_fleet_env *w);
+Fw_FleetEnv_PublishInstances(struct fw_fleet_env *env);
 void
-Fw_FleetEnv_Advance(struct fw_fleet_env *w, int64_t us);
+Fw_FleetEnv_Advance(struct fw_fleet_env *env, int64_t us);
 int64_t
-Fw_FleetEnv_Local(const struct fw_fleet_env *w, int i);
+Fw_FleetEnv_Local(const struct fw_fleet_env *env, int i);
 int
-Fw_FleetEnv_Runs(const struct fw_fleet_env *w, int i);
-/* Carries out what a step of site @i put out, and clears it. */
+Fw_FleetEnv_Runs(const struct fw_fleet_env *env, int i);
+/* Carries out what a step of instance @i put out, and clears it. */
 void
-Fw_FleetEnv_Carry(struct fw_fleet_env *w, int i, struct fw_actions *out);
+Fw_FleetEnv_Carry(struct fw_fleet_env *env, int i, struct fw_actions *out);
 gint32
-Fw_FleetEnv_Below(struct fw_fleet_env *w, gint32 n);
+Fw_FleetEnv_Below(struct fw_fleet_env *env, gint32 n);
 
 #endif
--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_item.c
@@ -21,12 +21,13 @@
 }
 
 struct fw_fleet_env_delivery *
-Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *w)
+Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *env)
 {
     struct fw_fleet_env_delivery *best = NULL;
 
-    for (guint i = 0; i < w->deliveries->len; i++) {
-        struct fw_fleet_env_delivery *d = g_ptr_array_index(w->deliveries, i);
+    for (guint i = 0; i < env->deliveries->len; i++) {
+        struct fw_fleet_env_delivery *d =
+            g_ptr_array_index(env->deliveries, i);
         if (!best || d->at_us < best->at_us) {
             best = d;
         }
@@ -35,34 +36,35 @@
 }
 
 static int64_t
-travel(struct fw_fleet_env *w)
+travel(struct fw_fleet_env *env)
 {
     int64_t max = FAST_US;
 
-    if (Fw_FleetEnv_Below(w, 100) < w->delay_pct) {
-        max = MAX(w->delay_max_us, FAST_US);
+    if (Fw_FleetEnv_Below(env, 100) < env->delay_pct) {
+        max = MAX(env->delay_max_us, FAST_US);
     }
-    return FW_MSEC / 2 + (int64_t)(g_rand_double(w->run->rand) * (double)max);
+    return FW_MSEC / 2 +
+           (int64_t)(g_rand_double(env->run->rand) * (double)max);
 }
 
 static struct fw_fleet_env_delivery *
-schedule(struct fw_fleet_env *w, enum fw_fleet_env_delivery_kind kind,
-         int site)
+schedule(struct fw_fleet_env *env, enum fw_fleet_env_delivery_kind kind,
+         int instance)
 {
     struct fw_fleet_env_delivery *d = g_new0(struct fw_fleet_env_delivery, 1);
 
     d->kind = kind;
-    d->site = site;
-    d->at_us = w->real_us + travel(w);
-    g_ptr_array_add(w->deliveries, d);
+    d->instance = instance;
+    d->at_us = env->real_us + travel(env);
+    g_ptr_array_add(env->deliveries, d);
     return d;
 }
 
 static int
-site_of(const struct fw_fleet_env *w, const char *name)
+find_instance(const struct fw_fleet_env *env, const char *name)
 {
-    for (int i = 0; i < w->n; i++) {
-        if (strcmp(w->sites[i].self.name, name) == 0) {
+    for (int i = 0; i < env->n; i++) {
+        if (strcmp(env->sites[i].self.name, name) == 0) {
             return i;
         }
     }
@@ -70,9 +72,9 @@
 }
 
 static void
-send_msg(struct fw_fleet_env *w, int from, const struct fw_peer_send *send)
+send_msg(struct fw_fleet_env *env, int from, const struct fw_peer_send *send)
 {
-    int to = site_of(w, send->to);
+    int to = find_instance(env, send->to);
     msgpack_sbuffer buf;
     msgpack_packer pk;
     GBytes *bytes;
@@ -85,20 +87,20 @@
     msgpack_packer_init(&pk, &buf, msgpack_sbuffer_write);
     Fw_Msg_Pack(&pk, &send->msg);
     bytes = g_bytes_new(buf.data, buf.size);
-    w->n_sent++;
-    w->n_bytes += buf.size;
-    w->area_bytes[send->msg.area] += buf.size;
-    w->area_msgs[send->msg.area]++;
+    env->n_sent++;
+    env->n_bytes += buf.size;
+    env->area_bytes[send->msg.area] += buf.size;
+    env->area_msgs[send->msg.area]++;
     msgpack_sbuffer_destroy(&buf);
-    if (w->sites[from].link_down[to] ||
-        Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
+    if (env->sites[from].link_down[to] ||
+        Fw_FleetEnv_Below(env, 100) < env->lose_pct) {
         copies = 0;
     }
-    else if (Fw_FleetEnv_Below(w, 100) < w->double_pct) {
+    else if (Fw_FleetEnv_Below(env, 100) < env->double_pct) {
         copies = 2;
     }
     for (int i = 0; i < copies; i++) {
-        struct fw_fleet_env_delivery *d = schedule(w, FW_FLEET_ENV_MSG, to);
+        struct fw_fleet_env_delivery *d = schedule(env, FW_FLEET_ENV_MSG, to);
         d->from = from;
         d->msg = g_bytes_ref(bytes);
     }
@@ -106,11 +108,13 @@
 }
 
 static void
-send_append(struct fw_fleet_env *w, int site, const struct fw_log_append *a)
+send_append(struct fw_fleet_env *env, int instance,
+            const struct fw_log_append *a)
 {
-    struct fw_fleet_env_delivery *d = schedule(w, FW_FLEET_ENV_APPEND, site);
+    struct fw_fleet_env_delivery *d =
+        schedule(env, FW_FLEET_ENV_APPEND, instance);
 
-    d->boot = w->sites[site].self.boot;
+    d->boot = env->sites[instance].self.boot;
     d->ticket = a->ticket;
     d->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < a->n; i++) {
@@ -119,32 +123,33 @@
 }
 
 static void
-send_read(struct fw_fleet_env *w, int site, const struct fw_log_read *r)
+send_read(struct fw_fleet_env *env, int instance, const struct fw_log_read *r)
 {
-    struct fw_fleet_env_delivery *d = schedule(w, FW_FLEET_ENV_READ, site);
+    struct fw_fleet_env_delivery *d =
+        schedule(env, FW_FLEET_ENV_READ, instance);
 
-    d->boot = w->sites[site].self.boot;
+    d->boot = env->sites[instance].self.boot;
     d->ticket = r->ticket;
     d->offset = r->from;
-    d->sent_us = Fw_FleetEnv_Local(w, site);
-    d->until_us = w->real_us + r->wait_us;
+    d->sent_us = Fw_FleetEnv_Local(env, instance);
+    d->until_us = env->real_us + r->wait_us;
 }
 
 void
-Fw_FleetEnv_Carry(struct fw_fleet_env *w, int i, struct fw_actions *out)
+Fw_FleetEnv_Carry(struct fw_fleet_env *env, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
-    w->sites[i].wake_us = MIN(w->sites[i].wake_us, out->wake_us);
+    env->sites[i].wake_us = MIN(env->sites[i].wake_us, out->wake_us);
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
-            send_msg(w, i, &a->u.send);
+            send_msg(env, i, &a->u.send);
         }
         else if (a->kind == FW_ACT_LOG_APPEND) {
-            send_append(w, i, &a->u.append);
+            send_append(env, i, &a->u.append);
         }
         else if (a->kind == FW_ACT_LOG_READ) {
-            send_read(w, i, &a->u.read);
+            send_read(env, i, &a->u.read);
         }
         else if (a->kind == FW_ACT_NOTE) {
             GString *line = g_string_new(a->u.note.event);
@@ -153,8 +158,9 @@
                                        a->u.note.fields[f].name,
                                        a->u.note.fields[f].value);
             }
-            Fw_Run_Trace(w->run, "%8.3f %s %s", (double)w->real_us / FW_SEC,
-                         w->sites[i].self.name, line->str);
+            Fw_Run_Trace(env->run, "%8.3f %s %s",
+                         (double)env->real_us / FW_SEC,
+                         env->sites[i].self.name, line->str);
             g_string_free(line, TRUE);
         }
         Fw_Action_Free(a);
@@ -163,17 +169,17 @@
 }
 
 static void
-deliver_msg(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
+deliver_msg(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_fleet_env_instance *s = &w->sites[d->site];
-    const char *from = w->sites[d->from].self.name;
+    struct fw_fleet_env_instance *s = &env->sites[d->instance];
+    const char *from = env->sites[d->from].self.name;
     struct fw_actions out;
     struct fw_msg msg;
     msgpack_unpacked u;
     gsize size;
     const char *data = g_bytes_get_data(d->msg, &size);
     size_t off = 0;
-    int64_t now = Fw_FleetEnv_Local(w, d->site);
+    int64_t now = Fw_FleetEnv_Local(env, d->instance);
 
     if (!s->up) {
         return;
@@ -182,93 +188,95 @@
     msgpack_unpacked_init(&u);
     if (msgpack_unpack_next(&u, data, size, &off) != MSGPACK_UNPACK_SUCCESS ||
         Fw_Msg_Unpack(&u.data, &msg)) {
-        Fw_Run_Breach(w->run, "a message did not survive its codec");
+        Fw_Run_Breach(env->run, "a message did not survive its codec");
     }
     else {
         if (msg.area == FW_AREA_FLEET) {
             Fw_Fleet_OnMsg(s->fleet, from, &msg.u.fleet, now, &out);
         }
         else if (msg.area == FW_AREA_LIMIT && s->limit) {
-            Fw_Limit_OnMsg(s->limit, w->cfg, from, &msg.u.limit, now, &out);
+            Fw_Limit_OnMsg(s->limit, env->cfg, from, &msg.u.limit, now, &out);
         }
         Fw_Msg_Clear(&msg);
     }
     msgpack_unpacked_destroy(&u);
-    Fw_FleetEnv_Carry(w, d->site, &out);
+    Fw_FleetEnv_Carry(env, d->instance, &out);
 }
 
 /* The append reaches the log; its answer may be lost or late all the same. */
 static void
-reach_append(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
+reach_append(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
     struct fw_fleet_env_delivery *back =
-        schedule(w, FW_FLEET_ENV_APPENDED, d->site);
+        schedule(env, FW_FLEET_ENV_APPENDED, d->instance);
 
     back->boot = d->boot;
     back->ticket = d->ticket;
-    if (Fw_FleetEnv_Below(w, 100) < w->lose_pct) { /* lost before the log */
+    if (Fw_FleetEnv_Below(env, 100) <
+        env->lose_pct) { /* lost before the log */
         back->err = -EIO;
         back->at_us += GIVE_UP_US;
         return;
     }
-    if (w->log_down) {
+    if (env->log_down) {
         back->err = -EAGAIN;
         return;
     }
-    back->offset = w->records->len + 1;
+    back->offset = env->records->len + 1;
     for (guint i = 0; i < d->records->len; i++) {
         const char *text = g_ptr_array_index(d->records, i);
-        g_ptr_array_add(w->records, g_strdup(text));
-        Fw_Run_Trace(w->run, "%8.3f log %u %s", (double)w->real_us / FW_SEC,
-                     w->records->len, text);
+        g_ptr_array_add(env->records, g_strdup(text));
+        Fw_Run_Trace(env->run, "%8.3f log %u %s",
+                     (double)env->real_us / FW_SEC, env->records->len, text);
     }
-    if (Fw_FleetEnv_Below(w, 100) <
-        w->lose_pct) { /* lost after it took effect */
+    if (Fw_FleetEnv_Below(env, 100) <
+        env->lose_pct) { /* lost after it took effect */
         back->err = -EIO;
         back->at_us += GIVE_UP_US;
     }
 }
 
 static void
-reach_read(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
+reach_read(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    uint64_t from = MAX(d->offset, w->log_oldest);
+    uint64_t from = MAX(d->offset, env->log_oldest);
     struct fw_fleet_env_delivery *back;
 
-    if (!w->log_down && from > w->records->len && w->real_us < d->until_us) {
+    if (!env->log_down && from > env->records->len &&
+        env->real_us < d->until_us) {
         struct fw_fleet_env_delivery *hold =
-            schedule(w, FW_FLEET_ENV_READ, d->site);
+            schedule(env, FW_FLEET_ENV_READ, d->instance);
         hold->boot = d->boot;
         hold->ticket = d->ticket;
         hold->offset = d->offset;
         hold->sent_us = d->sent_us;
         hold->until_us = d->until_us;
-        hold->at_us = w->real_us + HOLD_US;
+        hold->at_us = env->real_us + HOLD_US;
         return;
     }
-    back = schedule(w, FW_FLEET_ENV_RECORDS, d->site);
+    back = schedule(env, FW_FLEET_ENV_RECORDS, d->instance);
     back->boot = d->boot;
     back->ticket = d->ticket;
     back->sent_us = d->sent_us;
     back->offset = from;
-    back->until_us = (int64_t)w->records->len + 1; /* end */
-    if (w->log_down || Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
+    back->until_us = (int64_t)env->records->len + 1; /* end */
+    if (env->log_down || Fw_FleetEnv_Below(env, 100) < env->lose_pct) {
         back->err = -EIO;
         return;
     }
     back->records = g_ptr_array_new_with_free_func(g_free);
-    for (uint64_t o = from; o <= w->records->len; o++) {
+    for (uint64_t o = from; o <= env->records->len; o++) {
         g_ptr_array_add(back->records,
-                        g_strdup(g_ptr_array_index(w->records, o - 1)));
+                        g_strdup(g_ptr_array_index(env->records, o - 1)));
     }
 }
 
 static void
-deliver_log(struct fw_fleet_env *w, struct fw_fleet_env_delivery *d)
+deliver_log(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_fleet_env_instance *s = &w->sites[d->site];
+    struct fw_fleet_env_instance *s = &env->sites[d->instance];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(w, d->site);
+    int64_t now = Fw_FleetEnv_Local(env, d->instance);
 
     if (!s->up || !s->roles || s->self.boot != d->boot) {
         return;
@@ -285,7 +293,7 @@
             .err = d->err,
             .sent_us = d->sent_us,
             .first = d->offset,
-            .oldest = w->log_oldest,
+            .oldest = env->log_oldest,
             .end = (uint64_t)d->until_us,
             .n = d->records ? (int)d->records->len : 0,
             .records =
@@ -293,34 +301,35 @@
         };
         Fw_Roles_OnRecords(s->roles, &r, now, &out);
     }
-    Fw_FleetEnv_Carry(w, d->site, &out);
+    Fw_FleetEnv_Carry(env, d->instance, &out);
 }
 
 void
-Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *w,
+Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *env,
                             struct fw_fleet_env_delivery *d)
 {
-    int to_site =
+    int to_instance =
         d->kind != FW_FLEET_ENV_APPEND && d->kind != FW_FLEET_ENV_READ;
 
-    if (to_site && w->sites[d->site].up && !Fw_FleetEnv_Runs(w, d->site)) {
-        d->at_us = w->sites[d->site].pause_until_us;
+    if (to_instance && env->sites[d->instance].up &&
+        !Fw_FleetEnv_Runs(env, d->instance)) {
+        d->at_us = env->sites[d->instance].pause_until_us;
         return;
     }
-    g_ptr_array_remove(w->deliveries, d);
+    g_ptr_array_remove(env->deliveries, d);
     switch (d->kind) {
     case FW_FLEET_ENV_MSG:
-        deliver_msg(w, d);
+        deliver_msg(env, d);
         break;
     case FW_FLEET_ENV_APPEND:
-        reach_append(w, d);
+        reach_append(env, d);
         break;
     case FW_FLEET_ENV_READ:
-        reach_read(w, d);
+        reach_read(env, d);
         break;
     case FW_FLEET_ENV_APPENDED:
     case FW_FLEET_ENV_RECORDS:
-        deliver_log(w, d);
+        deliver_log(env, d);
         break;
     }
     Fw_FleetEnv_FreeDelivery(d);
--- a/explore/p_fleet_item.h
+++ b/explore/p_fleet_item.h
@@ -16,14 +16,14 @@
 
 /**
  * struct fw_fleet_env_delivery - due at real time @at_us.
- * @site: whom a message goes to, or whose call it is
+ * @instance: whom a message goes to, or whose call it is
  * @boot: of the process that called the log
  * @until_us: how long the log may hold a read back
  */
 struct fw_fleet_env_delivery {
     enum fw_fleet_env_delivery_kind kind;
     int64_t at_us;
-    int site;
+    int instance;
     int from;
     uint64_t boot;
     uint64_t ticket;
@@ -37,10 +37,10 @@
 
 /* The item due first, or NULL; the earlier made wins a tie. */
 struct fw_fleet_env_delivery *
-Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *w);
+Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *env);
 /* Takes @item off and does it. */
 void
-Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *w,
+Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *env,
                             struct fw_fleet_env_delivery *d);
 void
 Fw_FleetEnv_FreeDelivery(struct fw_fleet_env_delivery *d);
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -12,41 +12,42 @@
 static void
 free_mail(gpointer data)
 {
-    struct fw_idem_env_delivery *m = data;
+    struct fw_idem_env_delivery *d = data;
 
-    g_strfreev(m->records);
-    if (m->kind == FW_IDEM_ENV_MSG) {
-        Fw_Msg_Clear(&m->msg);
+    g_strfreev(d->records);
+    if (d->kind == FW_IDEM_ENV_MSG) {
+        Fw_Msg_Clear(&d->msg);
     }
-    g_free(m);
+    g_free(d);
 }
 
 void
-Fw_IdemEnv_Init(struct fw_idem_env *b, int n, GString *trace)
+Fw_IdemEnv_Init(struct fw_idem_env *env, int n, GString *trace)
 {
-    memset(b, 0, sizeof(*b));
-    b->n = n;
-    b->trace = trace;
-    b->now_us = FW_SEC;
-    b->deliveries = g_ptr_array_new_with_free_func(free_mail);
-    b->tries = g_ptr_array_new_with_free_func(g_free);
-    b->effects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    b->keys_by_name =
+    memset(env, 0, sizeof(*env));
+    env->n = n;
+    env->trace = trace;
+    env->now_us = FW_SEC;
+    env->deliveries = g_ptr_array_new_with_free_func(free_mail);
+    env->tries = g_ptr_array_new_with_free_func(g_free);
+    env->effects =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    env->keys_by_name =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    b->log.retain = 1000000;
+    env->log.retain = 1000000;
     for (int i = 0; i < FW_IDEM_ENV_PARTITIONS; i++) {
-        b->log.records[i] = g_ptr_array_new_with_free_func(g_free);
-        b->log.oldest[i] = 1;
+        env->log.records[i] = g_ptr_array_new_with_free_func(g_free);
+        env->log.oldest[i] = 1;
     }
     for (int i = 0; i < n; i++) {
-        Fw_IdemEnv_Start(b, i);
+        Fw_IdemEnv_Start(env, i);
     }
 }
 
 void
-Fw_IdemEnv_Kill(struct fw_idem_env *b, int site)
+Fw_IdemEnv_Kill(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &env->sites[instance];
 
     if (!s->up) {
         return;
@@ -57,216 +58,220 @@
 }
 
 void
-Fw_IdemEnv_Clear(struct fw_idem_env *b)
+Fw_IdemEnv_Clear(struct fw_idem_env *env)
 {
-    for (int i = 0; i < b->n; i++) {
-        Fw_IdemEnv_Kill(b, i);
+    for (int i = 0; i < env->n; i++) {
+        Fw_IdemEnv_Kill(env, i);
     }
     for (int i = 0; i < FW_IDEM_ENV_PARTITIONS; i++) {
-        g_ptr_array_unref(b->log.records[i]);
+        g_ptr_array_unref(env->log.records[i]);
     }
-    g_ptr_array_unref(b->deliveries);
-    g_ptr_array_unref(b->tries);
-    g_hash_table_unref(b->effects);
-    g_hash_table_unref(b->keys_by_name);
+    g_ptr_array_unref(env->deliveries);
+    g_ptr_array_unref(env->tries);
+    g_hash_table_unref(env->effects);
+    g_hash_table_unref(env->keys_by_name);
 }
 
 void
-Fw_IdemEnv_Start(struct fw_idem_env *b, int site)
+Fw_IdemEnv_Start(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &env->sites[instance];
     struct fw_actions none;
 
     memset(s, 0, sizeof(*s));
-    g_snprintf(s->self.name, sizeof(s->self.name), "instance-%d", site);
-    g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", site);
+    g_snprintf(s->self.name, sizeof(s->self.name), "instance-%d", instance);
+    g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", instance);
     g_strlcpy(s->self.region, "r", sizeof(s->self.region));
-    s->self.boot = (uint64_t)(WALL_BASE_MS + b->now_us / FW_MSEC);
+    s->self.boot = (uint64_t)(WALL_BASE_MS + env->now_us / FW_MSEC);
     Fw_Metrics_Init(&s->metrics);
     s->fleet = Fw_Fleet_New(&s->self, 1, &s->metrics);
     Fw_Actions_Init(&none);
-    for (int i = 0; i < b->n; i++) {
+    for (int i = 0; i < env->n; i++) {
         char name[FW_NAME_MAX];
         char addr[FW_URL_MAX];
 
         g_snprintf(name, sizeof(name), "instance-%d", i);
         g_snprintf(addr, sizeof(addr), "10.0.0.%d:1", i);
-        if (i != site) {
+        if (i != instance) {
             Fw_Member_SetState(s->fleet,
                                Fw_Member_Add(s->fleet, name, addr, "d", "r"),
-                               FW_MEMBER_ALIVE, b->now_us, &none);
+                               FW_MEMBER_ALIVE, env->now_us, &none);
         }
     }
     Fw_Actions_Clear(&none);
     s->idem =
         Fw_Idem_New(&s->self, s->fleet, FW_IDEM_ENV_PARTITIONS, &s->metrics);
     s->up = 1;
-    s->wake_us = b->now_us;
+    s->wake_us = env->now_us;
 }
 
 struct fw_idem_env_delivery *
-Fw_IdemEnv_Schedule(struct fw_idem_env *b, enum fw_idem_env_delivery_kind kind,
-                    int site, int64_t delay_us)
+Fw_IdemEnv_Schedule(struct fw_idem_env *env,
+                    enum fw_idem_env_delivery_kind kind, int instance,
+                    int64_t delay_us)
 {
-    struct fw_idem_env_delivery *m = g_new0(struct fw_idem_env_delivery, 1);
-
-    m->kind = kind;
-    m->site = site;
-    m->boot = b->sites[site].self.boot;
-    m->at_us = b->now_us + delay_us;
-    g_ptr_array_add(b->deliveries, m);
-    return m;
+    struct fw_idem_env_delivery *d = g_new0(struct fw_idem_env_delivery, 1);
+
+    d->kind = kind;
+    d->instance = instance;
+    d->boot = env->sites[instance].self.boot;
+    d->at_us = env->now_us + delay_us;
+    g_ptr_array_add(env->deliveries, d);
+    return d;
 }
 
 static void
-send_peer(struct fw_idem_env *b, int site, struct fw_peer_send *send)
+send_peer(struct fw_idem_env *env, int instance, struct fw_peer_send *send)
 {
-    for (int i = 0; i < b->n; i++) {
-        struct fw_idem_env_instance *to = &b->sites[i];
-        struct fw_idem_env_delivery *m;
+    for (int i = 0; i < env->n; i++) {
+        struct fw_idem_env_instance *to = &env->sites[i];
+        struct fw_idem_env_delivery *d;
 
         if (strcmp(to->self.name, send->to) != 0 || !to->up || to->cut ||
-            b->sites[site].cut) {
+            env->sites[instance].cut) {
             continue;
         }
-        m = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_MSG, i, FW_IDEM_ENV_HOP_US);
-        m->msg = send->msg;
+        d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_MSG, i, FW_IDEM_ENV_HOP_US);
+        d->msg = send->msg;
         send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK; /* moved: owns nothing */
-        g_strlcpy(m->sender, b->sites[site].self.name, sizeof(m->sender));
+        g_strlcpy(d->sender, env->sites[instance].self.name,
+                  sizeof(d->sender));
         return;
     }
 }
 
 static void
-carry(struct fw_idem_env *b, int site, struct fw_actions *out)
+carry(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
     struct fw_action *a;
-    struct fw_idem_env_delivery *m;
+    struct fw_idem_env_delivery *d;
 
-    b->sites[site].wake_us = MIN(b->sites[site].wake_us, out->wake_us);
+    env->sites[instance].wake_us =
+        MIN(env->sites[instance].wake_us, out->wake_us);
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
-            send_peer(b, site, &a->u.send);
+            send_peer(env, instance, &a->u.send);
         }
         else if (a->kind == FW_ACT_LOG_APPEND) {
-            m = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_APPEND, site,
-                                    FW_IDEM_ENV_HOP_US + b->log.slow_us);
-            m->ticket = a->u.append.ticket;
-            m->part = a->u.append.stream[strlen("idem-")] - '0';
-            m->n = a->u.append.n;
-            m->records = g_new0(char *, m->n + 1);
-            for (int i = 0; i < m->n; i++) {
-                m->records[i] = g_strdup(a->u.append.records[i]);
+            d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_APPEND, instance,
+                                    FW_IDEM_ENV_HOP_US + env->log.slow_us);
+            d->ticket = a->u.append.ticket;
+            d->part = a->u.append.stream[strlen("idem-")] - '0';
+            d->n = a->u.append.n;
+            d->records = g_new0(char *, d->n + 1);
+            for (int i = 0; i < d->n; i++) {
+                d->records[i] = g_strdup(a->u.append.records[i]);
             }
         }
         else if (a->kind == FW_ACT_LOG_READ) {
-            m = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_READ, site,
-                                    FW_IDEM_ENV_HOP_US + b->log.slow_us);
-            m->ticket = a->u.read.ticket;
-            m->part = a->u.read.stream[strlen("idem-")] - '0';
-            m->from = a->u.read.from;
-            m->max = a->u.read.max_records;
-            m->sent_us = b->now_us;
+            d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_READ, instance,
+                                    FW_IDEM_ENV_HOP_US + env->log.slow_us);
+            d->ticket = a->u.read.ticket;
+            d->part = a->u.read.stream[strlen("idem-")] - '0';
+            d->from = a->u.read.from;
+            d->max = a->u.read.max_records;
+            d->sent_us = env->now_us;
         }
         Fw_Action_Free(a);
     }
 }
 
 static void
-breach(struct fw_idem_env *b, const char *what, const char *key)
+breach(struct fw_idem_env *env, const char *what, const char *key)
 {
-    if (!b->breach[0]) {
-        g_snprintf(b->breach, sizeof(b->breach), "%s: key %s", what, key);
+    if (!env->breach[0]) {
+        g_snprintf(env->breach, sizeof(env->breach), "%s: key %s", what, key);
     }
 }
 
 /* The right to run was given: sends the call, as src/request does. */
 static void
-run_call(struct fw_idem_env *b, struct fw_idem_env_try *t, int number,
+run_call(struct fw_idem_env *env, struct fw_idem_env_try *t, int number,
          struct fw_actions *out)
 {
-    struct fw_idem_env_instance *s = &b->sites[t->site];
-    int rc = Fw_Idem_BeginRun(s->idem, t->ticket, b->now_us);
+    struct fw_idem_env_instance *s = &env->sites[t->instance];
+    int rc = Fw_Idem_BeginRun(s->idem, t->ticket, env->now_us);
     int effects;
 
     if (rc) {
         t->told_not_run = 1;
-        g_string_append_printf(b->trace, "%d may not run: %s\n", number,
+        g_string_append_printf(env->trace, "%d may not run: %s\n", number,
                                rc == -ESTALE ? "stale" : "already");
         return;
     }
-    if (b->service == FW_IDEM_ENV_SERVICE_REFUSES) {
-        g_string_append_printf(b->trace, "%d not begun\n", number);
-        Fw_Idem_Finish(s->idem, t->ticket, FW_RAN_NO, 0, "", NULL, b->now_us,
+    if (env->service == FW_IDEM_ENV_SERVICE_REFUSES) {
+        g_string_append_printf(env->trace, "%d not begun\n", number);
+        Fw_Idem_Finish(s->idem, t->ticket, FW_RAN_NO, 0, "", NULL, env->now_us,
                        out);
         t->told_not_run = 1;
         return;
     }
     if (t->told_not_run) {
-        breach(b, "a call whose caller was told 'not run' is sent", t->key);
+        breach(env, "a call whose caller was told 'not run' is sent", t->key);
     }
-    g_string_append_printf(b->trace, "%d sent\n", number);
-    effects = GPOINTER_TO_INT(g_hash_table_lookup(b->effects, t->key)) + 1;
-    g_hash_table_replace(b->effects, g_strdup(t->key),
+    g_string_append_printf(env->trace, "%d sent\n", number);
+    effects = GPOINTER_TO_INT(g_hash_table_lookup(env->effects, t->key)) + 1;
+    g_hash_table_replace(env->effects, g_strdup(t->key),
                          GINT_TO_POINTER(effects));
     if (++t->sends > 1 || effects > 1) {
-        breach(b, "an order took effect twice", t->key);
+        breach(env, "an order took effect twice", t->key);
     }
-    t->ran = b->service == FW_IDEM_ENV_SERVICE_LOSES_ANSWER ? FW_RAN_MAYBE
-                                                            : FW_RAN_YES;
-    t->finish_us = b->now_us + SERVE_US;
+    t->ran = env->service == FW_IDEM_ENV_SERVICE_LOSES_ANSWER ? FW_RAN_MAYBE
+                                                              : FW_RAN_YES;
+    t->finish_us = env->now_us + SERVE_US;
     s->wake_us = MIN(s->wake_us, t->finish_us);
 }
 
 static void
-take_answers(struct fw_idem_env *b, int site, struct fw_actions *out)
+take_answers(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
     static const char *const names[] = {"run",        "recorded", "maybe",
                                         "not run",    "mismatch", "too old",
                                         "unavailable"};
     struct fw_idem_answer ans;
 
-    while (Fw_Idem_TakeAnswer(b->sites[site].idem, &ans)) {
+    while (Fw_Idem_TakeAnswer(env->sites[instance].idem, &ans)) {
         struct fw_idem_env_try *t =
-            g_ptr_array_index(b->tries, (guint)ans.ticket - 1);
+            g_ptr_array_index(env->tries, (guint)ans.ticket - 1);
         gsize len = 0;
         const char *body = ans.body ? g_bytes_get_data(ans.body, &len) : "";
 
         t->answered = 1;
         if (ans.result == FW_IDEM_RUN) {
-            run_call(b, t, (int)ans.ticket, out);
+            run_call(env, t, (int)ans.ticket, out);
         }
         else {
-            g_string_append_printf(b->trace, "%d %s%s%.*s\n", (int)ans.ticket,
-                                   names[ans.result], len ? " " : "", (int)len,
-                                   body);
+            g_string_append_printf(env->trace, "%d %s%s%.*s\n",
+                                   (int)ans.ticket, names[ans.result],
+                                   len ? " " : "", (int)len, body);
         }
         t->told_not_run |= ans.result == FW_IDEM_UNAVAILABLE ||
                            ans.result == FW_IDEM_NOT_RUN ||
                            ans.result == FW_IDEM_MISMATCH;
         if (t->told_not_run && t->sends) {
-            breach(b, "'not run' is told of a call that was sent", t->key);
+            breach(env, "'not run' is told of a call that was sent", t->key);
         }
         if (ans.result == FW_IDEM_UNAVAILABLE && ans.retry_after_us < FW_SEC) {
-            breach(b, "a caller is asked back at once", t->key);
+            breach(env, "a caller is asked back at once", t->key);
         }
         g_clear_pointer(&ans.body, g_bytes_unref);
     }
 }
 
 static void
-finish_calls(struct fw_idem_env *b, int site, struct fw_actions *out)
+finish_calls(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
-    struct fw_idem_env_instance *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &env->sites[instance];
 
-    for (guint i = 0; i < b->tries->len; i++) {
-        struct fw_idem_env_try *t = g_ptr_array_index(b->tries, i);
+    for (guint i = 0; i < env->tries->len; i++) {
+        struct fw_idem_env_try *t = g_ptr_array_index(env->tries, i);
         GBytes *body;
 
-        if (t->site != site || t->boot != s->self.boot || !t->finish_us) {
+        if (t->instance != instance || t->boot != s->self.boot ||
+            !t->finish_us) {
             continue;
         }
-        if (b->now_us < t->finish_us) {
+        if (env->now_us < t->finish_us) {
             s->wake_us = MIN(s->wake_us, t->finish_us);
             continue;
         }
@@ -274,176 +279,176 @@
         body = g_bytes_new_static("done", 4);
         Fw_Idem_Finish(s->idem, i + 1, t->ran, t->ran == FW_RAN_YES ? 201 : 0,
                        "text/plain", t->ran == FW_RAN_YES ? body : NULL,
-                       b->now_us, out);
+                       env->now_us, out);
         g_bytes_unref(body);
     }
 }
 
 /* After whatever an instance was handed. */
 static void
-settle(struct fw_idem_env *b, int site, struct fw_actions *out)
+settle(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
-    take_answers(b, site, out);
-    carry(b, site, out);
+    take_answers(env, instance, out);
+    carry(env, instance, out);
 }
 
 static void
-tick(struct fw_idem_env *b, int site)
+tick(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &env->sites[instance];
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
     s->wake_us = INT64_MAX;
-    finish_calls(b, site, &out);
-    Fw_Idem_Tick(s->idem, b->now_us, &out);
-    settle(b, site, &out);
+    finish_calls(env, instance, &out);
+    Fw_Idem_Tick(s->idem, env->now_us, &out);
+    settle(env, instance, &out);
 }
 
 static const char *
-key_of(struct fw_idem_env *b, const char *name)
+key_of(struct fw_idem_env *env, const char *name)
 {
     const char *at = strchr(name, '@');
-    char *key = g_hash_table_lookup(b->keys_by_name, name);
+    char *key = g_hash_table_lookup(env->keys_by_name, name);
     int64_t issued_ms;
 
     if (!at || key) {
         return key ? key : name;
     }
-    issued_ms = WALL_BASE_MS + b->now_us / FW_MSEC -
+    issued_ms = WALL_BASE_MS + env->now_us / FW_MSEC -
                 g_ascii_strtoll(at + 1, NULL, 10) * 1000;
     key = g_strdup_printf("%013" G_GINT64_FORMAT "-%.*s", issued_ms,
                           (int)(at - name), name);
-    g_hash_table_insert(b->keys_by_name, g_strdup(name), key);
+    g_hash_table_insert(env->keys_by_name, g_strdup(name), key);
     return key;
 }
 
 void
-Fw_IdemEnv_Open(struct fw_idem_env *b, int site, const char *name,
+Fw_IdemEnv_Open(struct fw_idem_env *env, int instance, const char *name,
                 const char *body)
 {
-    struct fw_idem_env_instance *s = &b->sites[site];
+    struct fw_idem_env_instance *s = &env->sites[instance];
     struct fw_idem_env_try *t;
     struct fw_actions out;
 
-    if (!s->up || s->paused_us > b->now_us) {
+    if (!s->up || s->paused_us > env->now_us) {
         return;
     }
     t = g_new0(struct fw_idem_env_try, 1);
-    g_ptr_array_add(b->tries, t);
-    t->ticket = b->tries->len;
-    t->site = site;
+    g_ptr_array_add(env->tries, t);
+    t->ticket = env->tries->len;
+    t->instance = instance;
     t->boot = s->self.boot;
-    g_strlcpy(t->key, key_of(b, name), sizeof(t->key));
+    g_strlcpy(t->key, key_of(env, name), sizeof(t->key));
     Fw_Actions_Init(&out);
     Fw_Idem_Claim(s->idem, t->ticket, "grid-desk", "skippers", t->key,
-                  Fw_Hash_Str(body), b->now_us, &out);
-    settle(b, site, &out);
+                  Fw_Hash_Str(body), env->now_us, &out);
+    settle(env, instance, &out);
 }
 
 static void
-deliver(struct fw_idem_env *b, struct fw_idem_env_delivery *m)
+deliver(struct fw_idem_env *env, struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_instance *s = &b->sites[m->site];
-    struct fw_log_appended app = {.ticket = m->ticket, .err = m->err};
-    struct fw_log_records rec = {.ticket = m->ticket, .err = m->err};
+    struct fw_idem_env_instance *s = &env->sites[d->instance];
+    struct fw_log_appended app = {.ticket = d->ticket, .err = d->err};
+    struct fw_log_records rec = {.ticket = d->ticket, .err = d->err};
     struct fw_actions out;
 
-    if (m->kind == FW_IDEM_ENV_APPEND) {
-        Fw_IdemEnv_HandleAppend(b, m);
+    if (d->kind == FW_IDEM_ENV_APPEND) {
+        Fw_IdemEnv_HandleAppend(env, d);
         return;
     }
-    if (m->kind == FW_IDEM_ENV_READ) {
-        Fw_IdemEnv_HandleRead(b, m);
+    if (d->kind == FW_IDEM_ENV_READ) {
+        Fw_IdemEnv_HandleRead(env, d);
         return;
     }
-    if (!s->up || s->self.boot != m->boot) {
+    if (!s->up || s->self.boot != d->boot) {
         return;
     }
     Fw_Actions_Init(&out);
-    if (m->kind == FW_IDEM_ENV_APPENDED) {
-        app.first = m->first;
-        Fw_Idem_OnAppended(s->idem, &app, b->now_us, &out);
+    if (d->kind == FW_IDEM_ENV_APPENDED) {
+        app.first = d->first;
+        Fw_Idem_OnAppended(s->idem, &app, env->now_us, &out);
     }
-    else if (m->kind == FW_IDEM_ENV_RECORDS) {
-        rec.sent_us = m->sent_us;
-        rec.first = m->first;
-        rec.oldest = m->oldest;
-        rec.end = m->end;
-        rec.n = m->n;
-        rec.records = (const char *const *)m->records;
-        Fw_Idem_OnRecords(s->idem, &rec, b->now_us, &out);
+    else if (d->kind == FW_IDEM_ENV_RECORDS) {
+        rec.sent_us = d->sent_us;
+        rec.first = d->first;
+        rec.oldest = d->oldest;
+        rec.end = d->end;
+        rec.n = d->n;
+        rec.records = (const char *const *)d->records;
+        Fw_Idem_OnRecords(s->idem, &rec, env->now_us, &out);
     }
     else {
-        Fw_Idem_OnMsg(s->idem, m->sender, &m->msg.u.idem, b->now_us, &out);
+        Fw_Idem_OnMsg(s->idem, d->sender, &d->msg.u.idem, env->now_us, &out);
     }
-    settle(b, m->site, &out);
+    settle(env, d->instance, &out);
 }
 
-/* When @m can be delivered: a paused instance hears nothing. */
+/* When @d can be delivered: a paused instance hears nothing. */
 static int64_t
-due(const struct fw_idem_env *b, const struct fw_idem_env_delivery *m)
+due(const struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
 {
-    if (m->kind == FW_IDEM_ENV_APPEND || m->kind == FW_IDEM_ENV_READ) {
-        return m->at_us;
+    if (d->kind == FW_IDEM_ENV_APPEND || d->kind == FW_IDEM_ENV_READ) {
+        return d->at_us;
     }
-    return MAX(m->at_us, b->sites[m->site].paused_us);
+    return MAX(d->at_us, env->sites[d->instance].paused_us);
 }
 
 static struct fw_idem_env_delivery *
-next_mail(struct fw_idem_env *b, int64_t until_us, int *tick_site)
+next_mail(struct fw_idem_env *env, int64_t until_us, int *tick_instance)
 {
     struct fw_idem_env_delivery *best = NULL;
     int64_t at = until_us + 1;
 
-    *tick_site = -1;
-    for (guint i = 0; i < b->deliveries->len; i++) {
-        struct fw_idem_env_delivery *m = g_ptr_array_index(b->deliveries, i);
+    *tick_instance = -1;
+    for (guint i = 0; i < env->deliveries->len; i++) {
+        struct fw_idem_env_delivery *d = g_ptr_array_index(env->deliveries, i);
 
-        if (due(b, m) < at) {
-            at = due(b, m);
-            best = m;
+        if (due(env, d) < at) {
+            at = due(env, d);
+            best = d;
         }
     }
-    for (int i = 0; i < b->n; i++) {
-        struct fw_idem_env_instance *s = &b->sites[i];
+    for (int i = 0; i < env->n; i++) {
+        struct fw_idem_env_instance *s = &env->sites[i];
 
         if (s->up && MAX(s->wake_us, s->paused_us) < at) {
             at = MAX(s->wake_us, s->paused_us);
             best = NULL;
-            *tick_site = i;
+            *tick_instance = i;
         }
     }
-    if (best || *tick_site >= 0) {
-        b->now_us = MAX(b->now_us, at);
+    if (best || *tick_instance >= 0) {
+        env->now_us = MAX(env->now_us, at);
     }
     return best;
 }
 
 void
-Fw_IdemEnv_Advance(struct fw_idem_env *b, int64_t us)
+Fw_IdemEnv_Advance(struct fw_idem_env *env, int64_t us)
 {
-    int64_t until = b->now_us + us;
+    int64_t until = env->now_us + us;
     int steps = 0;
 
     for (;;) {
-        int site;
-        struct fw_idem_env_delivery *m = next_mail(b, until, &site);
+        int instance;
+        struct fw_idem_env_delivery *d = next_mail(env, until, &instance);
 
         if (++steps > 200000) {
-            breach(b, "the instances never come to rest", "-");
+            breach(env, "the instances never come to rest", "-");
             return;
         }
-        if (m) {
-            deliver(b, m);
-            g_ptr_array_remove(b->deliveries, m);
+        if (d) {
+            deliver(env, d);
+            g_ptr_array_remove(env->deliveries, d);
         }
-        else if (site >= 0) {
-            tick(b, site);
+        else if (instance >= 0) {
+            tick(env, instance);
         }
         else {
             break;
         }
     }
-    b->now_us = until;
+    env->now_us = until;
 }
--- a/explore/p_idem_env.h
+++ b/explore/p_idem_env.h
@@ -42,7 +42,7 @@
  */
 struct fw_idem_env_try {
     uint64_t ticket;
-    int site;
+    int instance;
     uint64_t boot;
     char key[FW_ID_MAX];
     int answered;
@@ -88,22 +88,22 @@
 };
 
 void
-Fw_IdemEnv_Init(struct fw_idem_env *b, int n, GString *trace);
+Fw_IdemEnv_Init(struct fw_idem_env *env, int n, GString *trace);
 void
-Fw_IdemEnv_Clear(struct fw_idem_env *b);
+Fw_IdemEnv_Clear(struct fw_idem_env *env);
 void
-Fw_IdemEnv_Start(struct fw_idem_env *b, int site);
+Fw_IdemEnv_Start(struct fw_idem_env *env, int instance);
 /* SIGKILL: all it held is gone. */
 void
-Fw_IdemEnv_Kill(struct fw_idem_env *b, int site);
+Fw_IdemEnv_Kill(struct fw_idem_env *env, int instance);
 /*
  * A caller's order. @name is a key, or "KEY@SECONDS" for one that carries
  * the time of its making, so many seconds before now.
  */
 void
-Fw_IdemEnv_Open(struct fw_idem_env *b, int site, const char *name,
+Fw_IdemEnv_Open(struct fw_idem_env *env, int instance, const char *name,
                 const char *body);
 void
-Fw_IdemEnv_Advance(struct fw_idem_env *b, int64_t us);
+Fw_IdemEnv_Advance(struct fw_idem_env *env, int64_t us);
 
 #endif
--- a/explore/p_idem_log.c
+++ b/explore/p_idem_log.c
@@ -9,38 +9,39 @@
 #define FW_TIMEOUT_US (5 * FW_SEC)
 
 static void
-store(struct fw_idem_env *b, const struct fw_idem_env_delivery *m)
+store(struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
 {
-    GPtrArray *recs = b->log.records[m->part];
+    GPtrArray *recs = env->log.records[d->part];
 
-    for (int i = 0; i < m->n; i++) {
-        g_ptr_array_add(recs, g_strdup(m->records[i]));
+    for (int i = 0; i < d->n; i++) {
+        g_ptr_array_add(recs, g_strdup(d->records[i]));
     }
-    if ((int)recs->len > b->log.retain) {
-        guint drop = recs->len - (guint)b->log.retain;
+    if ((int)recs->len > env->log.retain) {
+        guint drop = recs->len - (guint)env->log.retain;
 
         g_ptr_array_remove_range(recs, 0, drop);
-        b->log.oldest[m->part] += drop;
+        env->log.oldest[d->part] += drop;
     }
 }
 
 void
-Fw_IdemEnv_HandleAppend(struct fw_idem_env *b, struct fw_idem_env_delivery *m)
+Fw_IdemEnv_HandleAppend(struct fw_idem_env *env,
+                        struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_log *l = &b->log;
-    uint64_t first = l->oldest[m->part] + l->records[m->part]->len;
+    struct fw_idem_env_log *l = &env->log;
+    uint64_t first = l->oldest[d->part] + l->records[d->part]->len;
     struct fw_idem_env_delivery *back;
 
-    if (m->err) { /* a late one: nobody waits any more */
-        store(b, m);
+    if (d->err) { /* a late one: nobody waits any more */
+        store(env, d);
         return;
     }
     l->appends++;
-    back = Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_APPENDED, m->site,
+    back = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_APPENDED, d->instance,
                                FW_IDEM_ENV_HOP_US);
-    back->boot = m->boot;
-    back->ticket = m->ticket;
-    back->part = m->part;
+    back->boot = d->boot;
+    back->ticket = d->ticket;
+    back->part = d->part;
     back->first = first;
     if (l->down) {
         back->err = -EAGAIN;
@@ -49,46 +50,46 @@
         l->lose--;
         back->err = -EIO;
         back->at_us += FW_TIMEOUT_US;
-        store(b, m);
+        store(env, d);
     }
     else if (l->drop > 0) {
         l->drop--;
         back->err = -EIO;
     }
     else if (l->late > 0) {
-        struct fw_idem_env_delivery *again =
-            Fw_IdemEnv_Schedule(b, FW_IDEM_ENV_APPEND, m->site, FW_LATE_US);
+        struct fw_idem_env_delivery *again = Fw_IdemEnv_Schedule(
+            env, FW_IDEM_ENV_APPEND, d->instance, FW_LATE_US);
 
         l->late--;
         back->err = -EIO;
-        again->part = m->part;
-        again->n = m->n;
-        again->records = g_steal_pointer(&m->records);
+        again->part = d->part;
+        again->n = d->n;
+        again->records = g_steal_pointer(&d->records);
         again->err = 1;
     }
     else {
-        store(b, m);
+        store(env, d);
     }
 }
 
 void
-Fw_IdemEnv_HandleRead(struct fw_idem_env *b,
-                      const struct fw_idem_env_delivery *m)
+Fw_IdemEnv_HandleRead(struct fw_idem_env *env,
+                      const struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_log *l = &b->log;
-    GPtrArray *recs = l->records[m->part];
+    struct fw_idem_env_log *l = &env->log;
+    GPtrArray *recs = l->records[d->part];
     struct fw_idem_env_delivery *back = Fw_IdemEnv_Schedule(
-        b, FW_IDEM_ENV_RECORDS, m->site, FW_IDEM_ENV_HOP_US);
+        env, FW_IDEM_ENV_RECORDS, d->instance, FW_IDEM_ENV_HOP_US);
 
-    back->boot = m->boot;
-    back->ticket = m->ticket;
-    back->part = m->part;
-    back->sent_us = m->sent_us;
+    back->boot = d->boot;
+    back->ticket = d->ticket;
+    back->part = d->part;
+    back->sent_us = d->sent_us;
     back->err = l->down ? -EAGAIN : 0;
-    back->oldest = l->oldest[m->part];
+    back->oldest = l->oldest[d->part];
     back->end = back->oldest + recs->len;
-    back->first = CLAMP(m->from, back->oldest, back->end);
-    back->n = (int)MIN((uint64_t)m->max, back->end - back->first);
+    back->first = CLAMP(d->from, back->oldest, back->end);
+    back->n = (int)MIN((uint64_t)d->max, back->end - back->first);
     back->records = g_new0(char *, back->n + 1);
     for (int i = 0; i < back->n; i++) {
         back->records[i] = g_strdup(g_ptr_array_index(
--- a/explore/p_idem_mail.h
+++ b/explore/p_idem_mail.h
@@ -19,7 +19,7 @@
 struct fw_idem_env_delivery {
     enum fw_idem_env_delivery_kind kind;
     int64_t at_us;
-    int site;
+    int instance;
     uint64_t boot;
     uint64_t ticket;
     int part;
@@ -37,13 +37,15 @@
 };
 
 struct fw_idem_env_delivery *
-Fw_IdemEnv_Schedule(struct fw_idem_env *b, enum fw_idem_env_delivery_kind kind,
-                    int site, int64_t delay_us);
+Fw_IdemEnv_Schedule(struct fw_idem_env *env,
+                    enum fw_idem_env_delivery_kind kind, int instance,
+                    int64_t delay_us);
 /* p_idem_log.c: what reaches the log. */
 void
-Fw_IdemEnv_HandleAppend(struct fw_idem_env *b, struct fw_idem_env_delivery *m);
+Fw_IdemEnv_HandleAppend(struct fw_idem_env *env,
+                        struct fw_idem_env_delivery *d);
 void
-Fw_IdemEnv_HandleRead(struct fw_idem_env *b,
-                      const struct fw_idem_env_delivery *m);
+Fw_IdemEnv_HandleRead(struct fw_idem_env *env,
+                      const struct fw_idem_env_delivery *d);
 
 #endif
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -28,7 +28,7 @@
 
 /** struct fw_limit_check_grant - a granted request that may be refunded. */
 struct fw_limit_check_grant {
-    int site;
+    int instance;
     uint64_t boot;
     int team;
     int64_t tokens;
@@ -54,29 +54,29 @@
     int strict;       /* the first overspend is a breach */
 };
 
-/** struct fw_limit_check_request - @ticket of @site asked for @tokens. */
+/** struct fw_limit_check_request - @ticket of @instance asked for @tokens. */
 struct fw_limit_check_request {
     uint64_t ticket;
-    int site;
+    int instance;
     int team;
     int64_t tokens;
 };
 
-/* Sets up @w for two teams of one partition; @term_us: life of leases. */
+/* Sets up @env for two teams of one partition; @term_us: life of leases. */
 void
-Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *w,
+Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *env,
                    int64_t term_us);
 void
-Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *w);
+Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *env);
 void
-Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
-                  int team, int64_t tokens);
+Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *env,
+                  int instance, int team, int64_t tokens);
 void
-Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *w,
-                        int site, int team, int64_t tokens);
+Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *env,
+                        int instance, int team, int64_t tokens);
 /* A finished request gives back some of what it was granted. */
 void
-Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *w);
+Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *env);
 
 void
 Fw_Explore_Limit(struct fw_run *run);
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -53,23 +53,24 @@
 }
 
 static void
-on_granted(struct fw_limit_check *c, struct fw_fleet_env *w,
+on_granted(struct fw_limit_check *c, struct fw_fleet_env *env,
            const struct fw_limit_check_request *q)
 {
     struct fw_account *a = &c->accounts[q->team];
-    struct fw_limit_check_grant note = {.site = q->site,
-                                        .boot = w->sites[q->site].self.boot,
+    struct fw_limit_check_grant note = {.instance = q->instance,
+                                        .boot =
+                                            env->sites[q->instance].self.boot,
                                         .team = q->team,
                                         .tokens = q->tokens};
 
-    settle_refunds(c, w->real_us);
-    Fw_Account_Settle(a, w->real_us);
+    settle_refunds(c, env->real_us);
+    Fw_Account_Settle(a, env->real_us);
     a->level -= (double)q->tokens;
     a->spent += q->tokens;
-    Fw_Run_Trace(w->run,
-                 "%8.3f %s spends %" G_GINT64_FORMAT " of %s, leaving %.0f",
-                 (double)w->real_us / FW_SEC, w->sites[q->site].self.name,
-                 q->tokens, a->team.name, a->level);
+    Fw_Run_Trace(
+        env->run, "%8.3f %s spends %" G_GINT64_FORMAT " of %s, leaving %.0f",
+        (double)env->real_us / FW_SEC, env->sites[q->instance].self.name,
+        q->tokens, a->team.name, a->level);
     a->granted++;
     g_array_append_val(c->granted, note);
     if (a->level < -1.0) {
@@ -78,10 +79,10 @@
     if (a->level < -1.0) {
         c->over += (int64_t)-a->level;
         if (c->strict) {
-            Fw_Run_Breach(w->run,
+            Fw_Run_Breach(env->run,
                           "at %.3f team %s spent %.0f tokens over its rate "
                           "and burst",
-                          (double)w->real_us / FW_SEC, a->team.name,
+                          (double)env->real_us / FW_SEC, a->team.name,
                           -a->level);
         }
         a->level = 0;
@@ -89,41 +90,41 @@
 }
 
 static void
-on_answer(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
+on_answer(struct fw_limit_check *c, struct fw_fleet_env *env, int instance,
           const struct fw_limit_answer *ans)
 {
     for (guint i = 0; i < c->pending->len; i++) {
         struct fw_limit_check_request q =
             g_array_index(c->pending, struct fw_limit_check_request, i);
         struct fw_account *a = &c->accounts[q.team];
-        if (q.ticket != ans->ticket || q.site != site) {
+        if (q.ticket != ans->ticket || q.instance != instance) {
             continue;
         }
         g_array_remove_index_fast(c->pending, i);
         if (ans->granted) {
-            on_granted(c, w, &q);
+            on_granted(c, env, &q);
         }
         else {
-            Fw_Account_Settle(a, w->real_us);
+            Fw_Account_Settle(a, env->real_us);
             a->refused++;
             c->retry_us = ans->retry_after_us;
             a->wrongful += a->level >= (double)q.tokens;
         }
         return;
     }
-    Fw_Run_Breach(w->run, "an answer that nobody asked for");
+    Fw_Run_Breach(env->run, "an answer that nobody asked for");
 }
 
 static void
-take_answers(struct fw_fleet_env *w, void *arg)
+take_answers(struct fw_fleet_env *env, void *arg)
 {
     struct fw_limit_check *c = arg;
     struct fw_limit_answer ans;
 
-    for (int i = 0; i < w->n; i++) {
-        while (Fw_FleetEnv_Runs(w, i) &&
-               Fw_Limit_TakeAnswer(w->sites[i].limit, &ans)) {
-            on_answer(c, w, i, &ans);
+    for (int i = 0; i < env->n; i++) {
+        while (Fw_FleetEnv_Runs(env, i) &&
+               Fw_Limit_TakeAnswer(env->sites[i].limit, &ans)) {
+            on_answer(c, env, i, &ans);
         }
     }
 }
@@ -141,7 +142,7 @@
 }
 
 void
-Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *w,
+Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *env,
                    int64_t term_us)
 {
     struct fw_config *cfg = g_new0(struct fw_config, 1);
@@ -156,19 +157,19 @@
     cfg->teams = g_hash_table_new(g_str_hash, g_str_equal);
     add_team(c, 0, cfg->teams, "large", 1000, 5000);
     add_team(c, 1, cfg->teams, "small", 40, 400);
-    w->use_roles = 1;
-    w->wait_us[FW_ROLE_BUDGET] = term_us;
-    w->cfg = cfg;
-    w->check = take_answers;
-    w->arg = c;
+    env->use_roles = 1;
+    env->wait_us[FW_ROLE_BUDGET] = term_us;
+    env->cfg = cfg;
+    env->check = take_answers;
+    env->arg = c;
 }
 
 void
-Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *w)
+Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *env)
 {
-    struct fw_config *cfg = (struct fw_config *)w->cfg;
+    struct fw_config *cfg = (struct fw_config *)env->cfg;
 
-    Fw_FleetEnv_Clear(w);
+    Fw_FleetEnv_Clear(env);
     g_hash_table_unref(cfg->teams);
     g_free(cfg);
     g_array_unref(c->pending);
@@ -177,48 +178,50 @@
 }
 
 void
-Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
-                  int team, int64_t tokens)
+Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *env,
+                  int instance, int team, int64_t tokens)
 {
-    struct fw_limit_check_request q = {
-        .ticket = ++c->ticket, .site = site, .team = team, .tokens = tokens};
+    struct fw_limit_check_request q = {.ticket = ++c->ticket,
+                                       .instance = instance,
+                                       .team = team,
+                                       .tokens = tokens};
     struct fw_actions out;
 
-    if (!Fw_FleetEnv_Runs(w, site)) {
+    if (!Fw_FleetEnv_Runs(env, instance)) {
         return;
     }
     g_array_append_val(c->pending, q);
     Fw_Actions_Init(&out);
-    Fw_Limit_Request(w->sites[site].limit, &c->accounts[team].team, q.ticket,
-                     tokens, Fw_FleetEnv_Local(w, site), &out);
-    Fw_FleetEnv_Carry(w, site, &out);
-    take_answers(w, c);
+    Fw_Limit_Request(env->sites[instance].limit, &c->accounts[team].team,
+                     q.ticket, tokens, Fw_FleetEnv_Local(env, instance), &out);
+    Fw_FleetEnv_Carry(env, instance, &out);
+    take_answers(env, c);
 }
 
 void
-Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *w,
-                        int site, int team, int64_t tokens)
+Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *env,
+                        int instance, int team, int64_t tokens)
 {
     struct fw_account *a = &c->accounts[team];
     struct fw_limit_check_refund refund = {
         .team = team,
         .tokens = (double)tokens,
-        .until_us = w->real_us + w->delay_max_us + FW_REFUND_US,
+        .until_us = env->real_us + env->delay_max_us + FW_REFUND_US,
     };
     struct fw_actions out;
 
     g_array_append_val(c->refunds, refund);
-    Fw_Run_Trace(w->run, "%8.3f %s refunds %" G_GINT64_FORMAT " of %s",
-                 (double)w->real_us / FW_SEC, w->sites[site].self.name, tokens,
-                 a->team.name);
+    Fw_Run_Trace(env->run, "%8.3f %s refunds %" G_GINT64_FORMAT " of %s",
+                 (double)env->real_us / FW_SEC, env->sites[instance].self.name,
+                 tokens, a->team.name);
     Fw_Actions_Init(&out);
-    Fw_Limit_Refund(w->sites[site].limit, &a->team, tokens,
-                    Fw_FleetEnv_Local(w, site), &out);
-    Fw_FleetEnv_Carry(w, site, &out);
+    Fw_Limit_Refund(env->sites[instance].limit, &a->team, tokens,
+                    Fw_FleetEnv_Local(env, instance), &out);
+    Fw_FleetEnv_Carry(env, instance, &out);
 }
 
 void
-Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *w)
+Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *env)
 {
     struct fw_limit_check_grant note;
     guint i;
@@ -226,13 +229,13 @@
     if (c->granted->len == 0) {
         return;
     }
-    i = (guint)Fw_FleetEnv_Below(w, (gint32)c->granted->len);
+    i = (guint)Fw_FleetEnv_Below(env, (gint32)c->granted->len);
     note = g_array_index(c->granted, struct fw_limit_check_grant, i);
     g_array_remove_index_fast(c->granted, i);
-    if (!Fw_FleetEnv_Runs(w, note.site) ||
-        w->sites[note.site].self.boot != note.boot || note.tokens == 0) {
+    if (!Fw_FleetEnv_Runs(env, note.instance) ||
+        env->sites[note.instance].self.boot != note.boot || note.tokens == 0) {
         return;
     }
-    Fw_LimitCheck_RefundNow(c, w, note.site, note.team,
-                            Fw_FleetEnv_Below(w, (gint32)note.tokens));
+    Fw_LimitCheck_RefundNow(c, env, note.instance, note.team,
+                            Fw_FleetEnv_Below(env, (gint32)note.tokens));
 }
--- a/explore/p_order.c
+++ b/explore/p_order.c
@@ -22,13 +22,13 @@
 }
 
 static void
-add_engines(struct fw_run *run, struct fw_order_env *y)
+add_engines(struct fw_run *run, struct fw_order_env *env)
 {
     for (int i = 0; i < FW_ORDER_ENV_ENGINES; i++) {
         char name[8];
 
         g_snprintf(name, sizeof(name), "e%d", i);
-        Fw_OrderEnv_Engine(y, name, draw_role(run),
+        Fw_OrderEnv_Engine(env, name, draw_role(run),
                            i % 2 ? "prefill" : "decode",
                            below(run, 2) ? "m@1" : "m@0")
             ->checks = below(run, 2);
@@ -36,41 +36,41 @@
 }
 
 static void
-pause_or_go_on(struct fw_run *run, struct fw_order_env *y)
+pause_or_go_on(struct fw_run *run, struct fw_order_env *env)
 {
     struct fw_order_env_holder *h =
-        &y->holders[below(run, FW_ORDER_ENV_HOLDERS)];
+        &env->holders[below(run, FW_ORDER_ENV_HOLDERS)];
 
     h->paused = !h->paused;
-    Fw_Run_Trace(run, "%8.1f %s %s", (double)y->now_us / FW_SEC,
+    Fw_Run_Trace(run, "%8.1f %s %s", (double)env->now_us / FW_SEC,
                  h->paused ? "pause" : "go on", h->self.name);
 }
 
 static void
-do_fault(struct fw_run *run, struct fw_order_env *y)
+do_fault(struct fw_run *run, struct fw_order_env *env)
 {
     struct fw_order_env_engine *e =
-        &y->engines[below(run, FW_ORDER_ENV_ENGINES)];
-    double at = (double)y->now_us / FW_SEC;
+        &env->engines[below(run, FW_ORDER_ENV_ENGINES)];
+    double at = (double)env->now_us / FW_SEC;
     const char *role = draw_role(run);
 
     switch (below(run, 7)) {
     case 0:
     case 1:
-        pause_or_go_on(run, y);
+        pause_or_go_on(run, env);
         break;
     case 2:
-        y->log_down = !y->log_down;
-        Fw_Run_Trace(run, "%8.1f log %s", at, y->log_down ? "down" : "up");
+        env->log_down = !env->log_down;
+        Fw_Run_Trace(run, "%8.1f log %s", at, env->log_down ? "down" : "up");
         break;
     case 3:
-        y->lose_answers += 1;
+        env->lose_answers += 1;
         Fw_Run_Trace(run, "%8.1f an answer will be lost", at);
         break;
     case 4:
-        y->order_delay_us = below(run, 3) ? 0 : below(run, 30) * FW_SEC;
+        env->order_delay_us = below(run, 3) ? 0 : below(run, 30) * FW_SEC;
         Fw_Run_Trace(run, "%8.1f orders take %.0f s", at,
-                     (double)y->order_delay_us / FW_SEC);
+                     (double)env->order_delay_us / FW_SEC);
         break;
     case 5:
         e->down = !e->down;
@@ -79,60 +79,60 @@
         break;
     default:
         Fw_Run_Trace(run, "%8.1f %s shall be %s", at, e->name, role);
-        Fw_OrderEnv_SetConfiguredRole(y, e->name, role);
+        Fw_OrderEnv_SetConfiguredRole(env, e->name, role);
         break;
     }
 }
 
 static void
-check_roles(struct fw_run *run, const struct fw_order_env *y)
+check_roles(struct fw_run *run, const struct fw_order_env *env)
 {
     int prefill = 0;
 
-    for (int i = 0; i < y->n_engines; i++) {
-        prefill += strcmp(y->engines[i].role, "prefill") == 0;
+    for (int i = 0; i < env->n_engines; i++) {
+        prefill += strcmp(env->engines[i].role, "prefill") == 0;
     }
-    if (prefill == 0 || prefill == y->n_engines) {
+    if (prefill == 0 || prefill == env->n_engines) {
         Fw_Run_Breach(run, "no %s engine left",
                       prefill ? "decode" : "prefill");
     }
 }
 
 static void
-check_fences(struct fw_run *run, const struct fw_order_env *y)
+check_fences(struct fw_run *run, const struct fw_order_env *env)
 {
-    if (y->fence_regressed) {
+    if (env->fence_regressed) {
         Fw_Run_Breach(run, "an older order took effect after a newer one");
     }
 }
 
 static void
 run_yard(struct fw_run *run,
-         void (*check)(struct fw_run *run, const struct fw_order_env *y))
+         void (*check)(struct fw_run *run, const struct fw_order_env *env))
 {
-    struct fw_order_env *y = Fw_OrderEnv_New();
+    struct fw_order_env *env = Fw_OrderEnv_New();
 
-    add_engines(run, y);
-    Fw_OrderEnv_Start(y, 0);
-    Fw_OrderEnv_Start(y, 1);
-    y->holders[1].paused = 1;
-    y->poll_delay_us = 500 * FW_MSEC;
+    add_engines(run, env);
+    Fw_OrderEnv_Start(env, 0);
+    Fw_OrderEnv_Start(env, 1);
+    env->holders[1].paused = 1;
+    env->poll_delay_us = 500 * FW_MSEC;
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         char *lines;
 
-        Fw_OrderEnv_Run(y, (1 + below(run, 50)) * 100 * FW_MSEC);
-        lines = Fw_OrderEnv_Journal(y);
+        Fw_OrderEnv_Run(env, (1 + below(run, 50)) * 100 * FW_MSEC);
+        lines = Fw_OrderEnv_Journal(env);
         if (lines[0]) {
-            Fw_Run_Trace(run, "%8.1f %s", (double)y->now_us / FW_SEC,
+            Fw_Run_Trace(run, "%8.1f %s", (double)env->now_us / FW_SEC,
                          g_strchomp(lines));
         }
         g_free(lines);
-        check(run, y);
+        check(run, env);
         if (below(run, 6) == 0) {
-            do_fault(run, y);
+            do_fault(run, env);
         }
     }
-    Fw_OrderEnv_Free(y);
+    Fw_OrderEnv_Free(env);
 }
 
 void
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -22,7 +22,7 @@
 };
 
 static void
-put(struct fw_order_env *y, const char *item_text)
+put(struct fw_order_env *env, const char *item_text)
 {
     JsonNode *node = json_from_string(item_text, NULL);
     struct fw_item item = {.kind = FW_ITEM_TEAM};
@@ -31,23 +31,23 @@
     if (Fw_Item_Parse(json_node_get_object(node), &item, &why)) {
         g_error("%s", why.text);
     }
-    Fw_Config_PutItem(y->cfg, &item, 1);
+    Fw_Config_PutItem(env->cfg, &item, 1);
     json_node_unref(node);
 }
 
 struct fw_order_env *
 Fw_OrderEnv_New(void)
 {
-    struct fw_order_env *y = g_new0(struct fw_order_env, 1);
-
-    y->cfg = Fw_Config_New();
-    y->log = g_ptr_array_new_with_free_func(g_free);
-    y->calls = g_ptr_array_new_with_free_func(g_free);
-    y->journal = g_string_new(NULL);
-    y->now_us = FW_SEC;
-    put(y, "{\"kind\":\"pool\",\"name\":\"p\",\"was\":0,\"value\":"
-           "{\"serves\":[{\"model\":\"m\",\"version\":\"1\"}]}}");
-    return y;
+    struct fw_order_env *env = g_new0(struct fw_order_env, 1);
+
+    env->cfg = Fw_Config_New();
+    env->log = g_ptr_array_new_with_free_func(g_free);
+    env->calls = g_ptr_array_new_with_free_func(g_free);
+    env->journal = g_string_new(NULL);
+    env->now_us = FW_SEC;
+    put(env, "{\"kind\":\"pool\",\"name\":\"p\",\"was\":0,\"value\":"
+             "{\"serves\":[{\"model\":\"m\",\"version\":\"1\"}]}}");
+    return env;
 }
 
 static void
@@ -62,20 +62,20 @@
 }
 
 void
-Fw_OrderEnv_Free(struct fw_order_env *y)
+Fw_OrderEnv_Free(struct fw_order_env *env)
 {
     for (int i = 0; i < FW_ORDER_ENV_HOLDERS; i++) {
-        stop(&y->holders[i]);
+        stop(&env->holders[i]);
     }
-    Fw_Config_Free(y->cfg);
-    g_ptr_array_unref(y->log);
-    g_ptr_array_unref(y->calls);
-    g_string_free(y->journal, TRUE);
-    g_free(y);
+    Fw_Config_Free(env->cfg);
+    g_ptr_array_unref(env->log);
+    g_ptr_array_unref(env->calls);
+    g_string_free(env->journal, TRUE);
+    g_free(env);
 }
 
 void
-Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *y, const char *name,
+Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *env, const char *name,
                               const char *role)
 {
     char *text = g_strdup_printf(
@@ -83,18 +83,18 @@
         "{\"pool\":\"p\",\"url\":\"http://%s\",\"role\":\"%s\"}}",
         name, name, role);
 
-    put(y, text);
+    put(env, text);
     g_free(text);
 }
 
 struct fw_order_env_engine *
-Fw_OrderEnv_Engine(struct fw_order_env *y, const char *name, const char *role,
-                   const char *now, const char *models)
+Fw_OrderEnv_Engine(struct fw_order_env *env, const char *name,
+                   const char *role, const char *now, const char *models)
 {
-    struct fw_order_env_engine *e = &y->engines[y->n_engines++];
+    struct fw_order_env_engine *e = &env->engines[env->n_engines++];
     char **names = g_strsplit(models, " ", -1);
 
-    Fw_OrderEnv_SetConfiguredRole(y, name, role);
+    Fw_OrderEnv_SetConfiguredRole(env, name, role);
     g_strlcpy(e->name, name, sizeof(e->name));
     g_strlcpy(e->role, now, sizeof(e->role));
     e->checks = 1;
@@ -110,15 +110,15 @@
 
 /* Each holder believes itself alone, as on two sides of a cut. */
 void
-Fw_OrderEnv_Start(struct fw_order_env *y, int holder)
+Fw_OrderEnv_Start(struct fw_order_env *env, int holder)
 {
-    struct fw_order_env_holder *h = &y->holders[holder];
+    struct fw_order_env_holder *h = &env->holders[holder];
     static const int64_t waits[FW_ROLE_KINDS] = {
         [FW_ROLE_BUDGET] = ORDER_WAIT_US, [FW_ROLE_ORDER] = ORDER_WAIT_US};
 
     stop(h);
     g_snprintf(h->self.name, sizeof(h->self.name), "holder%d", holder);
-    h->self.boot = (uint64_t)y->now_us;
+    h->self.boot = (uint64_t)env->now_us;
     g_strlcpy(h->self.addr, "addr", sizeof(h->self.addr));
     g_strlcpy(h->self.domain, "d", sizeof(h->self.domain));
     g_strlcpy(h->self.region, "r", sizeof(h->self.region));
@@ -129,39 +129,39 @@
 }
 
 static struct fw_order_env_engine *
-engine(struct fw_order_env *y, const char *name)
+engine(struct fw_order_env *env, const char *name)
 {
-    for (int i = 0; i < y->n_engines; i++) {
-        if (strcmp(y->engines[i].name, name) == 0) {
-            return &y->engines[i];
+    for (int i = 0; i < env->n_engines; i++) {
+        if (strcmp(env->engines[i].name, name) == 0) {
+            return &env->engines[i];
         }
     }
     return NULL;
 }
 
 static void
-add_line(struct fw_order_env *y, const struct fw_order_env_call *c,
+add_line(struct fw_order_env *env, const struct fw_order_env_call *c,
          const char *fate)
 {
     const struct fw_up_order *o = &c->up.u.order;
     static const char *const ops[] = {"load", "unload", "load-adapter",
                                       "unload-adapter", "role"};
 
-    g_string_append_printf(y->journal, "holder%d %s %s %s%s%s -> %s\n",
+    g_string_append_printf(env->journal, "holder%d %s %s %s%s%s -> %s\n",
                            c->holder, c->up.upstream, ops[o->op], o->model,
                            o->op == FW_ORDER_SET_ROLE ? o->role : "@",
                            o->version, fate);
 }
 
 static void
-take_order(struct fw_order_env *y, struct fw_order_env_engine *e,
+take_order(struct fw_order_env *env, struct fw_order_env_engine *e,
            const struct fw_up_order *o)
 {
     char ref[FW_MODELREF_MAX];
 
     g_snprintf(ref, sizeof(ref), "%s@%s%s%s", o->model, o->version,
                o->adapter[0] ? "+" : "", o->adapter);
-    y->fence_regressed |= o->fence < e->fence;
+    env->fence_regressed |= o->fence < e->fence;
     e->fence = MAX(e->fence, o->fence);
     switch (o->op) {
     case FW_ORDER_LOAD_MODEL:
@@ -187,28 +187,28 @@
 
 /* An engine that does not check fences still drops what is too late. */
 static void
-answer_order(struct fw_order_env *y, const struct fw_order_env_call *c,
+answer_order(struct fw_order_env *env, const struct fw_order_env_call *c,
              struct fw_up_event *ev)
 {
-    struct fw_order_env_engine *e = engine(y, c->up.upstream);
+    struct fw_order_env_engine *e = engine(env, c->up.upstream);
     const struct fw_up_order *o = &c->up.u.order;
 
     ev->phase = FW_UP_FAILED;
     ev->ran = FW_RAN_NO;
     if (e->checks && o->fence < e->fence) {
         ev->status = 409;
-        add_line(y, c, "old fence");
+        add_line(env, c, "old fence");
         return;
     }
-    if (y->now_us > c->sent_us + o->ttl_us) {
+    if (env->now_us > c->sent_us + o->ttl_us) {
         ev->status = 410;
-        add_line(y, c, "too late");
+        add_line(env, c, "too late");
         return;
     }
-    take_order(y, e, o);
-    add_line(y, c, "done");
-    if (y->lose_answers > 0) {
-        y->lose_answers--;
+    take_order(env, e, o);
+    add_line(env, c, "done");
+    if (env->lose_answers > 0) {
+        env->lose_answers--;
         ev->ran = FW_RAN_MAYBE;
         ev->err = -ETIMEDOUT;
         return;
@@ -234,75 +234,75 @@
 }
 
 static void
-carry(struct fw_order_env *y, int i, struct fw_actions *out);
+carry(struct fw_order_env *env, int i, struct fw_actions *out);
 
 /* The engine acts in its time, whatever becomes of the caller. */
 static void
-reach_engine(struct fw_order_env *y, struct fw_order_env_call *c)
+reach_engine(struct fw_order_env *env, struct fw_order_env_call *c)
 {
     c->reached = 1;
     c->ev.op = c->up.op;
     c->ev.kind = c->up.kind;
     if (c->up.kind == FW_UP_ORDER) {
-        answer_order(y, c, &c->ev);
+        answer_order(env, c, &c->ev);
     }
     else {
-        answer_poll(engine(y, c->up.upstream), &c->ev);
+        answer_poll(engine(env, c->up.upstream), &c->ev);
     }
 }
 
 static void
-give_up_event(struct fw_order_env *y, const struct fw_order_env_call *c)
+give_up_event(struct fw_order_env *env, const struct fw_order_env_call *c)
 {
-    struct fw_order_env_holder *h = &y->holders[c->holder];
+    struct fw_order_env_holder *h = &env->holders[c->holder];
     struct fw_actions out;
 
     if (!h->up) {
         return;
     }
     Fw_Actions_Init(&out);
-    Fw_Orders_OnUp(h->orders, y->cfg, &c->ev, y->now_us, &out);
-    carry(y, c->holder, &out);
+    Fw_Orders_OnUp(h->orders, env->cfg, &c->ev, env->now_us, &out);
+    carry(env, c->holder, &out);
 }
 
 static void
-give_records(struct fw_order_env *y, const struct fw_order_env_call *c)
+give_records(struct fw_order_env *env, const struct fw_order_env_call *c)
 {
     struct fw_log_records r = {.ticket = c->read.ticket,
                                .sent_us = c->sent_us,
                                .oldest = 1,
-                               .end = y->log->len + 1};
+                               .end = env->log->len + 1};
     struct fw_actions out;
 
     g_strlcpy(r.stream, c->read.stream, sizeof(r.stream));
-    r.err = y->log_down ? -EIO : 0;
+    r.err = env->log_down ? -EIO : 0;
     r.first = MIN(c->read.from, r.end);
     r.n = (int)MIN((uint64_t)c->read.max_records, r.end - r.first);
-    r.records = (const char *const *)y->log->pdata + (r.first - 1);
+    r.records = (const char *const *)env->log->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
-    Fw_Roles_OnRecords(y->holders[c->holder].roles, &r, y->now_us, &out);
-    carry(y, c->holder, &out);
+    Fw_Roles_OnRecords(env->holders[c->holder].roles, &r, env->now_us, &out);
+    carry(env, c->holder, &out);
 }
 
 static void
-give_append(struct fw_order_env *y, int i, const struct fw_log_append *p)
+give_append(struct fw_order_env *env, int i, const struct fw_log_append *p)
 {
     struct fw_log_appended done = {.ticket = p->ticket,
-                                   .first = y->log->len + 1};
+                                   .first = env->log->len + 1};
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
-    done.err = y->log_down ? -EAGAIN : 0;
+    done.err = env->log_down ? -EAGAIN : 0;
     for (int k = 0; k < p->n && !done.err; k++) {
-        g_ptr_array_add(y->log, g_strdup(p->records[k]));
+        g_ptr_array_add(env->log, g_strdup(p->records[k]));
     }
     Fw_Actions_Init(&out);
-    Fw_Roles_OnAppended(y->holders[i].roles, &done, y->now_us, &out);
-    carry(y, i, &out);
+    Fw_Roles_OnAppended(env->holders[i].roles, &done, env->now_us, &out);
+    carry(env, i, &out);
 }
 
 static void
-carry(struct fw_order_env *y, int i, struct fw_actions *out)
+carry(struct fw_order_env *env, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
@@ -310,23 +310,23 @@
         struct fw_order_env_call *c = NULL;
 
         if (a->kind == FW_ACT_LOG_APPEND) {
-            give_append(y, i, &a->u.append);
+            give_append(env, i, &a->u.append);
         }
         if (a->kind == FW_ACT_LOG_READ || a->kind == FW_ACT_UP_START) {
             c = g_new0(struct fw_order_env_call, 1);
             c->holder = i;
             c->kind = a->kind;
-            c->sent_us = y->now_us;
-            c->due_us = y->now_us;
-            g_ptr_array_add(y->calls, c);
+            c->sent_us = env->now_us;
+            c->due_us = env->now_us;
+            g_ptr_array_add(env->calls, c);
         }
         if (a->kind == FW_ACT_LOG_READ) {
             c->read = a->u.read;
         }
         if (a->kind == FW_ACT_UP_START) {
             c->up = a->u.up;
-            c->due_us += a->u.up.kind == FW_UP_ORDER ? y->order_delay_us
-                                                     : y->poll_delay_us;
+            c->due_us += a->u.up.kind == FW_UP_ORDER ? env->order_delay_us
+                                                     : env->poll_delay_us;
         }
         Fw_Action_Free(a);
     }
@@ -335,80 +335,80 @@
 /* A log read is held back until there is something, or its wait is over. A
  * paused holder takes up what has come when it goes on. */
 static int
-is_due(const struct fw_order_env *y, const struct fw_order_env_call *c)
+is_due(const struct fw_order_env *env, const struct fw_order_env_call *c)
 {
     if (c->kind == FW_ACT_LOG_READ) {
-        return !y->holders[c->holder].paused &&
-               (y->log_down || c->read.from <= y->log->len ||
-                y->now_us >= c->sent_us + c->read.wait_us);
+        return !env->holders[c->holder].paused &&
+               (env->log_down || c->read.from <= env->log->len ||
+                env->now_us >= c->sent_us + c->read.wait_us);
     }
-    return c->reached && !y->holders[c->holder].paused;
+    return c->reached && !env->holders[c->holder].paused;
 }
 
 static void
-serve(struct fw_order_env *y)
+serve(struct fw_order_env *env)
 {
-    for (unsigned k = 0; k < y->calls->len;) {
-        struct fw_order_env_call *c = g_ptr_array_index(y->calls, k);
+    for (unsigned k = 0; k < env->calls->len;) {
+        struct fw_order_env_call *c = g_ptr_array_index(env->calls, k);
 
         if (c->kind == FW_ACT_UP_START && !c->reached &&
-            y->now_us >= c->due_us) {
-            reach_engine(y, c);
+            env->now_us >= c->due_us) {
+            reach_engine(env, c);
         }
-        if (!is_due(y, c)) {
+        if (!is_due(env, c)) {
             k++;
             continue;
         }
-        g_ptr_array_steal_index(y->calls, k);
-        if (c->kind == FW_ACT_LOG_READ && y->holders[c->holder].up) {
-            give_records(y, c);
+        g_ptr_array_steal_index(env->calls, k);
+        if (c->kind == FW_ACT_LOG_READ && env->holders[c->holder].up) {
+            give_records(env, c);
         }
         else if (c->kind == FW_ACT_UP_START) {
-            give_up_event(y, c);
+            give_up_event(env, c);
         }
         g_free(c);
     }
 }
 
 void
-Fw_OrderEnv_Run(struct fw_order_env *y, int64_t us)
+Fw_OrderEnv_Run(struct fw_order_env *env, int64_t us)
 {
-    int64_t until = y->now_us + us;
+    int64_t until = env->now_us + us;
 
-    while (y->now_us < until) {
-        y->now_us += STEP_US;
+    while (env->now_us < until) {
+        env->now_us += STEP_US;
         for (int i = 0; i < FW_ORDER_ENV_HOLDERS; i++) {
-            struct fw_order_env_holder *h = &y->holders[i];
+            struct fw_order_env_holder *h = &env->holders[i];
             struct fw_actions out;
 
             if (!h->up || h->paused) {
                 continue;
             }
             Fw_Actions_Init(&out);
-            Fw_Orders_Tick(h->orders, y->cfg, y->now_us, &out);
-            Fw_Roles_Tick(h->roles, h->fleet, y->now_us, &out);
-            carry(y, i, &out);
+            Fw_Orders_Tick(h->orders, env->cfg, env->now_us, &out);
+            Fw_Roles_Tick(h->roles, h->fleet, env->now_us, &out);
+            carry(env, i, &out);
         }
-        serve(y);
+        serve(env);
     }
 }
 
 char *
-Fw_OrderEnv_Journal(struct fw_order_env *y)
+Fw_OrderEnv_Journal(struct fw_order_env *env)
 {
-    char *text = g_strdup(y->journal->str);
+    char *text = g_strdup(env->journal->str);
 
-    g_string_truncate(y->journal, 0);
+    g_string_truncate(env->journal, 0);
     return text;
 }
 
 int
-Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *y)
+Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *env)
 {
     int n = 0;
 
-    for (unsigned k = 0; k < y->calls->len; k++) {
-        const struct fw_order_env_call *c = g_ptr_array_index(y->calls, k);
+    for (unsigned k = 0; k < env->calls->len; k++) {
+        const struct fw_order_env_call *c = g_ptr_array_index(env->calls, k);
 
         n += c->kind == FW_ACT_UP_START && c->up.kind == FW_UP_ORDER;
     }
--- a/explore/p_order_env.h
+++ b/explore/p_order_env.h
@@ -71,24 +71,24 @@
 struct fw_order_env *
 Fw_OrderEnv_New(void);
 void
-Fw_OrderEnv_Free(struct fw_order_env *y);
+Fw_OrderEnv_Free(struct fw_order_env *env);
 /* An engine of pool p; @role as configured, @now_us as it is, models apart by
  * blanks. */
 struct fw_order_env_engine *
-Fw_OrderEnv_Engine(struct fw_order_env *y, const char *name, const char *role,
-                   const char *now, const char *models);
+Fw_OrderEnv_Engine(struct fw_order_env *env, const char *name,
+                   const char *role, const char *now, const char *models);
 void
-Fw_OrderEnv_Start(struct fw_order_env *y, int holder);
+Fw_OrderEnv_Start(struct fw_order_env *env, int holder);
 void
-Fw_OrderEnv_Run(struct fw_order_env *y, int64_t us);
+Fw_OrderEnv_Run(struct fw_order_env *env, int64_t us);
 /* What the configuration wants of an engine. */
 void
-Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *y, const char *name,
+Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *env, const char *name,
                               const char *role);
 int
-Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *y);
+Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *env);
 /* The journal since the last call; free it. */
 char *
-Fw_OrderEnv_Journal(struct fw_order_env *y);
+Fw_OrderEnv_Journal(struct fw_order_env *env);
 
 #endif
--- a/explore/p_request_callers.c
+++ b/explore/p_request_callers.c
@@ -6,25 +6,26 @@
 #include "explore/p_request_env.h"
 
 static struct fw_request_env_caller *
-caller(struct fw_request_env *w, uint64_t call)
+caller(struct fw_request_env *env, uint64_t call)
 {
-    struct fw_request_env_caller *c = &w->callers[call - 1];
+    struct fw_request_env_caller *c = &env->callers[call - 1];
 
     if (!c->open) {
-        Fw_Run_Breach(w->run, "caller %" PRIu64 " is answered after its end",
+        Fw_Run_Breach(env->run, "caller %" PRIu64 " is answered after its end",
                       call - 1);
     }
     return c;
 }
 
 void
-Fw_RequestEnv_OnPiece(struct fw_request_env *w, const struct fw_call_piece *p)
+Fw_RequestEnv_OnPiece(struct fw_request_env *env,
+                      const struct fw_call_piece *p)
 {
-    struct fw_request_env_caller *c = caller(w, p->call);
+    struct fw_request_env_caller *c = caller(env, p->call);
     char *want = g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->n_pieces);
 
     if (p->index != c->n_pieces || strcmp(p->text, want) != 0) {
-        Fw_Run_Breach(w->run, "caller %" PRIu64 " got %s in place of %s",
+        Fw_Run_Breach(env->run, "caller %" PRIu64 " got %s in place of %s",
                       p->call - 1, p->text, want);
     }
     c->n_pieces++;
@@ -32,52 +33,53 @@
 }
 
 void
-Fw_RequestEnv_OnFail(struct fw_request_env *w, const struct fw_call_fail *f)
+Fw_RequestEnv_OnFail(struct fw_request_env *env, const struct fw_call_fail *f)
 {
-    struct fw_request_env_caller *c = caller(w, f->call);
+    struct fw_request_env_caller *c = caller(env, f->call);
 
     c->open = 0;
-    Fw_Run_Trace(w->run, "caller %" PRIu64 " fails: %s, ran %s", f->call - 1,
+    Fw_Run_Trace(env->run, "caller %" PRIu64 " fails: %s, ran %s", f->call - 1,
                  f->code, Fw_Ran_Name(f->ran));
-    if (w->draining && f->ran != FW_RAN_NO) {
-        Fw_Run_Breach(w->run, "caller %" PRIu64 " is cut off by the stop",
+    if (env->draining && f->ran != FW_RAN_NO) {
+        Fw_Run_Breach(env->run, "caller %" PRIu64 " is cut off by the stop",
                       f->call - 1);
     }
     if (f->ran == FW_RAN_NO && c->started) {
-        Fw_Run_Breach(w->run, "caller %" PRIu64 " is told that it did not run",
+        Fw_Run_Breach(env->run,
+                      "caller %" PRIu64 " is told that it did not run",
                       f->call - 1);
     }
 }
 
 void
-Fw_RequestEnv_OnEnd(struct fw_request_env *w, const struct fw_call_end *e)
+Fw_RequestEnv_OnEnd(struct fw_request_env *env, const struct fw_call_end *e)
 {
-    struct fw_request_env_caller *c = caller(w, e->call);
+    struct fw_request_env_caller *c = caller(env, e->call);
 
     c->open = 0;
-    Fw_Run_Trace(w->run, "caller %" PRIu64 " has all", e->call - 1);
+    Fw_Run_Trace(env->run, "caller %" PRIu64 " has all", e->call - 1);
     if (c->n_pieces != FW_REQUEST_ENV_PIECES) {
-        Fw_Run_Breach(w->run, "caller %" PRIu64 " has %d pieces at the end",
+        Fw_Run_Breach(env->run, "caller %" PRIu64 " has %d pieces at the end",
                       e->call - 1, c->n_pieces);
     }
 }
 
 void
-Fw_RequestEnv_OnExit(struct fw_request_env *w)
+Fw_RequestEnv_OnExit(struct fw_request_env *env)
 {
-    w->exited = 1;
-    for (int i = 0; i < w->n_callers; i++) {
-        if (w->callers[i].open) {
-            Fw_Run_Breach(w->run, "the instance leaves caller %d behind", i);
+    env->exited = 1;
+    for (int i = 0; i < env->n_callers; i++) {
+        if (env->callers[i].open) {
+            Fw_Run_Breach(env->run, "the instance leaves caller %d behind", i);
         }
     }
 }
 
 void
-Fw_RequestEnv_OpenCall(struct fw_request_env *w)
+Fw_RequestEnv_OpenCall(struct fw_request_env *env)
 {
-    int n = w->n_callers++;
-    struct fw_request_env_caller *c = &w->callers[n];
+    int n = env->n_callers++;
+    struct fw_request_env_caller *c = &env->callers[n];
     char *prompt = g_strdup_printf("%d;", n);
     struct fw_event ev = {.kind = FW_EV_CALL_OPEN};
     struct fw_call *call = &ev.u.open;
@@ -85,7 +87,7 @@
     c->call = (uint64_t)n + 1;
     c->open = 1;
     g_snprintf(c->key, sizeof(c->key), "key-%c",
-               g_rand_boolean(w->run->rand) ? 'a' : 'b');
+               g_rand_boolean(env->run->rand) ? 'a' : 'b');
     call->call = c->call;
     call->key = c->key;
     call->prompt = g_bytes_new_take(prompt, strlen(prompt));
@@ -93,36 +95,36 @@
     call->max_tokens = FW_REQUEST_ENV_PIECES;
     call->stream = 1;
     g_strlcpy(call->model, "m", sizeof(call->model));
-    if (g_rand_int_range(w->run->rand, 0, 3) == 0) {
+    if (g_rand_int_range(env->run->rand, 0, 3) == 0) {
         g_snprintf(call->request_id, FW_ID_MAX, "named-%d", n);
     }
-    Fw_Run_Trace(w->run, "caller %d asks with %s", n, c->key);
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_Run_Trace(env->run, "caller %d asks with %s", n, c->key);
+    Fw_RequestEnv_Step(env, &ev);
     g_bytes_unref(call->prompt);
 }
 
 void
-Fw_RequestEnv_CloseCall(struct fw_request_env *w, int n)
+Fw_RequestEnv_CloseCall(struct fw_request_env *env, int n)
 {
     struct fw_event ev = {.kind = FW_EV_CALL_CLOSED,
-                          .u.closed = w->callers[n].call};
+                          .u.closed = env->callers[n].call};
 
-    if (!w->callers[n].open) {
+    if (!env->callers[n].open) {
         return;
     }
-    Fw_Run_Trace(w->run, "caller %d goes", n);
-    w->callers[n].open = 0;
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_Run_Trace(env->run, "caller %d goes", n);
+    env->callers[n].open = 0;
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 void
-Fw_RequestEnv_Drain(struct fw_request_env *w)
+Fw_RequestEnv_Drain(struct fw_request_env *env)
 {
     struct fw_event ev = {.kind = FW_EV_DRAIN};
 
-    Fw_Run_Trace(w->run, "the instance is told to stop");
-    w->draining = 1;
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_Run_Trace(env->run, "the instance is told to stop");
+    env->draining = 1;
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 static void
@@ -138,7 +140,7 @@
 }
 
 void
-Fw_RequestEnv_Configure(struct fw_request_env *w)
+Fw_RequestEnv_Configure(struct fw_request_env *env)
 {
     GString *items = g_string_new(
         "{\"kind\":\"team\",\"name\":\"a\",\"was\":0,\"value\":{\"rate\":"
@@ -164,24 +166,24 @@
     add_key(items, "key-a", 0, 0);
     g_string_append_c(items, ',');
     add_key(items, "key-b", 0, 0);
-    Fw_MemLog_Change(&w->log, items->str);
+    Fw_MemLog_Change(&env->log, items->str);
     g_string_free(items, TRUE);
 }
 
 void
-Fw_RequestEnv_WithdrawKey(struct fw_request_env *w)
+Fw_RequestEnv_WithdrawKey(struct fw_request_env *env)
 {
     GString *items = g_string_new(NULL);
 
     add_key(items, "key-a", 1, 1);
-    Fw_MemLog_Change(&w->log, items->str);
+    Fw_MemLog_Change(&env->log, items->str);
     g_string_free(items, TRUE);
-    Fw_Run_Trace(w->run, "key-a is withdrawn");
-    Fw_RequestEnv_Advance(w, 1);
-    w->withdrawn = 1;
-    for (int i = 0; i < w->n_callers; i++) {
-        if (w->callers[i].open && w->callers[i].key[4] == 'a') {
-            Fw_Run_Breach(w->run, "caller %d reads on with a withdrawn key",
+    Fw_Run_Trace(env->run, "key-a is withdrawn");
+    Fw_RequestEnv_Advance(env, 1);
+    env->withdrawn = 1;
+    for (int i = 0; i < env->n_callers; i++) {
+        if (env->callers[i].open && env->callers[i].key[4] == 'a') {
+            Fw_Run_Breach(env->run, "caller %d reads on with a withdrawn key",
                           i);
         }
     }
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -6,17 +6,17 @@
 
 /* The engine's part of a call that reached it. */
 static void
-engine_begins(struct fw_request_env *w, struct fw_request_env_op *op)
+engine_begins(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
-        w, op->engine, Fw_RequestEnv_RequestId(&op->up));
+        env, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
     op->started = 1;
     switch (op->up.kind) {
     case FW_UP_PREFILL:
     case FW_UP_IMPORT:
         Fw_RequestEnv_HoldRequest(
-            w, op->engine, Fw_RequestEnv_RequestId(&op->up), op->caller);
+            env, op->engine, Fw_RequestEnv_RequestId(&op->up), op->caller);
         break;
     case FW_UP_CANCEL:
         if (h) {
@@ -29,27 +29,27 @@
 }
 
 static void
-fail(struct fw_request_env *w, struct fw_request_env_op *op)
+fail(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int reached = op->started || g_rand_boolean(w->run->rand);
+    int reached = op->started || g_rand_boolean(env->run->rand);
 
     if (reached && op->engine >= 0) {
-        engine_begins(w, op);
+        engine_begins(env, op);
     }
     ev.u.up.op = op->up.op;
     ev.u.up.kind = op->up.kind;
     ev.u.up.phase = FW_UP_FAILED;
     ev.u.up.ran = reached ? FW_RAN_MAYBE : FW_RAN_NO;
     ev.u.up.err = reached ? -ETIMEDOUT : -ECONNREFUSED;
-    Fw_Run_Trace(w->run, "%s fails call %d of caller %d, reached %d",
+    Fw_Run_Trace(env->run, "%s fails call %d of caller %d, reached %d",
                  op->up.upstream, (int)op->up.kind, op->caller, reached);
     Fw_RequestEnv_FreeOp(op);
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 static void
-send_piece(struct fw_request_env *w, struct fw_request_env_op *op,
+send_piece(struct fw_request_env *env, struct fw_request_env_op *op,
            int64_t index)
 {
     char *text = g_strdup_printf("%d/%" PRId64 " ", op->caller, index);
@@ -61,33 +61,33 @@
                  .u.token = {.index = index, .text = text}},
     };
 
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_RequestEnv_Step(env, &ev);
     g_free(text);
 }
 
 /* One move of a stream: the next piece, an old one again, or the end. */
 static void
-stream(struct fw_request_env *w, struct fw_request_env_op *op)
+stream(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int dice = w->no_faults ? 9 : g_rand_int_range(w->run->rand, 0, 10);
+    int dice = env->no_faults ? 9 : g_rand_int_range(env->run->rand, 0, 10);
     struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
-        w, op->engine, Fw_RequestEnv_RequestId(&op->up));
+        env, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
     if (!h) {
-        fail(w, op);
+        fail(env, op);
         return;
     }
     if (dice == 0 && op->next_piece > op->first_piece) {
-        send_piece(w, op, op->next_piece - 1); /* doubled */
+        send_piece(env, op, op->next_piece - 1); /* doubled */
     }
     else if (dice == 1 && op->next_piece + 1 < FW_REQUEST_ENV_PIECES) {
         op->next_piece++; /* lost, or late: the one after it comes first */
-        send_piece(w, op, op->next_piece);
+        send_piece(env, op, op->next_piece);
         op->next_piece++;
     }
     else if (op->next_piece < FW_REQUEST_ENV_PIECES) {
-        send_piece(w, op, op->next_piece++);
+        send_piece(env, op, op->next_piece++);
     }
     else {
         ev.u.up.op = op->up.op;
@@ -97,14 +97,14 @@
         g_strlcpy(ev.u.up.u.end.reason, "length",
                   sizeof(ev.u.up.u.end.reason));
         h->expires_us =
-            w->now_us + FW_REQUEST_ENV_KV_TTL_US; /* done, kept a while */
+            env->now_us + FW_REQUEST_ENV_KV_TTL_US; /* done, kept a while */
         Fw_RequestEnv_FreeOp(op);
-        Fw_RequestEnv_Step(w, &ev);
+        Fw_RequestEnv_Step(env, &ev);
     }
 }
 
 static void
-fill_answer(struct fw_request_env *w, const struct fw_request_env_op *op,
+fill_answer(struct fw_request_env *env, const struct fw_request_env_op *op,
             struct fw_up_event *up, const char **ids)
 {
     struct fw_request_env_held *h;
@@ -115,10 +115,10 @@
         g_strlcpy(up->u.kv.kv, Fw_RequestEnv_RequestId(&op->up),
                   sizeof(up->u.kv.kv));
         up->u.kv.lapse_us = FW_REQUEST_ENV_KV_TTL_US;
-        h = Fw_RequestEnv_FindHeld(w, op->engine,
+        h = Fw_RequestEnv_FindHeld(env, op->engine,
                                    Fw_RequestEnv_RequestId(&op->up));
         if (h) {
-            h->expires_us = w->now_us + FW_REQUEST_ENV_KV_TTL_US;
+            h->expires_us = env->now_us + FW_REQUEST_ENV_KV_TTL_US;
         }
         break;
     case FW_UP_IMPORT:
@@ -133,7 +133,7 @@
         g_strlcpy(up->u.report.models[0], "m@1", FW_MODELREF_MAX);
         break;
     case FW_UP_HELD:
-        FW_LIST_EACH (pos, &w->held[op->engine]) {
+        FW_LIST_EACH (pos, &env->held[op->engine]) {
             if (up->u.held.n < FW_REQUEST_ENV_CALLERS_MAX) {
                 ids[up->u.held.n++] =
                     FW_LIST_ENTRY(pos, struct fw_request_env_held, link)->id;
@@ -147,49 +147,49 @@
 }
 
 void
-Fw_RequestEnv_AnswerOp(struct fw_request_env *w, struct fw_request_env_op *op,
-                       int ok)
+Fw_RequestEnv_AnswerOp(struct fw_request_env *env,
+                       struct fw_request_env_op *op, int ok)
 {
     const char *ids[FW_REQUEST_ENV_CALLERS_MAX];
     struct fw_event ev = {.kind = FW_EV_UP};
 
     if (!ok) {
-        fail(w, op);
+        fail(env, op);
         return;
     }
     if (op->up.kind == FW_UP_IMPORT &&
-        Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_RequestId(&op->up)) < 0) {
-        fail(w, op); /* the KV has lapsed */
+        Fw_RequestEnv_CallerOfId(env, Fw_RequestEnv_RequestId(&op->up)) < 0) {
+        fail(env, op); /* the KV has lapsed */
         return;
     }
     if (op->up.kind == FW_UP_DECODE || op->up.kind == FW_UP_RESUME) {
-        stream(w, op);
+        stream(env, op);
         return;
     }
-    engine_begins(w, op);
+    engine_begins(env, op);
     ev.u.up.op = op->up.op;
     ev.u.up.kind = op->up.kind;
     ev.u.up.phase = FW_UP_DONE;
     ev.u.up.status = 200;
-    fill_answer(w, op, &ev.u.up, ids);
+    fill_answer(env, op, &ev.u.up, ids);
     Fw_RequestEnv_FreeOp(op);
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 void
-Fw_RequestEnv_CrashEngine(struct fw_request_env *w, int engine)
+Fw_RequestEnv_CrashEngine(struct fw_request_env *env, int engine)
 {
     struct fw_list *pos;
     int again = 1;
 
-    Fw_Run_Trace(w->run, "%s crashes", Fw_RequestEnv_EngineName(engine));
-    while (!Fw_List_Empty(&w->held[engine])) {
+    Fw_Run_Trace(env->run, "%s crashes", Fw_RequestEnv_EngineName(engine));
+    while (!Fw_List_Empty(&env->held[engine])) {
         Fw_RequestEnv_FreeHeld(FW_LIST_ENTRY(
-            w->held[engine].next, struct fw_request_env_held, link));
+            env->held[engine].next, struct fw_request_env_held, link));
     }
     while (again) {
         again = 0;
-        FW_LIST_EACH (pos, &w->ops) {
+        FW_LIST_EACH (pos, &env->ops) {
             struct fw_request_env_op *op =
                 FW_LIST_ENTRY(pos, struct fw_request_env_op, link);
             if (op->engine == engine && !op->started) {
@@ -200,7 +200,7 @@
                 ev.u.up.ran = FW_RAN_MAYBE;
                 ev.u.up.err = -ECONNRESET;
                 Fw_RequestEnv_FreeOp(op);
-                Fw_RequestEnv_Step(w, &ev);
+                Fw_RequestEnv_Step(env, &ev);
                 again = 1;
                 break;
             }
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -12,19 +12,19 @@
 }
 
 static void
-take(struct fw_request_env *w, struct fw_actions *out);
+take(struct fw_request_env *env, struct fw_actions *out);
 
 void
-Fw_RequestEnv_Step(struct fw_request_env *w, const struct fw_event *ev)
+Fw_RequestEnv_Step(struct fw_request_env *env, const struct fw_event *ev)
 {
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    if (Fw_Node_Step(w->node, ev, w->now_us, &out)) {
-        Fw_Run_Breach(w->run, "the node refused an event");
+    if (Fw_Node_Step(env->node, ev, env->now_us, &out)) {
+        Fw_Run_Breach(env->run, "the node refused an event");
     }
-    w->wake_us = out.wake_us;
-    take(w, &out);
+    env->wake_us = out.wake_us;
+    take(env, &out);
     Fw_Actions_Clear(&out);
 }
 
@@ -40,11 +40,11 @@
 }
 
 struct fw_request_env_held *
-Fw_RequestEnv_FindHeld(struct fw_request_env *w, int engine, const char *id)
+Fw_RequestEnv_FindHeld(struct fw_request_env *env, int engine, const char *id)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &w->held[engine]) {
+    FW_LIST_EACH (pos, &env->held[engine]) {
         struct fw_request_env_held *h =
             FW_LIST_ENTRY(pos, struct fw_request_env_held, link);
         if (strcmp(h->id, id) == 0) {
@@ -62,19 +62,19 @@
 }
 
 void
-Fw_RequestEnv_HoldRequest(struct fw_request_env *w, int engine, const char *id,
-                          int caller)
+Fw_RequestEnv_HoldRequest(struct fw_request_env *env, int engine,
+                          const char *id, int caller)
 {
-    struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(w, engine, id);
+    struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(env, engine, id);
 
     if (!h) {
         h = g_new0(struct fw_request_env_held, 1);
         g_strlcpy(h->id, id, sizeof(h->id));
         h->caller = caller;
-        Fw_List_Append(&w->held[engine], &h->link);
+        Fw_List_Append(&env->held[engine], &h->link);
     }
     if (caller >= 0) {
-        w->callers[caller].started = 1;
+        env->callers[caller].started = 1;
     }
 }
 
@@ -113,10 +113,11 @@
 
 /* Whom an attempt belongs to, by its id, from what engines hold. */
 int
-Fw_RequestEnv_CallerOfId(struct fw_request_env *w, const char *id)
+Fw_RequestEnv_CallerOfId(struct fw_request_env *env, const char *id)
 {
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
-        const struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(w, e, id);
+        const struct fw_request_env_held *h =
+            Fw_RequestEnv_FindHeld(env, e, id);
         if (h) {
             return h->caller;
         }
@@ -125,7 +126,7 @@
 }
 
 static void
-take_up(struct fw_request_env *w, const struct fw_up_start *up)
+take_up(struct fw_request_env *env, const struct fw_up_start *up)
 {
     struct fw_request_env_op *op = g_new0(struct fw_request_env_op, 1);
 
@@ -134,24 +135,26 @@
     op->caller = -1;
     if (up->kind == FW_UP_PREFILL) {
         op->caller = caller_of_prompt(up->u.prefill.prompt);
-        if (strcmp(up->u.prefill.team, w->callers[op->caller].key + 4) != 0) {
-            Fw_Run_Breach(w->run, "caller %d runs for team %s", op->caller,
+        if (strcmp(up->u.prefill.team, env->callers[op->caller].key + 4) !=
+            0) {
+            Fw_Run_Breach(env->run, "caller %d runs for team %s", op->caller,
                           up->u.prefill.team);
         }
-        if (w->withdrawn && w->callers[op->caller].key[4] == 'a') {
-            Fw_Run_Breach(w->run, "caller %d runs with a withdrawn key",
+        if (env->withdrawn && env->callers[op->caller].key[4] == 'a') {
+            Fw_Run_Breach(env->run, "caller %d runs with a withdrawn key",
                           op->caller);
         }
     }
     else if (up->kind != FW_UP_LOAD && up->kind != FW_UP_HELD &&
              up->kind != FW_UP_CACHE) {
-        op->caller = Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_RequestId(up));
+        op->caller =
+            Fw_RequestEnv_CallerOfId(env, Fw_RequestEnv_RequestId(up));
     }
     if (up->kind == FW_UP_DECODE || up->kind == FW_UP_RESUME) {
         op->next_piece = up->u.decode.from_index;
         op->first_piece = op->next_piece;
     }
-    Fw_List_Append(&w->ops, &op->link);
+    Fw_List_Append(&env->ops, &op->link);
 }
 
 void
@@ -162,19 +165,19 @@
 }
 
 static void
-stop_op(struct fw_request_env *w, uint64_t number)
+stop_op(struct fw_request_env *env, uint64_t number)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &w->ops) {
+    FW_LIST_EACH_SAFE (pos, tmp, &env->ops) {
         struct fw_request_env_op *op =
             FW_LIST_ENTRY(pos, struct fw_request_env_op, link);
         if (op->up.op == number) {
             /* It may have reached the engine all the same. */
             if (op->up.kind == FW_UP_PREFILL && op->caller >= 0 &&
-                g_rand_boolean(w->run->rand)) {
-                Fw_RequestEnv_HoldRequest(w, op->engine,
+                g_rand_boolean(env->run->rand)) {
+                Fw_RequestEnv_HoldRequest(env, op->engine,
                                           Fw_RequestEnv_RequestId(&op->up),
                                           op->caller);
             }
@@ -184,47 +187,47 @@
 }
 
 static void
-take_append(struct fw_request_env *w, const struct fw_log_append *a)
+take_append(struct fw_request_env *env, const struct fw_log_append *a)
 {
     struct fw_event ev = {.kind = FW_EV_LOG_APPENDED};
 
     ev.u.appended.ticket = a->ticket;
     ev.u.appended.first = Fw_MemLog_Append(
-        &w->log, a->stream, (const char *const *)a->records, a->n);
+        &env->log, a->stream, (const char *const *)a->records, a->n);
     g_strlcpy(ev.u.appended.stream, a->stream, sizeof(ev.u.appended.stream));
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 /* Kept until time passes: a read that is answered at once would be sent again
  * at once. */
 static void
-take_read(struct fw_request_env *w, const struct fw_log_read *r)
+take_read(struct fw_request_env *env, const struct fw_log_read *r)
 {
     struct fw_request_env_read *kept = g_new0(struct fw_request_env_read, 1);
 
     kept->read = *r;
-    kept->sent_us = w->now_us;
-    Fw_List_Append(&w->reads, &kept->link);
+    kept->sent_us = env->now_us;
+    Fw_List_Append(&env->reads, &kept->link);
 }
 
 static void
-answer_read(struct fw_request_env *w, const struct fw_request_env_read *kept)
+answer_read(struct fw_request_env *env, const struct fw_request_env_read *kept)
 {
     struct fw_event ev = {.kind = FW_EV_LOG_RECORDS};
 
-    Fw_MemLog_Answer(&w->log, &kept->read, kept->sent_us, &ev.u.records);
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_MemLog_Answer(&env->log, &kept->read, kept->sent_us, &ev.u.records);
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 static void
-answer_reads(struct fw_request_env *w)
+answer_reads(struct fw_request_env *env)
 {
     struct fw_list due;
 
     /* What these answers lead to waits for the next time. */
     Fw_List_Init(&due);
-    while (!Fw_List_Empty(&w->reads)) {
-        struct fw_list *link = w->reads.next;
+    while (!Fw_List_Empty(&env->reads)) {
+        struct fw_list *link = env->reads.next;
         Fw_List_Remove(link);
         Fw_List_Append(&due, link);
     }
@@ -232,38 +235,38 @@
         struct fw_request_env_read *kept =
             FW_LIST_ENTRY(due.next, struct fw_request_env_read, link);
         Fw_List_Remove(&kept->link);
-        answer_read(w, kept);
+        answer_read(env, kept);
         g_free(kept);
     }
 }
 
 static void
-take(struct fw_request_env *w, struct fw_actions *out)
+take(struct fw_request_env *env, struct fw_actions *out)
 {
     struct fw_action *a;
 
     while ((a = Fw_Actions_Take(out))) {
         switch (a->kind) {
         case FW_ACT_CALL_PIECE:
-            Fw_RequestEnv_OnPiece(w, &a->u.piece);
+            Fw_RequestEnv_OnPiece(env, &a->u.piece);
             break;
         case FW_ACT_CALL_FAIL:
-            Fw_RequestEnv_OnFail(w, &a->u.fail);
+            Fw_RequestEnv_OnFail(env, &a->u.fail);
             break;
         case FW_ACT_CALL_END:
-            Fw_RequestEnv_OnEnd(w, &a->u.end);
+            Fw_RequestEnv_OnEnd(env, &a->u.end);
             break;
         case FW_ACT_UP_START:
-            take_up(w, &a->u.up);
+            take_up(env, &a->u.up);
             break;
         case FW_ACT_UP_STOP:
-            stop_op(w, a->u.stop);
+            stop_op(env, a->u.stop);
             break;
         case FW_ACT_LOG_APPEND:
-            take_append(w, &a->u.append);
+            take_append(env, &a->u.append);
             break;
         case FW_ACT_LOG_READ:
-            take_read(w, &a->u.read);
+            take_read(env, &a->u.read);
             break;
         case FW_ACT_CALL_START:
         case FW_ACT_CALL_ANSWER:
@@ -272,7 +275,7 @@
         case FW_ACT_NOTE:
             break;
         case FW_ACT_EXIT:
-            Fw_RequestEnv_OnExit(w);
+            Fw_RequestEnv_OnExit(env);
             break;
         }
         Fw_Action_Free(a);
@@ -280,15 +283,15 @@
 }
 
 static void
-lapse(struct fw_request_env *w)
+lapse(struct fw_request_env *env)
 {
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
         struct fw_list *pos;
         struct fw_list *tmp;
-        FW_LIST_EACH_SAFE (pos, tmp, &w->held[e]) {
+        FW_LIST_EACH_SAFE (pos, tmp, &env->held[e]) {
             struct fw_request_env_held *h =
                 FW_LIST_ENTRY(pos, struct fw_request_env_held, link);
-            if (h->expires_us && h->expires_us <= w->now_us) {
+            if (h->expires_us && h->expires_us <= env->now_us) {
                 Fw_RequestEnv_FreeHeld(h);
             }
         }
@@ -296,23 +299,23 @@
 }
 
 void
-Fw_RequestEnv_Advance(struct fw_request_env *w, int64_t us)
+Fw_RequestEnv_Advance(struct fw_request_env *env, int64_t us)
 {
-    int64_t until = w->now_us + us;
+    int64_t until = env->now_us + us;
     struct fw_event tick = {.kind = FW_EV_TICK};
 
-    answer_reads(w);
-    while (w->wake_us <= until && !w->run->breach[0]) {
-        w->now_us = MAX(w->now_us, w->wake_us);
-        lapse(w);
-        Fw_RequestEnv_Step(w, &tick);
+    answer_reads(env);
+    while (env->wake_us <= until && !env->run->breach[0]) {
+        env->now_us = MAX(env->now_us, env->wake_us);
+        lapse(env);
+        Fw_RequestEnv_Step(env, &tick);
     }
-    w->now_us = until;
-    lapse(w);
+    env->now_us = until;
+    lapse(env);
 }
 
 void
-Fw_RequestEnv_Init(struct fw_request_env *w, struct fw_run *run)
+Fw_RequestEnv_Init(struct fw_request_env *env, struct fw_run *run)
 {
     struct fw_node_opts opts = {
         .self = {.name = "instance-0",
@@ -333,53 +336,53 @@
                   .seed = 1},
     };
 
-    memset(w, 0, sizeof(*w));
-    w->run = run;
-    w->now_us = FW_SEC;
-    w->wake_us = w->now_us;
-    Fw_MemLog_Init(&w->log);
-    Fw_List_Init(&w->reads);
-    Fw_List_Init(&w->ops);
+    memset(env, 0, sizeof(*env));
+    env->run = run;
+    env->now_us = FW_SEC;
+    env->wake_us = env->now_us;
+    Fw_MemLog_Init(&env->log);
+    Fw_List_Init(&env->reads);
+    Fw_List_Init(&env->ops);
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
-        Fw_List_Init(&w->held[e]);
+        Fw_List_Init(&env->held[e]);
     }
-    Fw_RequestEnv_Configure(w);
-    w->node = Fw_Node_New(&opts, w->now_us);
-    while (!Fw_Node_Ready(w->node)) {
-        Fw_RequestEnv_Advance(w, 100 * FW_MSEC);
+    Fw_RequestEnv_Configure(env);
+    env->node = Fw_Node_New(&opts, env->now_us);
+    while (!Fw_Node_Ready(env->node)) {
+        Fw_RequestEnv_Advance(env, 100 * FW_MSEC);
     }
 }
 
 void
-Fw_RequestEnv_Fini(struct fw_request_env *w)
+Fw_RequestEnv_Fini(struct fw_request_env *env)
 {
-    while (!Fw_List_Empty(&w->ops)) {
+    while (!Fw_List_Empty(&env->ops)) {
         Fw_RequestEnv_FreeOp(
-            FW_LIST_ENTRY(w->ops.next, struct fw_request_env_op, link));
+            FW_LIST_ENTRY(env->ops.next, struct fw_request_env_op, link));
     }
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
-        while (!Fw_List_Empty(&w->held[e])) {
+        while (!Fw_List_Empty(&env->held[e])) {
             Fw_RequestEnv_FreeHeld(FW_LIST_ENTRY(
-                w->held[e].next, struct fw_request_env_held, link));
+                env->held[e].next, struct fw_request_env_held, link));
         }
     }
-    while (!Fw_List_Empty(&w->reads)) {
-        struct fw_list *link = w->reads.next;
+    while (!Fw_List_Empty(&env->reads)) {
+        struct fw_list *link = env->reads.next;
         Fw_List_Remove(link);
         g_free(FW_LIST_ENTRY(link, struct fw_request_env_read, link));
     }
-    Fw_MemLog_Fini(&w->log);
-    Fw_Node_Free(w->node);
+    Fw_MemLog_Fini(&env->log);
+    Fw_Node_Free(env->node);
 }
 
 int
-Fw_RequestEnv_CountHeld(const struct fw_request_env *w)
+Fw_RequestEnv_CountHeld(const struct fw_request_env *env)
 {
     const struct fw_list *pos;
     int n = 0;
 
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
-        FW_LIST_EACH (pos, &w->held[e]) {
+        FW_LIST_EACH (pos, &env->held[e]) {
             n++;
         }
     }
@@ -387,20 +390,20 @@
 }
 
 struct fw_request_env_op *
-Fw_RequestEnv_RandomOp(struct fw_request_env *w)
+Fw_RequestEnv_RandomOp(struct fw_request_env *env)
 {
     struct fw_list *pos;
     int n = 0;
     int pick;
 
-    FW_LIST_EACH (pos, &w->ops) {
+    FW_LIST_EACH (pos, &env->ops) {
         n++;
     }
     if (n == 0) {
         return NULL;
     }
-    pick = g_rand_int_range(w->run->rand, 0, n);
-    FW_LIST_EACH (pos, &w->ops) {
+    pick = g_rand_int_range(env->run->rand, 0, n);
+    FW_LIST_EACH (pos, &env->ops) {
         if (pick-- == 0) {
             break;
         }
--- a/explore/p_request_env.h
+++ b/explore/p_request_env.h
@@ -76,56 +76,57 @@
 };
 
 void
-Fw_RequestEnv_Init(struct fw_request_env *w, struct fw_run *run);
+Fw_RequestEnv_Init(struct fw_request_env *env, struct fw_run *run);
 void
-Fw_RequestEnv_Fini(struct fw_request_env *w);
+Fw_RequestEnv_Fini(struct fw_request_env *env);
 /* Lets @us pass, with all ticks and lapses due. */
 void
-Fw_RequestEnv_Advance(struct fw_request_env *w, int64_t us);
+Fw_RequestEnv_Advance(struct fw_request_env *env, int64_t us);
 void
-Fw_RequestEnv_OpenCall(struct fw_request_env *w);
+Fw_RequestEnv_OpenCall(struct fw_request_env *env);
 void
-Fw_RequestEnv_CloseCall(struct fw_request_env *w, int caller);
+Fw_RequestEnv_CloseCall(struct fw_request_env *env, int caller);
 /* The instance is told to stop. */
 void
-Fw_RequestEnv_Drain(struct fw_request_env *w);
+Fw_RequestEnv_Drain(struct fw_request_env *env);
 void
-Fw_RequestEnv_WithdrawKey(struct fw_request_env *w);
+Fw_RequestEnv_WithdrawKey(struct fw_request_env *env);
 /* Answers the call, well or not as @ok says, or sends a piece of it. */
 void
-Fw_RequestEnv_AnswerOp(struct fw_request_env *w, struct fw_request_env_op *op,
-                       int ok);
+Fw_RequestEnv_AnswerOp(struct fw_request_env *env,
+                       struct fw_request_env_op *op, int ok);
 void
-Fw_RequestEnv_CrashEngine(struct fw_request_env *w, int engine);
+Fw_RequestEnv_CrashEngine(struct fw_request_env *env, int engine);
 struct fw_request_env_op *
-Fw_RequestEnv_RandomOp(struct fw_request_env *w);
+Fw_RequestEnv_RandomOp(struct fw_request_env *env);
 /* Requests held by all engines. */
 int
-Fw_RequestEnv_CountHeld(const struct fw_request_env *w);
+Fw_RequestEnv_CountHeld(const struct fw_request_env *env);
 
 /* For the environment's own files. */
 /* p_request_callers.c: what the instance says to callers, looked at. */
 void
-Fw_RequestEnv_OnPiece(struct fw_request_env *w, const struct fw_call_piece *p);
+Fw_RequestEnv_OnPiece(struct fw_request_env *env,
+                      const struct fw_call_piece *p);
 void
-Fw_RequestEnv_OnFail(struct fw_request_env *w, const struct fw_call_fail *f);
+Fw_RequestEnv_OnFail(struct fw_request_env *env, const struct fw_call_fail *f);
 void
-Fw_RequestEnv_OnEnd(struct fw_request_env *w, const struct fw_call_end *e);
+Fw_RequestEnv_OnEnd(struct fw_request_env *env, const struct fw_call_end *e);
 void
-Fw_RequestEnv_OnExit(struct fw_request_env *w);
+Fw_RequestEnv_OnExit(struct fw_request_env *env);
 /* Teams, keys and engines as the operator would write them. */
 void
-Fw_RequestEnv_Configure(struct fw_request_env *w);
+Fw_RequestEnv_Configure(struct fw_request_env *env);
 /* p_request_env.c */
 void
-Fw_RequestEnv_Step(struct fw_request_env *w, const struct fw_event *ev);
+Fw_RequestEnv_Step(struct fw_request_env *env, const struct fw_event *ev);
 const char *
 Fw_RequestEnv_EngineName(int engine);
 struct fw_request_env_held *
-Fw_RequestEnv_FindHeld(struct fw_request_env *w, int engine, const char *id);
+Fw_RequestEnv_FindHeld(struct fw_request_env *env, int engine, const char *id);
 void
-Fw_RequestEnv_HoldRequest(struct fw_request_env *w, int engine, const char *id,
-                          int caller);
+Fw_RequestEnv_HoldRequest(struct fw_request_env *env, int engine,
+                          const char *id, int caller);
 void
 Fw_RequestEnv_FreeHeld(struct fw_request_env_held *h);
 /* Engine-side id that a call is about, "" for none. */
@@ -135,6 +136,6 @@
 Fw_RequestEnv_FreeOp(struct fw_request_env_op *op);
 /* Whom an attempt belongs to, from what engines hold; -1 for unknown. */
 int
-Fw_RequestEnv_CallerOfId(struct fw_request_env *w, const char *id);
+Fw_RequestEnv_CallerOfId(struct fw_request_env *env, const char *id);
 
 #endif
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -9,7 +9,7 @@
 #define FW_STEP_US (1 * FW_MSEC)
 #define FW_WARM_US (4 * FW_SEC)
 
-/** struct mail - a message or an upstream's answer under way. */
+/** struct mail - a message or an upstream'env answer under way. */
 struct mail {
     struct fw_list link;
     int64_t due_us;
@@ -21,8 +21,8 @@
 };
 
 static void
-add_upstream(struct route_env *s, const char *name, enum fw_upstream_role role,
-             const char *domain)
+add_upstream(struct route_env *env, const char *name,
+             enum fw_upstream_role role, const char *domain)
 {
     struct fw_upstream *u = g_new0(struct fw_upstream, 1);
 
@@ -33,9 +33,9 @@
     u->role = role;
     u->slots = 2;
     u->prefill_rate = 10000;
-    g_hash_table_insert(s->cfg->upstreams, u->name, u);
+    g_hash_table_insert(env->cfg->upstreams, u->name, u);
     if (role != FW_ROLE_SERVICE) {
-        s->engine[s->n_engines++] =
+        env->engine[env->n_engines++] =
             (struct route_env_engine){.name = u->name,
                                       .is_prefill = role == FW_ROLE_PREFILL,
                                       .model = "m@1"};
@@ -43,32 +43,32 @@
 }
 
 static void
-configure(struct route_env *s)
+configure(struct route_env *env)
 {
     struct fw_pool *p = g_new0(struct fw_pool, 1);
 
-    s->cfg = Fw_Config_New();
+    env->cfg = Fw_Config_New();
     g_strlcpy(p->name, "pool", sizeof(p->name));
     p->kv_bytes_per_token = 1000;
     p->n_serves = 1;
     g_strlcpy(p->serves[0].model, "m", sizeof(p->serves[0].model));
     g_strlcpy(p->serves[0].version, "1", sizeof(p->serves[0].version));
-    g_hash_table_insert(s->cfg->pools, p->name, p);
-    add_upstream(s, "p0", FW_ROLE_PREFILL, "a");
-    add_upstream(s, "p1", FW_ROLE_PREFILL, "b");
-    add_upstream(s, "d0", FW_ROLE_DECODE, "a");
-    add_upstream(s, "d1", FW_ROLE_DECODE, "b");
-    add_upstream(s, "s0", FW_ROLE_SERVICE, "a");
-    add_upstream(s, "s1", FW_ROLE_SERVICE, "b");
-    add_upstream(s, "s2", FW_ROLE_SERVICE, "c");
+    g_hash_table_insert(env->cfg->pools, p->name, p);
+    add_upstream(env, "p0", FW_ROLE_PREFILL, "a");
+    add_upstream(env, "p1", FW_ROLE_PREFILL, "b");
+    add_upstream(env, "d0", FW_ROLE_DECODE, "a");
+    add_upstream(env, "d1", FW_ROLE_DECODE, "b");
+    add_upstream(env, "s0", FW_ROLE_SERVICE, "a");
+    add_upstream(env, "s1", FW_ROLE_SERVICE, "b");
+    add_upstream(env, "s2", FW_ROLE_SERVICE, "c");
 }
 
 struct route_env_engine *
-route_env_engine(struct route_env *s, const char *name)
+route_env_engine(struct route_env *env, const char *name)
 {
-    for (int i = 0; i < s->n_engines; i++) {
-        if (strcmp(s->engine[i].name, name) == 0) {
-            return &s->engine[i];
+    for (int i = 0; i < env->n_engines; i++) {
+        if (strcmp(env->engine[i].name, name) == 0) {
+            return &env->engine[i];
         }
     }
     g_error("no engine %s", name);
@@ -76,19 +76,19 @@
 }
 
 static struct mail *
-post(struct route_env *s, int to)
+post(struct route_env *env, int to)
 {
     struct mail *m = g_new0(struct mail, 1);
 
     m->to = to;
-    m->due_us = s->now_us + FW_STEP_US;
-    Fw_List_Append(&s->mail, &m->link);
+    m->due_us = env->now_us + FW_STEP_US;
+    Fw_List_Append(&env->mail, &m->link);
     return m;
 }
 
 /* Through the codec, so that a scripted run tests it as well. */
 static void
-send_msg(struct route_env *s, int from, struct fw_peer_send *send)
+send_msg(struct route_env *env, int from, struct fw_peer_send *send)
 {
     int to = send->to[1] - '0';
     msgpack_sbuffer buf;
@@ -96,15 +96,17 @@
     msgpack_packer pk;
     struct mail *m;
 
-    if (s->rand && g_rand_int_range(s->rand, 0, 1000) < s->lose_permille) {
+    if (env->rand &&
+        g_rand_int_range(env->rand, 0, 1000) < env->lose_permille) {
         return;
     }
-    if (s->dead[to] || (s->lose_replies && send->msg.area == FW_AREA_ROUTE &&
-                        send->msg.u.route.kind == FW_ROUTE_REPLY)) {
+    if (env->dead[to] ||
+        (env->lose_replies && send->msg.area == FW_AREA_ROUTE &&
+         send->msg.u.route.kind == FW_ROUTE_REPLY)) {
         return;
     }
-    m = post(s, to);
-    g_strlcpy(m->from, s->self[from].name, sizeof(m->from));
+    m = post(env, to);
+    g_strlcpy(m->from, env->self[from].name, sizeof(m->from));
     msgpack_sbuffer_init(&buf);
     msgpack_packer_init(&pk, &buf, msgpack_sbuffer_write);
     Fw_Msg_Pack(&pk, &send->msg);
@@ -117,10 +119,10 @@
 }
 
 static void
-answer_up(struct route_env *s, int node, const struct fw_up_start *up)
+answer_up(struct route_env *env, int node, const struct fw_up_start *up)
 {
-    struct route_env_engine *e = route_env_engine(s, up->upstream);
-    struct mail *m = post(s, node);
+    struct route_env_engine *e = route_env_engine(env, up->upstream);
+    struct mail *m = post(env, node);
     struct fw_up_report *rep = &m->up.u.report;
 
     m->is_up = 1;
@@ -150,64 +152,65 @@
 }
 
 static void
-write_answers(struct route_env *s, int node)
+write_answers(struct route_env *env, int node)
 {
     struct fw_route_answer a;
 
-    while (Fw_Route_TakeAnswer(s->router[node], &a)) {
-        if (s->on_answer) {
-            s->on_answer(s, node, &a);
+    while (Fw_Route_TakeAnswer(env->router[node], &a)) {
+        if (env->on_answer) {
+            env->on_answer(env, node, &a);
             continue;
         }
         if (a.status) {
-            g_string_append_printf(s->seen, "%" PRIu64 " %d %s after %d ms\n",
-                                   a.ticket, a.status, a.code,
-                                   (int)(a.retry_after_us / FW_MSEC));
+            g_string_append_printf(
+                env->seen, "%" PRIu64 " %d %s after %d ms\n", a.ticket,
+                a.status, a.code, (int)(a.retry_after_us / FW_MSEC));
         }
         else {
-            g_string_append_printf(s->seen, "%" PRIu64 " %s > %s\n", a.ticket,
-                                   a.prefill, a.decode);
+            g_string_append_printf(env->seen, "%" PRIu64 " %s > %s\n",
+                                   a.ticket, a.prefill, a.decode);
         }
     }
 }
 
 static void
-carry_out(struct route_env *s, int node, struct fw_actions *out)
+carry_out(struct route_env *env, int node, struct fw_actions *out)
 {
     struct fw_action *a;
 
-    s->wake_us[node] = MIN(s->wake_us[node], out->wake_us);
+    env->wake_us[node] = MIN(env->wake_us[node], out->wake_us);
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
-            send_msg(s, node, &a->u.send);
+            send_msg(env, node, &a->u.send);
         }
         else if (a->kind == FW_ACT_UP_START) {
-            answer_up(s, node, &a->u.up);
+            answer_up(env, node, &a->u.up);
         }
         Fw_Action_Free(a);
     }
     Fw_Actions_Init(out);
-    write_answers(s, node);
+    write_answers(env, node);
 }
 
 static void
-deliver(struct route_env *s, struct mail *m)
+deliver(struct route_env *env, struct mail *m)
 {
     struct fw_actions out;
     int i = m->to;
 
     Fw_Actions_Init(&out);
-    if (!s->dead[i] && m->is_up) {
-        Fw_Router_OnUp(s->router[i], s->cfg, &m->up, s->now_us, &out);
+    if (!env->dead[i] && m->is_up) {
+        Fw_Router_OnUp(env->router[i], env->cfg, &m->up, env->now_us, &out);
     }
-    else if (!s->dead[i] && m->msg.area == FW_AREA_FLEET) {
-        Fw_Fleet_OnMsg(s->fleet[i], m->from, &m->msg.u.fleet, s->now_us, &out);
+    else if (!env->dead[i] && m->msg.area == FW_AREA_FLEET) {
+        Fw_Fleet_OnMsg(env->fleet[i], m->from, &m->msg.u.fleet, env->now_us,
+                       &out);
     }
-    else if (!s->dead[i] && m->msg.area == FW_AREA_ROUTE) {
-        Fw_Router_OnMsg(s->router[i], s->cfg, m->from, &m->msg.u.route,
-                        s->now_us, &out);
+    else if (!env->dead[i] && m->msg.area == FW_AREA_ROUTE) {
+        Fw_Router_OnMsg(env->router[i], env->cfg, m->from, &m->msg.u.route,
+                        env->now_us, &out);
     }
-    carry_out(s, i, &out);
+    carry_out(env, i, &out);
     if (!m->is_up) {
         Fw_Msg_Clear(&m->msg);
     }
@@ -215,123 +218,123 @@
 }
 
 static void
-run_due(struct route_env *s)
+run_due(struct route_env *env)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &s->mail) {
+    FW_LIST_EACH_SAFE (pos, tmp, &env->mail) {
         struct mail *m = FW_LIST_ENTRY(pos, struct mail, link);
 
-        if (m->due_us <= s->now_us) {
+        if (m->due_us <= env->now_us) {
             Fw_List_Remove(&m->link);
-            deliver(s, m);
+            deliver(env, m);
         }
     }
-    for (int i = 0; i < s->n; i++) {
+    for (int i = 0; i < env->n; i++) {
         struct fw_actions out;
 
-        if (s->dead[i] || s->wake_us[i] > s->now_us) {
+        if (env->dead[i] || env->wake_us[i] > env->now_us) {
             continue;
         }
-        s->wake_us[i] = INT64_MAX;
+        env->wake_us[i] = INT64_MAX;
         Fw_Actions_Init(&out);
-        Fw_Fleet_Tick(s->fleet[i], s->now_us, &out);
-        Fw_Router_Tick(s->router[i], s->cfg, s->now_us, &out);
-        carry_out(s, i, &out);
+        Fw_Fleet_Tick(env->fleet[i], env->now_us, &out);
+        Fw_Router_Tick(env->router[i], env->cfg, env->now_us, &out);
+        carry_out(env, i, &out);
     }
 }
 
 void
-stage_run(struct route_env *s, int64_t us)
+stage_run(struct route_env *env, int64_t us)
 {
-    int64_t end_us = s->now_us + us;
+    int64_t end_us = env->now_us + us;
 
-    while (s->now_us < end_us) {
-        s->now_us += FW_STEP_US;
-        run_due(s);
+    while (env->now_us < end_us) {
+        env->now_us += FW_STEP_US;
+        run_due(env);
     }
 }
 
 static void
-introduce(struct route_env *s)
+introduce(struct route_env *env)
 {
     struct fw_list_entry e[FW_ROUTE_ENV_INSTANCES_MAX] = {0};
-    struct fw_listed listed = {.n = s->n, .entries = e};
+    struct fw_listed listed = {.n = env->n, .entries = e};
 
-    for (int i = 0; i < s->n; i++) {
+    for (int i = 0; i < env->n; i++) {
         e[i].kind = FW_LIST_INSTANCE;
-        g_strlcpy(e[i].name, s->self[i].name, sizeof(e[i].name));
-        g_strlcpy(e[i].addr, s->self[i].addr, sizeof(e[i].addr));
-        g_strlcpy(e[i].domain, s->self[i].domain, sizeof(e[i].domain));
-        g_strlcpy(e[i].region, s->self[i].region, sizeof(e[i].region));
+        g_strlcpy(e[i].name, env->self[i].name, sizeof(e[i].name));
+        g_strlcpy(e[i].addr, env->self[i].addr, sizeof(e[i].addr));
+        g_strlcpy(e[i].domain, env->self[i].domain, sizeof(e[i].domain));
+        g_strlcpy(e[i].region, env->self[i].region, sizeof(e[i].region));
     }
-    for (int i = 0; i < s->n; i++) {
+    for (int i = 0; i < env->n; i++) {
         struct fw_actions out;
 
         Fw_Actions_Init(&out);
-        Fw_Fleet_OnListed(s->fleet[i], &listed, s->now_us, &out);
-        carry_out(s, i, &out);
+        Fw_Fleet_OnListed(env->fleet[i], &listed, env->now_us, &out);
+        carry_out(env, i, &out);
     }
 }
 
 static void
-start_node(struct route_env *s, int i)
+start_node(struct route_env *env, int i)
 {
-    struct fw_route_opts opts = {.policy = s->policy,
+    struct fw_route_opts opts = {.policy = env->policy,
                                  .ttft_us = 1500 * FW_MSEC,
                                  .itl_us = 43 * FW_MSEC,
                                  .queue_max_us = 5 * FW_SEC,
                                  .retry_permille = 100,
                                  .seed = 7};
 
-    s->self[i].boot++;
-    g_snprintf(s->self[i].name, FW_NAME_MAX, "n%d", i);
-    g_snprintf(s->self[i].addr, FW_URL_MAX, "127.0.0.1:%d", i + 1);
-    g_strlcpy(s->self[i].domain, "a", FW_NAME_MAX);
-    g_strlcpy(s->self[i].region, "r", FW_NAME_MAX);
-    Fw_Metrics_Init(&s->metrics[i]);
-    s->fleet[i] = Fw_Fleet_New(&s->self[i], 5, &s->metrics[i]);
-    s->router[i] =
-        Fw_Router_New(&s->self[i], s->fleet[i], &opts, &s->metrics[i]);
-    s->wake_us[i] = s->now_us;
+    env->self[i].boot++;
+    g_snprintf(env->self[i].name, FW_NAME_MAX, "n%d", i);
+    g_snprintf(env->self[i].addr, FW_URL_MAX, "127.0.0.1:%d", i + 1);
+    g_strlcpy(env->self[i].domain, "a", FW_NAME_MAX);
+    g_strlcpy(env->self[i].region, "r", FW_NAME_MAX);
+    Fw_Metrics_Init(&env->metrics[i]);
+    env->fleet[i] = Fw_Fleet_New(&env->self[i], 5, &env->metrics[i]);
+    env->router[i] =
+        Fw_Router_New(&env->self[i], env->fleet[i], &opts, &env->metrics[i]);
+    env->wake_us[i] = env->now_us;
 }
 
 void
-stage_restart(struct route_env *s, int node)
+stage_restart(struct route_env *env, int node)
 {
-    Fw_Router_Free(s->router[node]);
-    Fw_Fleet_Free(s->fleet[node]);
-    start_node(s, node);
-    introduce(s);
+    Fw_Router_Free(env->router[node]);
+    Fw_Fleet_Free(env->fleet[node]);
+    start_node(env, node);
+    introduce(env);
 }
 
 struct route_env *
 stage_new(int nodes, enum fw_policy policy)
 {
-    struct route_env *s = g_new0(struct route_env, 1);
-
-    s->n = nodes;
-    s->policy = policy;
-    s->now_us = FW_SEC;
-    s->seen = g_string_new(NULL);
-    Fw_List_Init(&s->mail);
-    configure(s);
+    struct route_env *env = g_new0(struct route_env, 1);
+
+    env->n = nodes;
+    env->policy = policy;
+    env->now_us = FW_SEC;
+    env->seen = g_string_new(NULL);
+    Fw_List_Init(&env->mail);
+    configure(env);
     for (int i = 0; i < nodes; i++) {
-        start_node(s, i);
+        start_node(env, i);
     }
-    introduce(s);
-    stage_run(s, FW_WARM_US);
-    return s;
+    introduce(env);
+    stage_run(env, FW_WARM_US);
+    return env;
 }
 
 void
-stage_free(struct route_env *s)
+stage_free(struct route_env *env)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &s->mail) {
+    FW_LIST_EACH_SAFE (pos, tmp, &env->mail) {
         struct mail *m = FW_LIST_ENTRY(pos, struct mail, link);
 
         if (!m->is_up) {
@@ -339,24 +342,24 @@
         }
         g_free(m);
     }
-    for (int i = 0; i < s->n; i++) {
-        Fw_Router_Free(s->router[i]);
-        Fw_Fleet_Free(s->fleet[i]);
+    for (int i = 0; i < env->n; i++) {
+        Fw_Router_Free(env->router[i]);
+        Fw_Fleet_Free(env->fleet[i]);
     }
-    Fw_Config_Free(s->cfg);
-    g_string_free(s->seen, TRUE);
-    g_free(s);
+    Fw_Config_Free(env->cfg);
+    g_string_free(env->seen, TRUE);
+    g_free(env);
 }
 
 void
-stage_ask(struct route_env *s, int node, uint64_t ticket, const char *team,
+stage_ask(struct route_env *env, int node, uint64_t ticket, const char *team,
           int64_t tokens, const char *avoid)
 {
     const char *list[] = {avoid, NULL};
     struct fw_route_request ask = {.ticket = ticket,
                                    .prompt_tokens = tokens,
                                    .max_tokens = 10,
-                                   .arrived_us = s->now_us,
+                                   .arrived_us = env->now_us,
                                    .avoid = list};
     char *text = g_strnfill((gsize)tokens * 4, 'x');
     struct fw_actions out;
@@ -365,26 +368,26 @@
     g_strlcpy(ask.team, team, sizeof(ask.team));
     g_strlcpy(ask.model, "m", sizeof(ask.model));
     Fw_Actions_Init(&out);
-    Fw_Route_Submit(s->router[node], s->cfg, &ask, s->now_us, &out);
-    carry_out(s, node, &out);
+    Fw_Route_Submit(env->router[node], env->cfg, &ask, env->now_us, &out);
+    carry_out(env, node, &out);
     g_bytes_unref(ask.prompt);
 }
 
 void
-stage_step(struct route_env *s, int node, uint64_t ticket,
+stage_step(struct route_env *env, int node, uint64_t ticket,
            enum fw_route_step step, const char *upstream)
 {
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    Fw_Route_ReportStep(s->router[node], ticket, step, upstream, s->now_us,
+    Fw_Route_ReportStep(env->router[node], ticket, step, upstream, env->now_us,
                         &out);
-    carry_out(s, node, &out);
+    carry_out(env, node, &out);
 }
 
 void
-stage_expect(struct route_env *s, const char *lines)
+stage_expect(struct route_env *env, const char *lines)
 {
-    g_assert_cmpstr(s->seen->str, ==, lines);
-    g_string_truncate(s->seen, 0);
+    g_assert_cmpstr(env->seen->str, ==, lines);
+    g_string_truncate(env->seen, 0);
 }
--- a/explore/p_route_env.h
+++ b/explore/p_route_env.h
@@ -45,7 +45,7 @@
     GString *seen;
     GRand *rand; /* NULL: no message is lost by chance */
     int lose_permille;
-    void (*on_answer)(struct route_env *s, int node,
+    void (*on_answer)(struct route_env *env, int node,
                       const struct fw_route_answer *a);
     void *ctx;
 };
@@ -56,23 +56,23 @@
 struct route_env *
 stage_new(int nodes, enum fw_policy policy);
 void
-stage_free(struct route_env *s);
+stage_free(struct route_env *env);
 /* @node starts anew and knows nothing; others still know it. */
 void
-stage_restart(struct route_env *s, int node);
+stage_restart(struct route_env *env, int node);
 struct route_env_engine *
-route_env_engine(struct route_env *s, const char *name);
+route_env_engine(struct route_env *env, const char *name);
 void
-stage_run(struct route_env *s, int64_t us);
+stage_run(struct route_env *env, int64_t us);
 /* Asks for "m"; @avoid one engine or NULL. */
 void
-stage_ask(struct route_env *s, int node, uint64_t ticket, const char *team,
+stage_ask(struct route_env *env, int node, uint64_t ticket, const char *team,
           int64_t tokens, const char *avoid);
 void
-stage_step(struct route_env *s, int node, uint64_t ticket,
+stage_step(struct route_env *env, int node, uint64_t ticket,
            enum fw_route_step step, const char *upstream);
 /* Compares what was seen since the last call, then forgets it. */
 void
-stage_expect(struct route_env *s, const char *lines);
+stage_expect(struct route_env *env, const char *lines);
 
 #endif
