--- a/explore/explore.h
+++ b/explore/explore.h
@@ -1,6 +1,6 @@
 /*
- * Seeded runs, one per promise: events and faults drawn from the seed, the
- * promise checked after every step.
+ * Randomised tests of the core: each run drives a component with events and
+ * faults drawn from a seed, and checks one property while it does.
  */
 #ifndef FW_EXPLORE_H
 #define FW_EXPLORE_H
@@ -8,11 +8,11 @@
 #include <glib.h>
 
 /**
- * struct fw_run - one seeded run of one promise.
- * @rand: the only source of choice; the same seed gives the same run
- * @steps: events to draw
- * @trace: what happened, one line a step, printed at the first breach
- * @breach: empty, or what was found broken
+ * struct fw_run - one run of a property with one seed.
+ * @rand: the only source of randomness, so that a seed reproduces its run
+ * @steps: number of steps to run
+ * @trace: events of the run, one per line, reported when the property fails
+ * @failure: description of the first violation, empty while the property holds
  */
 struct fw_run {
     GRand *rand;
@@ -21,19 +21,19 @@
     char breach[240];
 };
 
-/* Adds a line to the trace. */
+/* Appends a line to the trace. */
 void
 Fw_Run_Trace(struct fw_run *run, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
-/* Notes the breach; the first one stands. */
+/* Records a violation of the property; only the first one is kept. */
 void
 Fw_Run_Breach(struct fw_run *run, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
 /**
- * struct fw_promise - a row of the table.
- * @run: steps until @steps are done or a breach is noted
- * @fault: planted fault that must make the check fail
+ * struct fw_property - a property of the router and the test that checks it.
+ * @run: runs until the steps of the run are done or a violation is recorded
+ * @fault: name of a fault, see base/fault.h, with which the test must fail
  */
 struct fw_promise {
     const char *name;
@@ -41,12 +41,14 @@
     const char *fault;
 };
 
-/* All promises, closed by a row without a name; see table.c. */
+/* Table of all properties; the last entry has no name. */
 extern const struct fw_promise Fw_Promises[];
 
+/* Return: the property, or NULL when there is none of that name. */
 const struct fw_promise *
 Fw_Property_Find(const char *name);
-/* Runs one seed. Return: 0, or 1 when the promise was broken. */
+/* Runs one seed and appends the trace of a failed run to @report. Return: 0,
+ * or 1 when the property was violated. */
 int
 Fw_Promise_Run(const struct fw_promise *p, guint32 seed, int steps,
                GString *report);
--- a/explore/main.c
+++ b/explore/main.c
@@ -1,4 +1,4 @@
-/* explore: looks for a breach of one promise over many seeds. */
+/* explore: searches many seeds for a violation of a property. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,9 +6,9 @@
 #include "base/fault.h"
 #include "explore/explore.h"
 
-/** struct options - the command line. */
+/** struct options - parsed command line. */
 struct options {
-    const char *promise;
+    const char *property;
     guint32 seed;
     int steps;
     int seeds;
@@ -17,10 +17,10 @@
 
 static const struct argp_option option_table[] = {
     {"seed", 's', "N", 0, "first seed (1)", 0},
-    {"steps", 'm', "M", 0, "steps of a run (400)", 0},
-    {"seeds", 'k', "K", 0, "how many seeds, from the first on (1)", 0},
-    {"fault", 'f', "NAME", 0, "plant this fault", 0},
-    {"list", 'l', NULL, 0, "print the promises, one a line", 0},
+    {"steps", 'm', "M", 0, "steps per run (400)", 0},
+    {"seeds", 'k', "K", 0, "number of consecutive seeds (1)", 0},
+    {"fault", 'f', "NAME", 0, "inject this fault", 0},
+    {"list", 'l', NULL, 0, "print the properties, one per line", 0},
     {NULL, 0, NULL, 0, NULL, 0},
 };
 
@@ -46,13 +46,13 @@
         o->list = 1;
         break;
     case ARGP_KEY_ARG:
-        if (o->promise) {
+        if (o->property) {
             argp_usage(state);
         }
-        o->promise = arg;
+        o->property = arg;
         break;
     case ARGP_KEY_END:
-        if (!o->list && !o->promise) {
+        if (!o->list && !o->property) {
             argp_usage(state);
         }
         break;
@@ -65,13 +65,14 @@
 static const struct argp arg_parser = {
     .options = option_table,
     .parser = parse_option,
-    .args_doc = "PROMISE",
-    .doc = "Steps the module that keeps PROMISE with events and faults drawn "
-           "from the seed, and stops at the first breach with status 1.",
+    .args_doc = "PROPERTY",
+    .doc = "Drives the component that PROPERTY is about with events and "
+           "faults drawn from each seed. Prints the trace of the first seed "
+           "that violates the property and exits with status 1.",
 };
 
 static void
-list_promises(void)
+list_properties(void)
 {
     for (const struct fw_promise *p = Fw_Promises; p->name; p++) {
         puts(p->name);
@@ -84,24 +85,24 @@
     struct options o = {.seed = 1, .steps = 400, .seeds = 1};
     const struct fw_promise *p;
     GString *report = g_string_new(NULL);
-    int broken = 0;
+    int failed = 0;
 
     argp_parse(&arg_parser, argc, argv, 0, NULL, &o);
     if (o.list) {
-        list_promises();
+        list_properties();
         g_string_free(report, TRUE);
         return 0;
     }
-    p = Fw_Property_Find(o.promise);
+    p = Fw_Property_Find(o.property);
     if (!p) {
-        fprintf(stderr, "explore: no promise named %s\n", o.promise);
+        fprintf(stderr, "explore: no property named %s\n", o.property);
         g_string_free(report, TRUE);
         return 2;
     }
-    for (int i = 0; i < o.seeds && !broken; i++) {
-        broken = Fw_Promise_Run(p, o.seed + (guint32)i, o.steps, report);
+    for (int i = 0; i < o.seeds && !failed; i++) {
+        failed = Fw_Promise_Run(p, o.seed + (guint32)i, o.steps, report);
     }
-    if (broken) {
+    if (failed) {
         fputs(report->str, stdout);
     }
     else {
@@ -109,5 +110,5 @@
                o.seed, o.steps);
     }
     g_string_free(report, TRUE);
-    return broken;
+    return failed;
 }
--- a/explore/memlog.c
+++ b/explore/memlog.c
@@ -16,7 +16,7 @@
 }
 
 static GPtrArray *
-records_of(struct fw_memlog *l, const char *stream)
+get_stream(struct fw_memlog *l, const char *stream)
 {
     GPtrArray *s = g_hash_table_lookup(l->streams, stream);
 
@@ -31,7 +31,7 @@
 Fw_MemLog_Append(struct fw_memlog *l, const char *stream,
                  const char *const *records, int n)
 {
-    GPtrArray *s = records_of(l, stream);
+    GPtrArray *s = get_stream(l, stream);
     uint64_t first = s->len + 1;
 
     for (int i = 0; i < n; i++) {
@@ -43,7 +43,7 @@
 void
 Fw_MemLog_Change(struct fw_memlog *l, const char *items)
 {
-    GPtrArray *s = records_of(l, FW_STREAM_CONFIG);
+    GPtrArray *s = get_stream(l, FW_STREAM_CONFIG);
 
     g_ptr_array_add(s,
                     g_strdup_printf("{\"v\":1,\"id\":\"c-%u\",\"who\":\"anna\""
@@ -55,14 +55,14 @@
 uint64_t
 Fw_MemLog_End(struct fw_memlog *l, const char *stream)
 {
-    return records_of(l, stream)->len + 1;
+    return get_stream(l, stream)->len + 1;
 }
 
 void
 Fw_MemLog_Answer(struct fw_memlog *l, const struct fw_log_read *read,
                  int64_t sent_us, struct fw_log_records *out)
 {
-    GPtrArray *s = records_of(l, read->stream);
+    GPtrArray *s = get_stream(l, read->stream);
 
     memset(out, 0, sizeof(*out));
     out->ticket = read->ticket;
--- a/explore/memlog.h
+++ b/explore/memlog.h
@@ -1,6 +1,6 @@
 /*
- * The platform's log in memory, for seeded runs, scripts and benches: streams
- * that keep every record.
+ * In-memory stand-in for the platform's log, for seeded runs, tests and
+ * benchmarks. Its streams keep all records; offsets start at 1.
  */
 #ifndef FW_EXPLORE_MEMLOG_H
 #define FW_EXPLORE_MEMLOG_H
@@ -9,7 +9,10 @@
 
 #include "core/log.h"
 
-/** struct fw_memlog - @streams: name to GPtrArray of records. */
+/**
+ * struct fw_memlog - in-memory log.
+ * @streams: maps the name of a stream to a GPtrArray of its records, strings
+ */
 struct fw_memlog {
     GHashTable *streams;
 };
@@ -18,18 +21,19 @@
 Fw_MemLog_Init(struct fw_memlog *l);
 void
 Fw_MemLog_Fini(struct fw_memlog *l);
-/* Offset of the first record appended. */
+/* Appends copies of @records. Return: offset of the first of them. */
 uint64_t
 Fw_MemLog_Append(struct fw_memlog *l, const char *stream,
                  const char *const *records, int n);
-/* A change of the configuration with these JSON items, as if by an operator.
- */
+/* Appends a change to the configuration stream; @items is the content of its
+ * JSON array "items". */
 void
 Fw_MemLog_Change(struct fw_memlog *l, const char *items);
-/* Offset that the next append will get. */
+/* Return: offset that the next record appended to @stream will get. */
 uint64_t
 Fw_MemLog_End(struct fw_memlog *l, const char *stream);
-/* Answers @read, sent at @sent_us; the records stay valid until an append. */
+/* Fills @out with the answer to @read, which was sent at @sent_us. The records
+ * are borrowed from the log and valid until the next append. */
 void
 Fw_MemLog_Answer(struct fw_memlog *l, const struct fw_log_read *read,
                  int64_t sent_us, struct fw_log_records *out);
--- a/explore/p_config.h
+++ b/explore/p_config.h
@@ -1,4 +1,4 @@
-/* Seeded runs of the configuration's promises. */
+/* Properties of the replicated configuration. */
 #ifndef FW_EXPLORE_CONFIG_H
 #define FW_EXPLORE_CONFIG_H
 
--- a/explore/p_idem.h
+++ b/explore/p_idem.h
@@ -1,4 +1,4 @@
-/* The promises kept by src/idem. */
+/* Properties of at-most-once execution, src/idem. */
 #ifndef FW_P_IDEM_H
 #define FW_P_IDEM_H
 
--- a/explore/p_order.h
+++ b/explore/p_order.h
@@ -1,4 +1,4 @@
-/* Seeded runs of the promises about orders. */
+/* Properties of the orders sent to engines, src/order. */
 #ifndef FW_EXPLORE_ORDER_H
 #define FW_EXPLORE_ORDER_H
 
--- a/explore/p_request.c
+++ b/explore/p_request.c
@@ -1,19 +1,29 @@
+/*
+ * answered-once-whole: a caller gets each piece of its response once and in
+ * order, and no success before the last one.
+ * no-memory-for-the-gone: engines free the requests of disconnected callers.
+ * completion-not-run-is-true: a caller told "not run" has had no attempt.
+ * withdrawn-key-stops: no call goes on after its key is withdrawn.
+ * planned-stop-cuts-nothing: a draining instance finishes its calls.
+ */
 #include "explore/p_request.h"
 
 #include "explore/p_request_env.h"
 
-#define FW_CALM_ROUNDS 400
+#define FW_SETTLE_ROUNDS 400
 #define FW_OPS_PER_ROUND 200
-#define FW_STOP_PAUSE_US (400 * FW_MSEC)
+/* Longer than a handover: a draining instance that does not wait for its
+ * callers has exited by then. */
+#define FW_HANDOVER_WAIT_US (400 * FW_MSEC)
 
-/* Answers what is open until nothing is, time passing. */
+/* Answers all upstream calls without faults for 40 s of simulated time. */
 static void
-calm_down(struct fw_request_env *env)
+settle(struct fw_request_env *env)
 {
     struct fw_request_env_op *op;
 
     env->no_faults = 1;
-    for (int i = 0; i < FW_CALM_ROUNDS && !env->run->breach[0]; i++) {
+    for (int i = 0; i < FW_SETTLE_ROUNDS && !env->run->breach[0]; i++) {
         for (int j = 0;
              j < FW_OPS_PER_ROUND && (op = Fw_RequestEnv_RandomOp(env)); j++) {
             Fw_RequestEnv_AnswerOp(env, op, 1);
@@ -23,7 +33,7 @@
 }
 
 static void
-one_step(struct fw_request_env *env)
+random_step(struct fw_request_env *env)
 {
     GRand *rand = env->run->rand;
     int dice = g_rand_int_range(rand, 0, 100);
@@ -48,7 +58,7 @@
     }
 }
 
-/* At the end all callers go, and the engines must be empty soon after. */
+/* Finally disconnects all callers; the engines must then free all requests. */
 void
 Fw_Explore_Requests(struct fw_run *run)
 {
@@ -60,22 +70,22 @@
         if (i == withdraw_at) {
             Fw_RequestEnv_WithdrawKey(&env);
         }
-        one_step(&env);
+        random_step(&env);
     }
     for (int i = 0; i < env.n_callers && !run->breach[0]; i++) {
         Fw_RequestEnv_CloseCall(&env, i);
     }
-    calm_down(&env);
+    settle(&env);
     if (!run->breach[0] && Fw_RequestEnv_CountHeld(&env) > 0) {
-        Fw_Run_Breach(run, "engines still hold %d requests of nobody",
+        Fw_Run_Breach(run, "engines still hold %d requests without a caller",
                       Fw_RequestEnv_CountHeld(&env));
     }
     Fw_RequestEnv_Fini(&env);
 }
 
-/* Callers who come, read and go, with engines that answer well. */
+/* A random step without faults of the engines. */
 static void
-quiet_step(struct fw_request_env *env)
+random_step_without_faults(struct fw_request_env *env)
 {
     GRand *rand = env->run->rand;
     int dice = g_rand_int_range(rand, 0, 100);
@@ -96,9 +106,8 @@
     }
 }
 
-/* A planned stop while callers read. Engines answer well throughout: what a
- * caller loses, it loses by the stop. Each must get the rest before the
- * instance leaves. */
+/* Drains the instance while callers read. The engines do not fail, so a call
+ * that fails does so because of the drain. */
 void
 Fw_Explore_PlannedStop(struct fw_run *run)
 {
@@ -107,22 +116,20 @@
     Fw_RequestEnv_Init(&env, run);
     env.no_faults = 1;
     for (int i = 0; i < run->steps && !run->breach[0]; i++) {
-        quiet_step(&env);
+        random_step_without_faults(&env);
     }
     if (!run->breach[0]) {
         Fw_RequestEnv_Drain(&env);
-        /* Longer than handovers take: one that does not wait for its callers
-         * leaves now. */
-        Fw_RequestEnv_Advance(&env, FW_STOP_PAUSE_US);
+        Fw_RequestEnv_Advance(&env, FW_HANDOVER_WAIT_US);
     }
-    calm_down(&env);
+    settle(&env);
     for (int i = 0; i < env.n_callers && !run->breach[0]; i++) {
         if (env.callers[i].open) {
-            Fw_Run_Breach(run, "caller %d waits for good", i);
+            Fw_Run_Breach(run, "caller %d is never answered", i);
         }
     }
     if (!run->breach[0] && !env.exited) {
-        Fw_Run_Breach(run, "the instance never leaves");
+        Fw_Run_Breach(run, "the drained instance never exits");
     }
     Fw_RequestEnv_Fini(&env);
 }
--- a/explore/p_request.h
+++ b/explore/p_request.h
@@ -1,6 +1,6 @@
 /*
- * Seeded runs of the life of requests: one instance, with fake engines,
- * callers and log at its interfaces.
+ * Properties of request handling, checked on one instance with simulated
+ * engines, callers and log.
  */
 #ifndef FW_EXPLORE_P_REQUEST_H
 #define FW_EXPLORE_P_REQUEST_H
@@ -9,7 +9,6 @@
 
 void
 Fw_Explore_Requests(struct fw_run *run);
-
 void
 Fw_Explore_PlannedStop(struct fw_run *run);
 
--- a/explore/p_request_callers.c
+++ b/explore/p_request_callers.c
@@ -1,4 +1,4 @@
-/* Callers of a seeded run and what they must see; teams and their keys. */
+/* Simulated callers and the checks of their responses; the configuration. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -6,12 +6,13 @@
 #include "explore/p_request_env.h"
 
 static struct fw_request_env_caller *
-caller(struct fw_request_env *env, uint64_t call)
+get_open_caller(struct fw_request_env *env, uint64_t call)
 {
     struct fw_request_env_caller *c = &env->callers[call - 1];
 
     if (!c->open) {
-        Fw_Run_Breach(env->run, "caller %" PRIu64 " is answered after its end",
+        Fw_Run_Breach(env->run,
+                      "caller %" PRIu64 " gets data after its call ended",
                       call - 1);
     }
     return c;
@@ -21,32 +22,35 @@
 Fw_RequestEnv_OnPiece(struct fw_request_env *env,
                       const struct fw_call_piece *p)
 {
-    struct fw_request_env_caller *c = caller(env, p->call);
-    char *want = g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->n_pieces);
+    struct fw_request_env_caller *c = get_open_caller(env, p->call);
+    char *expected =
+        g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->n_pieces);
 
-    if (p->index != c->n_pieces || strcmp(p->text, want) != 0) {
-        Fw_Run_Breach(env->run, "caller %" PRIu64 " got %s in place of %s",
-                      p->call - 1, p->text, want);
+    if (p->index != c->n_pieces || strcmp(p->text, expected) != 0) {
+        Fw_Run_Breach(env->run,
+                      "caller %" PRIu64 " got piece %s instead of %s",
+                      p->call - 1, p->text, expected);
     }
     c->n_pieces++;
-    g_free(want);
+    g_free(expected);
 }
 
 void
 Fw_RequestEnv_OnFail(struct fw_request_env *env, const struct fw_call_fail *f)
 {
-    struct fw_request_env_caller *c = caller(env, f->call);
+    struct fw_request_env_caller *c = get_open_caller(env, f->call);
 
     c->open = 0;
     Fw_Run_Trace(env->run, "caller %" PRIu64 " fails: %s, ran %s", f->call - 1,
                  f->code, Fw_Ran_Name(f->ran));
     if (env->draining && f->ran != FW_RAN_NO) {
-        Fw_Run_Breach(env->run, "caller %" PRIu64 " is cut off by the stop",
+        Fw_Run_Breach(env->run,
+                      "caller %" PRIu64 " fails because of the drain",
                       f->call - 1);
     }
     if (f->ran == FW_RAN_NO && c->started) {
         Fw_Run_Breach(env->run,
-                      "caller %" PRIu64 " is told that it did not run",
+                      "caller %" PRIu64 " is told \"not run\" after it ran",
                       f->call - 1);
     }
 }
@@ -54,12 +58,13 @@
 void
 Fw_RequestEnv_OnEnd(struct fw_request_env *env, const struct fw_call_end *e)
 {
-    struct fw_request_env_caller *c = caller(env, e->call);
+    struct fw_request_env_caller *c = get_open_caller(env, e->call);
 
     c->open = 0;
-    Fw_Run_Trace(env->run, "caller %" PRIu64 " has all", e->call - 1);
+    Fw_Run_Trace(env->run, "caller %" PRIu64 " is complete", e->call - 1);
     if (c->n_pieces != FW_REQUEST_ENV_PIECES) {
-        Fw_Run_Breach(env->run, "caller %" PRIu64 " has %d pieces at the end",
+        Fw_Run_Breach(env->run,
+                      "caller %" PRIu64 " is complete with %d pieces",
                       e->call - 1, c->n_pieces);
     }
 }
@@ -70,7 +75,8 @@
     env->exited = 1;
     for (int i = 0; i < env->n_callers; i++) {
         if (env->callers[i].open) {
-            Fw_Run_Breach(env->run, "the instance leaves caller %d behind", i);
+            Fw_Run_Breach(env->run, "the instance exits while caller %d waits",
+                          i);
         }
     }
 }
@@ -98,7 +104,7 @@
     if (g_rand_int_range(env->run->rand, 0, 3) == 0) {
         g_snprintf(call->request_id, FW_ID_MAX, "named-%d", n);
     }
-    Fw_Run_Trace(env->run, "caller %d asks with %s", n, c->key);
+    Fw_Run_Trace(env->run, "caller %d sends a request with %s", n, c->key);
     Fw_RequestEnv_Step(env, &ev);
     g_bytes_unref(call->prompt);
 }
@@ -112,7 +118,7 @@
     if (!env->callers[n].open) {
         return;
     }
-    Fw_Run_Trace(env->run, "caller %d goes", n);
+    Fw_Run_Trace(env->run, "caller %d disconnects", n);
     env->callers[n].open = 0;
     Fw_RequestEnv_Step(env, &ev);
 }
@@ -122,7 +128,7 @@
 {
     struct fw_event ev = {.kind = FW_EV_DRAIN};
 
-    Fw_Run_Trace(env->run, "the instance is told to stop");
+    Fw_Run_Trace(env->run, "the instance is told to drain");
     env->draining = 1;
     Fw_RequestEnv_Step(env, &ev);
 }
@@ -183,8 +189,8 @@
     env->withdrawn = 1;
     for (int i = 0; i < env->n_callers; i++) {
         if (env->callers[i].open && env->callers[i].key[4] == 'a') {
-            Fw_Run_Breach(env->run, "caller %d reads on with a withdrawn key",
-                          i);
+            Fw_Run_Breach(env->run,
+                          "caller %d is still served with a withdrawn key", i);
         }
     }
 }
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -1,12 +1,12 @@
-/* The fake engines: what becomes of each call, well or not. */
+/* Simulated engines: successful and failed answers to upstream calls. */
 #include <errno.h>
 #include <inttypes.h>
 
 #include "explore/p_request_env.h"
 
-/* The engine's part of a call that reached it. */
+/* Applies the effect of a call that reached the engine. */
 static void
-engine_begins(struct fw_request_env *env, struct fw_request_env_op *op)
+start_op(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
         env, op->engine, Fw_RequestEnv_RequestId(&op->up));
@@ -28,14 +28,16 @@
     }
 }
 
+/* Fails a call that has not started as refused or, at random, as timed out
+ * after the engine has started on it. */
 static void
-fail(struct fw_request_env *env, struct fw_request_env_op *op)
+fail_op(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
     int reached = op->started || g_rand_boolean(env->run->rand);
 
     if (reached && op->engine >= 0) {
-        engine_begins(env, op);
+        start_op(env, op);
     }
     ev.u.up.op = op->up.op;
     ev.u.up.kind = op->up.kind;
@@ -65,9 +67,10 @@
     g_free(text);
 }
 
-/* One move of a stream: the next piece, an old one again, or the end. */
+/* Sends one event of a stream: the next piece, the last one again, the piece
+ * after the next one, or the end. */
 static void
-stream(struct fw_request_env *env, struct fw_request_env_op *op)
+advance_stream(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
     int dice = env->no_faults ? 9 : g_rand_int_range(env->run->rand, 0, 10);
@@ -75,14 +78,14 @@
         env, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
     if (!h) {
-        fail(env, op);
+        fail_op(env, op);
         return;
     }
     if (dice == 0 && op->next_piece > op->first_piece) {
-        send_piece(env, op, op->next_piece - 1); /* doubled */
+        send_piece(env, op, op->next_piece - 1); /* duplicate */
     }
     else if (dice == 1 && op->next_piece + 1 < FW_REQUEST_ENV_PIECES) {
-        op->next_piece++; /* lost, or late: the one after it comes first */
+        op->next_piece++; /* lost */
         send_piece(env, op, op->next_piece);
         op->next_piece++;
     }
@@ -96,8 +99,7 @@
         ev.u.up.u.end.tokens = FW_REQUEST_ENV_PIECES;
         g_strlcpy(ev.u.up.u.end.reason, "length",
                   sizeof(ev.u.up.u.end.reason));
-        h->expires_us =
-            env->now_us + FW_REQUEST_ENV_KV_TTL_US; /* done, kept a while */
+        h->expires_us = env->now_us + FW_REQUEST_ENV_KV_TTL_US;
         Fw_RequestEnv_FreeOp(op);
         Fw_RequestEnv_Step(env, &ev);
     }
@@ -154,19 +156,19 @@
     struct fw_event ev = {.kind = FW_EV_UP};
 
     if (!ok) {
-        fail(env, op);
+        fail_op(env, op);
         return;
     }
     if (op->up.kind == FW_UP_IMPORT &&
         Fw_RequestEnv_CallerOfId(env, Fw_RequestEnv_RequestId(&op->up)) < 0) {
-        fail(env, op); /* the KV has lapsed */
+        fail_op(env, op); /* the KV cache has expired */
         return;
     }
     if (op->up.kind == FW_UP_DECODE || op->up.kind == FW_UP_RESUME) {
-        stream(env, op);
+        advance_stream(env, op);
         return;
     }
-    engine_begins(env, op);
+    start_op(env, op);
     ev.u.up.op = op->up.op;
     ev.u.up.kind = op->up.kind;
     ev.u.up.phase = FW_UP_DONE;
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -1,18 +1,19 @@
+/* Event loop of the simulated environment: upstream calls, log and time. */
 #include "explore/p_request_env.h"
 
 #include <string.h>
 
-static const char *const engines[FW_REQUEST_ENV_ENGINES] = {"p0", "p1", "d0",
-                                                            "d1"};
+static const char *const engine_names[FW_REQUEST_ENV_ENGINES] = {"p0", "p1",
+                                                                 "d0", "d1"};
 
 const char *
 Fw_RequestEnv_EngineName(int engine)
 {
-    return engines[engine];
+    return engine_names[engine];
 }
 
 static void
-take(struct fw_request_env *env, struct fw_actions *out);
+perform_actions(struct fw_request_env *env, struct fw_actions *out);
 
 void
 Fw_RequestEnv_Step(struct fw_request_env *env, const struct fw_event *ev)
@@ -21,18 +22,18 @@
 
     Fw_Actions_Init(&out);
     if (Fw_Node_Step(env->node, ev, env->now_us, &out)) {
-        Fw_Run_Breach(env->run, "the node refused an event");
+        Fw_Run_Breach(env->run, "the node rejected an event");
     }
     env->wake_us = out.wake_us;
-    take(env, &out);
+    perform_actions(env, &out);
     Fw_Actions_Clear(&out);
 }
 
 static int
-engine_of(const char *name)
+find_engine(const char *name)
 {
     for (int i = 0; i < FW_REQUEST_ENV_ENGINES; i++) {
-        if (strcmp(engines[i], name) == 0) {
+        if (strcmp(engine_names[i], name) == 0) {
             return i;
         }
     }
@@ -78,9 +79,9 @@
     }
 }
 
-/* The prompt starts with the caller's number, so attempts can be told. */
+/* A prompt starts with the index of its caller. Return: -1 when empty. */
 static int
-caller_of_prompt(GBytes *prompt)
+parse_caller(GBytes *prompt)
 {
     gsize size = 0;
     const char *data = g_bytes_get_data(prompt, &size);
@@ -111,7 +112,6 @@
     return "";
 }
 
-/* Whom an attempt belongs to, by its id, from what engines hold. */
 int
 Fw_RequestEnv_CallerOfId(struct fw_request_env *env, const char *id)
 {
@@ -126,15 +126,15 @@
 }
 
 static void
-take_up(struct fw_request_env *env, const struct fw_up_start *up)
+start_up(struct fw_request_env *env, const struct fw_up_start *up)
 {
     struct fw_request_env_op *op = g_new0(struct fw_request_env_op, 1);
 
     op->up = *up;
-    op->engine = engine_of(up->upstream);
+    op->engine = find_engine(up->upstream);
     op->caller = -1;
     if (up->kind == FW_UP_PREFILL) {
-        op->caller = caller_of_prompt(up->u.prefill.prompt);
+        op->caller = parse_caller(up->u.prefill.prompt);
         if (strcmp(up->u.prefill.team, env->callers[op->caller].key + 4) !=
             0) {
             Fw_Run_Breach(env->run, "caller %d runs for team %s", op->caller,
@@ -164,6 +164,7 @@
     g_free(op);
 }
 
+/* Drops the call; a prefill may have reached its engine all the same. */
 static void
 stop_op(struct fw_request_env *env, uint64_t number)
 {
@@ -174,7 +175,6 @@
         struct fw_request_env_op *op =
             FW_LIST_ENTRY(pos, struct fw_request_env_op, link);
         if (op->up.op == number) {
-            /* It may have reached the engine all the same. */
             if (op->up.kind == FW_UP_PREFILL && op->caller >= 0 &&
                 g_rand_boolean(env->run->rand)) {
                 Fw_RequestEnv_HoldRequest(env, op->engine,
@@ -187,7 +187,7 @@
 }
 
 static void
-take_append(struct fw_request_env *env, const struct fw_log_append *a)
+append_to_log(struct fw_request_env *env, const struct fw_log_append *a)
 {
     struct fw_event ev = {.kind = FW_EV_LOG_APPENDED};
 
@@ -198,10 +198,10 @@
     Fw_RequestEnv_Step(env, &ev);
 }
 
-/* Kept until time passes: a read that is answered at once would be sent again
- * at once. */
+/* Queues the read until the time advances: the instance answers each result
+ * with its next read, so immediate answers would loop. */
 static void
-take_read(struct fw_request_env *env, const struct fw_log_read *r)
+queue_read(struct fw_request_env *env, const struct fw_log_read *r)
 {
     struct fw_request_env_read *kept = g_new0(struct fw_request_env_read, 1);
 
@@ -224,7 +224,7 @@
 {
     struct fw_list due;
 
-    /* What these answers lead to waits for the next time. */
+    /* Reads that are sent in response are left for the next call. */
     Fw_List_Init(&due);
     while (!Fw_List_Empty(&env->reads)) {
         struct fw_list *link = env->reads.next;
@@ -241,7 +241,7 @@
 }
 
 static void
-take(struct fw_request_env *env, struct fw_actions *out)
+perform_actions(struct fw_request_env *env, struct fw_actions *out)
 {
     struct fw_action *a;
 
@@ -257,16 +257,16 @@
             Fw_RequestEnv_OnEnd(env, &a->u.end);
             break;
         case FW_ACT_UP_START:
-            take_up(env, &a->u.up);
+            start_up(env, &a->u.up);
             break;
         case FW_ACT_UP_STOP:
             stop_op(env, a->u.stop);
             break;
         case FW_ACT_LOG_APPEND:
-            take_append(env, &a->u.append);
+            append_to_log(env, &a->u.append);
             break;
         case FW_ACT_LOG_READ:
-            take_read(env, &a->u.read);
+            queue_read(env, &a->u.read);
             break;
         case FW_ACT_CALL_START:
         case FW_ACT_CALL_ANSWER:
@@ -283,7 +283,7 @@
 }
 
 static void
-lapse(struct fw_request_env *env)
+free_expired(struct fw_request_env *env)
 {
     for (int e = 0; e < FW_REQUEST_ENV_ENGINES; e++) {
         struct fw_list *pos;
@@ -307,11 +307,11 @@
     answer_reads(env);
     while (env->wake_us <= until && !env->run->breach[0]) {
         env->now_us = MAX(env->now_us, env->wake_us);
-        lapse(env);
+        free_expired(env);
         Fw_RequestEnv_Step(env, &tick);
     }
     env->now_us = until;
-    lapse(env);
+    free_expired(env);
 }
 
 void
--- a/explore/p_route.h
+++ b/explore/p_route.h
@@ -1,4 +1,4 @@
-/* Promise of the router; see p_route.c. */
+/* Property of routing, src/route. */
 #ifndef FW_EXPLORE_P_ROUTE_H
 #define FW_EXPLORE_P_ROUTE_H
 
--- a/explore/run.c
+++ b/explore/run.c
@@ -1,4 +1,4 @@
-/* One seeded run, and the notes it takes. */
+/* Runs one property with one seed and keeps its trace. */
 #include <stdarg.h>
 #include <string.h>
 
@@ -48,15 +48,15 @@
         .steps = steps,
         .trace = g_string_new(NULL),
     };
-    int broken;
+    int failed;
 
     p->run(&run);
-    broken = run.breach[0] != '\0';
-    if (broken) {
-        g_string_append_printf(report, "%s: broken: %s\nseed %u\n%s", p->name,
+    failed = run.breach[0] != '\0';
+    if (failed) {
+        g_string_append_printf(report, "%s: failed: %s\nseed %u\n%s", p->name,
                                run.breach, seed, run.trace->str);
     }
     g_rand_free(run.rand);
     g_string_free(run.trace, TRUE);
-    return broken;
+    return failed;
 }
--- a/explore/table.c
+++ b/explore/table.c
@@ -1,4 +1,4 @@
-/* The promises that can be explored; each module adds its row. */
+/* Table of the properties that can be explored. */
 #include "explore/explore.h"
 #include "explore/p_config.h"
 #include "explore/p_fleet.h"
