--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -1,9 +1,11 @@
 /*
- * config-converges: at the same offset all instances have the same
- * configuration in force, whatever way they came by it.
- * config-never-reverts: the offset in force never goes down on an instance.
- * no-lost-update: an accepted change was made on what was in force.
- * withdrawn-key-stays: a key withdrawn at an instance never works there again.
+ * config-converges: replicas at the same offset have equal configurations,
+ * whether they got there by log, snapshot or peer.
+ * config-never-reverts: the offset of a replica never decreases.
+ * no-lost-update: a change is accepted only if it is based on the current
+ * version of each of its items.
+ * withdrawn-key-stays: a key that is withdrawn on a replica stays withdrawn
+ * there.
  */
 #include "explore/p_config.h"
 
@@ -15,15 +17,21 @@
 #define KEYS 4
 #define HEAL_US (60 * FW_SEC)
 
-/** struct check - what a run looks at. */
+/**
+ * struct check - the check of one property.
+ * @after_append: called with each change appended; may be NULL
+ * @check_replica: called for each replica after each step; may be NULL
+ * @ctx: passed to both
+ */
 struct check {
     void (*after_append)(struct fw_config_env *env, const char *text,
                          const struct fw_change_result *res, void *ctx);
-    void (*look)(struct fw_config_env *env, int i, void *ctx);
+    void (*check_replica)(struct fw_config_env *env, int i, void *ctx);
     void *ctx;
 };
 
-/* Mostly the version in force, at times an old or a made-up one. */
+/* Return: usually the current version of the item, else an older one, or 1 for
+ * an item that does not exist. */
 static uint64_t
 draw_version(struct fw_config_env *env, enum fw_item_kind kind,
              const char *name)
@@ -64,7 +72,7 @@
 {
     struct fw_change_result res;
     char *item = draw_item(env);
-    /* A small space of ids, so that some come twice. */
+    /* Sometimes repeats the id of an earlier change. */
     char *text = g_strdup_printf(
         "{\"v\":1,\"id\":\"c-%u\",\"who\":\"anna\",\"at\":\"t\","
         "\"items\":[%s]}",
@@ -87,7 +95,7 @@
     g_free(item);
 }
 
-/* An old snapshot comes again, or one with a digit changed. */
+/* Appends a copy of a snapshot part, unchanged or corrupted in one digit. */
 static void
 append_bad_snapshot(struct fw_config_env *env)
 {
@@ -103,16 +111,16 @@
     rate = strstr(part, "\"rate\":");
     if (rate && Fw_ConfigEnv_RandBelow(env, 2)) {
         rate[7] = rate[7] == '5' ? '6' : '5';
-        /* Another name, so that it is read for itself. */
+        /* A new snapshot id, so that it is not a part of the original. */
         strstr(part, "\"snap\":\"")[8] = 'x';
     }
-    Fw_Run_Trace(env->run, "%8.1f old or changed snapshot",
+    Fw_Run_Trace(env->run, "%8.1f duplicate or corrupt snapshot",
                  (double)env->now_us / FW_SEC);
     g_ptr_array_add(env->snapshot.records, part);
 }
 
 static void
-age_out(struct fw_config_env *env)
+expire_records(struct fw_config_env *env)
 {
     struct fw_config_env_stream *s =
         Fw_ConfigEnv_RandBelow(env, 4) ? &env->config : &env->snapshot;
@@ -127,7 +135,7 @@
 }
 
 static void
-do_fault(struct fw_config_env *env)
+inject_fault(struct fw_config_env *env)
 {
     int i = Fw_ConfigEnv_RandBelow(env, FW_CONFIG_ENV_REPLICAS);
     double at = (double)env->now_us / FW_SEC;
@@ -148,7 +156,7 @@
                      env->log_down ? "down" : "up");
         break;
     case 3:
-        age_out(env);
+        expire_records(env);
         break;
     case 4:
         append_bad_snapshot(env);
@@ -162,11 +170,11 @@
 }
 
 static void
-look_at_all(struct fw_config_env *env, const struct check *c)
+check_replicas(struct fw_config_env *env, const struct check *c)
 {
     for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
-        if (c->look) {
-            c->look(env, i, c->ctx);
+        if (c->check_replica) {
+            c->check_replica(env, i, c->ctx);
         }
         env->replicas[i].last_offset =
             Fw_ConfigReplica_Config(env->replicas[i].replica)->next_offset;
@@ -174,7 +182,7 @@
 }
 
 static void
-run_shelf(struct fw_run *run, const struct check *c)
+run_check(struct fw_run *run, const struct check *c)
 {
     struct fw_config_env env;
 
@@ -183,12 +191,12 @@
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         Fw_ConfigEnv_Advance(&env, (1 + Fw_ConfigEnv_RandBelow(&env, 30)) *
                                        100 * FW_MSEC);
-        look_at_all(&env, c);
+        check_replicas(&env, c);
         if (Fw_ConfigEnv_RandBelow(&env, 2) == 0) {
             append_change(&env, c);
         }
         if (Fw_ConfigEnv_RandBelow(&env, 4) == 0) {
-            do_fault(&env);
+            inject_fault(&env);
         }
         if (Fw_ConfigEnv_RandBelow(&env, 60) == 0) {
             for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
@@ -197,22 +205,22 @@
             env.log_down = 0;
             Fw_Run_Trace(run, "%8.1f heal", (double)env.now_us / FW_SEC);
             Fw_ConfigEnv_Advance(&env, HEAL_US);
-            look_at_all(&env, c);
+            check_replicas(&env, c);
         }
     }
     Fw_ConfigEnv_Clear(&env);
 }
 
 static void
-look_same(struct fw_config_env *env, int i, void *ctx)
+check_digest(struct fw_config_env *env, int i, void *ctx)
 {
     const struct fw_config *cfg =
         Fw_ConfigReplica_Config(env->replicas[i].replica);
-    uint64_t right =
+    uint64_t expected =
         g_array_index(env->digests, uint64_t, cfg->next_offset - 1);
 
     (void)ctx;
-    if (Fw_Config_Digest(cfg) != right) {
+    if (Fw_Config_Digest(cfg) != expected) {
         Fw_Run_Breach(env->run, "fold%d differs at offset %" G_GUINT64_FORMAT,
                       i, cfg->next_offset);
     }
@@ -221,11 +229,11 @@
 void
 Fw_Explore_ConfigConverges(struct fw_run *run)
 {
-    run_shelf(run, &(struct check){.look = look_same});
+    run_check(run, &(struct check){.check_replica = check_digest});
 }
 
 static void
-look_back(struct fw_config_env *env, int i, void *ctx)
+check_offset(struct fw_config_env *env, int i, void *ctx)
 {
     uint64_t now =
         Fw_ConfigReplica_Config(env->replicas[i].replica)->next_offset;
@@ -242,17 +250,20 @@
 void
 Fw_Explore_ConfigReverts(struct fw_run *run)
 {
-    run_shelf(run, &(struct check){.look = look_back});
+    run_check(run, &(struct check){.check_replica = check_offset});
 }
 
-/** struct versions - of each item, by the accepted changes alone. */
+/**
+ * struct versions - versions that follow from the accepted changes.
+ * @last: maps "KIND NAME" of an item to the offset of its last change
+ */
 struct versions {
-    GHashTable *last; /* "kind name" to offset */
+    GHashTable *last;
 };
 
 static void
-after_update(struct fw_config_env *env, const char *text,
-             const struct fw_change_result *res, void *ctx)
+check_versions(struct fw_config_env *env, const char *text,
+               const struct fw_change_result *res, void *ctx)
 {
     struct versions *v = ctx;
     struct fw_change ch;
@@ -269,8 +280,8 @@
 
         if (last != ch.items[i].expected_version) {
             Fw_Run_Breach(env->run,
-                          "%s made on %" G_GUINT64_FORMAT
-                          " was accepted over %" G_GUINT64_FORMAT,
+                          "%s based on version %" G_GUINT64_FORMAT
+                          " was accepted over version %" G_GUINT64_FORMAT,
                           ch.items[i].name, ch.items[i].expected_version,
                           last);
         }
@@ -286,18 +297,22 @@
     struct versions v = {
         .last = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
 
-    run_shelf(run, &(struct check){.after_append = after_update, .ctx = &v});
+    run_check(run, &(struct check){.after_append = check_versions, .ctx = &v});
     g_hash_table_unref(v.last);
 }
 
-/* Bit k of an entry: key k has been seen withdrawn by that process. */
+/**
+ * struct withdrawn - keys that each replica has shown as withdrawn.
+ * @seen: bit k is set when key k was withdrawn
+ * @process: replica that @seen is about; changes when it is restarted
+ */
 struct withdrawn {
     unsigned seen[FW_CONFIG_ENV_REPLICAS];
     const struct fw_config_replica *process[FW_CONFIG_ENV_REPLICAS];
 };
 
 static void
-look_key(struct fw_config_env *env, int i, void *ctx)
+check_keys(struct fw_config_env *env, int i, void *ctx)
 {
     struct withdrawn *wd = ctx;
     const struct fw_config *cfg =
@@ -318,7 +333,7 @@
             wd->seen[i] |= 1U << k;
         }
         else if (wd->seen[i] & (1U << k)) {
-            Fw_Run_Breach(env->run, "fold%d: key %d works again", i, k);
+            Fw_Run_Breach(env->run, "fold%d: key %d is valid again", i, k);
         }
     }
 }
@@ -328,5 +343,5 @@
 {
     struct withdrawn wd = {.seen = {0}};
 
-    run_shelf(run, &(struct check){.look = look_key, .ctx = &wd});
+    run_check(run, &(struct check){.check_replica = check_keys, .ctx = &wd});
 }
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -1,3 +1,5 @@
+/* Simulated log and network of the replicas; only reads of the log take time.
+ */
 #include "explore/p_config_env.h"
 
 #include <errno.h>
@@ -12,7 +14,7 @@
 }
 
 static void
-note_digest(struct fw_config_env *env)
+append_digest(struct fw_config_env *env)
 {
     uint64_t d = Fw_Config_Digest(env->reference->cfg);
 
@@ -27,7 +29,7 @@
     env->snapshot.records = g_ptr_array_new_with_free_func(g_free);
     env->reference = Fw_ConfigState_New();
     env->digests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    note_digest(env);
+    append_digest(env);
     for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
         Fw_ConfigEnv_Start(env, i);
     }
@@ -63,20 +65,21 @@
 {
     g_ptr_array_add(env->config.records, g_strdup(text));
     Fw_ConfigState_Apply(env->reference, text, res);
-    note_digest(env);
+    append_digest(env);
 }
 
 static struct fw_config_env_stream *
-stream_of(struct fw_config_env *env, const char *name)
+get_stream(struct fw_config_env *env, const char *name)
 {
     return strcmp(name, FW_STREAM_CONFIG) == 0 ? &env->config : &env->snapshot;
 }
 
 static void
-carry(struct fw_config_env *env, int i, struct fw_actions *out);
+perform_actions(struct fw_config_env *env, int i, struct fw_actions *out);
 
+/* Queues the read; it is dropped when too many are open. */
 static void
-keep_read(struct fw_config_env *env, int i, const struct fw_log_read *read)
+queue_read(struct fw_config_env *env, int i, const struct fw_log_read *read)
 {
     for (int k = 0; k < FW_CONFIG_ENV_READS_MAX; k++) {
         struct fw_config_env_read *r = &env->replicas[i].reads[k];
@@ -92,7 +95,7 @@
 static void
 append(struct fw_config_env *env, int i, const struct fw_log_append *p)
 {
-    struct fw_config_env_stream *s = stream_of(env, p->stream);
+    struct fw_config_env_stream *s = get_stream(env, p->stream);
     struct fw_log_appended done = {.ticket = p->ticket,
                                    .first = s->records->len + 1};
     struct fw_actions out;
@@ -109,7 +112,7 @@
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_OnAppended(env->replicas[i].replica, &done, env->now_us,
                                 &out);
-    carry(env, i, &out);
+    perform_actions(env, i, &out);
 }
 
 static void
@@ -127,18 +130,18 @@
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_OnMsg(env->replicas[to].replica, from, "addr",
                            &p->msg.u.config, env->now_us, &out);
-    carry(env, to, &out);
+    perform_actions(env, to, &out);
 }
 
 static void
-carry(struct fw_config_env *env, int i, struct fw_actions *out)
+perform_actions(struct fw_config_env *env, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
     while ((a = Fw_Actions_Take(out))) {
         switch (a->kind) {
         case FW_ACT_LOG_READ:
-            keep_read(env, i, &a->u.read);
+            queue_read(env, i, &a->u.read);
             break;
         case FW_ACT_LOG_APPEND:
             append(env, i, &a->u.append);
@@ -154,9 +157,9 @@
 }
 
 static void
-answer(struct fw_config_env *env, int i, struct fw_config_env_read *p)
+answer_read(struct fw_config_env *env, int i, struct fw_config_env_read *p)
 {
-    const struct fw_config_env_stream *s = stream_of(env, p->read.stream);
+    const struct fw_config_env_stream *s = get_stream(env, p->read.stream);
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .sent_us = p->sent_us,
                                .oldest = s->expired + 1,
@@ -174,26 +177,28 @@
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_OnRecords(env->replicas[i].replica, &r, env->now_us,
                                &out);
-    carry(env, i, &out);
+    perform_actions(env, i, &out);
 }
 
+/* Answers the reads of a replica that have records or have waited long
+ * enough; a log that is down answers at once. */
 static void
-serve(struct fw_config_env *env, int i)
+serve_reads(struct fw_config_env *env, int i)
 {
     for (int k = 0; k < FW_CONFIG_ENV_READS_MAX; k++) {
         struct fw_config_env_read *p = &env->replicas[i].reads[k];
-        const struct fw_config_env_stream *s = stream_of(env, p->read.stream);
+        const struct fw_config_env_stream *s = get_stream(env, p->read.stream);
 
         if (p->open && (env->log_down || env->replicas[i].isolated ||
                         p->read.from <= s->records->len ||
                         env->now_us >= p->sent_us + p->read.wait_us)) {
-            answer(env, i, p);
+            answer_read(env, i, p);
         }
     }
 }
 
 static void
-ask_peer(struct fw_config_env *env, int i)
+request_from_peer(struct fw_config_env *env, int i)
 {
     struct fw_config_replica *f = env->replicas[i].replica;
     struct fw_actions out;
@@ -208,7 +213,7 @@
     g_snprintf(name, sizeof(name), "fold%d", peer);
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_RequestFromPeer(f, name, "addr", env->now_us, &out);
-    carry(env, i, &out);
+    perform_actions(env, i, &out);
 }
 
 void
@@ -221,11 +226,11 @@
         for (int i = 0; i < FW_CONFIG_ENV_REPLICAS; i++) {
             struct fw_actions out;
 
-            ask_peer(env, i);
+            request_from_peer(env, i);
             Fw_Actions_Init(&out);
             Fw_ConfigReplica_Tick(env->replicas[i].replica, env->now_us, &out);
-            carry(env, i, &out);
-            serve(env, i);
+            perform_actions(env, i, &out);
+            serve_reads(env, i);
         }
     }
 }
