--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -1,3 +1,4 @@
+/* Instances, service and event loop of the simulated environment. */
 #include "explore/p_idem_mail.h"
 
 #include <errno.h>
@@ -6,11 +7,11 @@
 #include "base/hash.h"
 #include "fleet/fleet_internal.h"
 
-#define SERVE_US (20 * FW_MSEC)
+#define SERVICE_TIME_US (20 * FW_MSEC)
 #define WALL_BASE_MS 1764000000000LL
 
 static void
-free_mail(gpointer data)
+free_delivery(gpointer data)
 {
     struct fw_idem_env_delivery *d = data;
 
@@ -28,7 +29,7 @@
     env->n = n;
     env->trace = trace;
     env->now_us = FW_SEC;
-    env->deliveries = g_ptr_array_new_with_free_func(free_mail);
+    env->deliveries = g_ptr_array_new_with_free_func(free_delivery);
     env->tries = g_ptr_array_new_with_free_func(g_free);
     env->effects =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -133,7 +134,8 @@
         }
         d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_MSG, i, FW_IDEM_ENV_HOP_US);
         d->msg = send->msg;
-        send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK; /* moved: owns nothing */
+        /* Its pointers have moved to @d; an ACK owns none. */
+        send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK;
         g_strlcpy(d->sender, env->sites[instance].self.name,
                   sizeof(d->sender));
         return;
@@ -141,7 +143,7 @@
 }
 
 static void
-carry(struct fw_idem_env *env, int instance, struct fw_actions *out)
+perform_actions(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
     struct fw_action *a;
     struct fw_idem_env_delivery *d;
@@ -177,14 +179,14 @@
 }
 
 static void
-breach(struct fw_idem_env *env, const char *what, const char *key)
+record_failure(struct fw_idem_env *env, const char *what, const char *key)
 {
     if (!env->breach[0]) {
         g_snprintf(env->breach, sizeof(env->breach), "%s: key %s", what, key);
     }
 }
 
-/* The right to run was given: sends the call, as src/request does. */
+/* Sends a call whose claim was granted, in the order that src/request uses. */
 static void
 run_call(struct fw_idem_env *env, struct fw_idem_env_try *t, int number,
          struct fw_actions *out)
@@ -207,18 +209,19 @@
         return;
     }
     if (t->told_not_run) {
-        breach(env, "a call whose caller was told 'not run' is sent", t->key);
+        record_failure(
+            env, "a call is sent after its caller was told 'not run'", t->key);
     }
     g_string_append_printf(env->trace, "%d sent\n", number);
     effects = GPOINTER_TO_INT(g_hash_table_lookup(env->effects, t->key)) + 1;
     g_hash_table_replace(env->effects, g_strdup(t->key),
                          GINT_TO_POINTER(effects));
     if (++t->sends > 1 || effects > 1) {
-        breach(env, "an order took effect twice", t->key);
+        record_failure(env, "a call took effect twice", t->key);
     }
     t->ran = env->service == FW_IDEM_ENV_SERVICE_LOSES_ANSWER ? FW_RAN_MAYBE
                                                               : FW_RAN_YES;
-    t->finish_us = env->now_us + SERVE_US;
+    t->finish_us = env->now_us + SERVICE_TIME_US;
     s->wake_us = MIN(s->wake_us, t->finish_us);
 }
 
@@ -249,15 +252,19 @@
                            ans.result == FW_IDEM_NOT_RUN ||
                            ans.result == FW_IDEM_MISMATCH;
         if (t->told_not_run && t->sends) {
-            breach(env, "'not run' is told of a call that was sent", t->key);
+            record_failure(
+                env, "a caller is told 'not run' after its call was sent",
+                t->key);
         }
         if (ans.result == FW_IDEM_UNAVAILABLE && ans.retry_after_us < FW_SEC) {
-            breach(env, "a caller is asked back at once", t->key);
+            record_failure(env, "a caller is told to retry within a second",
+                           t->key);
         }
         g_clear_pointer(&ans.body, g_bytes_unref);
     }
 }
 
+/* Reports the responses of the service that have arrived. */
 static void
 finish_calls(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
@@ -284,12 +291,12 @@
     }
 }
 
-/* After whatever an instance was handed. */
+/* To be called after each event of an instance. */
 static void
-settle(struct fw_idem_env *env, int instance, struct fw_actions *out)
+handle_outputs(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
     take_answers(env, instance, out);
-    carry(env, instance, out);
+    perform_actions(env, instance, out);
 }
 
 static void
@@ -302,11 +309,12 @@
     s->wake_us = INT64_MAX;
     finish_calls(env, instance, &out);
     Fw_Idem_Tick(s->idem, env->now_us, &out);
-    settle(env, instance, &out);
+    handle_outputs(env, instance, &out);
 }
 
+/* Return: idempotency key for a name as given to Fw_IdemEnv_SubmitCall. */
 static const char *
-key_of(struct fw_idem_env *env, const char *name)
+resolve_key(struct fw_idem_env *env, const char *name)
 {
     const char *at = strchr(name, '@');
     char *key = g_hash_table_lookup(env->keys_by_name, name);
@@ -339,11 +347,11 @@
     t->ticket = env->tries->len;
     t->instance = instance;
     t->boot = s->self.boot;
-    g_strlcpy(t->key, key_of(env, name), sizeof(t->key));
+    g_strlcpy(t->key, resolve_key(env, name), sizeof(t->key));
     Fw_Actions_Init(&out);
     Fw_Idem_Claim(s->idem, t->ticket, "grid-desk", "skippers", t->key,
                   Fw_Hash_Str(body), env->now_us, &out);
-    settle(env, instance, &out);
+    handle_outputs(env, instance, &out);
 }
 
 static void
@@ -382,12 +390,13 @@
     else {
         Fw_Idem_OnMsg(s->idem, d->sender, &d->msg.u.idem, env->now_us, &out);
     }
-    settle(env, d->instance, &out);
+    handle_outputs(env, d->instance, &out);
 }
 
-/* When @d can be delivered: a paused instance hears nothing. */
+/* Return: when @d can be delivered; an instance does not receive while it is
+ * paused. */
 static int64_t
-due(const struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
+due_us(const struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
 {
     if (d->kind == FW_IDEM_ENV_APPEND || d->kind == FW_IDEM_ENV_READ) {
         return d->at_us;
@@ -395,8 +404,10 @@
     return MAX(d->at_us, env->sites[d->instance].paused_us);
 }
 
+/* Finds the next event up to @until_us and advances the time to it. Return: a
+ * delivery, or NULL; then @tick_instance is to be ticked unless it is -1. */
 static struct fw_idem_env_delivery *
-next_mail(struct fw_idem_env *env, int64_t until_us, int *tick_instance)
+next_event(struct fw_idem_env *env, int64_t until_us, int *tick_instance)
 {
     struct fw_idem_env_delivery *best = NULL;
     int64_t at = until_us + 1;
@@ -405,8 +416,8 @@
     for (guint i = 0; i < env->deliveries->len; i++) {
         struct fw_idem_env_delivery *d = g_ptr_array_index(env->deliveries, i);
 
-        if (due(env, d) < at) {
-            at = due(env, d);
+        if (due_us(env, d) < at) {
+            at = due_us(env, d);
             best = d;
         }
     }
@@ -433,10 +444,10 @@
 
     for (;;) {
         int instance;
-        struct fw_idem_env_delivery *d = next_mail(env, until, &instance);
+        struct fw_idem_env_delivery *d = next_event(env, until, &instance);
 
         if (++steps > 200000) {
-            breach(env, "the instances never come to rest", "-");
+            record_failure(env, "the instances never become idle", "-");
             return;
         }
         if (d) {
--- a/explore/p_idem_env.h
+++ b/explore/p_idem_env.h
@@ -1,7 +1,7 @@
 /*
- * Two or three idempotency subsystems stepped side by side, with a small log
- * whose answers can be lost, late or refused, and a service that counts what
- * it was sent. Used by the seeded runs and by the scripted tests.
+ * Simulated environment of at-most-once execution: up to three instances, a
+ * log whose appends can be lost, delayed or refused, and a service that counts
+ * the effects of the calls it is sent. Used by seeded runs and scripted tests.
  */
 #ifndef FW_P_IDEM_ENV_H
 #define FW_P_IDEM_ENV_H
@@ -12,7 +12,7 @@
 #define FW_IDEM_ENV_INSTANCES 3
 #define FW_IDEM_ENV_PARTITIONS 2
 
-/** enum fw_idem_env_service - what becomes of a call that is sent. */
+/** enum fw_idem_env_service - how the service treats calls. */
 enum fw_idem_env_service {
     FW_IDEM_ENV_SERVICE_ANSWERS,
     FW_IDEM_ENV_SERVICE_LOSES_ANSWER, /* takes effect, the answer is lost */
@@ -21,8 +21,10 @@
 
 /**
  * struct fw_idem_env_instance - one instance.
- * @paused_us: until then nothing reaches it and it does nothing
- * @cut: peers and this one do not hear each other
+ * @up: the process runs
+ * @isolated: messages from and to its peers are lost; the log is reached
+ * @paused_until_us: the process neither runs nor receives before this time
+ * @wake_us: when it wants its next tick
  */
 struct fw_idem_env_instance {
     struct fw_self self;
@@ -36,9 +38,15 @@
 };
 
 /**
- * struct fw_idem_env_try - one call by a caller.
- * @told_not_run: its caller was told "not run"
- * @sends: how often it was sent; more than one is a breach
+ * struct fw_idem_env_call - one call by a caller.
+ * @ticket: number of the call, from 1
+ * @boot: boot of the instance that received it
+ * @key: idempotency key
+ * @answered: the claim was answered
+ * @told_not_run: the caller was told that the call did not run
+ * @sends: how often it was sent to the service; must not exceed 1
+ * @finish_us: when the service's response arrives, 0 for none pending
+ * @ran: result to report with the response
  */
 struct fw_idem_env_try {
     uint64_t ticket;
@@ -48,16 +56,20 @@
     int answered;
     int told_not_run;
     int sends;
-    int64_t finish_us; /* 0: nothing to finish */
+    int64_t finish_us;
     enum fw_ran ran;
 };
 
 /**
- * struct fw_idem_env_log - the streams and their faults.
- * @lose: so many appends take effect and are not answered
- * @drop: so many appends neither take effect nor are answered
- * @late: so many appends take effect long after their answer was given up
- * @retain: records kept a stream
+ * struct fw_idem_env_log - the log, one stream per partition, and its faults.
+ * @oldest: offset of the first record still stored
+ * @down: appends and reads are refused
+ * @lose_answers: number of next appends that take effect but time out
+ * @drop_appends: number of next appends that fail without effect
+ * @delay_appends: number of next appends that fail but take effect later
+ * @retain_records: number of records that a stream keeps
+ * @latency_us: additional latency of appends and reads
+ * @appends: number of appends received
  */
 struct fw_idem_env_log {
     GPtrArray *records[FW_IDEM_ENV_PARTITIONS];
@@ -71,7 +83,16 @@
     int appends;
 };
 
-/** struct fw_idem_env - everything; @trace gets a line for what a user sees.
+/**
+ * struct fw_idem_env - instances, log and service.
+ * @n: number of instances
+ * @deliveries: messages and log calls under way, fw_idem_env_delivery
+ * @calls: calls received, struct fw_idem_env_call
+ * @effects: maps an idempotency key to the number of its effects
+ * @keys_by_name: maps names of the form "KEY@SECONDS" to idempotency keys
+ * @service: how the service treats calls that are sent from now on
+ * @trace: borrowed; gets a line for each result of a call
+ * @failure: description of the first violation, or empty
  */
 struct fw_idem_env {
     int n;
@@ -79,26 +100,29 @@
     struct fw_idem_env_log log;
     GPtrArray *deliveries;
     GPtrArray *tries;
-    GHashTable *effects;      /* key to count */
-    GHashTable *keys_by_name; /* name of the script to key */
+    GHashTable *effects;
+    GHashTable *keys_by_name;
     enum fw_idem_env_service service;
     int64_t now_us;
     GString *trace;
     char breach[200];
 };
 
+/* Starts @n instances. */
 void
 Fw_IdemEnv_Init(struct fw_idem_env *env, int n, GString *trace);
 void
 Fw_IdemEnv_Clear(struct fw_idem_env *env);
+/* Starts a killed instance, which has lost its state. */
 void
 Fw_IdemEnv_Start(struct fw_idem_env *env, int instance);
-/* SIGKILL: all it held is gone. */
+/* Kills the process; does nothing when it is down. */
 void
 Fw_IdemEnv_Kill(struct fw_idem_env *env, int instance);
 /*
- * A caller's order. @name is a key, or "KEY@SECONDS" for one that carries
- * the time of its making, so many seconds before now.
+ * Submits a call; does nothing when the instance is down or paused. @name is
+ * an idempotency key, or "KEY@SECONDS" for a key that was issued that many
+ * seconds ago and carries its time of issue.
  */
 void
 Fw_IdemEnv_Open(struct fw_idem_env *env, int instance, const char *name,
--- a/explore/p_idem_log.c
+++ b/explore/p_idem_log.c
@@ -1,15 +1,13 @@
-/* The log of a seeded run: it can be down, lose, drop and delay. */
+/* Simulated log: it can be down and lose, drop or delay appends. */
 #include <errno.h>
 
 #include "explore/p_idem_mail.h"
 
-/* An append that takes effect after its sender gave it up. */
-#define FW_LATE_US (8 * FW_SEC)
-/* Until its sender gives an append up. */
-#define FW_TIMEOUT_US (5 * FW_SEC)
+#define FW_APPEND_DELAY_US (8 * FW_SEC)
+#define FW_APPEND_TIMEOUT_US (5 * FW_SEC)
 
 static void
-store(struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
+store_records(struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
 {
     GPtrArray *recs = env->log.records[d->part];
 
@@ -32,8 +30,8 @@
     uint64_t first = l->oldest[d->part] + l->records[d->part]->len;
     struct fw_idem_env_delivery *back;
 
-    if (d->err) { /* a late one: nobody waits any more */
-        store(env, d);
+    if (d->err) { /* delayed; its sender was already answered */
+        store_records(env, d);
         return;
     }
     l->appends++;
@@ -49,8 +47,8 @@
     else if (l->lose > 0) {
         l->lose--;
         back->err = -EIO;
-        back->at_us += FW_TIMEOUT_US;
-        store(env, d);
+        back->at_us += FW_APPEND_TIMEOUT_US;
+        store_records(env, d);
     }
     else if (l->drop > 0) {
         l->drop--;
@@ -58,7 +56,7 @@
     }
     else if (l->late > 0) {
         struct fw_idem_env_delivery *again = Fw_IdemEnv_Schedule(
-            env, FW_IDEM_ENV_APPEND, d->instance, FW_LATE_US);
+            env, FW_IDEM_ENV_APPEND, d->instance, FW_APPEND_DELAY_US);
 
         l->late--;
         back->err = -EIO;
@@ -68,7 +66,7 @@
         again->err = 1;
     }
     else {
-        store(env, d);
+        store_records(env, d);
     }
 }
 
--- a/explore/p_idem_mail.h
+++ b/explore/p_idem_mail.h
@@ -1,21 +1,35 @@
-/* Shared by the files of the idempotency environment. */
+/* Deliveries within the environment of p_idem_env.h, internal to it. */
 #ifndef FW_EXPLORE_P_IDEM_MAIL_H
 #define FW_EXPLORE_P_IDEM_MAIL_H
 
 #include "explore/p_idem_env.h"
 
-/* From one instance to another, or to the log. */
+/* Latency between instances, and between an instance and the log. */
 #define FW_IDEM_ENV_HOP_US (1 * FW_MSEC)
 
 enum fw_idem_env_delivery_kind {
-    FW_IDEM_ENV_APPEND, /* reaches the log */
+    FW_IDEM_ENV_APPEND, /* to the log */
     FW_IDEM_ENV_READ,
-    FW_IDEM_ENV_APPENDED, /* reaches an instance */
+    FW_IDEM_ENV_APPENDED, /* to an instance */
     FW_IDEM_ENV_RECORDS,
     FW_IDEM_ENV_MSG,
 };
 
-/** struct fw_idem_env_delivery - something under way. */
+/**
+ * struct fw_idem_env_delivery - a message, or a call or answer of the log.
+ * @at_us: time of arrival
+ * @instance: instance that receives it or that sent the call
+ * @boot: boot of that instance; it ignores answers to an earlier process
+ * @part: partition, which selects the stream
+ * @from, @max: first offset and number of records to read
+ * @records: NULL-terminated, owned; appended or read
+ * @err: negative errno of an answer; nonzero in an append whose sender has
+ *       been told that it failed
+ * @first: offset of the first record
+ * @oldest, @end: offsets of the oldest record and of the next append
+ * @sent_us: when the read was sent
+ * @sender, @msg: sender and content of a message
+ */
 struct fw_idem_env_delivery {
     enum fw_idem_env_delivery_kind kind;
     int64_t at_us;
@@ -36,11 +50,12 @@
     struct fw_msg msg;
 };
 
+/* Return: a new delivery to fill in, owned by @env. */
 struct fw_idem_env_delivery *
 Fw_IdemEnv_Schedule(struct fw_idem_env *env,
                     enum fw_idem_env_delivery_kind kind, int instance,
                     int64_t delay_us);
-/* p_idem_log.c: what reaches the log. */
+/* p_idem_log.c: the log's side of calls. */
 void
 Fw_IdemEnv_HandleAppend(struct fw_idem_env *env,
                         struct fw_idem_env_delivery *d);
