--- a/explore/p_fleet.c
+++ b/explore/p_fleet.c
@@ -1,15 +1,16 @@
 /*
- * members-converge: once messages flow again, each living instance is known
- * to the others as living, under its present boot.
- * one-role-holder: never do two instances act on one role at one instant.
+ * members-converge: some time after faults end, each instance knows of each
+ * other whether it is up, its boot and whether it drains.
+ * one-role-holder: no two instances may act in one role at the same time.
  */
 #include "explore/p_fleet.h"
 
 #include "explore/p_fleet_env.h"
 
 #define INSTANCES 3
-#define QUIET_US (40 * FW_SEC)
-#define DRIFT_PPM (FW_ROLE_DRIFT_PPM / 2) /* two clocks differ by twice it */
+#define CONVERGENCE_US (40 * FW_SEC)
+/* Two clocks differ by at most twice this. */
+#define DRIFT_PPM (FW_ROLE_DRIFT_PPM / 2)
 
 static void
 start_all(struct fw_fleet_env *env)
@@ -78,9 +79,11 @@
     Fw_Run_Trace(env->run, "%8.3f heal", (double)env->real_us / FW_SEC);
 }
 
-/* A suspect one is still chosen and asked, so it is not held for gone. */
+/* Return: nonzero when member @m describes the instance @them. Suspect is as
+ * good as alive, since suspect members are still used. */
 static int
-is_right(const struct fw_fleet_env_instance *them, const struct fw_member *m)
+matches_instance(const struct fw_fleet_env_instance *them,
+                 const struct fw_member *m)
 {
     if (!them->up) {
         return !m || m->state == FW_MEMBER_DEAD;
@@ -103,10 +106,10 @@
                 continue;
             }
             m = Fw_Fleet_Find(env->sites[i].fleet, them->self.name);
-            if (!is_right(them, m)) {
-                Fw_Run_Breach(env->run, "%s holds %s (%s) for state %d",
+            if (!matches_instance(them, m)) {
+                Fw_Run_Breach(env->run, "%s has %s, which is %s, in state %d",
                               env->sites[i].self.name, them->self.name,
-                              them->up ? "up" : "gone",
+                              them->up ? "up" : "down",
                               m ? (int)m->state : -1);
             }
         }
@@ -132,8 +135,8 @@
         if (Fw_FleetEnv_Below(&env, 100) < 2) {
             Fw_FleetEnv_ClearFaults(&env);
             Fw_FleetEnv_PublishInstances(&env);
-            env.lose_pct = 0; /* "messages flow again" */
-            Fw_FleetEnv_Advance(&env, QUIET_US);
+            env.lose_pct = 0;
+            Fw_FleetEnv_Advance(&env, CONVERGENCE_US);
             check_converged(&env);
             env.lose_pct = 5;
         }
@@ -187,7 +190,7 @@
             Fw_FleetEnv_ClearFaults(&env);
         }
         if (Fw_FleetEnv_Below(&env, 200) < 1 && env.records->len > 3) {
-            env.log_oldest = env.records->len - 2; /* older ones age out */
+            env.log_oldest = env.records->len - 2; /* older ones expire */
         }
     }
     Fw_FleetEnv_Clear(&env);
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -1,4 +1,4 @@
-/* The sites: their life, their clocks, and the loop over what is due. */
+/* Instances, their clocks and the event loop of the simulated fleet. */
 #include "explore/p_fleet_env.h"
 
 #include <string.h>
@@ -164,9 +164,9 @@
     }
 }
 
-/* Real time at which instance @i wants its tick, INT64_MAX when it is down. */
+/* Return: real time of the next tick of instance @i, INT64_MAX for none. */
 static int64_t
-tick_at(const struct fw_fleet_env *env, int i)
+next_tick_us(const struct fw_fleet_env *env, int i)
 {
     const struct fw_fleet_env_instance *s = &env->sites[i];
     int64_t ahead;
@@ -198,17 +198,17 @@
     Fw_FleetEnv_Carry(env, i, &out);
 }
 
-/* The next thing due no later than @until: an d, or a tick of a instance. */
+/* Performs the next delivery or tick up to @until. Return: 0 for none. */
 static int
-step_next(struct fw_fleet_env *env, int64_t until)
+perform_next(struct fw_fleet_env *env, int64_t until)
 {
     struct fw_fleet_env_delivery *d = Fw_FleetEnv_NextDelivery(env);
     int64_t at = d ? d->at_us : INT64_MAX;
     int instance = -1;
 
     for (int i = 0; i < env->n; i++) {
-        if (tick_at(env, i) < at) {
-            at = tick_at(env, i);
+        if (next_tick_us(env, i) < at) {
+            at = next_tick_us(env, i);
             instance = i;
         }
     }
@@ -217,7 +217,8 @@
     }
     env->real_us = MAX(env->real_us, at);
     if (env->check) {
-        env->check(env, env->arg); /* one that wakes up acts before it hears */
+        /* An instance that resumes may act before it receives anything. */
+        env->check(env, env->arg);
     }
     if (instance >= 0) {
         tick_instance(env, instance);
@@ -236,7 +237,7 @@
 {
     int64_t until = env->real_us + us;
 
-    while (!env->run->breach[0] && step_next(env, until)) {
+    while (!env->run->breach[0] && perform_next(env, until)) {
     }
     env->real_us = until;
 }
--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_item.c
@@ -1,12 +1,12 @@
-/* The fake network and the fake log. */
+/* Simulated network and log. */
 #include "explore/p_fleet_item.h"
 
 #include <errno.h>
 #include <string.h>
 
-#define FAST_US (20 * FW_MSEC)
-#define HOLD_US (200 * FW_MSEC)
-#define GIVE_UP_US (3 * FW_SEC)
+#define LATENCY_MAX_US (20 * FW_MSEC)
+#define LONG_POLL_INTERVAL_US (200 * FW_MSEC)
+#define APPEND_TIMEOUT_US (3 * FW_SEC)
 
 void
 Fw_FleetEnv_FreeDelivery(struct fw_fleet_env_delivery *d)
@@ -36,12 +36,12 @@
 }
 
 static int64_t
-travel(struct fw_fleet_env *env)
+draw_latency(struct fw_fleet_env *env)
 {
-    int64_t max = FAST_US;
+    int64_t max = LATENCY_MAX_US;
 
     if (Fw_FleetEnv_Below(env, 100) < env->delay_pct) {
-        max = MAX(env->delay_max_us, FAST_US);
+        max = MAX(env->delay_max_us, LATENCY_MAX_US);
     }
     return FW_MSEC / 2 +
            (int64_t)(g_rand_double(env->run->rand) * (double)max);
@@ -55,7 +55,7 @@
 
     d->kind = kind;
     d->instance = instance;
-    d->at_us = env->real_us + travel(env);
+    d->at_us = env->real_us + draw_latency(env);
     g_ptr_array_add(env->deliveries, d);
     return d;
 }
@@ -188,7 +188,7 @@
     msgpack_unpacked_init(&u);
     if (msgpack_unpack_next(&u, data, size, &off) != MSGPACK_UNPACK_SUCCESS ||
         Fw_Msg_Unpack(&u.data, &msg)) {
-        Fw_Run_Breach(env->run, "a message did not survive its codec");
+        Fw_Run_Breach(env->run, "a message could not be decoded");
     }
     else {
         if (msg.area == FW_AREA_FLEET) {
@@ -203,19 +203,19 @@
     Fw_FleetEnv_Carry(env, d->instance, &out);
 }
 
-/* The append reaches the log; its answer may be lost or late all the same. */
+/* Appends to the log. The answer is an error when the append or the answer is
+ * lost. */
 static void
-reach_append(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
+handle_append(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
     struct fw_fleet_env_delivery *back =
         schedule(env, FW_FLEET_ENV_APPENDED, d->instance);
 
     back->boot = d->boot;
     back->ticket = d->ticket;
-    if (Fw_FleetEnv_Below(env, 100) <
-        env->lose_pct) { /* lost before the log */
+    if (Fw_FleetEnv_Below(env, 100) < env->lose_pct) { /* append lost */
         back->err = -EIO;
-        back->at_us += GIVE_UP_US;
+        back->at_us += APPEND_TIMEOUT_US;
         return;
     }
     if (env->log_down) {
@@ -229,15 +229,15 @@
         Fw_Run_Trace(env->run, "%8.3f log %u %s",
                      (double)env->real_us / FW_SEC, env->records->len, text);
     }
-    if (Fw_FleetEnv_Below(env, 100) <
-        env->lose_pct) { /* lost after it took effect */
+    if (Fw_FleetEnv_Below(env, 100) < env->lose_pct) { /* answer lost */
         back->err = -EIO;
-        back->at_us += GIVE_UP_US;
+        back->at_us += APPEND_TIMEOUT_US;
     }
 }
 
+/* Answers a read, or schedules it again while there is nothing to read. */
 static void
-reach_read(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
+handle_read(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
     uint64_t from = MAX(d->offset, env->log_oldest);
     struct fw_fleet_env_delivery *back;
@@ -251,7 +251,7 @@
         hold->offset = d->offset;
         hold->sent_us = d->sent_us;
         hold->until_us = d->until_us;
-        hold->at_us = env->real_us + HOLD_US;
+        hold->at_us = env->real_us + LONG_POLL_INTERVAL_US;
         return;
     }
     back = schedule(env, FW_FLEET_ENV_RECORDS, d->instance);
@@ -272,7 +272,7 @@
 }
 
 static void
-deliver_log(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
+deliver_log_answer(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
     struct fw_fleet_env_instance *s = &env->sites[d->instance];
     struct fw_actions out;
@@ -322,14 +322,14 @@
         deliver_msg(env, d);
         break;
     case FW_FLEET_ENV_APPEND:
-        reach_append(env, d);
+        handle_append(env, d);
         break;
     case FW_FLEET_ENV_READ:
-        reach_read(env, d);
+        handle_read(env, d);
         break;
     case FW_FLEET_ENV_APPENDED:
     case FW_FLEET_ENV_RECORDS:
-        deliver_log(env, d);
+        deliver_log_answer(env, d);
         break;
     }
     Fw_FleetEnv_FreeDelivery(d);
--- a/explore/p_fleet_item.h
+++ b/explore/p_fleet_item.h
@@ -1,24 +1,32 @@
-/* What is under way between the sites and the log. */
-#ifndef FW_P_FLEET_ITEM_H
-#define FW_P_FLEET_ITEM_H
+/* Deliveries within the environment of p_fleet_env.h, internal to it. */
+#ifndef FW_P_FLEET_DELIVERY_H
+#define FW_P_FLEET_DELIVERY_H
 
 #include "explore/p_fleet_env.h"
 
-/** enum fw_fleet_env_delivery_kind - a message, or one leg of a call to the
+/** enum fw_fleet_env_delivery_kind - a message, or a call or answer of the
  * log. */
 enum fw_fleet_env_delivery_kind {
     FW_FLEET_ENV_MSG,
-    FW_FLEET_ENV_APPEND,   /* on its way to the log */
-    FW_FLEET_ENV_APPENDED, /* the answer */
-    FW_FLEET_ENV_READ,
-    FW_FLEET_ENV_RECORDS,
+    FW_FLEET_ENV_APPEND,   /* to the log */
+    FW_FLEET_ENV_APPENDED, /* answer to an append */
+    FW_FLEET_ENV_READ,     /* to the log */
+    FW_FLEET_ENV_RECORDS,  /* answer to a read */
 };
 
 /**
- * struct fw_fleet_env_delivery - due at real time @at_us.
- * @instance: whom a message goes to, or whose call it is
- * @boot: of the process that called the log
- * @until_us: how long the log may hold a read back
+ * struct fw_fleet_env_delivery - a message or log call under way.
+ * @at_us: real time of arrival
+ * @instance: receiver of a message, or the instance that called the log
+ * @from: sender of a message
+ * @boot: boot of the process that called the log
+ * @offset: first offset to read, or offset of the first record of an answer
+ * @err: negative errno of an answer
+ * @sent_us: local time at which a read was sent
+ * @until_us: of a read, real time until which the log may wait for records; of
+ *            its answer, offset of the next append
+ * @msg: packed message
+ * @records: strings to append, or read
  */
 struct fw_fleet_env_delivery {
     enum fw_fleet_env_delivery_kind kind;
@@ -35,10 +43,11 @@
     GPtrArray *records;
 };
 
-/* The item due first, or NULL; the earlier made wins a tie. */
+/* Return: the delivery that is due first, the older one of equals, or NULL. */
 struct fw_fleet_env_delivery *
 Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *env);
-/* Takes @item off and does it. */
+/* Removes @d from the queue, performs and frees it; or postpones it when its
+ * receiver is paused. */
 void
 Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *env,
                             struct fw_fleet_env_delivery *d);
