--- a/explore/p_limit.c
+++ b/explore/p_limit.c
@@ -1,13 +1,13 @@
 /*
- * rate-and-burst: what all instances together grant of a team's tokens never
- * exceeds its burst and its rate over any stretch of time.
+ * rate-and-burst: the tokens that all instances together grant a team in any
+ * interval never exceed its burst plus its rate times the interval.
  */
 #include "explore/p_limit.h"
 
 #include "explore/p_fleet.h"
 
 #define INSTANCES 3
-#define TERM_US (20 * FW_SEC)
+#define LEASE_US (20 * FW_SEC)
 #define DRIFT_PPM (FW_ROLE_DRIFT_PPM / 2)
 
 void
@@ -16,18 +16,17 @@
     struct fw_fleet_env env;
     struct fw_limit_check c;
     int refunds;
-    int busy; /* many small requests, for which instances get own leases */
+    int busy; /* bursts of small requests, so that instances obtain leases */
 
     Fw_FleetEnv_Init(&env, run, INSTANCES);
-    Fw_LimitCheck_Init(&c, &env, TERM_US);
+    Fw_LimitCheck_Init(&c, &env, LEASE_US);
     c.strict = 1;
     busy = Fw_FleetEnv_Below(&env, 2);
-    refunds =
-        Fw_FleetEnv_Below(&env, 2); /* without them the check is sharper */
+    refunds = Fw_FleetEnv_Below(&env, 2); /* the check is stricter without */
     env.lose_pct = 3;
     env.double_pct = 8;
     env.delay_pct = 4;
-    env.delay_max_us = 40 * FW_SEC; /* longer than a lease lives */
+    env.delay_max_us = 40 * FW_SEC; /* longer than a lease */
     for (int i = 0; i < INSTANCES; i++) {
         env.sites[i].drift_ppm =
             Fw_FleetEnv_Below(&env, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -1,4 +1,7 @@
-/* The promise of the budgets, and the account that checks it. */
+/*
+ * Property of the rate limiter, and reference token buckets that check what
+ * the instances of a fleet grant in sum.
+ */
 #ifndef FW_P_LIMIT_H
 #define FW_P_LIMIT_H
 
@@ -8,9 +11,12 @@
 #define FW_ACCOUNT_TEAMS 2
 
 /**
- * struct fw_account - one team's bucket in real time, as it would be if
- * one place alone spent: a spend that finds it empty is over the rate.
- * @refused: refusals; @wrongful: of these, while the account had the tokens
+ * struct fw_account - reference token bucket of a team, in real time.
+ * @level: tokens in the bucket
+ * @at_us: real time of @level
+ * @spent: tokens granted by all instances
+ * @granted, @refused: number of requests
+ * @wrongful: refused requests that the bucket had the tokens for
  */
 struct fw_account {
     struct fw_team team;
@@ -22,11 +28,15 @@
     int wrongful;
 };
 
-/* Brings @a up to date. */
+/* Refills the bucket for the time up to @real_us. */
 void
 Fw_Account_Settle(struct fw_account *a, int64_t real_us);
 
-/** struct fw_limit_check_grant - a granted request that may be refunded. */
+/**
+ * struct fw_limit_check_grant - a granted request that may be refunded.
+ * @boot: boot of the instance that granted it
+ * @team: index of the team
+ */
 struct fw_limit_check_grant {
     int instance;
     uint64_t boot;
@@ -34,27 +44,44 @@
     int64_t tokens;
 };
 
-/** struct fw_limit_check_refund - tokens that may come back to a bucket until
- * then. */
+/**
+ * struct fw_limit_check_refund - a refund on its way to a bucket.
+ * @team: index of the team
+ * @tokens: rest of the refund that no overspending was charged to
+ * @until_us: real time by which it has arrived
+ */
 struct fw_limit_check_refund {
     int team;
     double tokens;
     int64_t until_us;
 };
 
-/** struct fw_limit_check - accounts and what is open, for one world. */
+/**
+ * struct fw_limit_check - buckets and requests of one environment.
+ * @ticket: ticket of the last request
+ * @pending: requests without an answer, struct fw_limit_check_request
+ * @granted: granted requests, struct fw_limit_check_grant
+ * @refunds: refunds under way, struct fw_limit_check_refund
+ * @overspent_tokens: tokens granted in excess of rate and burst
+ * @retry_us: retry delay of the last refusal
+ * @fail_on_overspend: the first excess fails the run
+ */
 struct fw_limit_check {
     struct fw_account accounts[FW_ACCOUNT_TEAMS];
     uint64_t ticket;
-    GArray *pending;  /* struct fw_limit_check_request, asked and unanswered */
-    GArray *granted;  /* struct fw_limit_check_grant */
-    GArray *refunds;  /* struct fw_limit_check_refund */
-    int64_t over;     /* tokens spent over rate and burst */
-    int64_t retry_us; /* of the last refusal */
-    int strict;       /* the first overspend is a breach */
+    GArray *pending;
+    GArray *granted;
+    GArray *refunds;
+    int64_t over;
+    int64_t retry_us;
+    int strict;
 };
 
-/** struct fw_limit_check_request - @ticket of @instance asked for @tokens. */
+/**
+ * struct fw_limit_check_request - a request for tokens.
+ * @instance: index of the instance that was asked
+ * @team: index of the team
+ */
 struct fw_limit_check_request {
     uint64_t ticket;
     int instance;
@@ -62,19 +89,24 @@
     int64_t tokens;
 };
 
-/* Sets up @env for two teams of one partition; @term_us: life of leases. */
+/* Configures @env, which must be initialised and have no instances started,
+ * with two teams, "large" and "small". Leases live for @term_us. */
 void
 Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *env,
                    int64_t term_us);
+/* Clears @env as well. */
 void
 Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *env);
+/* Requests tokens on an instance; does nothing when it is not running. */
 void
 Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *env,
                   int instance, int team, int64_t tokens);
+/* Refunds tokens on an instance, which must be running. */
 void
 Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *env,
                         int instance, int team, int64_t tokens);
-/* A finished request gives back some of what it was granted. */
+/* Refunds a random part of a random grant, unless its instance is down, paused
+ * or was restarted. */
 void
 Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *env);
 
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -1,12 +1,13 @@
-/* The account of what the fleet spends in sum, by real time. */
+/* Reference token buckets for the tokens that all instances grant. */
 #include <string.h>
 
 #include "explore/p_limit.h"
 
-/* Clocks that run fast refill fast, within the bound that is stated. */
-#define DRIFT (1.0 + FW_ROLE_DRIFT_PPM / 1e6)
-
-#define FW_REFUND_US (5 * FW_SEC) /* gathered before they are sent */
+/* An instance whose clock runs fast refills its bucket faster. */
+#define DRIFT_FACTOR (1.0 + FW_ROLE_DRIFT_PPM / 1e6)
+/* Time allowed for an instance to pass on refunded tokens that it cannot keep.
+ */
+#define REFUND_DELAY_MAX_US (5 * FW_SEC)
 
 void
 Fw_Account_Settle(struct fw_account *a, int64_t real_us)
@@ -14,17 +15,18 @@
     double dt = (double)MAX(real_us - a->at_us, 0) / FW_SEC;
 
     a->at_us = MAX(real_us, a->at_us);
-    a->level = MIN(a->level + dt * (double)a->team.rate * DRIFT,
+    a->level = MIN(a->level + dt * (double)a->team.rate * DRIFT_FACTOR,
                    (double)a->team.burst);
 }
 
 /*
- * A refund counts when it reaches a bucket, which nobody outside can tell.
- * So each refunded token may stand in once for a token over the account, and
- * joins the account when the network can no longer hold it.
+ * The time at which a refund reaches the bucket of an instance is unknown. So
+ * until its latest arrival each refunded token may cover one token of excess;
+ * after that the rest is added to the reference bucket. Return: the part of
+ * @missing that is not covered.
  */
 static double
-draw_refunds(struct fw_limit_check *c, int team, double missing)
+cover_from_refunds(struct fw_limit_check *c, int team, double missing)
 {
     for (guint i = 0; i < c->refunds->len; i++) {
         struct fw_limit_check_refund *r =
@@ -36,8 +38,9 @@
     return missing;
 }
 
+/* Adds refunds that must have arrived to their buckets. */
 static void
-settle_refunds(struct fw_limit_check *c, int64_t real_us)
+apply_due_refunds(struct fw_limit_check *c, int64_t real_us)
 {
     for (guint i = c->refunds->len; i > 0; i--) {
         struct fw_limit_check_refund r =
@@ -54,27 +57,27 @@
 
 static void
 on_granted(struct fw_limit_check *c, struct fw_fleet_env *env,
-           const struct fw_limit_check_request *q)
+           const struct fw_limit_check_request *req)
 {
-    struct fw_account *a = &c->accounts[q->team];
-    struct fw_limit_check_grant note = {.instance = q->instance,
-                                        .boot =
-                                            env->sites[q->instance].self.boot,
-                                        .team = q->team,
-                                        .tokens = q->tokens};
-
-    settle_refunds(c, env->real_us);
+    struct fw_account *a = &c->accounts[req->team];
+    struct fw_limit_check_grant grant = {
+        .instance = req->instance,
+        .boot = env->sites[req->instance].self.boot,
+        .team = req->team,
+        .tokens = req->tokens};
+
+    apply_due_refunds(c, env->real_us);
     Fw_Account_Settle(a, env->real_us);
-    a->level -= (double)q->tokens;
-    a->spent += q->tokens;
+    a->level -= (double)req->tokens;
+    a->spent += req->tokens;
     Fw_Run_Trace(
         env->run, "%8.3f %s spends %" G_GINT64_FORMAT " of %s, leaving %.0f",
-        (double)env->real_us / FW_SEC, env->sites[q->instance].self.name,
-        q->tokens, a->team.name, a->level);
+        (double)env->real_us / FW_SEC, env->sites[req->instance].self.name,
+        req->tokens, a->team.name, a->level);
     a->granted++;
-    g_array_append_val(c->granted, note);
+    g_array_append_val(c->granted, grant);
     if (a->level < -1.0) {
-        a->level = -draw_refunds(c, q->team, -a->level);
+        a->level = -cover_from_refunds(c, req->team, -a->level);
     }
     if (a->level < -1.0) {
         c->over += (int64_t)-a->level;
@@ -94,25 +97,25 @@
           const struct fw_limit_answer *ans)
 {
     for (guint i = 0; i < c->pending->len; i++) {
-        struct fw_limit_check_request q =
+        struct fw_limit_check_request req =
             g_array_index(c->pending, struct fw_limit_check_request, i);
-        struct fw_account *a = &c->accounts[q.team];
-        if (q.ticket != ans->ticket || q.instance != instance) {
+        struct fw_account *a = &c->accounts[req.team];
+        if (req.ticket != ans->ticket || req.instance != instance) {
             continue;
         }
         g_array_remove_index_fast(c->pending, i);
         if (ans->granted) {
-            on_granted(c, env, &q);
+            on_granted(c, env, &req);
         }
         else {
             Fw_Account_Settle(a, env->real_us);
             a->refused++;
             c->retry_us = ans->retry_after_us;
-            a->wrongful += a->level >= (double)q.tokens;
+            a->wrongful += a->level >= (double)req.tokens;
         }
         return;
     }
-    Fw_Run_Breach(env->run, "an answer that nobody asked for");
+    Fw_Run_Breach(env->run, "an answer for an unknown request");
 }
 
 static void
@@ -181,19 +184,20 @@
 Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *env,
                   int instance, int team, int64_t tokens)
 {
-    struct fw_limit_check_request q = {.ticket = ++c->ticket,
-                                       .instance = instance,
-                                       .team = team,
-                                       .tokens = tokens};
+    struct fw_limit_check_request req = {.ticket = ++c->ticket,
+                                         .instance = instance,
+                                         .team = team,
+                                         .tokens = tokens};
     struct fw_actions out;
 
     if (!Fw_FleetEnv_Runs(env, instance)) {
         return;
     }
-    g_array_append_val(c->pending, q);
+    g_array_append_val(c->pending, req);
     Fw_Actions_Init(&out);
     Fw_Limit_Request(env->sites[instance].limit, &c->accounts[team].team,
-                     q.ticket, tokens, Fw_FleetEnv_Local(env, instance), &out);
+                     req.ticket, tokens, Fw_FleetEnv_Local(env, instance),
+                     &out);
     Fw_FleetEnv_Carry(env, instance, &out);
     take_answers(env, c);
 }
@@ -206,7 +210,7 @@
     struct fw_limit_check_refund refund = {
         .team = team,
         .tokens = (double)tokens,
-        .until_us = env->real_us + env->delay_max_us + FW_REFUND_US,
+        .until_us = env->real_us + env->delay_max_us + REFUND_DELAY_MAX_US,
     };
     struct fw_actions out;
 
@@ -223,19 +227,20 @@
 void
 Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *env)
 {
-    struct fw_limit_check_grant note;
+    struct fw_limit_check_grant grant;
     guint i;
 
     if (c->granted->len == 0) {
         return;
     }
     i = (guint)Fw_FleetEnv_Below(env, (gint32)c->granted->len);
-    note = g_array_index(c->granted, struct fw_limit_check_grant, i);
+    grant = g_array_index(c->granted, struct fw_limit_check_grant, i);
     g_array_remove_index_fast(c->granted, i);
-    if (!Fw_FleetEnv_Runs(env, note.instance) ||
-        env->sites[note.instance].self.boot != note.boot || note.tokens == 0) {
+    if (!Fw_FleetEnv_Runs(env, grant.instance) ||
+        env->sites[grant.instance].self.boot != grant.boot ||
+        grant.tokens == 0) {
         return;
     }
-    Fw_LimitCheck_RefundNow(c, env, note.instance, note.team,
-                            Fw_FleetEnv_Below(env, (gint32)note.tokens));
+    Fw_LimitCheck_RefundNow(c, env, grant.instance, grant.team,
+                            Fw_FleetEnv_Below(env, (gint32)grant.tokens));
 }
