--- a/explore/p_order.c
+++ b/explore/p_order.c
@@ -1,7 +1,8 @@
 /*
- * pool-keeps-roles: orders never take a pool's last engine of a role.
- * orders-in-fence-order: no order takes effect on an engine after one of a
- * later holder.
+ * pool-keeps-roles: orders never change the role of the last prefill or the
+ * last decode engine of a pool.
+ * orders-in-fence-order: no engine executes an order with a smaller fencing
+ * number than an order it has executed before.
  */
 #include "explore/p_order.h"
 
@@ -10,7 +11,7 @@
 #include "explore/p_order_env.h"
 
 static int
-below(struct fw_run *run, int n)
+rand_below(struct fw_run *run, int n)
 {
     return g_rand_int_range(run->rand, 0, n);
 }
@@ -18,7 +19,7 @@
 static const char *
 draw_role(struct fw_run *run)
 {
-    return below(run, 2) ? "prefill" : "decode";
+    return rand_below(run, 2) ? "prefill" : "decode";
 }
 
 static void
@@ -30,34 +31,35 @@
         g_snprintf(name, sizeof(name), "e%d", i);
         Fw_OrderEnv_Engine(env, name, draw_role(run),
                            i % 2 ? "prefill" : "decode",
-                           below(run, 2) ? "m@1" : "m@0")
-            ->checks = below(run, 2);
+                           rand_below(run, 2) ? "m@1" : "m@0")
+            ->checks = rand_below(run, 2);
     }
 }
 
 static void
-pause_or_go_on(struct fw_run *run, struct fw_order_env *env)
+toggle_pause(struct fw_run *run, struct fw_order_env *env)
 {
     struct fw_order_env_holder *h =
-        &env->holders[below(run, FW_ORDER_ENV_HOLDERS)];
+        &env->holders[rand_below(run, FW_ORDER_ENV_HOLDERS)];
 
     h->paused = !h->paused;
     Fw_Run_Trace(run, "%8.1f %s %s", (double)env->now_us / FW_SEC,
-                 h->paused ? "pause" : "go on", h->self.name);
+                 h->paused ? "pause" : "resume", h->self.name);
 }
 
+/* Injects a fault, ends one or changes the configured role of an engine. */
 static void
-do_fault(struct fw_run *run, struct fw_order_env *env)
+inject_fault(struct fw_run *run, struct fw_order_env *env)
 {
     struct fw_order_env_engine *e =
-        &env->engines[below(run, FW_ORDER_ENV_ENGINES)];
+        &env->engines[rand_below(run, FW_ORDER_ENV_ENGINES)];
     double at = (double)env->now_us / FW_SEC;
     const char *role = draw_role(run);
 
-    switch (below(run, 7)) {
+    switch (rand_below(run, 7)) {
     case 0:
     case 1:
-        pause_or_go_on(run, env);
+        toggle_pause(run, env);
         break;
     case 2:
         env->log_down = !env->log_down;
@@ -65,20 +67,21 @@
         break;
     case 3:
         env->lose_answers += 1;
-        Fw_Run_Trace(run, "%8.1f an answer will be lost", at);
+        Fw_Run_Trace(run, "%8.1f lose the answer of an order", at);
         break;
     case 4:
-        env->order_delay_us = below(run, 3) ? 0 : below(run, 30) * FW_SEC;
+        env->order_delay_us =
+            rand_below(run, 3) ? 0 : rand_below(run, 30) * FW_SEC;
         Fw_Run_Trace(run, "%8.1f orders take %.0f s", at,
                      (double)env->order_delay_us / FW_SEC);
         break;
     case 5:
         e->down = !e->down;
-        e->busy = below(run, 2);
+        e->busy = rand_below(run, 2);
         Fw_Run_Trace(run, "%8.1f %s %s", at, e->name, e->down ? "down" : "up");
         break;
     default:
-        Fw_Run_Trace(run, "%8.1f %s shall be %s", at, e->name, role);
+        Fw_Run_Trace(run, "%8.1f configure %s as %s", at, e->name, role);
         Fw_OrderEnv_SetConfiguredRole(env, e->name, role);
         break;
     }
@@ -102,13 +105,13 @@
 check_fences(struct fw_run *run, const struct fw_order_env *env)
 {
     if (env->fence_regressed) {
-        Fw_Run_Breach(run, "an older order took effect after a newer one");
+        Fw_Run_Breach(run, "an engine executed an order with an older fence");
     }
 }
 
 static void
-run_yard(struct fw_run *run,
-         void (*check)(struct fw_run *run, const struct fw_order_env *env))
+run_check(struct fw_run *run,
+          void (*check)(struct fw_run *run, const struct fw_order_env *env))
 {
     struct fw_order_env *env = Fw_OrderEnv_New();
 
@@ -120,7 +123,7 @@
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         char *lines;
 
-        Fw_OrderEnv_Run(env, (1 + below(run, 50)) * 100 * FW_MSEC);
+        Fw_OrderEnv_Run(env, (1 + rand_below(run, 50)) * 100 * FW_MSEC);
         lines = Fw_OrderEnv_Journal(env);
         if (lines[0]) {
             Fw_Run_Trace(run, "%8.1f %s", (double)env->now_us / FW_SEC,
@@ -128,8 +131,8 @@
         }
         g_free(lines);
         check(run, env);
-        if (below(run, 6) == 0) {
-            do_fault(run, env);
+        if (rand_below(run, 6) == 0) {
+            inject_fault(run, env);
         }
     }
     Fw_OrderEnv_Free(env);
@@ -138,11 +141,11 @@
 void
 Fw_Explore_PoolRoles(struct fw_run *run)
 {
-    run_yard(run, check_roles);
+    run_check(run, check_roles);
 }
 
 void
 Fw_Explore_OrderFences(struct fw_run *run)
 {
-    run_yard(run, check_fences);
+    run_check(run, check_fences);
 }
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -1,3 +1,4 @@
+/* Instances, engines, log and event loop of the simulated environment. */
 #include "explore/p_order_env.h"
 
 #include <errno.h>
@@ -10,6 +11,13 @@
 #define STEP_US (100 * FW_MSEC)
 #define ORDER_WAIT_US (10 * FW_SEC)
 
+/**
+ * struct fw_order_env_call - an upstream call or a read of the log.
+ * @holder: instance that made it
+ * @due_us: when an upstream call reaches the engine
+ * @kind: FW_ACT_UP_START or FW_ACT_LOG_READ
+ * @reached: the engine has handled it and @ev is its answer
+ */
 struct fw_order_env_call {
     int holder;
     int64_t due_us;
@@ -17,12 +25,12 @@
     enum fw_action_kind kind;
     struct fw_log_read read;
     struct fw_up_start up;
-    int reached; /* the engine has made its answer, @ev */
+    int reached;
     struct fw_up_event ev;
 };
 
 static void
-put(struct fw_order_env *env, const char *item_text)
+put_item(struct fw_order_env *env, const char *item_text)
 {
     JsonNode *node = json_from_string(item_text, NULL);
     struct fw_item item = {.kind = FW_ITEM_TEAM};
@@ -45,8 +53,8 @@
     env->calls = g_ptr_array_new_with_free_func(g_free);
     env->journal = g_string_new(NULL);
     env->now_us = FW_SEC;
-    put(env, "{\"kind\":\"pool\",\"name\":\"p\",\"was\":0,\"value\":"
-             "{\"serves\":[{\"model\":\"m\",\"version\":\"1\"}]}}");
+    put_item(env, "{\"kind\":\"pool\",\"name\":\"p\",\"was\":0,\"value\":"
+                  "{\"serves\":[{\"model\":\"m\",\"version\":\"1\"}]}}");
     return env;
 }
 
@@ -83,20 +91,21 @@
         "{\"pool\":\"p\",\"url\":\"http://%s\",\"role\":\"%s\"}}",
         name, name, role);
 
-    put(env, text);
+    put_item(env, text);
     g_free(text);
 }
 
 struct fw_order_env_engine *
 Fw_OrderEnv_Engine(struct fw_order_env *env, const char *name,
-                   const char *role, const char *now, const char *models)
+                   const char *role, const char *current_role,
+                   const char *models)
 {
     struct fw_order_env_engine *e = &env->engines[env->n_engines++];
     char **names = g_strsplit(models, " ", -1);
 
     Fw_OrderEnv_SetConfiguredRole(env, name, role);
     g_strlcpy(e->name, name, sizeof(e->name));
-    g_strlcpy(e->role, now, sizeof(e->role));
+    g_strlcpy(e->role, current_role, sizeof(e->role));
     e->checks = 1;
     for (int i = 0; names[i]; i++) {
         if (names[i][0]) {
@@ -108,7 +117,7 @@
     return e;
 }
 
-/* Each holder believes itself alone, as on two sides of a cut. */
+/* Instances do not know of each other, as if the network was partitioned. */
 void
 Fw_OrderEnv_Start(struct fw_order_env *env, int holder)
 {
@@ -129,7 +138,7 @@
 }
 
 static struct fw_order_env_engine *
-engine(struct fw_order_env *env, const char *name)
+find_engine(struct fw_order_env *env, const char *name)
 {
     for (int i = 0; i < env->n_engines; i++) {
         if (strcmp(env->engines[i].name, name) == 0) {
@@ -140,8 +149,8 @@
 }
 
 static void
-add_line(struct fw_order_env *env, const struct fw_order_env_call *c,
-         const char *fate)
+add_journal_line(struct fw_order_env *env, const struct fw_order_env_call *c,
+                 const char *result)
 {
     const struct fw_up_order *o = &c->up.u.order;
     static const char *const ops[] = {"load", "unload", "load-adapter",
@@ -150,12 +159,12 @@
     g_string_append_printf(env->journal, "holder%d %s %s %s%s%s -> %s\n",
                            c->holder, c->up.upstream, ops[o->op], o->model,
                            o->op == FW_ORDER_SET_ROLE ? o->role : "@",
-                           o->version, fate);
+                           o->version, result);
 }
 
 static void
-take_order(struct fw_order_env *env, struct fw_order_env_engine *e,
-           const struct fw_up_order *o)
+execute_order(struct fw_order_env *env, struct fw_order_env_engine *e,
+              const struct fw_up_order *o)
 {
     char ref[FW_MODELREF_MAX];
 
@@ -185,28 +194,29 @@
     }
 }
 
-/* An engine that does not check fences still drops what is too late. */
+/* Every engine refuses orders whose time to live has passed; only some check
+ * the fencing number. */
 static void
 answer_order(struct fw_order_env *env, const struct fw_order_env_call *c,
              struct fw_up_event *ev)
 {
-    struct fw_order_env_engine *e = engine(env, c->up.upstream);
+    struct fw_order_env_engine *e = find_engine(env, c->up.upstream);
     const struct fw_up_order *o = &c->up.u.order;
 
     ev->phase = FW_UP_FAILED;
     ev->ran = FW_RAN_NO;
     if (e->checks && o->fence < e->fence) {
         ev->status = 409;
-        add_line(env, c, "old fence");
+        add_journal_line(env, c, "old fence");
         return;
     }
     if (env->now_us > c->sent_us + o->ttl_us) {
         ev->status = 410;
-        add_line(env, c, "too late");
+        add_journal_line(env, c, "too late");
         return;
     }
-    take_order(env, e, o);
-    add_line(env, c, "done");
+    execute_order(env, e, o);
+    add_journal_line(env, c, "done");
     if (env->lose_answers > 0) {
         env->lose_answers--;
         ev->ran = FW_RAN_MAYBE;
@@ -234,11 +244,11 @@
 }
 
 static void
-carry(struct fw_order_env *env, int i, struct fw_actions *out);
+perform_actions(struct fw_order_env *env, int i, struct fw_actions *out);
 
-/* The engine acts in its time, whatever becomes of the caller. */
+/* Independent of the instance that sent the call, which may be paused. */
 static void
-reach_engine(struct fw_order_env *env, struct fw_order_env_call *c)
+handle_at_engine(struct fw_order_env *env, struct fw_order_env_call *c)
 {
     c->reached = 1;
     c->ev.op = c->up.op;
@@ -247,12 +257,12 @@
         answer_order(env, c, &c->ev);
     }
     else {
-        answer_poll(engine(env, c->up.upstream), &c->ev);
+        answer_poll(find_engine(env, c->up.upstream), &c->ev);
     }
 }
 
 static void
-give_up_event(struct fw_order_env *env, const struct fw_order_env_call *c)
+deliver_up_event(struct fw_order_env *env, const struct fw_order_env_call *c)
 {
     struct fw_order_env_holder *h = &env->holders[c->holder];
     struct fw_actions out;
@@ -262,11 +272,11 @@
     }
     Fw_Actions_Init(&out);
     Fw_Orders_OnUp(h->orders, env->cfg, &c->ev, env->now_us, &out);
-    carry(env, c->holder, &out);
+    perform_actions(env, c->holder, &out);
 }
 
 static void
-give_records(struct fw_order_env *env, const struct fw_order_env_call *c)
+deliver_records(struct fw_order_env *env, const struct fw_order_env_call *c)
 {
     struct fw_log_records r = {.ticket = c->read.ticket,
                                .sent_us = c->sent_us,
@@ -281,11 +291,12 @@
     r.records = (const char *const *)env->log->pdata + (r.first - 1);
     Fw_Actions_Init(&out);
     Fw_Roles_OnRecords(env->holders[c->holder].roles, &r, env->now_us, &out);
-    carry(env, c->holder, &out);
+    perform_actions(env, c->holder, &out);
 }
 
+/* Performs an append and delivers its answer at once. */
 static void
-give_append(struct fw_order_env *env, int i, const struct fw_log_append *p)
+append_records(struct fw_order_env *env, int i, const struct fw_log_append *p)
 {
     struct fw_log_appended done = {.ticket = p->ticket,
                                    .first = env->log->len + 1};
@@ -298,11 +309,11 @@
     }
     Fw_Actions_Init(&out);
     Fw_Roles_OnAppended(env->holders[i].roles, &done, env->now_us, &out);
-    carry(env, i, &out);
+    perform_actions(env, i, &out);
 }
 
 static void
-carry(struct fw_order_env *env, int i, struct fw_actions *out)
+perform_actions(struct fw_order_env *env, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
@@ -310,7 +321,7 @@
         struct fw_order_env_call *c = NULL;
 
         if (a->kind == FW_ACT_LOG_APPEND) {
-            give_append(env, i, &a->u.append);
+            append_records(env, i, &a->u.append);
         }
         if (a->kind == FW_ACT_LOG_READ || a->kind == FW_ACT_UP_START) {
             c = g_new0(struct fw_order_env_call, 1);
@@ -332,8 +343,8 @@
     }
 }
 
-/* A log read is held back until there is something, or its wait is over. A
- * paused holder takes up what has come when it goes on. */
+/* Return: nonzero when the answer can be delivered. A read is a long poll; a
+ * paused instance gets its answers when it resumes. */
 static int
 is_due(const struct fw_order_env *env, const struct fw_order_env_call *c)
 {
@@ -346,14 +357,14 @@
 }
 
 static void
-serve(struct fw_order_env *env)
+serve_calls(struct fw_order_env *env)
 {
     for (unsigned k = 0; k < env->calls->len;) {
         struct fw_order_env_call *c = g_ptr_array_index(env->calls, k);
 
         if (c->kind == FW_ACT_UP_START && !c->reached &&
             env->now_us >= c->due_us) {
-            reach_engine(env, c);
+            handle_at_engine(env, c);
         }
         if (!is_due(env, c)) {
             k++;
@@ -361,10 +372,10 @@
         }
         g_ptr_array_steal_index(env->calls, k);
         if (c->kind == FW_ACT_LOG_READ && env->holders[c->holder].up) {
-            give_records(env, c);
+            deliver_records(env, c);
         }
         else if (c->kind == FW_ACT_UP_START) {
-            give_up_event(env, c);
+            deliver_up_event(env, c);
         }
         g_free(c);
     }
@@ -387,9 +398,9 @@
             Fw_Actions_Init(&out);
             Fw_Orders_Tick(h->orders, env->cfg, env->now_us, &out);
             Fw_Roles_Tick(h->roles, h->fleet, env->now_us, &out);
-            carry(env, i, &out);
+            perform_actions(env, i, &out);
         }
-        serve(env);
+        serve_calls(env);
     }
 }
 
--- a/explore/p_order_env.h
+++ b/explore/p_order_env.h
@@ -1,9 +1,10 @@
 /*
- * Holders of the order role around a log in memory and a few engines, for
- * scripted runs. The script pauses holders, delays orders, loses answers.
+ * Simulated environment of orders: instances that compete for the order role,
+ * an in-memory log and engines. Instances can be paused, orders delayed and
+ * their answers lost. Used by seeded runs and scripted tests.
  */
-#ifndef FW_EXPLORE_ORDER_YARD_H
-#define FW_EXPLORE_ORDER_YARD_H
+#ifndef FW_EXPLORE_P_ORDER_ENV_H
+#define FW_EXPLORE_P_ORDER_ENV_H
 
 #include <glib.h>
 
@@ -14,8 +15,13 @@
 #define FW_ORDER_ENV_ENGINES 4
 
 /**
- * struct fw_order_env_engine - @checks: refuses old fencing numbers
- * @fence: the largest number that it carried out an order with
+ * struct fw_order_env_engine - an engine.
+ * @role: current role, "prefill" or "decode"
+ * @models: loaded models and adapters, as in reports
+ * @busy: number of busy slots that it reports
+ * @down: polls of it fail; it still executes orders
+ * @checks_fence: it refuses orders with an older fencing number
+ * @max_fence: largest fencing number of the orders it has executed
  */
 struct fw_order_env_engine {
     char name[FW_NAME_MAX];
@@ -28,7 +34,10 @@
     uint64_t fence;
 };
 
-/** struct fw_order_env_holder - @paused: takes no events until the script says
+/**
+ * struct fw_order_env_holder - an instance that may hold the order role.
+ * @up: it was started
+ * @paused: it neither runs nor receives
  */
 struct fw_order_env_holder {
     struct fw_self self;
@@ -39,17 +48,21 @@
     int paused;
 };
 
-/** struct fw_order_env_call - a call or a read on its way. */
+/** struct fw_order_env_call - an upstream call or a read of the log. */
 struct fw_order_env_call;
 
 /**
- * struct fw_order_env - @journal: each order that took effect or was refused,
- * "TIME HOLDER ENGINE ORDER -> FATE" a line
- * @order_delay_us: how long orders are on their way
- * @poll_delay_us: how long an engine's report takes
- * @lose_answers: so many orders take effect without an answer
- * @fence_regressed: an order took effect after one with a larger fencing
- * number
+ * struct fw_order_env - instances, engines and log.
+ * @log: records of the log, strings; entry i has the offset i + 1
+ * @calls: unfinished calls, struct fw_order_env_call
+ * @log_down: the log refuses appends and fails reads
+ * @order_delay_us: latency of an order before it reaches the engine
+ * @poll_delay_us: latency of a poll before it reaches the engine
+ * @lose_answers: number of next orders that are executed but time out
+ * @fence_regressed: an engine executed an order with a smaller fencing number
+ *                   than an earlier one
+ * @journal: a line "HOLDER ENGINE ORDER -> RESULT" for each order that reached
+ *           its engine
  */
 struct fw_order_env {
     struct fw_order_env_holder holders[FW_ORDER_ENV_HOLDERS];
@@ -67,27 +80,32 @@
     GString *journal;
 };
 
-/* Pool "p" of model m@1, prefill_min 1, decode_min 1; no engines yet. */
+/* Creates an environment with the pool "p", which serves m@1, without engines
+ * and with no instance started. */
 struct fw_order_env *
 Fw_OrderEnv_New(void);
 void
 Fw_OrderEnv_Free(struct fw_order_env *env);
-/* An engine of pool p; @role as configured, @now_us as it is, models apart by
- * blanks. */
+/* Adds an engine to pool "p". @role: configured role; @current_role: role that
+ * it reports; @models: loaded models, separated by spaces. */
 struct fw_order_env_engine *
 Fw_OrderEnv_Engine(struct fw_order_env *env, const char *name,
-                   const char *role, const char *now, const char *models);
+                   const char *role, const char *current_role,
+                   const char *models);
+/* Starts or restarts an instance with empty state. */
 void
 Fw_OrderEnv_Start(struct fw_order_env *env, int holder);
+/* Advances the time by @us, rounded up to 100 ms. */
 void
 Fw_OrderEnv_Run(struct fw_order_env *env, int64_t us);
-/* What the configuration wants of an engine. */
+/* Configures the engine @name of pool "p" with @role. */
 void
 Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *env, const char *name,
                               const char *role);
+/* Return: number of orders without an answer. */
 int
 Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *env);
-/* The journal since the last call; free it. */
+/* Return: the journal since the last call, to be freed with g_free. */
 char *
 Fw_OrderEnv_Journal(struct fw_order_env *env);
 
