--- a/explore/p_route.c
+++ b/explore/p_route.c
@@ -1,8 +1,7 @@
 /*
- * leaving-gets-no-new-work: an engine that says itself that it leaves, or
- * that the platform'env list says leaves, is given no new request a few
- * seconds later, by no instance, whatever becomes of messages and
- * coordinators.
+ * leaving-gets-no-new-work: no instance routes a request to an engine that has
+ * been leaving for some seconds, by its own report or by the platform's list,
+ * even when messages are lost and instances pause.
  */
 #include "explore/p_route.h"
 
@@ -10,60 +9,64 @@
 
 #include "explore/p_route_env.h"
 
-#define NODES 3
-#define TICKETS 1000000
-/* An engine'env word counts for three seconds and is polled each second. */
-#define FEW_SECONDS (6 * FW_SEC)
-/* The list is read every five seconds, and lags. */
-#define LIST_EVERY_US (5 * FW_SEC)
-
-/** struct leaving - what the check knows. */
+#define INSTANCES 3
+/* Time for the instances to learn of a report and act on it. */
+#define NOTICE_US (6 * FW_SEC)
+#define LIST_INTERVAL_US (5 * FW_SEC)
+
+/**
+ * struct leaving - state of the check.
+ * @reported_us: when an engine began to report that it leaves, 0 if it stays
+ * @listed_us: when the list began to say so, 0 if the engine stays
+ * @list: the list says that the engine leaves
+ * @read_us: when each instance last read the list
+ * @ticket: ticket of the last request
+ */
 struct leaving {
     struct fw_run *run;
-    int64_t said_us[FW_ROUTE_ENV_ENGINES_MAX]; /* by the engine, 0: stays */
-    int64_t
-        listed_us[FW_ROUTE_ENV_ENGINES_MAX]; /* read by the last instance */
-    int list[FW_ROUTE_ENV_ENGINES_MAX];      /* what the list says */
-    int64_t read_us[NODES];
+    int64_t reported_us[FW_ROUTE_ENV_ENGINES_MAX];
+    int64_t listed_us[FW_ROUTE_ENV_ENGINES_MAX];
+    int list[FW_ROUTE_ENV_ENGINES_MAX];
+    int64_t read_us[INSTANCES];
     uint64_t ticket;
 };
 
 static void
-check_name(struct route_env *env, struct leaving *l, int node,
-           const char *name)
+check_engine(struct route_env *env, struct leaving *l, int instance,
+             const char *name)
 {
     for (int i = 0; i < env->n_engines; i++) {
         if (strcmp(env->engine[i].name, name) != 0) {
             continue;
         }
-        if (l->said_us[i] && env->now_us - l->said_us[i] > FEW_SECONDS) {
-            Fw_Run_Breach(l->run, "n%d gives %s work %d ms after its word",
-                          node, name,
-                          (int)((env->now_us - l->said_us[i]) / FW_MSEC));
+        if (l->reported_us[i] && env->now_us - l->reported_us[i] > NOTICE_US) {
+            Fw_Run_Breach(l->run, "n%d routes to %s %d ms after its report",
+                          instance, name,
+                          (int)((env->now_us - l->reported_us[i]) / FW_MSEC));
         }
         if (l->listed_us[i] &&
-            env->now_us - l->listed_us[i] > FEW_SECONDS + LIST_EVERY_US) {
-            Fw_Run_Breach(l->run, "n%d gives %s work long after the list",
-                          node, name);
+            env->now_us - l->listed_us[i] > NOTICE_US + LIST_INTERVAL_US) {
+            Fw_Run_Breach(l->run, "n%d routes to %s long after the list",
+                          instance, name);
         }
     }
 }
 
 static void
-on_answer(struct route_env *env, int node, const struct fw_route_answer *a)
+on_answer(struct route_env *env, int instance, const struct fw_route_answer *a)
 {
     struct leaving *l = env->ctx;
 
     if (a->status == 0) {
         Fw_Run_Trace(l->run, "%d n%d %s > %s", (int)(env->now_us / FW_MSEC),
-                     node, a->prefill, a->decode);
-        check_name(env, l, node, a->prefill);
-        check_name(env, l, node, a->decode);
+                     instance, a->prefill, a->decode);
+        check_engine(env, l, instance, a->prefill);
+        check_engine(env, l, instance, a->decode);
     }
 }
 
 static void
-read_list(struct route_env *env, struct leaving *l, int node)
+read_list(struct route_env *env, struct leaving *l, int instance)
 {
     struct fw_list_entry e[FW_ROUTE_ENV_ENGINES_MAX] = {0};
     struct fw_listed listed = {.n = env->n_engines, .entries = e};
@@ -73,12 +76,12 @@
         e[i].leaving = l->list[i];
         g_strlcpy(e[i].name, env->engine[i].name, sizeof(e[i].name));
     }
-    Fw_Router_OnListed(env->router[node], &listed, env->now_us);
-    l->read_us[node] = env->now_us;
+    Fw_Router_OnListed(env->router[instance], &listed, env->now_us);
+    l->read_us[instance] = env->now_us;
 }
 
 static void
-turn_engine(struct route_env *env, struct leaving *l)
+toggle_leaving(struct route_env *env, struct leaving *l)
 {
     int i = g_rand_int_range(l->run->rand, 0, env->n_engines);
     int by_list = g_rand_boolean(l->run->rand);
@@ -89,16 +92,16 @@
     }
     else {
         env->engine[i].leaving = !env->engine[i].leaving;
-        l->said_us[i] = env->engine[i].leaving ? env->now_us : 0;
+        l->reported_us[i] = env->engine[i].leaving ? env->now_us : 0;
     }
     Fw_Run_Trace(l->run, "%d %s %s%s", (int)(env->now_us / FW_MSEC),
-                 env->engine[i].name, by_list ? "list " : "says ",
+                 env->engine[i].name, by_list ? "listed as " : "reports ",
                  (by_list ? l->list[i] : env->engine[i].leaving) ? "leaving"
                                                                  : "stays");
 }
 
 static void
-turn_node(struct route_env *env, struct leaving *l)
+toggle_pause(struct route_env *env, struct leaving *l)
 {
     int i = g_rand_int_range(l->run->rand, 0, env->n);
 
@@ -107,19 +110,20 @@
         env->wake_us[i] = env->now_us;
     }
     Fw_Run_Trace(l->run, "%d n%d %s", (int)(env->now_us / FW_MSEC), i,
-                 env->dead[i] ? "pauses" : "goes on");
+                 env->dead[i] ? "pauses" : "resumes");
 }
 
+/* Submits a request and cancels it on all instances. */
 static void
-ask(struct route_env *env, struct leaving *l)
+submit_request(struct route_env *env, struct leaving *l)
 {
-    int node = g_rand_int_range(l->run->rand, 0, env->n);
+    int instance = g_rand_int_range(l->run->rand, 0, env->n);
 
-    if (env->dead[node]) {
+    if (env->dead[instance]) {
         return;
     }
     l->ticket++;
-    stage_ask(env, node, l->ticket, "a", 100, NULL);
+    stage_ask(env, instance, l->ticket, "a", 100, NULL);
     stage_run(env, 30 * FW_MSEC);
     for (int i = 0; i < env->n; i++) {
         if (!env->dead[i]) {
@@ -132,7 +136,7 @@
 Fw_Explore_Leaving(struct fw_run *run)
 {
     struct leaving l = {.run = run};
-    struct route_env *env = stage_new(NODES, FW_POLICY_FULL);
+    struct route_env *env = stage_new(INSTANCES, FW_POLICY_FULL);
 
     env->ctx = &l;
     env->on_answer = on_answer;
@@ -141,21 +145,22 @@
         int x = g_rand_int_range(run->rand, 0, 100);
 
         for (int n = 0; n < env->n; n++) {
-            if (!env->dead[n] && env->now_us - l.read_us[n] >= LIST_EVERY_US) {
+            if (!env->dead[n] &&
+                env->now_us - l.read_us[n] >= LIST_INTERVAL_US) {
                 read_list(env, &l, n);
             }
         }
         if (x < 4) {
-            turn_engine(env, &l);
+            toggle_leaving(env, &l);
         }
         else if (x < 6) {
-            turn_node(env, &l);
+            toggle_pause(env, &l);
         }
         else if (x < 8) {
-            env->lose_permille = g_rand_int_range(run->rand, 0, 500);
+            env->loss_permille = g_rand_int_range(run->rand, 0, 500);
         }
         else if (x < 50) {
-            ask(env, &l);
+            submit_request(env, &l);
         }
         else {
             stage_run(env, g_rand_int_range(run->rand, 1, 300) * FW_MSEC);
--- a/explore/p_route.h
+++ b/explore/p_route.h
@@ -1,4 +1,4 @@
-/* Property of routing, src/route. */
+/* Property of the router, src/route. */
 #ifndef FW_EXPLORE_P_ROUTE_H
 #define FW_EXPLORE_P_ROUTE_H
 
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -1,3 +1,4 @@
+/* Instances, engines and event loop of the simulated environment. */
 #include "explore/p_route_env.h"
 
 #include <inttypes.h>
@@ -7,10 +8,14 @@
 #include "core/msg.h"
 
 #define FW_STEP_US (1 * FW_MSEC)
-#define FW_WARM_US (4 * FW_SEC)
-
-/** struct mail - a message or an upstream'env answer under way. */
-struct mail {
+#define FW_WARMUP_US (4 * FW_SEC)
+
+/**
+ * struct delivery - a message or an upstream's answer under way.
+ * @to: index of the receiver
+ * @is_up: it is an upstream's answer, @up; else a message, @msg
+ */
+struct delivery {
     struct fw_list link;
     int64_t due_us;
     int to;
@@ -75,18 +80,18 @@
     return NULL;
 }
 
-static struct mail *
-post(struct route_env *env, int to)
+static struct delivery *
+schedule(struct route_env *env, int to)
 {
-    struct mail *m = g_new0(struct mail, 1);
+    struct delivery *d = g_new0(struct delivery, 1);
 
-    m->to = to;
-    m->due_us = env->now_us + FW_STEP_US;
-    Fw_List_Append(&env->mail, &m->link);
-    return m;
+    d->to = to;
+    d->due_us = env->now_us + FW_STEP_US;
+    Fw_List_Append(&env->deliveries, &d->link);
+    return d;
 }
 
-/* Through the codec, so that a scripted run tests it as well. */
+/* Packs and unpacks the message, as between processes. */
 static void
 send_msg(struct route_env *env, int from, struct fw_peer_send *send)
 {
@@ -94,10 +99,10 @@
     msgpack_sbuffer buf;
     msgpack_unpacked un;
     msgpack_packer pk;
-    struct mail *m;
+    struct delivery *d;
 
     if (env->rand &&
-        g_rand_int_range(env->rand, 0, 1000) < env->lose_permille) {
+        g_rand_int_range(env->rand, 0, 1000) < env->loss_permille) {
         return;
     }
     if (env->dead[to] ||
@@ -105,37 +110,37 @@
          send->msg.u.route.kind == FW_ROUTE_REPLY)) {
         return;
     }
-    m = post(env, to);
-    g_strlcpy(m->from, env->self[from].name, sizeof(m->from));
+    d = schedule(env, to);
+    g_strlcpy(d->from, env->self[from].name, sizeof(d->from));
     msgpack_sbuffer_init(&buf);
     msgpack_packer_init(&pk, &buf, msgpack_sbuffer_write);
     Fw_Msg_Pack(&pk, &send->msg);
     msgpack_unpacked_init(&un);
     g_assert_cmpint(msgpack_unpack_next(&un, buf.data, buf.size, NULL), ==,
                     MSGPACK_UNPACK_SUCCESS);
-    g_assert_cmpint(Fw_Msg_Unpack(&un.data, &m->msg), ==, 0);
+    g_assert_cmpint(Fw_Msg_Unpack(&un.data, &d->msg), ==, 0);
     msgpack_unpacked_destroy(&un);
     msgpack_sbuffer_destroy(&buf);
 }
 
 static void
-answer_up(struct route_env *env, int node, const struct fw_up_start *up)
+answer_up(struct route_env *env, int instance, const struct fw_up_start *up)
 {
     struct route_env_engine *e = route_env_engine(env, up->upstream);
-    struct mail *m = post(env, node);
-    struct fw_up_report *rep = &m->up.u.report;
+    struct delivery *d = schedule(env, instance);
+    struct fw_up_report *rep = &d->up.u.report;
 
-    m->is_up = 1;
-    m->up.op = up->op;
-    m->up.kind = up->kind;
-    m->up.phase = e->dead ? FW_UP_FAILED : FW_UP_DONE;
+    d->is_up = 1;
+    d->up.op = up->op;
+    d->up.kind = up->kind;
+    d->up.phase = e->dead ? FW_UP_FAILED : FW_UP_DONE;
     if (e->dead) {
         return;
     }
     if (up->kind == FW_UP_CACHE) {
-        m->up.u.cache.next_seq = up->u.cache.from_seq;
+        d->up.u.cache.next_seq = up->u.cache.from_seq;
         if (e->cache.n) {
-            m->up.u.cache = e->cache;
+            d->up.u.cache = e->cache;
             e->cache.n = 0;
         }
         return;
@@ -152,13 +157,13 @@
 }
 
 static void
-write_answers(struct route_env *env, int node)
+take_answers(struct route_env *env, int instance)
 {
     struct fw_route_answer a;
 
-    while (Fw_Route_TakeAnswer(env->router[node], &a)) {
+    while (Fw_Route_TakeAnswer(env->router[instance], &a)) {
         if (env->on_answer) {
-            env->on_answer(env, node, &a);
+            env->on_answer(env, instance, &a);
             continue;
         }
         if (a.status) {
@@ -174,47 +179,47 @@
 }
 
 static void
-carry_out(struct route_env *env, int node, struct fw_actions *out)
+perform_actions(struct route_env *env, int instance, struct fw_actions *out)
 {
     struct fw_action *a;
 
-    env->wake_us[node] = MIN(env->wake_us[node], out->wake_us);
+    env->wake_us[instance] = MIN(env->wake_us[instance], out->wake_us);
     while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
-            send_msg(env, node, &a->u.send);
+            send_msg(env, instance, &a->u.send);
         }
         else if (a->kind == FW_ACT_UP_START) {
-            answer_up(env, node, &a->u.up);
+            answer_up(env, instance, &a->u.up);
         }
         Fw_Action_Free(a);
     }
     Fw_Actions_Init(out);
-    write_answers(env, node);
+    take_answers(env, instance);
 }
 
 static void
-deliver(struct route_env *env, struct mail *m)
+deliver(struct route_env *env, struct delivery *d)
 {
     struct fw_actions out;
-    int i = m->to;
+    int i = d->to;
 
     Fw_Actions_Init(&out);
-    if (!env->dead[i] && m->is_up) {
-        Fw_Router_OnUp(env->router[i], env->cfg, &m->up, env->now_us, &out);
+    if (!env->dead[i] && d->is_up) {
+        Fw_Router_OnUp(env->router[i], env->cfg, &d->up, env->now_us, &out);
     }
-    else if (!env->dead[i] && m->msg.area == FW_AREA_FLEET) {
-        Fw_Fleet_OnMsg(env->fleet[i], m->from, &m->msg.u.fleet, env->now_us,
+    else if (!env->dead[i] && d->msg.area == FW_AREA_FLEET) {
+        Fw_Fleet_OnMsg(env->fleet[i], d->from, &d->msg.u.fleet, env->now_us,
                        &out);
     }
-    else if (!env->dead[i] && m->msg.area == FW_AREA_ROUTE) {
-        Fw_Router_OnMsg(env->router[i], env->cfg, m->from, &m->msg.u.route,
+    else if (!env->dead[i] && d->msg.area == FW_AREA_ROUTE) {
+        Fw_Router_OnMsg(env->router[i], env->cfg, d->from, &d->msg.u.route,
                         env->now_us, &out);
     }
-    carry_out(env, i, &out);
-    if (!m->is_up) {
-        Fw_Msg_Clear(&m->msg);
+    perform_actions(env, i, &out);
+    if (!d->is_up) {
+        Fw_Msg_Clear(&d->msg);
     }
-    g_free(m);
+    g_free(d);
 }
 
 static void
@@ -223,12 +228,12 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &env->mail) {
-        struct mail *m = FW_LIST_ENTRY(pos, struct mail, link);
+    FW_LIST_EACH_SAFE (pos, tmp, &env->deliveries) {
+        struct delivery *d = FW_LIST_ENTRY(pos, struct delivery, link);
 
-        if (m->due_us <= env->now_us) {
-            Fw_List_Remove(&m->link);
-            deliver(env, m);
+        if (d->due_us <= env->now_us) {
+            Fw_List_Remove(&d->link);
+            deliver(env, d);
         }
     }
     for (int i = 0; i < env->n; i++) {
@@ -241,7 +246,7 @@
         Fw_Actions_Init(&out);
         Fw_Fleet_Tick(env->fleet[i], env->now_us, &out);
         Fw_Router_Tick(env->router[i], env->cfg, env->now_us, &out);
-        carry_out(env, i, &out);
+        perform_actions(env, i, &out);
     }
 }
 
@@ -256,8 +261,9 @@
     }
 }
 
+/* Passes the platform's list of instances to all of them. */
 static void
-introduce(struct route_env *env)
+publish_instances(struct route_env *env)
 {
     struct fw_list_entry e[FW_ROUTE_ENV_INSTANCES_MAX] = {0};
     struct fw_listed listed = {.n = env->n, .entries = e};
@@ -274,12 +280,12 @@
 
         Fw_Actions_Init(&out);
         Fw_Fleet_OnListed(env->fleet[i], &listed, env->now_us, &out);
-        carry_out(env, i, &out);
+        perform_actions(env, i, &out);
     }
 }
 
 static void
-start_node(struct route_env *env, int i)
+start_instance(struct route_env *env, int i)
 {
     struct fw_route_opts opts = {.policy = env->policy,
                                  .ttft_us = 1500 * FW_MSEC,
@@ -301,30 +307,30 @@
 }
 
 void
-stage_restart(struct route_env *env, int node)
+stage_restart(struct route_env *env, int instance)
 {
-    Fw_Router_Free(env->router[node]);
-    Fw_Fleet_Free(env->fleet[node]);
-    start_node(env, node);
-    introduce(env);
+    Fw_Router_Free(env->router[instance]);
+    Fw_Fleet_Free(env->fleet[instance]);
+    start_instance(env, instance);
+    publish_instances(env);
 }
 
 struct route_env *
-stage_new(int nodes, enum fw_policy policy)
+stage_new(int instances, enum fw_policy policy)
 {
     struct route_env *env = g_new0(struct route_env, 1);
 
-    env->n = nodes;
+    env->n = instances;
     env->policy = policy;
     env->now_us = FW_SEC;
     env->seen = g_string_new(NULL);
-    Fw_List_Init(&env->mail);
+    Fw_List_Init(&env->deliveries);
     configure(env);
-    for (int i = 0; i < nodes; i++) {
-        start_node(env, i);
+    for (int i = 0; i < instances; i++) {
+        start_instance(env, i);
     }
-    introduce(env);
-    stage_run(env, FW_WARM_US);
+    publish_instances(env);
+    stage_run(env, FW_WARMUP_US);
     return env;
 }
 
@@ -334,13 +340,13 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &env->mail) {
-        struct mail *m = FW_LIST_ENTRY(pos, struct mail, link);
+    FW_LIST_EACH_SAFE (pos, tmp, &env->deliveries) {
+        struct delivery *d = FW_LIST_ENTRY(pos, struct delivery, link);
 
-        if (!m->is_up) {
-            Fw_Msg_Clear(&m->msg);
+        if (!d->is_up) {
+            Fw_Msg_Clear(&d->msg);
         }
-        g_free(m);
+        g_free(d);
     }
     for (int i = 0; i < env->n; i++) {
         Fw_Router_Free(env->router[i]);
@@ -352,8 +358,8 @@
 }
 
 void
-stage_ask(struct route_env *env, int node, uint64_t ticket, const char *team,
-          int64_t tokens, const char *avoid)
+stage_ask(struct route_env *env, int instance, uint64_t ticket,
+          const char *team, int64_t tokens, const char *avoid)
 {
     const char *list[] = {avoid, NULL};
     struct fw_route_request ask = {.ticket = ticket,
@@ -368,21 +374,21 @@
     g_strlcpy(ask.team, team, sizeof(ask.team));
     g_strlcpy(ask.model, "m", sizeof(ask.model));
     Fw_Actions_Init(&out);
-    Fw_Route_Submit(env->router[node], env->cfg, &ask, env->now_us, &out);
-    carry_out(env, node, &out);
+    Fw_Route_Submit(env->router[instance], env->cfg, &ask, env->now_us, &out);
+    perform_actions(env, instance, &out);
     g_bytes_unref(ask.prompt);
 }
 
 void
-stage_step(struct route_env *env, int node, uint64_t ticket,
+stage_step(struct route_env *env, int instance, uint64_t ticket,
            enum fw_route_step step, const char *upstream)
 {
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    Fw_Route_ReportStep(env->router[node], ticket, step, upstream, env->now_us,
-                        &out);
-    carry_out(env, node, &out);
+    Fw_Route_ReportStep(env->router[instance], ticket, step, upstream,
+                        env->now_us, &out);
+    perform_actions(env, instance, &out);
 }
 
 void
--- a/explore/p_route_env.h
+++ b/explore/p_route_env.h
@@ -1,7 +1,7 @@
 /*
- * A stage for routers: one to three of them with real fleets, messages
- * between them carried in memory through their codec, and engines that say
- * of themselves what the test sets. What the routers answer is written down.
+ * Simulated environment of routers: up to three instances with their fleets,
+ * messages that are packed, unpacked and delivered in memory, and engines
+ * whose reports the test sets. Used by seeded runs and scripted tests.
  */
 #ifndef FW_EXPLORE_P_ROUTE_ENV_H
 #define FW_EXPLORE_P_ROUTE_ENV_H
@@ -14,7 +14,12 @@
 #define FW_ROUTE_ENV_INSTANCES_MAX 3
 #define FW_ROUTE_ENV_ENGINES_MAX 8
 
-/** struct route_env_engine - what an engine says of itself. */
+/**
+ * struct fw_route_env_engine - an engine and the reports it gives.
+ * @unreachable: polls of it fail
+ * @lag_us, @busy, @queued_tokens, @leaving, @model: reported as they are
+ * @cache: answer to the next poll of its cache, cleared by it
+ */
 struct route_env_engine {
     const char *name;
     int is_prefill;
@@ -24,9 +29,22 @@
     int64_t queued;
     int leaving;
     const char *model;
-    struct fw_up_cache_batch cache; /* given once */
+    struct fw_up_cache_batch cache;
 };
 
+/**
+ * struct fw_route_env - instances, engines and network.
+ * @n: number of instances
+ * @wake_us: when each instance wants its next tick
+ * @paused: the instance does not run, and messages to it are lost
+ * @lose_replies: routing replies between instances are lost
+ * @deliveries: messages and upstream answers under way
+ * @answers: the routers' answers, one per line, unless @on_answer is set
+ * @rand: decides which messages are lost; NULL for none
+ * @loss_permille: share of messages that are lost
+ * @on_answer: called with each answer of a router; may be NULL
+ * @ctx: for the use of @on_answer
+ */
 struct route_env {
     int n;
     enum fw_policy policy;
@@ -36,42 +54,47 @@
     struct fw_router *router[FW_ROUTE_ENV_INSTANCES_MAX];
     int64_t wake_us[FW_ROUTE_ENV_INSTANCES_MAX];
     int dead[FW_ROUTE_ENV_INSTANCES_MAX];
-    int lose_replies; /* answers of coordinators are lost on the way */
+    int lose_replies;
     struct fw_config *cfg;
     int64_t now_us;
     int n_engines;
     struct route_env_engine engine[FW_ROUTE_ENV_ENGINES_MAX];
-    struct fw_list mail;
+    struct fw_list deliveries;
     GString *seen;
-    GRand *rand; /* NULL: no message is lost by chance */
-    int lose_permille;
-    void (*on_answer)(struct route_env *env, int node,
+    GRand *rand;
+    int loss_permille;
+    void (*on_answer)(struct route_env *env, int instance,
                       const struct fw_route_answer *a);
     void *ctx;
 };
 
-/* Nodes n0, n1 ... with engines p0, p1 (prefill, domains a and b), d0, d1
- * (decode, two slots each, domains a and b) and servers s0, s1, s2. Has run
- * until all know each other and the engines. */
+/* Creates an environment with instances "n0", "n1" and so on, the prefill
+ * engines p0 and p1, the decode engines d0 and d1, with two slots each, and
+ * the services s0, s1 and s2. Their failure domains are a, b and, of s2, c.
+ * Advances the time by 4 s, in which the instances learn of each other and of
+ * the engines. */
 struct route_env *
-stage_new(int nodes, enum fw_policy policy);
+stage_new(int instances, enum fw_policy policy);
 void
 stage_free(struct route_env *env);
-/* @node starts anew and knows nothing; others still know it. */
+/* Restarts an instance with empty state. */
 void
-stage_restart(struct route_env *env, int node);
+stage_restart(struct route_env *env, int instance);
+/* Return: the engine; an unknown name aborts. */
 struct route_env_engine *
 route_env_engine(struct route_env *env, const char *name);
+/* Advances the time by @us in steps of 1 ms. */
 void
 stage_run(struct route_env *env, int64_t us);
-/* Asks for "m"; @avoid one engine or NULL. */
+/* Submits a request for model "m"; @avoid: engine to avoid, or NULL. */
 void
-stage_ask(struct route_env *env, int node, uint64_t ticket, const char *team,
-          int64_t tokens, const char *avoid);
+stage_ask(struct route_env *env, int instance, uint64_t ticket,
+          const char *team, int64_t tokens, const char *avoid);
+/* Reports a step of the request @ticket to the router of @instance. */
 void
-stage_step(struct route_env *env, int node, uint64_t ticket,
+stage_step(struct route_env *env, int instance, uint64_t ticket,
            enum fw_route_step step, const char *upstream);
-/* Compares what was seen since the last call, then forgets it. */
+/* Asserts that the answers since the last call are @lines. */
 void
 stage_expect(struct route_env *env, const char *lines);
 
