--- a/explore/explore.h
+++ b/explore/explore.h
@@ -31,7 +31,7 @@
     __attribute__((format(printf, 2, 3)));
 
 /**
- * struct fw_property - a property of the router and the test that checks it.
+ * struct fw_property - a property of the system and the test that checks it.
  * @run: runs until the steps of the run are done or a violation is recorded
  * @fault: name of a fault, see base/fault.h, with which the test must fail
  */
--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -15,7 +15,7 @@
 
 #define TEAMS 6
 #define KEYS 4
-#define HEAL_US (60 * FW_SEC)
+#define RECOVERY_US (60 * FW_SEC)
 
 /**
  * struct check - the check of one property.
@@ -203,8 +203,9 @@
                 env.replicas[i].isolated = 0;
             }
             env.log_down = 0;
-            Fw_Run_Trace(run, "%8.1f heal", (double)env.now_us / FW_SEC);
-            Fw_ConfigEnv_Advance(&env, HEAL_US);
+            Fw_Run_Trace(run, "%8.1f clear faults",
+                         (double)env.now_us / FW_SEC);
+            Fw_ConfigEnv_Advance(&env, RECOVERY_US);
             check_replicas(&env, c);
         }
     }
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -1,5 +1,4 @@
-/* Simulated log and network of the replicas; only reads of the log take time.
- */
+/* Simulated log and network of the replicas; only log reads take time. */
 #include "explore/p_config_env.h"
 
 #include <errno.h>
@@ -93,7 +92,7 @@
 }
 
 static void
-append(struct fw_config_env *env, int i, const struct fw_log_append *p)
+append_records(struct fw_config_env *env, int i, const struct fw_log_append *p)
 {
     struct fw_config_env_stream *s = get_stream(env, p->stream);
     struct fw_log_appended done = {.ticket = p->ticket,
@@ -144,7 +143,7 @@
             queue_read(env, i, &a->u.read);
             break;
         case FW_ACT_LOG_APPEND:
-            append(env, i, &a->u.append);
+            append_records(env, i, &a->u.append);
             break;
         case FW_ACT_PEER_SEND:
             send_msg(env, i, &a->u.send);
--- a/explore/p_fleet.c
+++ b/explore/p_fleet.c
@@ -76,22 +76,23 @@
             env->sites[i].link_down[j] = 0;
         }
     }
-    Fw_Run_Trace(env->run, "%8.3f heal", (double)env->real_us / FW_SEC);
+    Fw_Run_Trace(env->run, "%8.3f clear faults",
+                 (double)env->real_us / FW_SEC);
 }
 
-/* Return: nonzero when member @m describes the instance @them. Suspect is as
+/* Return: nonzero when member @m describes the instance @peer. Suspect is as
  * good as alive, since suspect members are still used. */
 static int
-matches_instance(const struct fw_fleet_env_instance *them,
+matches_instance(const struct fw_fleet_env_instance *peer,
                  const struct fw_member *m)
 {
-    if (!them->up) {
+    if (!peer->up) {
         return !m || m->state == FW_MEMBER_DEAD;
     }
-    if (!m || m->boot != them->self.boot) {
+    if (!m || m->boot != peer->self.boot) {
         return 0;
     }
-    return them->draining ? m->state == FW_MEMBER_LEAVING
+    return peer->draining ? m->state == FW_MEMBER_LEAVING
                           : m->state <= FW_MEMBER_SUSPECT;
 }
 
@@ -100,16 +101,16 @@
 {
     for (int i = 0; i < env->n; i++) {
         for (int j = 0; j < env->n; j++) {
-            const struct fw_fleet_env_instance *them = &env->sites[j];
+            const struct fw_fleet_env_instance *peer = &env->sites[j];
             const struct fw_member *m;
             if (!env->sites[i].up) {
                 continue;
             }
-            m = Fw_Fleet_Find(env->sites[i].fleet, them->self.name);
-            if (!matches_instance(them, m)) {
+            m = Fw_Fleet_Find(env->sites[i].fleet, peer->self.name);
+            if (!matches_instance(peer, m)) {
                 Fw_Run_Breach(env->run, "%s has %s, which is %s, in state %d",
-                              env->sites[i].self.name, them->self.name,
-                              them->up ? "up" : "down",
+                              env->sites[i].self.name, peer->self.name,
+                              peer->up ? "up" : "down",
                               m ? (int)m->state : -1);
             }
         }
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -5,7 +5,6 @@
 
 #include "explore/p_fleet_item.h"
 
-#define PPM 1000000
 #define BOOT_STEP 1000
 
 void
--- a/explore/p_fleet_env.h
+++ b/explore/p_fleet_env.h
@@ -49,7 +49,7 @@
  * @real_us: current real time
  * @n: number of instances
  * @partitions, @role_wait_us: arguments of Fw_Roles_New
- * @deliveries: messages and log calls under way, fw_fleet_env_delivery
+ * @deliveries: messages and log calls in flight, fw_fleet_env_delivery
  * @records: records of the log, strings; entry i has the offset i + 1
  * @log_oldest: offset of the oldest record that can be read
  * @log_down: the log refuses appends and fails reads
--- a/explore/p_fleet_item.h
+++ b/explore/p_fleet_item.h
@@ -15,7 +15,7 @@
 };
 
 /**
- * struct fw_fleet_env_delivery - a message or log call under way.
+ * struct fw_fleet_env_delivery - a message or log call in flight.
  * @at_us: real time of arrival
  * @instance: receiver of a message, or the instance that called the log
  * @from: sender of a message
--- a/explore/p_idem_env.h
+++ b/explore/p_idem_env.h
@@ -86,7 +86,7 @@
 /**
  * struct fw_idem_env - instances, log and service.
  * @n: number of instances
- * @deliveries: messages and log calls under way, fw_idem_env_delivery
+ * @deliveries: messages and log calls in flight, fw_idem_env_delivery
  * @calls: calls received, struct fw_idem_env_call
  * @effects: maps an idempotency key to the number of its effects
  * @keys_by_name: maps names of the form "KEY@SECONDS" to idempotency keys
--- a/explore/p_idem_mail.h
+++ b/explore/p_idem_mail.h
@@ -1,6 +1,6 @@
 /* Deliveries within the environment of p_idem_env.h, internal to it. */
-#ifndef FW_EXPLORE_P_IDEM_MAIL_H
-#define FW_EXPLORE_P_IDEM_MAIL_H
+#ifndef FW_EXPLORE_P_IDEM_DELIVERY_H
+#define FW_EXPLORE_P_IDEM_DELIVERY_H
 
 #include "explore/p_idem_env.h"
 
--- a/explore/p_limit.c
+++ b/explore/p_limit.c
@@ -34,13 +34,15 @@
     }
     for (int s = 0; s < run->steps && !run->breach[0]; s++) {
         int team = Fw_FleetEnv_Below(&env, FW_ACCOUNT_TEAMS);
-        int hot = busy && s % 200 < 100;
-        int asks = Fw_FleetEnv_Below(&env, hot ? 40 : 4);
+        int in_burst = busy && s % 200 < 100;
+        int asks = Fw_FleetEnv_Below(&env, in_burst ? 40 : 4);
         Fw_FleetEnv_Advance(&env, Fw_FleetEnv_Below(&env, 800) * FW_MSEC);
         for (int i = 0; i < asks; i++) {
-            int64_t most = c.accounts[team].team.burst / (hot ? 100 : 4);
+            int64_t max_tokens =
+                c.accounts[team].team.burst / (in_burst ? 100 : 4);
             Fw_LimitCheck_Ask(&c, &env, Fw_FleetEnv_Below(&env, INSTANCES),
-                              team, 1 + Fw_FleetEnv_Below(&env, (gint32)most));
+                              team,
+                              1 + Fw_FleetEnv_Below(&env, (gint32)max_tokens));
         }
         if (refunds && Fw_FleetEnv_Below(&env, 100) < 20) {
             Fw_LimitCheck_RefundRandom(&c, &env);
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -61,7 +61,7 @@
  * @ticket: ticket of the last request
  * @pending: requests without an answer, struct fw_limit_check_request
  * @granted: granted requests, struct fw_limit_check_grant
- * @refunds: refunds under way, struct fw_limit_check_refund
+ * @refunds: refunds in flight, struct fw_limit_check_refund
  * @overspent_tokens: tokens granted in excess of rate and burst
  * @retry_us: retry delay of the last refusal
  * @fail_on_overspend: the first excess fails the run
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -5,8 +5,7 @@
 
 /* An instance whose clock runs fast refills its bucket faster. */
 #define DRIFT_FACTOR (1.0 + FW_ROLE_DRIFT_PPM / 1e6)
-/* Time allowed for an instance to pass on refunded tokens that it cannot keep.
- */
+/* Time in which an instance returns refunded tokens that it cannot keep. */
 #define REFUND_DELAY_MAX_US (5 * FW_SEC)
 
 void
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -22,7 +22,7 @@
 
     Fw_Actions_Init(&out);
     if (Fw_Node_Step(env->node, ev, env->now_us, &out)) {
-        Fw_Run_Breach(env->run, "the node rejected an event");
+        Fw_Run_Breach(env->run, "the instance rejected an event");
     }
     env->wake_us = out.wake_us;
     perform_actions(env, &out);
@@ -203,19 +203,22 @@
 static void
 queue_read(struct fw_request_env *env, const struct fw_log_read *r)
 {
-    struct fw_request_env_read *kept = g_new0(struct fw_request_env_read, 1);
+    struct fw_request_env_read *pending =
+        g_new0(struct fw_request_env_read, 1);
 
-    kept->read = *r;
-    kept->sent_us = env->now_us;
-    Fw_List_Append(&env->reads, &kept->link);
+    pending->read = *r;
+    pending->sent_us = env->now_us;
+    Fw_List_Append(&env->reads, &pending->link);
 }
 
 static void
-answer_read(struct fw_request_env *env, const struct fw_request_env_read *kept)
+answer_read(struct fw_request_env *env,
+            const struct fw_request_env_read *pending)
 {
     struct fw_event ev = {.kind = FW_EV_LOG_RECORDS};
 
-    Fw_MemLog_Answer(&env->log, &kept->read, kept->sent_us, &ev.u.records);
+    Fw_MemLog_Answer(&env->log, &pending->read, pending->sent_us,
+                     &ev.u.records);
     Fw_RequestEnv_Step(env, &ev);
 }
 
@@ -232,11 +235,11 @@
         Fw_List_Append(&due, link);
     }
     while (!Fw_List_Empty(&due)) {
-        struct fw_request_env_read *kept =
+        struct fw_request_env_read *pending =
             FW_LIST_ENTRY(due.next, struct fw_request_env_read, link);
-        Fw_List_Remove(&kept->link);
-        answer_read(env, kept);
-        g_free(kept);
+        Fw_List_Remove(&pending->link);
+        answer_read(env, pending);
+        g_free(pending);
     }
 }
 
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -11,7 +11,7 @@
 #define FW_WARMUP_US (4 * FW_SEC)
 
 /**
- * struct delivery - a message or an upstream's answer under way.
+ * struct delivery - a message or an upstream's answer in flight.
  * @to: index of the receiver
  * @is_up: it is an upstream's answer, @up; else a message, @msg
  */
--- a/explore/p_route_env.h
+++ b/explore/p_route_env.h
@@ -38,7 +38,7 @@
  * @wake_us: when each instance wants its next tick
  * @paused: the instance does not run, and messages to it are lost
  * @lose_replies: routing replies between instances are lost
- * @deliveries: messages and upstream answers under way
+ * @deliveries: messages and upstream answers in flight
  * @answers: the routers' answers, one per line, unless @on_answer is set
  * @rand: decides which messages are lost; NULL for none
  * @loss_permille: share of messages that are lost
