--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -142,12 +142,12 @@
 
     switch (Fw_ConfigEnv_RandBelow(env, 7)) {
     case 0:
-        Fw_Run_Trace(env->run, "%8.1f restart fold%d", at, i);
+        Fw_Run_Trace(env->run, "%8.1f restart node%d", at, i);
         Fw_ConfigEnv_Start(env, i);
         break;
     case 1:
         env->replicas[i].isolated = !env->replicas[i].isolated;
-        Fw_Run_Trace(env->run, "%8.1f %s fold%d", at,
+        Fw_Run_Trace(env->run, "%8.1f %s node%d", at,
                      env->replicas[i].isolated ? "cut" : "join", i);
         break;
     case 2:
@@ -162,7 +162,7 @@
         append_bad_snapshot(env);
         break;
     default:
-        Fw_Run_Trace(env->run, "%8.1f writer fold%d", at, i);
+        Fw_Run_Trace(env->run, "%8.1f writer node%d", at, i);
         Fw_ConfigReplica_SetSnapshotWriter(env->replicas[i].replica,
                                            Fw_ConfigEnv_RandBelow(env, 4) > 0);
         break;
@@ -222,7 +222,7 @@
 
     (void)ctx;
     if (Fw_Config_Digest(cfg) != expected) {
-        Fw_Run_Breach(env->run, "fold%d differs at offset %" G_GUINT64_FORMAT,
+        Fw_Run_Breach(env->run, "node%d differs at offset %" G_GUINT64_FORMAT,
                       i, cfg->next_offset);
     }
 }
@@ -242,7 +242,7 @@
     (void)ctx;
     if (now < env->replicas[i].last_offset) {
         Fw_Run_Breach(env->run,
-                      "fold%d went from offset %" G_GUINT64_FORMAT
+                      "node%d went from offset %" G_GUINT64_FORMAT
                       " to %" G_GUINT64_FORMAT,
                       i, env->replicas[i].last_offset, now);
     }
@@ -334,7 +334,7 @@
             wd->seen[i] |= 1U << k;
         }
         else if (wd->seen[i] & (1U << k)) {
-            Fw_Run_Breach(env->run, "fold%d: key %d is valid again", i, k);
+            Fw_Run_Breach(env->run, "node%d: key %d is valid again", i, k);
         }
     }
 }
--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -51,7 +51,7 @@
 {
     char name[16];
 
-    g_snprintf(name, sizeof(name), "fold%d", i);
+    g_snprintf(name, sizeof(name), "node%d", i);
     Fw_ConfigReplica_Free(env->replicas[i].replica);
     env->replicas[i] = (struct fw_config_env_replica){
         .replica =
@@ -125,7 +125,7 @@
         Fw_ConfigEnv_RandBelow(env, 100) < env->loss_pct) {
         return;
     }
-    g_snprintf(from, sizeof(from), "fold%d", i);
+    g_snprintf(from, sizeof(from), "node%d", i);
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_OnMsg(env->replicas[to].replica, from, "addr",
                            &p->msg.u.config, env->now_us, &out);
@@ -209,7 +209,7 @@
     if (!Fw_ConfigReplica_NeedsPeer(f, env->now_us)) {
         return;
     }
-    g_snprintf(name, sizeof(name), "fold%d", peer);
+    g_snprintf(name, sizeof(name), "node%d", peer);
     Fw_Actions_Init(&out);
     Fw_ConfigReplica_RequestFromPeer(f, name, "addr", env->now_us, &out);
     perform_actions(env, i, &out);
--- a/explore/p_config_env.h
+++ b/explore/p_config_env.h
@@ -1,7 +1,7 @@
 /*
  * Simulated environment of configuration replicas: an in-memory log that can
  * be down and lose answers, and messages between replicas that can be lost.
- * Replicas are named "fold0" and so on.
+ * Replicas are named "node0" and so on.
  */
 #ifndef FW_EXPLORE_CONFIG_ENV_H
 #define FW_EXPLORE_CONFIG_ENV_H
