--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -125,10 +125,10 @@
 }
 
 void
-Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int cut)
+Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int down)
 {
-    env->sites[i].link_down[j] = cut;
-    env->sites[j].link_down[i] = cut;
+    env->sites[i].link_down[j] = down;
+    env->sites[j].link_down[i] = down;
 }
 
 void
--- a/explore/p_fleet_env.h
+++ b/explore/p_fleet_env.h
@@ -59,7 +59,8 @@
  *             @delay_max_us
  * @use_roles: instances get roles when they start
  * @cfg: configuration of the rate limiters, borrowed; NULL for no limiters
- * @msgs_sent, @bytes_sent: messages sent, also those that were lost
+ * @msgs_sent, @bytes_sent: number and packed size of messages sent, with those
+ *                          that were lost
  * @area_bytes, @area_msgs: the same by area of the message
  * @check: called with @arg before and after each event; may be NULL
  */
@@ -107,12 +108,12 @@
 Fw_FleetEnv_Drain(struct fw_fleet_env *env, int i);
 /* Cuts the link between two instances in both directions, or restores it. */
 void
-Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int cut);
+Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int down);
 /* Passes the platform's list, of the instances that are up, to those that are
  * not paused. */
 void
 Fw_FleetEnv_PublishInstances(struct fw_fleet_env *env);
-/* Advances real time by @us; stops early when the run has failed. */
+/* Advances real time by @us; events end once the run has failed. */
 void
 Fw_FleetEnv_Advance(struct fw_fleet_env *env, int64_t us);
 /* Return: local time of instance @i. */
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -158,7 +158,7 @@
             d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_APPEND, instance,
                                     FW_IDEM_ENV_HOP_US + env->log.slow_us);
             d->ticket = a->u.append.ticket;
-            d->part = a->u.append.stream[strlen("idem-")] - '0';
+            d->partition = a->u.append.stream[strlen("idem-")] - '0';
             d->n = a->u.append.n;
             d->records = g_new0(char *, d->n + 1);
             for (int i = 0; i < d->n; i++) {
@@ -169,9 +169,9 @@
             d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_READ, instance,
                                     FW_IDEM_ENV_HOP_US + env->log.slow_us);
             d->ticket = a->u.read.ticket;
-            d->part = a->u.read.stream[strlen("idem-")] - '0';
+            d->partition = a->u.read.stream[strlen("idem-")] - '0';
             d->from = a->u.read.from;
-            d->max = a->u.read.max_records;
+            d->max_records = a->u.read.max_records;
             d->sent_us = env->now_us;
         }
         Fw_Action_Free(a);
--- a/explore/p_idem_log.c
+++ b/explore/p_idem_log.c
@@ -9,7 +9,7 @@
 static void
 store_records(struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
 {
-    GPtrArray *recs = env->log.records[d->part];
+    GPtrArray *recs = env->log.records[d->partition];
 
     for (int i = 0; i < d->n; i++) {
         g_ptr_array_add(recs, g_strdup(d->records[i]));
@@ -18,7 +18,7 @@
         guint drop = recs->len - (guint)env->log.retain;
 
         g_ptr_array_remove_range(recs, 0, drop);
-        env->log.oldest[d->part] += drop;
+        env->log.oldest[d->partition] += drop;
     }
 }
 
@@ -27,7 +27,7 @@
                         struct fw_idem_env_delivery *d)
 {
     struct fw_idem_env_log *l = &env->log;
-    uint64_t first = l->oldest[d->part] + l->records[d->part]->len;
+    uint64_t first = l->oldest[d->partition] + l->records[d->partition]->len;
     struct fw_idem_env_delivery *back;
 
     if (d->err) { /* delayed; its sender was already answered */
@@ -39,7 +39,7 @@
                                FW_IDEM_ENV_HOP_US);
     back->boot = d->boot;
     back->ticket = d->ticket;
-    back->part = d->part;
+    back->partition = d->partition;
     back->first = first;
     if (l->down) {
         back->err = -EAGAIN;
@@ -60,7 +60,7 @@
 
         l->late--;
         back->err = -EIO;
-        again->part = d->part;
+        again->partition = d->partition;
         again->n = d->n;
         again->records = g_steal_pointer(&d->records);
         again->err = 1;
@@ -75,19 +75,19 @@
                       const struct fw_idem_env_delivery *d)
 {
     struct fw_idem_env_log *l = &env->log;
-    GPtrArray *recs = l->records[d->part];
+    GPtrArray *recs = l->records[d->partition];
     struct fw_idem_env_delivery *back = Fw_IdemEnv_Schedule(
         env, FW_IDEM_ENV_RECORDS, d->instance, FW_IDEM_ENV_HOP_US);
 
     back->boot = d->boot;
     back->ticket = d->ticket;
-    back->part = d->part;
+    back->partition = d->partition;
     back->sent_us = d->sent_us;
     back->err = l->down ? -EAGAIN : 0;
-    back->oldest = l->oldest[d->part];
+    back->oldest = l->oldest[d->partition];
     back->end = back->oldest + recs->len;
     back->first = CLAMP(d->from, back->oldest, back->end);
-    back->n = (int)MIN((uint64_t)d->max, back->end - back->first);
+    back->n = (int)MIN((uint64_t)d->max_records, back->end - back->first);
     back->records = g_new0(char *, back->n + 1);
     for (int i = 0; i < back->n; i++) {
         back->records[i] = g_strdup(g_ptr_array_index(
--- a/explore/p_idem_mail.h
+++ b/explore/p_idem_mail.h
@@ -19,9 +19,9 @@
  * struct fw_idem_env_delivery - a message, or a call or answer of the log.
  * @at_us: time of arrival
  * @instance: instance that receives it or that sent the call
- * @boot: boot of that instance; it ignores answers to an earlier process
- * @part: partition, which selects the stream
- * @from, @max: first offset and number of records to read
+ * @boot: boot of that instance; what is for an earlier process is dropped
+ * @partition: selects the stream of the log
+ * @from, @max_records: first offset and number of records to read
  * @records: NULL-terminated, owned; appended or read
  * @err: negative errno of an answer; nonzero in an append whose sender has
  *       been told that it failed
@@ -36,9 +36,9 @@
     int instance;
     uint64_t boot;
     uint64_t ticket;
-    int part;
+    int partition;
     uint64_t from;
-    int max;
+    int max_records;
     char **records;
     int n;
     int err;
