--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_item.c
@@ -1,67 +1,70 @@
-/* The fake network and the fake log. */
+/* Simulated network and log. */
 #include "explore/p_fleet_item.h"
 
 #include <errno.h>
 #include <string.h>
 
-#define FAST_US (20 * FW_MSEC)
-#define HOLD_US (200 * FW_MSEC)
-#define GIVE_UP_US (3 * FW_SEC)
+#define LATENCY_MAX_US (20 * FW_MSEC)
+#define LONG_POLL_INTERVAL_US (200 * FW_MSEC)
+#define APPEND_TIMEOUT_US (3 * FW_SEC)
 
 void
-Fw_Item_Free(struct fw_item *item)
+Fw_FleetEnv_FreeDelivery(struct fw_fleet_env_delivery *d)
 {
-    if (item->msg) {
-        g_bytes_unref(item->msg);
+    if (d->msg) {
+        g_bytes_unref(d->msg);
     }
-    if (item->records) {
-        g_ptr_array_unref(item->records);
+    if (d->records) {
+        g_ptr_array_unref(d->records);
     }
-    g_free(item);
+    g_free(d);
 }
 
-struct fw_item *
-Fw_Item_Next(const struct fw_fleet_env *w)
+struct fw_fleet_env_delivery *
+Fw_FleetEnv_NextDelivery(const struct fw_fleet_env *env)
 {
-    struct fw_item *best = NULL;
+    struct fw_fleet_env_delivery *best = NULL;
 
-    for (guint i = 0; i < w->items->len; i++) {
-        struct fw_item *item = g_ptr_array_index(w->items, i);
-        if (!best || item->at_us < best->at_us) {
-            best = item;
+    for (guint i = 0; i < env->deliveries->len; i++) {
+        struct fw_fleet_env_delivery *d =
+            g_ptr_array_index(env->deliveries, i);
+        if (!best || d->at_us < best->at_us) {
+            best = d;
         }
     }
     return best;
 }
 
 static int64_t
-travel(struct fw_fleet_env *w)
+draw_latency(struct fw_fleet_env *env)
 {
-    int64_t max = FAST_US;
+    int64_t max = LATENCY_MAX_US;
 
-    if (Fw_FleetEnv_Below(w, 100) < w->late_pct) {
-        max = MAX(w->late_max_us, FAST_US);
+    if (Fw_FleetEnv_Below(env, 100) < env->delay_pct) {
+        max = MAX(env->delay_max_us, LATENCY_MAX_US);
     }
-    return FW_MSEC / 2 + (int64_t)(g_rand_double(w->run->rand) * (double)max);
+    return FW_MSEC / 2 +
+           (int64_t)(g_rand_double(env->run->rand) * (double)max);
 }
 
-static struct fw_item *
-add_item(struct fw_fleet_env *w, enum fw_item_kind kind, int site)
+static struct fw_fleet_env_delivery *
+schedule(struct fw_fleet_env *env, enum fw_fleet_env_delivery_kind kind,
+         int instance)
 {
-    struct fw_item *item = g_new0(struct fw_item, 1);
+    struct fw_fleet_env_delivery *d = g_new0(struct fw_fleet_env_delivery, 1);
 
-    item->kind = kind;
-    item->site = site;
-    item->at_us = w->real_us + travel(w);
-    g_ptr_array_add(w->items, item);
-    return item;
+    d->kind = kind;
+    d->instance = instance;
+    d->at_us = env->real_us + draw_latency(env);
+    g_ptr_array_add(env->deliveries, d);
+    return d;
 }
 
 static int
-site_of(const struct fw_fleet_env *w, const char *name)
+find_instance(const struct fw_fleet_env *env, const char *name)
 {
-    for (int i = 0; i < w->n; i++) {
-        if (strcmp(w->sites[i].self.name, name) == 0) {
+    for (int i = 0; i < env->n; i++) {
+        if (strcmp(env->sites[i].self.name, name) == 0) {
             return i;
         }
     }
@@ -69,9 +72,9 @@
 }
 
 static void
-send_msg(struct fw_fleet_env *w, int from, const struct fw_peer_send *send)
+send_msg(struct fw_fleet_env *env, int from, const struct fw_peer_send *send)
 {
-    int to = site_of(w, send->to);
+    int to = find_instance(env, send->to);
     msgpack_sbuffer buf;
     msgpack_packer pk;
     GBytes *bytes;
@@ -84,65 +87,69 @@
     msgpack_packer_init(&pk, &buf, msgpack_sbuffer_write);
     Fw_Msg_Pack(&pk, &send->msg);
     bytes = g_bytes_new(buf.data, buf.size);
-    w->n_sent++;
-    w->n_bytes += buf.size;
-    w->area_bytes[send->msg.area] += buf.size;
-    w->area_msgs[send->msg.area]++;
+    env->n_sent++;
+    env->n_bytes += buf.size;
+    env->area_bytes[send->msg.area] += buf.size;
+    env->area_msgs[send->msg.area]++;
     msgpack_sbuffer_destroy(&buf);
-    if (w->sites[from].cut[to] || Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
+    if (env->sites[from].link_down[to] ||
+        Fw_FleetEnv_Below(env, 100) < env->lose_pct) {
         copies = 0;
     }
-    else if (Fw_FleetEnv_Below(w, 100) < w->double_pct) {
+    else if (Fw_FleetEnv_Below(env, 100) < env->double_pct) {
         copies = 2;
     }
     for (int i = 0; i < copies; i++) {
-        struct fw_item *item = add_item(w, FW_ITEM_MSG, to);
-        item->from = from;
-        item->msg = g_bytes_ref(bytes);
+        struct fw_fleet_env_delivery *d = schedule(env, FW_FLEET_ENV_MSG, to);
+        d->from = from;
+        d->msg = g_bytes_ref(bytes);
     }
     g_bytes_unref(bytes);
 }
 
 static void
-send_append(struct fw_fleet_env *w, int site, const struct fw_log_append *a)
+send_append(struct fw_fleet_env *env, int instance,
+            const struct fw_log_append *a)
 {
-    struct fw_item *item = add_item(w, FW_ITEM_APPEND, site);
+    struct fw_fleet_env_delivery *d =
+        schedule(env, FW_FLEET_ENV_APPEND, instance);
 
-    item->boot = w->sites[site].self.boot;
-    item->ticket = a->ticket;
-    item->records = g_ptr_array_new_with_free_func(g_free);
+    d->boot = env->sites[instance].self.boot;
+    d->ticket = a->ticket;
+    d->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < a->n; i++) {
-        g_ptr_array_add(item->records, g_strdup(a->records[i]));
+        g_ptr_array_add(d->records, g_strdup(a->records[i]));
     }
 }
 
 static void
-send_read(struct fw_fleet_env *w, int site, const struct fw_log_read *r)
+send_read(struct fw_fleet_env *env, int instance, const struct fw_log_read *r)
 {
-    struct fw_item *item = add_item(w, FW_ITEM_READ, site);
+    struct fw_fleet_env_delivery *d =
+        schedule(env, FW_FLEET_ENV_READ, instance);
 
-    item->boot = w->sites[site].self.boot;
-    item->ticket = r->ticket;
-    item->offset = r->from_offset;
-    item->sent_us = Fw_FleetEnv_Local(w, site);
-    item->until_us = w->real_us + r->wait_us;
+    d->boot = env->sites[instance].self.boot;
+    d->ticket = r->ticket;
+    d->offset = r->from;
+    d->sent_us = Fw_FleetEnv_Local(env, instance);
+    d->until_us = env->real_us + r->wait_us;
 }
 
 void
-Fw_FleetEnv_Carry(struct fw_fleet_env *w, int i, struct fw_actions *out)
+Fw_FleetEnv_Carry(struct fw_fleet_env *env, int i, struct fw_actions *out)
 {
     struct fw_action *a;
 
-    w->sites[i].wake_us = MIN(w->sites[i].wake_us, out->wake_us);
-    while ((a = Fw_Actions_Pop(out))) {
+    env->sites[i].wake_us = MIN(env->sites[i].wake_us, out->wake_us);
+    while ((a = Fw_Actions_Take(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
-            send_msg(w, i, &a->u.send);
+            send_msg(env, i, &a->u.send);
         }
         else if (a->kind == FW_ACT_LOG_APPEND) {
-            send_append(w, i, &a->u.append);
+            send_append(env, i, &a->u.append);
         }
         else if (a->kind == FW_ACT_LOG_READ) {
-            send_read(w, i, &a->u.read);
+            send_read(env, i, &a->u.read);
         }
         else if (a->kind == FW_ACT_NOTE) {
             GString *line = g_string_new(a->u.note.event);
@@ -151,8 +158,9 @@
                                        a->u.note.fields[f].name,
                                        a->u.note.fields[f].value);
             }
-            Fw_Run_Trace(w->run, "%8.3f %s %s", (double)w->real_us / FW_SEC,
-                         w->sites[i].self.name, line->str);
+            Fw_Run_Trace(env->run, "%8.3f %s %s",
+                         (double)env->real_us / FW_SEC,
+                         env->sites[i].self.name, line->str);
             g_string_free(line, TRUE);
         }
         Fw_Action_Free(a);
@@ -161,17 +169,17 @@
 }
 
 static void
-deliver_msg(struct fw_fleet_env *w, struct fw_item *item)
+deliver_msg(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_site *s = &w->sites[item->site];
-    const char *from = w->sites[item->from].self.name;
+    struct fw_fleet_env_instance *s = &env->sites[d->instance];
+    const char *from = env->sites[d->from].self.name;
     struct fw_actions out;
     struct fw_msg msg;
     msgpack_unpacked u;
     gsize size;
-    const char *data = g_bytes_get_data(item->msg, &size);
+    const char *data = g_bytes_get_data(d->msg, &size);
     size_t off = 0;
-    int64_t now = Fw_FleetEnv_Local(w, item->site);
+    int64_t now = Fw_FleetEnv_Local(env, d->instance);
 
     if (!s->up) {
         return;
@@ -180,146 +188,149 @@
     msgpack_unpacked_init(&u);
     if (msgpack_unpack_next(&u, data, size, &off) != MSGPACK_UNPACK_SUCCESS ||
         Fw_Msg_Unpack(&u.data, &msg)) {
-        Fw_Run_Breach(w->run, "a message did not survive its codec");
+        Fw_Run_Breach(env->run, "a message could not be decoded");
     }
     else {
         if (msg.area == FW_AREA_FLEET) {
             Fw_Fleet_OnMsg(s->fleet, from, &msg.u.fleet, now, &out);
         }
         else if (msg.area == FW_AREA_LIMIT && s->limit) {
-            Fw_Limit_OnMsg(s->limit, w->cfg, from, &msg.u.limit, now, &out);
+            Fw_Limit_OnMsg(s->limit, env->cfg, from, &msg.u.limit, now, &out);
         }
         Fw_Msg_Clear(&msg);
     }
     msgpack_unpacked_destroy(&u);
-    Fw_FleetEnv_Carry(w, item->site, &out);
+    Fw_FleetEnv_Carry(env, d->instance, &out);
 }
 
-/* The append reaches the log; its answer may be lost or late all the same. */
+/* Appends to the log. The answer is an error when the append or the answer is
+ * lost. */
 static void
-reach_append(struct fw_fleet_env *w, struct fw_item *item)
+handle_append(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_item *back = add_item(w, FW_ITEM_APPENDED, item->site);
+    struct fw_fleet_env_delivery *back =
+        schedule(env, FW_FLEET_ENV_APPENDED, d->instance);
 
-    back->boot = item->boot;
-    back->ticket = item->ticket;
-    if (Fw_FleetEnv_Below(w, 100) < w->lose_pct) { /* lost before the log */
+    back->boot = d->boot;
+    back->ticket = d->ticket;
+    if (Fw_FleetEnv_Below(env, 100) < env->lose_pct) { /* append lost */
         back->err = -EIO;
-        back->at_us += GIVE_UP_US;
+        back->at_us += APPEND_TIMEOUT_US;
         return;
     }
-    if (w->log_down) {
+    if (env->log_down) {
         back->err = -EAGAIN;
         return;
     }
-    back->offset = w->records->len + 1;
-    for (guint i = 0; i < item->records->len; i++) {
-        const char *text = g_ptr_array_index(item->records, i);
-        g_ptr_array_add(w->records, g_strdup(text));
-        Fw_Run_Trace(w->run, "%8.3f log %u %s", (double)w->real_us / FW_SEC,
-                     w->records->len, text);
+    back->offset = env->records->len + 1;
+    for (guint i = 0; i < d->records->len; i++) {
+        const char *text = g_ptr_array_index(d->records, i);
+        g_ptr_array_add(env->records, g_strdup(text));
+        Fw_Run_Trace(env->run, "%8.3f log %u %s",
+                     (double)env->real_us / FW_SEC, env->records->len, text);
     }
-    if (Fw_FleetEnv_Below(w, 100) <
-        w->lose_pct) { /* lost after it took effect */
+    if (Fw_FleetEnv_Below(env, 100) < env->lose_pct) { /* answer lost */
         back->err = -EIO;
-        back->at_us += GIVE_UP_US;
+        back->at_us += APPEND_TIMEOUT_US;
     }
 }
 
+/* Answers a read, or schedules it again while there is nothing to read. */
 static void
-reach_read(struct fw_fleet_env *w, struct fw_item *item)
+handle_read(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    uint64_t from = MAX(item->offset, w->log_oldest);
-    struct fw_item *back;
+    uint64_t from = MAX(d->offset, env->log_oldest);
+    struct fw_fleet_env_delivery *back;
 
-    if (!w->log_down && from > w->records->len &&
-        w->real_us < item->until_us) {
-        struct fw_item *hold = add_item(w, FW_ITEM_READ, item->site);
-        hold->boot = item->boot;
-        hold->ticket = item->ticket;
-        hold->offset = item->offset;
-        hold->sent_us = item->sent_us;
-        hold->until_us = item->until_us;
-        hold->at_us = w->real_us + HOLD_US;
+    if (!env->log_down && from > env->records->len &&
+        env->real_us < d->until_us) {
+        struct fw_fleet_env_delivery *hold =
+            schedule(env, FW_FLEET_ENV_READ, d->instance);
+        hold->boot = d->boot;
+        hold->ticket = d->ticket;
+        hold->offset = d->offset;
+        hold->sent_us = d->sent_us;
+        hold->until_us = d->until_us;
+        hold->at_us = env->real_us + LONG_POLL_INTERVAL_US;
         return;
     }
-    back = add_item(w, FW_ITEM_RECORDS, item->site);
-    back->boot = item->boot;
-    back->ticket = item->ticket;
-    back->sent_us = item->sent_us;
+    back = schedule(env, FW_FLEET_ENV_RECORDS, d->instance);
+    back->boot = d->boot;
+    back->ticket = d->ticket;
+    back->sent_us = d->sent_us;
     back->offset = from;
-    back->until_us = (int64_t)w->records->len + 1; /* end */
-    if (w->log_down || Fw_FleetEnv_Below(w, 100) < w->lose_pct) {
+    back->until_us = (int64_t)env->records->len + 1; /* end */
+    if (env->log_down || Fw_FleetEnv_Below(env, 100) < env->lose_pct) {
         back->err = -EIO;
         return;
     }
     back->records = g_ptr_array_new_with_free_func(g_free);
-    for (uint64_t o = from; o <= w->records->len; o++) {
+    for (uint64_t o = from; o <= env->records->len; o++) {
         g_ptr_array_add(back->records,
-                        g_strdup(g_ptr_array_index(w->records, o - 1)));
+                        g_strdup(g_ptr_array_index(env->records, o - 1)));
     }
 }
 
 static void
-deliver_log(struct fw_fleet_env *w, struct fw_item *item)
+deliver_log_answer(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_site *s = &w->sites[item->site];
+    struct fw_fleet_env_instance *s = &env->sites[d->instance];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(w, item->site);
+    int64_t now = Fw_FleetEnv_Local(env, d->instance);
 
-    if (!s->up || !s->roles || s->self.boot != item->boot) {
+    if (!s->up || !s->roles || s->self.boot != d->boot) {
         return;
     }
     Fw_Actions_Init(&out);
-    if (item->kind == FW_ITEM_APPENDED) {
-        struct fw_log_appended a = {.ticket = item->ticket,
-                                    .err = item->err,
-                                    .first_offset = item->offset};
+    if (d->kind == FW_FLEET_ENV_APPENDED) {
+        struct fw_log_appended a = {
+            .ticket = d->ticket, .err = d->err, .first = d->offset};
         Fw_Roles_OnAppended(s->roles, &a, now, &out);
     }
     else {
         struct fw_log_records r = {
-            .ticket = item->ticket,
-            .err = item->err,
-            .sent_us = item->sent_us,
-            .first_offset = item->offset,
-            .oldest_offset = w->log_oldest,
-            .end_offset = (uint64_t)item->until_us,
-            .n = item->records ? (int)item->records->len : 0,
-            .records = item->records
-                           ? (const char *const *)item->records->pdata
-                           : NULL,
+            .ticket = d->ticket,
+            .err = d->err,
+            .sent_us = d->sent_us,
+            .first = d->offset,
+            .oldest = env->log_oldest,
+            .end = (uint64_t)d->until_us,
+            .n = d->records ? (int)d->records->len : 0,
+            .records =
+                d->records ? (const char *const *)d->records->pdata : NULL,
         };
         Fw_Roles_OnRecords(s->roles, &r, now, &out);
     }
-    Fw_FleetEnv_Carry(w, item->site, &out);
+    Fw_FleetEnv_Carry(env, d->instance, &out);
 }
 
 void
-Fw_Item_Deliver(struct fw_fleet_env *w, struct fw_item *item)
+Fw_FleetEnv_PerformDelivery(struct fw_fleet_env *env,
+                            struct fw_fleet_env_delivery *d)
 {
-    int to_site = item->kind != FW_ITEM_APPEND && item->kind != FW_ITEM_READ;
+    int to_instance =
+        d->kind != FW_FLEET_ENV_APPEND && d->kind != FW_FLEET_ENV_READ;
 
-    if (to_site && w->sites[item->site].up &&
-        !Fw_FleetEnv_Runs(w, item->site)) {
-        item->at_us = w->sites[item->site].pause_until_us;
+    if (to_instance && env->sites[d->instance].up &&
+        !Fw_FleetEnv_Runs(env, d->instance)) {
+        d->at_us = env->sites[d->instance].pause_until_us;
         return;
     }
-    g_ptr_array_remove(w->items, item);
-    switch (item->kind) {
-    case FW_ITEM_MSG:
-        deliver_msg(w, item);
+    g_ptr_array_remove(env->deliveries, d);
+    switch (d->kind) {
+    case FW_FLEET_ENV_MSG:
+        deliver_msg(env, d);
         break;
-    case FW_ITEM_APPEND:
-        reach_append(w, item);
+    case FW_FLEET_ENV_APPEND:
+        handle_append(env, d);
         break;
-    case FW_ITEM_READ:
-        reach_read(w, item);
+    case FW_FLEET_ENV_READ:
+        handle_read(env, d);
         break;
-    case FW_ITEM_APPENDED:
-    case FW_ITEM_RECORDS:
-        deliver_log(w, item);
+    case FW_FLEET_ENV_APPENDED:
+    case FW_FLEET_ENV_RECORDS:
+        deliver_log_answer(env, d);
         break;
     }
-    Fw_Item_Free(item);
+    Fw_FleetEnv_FreeDelivery(d);
 }
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -1,26 +1,26 @@
-/* The fake engines: what becomes of each call, well or not. */
+/* Simulated engines: successful and failed answers to upstream calls. */
 #include <errno.h>
 #include <inttypes.h>
 
 #include "explore/p_request_env.h"
 
-/* The engine's part of a call that reached it. */
+/* Applies the effect of a call that reached the engine. */
 static void
-engine_begins(struct fw_request_env *w, struct fw_request_env_op *op)
+start_op(struct fw_request_env *env, struct fw_request_env_op *op)
 {
-    struct fw_request_env_held *h =
-        Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
+    struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
+        env, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
-    op->begun = 1;
+    op->started = 1;
     switch (op->up.kind) {
     case FW_UP_PREFILL:
     case FW_UP_IMPORT:
-        Fw_RequestEnv_Hold(w, op->engine, Fw_RequestEnv_IdOf(&op->up),
-                           op->caller);
+        Fw_RequestEnv_HoldRequest(
+            env, op->engine, Fw_RequestEnv_RequestId(&op->up), op->caller);
         break;
     case FW_UP_CANCEL:
         if (h) {
-            Fw_RequestEnv_DropHeld(h);
+            Fw_RequestEnv_FreeHeld(h);
         }
         break;
     default:
@@ -28,28 +28,30 @@
     }
 }
 
+/* Fails a call that has not started as refused or, at random, as timed out
+ * after the engine has started on it. */
 static void
-fail(struct fw_request_env *w, struct fw_request_env_op *op)
+fail_op(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int reached = op->begun || g_rand_boolean(w->run->rand);
+    int reached = op->started || g_rand_boolean(env->run->rand);
 
     if (reached && op->engine >= 0) {
-        engine_begins(w, op);
+        start_op(env, op);
     }
     ev.u.up.op = op->up.op;
     ev.u.up.kind = op->up.kind;
     ev.u.up.phase = FW_UP_FAILED;
     ev.u.up.ran = reached ? FW_RAN_MAYBE : FW_RAN_NO;
     ev.u.up.err = reached ? -ETIMEDOUT : -ECONNREFUSED;
-    Fw_Run_Trace(w->run, "%s fails call %d of caller %d, reached %d",
+    Fw_Run_Trace(env->run, "%s fails call %d of caller %d, reached %d",
                  op->up.upstream, (int)op->up.kind, op->caller, reached);
-    Fw_RequestEnv_DropOp(op);
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_RequestEnv_FreeOp(op);
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 static void
-send_piece(struct fw_request_env *w, struct fw_request_env_op *op,
+send_piece(struct fw_request_env *env, struct fw_request_env_op *op,
            int64_t index)
 {
     char *text = g_strdup_printf("%d/%" PRId64 " ", op->caller, index);
@@ -61,33 +63,34 @@
                  .u.token = {.index = index, .text = text}},
     };
 
-    Fw_RequestEnv_Step(w, &ev);
+    Fw_RequestEnv_Step(env, &ev);
     g_free(text);
 }
 
-/* One move of a stream: the next piece, an old one again, or the end. */
+/* Sends one event of a stream: the next piece, the last one again, the piece
+ * after the next one, or the end. */
 static void
-stream(struct fw_request_env *w, struct fw_request_env_op *op)
+advance_stream(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int dice = w->calm ? 9 : g_rand_int_range(w->run->rand, 0, 10);
-    struct fw_request_env_held *h =
-        Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
+    int dice = env->no_faults ? 9 : g_rand_int_range(env->run->rand, 0, 10);
+    struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
+        env, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
     if (!h) {
-        fail(w, op);
+        fail_op(env, op);
         return;
     }
-    if (dice == 0 && op->next > op->first) {
-        send_piece(w, op, op->next - 1); /* doubled */
+    if (dice == 0 && op->next_piece > op->first_piece) {
+        send_piece(env, op, op->next_piece - 1); /* duplicate */
     }
-    else if (dice == 1 && op->next + 1 < FW_REQUEST_ENV_PIECES) {
-        op->next++; /* lost, or late: the one after it comes first */
-        send_piece(w, op, op->next);
-        op->next++;
+    else if (dice == 1 && op->next_piece + 1 < FW_REQUEST_ENV_PIECES) {
+        op->next_piece++; /* lost */
+        send_piece(env, op, op->next_piece);
+        op->next_piece++;
     }
-    else if (op->next < FW_REQUEST_ENV_PIECES) {
-        send_piece(w, op, op->next++);
+    else if (op->next_piece < FW_REQUEST_ENV_PIECES) {
+        send_piece(env, op, op->next_piece++);
     }
     else {
         ev.u.up.op = op->up.op;
@@ -96,15 +99,14 @@
         ev.u.up.u.end.tokens = FW_REQUEST_ENV_PIECES;
         g_strlcpy(ev.u.up.u.end.reason, "length",
                   sizeof(ev.u.up.u.end.reason));
-        h->lapse_us =
-            w->now_us + FW_REQUEST_ENV_LAPSE_US; /* done, kept a while */
-        Fw_RequestEnv_DropOp(op);
-        Fw_RequestEnv_Step(w, &ev);
+        h->expires_us = env->now_us + FW_REQUEST_ENV_KV_TTL_US;
+        Fw_RequestEnv_FreeOp(op);
+        Fw_RequestEnv_Step(env, &ev);
     }
 }
 
 static void
-fill_answer(struct fw_request_env *w, const struct fw_request_env_op *op,
+fill_answer(struct fw_request_env *env, const struct fw_request_env_op *op,
             struct fw_up_event *up, const char **ids)
 {
     struct fw_request_env_held *h;
@@ -112,12 +114,13 @@
 
     switch (op->up.kind) {
     case FW_UP_PREFILL:
-        g_strlcpy(up->u.kv.kv, Fw_RequestEnv_IdOf(&op->up),
+        g_strlcpy(up->u.kv.kv, Fw_RequestEnv_RequestId(&op->up),
                   sizeof(up->u.kv.kv));
-        up->u.kv.ttl_us = FW_REQUEST_ENV_LAPSE_US;
-        h = Fw_RequestEnv_FindHeld(w, op->engine, Fw_RequestEnv_IdOf(&op->up));
+        up->u.kv.lapse_us = FW_REQUEST_ENV_KV_TTL_US;
+        h = Fw_RequestEnv_FindHeld(env, op->engine,
+                                   Fw_RequestEnv_RequestId(&op->up));
         if (h) {
-            h->lapse_us = w->now_us + FW_REQUEST_ENV_LAPSE_US;
+            h->expires_us = env->now_us + FW_REQUEST_ENV_KV_TTL_US;
         }
         break;
     case FW_UP_IMPORT:
@@ -131,9 +134,9 @@
         up->u.report.n_models = 1;
         g_strlcpy(up->u.report.models[0], "m@1", FW_MODELREF_MAX);
         break;
-    case FW_UP_LIST_REQUESTS:
-        FW_LIST_EACH (pos, &w->held[op->engine]) {
-            if (up->u.held.n < FW_REQUEST_ENV_CALLERS) {
+    case FW_UP_HELD:
+        FW_LIST_EACH (pos, &env->held[op->engine]) {
+            if (up->u.held.n < FW_REQUEST_ENV_CALLERS_MAX) {
                 ids[up->u.held.n++] =
                     FW_LIST_ENTRY(pos, struct fw_request_env_held, link)->id;
             }
@@ -146,60 +149,60 @@
 }
 
 void
-Fw_RequestEnv_Answer(struct fw_request_env *w, struct fw_request_env_op *op,
-                     int ok)
+Fw_RequestEnv_AnswerOp(struct fw_request_env *env,
+                       struct fw_request_env_op *op, int ok)
 {
-    const char *ids[FW_REQUEST_ENV_CALLERS];
+    const char *ids[FW_REQUEST_ENV_CALLERS_MAX];
     struct fw_event ev = {.kind = FW_EV_UP};
 
     if (!ok) {
-        fail(w, op);
+        fail_op(env, op);
         return;
     }
     if (op->up.kind == FW_UP_IMPORT &&
-        Fw_RequestEnv_CallerOfId(w, Fw_RequestEnv_IdOf(&op->up)) < 0) {
-        fail(w, op); /* the KV has lapsed */
+        Fw_RequestEnv_CallerOfId(env, Fw_RequestEnv_RequestId(&op->up)) < 0) {
+        fail_op(env, op); /* the KV cache has expired */
         return;
     }
     if (op->up.kind == FW_UP_DECODE || op->up.kind == FW_UP_RESUME) {
-        stream(w, op);
+        advance_stream(env, op);
         return;
     }
-    engine_begins(w, op);
+    start_op(env, op);
     ev.u.up.op = op->up.op;
     ev.u.up.kind = op->up.kind;
     ev.u.up.phase = FW_UP_DONE;
     ev.u.up.status = 200;
-    fill_answer(w, op, &ev.u.up, ids);
-    Fw_RequestEnv_DropOp(op);
-    Fw_RequestEnv_Step(w, &ev);
+    fill_answer(env, op, &ev.u.up, ids);
+    Fw_RequestEnv_FreeOp(op);
+    Fw_RequestEnv_Step(env, &ev);
 }
 
 void
-Fw_RequestEnv_Crash(struct fw_request_env *w, int engine)
+Fw_RequestEnv_CrashEngine(struct fw_request_env *env, int engine)
 {
     struct fw_list *pos;
     int again = 1;
 
-    Fw_Run_Trace(w->run, "%s crashes", Fw_RequestEnv_EngineName(engine));
-    while (!Fw_List_Empty(&w->held[engine])) {
-        Fw_RequestEnv_DropHeld(FW_LIST_ENTRY(
-            w->held[engine].next, struct fw_request_env_held, link));
+    Fw_Run_Trace(env->run, "%s crashes", Fw_RequestEnv_EngineName(engine));
+    while (!Fw_List_Empty(&env->held[engine])) {
+        Fw_RequestEnv_FreeHeld(FW_LIST_ENTRY(
+            env->held[engine].next, struct fw_request_env_held, link));
     }
     while (again) {
         again = 0;
-        FW_LIST_EACH (pos, &w->ops) {
+        FW_LIST_EACH (pos, &env->ops) {
             struct fw_request_env_op *op =
                 FW_LIST_ENTRY(pos, struct fw_request_env_op, link);
-            if (op->engine == engine && !op->begun) {
+            if (op->engine == engine && !op->started) {
                 struct fw_event ev = {.kind = FW_EV_UP};
                 ev.u.up.op = op->up.op;
                 ev.u.up.kind = op->up.kind;
                 ev.u.up.phase = FW_UP_FAILED;
                 ev.u.up.ran = FW_RAN_MAYBE;
                 ev.u.up.err = -ECONNRESET;
-                Fw_RequestEnv_DropOp(op);
-                Fw_RequestEnv_Step(w, &ev);
+                Fw_RequestEnv_FreeOp(op);
+                Fw_RequestEnv_Step(env, &ev);
                 again = 1;
                 break;
             }
