--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -161,8 +161,8 @@
     const struct fw_config_env_stream *s = get_stream(env, p->read.stream);
     struct fw_log_records r = {.ticket = p->read.ticket,
                                .sent_us = p->sent_us,
-                               .oldest = s->expired + 1,
-                               .end = s->records->len + 1};
+                               .oldest_offset = s->expired + 1,
+                               .end_offset = s->records->len + 1};
     struct fw_actions out;
 
     if (env->log_down || env->replicas[i].isolated ||
@@ -191,7 +191,7 @@
         const struct fw_config_env_stream *s = get_stream(env, p->read.stream);
 
         if (p->open && (env->log_down || env->replicas[i].isolated ||
-                        p->read.from <= s->records->len ||
+                        p->read.from_offset <= s->records->len ||
                         env->now_us >= p->sent_us + p->read.wait_us)) {
             answer_read(env, i, p);
         }
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -134,14 +134,14 @@
 void
 Fw_FleetEnv_PublishInstances(struct fw_fleet_env *env)
 {
-    struct fw_list_entry entries[FW_FLEET_ENV_INSTANCES_MAX];
-    struct fw_listed listed = {.entries = entries};
+    struct fw_registry_entry entries[FW_FLEET_ENV_INSTANCES_MAX];
+    struct fw_registry_snapshot listed = {.entries = entries};
     struct fw_actions out;
 
     memset(entries, 0, sizeof(entries));
     for (int i = 0; i < env->n; i++) {
         const struct fw_self *self = &env->sites[i].self;
-        struct fw_list_entry *e = &entries[listed.n];
+        struct fw_registry_entry *e = &entries[listed.n];
         if (!env->sites[i].up) {
             continue;
         }
--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_item.c
@@ -130,7 +130,7 @@
 
     d->boot = env->sites[instance].self.boot;
     d->ticket = r->ticket;
-    d->offset = r->from;
+    d->offset = r->from_offset;
     d->sent_us = Fw_FleetEnv_Local(env, instance);
     d->until_us = env->real_us + r->wait_us;
 }
@@ -141,7 +141,7 @@
     struct fw_action *a;
 
     env->sites[i].wake_us = MIN(env->sites[i].wake_us, out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_msg(env, i, &a->u.send);
         }
@@ -284,7 +284,7 @@
     Fw_Actions_Init(&out);
     if (d->kind == FW_FLEET_ENV_APPENDED) {
         struct fw_log_appended a = {
-            .ticket = d->ticket, .err = d->err, .first = d->offset};
+            .ticket = d->ticket, .err = d->err, .first_offset = d->offset};
         Fw_Roles_OnAppended(s->roles, &a, now, &out);
     }
     else {
@@ -292,9 +292,9 @@
             .ticket = d->ticket,
             .err = d->err,
             .sent_us = d->sent_us,
-            .first = d->offset,
-            .oldest = env->log_oldest,
-            .end = (uint64_t)d->until_us,
+            .first_offset = d->offset,
+            .oldest_offset = env->log_oldest,
+            .end_offset = (uint64_t)d->until_us,
             .n = d->records ? (int)d->records->len : 0,
             .records =
                 d->records ? (const char *const *)d->records->pdata : NULL,
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -150,7 +150,7 @@
 
     env->sites[instance].wake_us =
         MIN(env->sites[instance].wake_us, out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_peer(env, instance, &a->u.send);
         }
@@ -170,7 +170,7 @@
                                     FW_IDEM_ENV_HOP_US + env->log.slow_us);
             d->ticket = a->u.read.ticket;
             d->partition = a->u.read.stream[strlen("idem-")] - '0';
-            d->from = a->u.read.from;
+            d->from = a->u.read.from_offset;
             d->max_records = a->u.read.max_records;
             d->sent_us = env->now_us;
         }
@@ -375,14 +375,14 @@
     }
     Fw_Actions_Init(&out);
     if (d->kind == FW_IDEM_ENV_APPENDED) {
-        app.first = d->first;
+        app.first_offset = d->first;
         Fw_Idem_OnAppended(s->idem, &app, env->now_us, &out);
     }
     else if (d->kind == FW_IDEM_ENV_RECORDS) {
         rec.sent_us = d->sent_us;
-        rec.first = d->first;
-        rec.oldest = d->oldest;
-        rec.end = d->end;
+        rec.first_offset = d->first;
+        rec.oldest_offset = d->oldest;
+        rec.end_offset = d->end;
         rec.n = d->n;
         rec.records = (const char *const *)d->records;
         Fw_Idem_OnRecords(s->idem, &rec, env->now_us, &out);
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -280,15 +280,16 @@
 {
     struct fw_log_records r = {.ticket = c->read.ticket,
                                .sent_us = c->sent_us,
-                               .oldest = 1,
-                               .end = env->log->len + 1};
+                               .oldest_offset = 1,
+                               .end_offset = env->log->len + 1};
     struct fw_actions out;
 
     g_strlcpy(r.stream, c->read.stream, sizeof(r.stream));
     r.err = env->log_down ? -EIO : 0;
-    r.first = MIN(c->read.from, r.end);
-    r.n = (int)MIN((uint64_t)c->read.max_records, r.end - r.first);
-    r.records = (const char *const *)env->log->pdata + (r.first - 1);
+    r.first_offset = MIN(c->read.from_offset, r.end_offset);
+    r.n =
+        (int)MIN((uint64_t)c->read.max_records, r.end_offset - r.first_offset);
+    r.records = (const char *const *)env->log->pdata + (r.first_offset - 1);
     Fw_Actions_Init(&out);
     Fw_Roles_OnRecords(env->holders[c->holder].roles, &r, env->now_us, &out);
     perform_actions(env, c->holder, &out);
@@ -299,7 +300,7 @@
 append_records(struct fw_order_env *env, int i, const struct fw_log_append *p)
 {
     struct fw_log_appended done = {.ticket = p->ticket,
-                                   .first = env->log->len + 1};
+                                   .first_offset = env->log->len + 1};
     struct fw_actions out;
 
     g_strlcpy(done.stream, p->stream, sizeof(done.stream));
@@ -350,7 +351,7 @@
 {
     if (c->kind == FW_ACT_LOG_READ) {
         return !env->holders[c->holder].paused &&
-               (env->log_down || c->read.from <= env->log->len ||
+               (env->log_down || c->read.from_offset <= env->log->len ||
                 env->now_us >= c->sent_us + c->read.wait_us);
     }
     return c->reached && !env->holders[c->holder].paused;
--- a/explore/p_request_callers.c
+++ b/explore/p_request_callers.c
@@ -20,7 +20,7 @@
 
 void
 Fw_RequestEnv_OnPiece(struct fw_request_env *env,
-                      const struct fw_call_piece *p)
+                      const struct fw_call_token *p)
 {
     struct fw_request_env_caller *c = get_open_caller(env, p->call);
     char *expected =
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -116,7 +116,7 @@
     case FW_UP_PREFILL:
         g_strlcpy(up->u.kv.kv, Fw_RequestEnv_RequestId(&op->up),
                   sizeof(up->u.kv.kv));
-        up->u.kv.lapse_us = FW_REQUEST_ENV_KV_TTL_US;
+        up->u.kv.ttl_us = FW_REQUEST_ENV_KV_TTL_US;
         h = Fw_RequestEnv_FindHeld(env, op->engine,
                                    Fw_RequestEnv_RequestId(&op->up));
         if (h) {
@@ -134,7 +134,7 @@
         up->u.report.n_models = 1;
         g_strlcpy(up->u.report.models[0], "m@1", FW_MODELREF_MAX);
         break;
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         FW_LIST_EACH (pos, &env->held[op->engine]) {
             if (up->u.held.n < FW_REQUEST_ENV_CALLERS_MAX) {
                 ids[up->u.held.n++] =
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -145,8 +145,9 @@
                           op->caller);
         }
     }
-    else if (up->kind != FW_UP_LOAD && up->kind != FW_UP_HELD &&
-             up->kind != FW_UP_CACHE) {
+    else if (up->kind != FW_UP_LOAD_REPORT &&
+             up->kind != FW_UP_LIST_REQUESTS &&
+             up->kind != FW_UP_CACHE_EVENTS) {
         op->caller =
             Fw_RequestEnv_CallerOfId(env, Fw_RequestEnv_RequestId(up));
     }
@@ -192,7 +193,7 @@
     struct fw_event ev = {.kind = FW_EV_LOG_APPENDED};
 
     ev.u.appended.ticket = a->ticket;
-    ev.u.appended.first = Fw_MemLog_Append(
+    ev.u.appended.first_offset = Fw_MemLog_Append(
         &env->log, a->stream, (const char *const *)a->records, a->n);
     g_strlcpy(ev.u.appended.stream, a->stream, sizeof(ev.u.appended.stream));
     Fw_RequestEnv_Step(env, &ev);
@@ -250,7 +251,7 @@
 
     while ((a = Fw_Actions_Pop(out))) {
         switch (a->kind) {
-        case FW_ACT_CALL_PIECE:
+        case FW_ACT_CALL_TOKEN:
             Fw_RequestEnv_OnPiece(env, &a->u.piece);
             break;
         case FW_ACT_CALL_FAIL:
--- a/explore/p_request_env.h
+++ b/explore/p_request_env.h
@@ -139,7 +139,7 @@
 /* p_request_callers.c: checks of what the instance sends to callers. */
 void
 Fw_RequestEnv_OnPiece(struct fw_request_env *env,
-                      const struct fw_call_piece *p);
+                      const struct fw_call_token *p);
 void
 Fw_RequestEnv_OnFail(struct fw_request_env *env, const struct fw_call_fail *f);
 void
--- a/explore/p_route.c
+++ b/explore/p_route.c
@@ -68,12 +68,12 @@
 static void
 read_list(struct route_env *env, struct leaving *l, int instance)
 {
-    struct fw_list_entry e[FW_ROUTE_ENV_ENGINES_MAX] = {0};
-    struct fw_listed listed = {.n = env->n_engines, .entries = e};
+    struct fw_registry_entry e[FW_ROUTE_ENV_ENGINES_MAX] = {0};
+    struct fw_registry_snapshot listed = {.n = env->n_engines, .entries = e};
 
     for (int i = 0; i < env->n_engines; i++) {
-        e[i].kind = FW_LIST_UPSTREAM;
-        e[i].leaving = l->list[i];
+        e[i].kind = FW_REGISTRY_UPSTREAM;
+        e[i].draining = l->list[i];
         g_strlcpy(e[i].name, env->engine[i].name, sizeof(e[i].name));
     }
     Fw_Router_OnListed(env->router[instance], &listed, env->now_us);
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -137,7 +137,7 @@
     if (e->dead) {
         return;
     }
-    if (up->kind == FW_UP_CACHE) {
+    if (up->kind == FW_UP_CACHE_EVENTS) {
         d->up.u.cache.next_seq = up->u.cache.from_seq;
         if (e->cache.n) {
             d->up.u.cache = e->cache;
@@ -184,7 +184,7 @@
     struct fw_action *a;
 
     env->wake_us[instance] = MIN(env->wake_us[instance], out->wake_us);
-    while ((a = Fw_Actions_Take(out))) {
+    while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_msg(env, instance, &a->u.send);
         }
@@ -265,11 +265,11 @@
 static void
 publish_instances(struct route_env *env)
 {
-    struct fw_list_entry e[FW_ROUTE_ENV_INSTANCES_MAX] = {0};
-    struct fw_listed listed = {.n = env->n, .entries = e};
+    struct fw_registry_entry e[FW_ROUTE_ENV_INSTANCES_MAX] = {0};
+    struct fw_registry_snapshot listed = {.n = env->n, .entries = e};
 
     for (int i = 0; i < env->n; i++) {
-        e[i].kind = FW_LIST_INSTANCE;
+        e[i].kind = FW_REGISTRY_INSTANCE;
         g_strlcpy(e[i].name, env->self[i].name, sizeof(e[i].name));
         g_strlcpy(e[i].addr, env->self[i].addr, sizeof(e[i].addr));
         g_strlcpy(e[i].domain, env->self[i].domain, sizeof(e[i].domain));
