--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -57,7 +57,7 @@
     int64_t leads_from_us[2];
     int64_t lease_renewed_us[2];
     int64_t leader_seen_us[2];
-    struct fw_account buckets[INSTANCES][FW_ACCOUNT_TEAMS];
+    struct fw_account buckets[INSTANCES][FW_LIMIT_CHECK_TEAMS];
 };
 
 static const struct event *
@@ -75,7 +75,7 @@
 static int
 try_take(struct fw_account *b, int64_t tokens, int64_t now_us)
 {
-    Fw_Account_Settle(b, now_us);
+    Fw_Account_Refill(b, now_us);
     if (b->level < (double)tokens) {
         return 0;
     }
@@ -166,7 +166,7 @@
     p->leader[g] = next;
     p->leads_from_us[g] = now_us + LEASE_US;
     p->leader_seen_us[g] = now_us;
-    for (int t = 0; t < FW_ACCOUNT_TEAMS; t++) {
+    for (int t = 0; t < FW_LIMIT_CHECK_TEAMS; t++) {
         p->buckets[next][t].level = 0;
         p->buckets[next][t].at_us = p->leads_from_us[g];
     }
@@ -208,7 +208,7 @@
     p->leader[1] = -1;
     for (int i = 0; i < INSTANCES; i++) {
         p->up[i] = i < s->initial_instances;
-        for (int t = 0; t < FW_ACCOUNT_TEAMS; t++) {
+        for (int t = 0; t < FW_LIMIT_CHECK_TEAMS; t++) {
             p->buckets[i][t] = accounts[t];
             p->buckets[i][t].team.rate /= parts;
             p->buckets[i][t].team.burst /= parts;
@@ -245,7 +245,7 @@
 record_outcome(struct fw_account *a, struct result *r, int granted,
                int64_t tokens, int64_t now_us)
 {
-    Fw_Account_Settle(a, now_us);
+    Fw_Account_Refill(a, now_us);
     r->requests++;
     if (!granted) {
         r->refused++;
@@ -288,7 +288,7 @@
             baseline_apply_event(&p, e, t);
         }
         baseline_tick(&p, by_log, t);
-        for (int k = 0; k < FW_ACCOUNT_TEAMS; k++) {
+        for (int k = 0; k < FW_LIMIT_CHECK_TEAMS; k++) {
             int64_t tokens;
             int instance;
             int granted;
@@ -315,9 +315,9 @@
 find_acting_leader(const struct fw_fleet_env *w)
 {
     for (int i = 0; i < w->n; i++) {
-        if (Fw_FleetEnv_Runs(w, i) &&
-            Fw_Roles_MayAct(w->sites[i].roles, FW_ROLE_BUDGET, 0,
-                            Fw_FleetEnv_Local(w, i), NULL) == 0) {
+        if (Fw_FleetEnv_IsRunning(w, i) &&
+            Fw_Roles_MayAct(w->instances[i].roles, FW_ROLE_BUDGET, 0,
+                            Fw_FleetEnv_LocalTime(w, i), NULL) == 0) {
             return i;
         }
     }
@@ -329,11 +329,12 @@
 find_recorded_leader(const struct fw_fleet_env *w)
 {
     for (int i = 0; i < w->n; i++) {
-        const char *name = w->sites[i].up ? Fw_Roles_Holder(w->sites[i].roles,
-                                                            FW_ROLE_BUDGET, 0)
-                                          : NULL;
+        const char *name =
+            w->instances[i].up
+                ? Fw_Roles_Holder(w->instances[i].roles, FW_ROLE_BUDGET, 0)
+                : NULL;
         for (int j = 0; name && j < w->n; j++) {
-            if (strcmp(w->sites[j].self.name, name) == 0) {
+            if (strcmp(w->instances[j].self.name, name) == 0) {
                 return j;
             }
         }
@@ -358,9 +359,9 @@
     case FW_OP_HEAL:
         for (int i = 0; i < INSTANCES; i++) {
             for (int j = 0; j < i; j++) {
-                Fw_FleetEnv_Cut(w, i, j,
-                                e->op == FW_OP_PARTITION &&
-                                    (i < e->arg) != (j < e->arg));
+                Fw_FleetEnv_SetLinkDown(w, i, j,
+                                        e->op == FW_OP_PARTITION &&
+                                            (i < e->arg) != (j < e->arg));
             }
         }
         break;
@@ -396,9 +397,9 @@
         Fw_FleetEnv_Start(&w, i);
     }
     Fw_FleetEnv_Advance(&w, 5 * FW_SEC);
-    w.lose_pct = s->message_loss_pct;
-    w.n_bytes = 0;
-    w.n_sent = 0;
+    w.loss_pct = s->message_loss_pct;
+    w.bytes_sent = 0;
+    w.msgs_sent = 0;
     r->failover_s = -1;
     for (int64_t t = 0; t < s->duration_s * FW_SEC; t += STEP_US) {
         const struct event *e;
@@ -413,28 +414,28 @@
             r->failover_s = (double)(t - lost_us) / FW_SEC;
         }
         for (int i = 0; i < INSTANCES; i++) {
-            up[i] = w.sites[i].up && !w.sites[i].draining;
+            up[i] = w.instances[i].up && !w.instances[i].draining;
         }
-        for (int k = 0; k < FW_ACCOUNT_TEAMS; k++) {
+        for (int k = 0; k < FW_LIMIT_CHECK_TEAMS; k++) {
             int64_t tokens;
             int instance;
             if (is_request_due(rand, s)) {
                 instance = draw_request(rand, up, &c.accounts[k], &tokens);
-                Fw_LimitCheck_Ask(&c, &w, instance, k, tokens);
+                Fw_LimitCheck_Request(&c, &w, instance, k, tokens);
             }
         }
         g_string_set_size(run.trace, 0);
         Fw_FleetEnv_Advance(&w, STEP_US);
     }
-    for (int k = 0; k < FW_ACCOUNT_TEAMS; k++) {
+    for (int k = 0; k < FW_LIMIT_CHECK_TEAMS; k++) {
         r->requests += c.accounts[k].granted + c.accounts[k].refused;
         r->refused += c.accounts[k].refused;
         r->spent_tokens += c.accounts[k].spent;
         r->wrongful_refusals += c.accounts[k].wrongful;
     }
-    r->overspent_tokens = c.over;
-    r->msgs_per_s = (double)w.n_sent / s->duration_s / INSTANCES;
-    r->bytes_per_s = (double)w.n_bytes / s->duration_s / INSTANCES;
+    r->overspent_tokens = c.overspent_tokens;
+    r->msgs_per_s = (double)w.msgs_sent / s->duration_s / INSTANCES;
+    r->bytes_per_s = (double)w.bytes_sent / s->duration_s / INSTANCES;
     Fw_LimitCheck_Clear(&c, &w);
     g_rand_free(rand);
     g_rand_free(run.rand);
--- a/bench/bench_region.c
+++ b/bench/bench_region.c
@@ -23,8 +23,8 @@
     struct fw_limit_answer ans;
 
     for (int i = 0; i < w->n; i++) {
-        while (w->sites[i].up &&
-               Fw_Limit_TakeAnswer(w->sites[i].limit, &ans)) {
+        while (w->instances[i].up &&
+               Fw_Limit_TakeAnswer(w->instances[i].limit, &ans)) {
             *granted += ans.granted;
         }
     }
@@ -58,10 +58,11 @@
     for (int i = 0; i < INSTANCES; i++) {
         struct fw_actions out;
         Fw_Actions_Init(&out);
-        Fw_Limit_Request(
-            w->sites[i].limit, &teams[Fw_FleetEnv_Below(w, TEAMS)], ++*ticket,
-            100 + Fw_FleetEnv_Below(w, 1000), Fw_FleetEnv_Local(w, i), &out);
-        Fw_FleetEnv_Carry(w, i, &out);
+        Fw_Limit_Request(w->instances[i].limit,
+                         &teams[Fw_FleetEnv_RandBelow(w, TEAMS)], ++*ticket,
+                         100 + Fw_FleetEnv_RandBelow(w, 1000),
+                         Fw_FleetEnv_LocalTime(w, i), &out);
+        Fw_FleetEnv_PerformActions(w, i, &out);
     }
 }
 
@@ -72,7 +73,7 @@
     uint64_t sum = 0;
 
     for (uint64_t i = 0; i < PICKS; i++) {
-        sum += Fw_Fleet_Pick(w->sites[0].fleet, i, 0)->boot;
+        sum += Fw_Fleet_Pick(w->instances[0].fleet, i, 0)->boot;
     }
     printf("Fw_Fleet_Pick among %d: %.0f ns (%d)\n", INSTANCES,
            (cpu_s() - begin) * 1e9 / PICKS, (int)(sum % 2));
@@ -130,7 +131,7 @@
     }
     w->use_roles = 1;
     w->partitions = INSTANCES;
-    w->wait_us[FW_ROLE_BUDGET] = 900 * FW_SEC;
+    w->role_wait_us[FW_ROLE_BUDGET] = 900 * FW_SEC;
     w->cfg = &cfg;
     w->check = count_grants;
     w->arg = &granted;
--- a/bench/bench_request.c
+++ b/bench/bench_request.c
@@ -85,7 +85,7 @@
 {
     struct fw_event ev = {.kind = FW_EV_LOG_RECORDS};
 
-    Fw_MemLog_Answer(&b->log, r, b->now_us, &ev.u.records);
+    Fw_MemLog_Read(&b->log, r, b->now_us, &ev.u.records);
     step(b, &ev);
 }
 
@@ -182,7 +182,7 @@
                            "\"value\":{\"team\":\"a\",\"withdrawn\":false}"
                            "}",
                            digest);
-    Fw_MemLog_Change(&b->log, s->str);
+    Fw_MemLog_AppendChange(&b->log, s->str);
     g_string_free(s, TRUE);
 }
 
--- a/explore/explore.h
+++ b/explore/explore.h
@@ -18,7 +18,7 @@
     GRand *rand;
     int steps;
     GString *trace;
-    char breach[240];
+    char failure[240];
 };
 
 /* Appends a line to the trace. */
@@ -27,7 +27,7 @@
     __attribute__((format(printf, 2, 3)));
 /* Records a violation of the property; only the first one is kept. */
 void
-Fw_Run_Breach(struct fw_run *run, const char *fmt, ...)
+Fw_Run_Fail(struct fw_run *run, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
 /**
@@ -35,22 +35,22 @@
  * @run: runs until the steps of the run are done or a violation is recorded
  * @fault: name of a fault, see base/fault.h, with which the test must fail
  */
-struct fw_promise {
+struct fw_property {
     const char *name;
     void (*run)(struct fw_run *run);
     const char *fault;
 };
 
 /* Table of all properties; the last entry has no name. */
-extern const struct fw_promise Fw_Promises[];
+extern const struct fw_property Fw_Properties[];
 
 /* Return: the property, or NULL when there is none of that name. */
-const struct fw_promise *
+const struct fw_property *
 Fw_Property_Find(const char *name);
 /* Runs one seed and appends the trace of a failed run to @report. Return: 0,
  * or 1 when the property was violated. */
 int
-Fw_Promise_Run(const struct fw_promise *p, guint32 seed, int steps,
-               GString *report);
+Fw_Property_Run(const struct fw_property *p, guint32 seed, int steps,
+                GString *report);
 
 #endif
--- a/explore/main.c
+++ b/explore/main.c
@@ -74,7 +74,7 @@
 static void
 list_properties(void)
 {
-    for (const struct fw_promise *p = Fw_Promises; p->name; p++) {
+    for (const struct fw_property *p = Fw_Properties; p->name; p++) {
         puts(p->name);
     }
 }
@@ -83,7 +83,7 @@
 main(int argc, char **argv)
 {
     struct options o = {.seed = 1, .steps = 400, .seeds = 1};
-    const struct fw_promise *p;
+    const struct fw_property *p;
     GString *report = g_string_new(NULL);
     int failed = 0;
 
@@ -100,7 +100,7 @@
         return 2;
     }
     for (int i = 0; i < o.seeds && !failed; i++) {
-        failed = Fw_Promise_Run(p, o.seed + (guint32)i, o.steps, report);
+        failed = Fw_Property_Run(p, o.seed + (guint32)i, o.steps, report);
     }
     if (failed) {
         fputs(report->str, stdout);
--- a/explore/memlog.c
+++ b/explore/memlog.c
@@ -41,7 +41,7 @@
 }
 
 void
-Fw_MemLog_Change(struct fw_memlog *l, const char *items)
+Fw_MemLog_AppendChange(struct fw_memlog *l, const char *items)
 {
     GPtrArray *s = get_stream(l, FW_STREAM_CONFIG);
 
@@ -59,8 +59,8 @@
 }
 
 void
-Fw_MemLog_Answer(struct fw_memlog *l, const struct fw_log_read *read,
-                 int64_t sent_us, struct fw_log_records *out)
+Fw_MemLog_Read(struct fw_memlog *l, const struct fw_log_read *read,
+               int64_t sent_us, struct fw_log_records *out)
 {
     GPtrArray *s = get_stream(l, read->stream);
 
--- a/explore/memlog.h
+++ b/explore/memlog.h
@@ -28,14 +28,14 @@
 /* Appends a change to the configuration stream; @items is the content of its
  * JSON array "items". */
 void
-Fw_MemLog_Change(struct fw_memlog *l, const char *items);
+Fw_MemLog_AppendChange(struct fw_memlog *l, const char *items);
 /* Return: offset that the next record appended to @stream will get. */
 uint64_t
 Fw_MemLog_End(struct fw_memlog *l, const char *stream);
 /* Fills @out with the answer to @read, which was sent at @sent_us. The records
  * are borrowed from the log and valid until the next append. */
 void
-Fw_MemLog_Answer(struct fw_memlog *l, const struct fw_log_read *read,
-                 int64_t sent_us, struct fw_log_records *out);
+Fw_MemLog_Read(struct fw_memlog *l, const struct fw_log_read *read,
+               int64_t sent_us, struct fw_log_records *out);
 
 #endif
--- a/explore/p_config.c
+++ b/explore/p_config.c
@@ -188,7 +188,7 @@
 
     Fw_ConfigEnv_Init(&env, run);
     env.loss_pct = 10;
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         Fw_ConfigEnv_Advance(&env, (1 + Fw_ConfigEnv_RandBelow(&env, 30)) *
                                        100 * FW_MSEC);
         check_replicas(&env, c);
@@ -222,8 +222,8 @@
 
     (void)ctx;
     if (Fw_Config_Digest(cfg) != expected) {
-        Fw_Run_Breach(env->run, "node%d differs at offset %" G_GUINT64_FORMAT,
-                      i, cfg->next_offset);
+        Fw_Run_Fail(env->run, "node%d differs at offset %" G_GUINT64_FORMAT, i,
+                    cfg->next_offset);
     }
 }
 
@@ -241,10 +241,10 @@
 
     (void)ctx;
     if (now < env->replicas[i].last_offset) {
-        Fw_Run_Breach(env->run,
-                      "node%d went from offset %" G_GUINT64_FORMAT
-                      " to %" G_GUINT64_FORMAT,
-                      i, env->replicas[i].last_offset, now);
+        Fw_Run_Fail(env->run,
+                    "node%d went from offset %" G_GUINT64_FORMAT
+                    " to %" G_GUINT64_FORMAT,
+                    i, env->replicas[i].last_offset, now);
     }
 }
 
@@ -280,11 +280,10 @@
         uint64_t last = GPOINTER_TO_SIZE(g_hash_table_lookup(v->last, key));
 
         if (last != ch.items[i].expected_version) {
-            Fw_Run_Breach(env->run,
-                          "%s based on version %" G_GUINT64_FORMAT
-                          " was accepted over version %" G_GUINT64_FORMAT,
-                          ch.items[i].name, ch.items[i].expected_version,
-                          last);
+            Fw_Run_Fail(env->run,
+                        "%s based on version %" G_GUINT64_FORMAT
+                        " was accepted over version %" G_GUINT64_FORMAT,
+                        ch.items[i].name, ch.items[i].expected_version, last);
         }
         g_hash_table_insert(v->last, key,
                             GSIZE_TO_POINTER(env->config.records->len));
@@ -334,7 +333,7 @@
             wd->seen[i] |= 1U << k;
         }
         else if (wd->seen[i] & (1U << k)) {
-            Fw_Run_Breach(env->run, "node%d: key %d is valid again", i, k);
+            Fw_Run_Fail(env->run, "node%d: key %d is valid again", i, k);
         }
     }
 }
--- a/explore/p_fleet.c
+++ b/explore/p_fleet.c
@@ -16,24 +16,24 @@
 start_all(struct fw_fleet_env *env)
 {
     for (int i = 0; i < env->n; i++) {
-        env->sites[i].drift_ppm =
-            Fw_FleetEnv_Below(env, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
+        env->instances[i].drift_ppm =
+            Fw_FleetEnv_RandBelow(env, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
         Fw_FleetEnv_Start(env, i);
-        Fw_FleetEnv_Advance(env, Fw_FleetEnv_Below(env, 300) * FW_MSEC);
+        Fw_FleetEnv_Advance(env, Fw_FleetEnv_RandBelow(env, 300) * FW_MSEC);
     }
 }
 
 void
 Fw_FleetEnv_InjectFault(struct fw_fleet_env *env)
 {
-    int i = Fw_FleetEnv_Below(env, env->n);
-    int j = (i + 1 + Fw_FleetEnv_Below(env, env->n - 1)) % env->n;
+    int i = Fw_FleetEnv_RandBelow(env, env->n);
+    int j = (i + 1 + Fw_FleetEnv_RandBelow(env, env->n - 1)) % env->n;
     double at = (double)env->real_us / FW_SEC;
-    const char *name = env->sites[i].self.name;
+    const char *name = env->instances[i].self.name;
 
-    switch (Fw_FleetEnv_Below(env, 6)) {
+    switch (Fw_FleetEnv_RandBelow(env, 6)) {
     case 0:
-        if (env->sites[i].up) {
+        if (env->instances[i].up) {
             Fw_Run_Trace(env->run, "%8.3f kill %s", at, name);
             Fw_FleetEnv_Kill(env, i);
             break;
@@ -43,14 +43,14 @@
         break;
     case 1:
         Fw_Run_Trace(env->run, "%8.3f pause %s", at, name);
-        Fw_FleetEnv_Pause(env, i, Fw_FleetEnv_Below(env, 30) * FW_SEC);
+        Fw_FleetEnv_Pause(env, i, Fw_FleetEnv_RandBelow(env, 30) * FW_SEC);
         break;
     case 2:
     case 3:
         Fw_Run_Trace(env->run, "%8.3f %s %s %s", at,
-                     env->sites[i].link_down[j] ? "join" : "cut", name,
-                     env->sites[j].self.name);
-        Fw_FleetEnv_Cut(env, i, j, !env->sites[i].link_down[j]);
+                     env->instances[i].link_down[j] ? "join" : "cut", name,
+                     env->instances[j].self.name);
+        Fw_FleetEnv_SetLinkDown(env, i, j, !env->instances[i].link_down[j]);
         break;
     case 4:
         env->log_down = !env->log_down;
@@ -58,7 +58,7 @@
                      env->log_down ? "down" : "up");
         break;
     case 5:
-        if (Fw_FleetEnv_Runs(env, i) && !env->sites[i].draining) {
+        if (Fw_FleetEnv_IsRunning(env, i) && !env->instances[i].draining) {
             Fw_Run_Trace(env->run, "%8.3f drain %s", at, name);
             Fw_FleetEnv_Drain(env, i);
         }
@@ -71,9 +71,9 @@
 {
     env->log_down = 0;
     for (int i = 0; i < env->n; i++) {
-        env->sites[i].pause_until_us = 0;
+        env->instances[i].pause_until_us = 0;
         for (int j = 0; j < env->n; j++) {
-            env->sites[i].link_down[j] = 0;
+            env->instances[i].link_down[j] = 0;
         }
     }
     Fw_Run_Trace(env->run, "%8.3f clear faults",
@@ -101,17 +101,16 @@
 {
     for (int i = 0; i < env->n; i++) {
         for (int j = 0; j < env->n; j++) {
-            const struct fw_fleet_env_instance *peer = &env->sites[j];
+            const struct fw_fleet_env_instance *peer = &env->instances[j];
             const struct fw_member *m;
-            if (!env->sites[i].up) {
+            if (!env->instances[i].up) {
                 continue;
             }
-            m = Fw_Fleet_Find(env->sites[i].fleet, peer->self.name);
+            m = Fw_Fleet_Find(env->instances[i].fleet, peer->self.name);
             if (!matches_instance(peer, m)) {
-                Fw_Run_Breach(env->run, "%s has %s, which is %s, in state %d",
-                              env->sites[i].self.name, peer->self.name,
-                              peer->up ? "up" : "down",
-                              m ? (int)m->state : -1);
+                Fw_Run_Fail(env->run, "%s has %s, which is %s, in state %d",
+                            env->instances[i].self.name, peer->self.name,
+                            peer->up ? "up" : "down", m ? (int)m->state : -1);
             }
         }
     }
@@ -123,23 +122,23 @@
     struct fw_fleet_env env;
 
     Fw_FleetEnv_Init(&env, run, INSTANCES);
-    env.lose_pct = 5;
-    env.double_pct = 5;
+    env.loss_pct = 5;
+    env.duplicate_pct = 5;
     env.delay_pct = 5;
     env.delay_max_us = 5 * FW_SEC;
     start_all(&env);
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        Fw_FleetEnv_Advance(&env, Fw_FleetEnv_Below(&env, 1000) * FW_MSEC);
-        if (Fw_FleetEnv_Below(&env, 100) < 10) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
+        Fw_FleetEnv_Advance(&env, Fw_FleetEnv_RandBelow(&env, 1000) * FW_MSEC);
+        if (Fw_FleetEnv_RandBelow(&env, 100) < 10) {
             Fw_FleetEnv_InjectFault(&env);
         }
-        if (Fw_FleetEnv_Below(&env, 100) < 2) {
+        if (Fw_FleetEnv_RandBelow(&env, 100) < 2) {
             Fw_FleetEnv_ClearFaults(&env);
             Fw_FleetEnv_PublishInstances(&env);
-            env.lose_pct = 0;
+            env.loss_pct = 0;
             Fw_FleetEnv_Advance(&env, CONVERGENCE_US);
             check_converged(&env);
-            env.lose_pct = 5;
+            env.loss_pct = 5;
         }
     }
     Fw_FleetEnv_Clear(&env);
@@ -152,16 +151,16 @@
     for (int k = 0; k < (int)FW_ROLE_KINDS; k++) {
         const char *holder = NULL;
         for (int i = 0; i < env->n; i++) {
-            const struct fw_fleet_env_instance *s = &env->sites[i];
-            if (!Fw_FleetEnv_Runs(env, i) ||
+            const struct fw_fleet_env_instance *s = &env->instances[i];
+            if (!Fw_FleetEnv_IsRunning(env, i) ||
                 Fw_Roles_MayAct(s->roles, (enum fw_role_kind)k, 0,
-                                Fw_FleetEnv_Local(env, i), NULL)) {
+                                Fw_FleetEnv_LocalTime(env, i), NULL)) {
                 continue;
             }
             if (holder) {
-                Fw_Run_Breach(
-                    env->run, "at %.3f both %s and %s act on role %d",
-                    (double)env->real_us / FW_SEC, holder, s->self.name, k);
+                Fw_Run_Fail(env->run, "at %.3f both %s and %s act on role %d",
+                            (double)env->real_us / FW_SEC, holder,
+                            s->self.name, k);
             }
             holder = s->self.name;
         }
@@ -175,22 +174,22 @@
 
     Fw_FleetEnv_Init(&env, run, INSTANCES);
     env.use_roles = 1;
-    env.wait_us[FW_ROLE_BUDGET] = 3 * FW_SEC;
-    env.lose_pct = 5;
-    env.double_pct = 5;
+    env.role_wait_us[FW_ROLE_BUDGET] = 3 * FW_SEC;
+    env.loss_pct = 5;
+    env.duplicate_pct = 5;
     env.delay_pct = 5;
     env.delay_max_us = 20 * FW_SEC;
     env.check = check_holders;
     start_all(&env);
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        Fw_FleetEnv_Advance(&env, Fw_FleetEnv_Below(&env, 1000) * FW_MSEC);
-        if (Fw_FleetEnv_Below(&env, 100) < 8) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
+        Fw_FleetEnv_Advance(&env, Fw_FleetEnv_RandBelow(&env, 1000) * FW_MSEC);
+        if (Fw_FleetEnv_RandBelow(&env, 100) < 8) {
             Fw_FleetEnv_InjectFault(&env);
         }
-        if (Fw_FleetEnv_Below(&env, 100) < 4) {
+        if (Fw_FleetEnv_RandBelow(&env, 100) < 4) {
             Fw_FleetEnv_ClearFaults(&env);
         }
-        if (Fw_FleetEnv_Below(&env, 200) < 1 && env.records->len > 3) {
+        if (Fw_FleetEnv_RandBelow(&env, 200) < 1 && env.records->len > 3) {
             env.log_oldest = env.records->len - 2; /* older ones expire */
         }
     }
--- a/explore/p_fleet_item.c
+++ b/explore/p_fleet_delivery.c
@@ -1,5 +1,5 @@
 /* Simulated network and log. */
-#include "explore/p_fleet_item.h"
+#include "explore/p_fleet_delivery.h"
 
 #include <errno.h>
 #include <string.h>
@@ -40,7 +40,7 @@
 {
     int64_t max = LATENCY_MAX_US;
 
-    if (Fw_FleetEnv_Below(env, 100) < env->delay_pct) {
+    if (Fw_FleetEnv_RandBelow(env, 100) < env->delay_pct) {
         max = MAX(env->delay_max_us, LATENCY_MAX_US);
     }
     return FW_MSEC / 2 +
@@ -64,7 +64,7 @@
 find_instance(const struct fw_fleet_env *env, const char *name)
 {
     for (int i = 0; i < env->n; i++) {
-        if (strcmp(env->sites[i].self.name, name) == 0) {
+        if (strcmp(env->instances[i].self.name, name) == 0) {
             return i;
         }
     }
@@ -87,16 +87,16 @@
     msgpack_packer_init(&pk, &buf, msgpack_sbuffer_write);
     Fw_Msg_Pack(&pk, &send->msg);
     bytes = g_bytes_new(buf.data, buf.size);
-    env->n_sent++;
-    env->n_bytes += buf.size;
+    env->msgs_sent++;
+    env->bytes_sent += buf.size;
     env->area_bytes[send->msg.area] += buf.size;
     env->area_msgs[send->msg.area]++;
     msgpack_sbuffer_destroy(&buf);
-    if (env->sites[from].link_down[to] ||
-        Fw_FleetEnv_Below(env, 100) < env->lose_pct) {
+    if (env->instances[from].link_down[to] ||
+        Fw_FleetEnv_RandBelow(env, 100) < env->loss_pct) {
         copies = 0;
     }
-    else if (Fw_FleetEnv_Below(env, 100) < env->double_pct) {
+    else if (Fw_FleetEnv_RandBelow(env, 100) < env->duplicate_pct) {
         copies = 2;
     }
     for (int i = 0; i < copies; i++) {
@@ -114,7 +114,7 @@
     struct fw_fleet_env_delivery *d =
         schedule(env, FW_FLEET_ENV_APPEND, instance);
 
-    d->boot = env->sites[instance].self.boot;
+    d->boot = env->instances[instance].self.boot;
     d->ticket = a->ticket;
     d->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < a->n; i++) {
@@ -128,19 +128,20 @@
     struct fw_fleet_env_delivery *d =
         schedule(env, FW_FLEET_ENV_READ, instance);
 
-    d->boot = env->sites[instance].self.boot;
+    d->boot = env->instances[instance].self.boot;
     d->ticket = r->ticket;
     d->offset = r->from_offset;
-    d->sent_us = Fw_FleetEnv_Local(env, instance);
+    d->sent_us = Fw_FleetEnv_LocalTime(env, instance);
     d->until_us = env->real_us + r->wait_us;
 }
 
 void
-Fw_FleetEnv_Carry(struct fw_fleet_env *env, int i, struct fw_actions *out)
+Fw_FleetEnv_PerformActions(struct fw_fleet_env *env, int i,
+                           struct fw_actions *out)
 {
     struct fw_action *a;
 
-    env->sites[i].wake_us = MIN(env->sites[i].wake_us, out->wake_us);
+    env->instances[i].wake_us = MIN(env->instances[i].wake_us, out->wake_us);
     while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_msg(env, i, &a->u.send);
@@ -160,7 +161,7 @@
             }
             Fw_Run_Trace(env->run, "%8.3f %s %s",
                          (double)env->real_us / FW_SEC,
-                         env->sites[i].self.name, line->str);
+                         env->instances[i].self.name, line->str);
             g_string_free(line, TRUE);
         }
         Fw_Action_Free(a);
@@ -171,15 +172,15 @@
 static void
 deliver_msg(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_fleet_env_instance *s = &env->sites[d->instance];
-    const char *from = env->sites[d->from].self.name;
+    struct fw_fleet_env_instance *s = &env->instances[d->instance];
+    const char *from = env->instances[d->from].self.name;
     struct fw_actions out;
     struct fw_msg msg;
     msgpack_unpacked u;
     gsize size;
     const char *data = g_bytes_get_data(d->msg, &size);
     size_t off = 0;
-    int64_t now = Fw_FleetEnv_Local(env, d->instance);
+    int64_t now = Fw_FleetEnv_LocalTime(env, d->instance);
 
     if (!s->up) {
         return;
@@ -188,7 +189,7 @@
     msgpack_unpacked_init(&u);
     if (msgpack_unpack_next(&u, data, size, &off) != MSGPACK_UNPACK_SUCCESS ||
         Fw_Msg_Unpack(&u.data, &msg)) {
-        Fw_Run_Breach(env->run, "a message could not be decoded");
+        Fw_Run_Fail(env->run, "a message could not be decoded");
     }
     else {
         if (msg.area == FW_AREA_FLEET) {
@@ -200,7 +201,7 @@
         Fw_Msg_Clear(&msg);
     }
     msgpack_unpacked_destroy(&u);
-    Fw_FleetEnv_Carry(env, d->instance, &out);
+    Fw_FleetEnv_PerformActions(env, d->instance, &out);
 }
 
 /* Appends to the log. The answer is an error when the append or the answer is
@@ -213,7 +214,7 @@
 
     back->boot = d->boot;
     back->ticket = d->ticket;
-    if (Fw_FleetEnv_Below(env, 100) < env->lose_pct) { /* append lost */
+    if (Fw_FleetEnv_RandBelow(env, 100) < env->loss_pct) { /* append lost */
         back->err = -EIO;
         back->at_us += APPEND_TIMEOUT_US;
         return;
@@ -229,7 +230,7 @@
         Fw_Run_Trace(env->run, "%8.3f log %u %s",
                      (double)env->real_us / FW_SEC, env->records->len, text);
     }
-    if (Fw_FleetEnv_Below(env, 100) < env->lose_pct) { /* answer lost */
+    if (Fw_FleetEnv_RandBelow(env, 100) < env->loss_pct) { /* answer lost */
         back->err = -EIO;
         back->at_us += APPEND_TIMEOUT_US;
     }
@@ -260,7 +261,7 @@
     back->sent_us = d->sent_us;
     back->offset = from;
     back->until_us = (int64_t)env->records->len + 1; /* end */
-    if (env->log_down || Fw_FleetEnv_Below(env, 100) < env->lose_pct) {
+    if (env->log_down || Fw_FleetEnv_RandBelow(env, 100) < env->loss_pct) {
         back->err = -EIO;
         return;
     }
@@ -274,9 +275,9 @@
 static void
 deliver_log_answer(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_fleet_env_instance *s = &env->sites[d->instance];
+    struct fw_fleet_env_instance *s = &env->instances[d->instance];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(env, d->instance);
+    int64_t now = Fw_FleetEnv_LocalTime(env, d->instance);
 
     if (!s->up || !s->roles || s->self.boot != d->boot) {
         return;
@@ -301,7 +302,7 @@
         };
         Fw_Roles_OnRecords(s->roles, &r, now, &out);
     }
-    Fw_FleetEnv_Carry(env, d->instance, &out);
+    Fw_FleetEnv_PerformActions(env, d->instance, &out);
 }
 
 void
@@ -311,9 +312,9 @@
     int to_instance =
         d->kind != FW_FLEET_ENV_APPEND && d->kind != FW_FLEET_ENV_READ;
 
-    if (to_instance && env->sites[d->instance].up &&
-        !Fw_FleetEnv_Runs(env, d->instance)) {
-        d->at_us = env->sites[d->instance].pause_until_us;
+    if (to_instance && env->instances[d->instance].up &&
+        !Fw_FleetEnv_IsRunning(env, d->instance)) {
+        d->at_us = env->instances[d->instance].pause_until_us;
         return;
     }
     g_ptr_array_remove(env->deliveries, d);
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#include "explore/p_fleet_item.h"
+#include "explore/p_fleet_delivery.h"
 
 #define BOOT_STEP 1000
 
@@ -19,7 +19,7 @@
     env->deliveries = g_ptr_array_new();
     env->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < n; i++) {
-        struct fw_fleet_env_instance *s = &env->sites[i];
+        struct fw_fleet_env_instance *s = &env->instances[i];
         g_snprintf(s->self.name, sizeof(s->self.name), "n%d", i + 1);
         g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", i + 1);
         g_strlcpy(s->self.domain, "d", sizeof(s->self.domain));
@@ -32,7 +32,7 @@
 Fw_FleetEnv_Clear(struct fw_fleet_env *env)
 {
     for (int i = 0; i < env->n; i++) {
-        if (env->sites[i].up) {
+        if (env->instances[i].up) {
             Fw_FleetEnv_Kill(env, i);
         }
     }
@@ -44,37 +44,38 @@
 }
 
 gint32
-Fw_FleetEnv_Below(struct fw_fleet_env *env, gint32 n)
+Fw_FleetEnv_RandBelow(struct fw_fleet_env *env, gint32 n)
 {
     return g_rand_int_range(env->run->rand, 0, n);
 }
 
 int64_t
-Fw_FleetEnv_Local(const struct fw_fleet_env *env, int i)
+Fw_FleetEnv_LocalTime(const struct fw_fleet_env *env, int i)
 {
-    const struct fw_fleet_env_instance *s = &env->sites[i];
+    const struct fw_fleet_env_instance *s = &env->instances[i];
 
     return s->offset_us + env->real_us +
            env->real_us / 1000 * s->drift_ppm / 1000;
 }
 
 int
-Fw_FleetEnv_Runs(const struct fw_fleet_env *env, int i)
+Fw_FleetEnv_IsRunning(const struct fw_fleet_env *env, int i)
 {
-    return env->sites[i].up && env->real_us >= env->sites[i].pause_until_us;
+    return env->instances[i].up &&
+           env->real_us >= env->instances[i].pause_until_us;
 }
 
 void
 Fw_FleetEnv_Start(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->sites[i];
+    struct fw_fleet_env_instance *s = &env->instances[i];
 
     s->self.boot += BOOT_STEP;
     Fw_Metrics_Init(&s->metrics);
     s->fleet = Fw_Fleet_New(&s->self, (uint32_t)(s->self.boot + (uint64_t)i),
                             &s->metrics);
     if (env->use_roles) {
-        s->roles = Fw_Roles_New(&s->self, env->partitions, env->wait_us);
+        s->roles = Fw_Roles_New(&s->self, env->partitions, env->role_wait_us);
     }
     if (env->cfg) {
         s->limit =
@@ -84,14 +85,14 @@
     s->up = 1;
     s->draining = 0;
     s->pause_until_us = 0;
-    s->wake_us = Fw_FleetEnv_Local(env, i);
+    s->wake_us = Fw_FleetEnv_LocalTime(env, i);
     Fw_FleetEnv_PublishInstances(env);
 }
 
 void
 Fw_FleetEnv_Kill(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->sites[i];
+    struct fw_fleet_env_instance *s = &env->instances[i];
 
     g_clear_pointer(&s->limit, Fw_Limit_Free);
     g_clear_pointer(&s->roles, Fw_Roles_Free);
@@ -102,15 +103,15 @@
 void
 Fw_FleetEnv_Pause(struct fw_fleet_env *env, int i, int64_t us)
 {
-    env->sites[i].pause_until_us = env->real_us + us;
+    env->instances[i].pause_until_us = env->real_us + us;
 }
 
 void
 Fw_FleetEnv_Drain(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->sites[i];
+    struct fw_fleet_env_instance *s = &env->instances[i];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(env, i);
+    int64_t now = Fw_FleetEnv_LocalTime(env, i);
 
     Fw_Actions_Init(&out);
     s->draining = 1;
@@ -121,14 +122,14 @@
     if (s->roles) {
         Fw_Roles_Drain(s->roles, s->fleet, now, &out);
     }
-    Fw_FleetEnv_Carry(env, i, &out);
+    Fw_FleetEnv_PerformActions(env, i, &out);
 }
 
 void
-Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int down)
+Fw_FleetEnv_SetLinkDown(struct fw_fleet_env *env, int i, int j, int down)
 {
-    env->sites[i].link_down[j] = down;
-    env->sites[j].link_down[i] = down;
+    env->instances[i].link_down[j] = down;
+    env->instances[j].link_down[i] = down;
 }
 
 void
@@ -140,9 +141,9 @@
 
     memset(entries, 0, sizeof(entries));
     for (int i = 0; i < env->n; i++) {
-        const struct fw_self *self = &env->sites[i].self;
+        const struct fw_self *self = &env->instances[i].self;
         struct fw_registry_entry *e = &entries[listed.n];
-        if (!env->sites[i].up) {
+        if (!env->instances[i].up) {
             continue;
         }
         listed.n++;
@@ -153,13 +154,13 @@
         g_strlcpy(e->region, self->region, sizeof(e->region));
     }
     for (int i = 0; i < env->n; i++) {
-        if (!Fw_FleetEnv_Runs(env, i)) {
+        if (!Fw_FleetEnv_IsRunning(env, i)) {
             continue;
         }
         Fw_Actions_Init(&out);
-        Fw_Fleet_OnListed(env->sites[i].fleet, &listed,
-                          Fw_FleetEnv_Local(env, i), &out);
-        Fw_FleetEnv_Carry(env, i, &out);
+        Fw_Fleet_OnListed(env->instances[i].fleet, &listed,
+                          Fw_FleetEnv_LocalTime(env, i), &out);
+        Fw_FleetEnv_PerformActions(env, i, &out);
     }
 }
 
@@ -167,13 +168,13 @@
 static int64_t
 next_tick_us(const struct fw_fleet_env *env, int i)
 {
-    const struct fw_fleet_env_instance *s = &env->sites[i];
+    const struct fw_fleet_env_instance *s = &env->instances[i];
     int64_t ahead;
 
     if (!s->up || s->wake_us == INT64_MAX) {
         return INT64_MAX;
     }
-    ahead = MAX(s->wake_us - Fw_FleetEnv_Local(env, i), 0);
+    ahead = MAX(s->wake_us - Fw_FleetEnv_LocalTime(env, i), 0);
     ahead += ahead / 1000 + FW_MSEC;
     return MAX(env->real_us + ahead, s->pause_until_us);
 }
@@ -181,9 +182,9 @@
 static void
 tick_instance(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->sites[i];
+    struct fw_fleet_env_instance *s = &env->instances[i];
     struct fw_actions out;
-    int64_t now = Fw_FleetEnv_Local(env, i);
+    int64_t now = Fw_FleetEnv_LocalTime(env, i);
 
     Fw_Actions_Init(&out);
     s->wake_us = INT64_MAX;
@@ -194,7 +195,7 @@
     if (s->limit) {
         Fw_Limit_Tick(s->limit, env->cfg, now, &out);
     }
-    Fw_FleetEnv_Carry(env, i, &out);
+    Fw_FleetEnv_PerformActions(env, i, &out);
 }
 
 /* Performs the next delivery or tick up to @until. Return: 0 for none. */
@@ -236,7 +237,7 @@
 {
     int64_t until = env->real_us + us;
 
-    while (!env->run->breach[0] && perform_next(env, until)) {
+    while (!env->run->failure[0] && perform_next(env, until)) {
     }
     env->real_us = until;
 }
--- a/explore/p_fleet_env.h
+++ b/explore/p_fleet_env.h
@@ -69,20 +69,20 @@
     int64_t real_us;
     int n;
     int partitions;
-    int64_t wait_us[FW_ROLE_KINDS];
-    struct fw_fleet_env_instance sites[FW_FLEET_ENV_INSTANCES_MAX];
+    int64_t role_wait_us[FW_ROLE_KINDS];
+    struct fw_fleet_env_instance instances[FW_FLEET_ENV_INSTANCES_MAX];
     GPtrArray *deliveries;
     GPtrArray *records;
     uint64_t log_oldest;
     int log_down;
-    int lose_pct;
-    int double_pct;
+    int loss_pct;
+    int duplicate_pct;
     int delay_pct;
     int64_t delay_max_us;
     int use_roles;
     const struct fw_config *cfg;
-    uint64_t n_sent;
-    uint64_t n_bytes;
+    uint64_t msgs_sent;
+    uint64_t bytes_sent;
     uint64_t area_bytes[FW_AREA_CONFIG + 1];
     uint64_t area_msgs[FW_AREA_CONFIG + 1];
     void (*check)(struct fw_fleet_env *env, void *arg);
@@ -108,7 +108,7 @@
 Fw_FleetEnv_Drain(struct fw_fleet_env *env, int i);
 /* Cuts the link between two instances in both directions, or restores it. */
 void
-Fw_FleetEnv_Cut(struct fw_fleet_env *env, int i, int j, int down);
+Fw_FleetEnv_SetLinkDown(struct fw_fleet_env *env, int i, int j, int down);
 /* Passes the platform's list, of the instances that are up, to those that are
  * not paused. */
 void
@@ -118,15 +118,16 @@
 Fw_FleetEnv_Advance(struct fw_fleet_env *env, int64_t us);
 /* Return: local time of instance @i. */
 int64_t
-Fw_FleetEnv_Local(const struct fw_fleet_env *env, int i);
+Fw_FleetEnv_LocalTime(const struct fw_fleet_env *env, int i);
 /* Return: nonzero when instance @i is up and not paused. */
 int
-Fw_FleetEnv_Runs(const struct fw_fleet_env *env, int i);
+Fw_FleetEnv_IsRunning(const struct fw_fleet_env *env, int i);
 /* Performs the actions that instance @i asked for and clears @out. */
 void
-Fw_FleetEnv_Carry(struct fw_fleet_env *env, int i, struct fw_actions *out);
+Fw_FleetEnv_PerformActions(struct fw_fleet_env *env, int i,
+                           struct fw_actions *out);
 /* Return: random number from 0 to @n - 1. */
 gint32
-Fw_FleetEnv_Below(struct fw_fleet_env *env, gint32 n);
+Fw_FleetEnv_RandBelow(struct fw_fleet_env *env, gint32 n);
 
 #endif
--- a/explore/p_idem.c
+++ b/explore/p_idem.c
@@ -34,9 +34,10 @@
     }
     g_snprintf(name, sizeof(name), "order-%d%s", key, key % 3 ? "@0" : "");
     Fw_Run_Trace(run, "%8.3f call %u at %d key %s",
-                 (double)env->now_us / FW_SEC, env->tries->len + 1, instance,
+                 (double)env->now_us / FW_SEC, env->calls->len + 1, instance,
                  name);
-    Fw_IdemEnv_Open(env, instance, name, rand_below(run, 20) ? "buy" : "sell");
+    Fw_IdemEnv_SubmitCall(env, instance, name,
+                          rand_below(run, 20) ? "buy" : "sell");
 }
 
 static void
@@ -51,19 +52,19 @@
         env->log.down = !env->log.down;
         break;
     case 1:
-        env->log.lose = 1 + rand_below(run, 3);
+        env->log.lose_answers = 1 + rand_below(run, 3);
         break;
     case 2:
-        env->log.drop = 1 + rand_below(run, 3);
+        env->log.drop_appends = 1 + rand_below(run, 3);
         break;
     case 3:
-        env->log.late = 1 + rand_below(run, 2);
+        env->log.delay_appends = 1 + rand_below(run, 2);
         break;
     case 4:
-        env->log.slow_us = MAX(rand_below(run, 6) - 3, 0) * 700 * FW_MSEC;
+        env->log.latency_us = MAX(rand_below(run, 6) - 3, 0) * 700 * FW_MSEC;
         break;
     default:
-        env->log.retain = 4 + rand_below(run, 200);
+        env->log.retain_records = 4 + rand_below(run, 200);
         break;
     }
     Fw_Run_Trace(run, "%8.3f log %s", (double)env->now_us / FW_SEC,
@@ -76,7 +77,7 @@
     static const char *const names[] = {"kill or start", "pause", "cut"};
     int instance = rand_below(run, env->n);
     int what = rand_below(run, G_N_ELEMENTS(names));
-    struct fw_idem_env_instance *s = &env->sites[instance];
+    struct fw_idem_env_instance *s = &env->instances[instance];
 
     Fw_Run_Trace(run, "%8.3f instance %d: %s", (double)env->now_us / FW_SEC,
                  instance, names[what]);
@@ -90,10 +91,10 @@
         }
         break;
     case 1:
-        s->paused_us = env->now_us + rand_below(run, 15) * FW_SEC;
+        s->paused_until_us = env->now_us + rand_below(run, 15) * FW_SEC;
         break;
     default:
-        s->cut = !s->cut;
+        s->isolated = !s->isolated;
         break;
     }
 }
@@ -104,20 +105,20 @@
 clear_faults(struct fw_run *run, struct fw_idem_env *env)
 {
     env->log.down = 0;
-    env->log.slow_us = 0;
-    env->log.lose = 0;
-    env->log.drop = 0;
-    env->log.late = 0;
+    env->log.latency_us = 0;
+    env->log.lose_answers = 0;
+    env->log.drop_appends = 0;
+    env->log.delay_appends = 0;
     for (int i = 0; i < env->n; i++) {
-        env->sites[i].cut = 0;
+        env->instances[i].isolated = 0;
     }
     Fw_IdemEnv_Advance(env, RECOVERY_US);
-    for (guint i = 0; i < env->tries->len && !env->breach[0]; i++) {
-        const struct fw_idem_env_try *t = g_ptr_array_index(env->tries, i);
-        const struct fw_idem_env_instance *s = &env->sites[t->instance];
+    for (guint i = 0; i < env->calls->len && !env->failure[0]; i++) {
+        const struct fw_idem_env_call *t = g_ptr_array_index(env->calls, i);
+        const struct fw_idem_env_instance *s = &env->instances[t->instance];
 
         if (!t->answered && s->up && s->self.boot == t->boot) {
-            Fw_Run_Breach(run, "call %u was never answered", i + 1);
+            Fw_Run_Fail(run, "call %u was never answered", i + 1);
         }
     }
 }
@@ -129,7 +130,7 @@
     struct fw_idem_env env;
 
     Fw_IdemEnv_Init(&env, FW_IDEM_ENV_INSTANCES, run->trace);
-    for (int step = 0; step < run->steps && !env.breach[0]; step++) {
+    for (int step = 0; step < run->steps && !env.failure[0]; step++) {
         int what = rand_below(run, 20);
 
         env.service = (enum fw_idem_env_service)(
@@ -148,11 +149,11 @@
                                      ? rand_below(run, 60) * FW_MSEC
                                      : rand_below(run, 6) * FW_SEC);
     }
-    if (!env.breach[0]) {
+    if (!env.failure[0]) {
         clear_faults(run, &env);
     }
-    if (env.breach[0]) {
-        Fw_Run_Breach(run, "%s", env.breach);
+    if (env.failure[0]) {
+        Fw_Run_Fail(run, "%s", env.failure);
     }
     Fw_IdemEnv_Clear(&env);
 }
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -1,5 +1,5 @@
 /* Instances, service and event loop of the simulated environment. */
-#include "explore/p_idem_mail.h"
+#include "explore/p_idem_delivery.h"
 
 #include <errno.h>
 #include <string.h>
@@ -30,12 +30,12 @@
     env->trace = trace;
     env->now_us = FW_SEC;
     env->deliveries = g_ptr_array_new_with_free_func(free_delivery);
-    env->tries = g_ptr_array_new_with_free_func(g_free);
+    env->calls = g_ptr_array_new_with_free_func(g_free);
     env->effects =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     env->keys_by_name =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    env->log.retain = 1000000;
+    env->log.retain_records = 1000000;
     for (int i = 0; i < FW_IDEM_ENV_PARTITIONS; i++) {
         env->log.records[i] = g_ptr_array_new_with_free_func(g_free);
         env->log.oldest[i] = 1;
@@ -48,7 +48,7 @@
 void
 Fw_IdemEnv_Kill(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &env->sites[instance];
+    struct fw_idem_env_instance *s = &env->instances[instance];
 
     if (!s->up) {
         return;
@@ -68,7 +68,7 @@
         g_ptr_array_unref(env->log.records[i]);
     }
     g_ptr_array_unref(env->deliveries);
-    g_ptr_array_unref(env->tries);
+    g_ptr_array_unref(env->calls);
     g_hash_table_unref(env->effects);
     g_hash_table_unref(env->keys_by_name);
 }
@@ -76,7 +76,7 @@
 void
 Fw_IdemEnv_Start(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &env->sites[instance];
+    struct fw_idem_env_instance *s = &env->instances[instance];
     struct fw_actions none;
 
     memset(s, 0, sizeof(*s));
@@ -115,7 +115,7 @@
 
     d->kind = kind;
     d->instance = instance;
-    d->boot = env->sites[instance].self.boot;
+    d->boot = env->instances[instance].self.boot;
     d->at_us = env->now_us + delay_us;
     g_ptr_array_add(env->deliveries, d);
     return d;
@@ -125,18 +125,18 @@
 send_peer(struct fw_idem_env *env, int instance, struct fw_peer_send *send)
 {
     for (int i = 0; i < env->n; i++) {
-        struct fw_idem_env_instance *to = &env->sites[i];
+        struct fw_idem_env_instance *to = &env->instances[i];
         struct fw_idem_env_delivery *d;
 
-        if (strcmp(to->self.name, send->to) != 0 || !to->up || to->cut ||
-            env->sites[instance].cut) {
+        if (strcmp(to->self.name, send->to) != 0 || !to->up || to->isolated ||
+            env->instances[instance].isolated) {
             continue;
         }
         d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_MSG, i, FW_IDEM_ENV_HOP_US);
         d->msg = send->msg;
         /* Its pointers have moved to @d; an ACK owns none. */
         send->msg.u.idem.kind = FW_IDEM_OUTCOME_ACK;
-        g_strlcpy(d->sender, env->sites[instance].self.name,
+        g_strlcpy(d->sender, env->instances[instance].self.name,
                   sizeof(d->sender));
         return;
     }
@@ -148,15 +148,15 @@
     struct fw_action *a;
     struct fw_idem_env_delivery *d;
 
-    env->sites[instance].wake_us =
-        MIN(env->sites[instance].wake_us, out->wake_us);
+    env->instances[instance].wake_us =
+        MIN(env->instances[instance].wake_us, out->wake_us);
     while ((a = Fw_Actions_Pop(out))) {
         if (a->kind == FW_ACT_PEER_SEND) {
             send_peer(env, instance, &a->u.send);
         }
         else if (a->kind == FW_ACT_LOG_APPEND) {
             d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_APPEND, instance,
-                                    FW_IDEM_ENV_HOP_US + env->log.slow_us);
+                                    FW_IDEM_ENV_HOP_US + env->log.latency_us);
             d->ticket = a->u.append.ticket;
             d->partition = a->u.append.stream[strlen("idem-")] - '0';
             d->n = a->u.append.n;
@@ -167,7 +167,7 @@
         }
         else if (a->kind == FW_ACT_LOG_READ) {
             d = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_READ, instance,
-                                    FW_IDEM_ENV_HOP_US + env->log.slow_us);
+                                    FW_IDEM_ENV_HOP_US + env->log.latency_us);
             d->ticket = a->u.read.ticket;
             d->partition = a->u.read.stream[strlen("idem-")] - '0';
             d->from = a->u.read.from_offset;
@@ -181,17 +181,18 @@
 static void
 record_failure(struct fw_idem_env *env, const char *what, const char *key)
 {
-    if (!env->breach[0]) {
-        g_snprintf(env->breach, sizeof(env->breach), "%s: key %s", what, key);
+    if (!env->failure[0]) {
+        g_snprintf(env->failure, sizeof(env->failure), "%s: key %s", what,
+                   key);
     }
 }
 
 /* Sends a call whose claim was granted, in the order that src/request uses. */
 static void
-run_call(struct fw_idem_env *env, struct fw_idem_env_try *t, int number,
+run_call(struct fw_idem_env *env, struct fw_idem_env_call *t, int number,
          struct fw_actions *out)
 {
-    struct fw_idem_env_instance *s = &env->sites[t->instance];
+    struct fw_idem_env_instance *s = &env->instances[t->instance];
     int rc = Fw_Idem_BeginRun(s->idem, t->ticket, env->now_us);
     int effects;
 
@@ -233,9 +234,9 @@
                                         "unavailable"};
     struct fw_idem_answer ans;
 
-    while (Fw_Idem_TakeAnswer(env->sites[instance].idem, &ans)) {
-        struct fw_idem_env_try *t =
-            g_ptr_array_index(env->tries, (guint)ans.ticket - 1);
+    while (Fw_Idem_TakeAnswer(env->instances[instance].idem, &ans)) {
+        struct fw_idem_env_call *t =
+            g_ptr_array_index(env->calls, (guint)ans.ticket - 1);
         gsize len = 0;
         const char *body = ans.body ? g_bytes_get_data(ans.body, &len) : "";
 
@@ -268,10 +269,10 @@
 static void
 finish_calls(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
-    struct fw_idem_env_instance *s = &env->sites[instance];
+    struct fw_idem_env_instance *s = &env->instances[instance];
 
-    for (guint i = 0; i < env->tries->len; i++) {
-        struct fw_idem_env_try *t = g_ptr_array_index(env->tries, i);
+    for (guint i = 0; i < env->calls->len; i++) {
+        struct fw_idem_env_call *t = g_ptr_array_index(env->calls, i);
         GBytes *body;
 
         if (t->instance != instance || t->boot != s->self.boot ||
@@ -302,7 +303,7 @@
 static void
 tick(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &env->sites[instance];
+    struct fw_idem_env_instance *s = &env->instances[instance];
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
@@ -332,19 +333,19 @@
 }
 
 void
-Fw_IdemEnv_Open(struct fw_idem_env *env, int instance, const char *name,
-                const char *body)
+Fw_IdemEnv_SubmitCall(struct fw_idem_env *env, int instance, const char *name,
+                      const char *body)
 {
-    struct fw_idem_env_instance *s = &env->sites[instance];
-    struct fw_idem_env_try *t;
+    struct fw_idem_env_instance *s = &env->instances[instance];
+    struct fw_idem_env_call *t;
     struct fw_actions out;
 
-    if (!s->up || s->paused_us > env->now_us) {
+    if (!s->up || s->paused_until_us > env->now_us) {
         return;
     }
-    t = g_new0(struct fw_idem_env_try, 1);
-    g_ptr_array_add(env->tries, t);
-    t->ticket = env->tries->len;
+    t = g_new0(struct fw_idem_env_call, 1);
+    g_ptr_array_add(env->calls, t);
+    t->ticket = env->calls->len;
     t->instance = instance;
     t->boot = s->self.boot;
     g_strlcpy(t->key, resolve_key(env, name), sizeof(t->key));
@@ -357,7 +358,7 @@
 static void
 deliver(struct fw_idem_env *env, struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_instance *s = &env->sites[d->instance];
+    struct fw_idem_env_instance *s = &env->instances[d->instance];
     struct fw_log_appended app = {.ticket = d->ticket, .err = d->err};
     struct fw_log_records rec = {.ticket = d->ticket, .err = d->err};
     struct fw_actions out;
@@ -401,7 +402,7 @@
     if (d->kind == FW_IDEM_ENV_APPEND || d->kind == FW_IDEM_ENV_READ) {
         return d->at_us;
     }
-    return MAX(d->at_us, env->sites[d->instance].paused_us);
+    return MAX(d->at_us, env->instances[d->instance].paused_until_us);
 }
 
 /* Finds the next event up to @until_us and advances the time to it. Return: a
@@ -422,10 +423,10 @@
         }
     }
     for (int i = 0; i < env->n; i++) {
-        struct fw_idem_env_instance *s = &env->sites[i];
+        struct fw_idem_env_instance *s = &env->instances[i];
 
-        if (s->up && MAX(s->wake_us, s->paused_us) < at) {
-            at = MAX(s->wake_us, s->paused_us);
+        if (s->up && MAX(s->wake_us, s->paused_until_us) < at) {
+            at = MAX(s->wake_us, s->paused_until_us);
             best = NULL;
             *tick_instance = i;
         }
--- a/explore/p_idem_env.h
+++ b/explore/p_idem_env.h
@@ -32,8 +32,8 @@
     struct fw_idem *idem;
     struct fw_metrics metrics;
     int up;
-    int cut;
-    int64_t paused_us;
+    int isolated;
+    int64_t paused_until_us;
     int64_t wake_us;
 };
 
@@ -48,7 +48,7 @@
  * @finish_us: when the service's response arrives, 0 for none pending
  * @ran: result to report with the response
  */
-struct fw_idem_env_try {
+struct fw_idem_env_call {
     uint64_t ticket;
     int instance;
     uint64_t boot;
@@ -75,11 +75,11 @@
     GPtrArray *records[FW_IDEM_ENV_PARTITIONS];
     uint64_t oldest[FW_IDEM_ENV_PARTITIONS];
     int down;
-    int lose;
-    int drop;
-    int late;
-    int retain;
-    int64_t slow_us;
+    int lose_answers;
+    int drop_appends;
+    int delay_appends;
+    int retain_records;
+    int64_t latency_us;
     int appends;
 };
 
@@ -96,16 +96,16 @@
  */
 struct fw_idem_env {
     int n;
-    struct fw_idem_env_instance sites[FW_IDEM_ENV_INSTANCES];
+    struct fw_idem_env_instance instances[FW_IDEM_ENV_INSTANCES];
     struct fw_idem_env_log log;
     GPtrArray *deliveries;
-    GPtrArray *tries;
+    GPtrArray *calls;
     GHashTable *effects;
     GHashTable *keys_by_name;
     enum fw_idem_env_service service;
     int64_t now_us;
     GString *trace;
-    char breach[200];
+    char failure[200];
 };
 
 /* Starts @n instances. */
@@ -125,8 +125,8 @@
  * seconds ago and carries its time of issue.
  */
 void
-Fw_IdemEnv_Open(struct fw_idem_env *env, int instance, const char *name,
-                const char *body);
+Fw_IdemEnv_SubmitCall(struct fw_idem_env *env, int instance, const char *name,
+                      const char *body);
 void
 Fw_IdemEnv_Advance(struct fw_idem_env *env, int64_t us);
 
--- a/explore/p_idem_log.c
+++ b/explore/p_idem_log.c
@@ -1,7 +1,7 @@
 /* Simulated log: it can be down and lose, drop or delay appends. */
 #include <errno.h>
 
-#include "explore/p_idem_mail.h"
+#include "explore/p_idem_delivery.h"
 
 #define FW_APPEND_DELAY_US (8 * FW_SEC)
 #define FW_APPEND_TIMEOUT_US (5 * FW_SEC)
@@ -14,8 +14,8 @@
     for (int i = 0; i < d->n; i++) {
         g_ptr_array_add(recs, g_strdup(d->records[i]));
     }
-    if ((int)recs->len > env->log.retain) {
-        guint drop = recs->len - (guint)env->log.retain;
+    if ((int)recs->len > env->log.retain_records) {
+        guint drop = recs->len - (guint)env->log.retain_records;
 
         g_ptr_array_remove_range(recs, 0, drop);
         env->log.oldest[d->partition] += drop;
@@ -44,21 +44,21 @@
     if (l->down) {
         back->err = -EAGAIN;
     }
-    else if (l->lose > 0) {
-        l->lose--;
+    else if (l->lose_answers > 0) {
+        l->lose_answers--;
         back->err = -EIO;
         back->at_us += FW_APPEND_TIMEOUT_US;
         store_records(env, d);
     }
-    else if (l->drop > 0) {
-        l->drop--;
+    else if (l->drop_appends > 0) {
+        l->drop_appends--;
         back->err = -EIO;
     }
-    else if (l->late > 0) {
+    else if (l->delay_appends > 0) {
         struct fw_idem_env_delivery *again = Fw_IdemEnv_Schedule(
             env, FW_IDEM_ENV_APPEND, d->instance, FW_APPEND_DELAY_US);
 
-        l->late--;
+        l->delay_appends--;
         back->err = -EIO;
         again->partition = d->partition;
         again->n = d->n;
--- a/explore/p_limit.c
+++ b/explore/p_limit.c
@@ -20,37 +20,38 @@
 
     Fw_FleetEnv_Init(&env, run, INSTANCES);
     Fw_LimitCheck_Init(&c, &env, LEASE_US);
-    c.strict = 1;
-    busy = Fw_FleetEnv_Below(&env, 2);
-    refunds = Fw_FleetEnv_Below(&env, 2); /* the check is stricter without */
-    env.lose_pct = 3;
-    env.double_pct = 8;
+    c.fail_on_overspend = 1;
+    busy = Fw_FleetEnv_RandBelow(&env, 2);
+    refunds =
+        Fw_FleetEnv_RandBelow(&env, 2); /* the check is stricter without */
+    env.loss_pct = 3;
+    env.duplicate_pct = 8;
     env.delay_pct = 4;
     env.delay_max_us = 40 * FW_SEC; /* longer than a lease */
     for (int i = 0; i < INSTANCES; i++) {
-        env.sites[i].drift_ppm =
-            Fw_FleetEnv_Below(&env, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
+        env.instances[i].drift_ppm =
+            Fw_FleetEnv_RandBelow(&env, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
         Fw_FleetEnv_Start(&env, i);
     }
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
-        int team = Fw_FleetEnv_Below(&env, FW_ACCOUNT_TEAMS);
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
+        int team = Fw_FleetEnv_RandBelow(&env, FW_LIMIT_CHECK_TEAMS);
         int in_burst = busy && s % 200 < 100;
-        int asks = Fw_FleetEnv_Below(&env, in_burst ? 40 : 4);
-        Fw_FleetEnv_Advance(&env, Fw_FleetEnv_Below(&env, 800) * FW_MSEC);
+        int asks = Fw_FleetEnv_RandBelow(&env, in_burst ? 40 : 4);
+        Fw_FleetEnv_Advance(&env, Fw_FleetEnv_RandBelow(&env, 800) * FW_MSEC);
         for (int i = 0; i < asks; i++) {
             int64_t max_tokens =
                 c.accounts[team].team.burst / (in_burst ? 100 : 4);
-            Fw_LimitCheck_Ask(&c, &env, Fw_FleetEnv_Below(&env, INSTANCES),
-                              team,
-                              1 + Fw_FleetEnv_Below(&env, (gint32)max_tokens));
+            Fw_LimitCheck_Request(
+                &c, &env, Fw_FleetEnv_RandBelow(&env, INSTANCES), team,
+                1 + Fw_FleetEnv_RandBelow(&env, (gint32)max_tokens));
         }
-        if (refunds && Fw_FleetEnv_Below(&env, 100) < 20) {
+        if (refunds && Fw_FleetEnv_RandBelow(&env, 100) < 20) {
             Fw_LimitCheck_RefundRandom(&c, &env);
         }
-        if (Fw_FleetEnv_Below(&env, 100) < 3) {
+        if (Fw_FleetEnv_RandBelow(&env, 100) < 3) {
             Fw_FleetEnv_InjectFault(&env);
         }
-        if (Fw_FleetEnv_Below(&env, 100) < 2) {
+        if (Fw_FleetEnv_RandBelow(&env, 100) < 2) {
             Fw_FleetEnv_ClearFaults(&env);
         }
     }
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -8,7 +8,7 @@
 #include "explore/explore.h"
 #include "explore/p_fleet_env.h"
 
-#define FW_ACCOUNT_TEAMS 2
+#define FW_LIMIT_CHECK_TEAMS 2
 
 /**
  * struct fw_account - reference token bucket of a team, in real time.
@@ -30,7 +30,7 @@
 
 /* Refills the bucket for the time up to @real_us. */
 void
-Fw_Account_Settle(struct fw_account *a, int64_t real_us);
+Fw_Account_Refill(struct fw_account *a, int64_t real_us);
 
 /**
  * struct fw_limit_check_grant - a granted request that may be refunded.
@@ -67,14 +67,14 @@
  * @fail_on_overspend: the first excess fails the run
  */
 struct fw_limit_check {
-    struct fw_account accounts[FW_ACCOUNT_TEAMS];
+    struct fw_account accounts[FW_LIMIT_CHECK_TEAMS];
     uint64_t ticket;
     GArray *pending;
     GArray *granted;
     GArray *refunds;
-    int64_t over;
+    int64_t overspent_tokens;
     int64_t retry_us;
-    int strict;
+    int fail_on_overspend;
 };
 
 /**
@@ -99,12 +99,12 @@
 Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *env);
 /* Requests tokens on an instance; does nothing when it is not running. */
 void
-Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *env,
-                  int instance, int team, int64_t tokens);
+Fw_LimitCheck_Request(struct fw_limit_check *c, struct fw_fleet_env *env,
+                      int instance, int team, int64_t tokens);
 /* Refunds tokens on an instance, which must be running. */
 void
-Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *env,
-                        int instance, int team, int64_t tokens);
+Fw_LimitCheck_RefundTokens(struct fw_limit_check *c, struct fw_fleet_env *env,
+                           int instance, int team, int64_t tokens);
 /* Refunds a random part of a random grant, unless its instance is down, paused
  * or was restarted. */
 void
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -9,7 +9,7 @@
 #define REFUND_DELAY_MAX_US (5 * FW_SEC)
 
 void
-Fw_Account_Settle(struct fw_account *a, int64_t real_us)
+Fw_Account_Refill(struct fw_account *a, int64_t real_us)
 {
     double dt = (double)MAX(real_us - a->at_us, 0) / FW_SEC;
 
@@ -48,7 +48,7 @@
         if (real_us < r.until_us) {
             continue;
         }
-        Fw_Account_Settle(a, r.until_us);
+        Fw_Account_Refill(a, r.until_us);
         a->level = MIN(a->level + r.tokens, (double)a->team.burst);
         g_array_remove_index(c->refunds, i - 1);
     }
@@ -61,17 +61,17 @@
     struct fw_account *a = &c->accounts[req->team];
     struct fw_limit_check_grant grant = {
         .instance = req->instance,
-        .boot = env->sites[req->instance].self.boot,
+        .boot = env->instances[req->instance].self.boot,
         .team = req->team,
         .tokens = req->tokens};
 
     apply_due_refunds(c, env->real_us);
-    Fw_Account_Settle(a, env->real_us);
+    Fw_Account_Refill(a, env->real_us);
     a->level -= (double)req->tokens;
     a->spent += req->tokens;
     Fw_Run_Trace(
         env->run, "%8.3f %s spends %" G_GINT64_FORMAT " of %s, leaving %.0f",
-        (double)env->real_us / FW_SEC, env->sites[req->instance].self.name,
+        (double)env->real_us / FW_SEC, env->instances[req->instance].self.name,
         req->tokens, a->team.name, a->level);
     a->granted++;
     g_array_append_val(c->granted, grant);
@@ -79,13 +79,13 @@
         a->level = -cover_from_refunds(c, req->team, -a->level);
     }
     if (a->level < -1.0) {
-        c->over += (int64_t)-a->level;
-        if (c->strict) {
-            Fw_Run_Breach(env->run,
-                          "at %.3f team %s spent %.0f tokens over its rate "
-                          "and burst",
-                          (double)env->real_us / FW_SEC, a->team.name,
-                          -a->level);
+        c->overspent_tokens += (int64_t)-a->level;
+        if (c->fail_on_overspend) {
+            Fw_Run_Fail(env->run,
+                        "at %.3f team %s spent %.0f tokens over its rate "
+                        "and burst",
+                        (double)env->real_us / FW_SEC, a->team.name,
+                        -a->level);
         }
         a->level = 0;
     }
@@ -107,14 +107,14 @@
             on_granted(c, env, &req);
         }
         else {
-            Fw_Account_Settle(a, env->real_us);
+            Fw_Account_Refill(a, env->real_us);
             a->refused++;
             c->retry_us = ans->retry_after_us;
             a->wrongful += a->level >= (double)req.tokens;
         }
         return;
     }
-    Fw_Run_Breach(env->run, "an answer for an unknown request");
+    Fw_Run_Fail(env->run, "an answer for an unknown request");
 }
 
 static void
@@ -124,8 +124,8 @@
     struct fw_limit_answer ans;
 
     for (int i = 0; i < env->n; i++) {
-        while (Fw_FleetEnv_Runs(env, i) &&
-               Fw_Limit_TakeAnswer(env->sites[i].limit, &ans)) {
+        while (Fw_FleetEnv_IsRunning(env, i) &&
+               Fw_Limit_TakeAnswer(env->instances[i].limit, &ans)) {
             on_answer(c, env, i, &ans);
         }
     }
@@ -160,7 +160,7 @@
     add_team(c, 0, cfg->teams, "large", 1000, 5000);
     add_team(c, 1, cfg->teams, "small", 40, 400);
     env->use_roles = 1;
-    env->wait_us[FW_ROLE_BUDGET] = term_us;
+    env->role_wait_us[FW_ROLE_BUDGET] = term_us;
     env->cfg = cfg;
     env->check = take_answers;
     env->arg = c;
@@ -180,8 +180,8 @@
 }
 
 void
-Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *env,
-                  int instance, int team, int64_t tokens)
+Fw_LimitCheck_Request(struct fw_limit_check *c, struct fw_fleet_env *env,
+                      int instance, int team, int64_t tokens)
 {
     struct fw_limit_check_request req = {.ticket = ++c->ticket,
                                          .instance = instance,
@@ -189,21 +189,21 @@
                                          .tokens = tokens};
     struct fw_actions out;
 
-    if (!Fw_FleetEnv_Runs(env, instance)) {
+    if (!Fw_FleetEnv_IsRunning(env, instance)) {
         return;
     }
     g_array_append_val(c->pending, req);
     Fw_Actions_Init(&out);
-    Fw_Limit_Request(env->sites[instance].limit, &c->accounts[team].team,
-                     req.ticket, tokens, Fw_FleetEnv_Local(env, instance),
+    Fw_Limit_Request(env->instances[instance].limit, &c->accounts[team].team,
+                     req.ticket, tokens, Fw_FleetEnv_LocalTime(env, instance),
                      &out);
-    Fw_FleetEnv_Carry(env, instance, &out);
+    Fw_FleetEnv_PerformActions(env, instance, &out);
     take_answers(env, c);
 }
 
 void
-Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *env,
-                        int instance, int team, int64_t tokens)
+Fw_LimitCheck_RefundTokens(struct fw_limit_check *c, struct fw_fleet_env *env,
+                           int instance, int team, int64_t tokens)
 {
     struct fw_account *a = &c->accounts[team];
     struct fw_limit_check_refund refund = {
@@ -215,12 +215,12 @@
 
     g_array_append_val(c->refunds, refund);
     Fw_Run_Trace(env->run, "%8.3f %s refunds %" G_GINT64_FORMAT " of %s",
-                 (double)env->real_us / FW_SEC, env->sites[instance].self.name,
-                 tokens, a->team.name);
+                 (double)env->real_us / FW_SEC,
+                 env->instances[instance].self.name, tokens, a->team.name);
     Fw_Actions_Init(&out);
-    Fw_Limit_Refund(env->sites[instance].limit, &a->team, tokens,
-                    Fw_FleetEnv_Local(env, instance), &out);
-    Fw_FleetEnv_Carry(env, instance, &out);
+    Fw_Limit_Refund(env->instances[instance].limit, &a->team, tokens,
+                    Fw_FleetEnv_LocalTime(env, instance), &out);
+    Fw_FleetEnv_PerformActions(env, instance, &out);
 }
 
 void
@@ -232,14 +232,15 @@
     if (c->granted->len == 0) {
         return;
     }
-    i = (guint)Fw_FleetEnv_Below(env, (gint32)c->granted->len);
+    i = (guint)Fw_FleetEnv_RandBelow(env, (gint32)c->granted->len);
     grant = g_array_index(c->granted, struct fw_limit_check_grant, i);
     g_array_remove_index_fast(c->granted, i);
-    if (!Fw_FleetEnv_Runs(env, grant.instance) ||
-        env->sites[grant.instance].self.boot != grant.boot ||
+    if (!Fw_FleetEnv_IsRunning(env, grant.instance) ||
+        env->instances[grant.instance].self.boot != grant.boot ||
         grant.tokens == 0) {
         return;
     }
-    Fw_LimitCheck_RefundNow(c, env, grant.instance, grant.team,
-                            Fw_FleetEnv_Below(env, (gint32)grant.tokens));
+    Fw_LimitCheck_RefundTokens(
+        c, env, grant.instance, grant.team,
+        Fw_FleetEnv_RandBelow(env, (gint32)grant.tokens));
 }
--- a/explore/p_order.c
+++ b/explore/p_order.c
@@ -29,10 +29,10 @@
         char name[8];
 
         g_snprintf(name, sizeof(name), "e%d", i);
-        Fw_OrderEnv_Engine(env, name, draw_role(run),
-                           i % 2 ? "prefill" : "decode",
-                           rand_below(run, 2) ? "m@1" : "m@0")
-            ->checks = rand_below(run, 2);
+        Fw_OrderEnv_AddEngine(env, name, draw_role(run),
+                              i % 2 ? "prefill" : "decode",
+                              rand_below(run, 2) ? "m@1" : "m@0")
+            ->checks_fence = rand_below(run, 2);
     }
 }
 
@@ -96,8 +96,7 @@
         prefill += strcmp(env->engines[i].role, "prefill") == 0;
     }
     if (prefill == 0 || prefill == env->n_engines) {
-        Fw_Run_Breach(run, "no %s engine left",
-                      prefill ? "decode" : "prefill");
+        Fw_Run_Fail(run, "no %s engine left", prefill ? "decode" : "prefill");
     }
 }
 
@@ -105,7 +104,7 @@
 check_fences(struct fw_run *run, const struct fw_order_env *env)
 {
     if (env->fence_regressed) {
-        Fw_Run_Breach(run, "an engine executed an order with an older fence");
+        Fw_Run_Fail(run, "an engine executed an order with an older fence");
     }
 }
 
@@ -120,11 +119,11 @@
     Fw_OrderEnv_Start(env, 1);
     env->holders[1].paused = 1;
     env->poll_delay_us = 500 * FW_MSEC;
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         char *lines;
 
-        Fw_OrderEnv_Run(env, (1 + rand_below(run, 50)) * 100 * FW_MSEC);
-        lines = Fw_OrderEnv_Journal(env);
+        Fw_OrderEnv_Advance(env, (1 + rand_below(run, 50)) * 100 * FW_MSEC);
+        lines = Fw_OrderEnv_TakeJournal(env);
         if (lines[0]) {
             Fw_Run_Trace(run, "%8.1f %s", (double)env->now_us / FW_SEC,
                          g_strchomp(lines));
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -96,9 +96,9 @@
 }
 
 struct fw_order_env_engine *
-Fw_OrderEnv_Engine(struct fw_order_env *env, const char *name,
-                   const char *role, const char *current_role,
-                   const char *models)
+Fw_OrderEnv_AddEngine(struct fw_order_env *env, const char *name,
+                      const char *role, const char *current_role,
+                      const char *models)
 {
     struct fw_order_env_engine *e = &env->engines[env->n_engines++];
     char **names = g_strsplit(models, " ", -1);
@@ -106,7 +106,7 @@
     Fw_OrderEnv_SetConfiguredRole(env, name, role);
     g_strlcpy(e->name, name, sizeof(e->name));
     g_strlcpy(e->role, current_role, sizeof(e->role));
-    e->checks = 1;
+    e->checks_fence = 1;
     for (int i = 0; names[i]; i++) {
         if (names[i][0]) {
             g_strlcpy(e->models[e->n_models++], names[i],
@@ -170,8 +170,8 @@
 
     g_snprintf(ref, sizeof(ref), "%s@%s%s%s", o->model, o->version,
                o->adapter[0] ? "+" : "", o->adapter);
-    env->fence_regressed |= o->fence < e->fence;
-    e->fence = MAX(e->fence, o->fence);
+    env->fence_regressed |= o->fence < e->max_fence;
+    e->max_fence = MAX(e->max_fence, o->fence);
     switch (o->op) {
     case FW_ORDER_LOAD_MODEL:
     case FW_ORDER_LOAD_ADAPTER:
@@ -205,7 +205,7 @@
 
     ev->phase = FW_UP_FAILED;
     ev->ran = FW_RAN_NO;
-    if (e->checks && o->fence < e->fence) {
+    if (e->checks_fence && o->fence < e->max_fence) {
         ev->status = 409;
         add_journal_line(env, c, "old fence");
         return;
@@ -383,7 +383,7 @@
 }
 
 void
-Fw_OrderEnv_Run(struct fw_order_env *env, int64_t us)
+Fw_OrderEnv_Advance(struct fw_order_env *env, int64_t us)
 {
     int64_t until = env->now_us + us;
 
@@ -406,7 +406,7 @@
 }
 
 char *
-Fw_OrderEnv_Journal(struct fw_order_env *env)
+Fw_OrderEnv_TakeJournal(struct fw_order_env *env)
 {
     char *text = g_strdup(env->journal->str);
 
@@ -415,7 +415,7 @@
 }
 
 int
-Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *env)
+Fw_OrderEnv_CountPendingOrders(const struct fw_order_env *env)
 {
     int n = 0;
 
--- a/explore/p_order_env.h
+++ b/explore/p_order_env.h
@@ -30,8 +30,8 @@
     int n_models;
     int busy;
     int down;
-    int checks;
-    uint64_t fence;
+    int checks_fence;
+    uint64_t max_fence;
 };
 
 /**
@@ -89,24 +89,24 @@
 /* Adds an engine to pool "p". @role: configured role; @current_role: role that
  * it reports; @models: loaded models, separated by spaces. */
 struct fw_order_env_engine *
-Fw_OrderEnv_Engine(struct fw_order_env *env, const char *name,
-                   const char *role, const char *current_role,
-                   const char *models);
+Fw_OrderEnv_AddEngine(struct fw_order_env *env, const char *name,
+                      const char *role, const char *current_role,
+                      const char *models);
 /* Starts or restarts an instance with empty state. */
 void
 Fw_OrderEnv_Start(struct fw_order_env *env, int holder);
 /* Advances the time by @us, rounded up to 100 ms. */
 void
-Fw_OrderEnv_Run(struct fw_order_env *env, int64_t us);
+Fw_OrderEnv_Advance(struct fw_order_env *env, int64_t us);
 /* Configures the engine @name of pool "p" with @role. */
 void
 Fw_OrderEnv_SetConfiguredRole(struct fw_order_env *env, const char *name,
                               const char *role);
 /* Return: number of orders without an answer. */
 int
-Fw_OrderEnv_OrdersUnderWay(const struct fw_order_env *env);
+Fw_OrderEnv_CountPendingOrders(const struct fw_order_env *env);
 /* Return: the journal since the last call, to be freed with g_free. */
 char *
-Fw_OrderEnv_Journal(struct fw_order_env *env);
+Fw_OrderEnv_TakeJournal(struct fw_order_env *env);
 
 #endif
--- a/explore/p_request.c
+++ b/explore/p_request.c
@@ -23,7 +23,7 @@
     struct fw_request_env_op *op;
 
     env->no_faults = 1;
-    for (int i = 0; i < FW_SETTLE_ROUNDS && !env->run->breach[0]; i++) {
+    for (int i = 0; i < FW_SETTLE_ROUNDS && !env->run->failure[0]; i++) {
         for (int j = 0;
              j < FW_OPS_PER_ROUND && (op = Fw_RequestEnv_RandomOp(env)); j++) {
             Fw_RequestEnv_AnswerOp(env, op, 1);
@@ -66,19 +66,19 @@
     int withdraw_at = g_rand_int_range(run->rand, 0, run->steps * 2);
 
     Fw_RequestEnv_Init(&env, run);
-    for (int i = 0; i < run->steps && !run->breach[0]; i++) {
+    for (int i = 0; i < run->steps && !run->failure[0]; i++) {
         if (i == withdraw_at) {
             Fw_RequestEnv_WithdrawKey(&env);
         }
         random_step(&env);
     }
-    for (int i = 0; i < env.n_callers && !run->breach[0]; i++) {
+    for (int i = 0; i < env.n_callers && !run->failure[0]; i++) {
         Fw_RequestEnv_CloseCall(&env, i);
     }
     settle(&env);
-    if (!run->breach[0] && Fw_RequestEnv_CountHeld(&env) > 0) {
-        Fw_Run_Breach(run, "engines still hold %d requests without a caller",
-                      Fw_RequestEnv_CountHeld(&env));
+    if (!run->failure[0] && Fw_RequestEnv_CountHeld(&env) > 0) {
+        Fw_Run_Fail(run, "engines still hold %d requests without a caller",
+                    Fw_RequestEnv_CountHeld(&env));
     }
     Fw_RequestEnv_Fini(&env);
 }
@@ -115,21 +115,21 @@
 
     Fw_RequestEnv_Init(&env, run);
     env.no_faults = 1;
-    for (int i = 0; i < run->steps && !run->breach[0]; i++) {
+    for (int i = 0; i < run->steps && !run->failure[0]; i++) {
         random_step_without_faults(&env);
     }
-    if (!run->breach[0]) {
+    if (!run->failure[0]) {
         Fw_RequestEnv_Drain(&env);
         Fw_RequestEnv_Advance(&env, FW_HANDOVER_WAIT_US);
     }
     settle(&env);
-    for (int i = 0; i < env.n_callers && !run->breach[0]; i++) {
+    for (int i = 0; i < env.n_callers && !run->failure[0]; i++) {
         if (env.callers[i].open) {
-            Fw_Run_Breach(run, "caller %d is never answered", i);
+            Fw_Run_Fail(run, "caller %d is never answered", i);
         }
     }
-    if (!run->breach[0] && !env.exited) {
-        Fw_Run_Breach(run, "the drained instance never exits");
+    if (!run->failure[0] && !env.exited) {
+        Fw_Run_Fail(run, "the drained instance never exits");
     }
     Fw_RequestEnv_Fini(&env);
 }
--- a/explore/p_request_callers.c
+++ b/explore/p_request_callers.c
@@ -11,9 +11,9 @@
     struct fw_request_env_caller *c = &env->callers[call - 1];
 
     if (!c->open) {
-        Fw_Run_Breach(env->run,
-                      "caller %" PRIu64 " gets data after its call ended",
-                      call - 1);
+        Fw_Run_Fail(env->run,
+                    "caller %" PRIu64 " gets data after its call ended",
+                    call - 1);
     }
     return c;
 }
@@ -27,9 +27,8 @@
         g_strdup_printf("%" PRIu64 "/%d ", p->call - 1, c->n_pieces);
 
     if (p->index != c->n_pieces || strcmp(p->text, expected) != 0) {
-        Fw_Run_Breach(env->run,
-                      "caller %" PRIu64 " got piece %s instead of %s",
-                      p->call - 1, p->text, expected);
+        Fw_Run_Fail(env->run, "caller %" PRIu64 " got piece %s instead of %s",
+                    p->call - 1, p->text, expected);
     }
     c->n_pieces++;
     g_free(expected);
@@ -44,14 +43,13 @@
     Fw_Run_Trace(env->run, "caller %" PRIu64 " fails: %s, ran %s", f->call - 1,
                  f->code, Fw_Ran_Name(f->ran));
     if (env->draining && f->ran != FW_RAN_NO) {
-        Fw_Run_Breach(env->run,
-                      "caller %" PRIu64 " fails because of the drain",
-                      f->call - 1);
+        Fw_Run_Fail(env->run, "caller %" PRIu64 " fails because of the drain",
+                    f->call - 1);
     }
     if (f->ran == FW_RAN_NO && c->started) {
-        Fw_Run_Breach(env->run,
-                      "caller %" PRIu64 " is told \"not run\" after it ran",
-                      f->call - 1);
+        Fw_Run_Fail(env->run,
+                    "caller %" PRIu64 " is told \"not run\" after it ran",
+                    f->call - 1);
     }
 }
 
@@ -63,9 +61,8 @@
     c->open = 0;
     Fw_Run_Trace(env->run, "caller %" PRIu64 " is complete", e->call - 1);
     if (c->n_pieces != FW_REQUEST_ENV_PIECES) {
-        Fw_Run_Breach(env->run,
-                      "caller %" PRIu64 " is complete with %d pieces",
-                      e->call - 1, c->n_pieces);
+        Fw_Run_Fail(env->run, "caller %" PRIu64 " is complete with %d pieces",
+                    e->call - 1, c->n_pieces);
     }
 }
 
@@ -75,8 +72,8 @@
     env->exited = 1;
     for (int i = 0; i < env->n_callers; i++) {
         if (env->callers[i].open) {
-            Fw_Run_Breach(env->run, "the instance exits while caller %d waits",
-                          i);
+            Fw_Run_Fail(env->run, "the instance exits while caller %d waits",
+                        i);
         }
     }
 }
@@ -172,7 +169,7 @@
     add_key(items, "key-a", 0, 0);
     g_string_append_c(items, ',');
     add_key(items, "key-b", 0, 0);
-    Fw_MemLog_Change(&env->log, items->str);
+    Fw_MemLog_AppendChange(&env->log, items->str);
     g_string_free(items, TRUE);
 }
 
@@ -182,15 +179,15 @@
     GString *items = g_string_new(NULL);
 
     add_key(items, "key-a", 1, 1);
-    Fw_MemLog_Change(&env->log, items->str);
+    Fw_MemLog_AppendChange(&env->log, items->str);
     g_string_free(items, TRUE);
     Fw_Run_Trace(env->run, "key-a is withdrawn");
     Fw_RequestEnv_Advance(env, 1);
     env->withdrawn = 1;
     for (int i = 0; i < env->n_callers; i++) {
         if (env->callers[i].open && env->callers[i].key[4] == 'a') {
-            Fw_Run_Breach(env->run,
-                          "caller %d is still served with a withdrawn key", i);
+            Fw_Run_Fail(env->run,
+                        "caller %d is still served with a withdrawn key", i);
         }
     }
 }
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -22,7 +22,7 @@
 
     Fw_Actions_Init(&out);
     if (Fw_Node_Step(env->node, ev, env->now_us, &out)) {
-        Fw_Run_Breach(env->run, "the instance rejected an event");
+        Fw_Run_Fail(env->run, "the instance rejected an event");
     }
     env->wake_us = out.wake_us;
     perform_actions(env, &out);
@@ -137,12 +137,12 @@
         op->caller = parse_caller(up->u.prefill.prompt);
         if (strcmp(up->u.prefill.team, env->callers[op->caller].key + 4) !=
             0) {
-            Fw_Run_Breach(env->run, "caller %d runs for team %s", op->caller,
-                          up->u.prefill.team);
+            Fw_Run_Fail(env->run, "caller %d runs for team %s", op->caller,
+                        up->u.prefill.team);
         }
         if (env->withdrawn && env->callers[op->caller].key[4] == 'a') {
-            Fw_Run_Breach(env->run, "caller %d runs with a withdrawn key",
-                          op->caller);
+            Fw_Run_Fail(env->run, "caller %d runs with a withdrawn key",
+                        op->caller);
         }
     }
     else if (up->kind != FW_UP_LOAD_REPORT &&
@@ -218,8 +218,7 @@
 {
     struct fw_event ev = {.kind = FW_EV_LOG_RECORDS};
 
-    Fw_MemLog_Answer(&env->log, &pending->read, pending->sent_us,
-                     &ev.u.records);
+    Fw_MemLog_Read(&env->log, &pending->read, pending->sent_us, &ev.u.records);
     Fw_RequestEnv_Step(env, &ev);
 }
 
@@ -309,7 +308,7 @@
     struct fw_event tick = {.kind = FW_EV_TICK};
 
     answer_reads(env);
-    while (env->wake_us <= until && !env->run->breach[0]) {
+    while (env->wake_us <= until && !env->run->failure[0]) {
         env->now_us = MAX(env->now_us, env->wake_us);
         free_expired(env);
         Fw_RequestEnv_Step(env, &tick);
--- a/explore/p_route.c
+++ b/explore/p_route.c
@@ -32,28 +32,29 @@
 };
 
 static void
-check_engine(struct route_env *env, struct leaving *l, int instance,
+check_engine(struct fw_route_env *env, struct leaving *l, int instance,
              const char *name)
 {
     for (int i = 0; i < env->n_engines; i++) {
-        if (strcmp(env->engine[i].name, name) != 0) {
+        if (strcmp(env->engines[i].name, name) != 0) {
             continue;
         }
         if (l->reported_us[i] && env->now_us - l->reported_us[i] > NOTICE_US) {
-            Fw_Run_Breach(l->run, "n%d routes to %s %d ms after its report",
-                          instance, name,
-                          (int)((env->now_us - l->reported_us[i]) / FW_MSEC));
+            Fw_Run_Fail(l->run, "n%d routes to %s %d ms after its report",
+                        instance, name,
+                        (int)((env->now_us - l->reported_us[i]) / FW_MSEC));
         }
         if (l->listed_us[i] &&
             env->now_us - l->listed_us[i] > NOTICE_US + LIST_INTERVAL_US) {
-            Fw_Run_Breach(l->run, "n%d routes to %s long after the list",
-                          instance, name);
+            Fw_Run_Fail(l->run, "n%d routes to %s long after the list",
+                        instance, name);
         }
     }
 }
 
 static void
-on_answer(struct route_env *env, int instance, const struct fw_route_answer *a)
+on_answer(struct fw_route_env *env, int instance,
+          const struct fw_route_answer *a)
 {
     struct leaving *l = env->ctx;
 
@@ -66,7 +67,7 @@
 }
 
 static void
-read_list(struct route_env *env, struct leaving *l, int instance)
+read_list(struct fw_route_env *env, struct leaving *l, int instance)
 {
     struct fw_registry_entry e[FW_ROUTE_ENV_ENGINES_MAX] = {0};
     struct fw_registry_snapshot listed = {.n = env->n_engines, .entries = e};
@@ -74,14 +75,14 @@
     for (int i = 0; i < env->n_engines; i++) {
         e[i].kind = FW_REGISTRY_UPSTREAM;
         e[i].draining = l->list[i];
-        g_strlcpy(e[i].name, env->engine[i].name, sizeof(e[i].name));
+        g_strlcpy(e[i].name, env->engines[i].name, sizeof(e[i].name));
     }
     Fw_Router_OnListed(env->router[instance], &listed, env->now_us);
     l->read_us[instance] = env->now_us;
 }
 
 static void
-toggle_leaving(struct route_env *env, struct leaving *l)
+toggle_leaving(struct fw_route_env *env, struct leaving *l)
 {
     int i = g_rand_int_range(l->run->rand, 0, env->n_engines);
     int by_list = g_rand_boolean(l->run->rand);
@@ -91,43 +92,43 @@
         l->listed_us[i] = l->list[i] ? env->now_us : 0;
     }
     else {
-        env->engine[i].leaving = !env->engine[i].leaving;
-        l->reported_us[i] = env->engine[i].leaving ? env->now_us : 0;
+        env->engines[i].leaving = !env->engines[i].leaving;
+        l->reported_us[i] = env->engines[i].leaving ? env->now_us : 0;
     }
     Fw_Run_Trace(l->run, "%d %s %s%s", (int)(env->now_us / FW_MSEC),
-                 env->engine[i].name, by_list ? "listed as " : "reports ",
-                 (by_list ? l->list[i] : env->engine[i].leaving) ? "leaving"
-                                                                 : "stays");
+                 env->engines[i].name, by_list ? "listed as " : "reports ",
+                 (by_list ? l->list[i] : env->engines[i].leaving) ? "leaving"
+                                                                  : "stays");
 }
 
 static void
-toggle_pause(struct route_env *env, struct leaving *l)
+toggle_pause(struct fw_route_env *env, struct leaving *l)
 {
     int i = g_rand_int_range(l->run->rand, 0, env->n);
 
-    env->dead[i] = !env->dead[i];
-    if (!env->dead[i]) {
+    env->paused[i] = !env->paused[i];
+    if (!env->paused[i]) {
         env->wake_us[i] = env->now_us;
     }
     Fw_Run_Trace(l->run, "%d n%d %s", (int)(env->now_us / FW_MSEC), i,
-                 env->dead[i] ? "pauses" : "resumes");
+                 env->paused[i] ? "pauses" : "resumes");
 }
 
 /* Submits a request and cancels it on all instances. */
 static void
-submit_request(struct route_env *env, struct leaving *l)
+submit_request(struct fw_route_env *env, struct leaving *l)
 {
     int instance = g_rand_int_range(l->run->rand, 0, env->n);
 
-    if (env->dead[instance]) {
+    if (env->paused[instance]) {
         return;
     }
     l->ticket++;
-    stage_ask(env, instance, l->ticket, "a", 100, NULL);
-    stage_run(env, 30 * FW_MSEC);
+    Fw_RouteEnv_SubmitRequest(env, instance, l->ticket, "a", 100, NULL);
+    Fw_RouteEnv_Advance(env, 30 * FW_MSEC);
     for (int i = 0; i < env->n; i++) {
-        if (!env->dead[i]) {
-            stage_step(env, i, l->ticket, FW_STEP_CANCELLED, NULL);
+        if (!env->paused[i]) {
+            Fw_RouteEnv_ReportStep(env, i, l->ticket, FW_STEP_CANCELLED, NULL);
         }
     }
 }
@@ -136,16 +137,16 @@
 Fw_Explore_Leaving(struct fw_run *run)
 {
     struct leaving l = {.run = run};
-    struct route_env *env = stage_new(INSTANCES, FW_POLICY_FULL);
+    struct fw_route_env *env = Fw_RouteEnv_New(INSTANCES, FW_POLICY_FULL);
 
     env->ctx = &l;
     env->on_answer = on_answer;
     env->rand = run->rand;
-    for (int i = 0; i < run->steps && !run->breach[0]; i++) {
+    for (int i = 0; i < run->steps && !run->failure[0]; i++) {
         int x = g_rand_int_range(run->rand, 0, 100);
 
         for (int n = 0; n < env->n; n++) {
-            if (!env->dead[n] &&
+            if (!env->paused[n] &&
                 env->now_us - l.read_us[n] >= LIST_INTERVAL_US) {
                 read_list(env, &l, n);
             }
@@ -163,8 +164,9 @@
             submit_request(env, &l);
         }
         else {
-            stage_run(env, g_rand_int_range(run->rand, 1, 300) * FW_MSEC);
+            Fw_RouteEnv_Advance(env,
+                                g_rand_int_range(run->rand, 1, 300) * FW_MSEC);
         }
     }
-    stage_free(env);
+    Fw_RouteEnv_Free(env);
 }
--- a/explore/p_route_env.c
+++ b/explore/p_route_env.c
@@ -26,7 +26,7 @@
 };
 
 static void
-add_upstream(struct route_env *env, const char *name,
+add_upstream(struct fw_route_env *env, const char *name,
              enum fw_upstream_role role, const char *domain)
 {
     struct fw_upstream *u = g_new0(struct fw_upstream, 1);
@@ -40,15 +40,15 @@
     u->prefill_rate = 10000;
     g_hash_table_insert(env->cfg->upstreams, u->name, u);
     if (role != FW_ROLE_SERVICE) {
-        env->engine[env->n_engines++] =
-            (struct route_env_engine){.name = u->name,
-                                      .is_prefill = role == FW_ROLE_PREFILL,
-                                      .model = "m@1"};
+        env->engines[env->n_engines++] =
+            (struct fw_route_env_engine){.name = u->name,
+                                         .is_prefill = role == FW_ROLE_PREFILL,
+                                         .model = "m@1"};
     }
 }
 
 static void
-configure(struct route_env *env)
+configure(struct fw_route_env *env)
 {
     struct fw_pool *p = g_new0(struct fw_pool, 1);
 
@@ -68,12 +68,12 @@
     add_upstream(env, "s2", FW_ROLE_SERVICE, "c");
 }
 
-struct route_env_engine *
-route_env_engine(struct route_env *env, const char *name)
+struct fw_route_env_engine *
+Fw_RouteEnv_FindEngine(struct fw_route_env *env, const char *name)
 {
     for (int i = 0; i < env->n_engines; i++) {
-        if (strcmp(env->engine[i].name, name) == 0) {
-            return &env->engine[i];
+        if (strcmp(env->engines[i].name, name) == 0) {
+            return &env->engines[i];
         }
     }
     g_error("no engine %s", name);
@@ -81,7 +81,7 @@
 }
 
 static struct delivery *
-schedule(struct route_env *env, int to)
+schedule(struct fw_route_env *env, int to)
 {
     struct delivery *d = g_new0(struct delivery, 1);
 
@@ -93,7 +93,7 @@
 
 /* Packs and unpacks the message, as between processes. */
 static void
-send_msg(struct route_env *env, int from, struct fw_peer_send *send)
+send_msg(struct fw_route_env *env, int from, struct fw_peer_send *send)
 {
     int to = send->to[1] - '0';
     msgpack_sbuffer buf;
@@ -105,7 +105,7 @@
         g_rand_int_range(env->rand, 0, 1000) < env->loss_permille) {
         return;
     }
-    if (env->dead[to] ||
+    if (env->paused[to] ||
         (env->lose_replies && send->msg.area == FW_AREA_ROUTE &&
          send->msg.u.route.kind == FW_ROUTE_REPLY)) {
         return;
@@ -124,17 +124,17 @@
 }
 
 static void
-answer_up(struct route_env *env, int instance, const struct fw_up_start *up)
+answer_up(struct fw_route_env *env, int instance, const struct fw_up_start *up)
 {
-    struct route_env_engine *e = route_env_engine(env, up->upstream);
+    struct fw_route_env_engine *e = Fw_RouteEnv_FindEngine(env, up->upstream);
     struct delivery *d = schedule(env, instance);
     struct fw_up_report *rep = &d->up.u.report;
 
     d->is_up = 1;
     d->up.op = up->op;
     d->up.kind = up->kind;
-    d->up.phase = e->dead ? FW_UP_FAILED : FW_UP_DONE;
-    if (e->dead) {
+    d->up.phase = e->unreachable ? FW_UP_FAILED : FW_UP_DONE;
+    if (e->unreachable) {
         return;
     }
     if (up->kind == FW_UP_CACHE_EVENTS) {
@@ -148,7 +148,7 @@
     rep->age_us = e->lag_us;
     rep->slots = 2;
     rep->busy_slots = e->busy;
-    rep->queued_tokens = e->queued;
+    rep->queued_tokens = e->queued_tokens;
     rep->draining = e->leaving;
     rep->n_models = 1;
     g_strlcpy(rep->role, e->is_prefill ? "prefill" : "decode",
@@ -157,7 +157,7 @@
 }
 
 static void
-take_answers(struct route_env *env, int instance)
+take_answers(struct fw_route_env *env, int instance)
 {
     struct fw_route_answer a;
 
@@ -168,18 +168,18 @@
         }
         if (a.status) {
             g_string_append_printf(
-                env->seen, "%" PRIu64 " %d %s after %d ms\n", a.ticket,
+                env->answers, "%" PRIu64 " %d %s after %d ms\n", a.ticket,
                 a.status, a.code, (int)(a.retry_after_us / FW_MSEC));
         }
         else {
-            g_string_append_printf(env->seen, "%" PRIu64 " %s > %s\n",
+            g_string_append_printf(env->answers, "%" PRIu64 " %s > %s\n",
                                    a.ticket, a.prefill, a.decode);
         }
     }
 }
 
 static void
-perform_actions(struct route_env *env, int instance, struct fw_actions *out)
+perform_actions(struct fw_route_env *env, int instance, struct fw_actions *out)
 {
     struct fw_action *a;
 
@@ -198,20 +198,20 @@
 }
 
 static void
-deliver(struct route_env *env, struct delivery *d)
+deliver(struct fw_route_env *env, struct delivery *d)
 {
     struct fw_actions out;
     int i = d->to;
 
     Fw_Actions_Init(&out);
-    if (!env->dead[i] && d->is_up) {
+    if (!env->paused[i] && d->is_up) {
         Fw_Router_OnUp(env->router[i], env->cfg, &d->up, env->now_us, &out);
     }
-    else if (!env->dead[i] && d->msg.area == FW_AREA_FLEET) {
+    else if (!env->paused[i] && d->msg.area == FW_AREA_FLEET) {
         Fw_Fleet_OnMsg(env->fleet[i], d->from, &d->msg.u.fleet, env->now_us,
                        &out);
     }
-    else if (!env->dead[i] && d->msg.area == FW_AREA_ROUTE) {
+    else if (!env->paused[i] && d->msg.area == FW_AREA_ROUTE) {
         Fw_Router_OnMsg(env->router[i], env->cfg, d->from, &d->msg.u.route,
                         env->now_us, &out);
     }
@@ -223,7 +223,7 @@
 }
 
 static void
-run_due(struct route_env *env)
+run_due(struct fw_route_env *env)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -239,7 +239,7 @@
     for (int i = 0; i < env->n; i++) {
         struct fw_actions out;
 
-        if (env->dead[i] || env->wake_us[i] > env->now_us) {
+        if (env->paused[i] || env->wake_us[i] > env->now_us) {
             continue;
         }
         env->wake_us[i] = INT64_MAX;
@@ -251,7 +251,7 @@
 }
 
 void
-stage_run(struct route_env *env, int64_t us)
+Fw_RouteEnv_Advance(struct fw_route_env *env, int64_t us)
 {
     int64_t end_us = env->now_us + us;
 
@@ -263,7 +263,7 @@
 
 /* Passes the platform's list of instances to all of them. */
 static void
-publish_instances(struct route_env *env)
+publish_instances(struct fw_route_env *env)
 {
     struct fw_registry_entry e[FW_ROUTE_ENV_INSTANCES_MAX] = {0};
     struct fw_registry_snapshot listed = {.n = env->n, .entries = e};
@@ -285,7 +285,7 @@
 }
 
 static void
-start_instance(struct route_env *env, int i)
+start_instance(struct fw_route_env *env, int i)
 {
     struct fw_route_opts opts = {.policy = env->policy,
                                  .ttft_us = 1500 * FW_MSEC,
@@ -307,7 +307,7 @@
 }
 
 void
-stage_restart(struct route_env *env, int instance)
+Fw_RouteEnv_Restart(struct fw_route_env *env, int instance)
 {
     Fw_Router_Free(env->router[instance]);
     Fw_Fleet_Free(env->fleet[instance]);
@@ -315,27 +315,27 @@
     publish_instances(env);
 }
 
-struct route_env *
-stage_new(int instances, enum fw_policy policy)
+struct fw_route_env *
+Fw_RouteEnv_New(int instances, enum fw_policy policy)
 {
-    struct route_env *env = g_new0(struct route_env, 1);
+    struct fw_route_env *env = g_new0(struct fw_route_env, 1);
 
     env->n = instances;
     env->policy = policy;
     env->now_us = FW_SEC;
-    env->seen = g_string_new(NULL);
+    env->answers = g_string_new(NULL);
     Fw_List_Init(&env->deliveries);
     configure(env);
     for (int i = 0; i < instances; i++) {
         start_instance(env, i);
     }
     publish_instances(env);
-    stage_run(env, FW_WARMUP_US);
+    Fw_RouteEnv_Advance(env, FW_WARMUP_US);
     return env;
 }
 
 void
-stage_free(struct route_env *env)
+Fw_RouteEnv_Free(struct fw_route_env *env)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
@@ -353,13 +353,14 @@
         Fw_Fleet_Free(env->fleet[i]);
     }
     Fw_Config_Free(env->cfg);
-    g_string_free(env->seen, TRUE);
+    g_string_free(env->answers, TRUE);
     g_free(env);
 }
 
 void
-stage_ask(struct route_env *env, int instance, uint64_t ticket,
-          const char *team, int64_t tokens, const char *avoid)
+Fw_RouteEnv_SubmitRequest(struct fw_route_env *env, int instance,
+                          uint64_t ticket, const char *team, int64_t tokens,
+                          const char *avoid)
 {
     const char *list[] = {avoid, NULL};
     struct fw_route_request ask = {.ticket = ticket,
@@ -380,8 +381,8 @@
 }
 
 void
-stage_step(struct route_env *env, int instance, uint64_t ticket,
-           enum fw_route_step step, const char *upstream)
+Fw_RouteEnv_ReportStep(struct fw_route_env *env, int instance, uint64_t ticket,
+                       enum fw_route_step step, const char *upstream)
 {
     struct fw_actions out;
 
@@ -392,8 +393,8 @@
 }
 
 void
-stage_expect(struct route_env *env, const char *lines)
+Fw_RouteEnv_ExpectAnswers(struct fw_route_env *env, const char *lines)
 {
-    g_assert_cmpstr(env->seen->str, ==, lines);
-    g_string_truncate(env->seen, 0);
+    g_assert_cmpstr(env->answers->str, ==, lines);
+    g_string_truncate(env->answers, 0);
 }
--- a/explore/p_route_env.h
+++ b/explore/p_route_env.h
@@ -20,13 +20,13 @@
  * @lag_us, @busy, @queued_tokens, @leaving, @model: reported as they are
  * @cache: answer to the next poll of its cache, cleared by it
  */
-struct route_env_engine {
+struct fw_route_env_engine {
     const char *name;
     int is_prefill;
-    int dead;
+    int unreachable;
     int64_t lag_us;
     int busy;
-    int64_t queued;
+    int64_t queued_tokens;
     int leaving;
     const char *model;
     struct fw_up_cache_batch cache;
@@ -45,7 +45,7 @@
  * @on_answer: called with each answer of a router; may be NULL
  * @ctx: for the use of @on_answer
  */
-struct route_env {
+struct fw_route_env {
     int n;
     enum fw_policy policy;
     struct fw_self self[FW_ROUTE_ENV_INSTANCES_MAX];
@@ -53,17 +53,17 @@
     struct fw_fleet *fleet[FW_ROUTE_ENV_INSTANCES_MAX];
     struct fw_router *router[FW_ROUTE_ENV_INSTANCES_MAX];
     int64_t wake_us[FW_ROUTE_ENV_INSTANCES_MAX];
-    int dead[FW_ROUTE_ENV_INSTANCES_MAX];
+    int paused[FW_ROUTE_ENV_INSTANCES_MAX];
     int lose_replies;
     struct fw_config *cfg;
     int64_t now_us;
     int n_engines;
-    struct route_env_engine engine[FW_ROUTE_ENV_ENGINES_MAX];
+    struct fw_route_env_engine engines[FW_ROUTE_ENV_ENGINES_MAX];
     struct fw_list deliveries;
-    GString *seen;
+    GString *answers;
     GRand *rand;
     int loss_permille;
-    void (*on_answer)(struct route_env *env, int instance,
+    void (*on_answer)(struct fw_route_env *env, int instance,
                       const struct fw_route_answer *a);
     void *ctx;
 };
@@ -73,29 +73,30 @@
  * the services s0, s1 and s2. Their failure domains are a, b and, of s2, c.
  * Advances the time by 4 s, in which the instances learn of each other and of
  * the engines. */
-struct route_env *
-stage_new(int instances, enum fw_policy policy);
+struct fw_route_env *
+Fw_RouteEnv_New(int instances, enum fw_policy policy);
 void
-stage_free(struct route_env *env);
+Fw_RouteEnv_Free(struct fw_route_env *env);
 /* Restarts an instance with empty state. */
 void
-stage_restart(struct route_env *env, int instance);
+Fw_RouteEnv_Restart(struct fw_route_env *env, int instance);
 /* Return: the engine; an unknown name aborts. */
-struct route_env_engine *
-route_env_engine(struct route_env *env, const char *name);
+struct fw_route_env_engine *
+Fw_RouteEnv_FindEngine(struct fw_route_env *env, const char *name);
 /* Advances the time by @us in steps of 1 ms. */
 void
-stage_run(struct route_env *env, int64_t us);
+Fw_RouteEnv_Advance(struct fw_route_env *env, int64_t us);
 /* Submits a request for model "m"; @avoid: engine to avoid, or NULL. */
 void
-stage_ask(struct route_env *env, int instance, uint64_t ticket,
-          const char *team, int64_t tokens, const char *avoid);
+Fw_RouteEnv_SubmitRequest(struct fw_route_env *env, int instance,
+                          uint64_t ticket, const char *team, int64_t tokens,
+                          const char *avoid);
 /* Reports a step of the request @ticket to the router of @instance. */
 void
-stage_step(struct route_env *env, int instance, uint64_t ticket,
-           enum fw_route_step step, const char *upstream);
+Fw_RouteEnv_ReportStep(struct fw_route_env *env, int instance, uint64_t ticket,
+                       enum fw_route_step step, const char *upstream);
 /* Asserts that the answers since the last call are @lines. */
 void
-stage_expect(struct route_env *env, const char *lines);
+Fw_RouteEnv_ExpectAnswers(struct fw_route_env *env, const char *lines);
 
 #endif
--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -61,10 +61,10 @@
         sum += g->tokens;
     }
     if ((double)sum > limit) {
-        Fw_Run_Breach(run,
-                      "%" G_GINT64_FORMAT " tokens in a window, %.0f "
-                      "allowed",
-                      sum, limit);
+        Fw_Run_Fail(run,
+                    "%" G_GINT64_FORMAT " tokens in a window, %.0f "
+                    "allowed",
+                    sum, limit);
     }
 }
 
@@ -129,7 +129,7 @@
                        n_min + g_rand_int_range(run->rand, 0, n_extra), rules);
     f.expires_members = expires_members;
     Fw_RelayFleet_Advance(&f, 10 * FW_SEC);
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         int i = Fw_RelayFleet_RandBelow(&f, f.n);
         int64_t cost = Fw_RelayFleet_RandBelow(&f, 100) < FW_SMALL_PCT
                            ? FW_SMALL_COST
--- a/explore/relay_freshness.c
+++ b/explore/relay_freshness.c
@@ -67,10 +67,9 @@
         return;
     }
     if (f->now_us - h->at_us[version] > stale_us) {
-        Fw_Run_Breach(f->run,
-                      "%s trusts keys of version %d, replaced %d ms ago",
-                      f->sites[i].name, (int)version,
-                      (int)((f->now_us - h->at_us[version]) / FW_MSEC));
+        Fw_Run_Fail(f->run, "%s trusts keys of version %d, replaced %d ms ago",
+                    f->sites[i].name, (int)version,
+                    (int)((f->now_us - h->at_us[version]) / FW_MSEC));
     }
 }
 
@@ -87,7 +86,7 @@
     f.delay_pct = 20;
     f.delay_max_us = 8 * FW_SEC;
     h.at_us[0] = f.now_us;
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         int i = Fw_RelayFleet_RandBelow(&f, f.n);
 
         Fw_RelayFleet_Advance(&f, Fw_RelayFleet_RandBelow(&f, 100) * FW_MSEC);
--- a/explore/relay_hubs.c
+++ b/explore/relay_hubs.c
@@ -94,13 +94,13 @@
     int count = Fw_Members_Count(r, now, &in_touch);
 
     if (count != f->n || in_touch != f->n) {
-        Fw_Run_Breach(f->run, "%s counts %d instances, %d live, of %d",
-                      f->sites[i].name, count, in_touch, f->n);
+        Fw_Run_Fail(f->run, "%s counts %d instances, %d live, of %d",
+                    f->sites[i].name, count, in_touch, f->n);
     }
     Fw_Place_Load(r, Fw_Servers_Find(r, FW_SERVER), now, &load);
     if (load.running != running || load.kv_tokens != running * 1000) {
-        Fw_Run_Breach(f->run, "%s computes a load of %d requests, expected %d",
-                      f->sites[i].name, load.running, running);
+        Fw_Run_Fail(f->run, "%s computes a load of %d requests, expected %d",
+                    f->sites[i].name, load.running, running);
     }
 }
 
@@ -132,7 +132,7 @@
     for (int i = 0; i < f.n; i++) {
         running += Fw_Servers_Find(f.sites[i].relay, FW_SERVER)->running;
     }
-    for (int i = 0; i < f.n && !run->breach[0]; i++) {
+    for (int i = 0; i < f.n && !run->failure[0]; i++) {
         check_view(&f, i, running);
     }
     Fw_RelayFleet_Clear(&f);
--- a/explore/relay_orders.c
+++ b/explore/relay_orders.c
@@ -71,19 +71,19 @@
     int e = c->server[1] - '0';
 
     if (w->last_fence && c->fence < w->last_fence) {
-        Fw_Run_Breach(w->f.run, "%s orders with token %d after %d",
-                      w->f.sites[i].name, (int)c->fence, (int)w->last_fence);
+        Fw_Run_Fail(w->f.run, "%s orders with token %d after %d",
+                    w->f.sites[i].name, (int)c->fence, (int)w->last_fence);
     }
     if (w->last_fence && w->last_site != i &&
         w->f.now_us - w->last_us < 3 * FW_SEC && c->fence <= w->last_fence) {
-        Fw_Run_Breach(w->f.run, "%s and %s share token %d", w->f.sites[i].name,
-                      w->f.sites[w->last_site].name, (int)c->fence);
+        Fw_Run_Fail(w->f.run, "%s and %s share token %d", w->f.sites[i].name,
+                    w->f.sites[w->last_site].name, (int)c->fence);
     }
     if (w->last_fence && w->last_site != i &&
         w->f.now_us - w->last_us < 2 * FW_SEC) {
-        Fw_Run_Breach(w->f.run, "%s orders %d ms after %s", w->f.sites[i].name,
-                      (int)((w->f.now_us - w->last_us) / FW_MSEC),
-                      w->f.sites[w->last_site].name);
+        Fw_Run_Fail(w->f.run, "%s orders %d ms after %s", w->f.sites[i].name,
+                    (int)((w->f.now_us - w->last_us) / FW_MSEC),
+                    w->f.sites[w->last_site].name);
     }
     w->last_fence = MAX(c->fence, w->last_fence);
     w->last_site = i;
@@ -213,7 +213,7 @@
 
     Fw_RelayFleet_Init(&w.f, run, 3, rules);
     w.claims = g_ptr_array_new_with_free_func(g_free);
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         int i = Fw_RelayFleet_RandBelow(&w.f, w.f.n);
         int e = Fw_RelayFleet_RandBelow(&w.f, FW_ENGINE_COUNT);
 
--- a/explore/relay_requests.c
+++ b/explore/relay_requests.c
@@ -65,14 +65,13 @@
     struct request_state *state = &w->requests[call];
 
     if (state->over) {
-        Fw_Run_Breach(w->run, "request %d ended twice, now %s", (int)call,
-                      what);
+        Fw_Run_Fail(w->run, "request %d ended twice, now %s", (int)call, what);
     }
     state->over = 1;
     state->refused = refused;
     if (refused && state->runs) {
-        Fw_Run_Breach(w->run, "request %d refused as not run, but ran",
-                      (int)call);
+        Fw_Run_Fail(w->run, "request %d refused as not run, but ran",
+                    (int)call);
     }
 }
 
@@ -140,11 +139,10 @@
 
     state->runs++;
     if (state->once && state->runs > 1) {
-        Fw_Run_Breach(w->run, "request %d ran twice", (int)call);
+        Fw_Run_Fail(w->run, "request %d ran twice", (int)call);
     }
     if (state->refused) {
-        Fw_Run_Breach(w->run, "request %d ran after it was refused",
-                      (int)call);
+        Fw_Run_Fail(w->run, "request %d ran after it was refused", (int)call);
     }
 }
 
@@ -392,13 +390,13 @@
             FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (s->running || s->kv_tokens || s->prefill_tokens) {
-            Fw_Run_Breach(w->run, "%s still counts %d running, %d tokens",
-                          s->entry.id, s->running, (int)s->kv_tokens);
+            Fw_Run_Fail(w->run, "%s still counts %d running, %d tokens",
+                        s->entry.id, s->running, (int)s->kv_tokens);
         }
     }
     for (int i = 0; i < w->n; i++) {
         if (!w->requests[i].over) {
-            Fw_Run_Breach(w->run, "request %d never ended", i);
+            Fw_Run_Fail(w->run, "request %d never ended", i);
         }
     }
 }
@@ -410,10 +408,10 @@
 
     world_init(w, run);
     apply_actions(w);
-    for (int s = 0; s < run->steps && !run->breach[0]; s++) {
+    for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         step(w);
     }
-    for (int s = 0; s < 400 && !run->breach[0]; s++) {
+    for (int s = 0; s < 400 && !run->failure[0]; s++) {
         w->now_us += 50 * FW_MSEC;
         if (w->pending->len) {
             advance_call(w, g_ptr_array_index(w->pending, 0));
@@ -422,7 +420,7 @@
         Fw_Relay_Tick(w->r, w->now_us, &w->acts);
         apply_actions(w);
     }
-    if (!run->breach[0]) {
+    if (!run->failure[0]) {
         check_final_state(w);
     }
     Fw_Run_Trace(run, "%d requests", w->n);
--- a/explore/run.c
+++ b/explore/run.c
@@ -16,22 +16,22 @@
 }
 
 void
-Fw_Run_Breach(struct fw_run *run, const char *fmt, ...)
+Fw_Run_Fail(struct fw_run *run, const char *fmt, ...)
 {
     va_list ap;
 
-    if (run->breach[0]) {
+    if (run->failure[0]) {
         return;
     }
     va_start(ap, fmt);
-    g_vsnprintf(run->breach, sizeof(run->breach), fmt, ap);
+    g_vsnprintf(run->failure, sizeof(run->failure), fmt, ap);
     va_end(ap);
 }
 
-const struct fw_promise *
+const struct fw_property *
 Fw_Property_Find(const char *name)
 {
-    for (const struct fw_promise *p = Fw_Promises; p->name; p++) {
+    for (const struct fw_property *p = Fw_Properties; p->name; p++) {
         if (strcmp(p->name, name) == 0) {
             return p;
         }
@@ -40,8 +40,8 @@
 }
 
 int
-Fw_Promise_Run(const struct fw_promise *p, guint32 seed, int steps,
-               GString *report)
+Fw_Property_Run(const struct fw_property *p, guint32 seed, int steps,
+                GString *report)
 {
     struct fw_run run = {
         .rand = g_rand_new_with_seed(seed),
@@ -51,10 +51,10 @@
     int failed;
 
     p->run(&run);
-    failed = run.breach[0] != '\0';
+    failed = run.failure[0] != '\0';
     if (failed) {
         g_string_append_printf(report, "%s: failed: %s\nseed %u\n%s", p->name,
-                               run.breach, seed, run.trace->str);
+                               run.failure, seed, run.trace->str);
     }
     g_rand_free(run.rand);
     g_string_free(run.trace, TRUE);
--- a/explore/table.c
+++ b/explore/table.c
@@ -9,7 +9,7 @@
 #include "explore/p_request.h"
 #include "explore/p_route.h"
 
-const struct fw_promise Fw_Promises[] = {
+const struct fw_property Fw_Properties[] = {
     {.name = "members-converge",
      .run = Fw_Explore_Members,
      .fault = "fleet-no-refutation"},
--- a/tests/fleet/fleet_script.c
+++ b/tests/fleet/fleet_script.c
@@ -53,9 +53,9 @@
 
     g_string_append_printf(s->out, "n%d:", i + 1);
     for (int j = 0; j < s->env.n; j++) {
-        const struct fw_self *self = &s->env.sites[j].self;
+        const struct fw_self *self = &s->env.instances[j].self;
         const struct fw_member *m =
-            Fw_Fleet_Find(s->env.sites[i].fleet, self->name);
+            Fw_Fleet_Find(s->env.instances[i].fleet, self->name);
         g_string_append_printf(s->out, " %s %s", self->name,
                                m ? names[m->state] : "unknown");
         if (m && m->state != FW_MEMBER_DEAD && m->boot != self->boot) {
@@ -71,11 +71,11 @@
     g_string_append(s->out, "role:");
     for (int i = 0; i < s->env.n; i++) {
         int rc;
-        if (!Fw_FleetEnv_Runs(&s->env, i)) {
+        if (!Fw_FleetEnv_IsRunning(&s->env, i)) {
             continue;
         }
-        rc = Fw_Roles_MayAct(s->env.sites[i].roles, FW_ROLE_BUDGET, 0,
-                             Fw_FleetEnv_Local(&s->env, i), NULL);
+        rc = Fw_Roles_MayAct(s->env.instances[i].roles, FW_ROLE_BUDGET, 0,
+                             Fw_FleetEnv_LocalTime(&s->env, i), NULL);
         if (rc == 0 || rc == -EAGAIN || rc == -ESTALE) {
             g_string_append_printf(s->out, " n%d %s", i + 1,
                                    rc == 0         ? "acts"
@@ -94,8 +94,8 @@
     int refused = a->refused;
     int64_t started_us = s->env.real_us;
 
-    Fw_LimitCheck_Ask(&s->checker, &s->env, site_arg(s, 1), team_arg(s, 2),
-                      int_arg(s, 3));
+    Fw_LimitCheck_Request(&s->checker, &s->env, site_arg(s, 1), team_arg(s, 2),
+                          int_arg(s, 3));
     while (a->granted == granted && a->refused == refused &&
            s->env.real_us < started_us + RESULT_TIMEOUT_US) {
         Fw_FleetEnv_Advance(&s->env, FW_MSEC);
@@ -144,7 +144,8 @@
         Fw_FleetEnv_Pause(&s->env, site_arg(s, 1), int_arg(s, 2) * FW_MSEC);
     }
     else if (strcmp(c, "cut") == 0 || strcmp(c, "join") == 0) {
-        Fw_FleetEnv_Cut(&s->env, site_arg(s, 1), site_arg(s, 2), c[0] == 'c');
+        Fw_FleetEnv_SetLinkDown(&s->env, site_arg(s, 1), site_arg(s, 2),
+                                c[0] == 'c');
     }
     else {
         return 0;
@@ -161,10 +162,10 @@
         s->env.log_down = strcmp(s->words[1], "down") == 0;
     }
     else if (strcmp(c, "lose") == 0) {
-        s->env.lose_pct = int_arg(s, 1);
+        s->env.loss_pct = int_arg(s, 1);
     }
     else if (strcmp(c, "double") == 0) {
-        s->env.double_pct = int_arg(s, 1);
+        s->env.duplicate_pct = int_arg(s, 1);
     }
     else if (strcmp(c, "record") == 0) {
         g_ptr_array_add(s->env.records, g_strdup(s->words[1]));
@@ -204,8 +205,8 @@
         run_ask(s);
     }
     else if (strcmp(c, "refund") == 0) {
-        Fw_LimitCheck_RefundNow(&s->checker, &s->env, site_arg(s, 1),
-                                team_arg(s, 2), int_arg(s, 3));
+        Fw_LimitCheck_RefundTokens(&s->checker, &s->env, site_arg(s, 1),
+                                   team_arg(s, 2), int_arg(s, 3));
     }
     else if (strcmp(c, "rate") == 0) {
         change_rate(s);
@@ -227,7 +228,7 @@
 
     Fw_FleetEnv_Init(&s.env, &s.run, p->sites);
     Fw_LimitCheck_Init(&s.checker, &s.env, LEASE_US);
-    s.checker.strict = 1;
+    s.checker.fail_on_overspend = 1;
     for (char *line = strtok_r(script, "\n", &save); line;
          line = strtok_r(NULL, "\n", &save)) {
         run_line(&s, line);
@@ -239,7 +240,7 @@
                       (s.run.trace->len > TRACE_PRINTED_MAX
                            ? s.run.trace->len - TRACE_PRINTED_MAX
                            : 0));
-    ck_assert_msg(!s.run.breach[0], "%s: %s", p->name, s.run.breach);
+    ck_assert_msg(!s.run.failure[0], "%s: %s", p->name, s.run.failure);
     Fw_LimitCheck_Clear(&s.checker, &s.env);
     g_free(script);
     g_string_free(s.out, TRUE);
--- a/tests/fleet/test_promises.c
+++ b/tests/fleet/test_promises.c
@@ -10,13 +10,13 @@
 
 START_TEST(planted_fault_is_found)
 {
-    const struct fw_promise *p = &Fw_Promises[_i];
+    const struct fw_property *p = &Fw_Properties[_i];
     GString *report = g_string_new(NULL);
     int found = 0;
 
     Fw_Fault_Active = p->fault;
     for (guint32 seed = 1; seed <= SEEDS && !found; seed++) {
-        found = Fw_Promise_Run(p, seed, STEPS, report);
+        found = Fw_Property_Run(p, seed, STEPS, report);
     }
     Fw_Fault_Active = NULL;
     ck_assert_msg(found, "%s held although %s was planted", p->name, p->fault);
@@ -30,7 +30,7 @@
 {
     int n = 0;
 
-    while (Fw_Promises[n].name) {
+    while (Fw_Properties[n].name) {
         n++;
     }
     return n;
--- a/tests/idem/test_idem.c
+++ b/tests/idem/test_idem.c
@@ -28,19 +28,19 @@
         b->log.down = 0;
     }
     else if (strcmp(what, "lose") == 0) {
-        b->log.lose = n;
+        b->log.lose_answers = n;
     }
     else if (strcmp(what, "drop") == 0) {
-        b->log.drop = n;
+        b->log.drop_appends = n;
     }
     else if (strcmp(what, "late") == 0) {
-        b->log.late = n;
+        b->log.delay_appends = n;
     }
     else if (strcmp(what, "slow") == 0) {
-        b->log.slow_us = n * FW_MSEC;
+        b->log.latency_us = n * FW_MSEC;
     }
     else if (strcmp(what, "retain") == 0) {
-        b->log.retain = n;
+        b->log.retain_records = n;
     }
     else {
         ck_abort_msg("no such command: log %s", what);
@@ -67,7 +67,7 @@
     int site = atoi(w[1]);
 
     if (strcmp(w[0], "call") == 0) {
-        Fw_IdemEnv_Open(b, site, w[2], w[3]);
+        Fw_IdemEnv_SubmitCall(b, site, w[2], w[3]);
     }
     else if (strcmp(w[0], "kill") == 0) {
         Fw_IdemEnv_Kill(b, site);
@@ -76,10 +76,10 @@
         Fw_IdemEnv_Start(b, site);
     }
     else if (strcmp(w[0], "cut") == 0) {
-        b->sites[site].cut = 1;
+        b->instances[site].isolated = 1;
     }
     else if (strcmp(w[0], "pause") == 0) {
-        b->sites[site].paused_us = b->now_us + atoi(w[2]) * FW_MSEC;
+        b->instances[site].paused_until_us = b->now_us + atoi(w[2]) * FW_MSEC;
     }
     else {
         ck_abort_msg("no such command: %s", w[0]);
@@ -118,7 +118,7 @@
     for (int i = 0; lines[i]; i++) {
         command(&b, lines[i]);
     }
-    breach = g_strdup(b.breach);
+    breach = g_strdup(b.failure);
     g_strfreev(lines);
     Fw_IdemEnv_Clear(&b);
     return breach;
@@ -268,17 +268,17 @@
     Fw_IdemEnv_Init(&b, 3, trace);
     for (int i = 0; i < seconds * rate; i++) {
         g_snprintf(key, sizeof(key), "order-%d", i);
-        Fw_IdemEnv_Open(&b, i % 3, key, "buy");
+        Fw_IdemEnv_SubmitCall(&b, i % 3, key, "buy");
         Fw_IdemEnv_Advance(&b, FW_SEC / rate);
     }
     Fw_IdemEnv_Advance(&b, 5 * FW_SEC);
-    for (guint i = 0; i < b.tries->len; i++) {
+    for (guint i = 0; i < b.calls->len; i++) {
         sent +=
-            ((struct fw_idem_env_try *)g_ptr_array_index(b.tries, i))->sends;
+            ((struct fw_idem_env_call *)g_ptr_array_index(b.calls, i))->sends;
     }
     ck_assert_int_eq(sent, seconds * rate);
     ck_assert_int_le(b.log.appends, seconds * FW_IDEM_APPENDS_PER_S * 11 / 10);
-    ck_assert_str_eq(b.breach, "");
+    ck_assert_str_eq(b.failure, "");
     Fw_IdemEnv_Clear(&b);
     g_string_free(trace, TRUE);
 }
--- a/tests/node/harness.c
+++ b/tests/node/harness.c
@@ -269,7 +269,7 @@
 {
     struct fw_event ev = {.kind = FW_EV_LOG_RECORDS};
 
-    Fw_MemLog_Answer(&h->log, &d->read, d->sent_us, &ev.u.records);
+    Fw_MemLog_Read(&h->log, &d->read, d->sent_us, &ev.u.records);
     if (h->log_down) {
         ev.u.records.err = -EIO;
         ev.u.records.n = 0;
@@ -454,6 +454,6 @@
 void
 Fw_Harness_Configure(struct harness *h, const char *items)
 {
-    Fw_MemLog_Change(&h->log, items);
+    Fw_MemLog_AppendChange(&h->log, items);
     wake_reads(h, FW_STREAM_CONFIG);
 }
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -94,7 +94,7 @@
 static void
 expect(struct fw_order_env *y, const char *want)
 {
-    char *got = Fw_OrderEnv_Journal(y);
+    char *got = Fw_OrderEnv_TakeJournal(y);
 
     ck_assert_str_eq(got, want);
     g_free(got);
@@ -104,15 +104,15 @@
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
 
-    Fw_OrderEnv_Engine(y, "e1", "prefill", "prefill", "m@0");
-    Fw_OrderEnv_Engine(y, "e2", "decode", "decode", "m@1");
-    Fw_OrderEnv_Engine(y, "e3", "decode", "prefill", "m@1");
+    Fw_OrderEnv_AddEngine(y, "e1", "prefill", "prefill", "m@0");
+    Fw_OrderEnv_AddEngine(y, "e2", "decode", "decode", "m@1");
+    Fw_OrderEnv_AddEngine(y, "e3", "decode", "prefill", "m@1");
     Fw_OrderEnv_Start(y, 0);
-    Fw_OrderEnv_Run(y, 60 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 60 * FW_SEC);
     expect(y, "holder0 e1 load m@1 -> done\n"
               "holder0 e1 unload m@0 -> done\n"
               "holder0 e3 role decode -> done\n");
-    Fw_OrderEnv_Run(y, 300 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 300 * FW_SEC);
     expect(y, "");
     Fw_OrderEnv_Free(y);
 }
@@ -125,14 +125,14 @@
     struct fw_order_env *y = Fw_OrderEnv_New();
     int max_under_way = 0;
 
-    Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "");
-    Fw_OrderEnv_Engine(y, "e2", "decode", "decode", "");
-    Fw_OrderEnv_Engine(y, "e3", "decode", "decode", "");
+    Fw_OrderEnv_AddEngine(y, "e1", "decode", "decode", "");
+    Fw_OrderEnv_AddEngine(y, "e2", "decode", "decode", "");
+    Fw_OrderEnv_AddEngine(y, "e3", "decode", "decode", "");
     y->order_delay_us = 7 * FW_SEC;
     Fw_OrderEnv_Start(y, 0);
     for (int i = 0; i < 600; i++) {
-        Fw_OrderEnv_Run(y, 100 * FW_MSEC);
-        max_under_way = MAX(max_under_way, Fw_OrderEnv_OrdersUnderWay(y));
+        Fw_OrderEnv_Advance(y, 100 * FW_MSEC);
+        max_under_way = MAX(max_under_way, Fw_OrderEnv_CountPendingOrders(y));
     }
     ck_assert_int_eq(max_under_way, 1);
     for (int i = 0; i < 3; i++) {
@@ -148,23 +148,23 @@
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
     struct fw_order_env_engine *e =
-        Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "m@1");
+        Fw_OrderEnv_AddEngine(y, "e1", "decode", "decode", "m@1");
 
-    e->checks = 0;
+    e->checks_fence = 0;
     Fw_OrderEnv_Start(y, 0);
-    Fw_OrderEnv_Run(y, 60 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 60 * FW_SEC);
     expect(y, "");
     y->holders[0].paused = 1;
     Fw_OrderEnv_Start(y, 1);
-    Fw_OrderEnv_Run(y, 60 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 60 * FW_SEC);
     e->n_models = 0;
     y->holders[1].paused = 1;
     y->holders[0].paused = 0;
-    Fw_OrderEnv_Run(y, 3 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 3 * FW_SEC);
     expect(y, "");
     y->holders[0].paused = 1;
     y->holders[1].paused = 0;
-    Fw_OrderEnv_Run(y, 120 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 120 * FW_SEC);
     expect(y, "holder1 e1 load m@1 -> done\n");
     Fw_OrderEnv_Free(y);
 }
@@ -177,12 +177,12 @@
     struct fw_order_env *y = Fw_OrderEnv_New();
     char *text;
 
-    Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "");
-    Fw_OrderEnv_Engine(y, "e2", "decode", "decode", "");
+    Fw_OrderEnv_AddEngine(y, "e1", "decode", "decode", "");
+    Fw_OrderEnv_AddEngine(y, "e2", "decode", "decode", "");
     Fw_OrderEnv_Start(y, 0);
     Fw_OrderEnv_Start(y, 1);
-    Fw_OrderEnv_Run(y, 120 * FW_SEC);
-    text = Fw_OrderEnv_Journal(y);
+    Fw_OrderEnv_Advance(y, 120 * FW_SEC);
+    text = Fw_OrderEnv_TakeJournal(y);
     ck_assert_int_eq(y->engines[0].n_models, 1);
     ck_assert_int_eq(y->engines[1].n_models, 1);
     ck_assert(!strstr(text, "holder0") || !strstr(text, "holder1"));
@@ -198,23 +198,23 @@
     for (int checks = 0; checks < 2; checks++) {
         struct fw_order_env *y = Fw_OrderEnv_New();
         struct fw_order_env_engine *e =
-            Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "m@1");
+            Fw_OrderEnv_AddEngine(y, "e1", "decode", "decode", "m@1");
 
-        e->checks = checks;
+        e->checks_fence = checks;
         Fw_OrderEnv_Start(y, 0);
-        Fw_OrderEnv_Run(y, 60 * FW_SEC);
+        Fw_OrderEnv_Advance(y, 60 * FW_SEC);
         e->n_models = 0;
         y->order_delay_us = 90 * FW_SEC;
         while (y->calls->len == 0 || e->n_models > 0 ||
                y->holders[0].orders->sent.value == 0) {
-            Fw_OrderEnv_Run(y, FW_SEC);
+            Fw_OrderEnv_Advance(y, FW_SEC);
         }
         y->holders[0].paused = 1;
         y->order_delay_us = 0;
         Fw_OrderEnv_Start(y, 1);
-        Fw_OrderEnv_Run(y, 60 * FW_SEC);
+        Fw_OrderEnv_Advance(y, 60 * FW_SEC);
         expect(y, "holder1 e1 load m@1 -> done\n");
-        Fw_OrderEnv_Run(y, 60 * FW_SEC);
+        Fw_OrderEnv_Advance(y, 60 * FW_SEC);
         expect(y, checks ? "holder0 e1 load m@1 -> old fence\n"
                          : "holder0 e1 load m@1 -> too late\n");
         ck_assert_int_eq(e->n_models, 1);
@@ -229,17 +229,17 @@
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
     struct fw_order_env_engine *e =
-        Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "m@1");
+        Fw_OrderEnv_AddEngine(y, "e1", "decode", "decode", "m@1");
 
     Fw_OrderEnv_Start(y, 0);
-    Fw_OrderEnv_Run(y, 60 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 60 * FW_SEC);
     y->log_down = 1;
-    Fw_OrderEnv_Run(y, 10 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 10 * FW_SEC);
     e->n_models = 0;
-    Fw_OrderEnv_Run(y, 120 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 120 * FW_SEC);
     expect(y, "");
     y->log_down = 0;
-    Fw_OrderEnv_Run(y, 120 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 120 * FW_SEC);
     expect(y, "holder0 e1 load m@1 -> done\n");
     Fw_OrderEnv_Free(y);
 }
@@ -251,10 +251,10 @@
 {
     struct fw_order_env *y = Fw_OrderEnv_New();
 
-    Fw_OrderEnv_Engine(y, "e1", "decode", "decode", "m@0");
+    Fw_OrderEnv_AddEngine(y, "e1", "decode", "decode", "m@0");
     y->lose_answers = 2;
     Fw_OrderEnv_Start(y, 0);
-    Fw_OrderEnv_Run(y, 120 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 120 * FW_SEC);
     expect(y, "holder0 e1 load m@1 -> done\n"
               "holder0 e1 unload m@0 -> done\n");
     Fw_OrderEnv_Free(y);
@@ -268,12 +268,12 @@
     struct fw_order_env *y = Fw_OrderEnv_New();
     struct fw_order_env_engine *silent;
 
-    Fw_OrderEnv_Engine(y, "e1", "decode", "prefill", "m@1");
-    Fw_OrderEnv_Engine(y, "e2", "decode", "prefill", "m@1");
-    silent = Fw_OrderEnv_Engine(y, "e3", "decode", "prefill", "m@1");
+    Fw_OrderEnv_AddEngine(y, "e1", "decode", "prefill", "m@1");
+    Fw_OrderEnv_AddEngine(y, "e2", "decode", "prefill", "m@1");
+    silent = Fw_OrderEnv_AddEngine(y, "e3", "decode", "prefill", "m@1");
     silent->down = 1;
     Fw_OrderEnv_Start(y, 0);
-    Fw_OrderEnv_Run(y, 120 * FW_SEC);
+    Fw_OrderEnv_Advance(y, 120 * FW_SEC);
     ck_assert_int_eq(!strcmp(y->engines[0].role, "prefill") +
                          !strcmp(y->engines[1].role, "prefill"),
                      1);
--- a/tests/route/test_route.c
+++ b/tests/route/test_route.c
@@ -9,29 +9,29 @@
 /* Prefill must not start before a decode slot is reserved. */
 START_TEST(decode_slot_comes_before_prefill)
 {
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
-
-    route_env_engine(s, "d0")->busy = 2;
-    route_env_engine(s, "d1")->busy = 2;
-    stage_run(s, 2 * FW_SEC);
-    stage_ask(s, 0, 1, "a", 100, NULL);
-    stage_run(s, 200 * FW_MSEC);
-    stage_expect(s, "");
-    route_env_engine(s, "d1")->busy = 1;
-    stage_run(s, 200 * FW_MSEC);
-    stage_expect(s, "");
-    stage_run(s, 900 * FW_MSEC);
-    ck_assert(strstr(s->seen->str, "> d1\n"));
-    g_string_truncate(s->seen, 0);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
+
+    Fw_RouteEnv_FindEngine(s, "d0")->busy = 2;
+    Fw_RouteEnv_FindEngine(s, "d1")->busy = 2;
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
+    Fw_RouteEnv_SubmitRequest(s, 0, 1, "a", 100, NULL);
+    Fw_RouteEnv_Advance(s, 200 * FW_MSEC);
+    Fw_RouteEnv_ExpectAnswers(s, "");
+    Fw_RouteEnv_FindEngine(s, "d1")->busy = 1;
+    Fw_RouteEnv_Advance(s, 200 * FW_MSEC);
+    Fw_RouteEnv_ExpectAnswers(s, "");
+    Fw_RouteEnv_Advance(s, 900 * FW_MSEC);
+    ck_assert(strstr(s->answers->str, "> d1\n"));
+    g_string_truncate(s->answers, 0);
     /* That was the last slot, though reports still count it as free. */
-    stage_ask(s, 0, 2, "a", 100, NULL);
-    stage_run(s, 200 * FW_MSEC);
-    stage_expect(s, "");
-    stage_step(s, 0, 1, FW_STEP_PREFILLED, NULL);
-    stage_step(s, 0, 1, FW_STEP_CANCELLED, NULL);
-    stage_run(s, 200 * FW_MSEC);
-    ck_assert(strstr(s->seen->str, "> d1\n"));
-    stage_free(s);
+    Fw_RouteEnv_SubmitRequest(s, 0, 2, "a", 100, NULL);
+    Fw_RouteEnv_Advance(s, 200 * FW_MSEC);
+    Fw_RouteEnv_ExpectAnswers(s, "");
+    Fw_RouteEnv_ReportStep(s, 0, 1, FW_STEP_PREFILLED, NULL);
+    Fw_RouteEnv_ReportStep(s, 0, 1, FW_STEP_CANCELLED, NULL);
+    Fw_RouteEnv_Advance(s, 200 * FW_MSEC);
+    ck_assert(strstr(s->answers->str, "> d1\n"));
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -39,19 +39,19 @@
  * be met, not when the caller gives up. */
 START_TEST(overload_is_refused_early)
 {
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
-
-    route_env_engine(s, "d0")->busy = 2;
-    route_env_engine(s, "d1")->busy = 2;
-    stage_run(s, 2 * FW_SEC);
-    stage_ask(s, 0, 1, "a", 1000, NULL);
-    stage_run(s, 1300 * FW_MSEC);
-    stage_expect(s, "");
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
+
+    Fw_RouteEnv_FindEngine(s, "d0")->busy = 2;
+    Fw_RouteEnv_FindEngine(s, "d1")->busy = 2;
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
+    Fw_RouteEnv_SubmitRequest(s, 0, 1, "a", 1000, NULL);
+    Fw_RouteEnv_Advance(s, 1300 * FW_MSEC);
+    Fw_RouteEnv_ExpectAnswers(s, "");
     /* 1500 ms less 100 ms of prefill, transfer and the first token. */
-    stage_run(s, 60 * FW_MSEC);
-    stage_expect(s, "1 503 overloaded after 250 ms\n");
+    Fw_RouteEnv_Advance(s, 60 * FW_MSEC);
+    Fw_RouteEnv_ExpectAnswers(s, "1 503 overloaded after 250 ms\n");
     ck_assert_int_eq(s->router[0]->m.grants.value, 0);
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -59,29 +59,29 @@
  * teams in turn. */
 START_TEST(slots_are_shared_between_teams)
 {
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
     GString *order = g_string_new(NULL);
 
-    route_env_engine(s, "d0")->busy = 2;
-    route_env_engine(s, "d1")->busy = 2;
-    stage_run(s, 2 * FW_SEC);
+    Fw_RouteEnv_FindEngine(s, "d0")->busy = 2;
+    Fw_RouteEnv_FindEngine(s, "d1")->busy = 2;
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
     for (uint64_t i = 0; i < 10; i++) {
-        stage_ask(s, 0, 100 + i, "noisy", 1000, NULL);
+        Fw_RouteEnv_SubmitRequest(s, 0, 100 + i, "noisy", 1000, NULL);
     }
-    stage_ask(s, 0, 1, "quiet", 1000, NULL);
-    stage_ask(s, 0, 2, "quiet", 1000, NULL);
-    route_env_engine(s, "d0")->busy = 0;
-    route_env_engine(s, "d1")->busy = 0;
-    stage_run(s, 1200 * FW_MSEC);
-    stage_step(s, 0, 100, FW_STEP_DONE, NULL);
-    stage_run(s, 200 * FW_MSEC);
-    for (const char *c = s->seen->str; *c; c = strchr(c, '\n') + 1) {
+    Fw_RouteEnv_SubmitRequest(s, 0, 1, "quiet", 1000, NULL);
+    Fw_RouteEnv_SubmitRequest(s, 0, 2, "quiet", 1000, NULL);
+    Fw_RouteEnv_FindEngine(s, "d0")->busy = 0;
+    Fw_RouteEnv_FindEngine(s, "d1")->busy = 0;
+    Fw_RouteEnv_Advance(s, 1200 * FW_MSEC);
+    Fw_RouteEnv_ReportStep(s, 0, 100, FW_STEP_DONE, NULL);
+    Fw_RouteEnv_Advance(s, 200 * FW_MSEC);
+    for (const char *c = s->answers->str; *c; c = strchr(c, '\n') + 1) {
         g_string_append_len(order, c, strchr(c, ' ') - c + 1);
     }
     ck_assert_str_eq(order->str,
                      "100 101 1 102 2 103 104 105 106 107 108 109 ");
     g_string_free(order, TRUE);
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -89,20 +89,21 @@
  * the instance polls the engine itself. */
 START_TEST(dead_coordinator_only_delays_requests)
 {
-    struct route_env *s = stage_new(3, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(3, FW_POLICY_FULL);
     const struct fw_member *m = Fw_Fleet_Pick(
-        s->fleet[0], route_env_engine(s, "d0") ? Fw_Hash_Str("d0") : 0, 0);
+        s->fleet[0], Fw_RouteEnv_FindEngine(s, "d0") ? Fw_Hash_Str("d0") : 0,
+        0);
     int dead = m->name[1] - '0';
     int requester = (dead + 1) % 3;
 
-    s->dead[dead] = 1;
-    route_env_engine(s, "d1")->dead = 1;
-    stage_run(s, 1500 * FW_MSEC);
-    stage_ask(s, requester, 1, "a", 100, NULL);
-    stage_run(s, 400 * FW_MSEC);
-    ck_assert_msg(strstr(s->seen->str, "> d0\n"), "%s", s->seen->str);
+    s->paused[dead] = 1;
+    Fw_RouteEnv_FindEngine(s, "d1")->unreachable = 1;
+    Fw_RouteEnv_Advance(s, 1500 * FW_MSEC);
+    Fw_RouteEnv_SubmitRequest(s, requester, 1, "a", 100, NULL);
+    Fw_RouteEnv_Advance(s, 400 * FW_MSEC);
+    ck_assert_msg(strstr(s->answers->str, "> d0\n"), "%s", s->answers->str);
     ck_assert_int_gt(s->router[requester]->m.reply_timeouts.value, 0);
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -110,39 +111,39 @@
  * reports yet. */
 START_TEST(restarted_coordinator_refuses_no_request)
 {
-    struct route_env *s = stage_new(2, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(2, FW_POLICY_FULL);
 
-    stage_restart(s, 1);
+    Fw_RouteEnv_Restart(s, 1);
     for (uint64_t i = 1; i <= 40; i++) {
-        stage_ask(s, 0, i, "a", 100, NULL);
-        stage_run(s, 50 * FW_MSEC);
-        stage_step(s, 0, i, FW_STEP_PREFILLED, NULL);
-        stage_step(s, 0, i, FW_STEP_DONE, NULL);
+        Fw_RouteEnv_SubmitRequest(s, 0, i, "a", 100, NULL);
+        Fw_RouteEnv_Advance(s, 50 * FW_MSEC);
+        Fw_RouteEnv_ReportStep(s, 0, i, FW_STEP_PREFILLED, NULL);
+        Fw_RouteEnv_ReportStep(s, 0, i, FW_STEP_DONE, NULL);
     }
-    stage_run(s, 2 * FW_SEC);
-    ck_assert_msg(!strstr(s->seen->str, " 503 "), "%s", s->seen->str);
-    stage_free(s);
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
+    ck_assert_msg(!strstr(s->answers->str, " 503 "), "%s", s->answers->str);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
 /* A reservation whose reply was lost must not leak a slot. */
 START_TEST(reservation_with_lost_reply_is_released)
 {
-    struct route_env *s = stage_new(2, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(2, FW_POLICY_FULL);
     int held = 0;
 
     s->lose_replies = 1;
     for (uint64_t i = 0; i < 4; i++) {
-        stage_ask(s, 0, i, "a", 100, NULL);
-        stage_ask(s, 1, 10 + i, "a", 100, NULL);
+        Fw_RouteEnv_SubmitRequest(s, 0, i, "a", 100, NULL);
+        Fw_RouteEnv_SubmitRequest(s, 1, 10 + i, "a", 100, NULL);
     }
-    stage_run(s, 300 * FW_MSEC);
+    Fw_RouteEnv_Advance(s, 300 * FW_MSEC);
     for (uint64_t i = 0; i < 4; i++) {
-        stage_step(s, 0, i, FW_STEP_CANCELLED, NULL);
-        stage_step(s, 1, 10 + i, FW_STEP_CANCELLED, NULL);
+        Fw_RouteEnv_ReportStep(s, 0, i, FW_STEP_CANCELLED, NULL);
+        Fw_RouteEnv_ReportStep(s, 1, 10 + i, FW_STEP_CANCELLED, NULL);
     }
     s->lose_replies = 0;
-    stage_run(s, 2 * FW_SEC);
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
     for (int i = 0; i < 2; i++) {
         for (guint k = 0; k < s->router[i]->engine_list->len; k++) {
             const struct fw_engine *e = s->router[i]->engine_list->pdata[k];
@@ -152,7 +153,7 @@
         }
     }
     ck_assert_int_eq(held, 0);
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -178,8 +179,9 @@
 
 START_TEST(unusable_engine_gets_no_requests)
 {
-    struct route_env *s = stage_new(2, FW_POLICY_FULL);
-    struct route_env_engine *e = route_env_engine(s, unusable_rows[_i].engine);
+    struct fw_route_env *s = Fw_RouteEnv_New(2, FW_POLICY_FULL);
+    struct fw_route_env_engine *e =
+        Fw_RouteEnv_FindEngine(s, unusable_rows[_i].engine);
     struct fw_upstream *u =
         g_hash_table_lookup(s->cfg->upstreams, unusable_rows[_i].engine);
     struct fw_registry_entry entry = {.kind = FW_REGISTRY_UPSTREAM,
@@ -189,24 +191,24 @@
     g_strlcpy(entry.name, e->name, sizeof(entry.name));
     Fw_Router_OnListed(s->router[0], &listed, s->now_us);
     e->leaving = unusable_rows[_i].leaving;
-    e->dead = unusable_rows[_i].dead;
+    e->unreachable = unusable_rows[_i].dead;
     e->model = unusable_rows[_i].model;
     e->is_prefill = unusable_rows[_i].is_prefill;
     u->drained = unusable_rows[_i].drained;
-    stage_run(s, 2 * FW_SEC);
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
     for (uint64_t i = 0; i < 6; i++) {
-        stage_ask(s, (int)(i % 2), i, "a", 100, NULL);
-        stage_run(s, 100 * FW_MSEC);
-        stage_step(s, (int)(i % 2), i, FW_STEP_CANCELLED, NULL);
+        Fw_RouteEnv_SubmitRequest(s, (int)(i % 2), i, "a", 100, NULL);
+        Fw_RouteEnv_Advance(s, 100 * FW_MSEC);
+        Fw_RouteEnv_ReportStep(s, (int)(i % 2), i, FW_STEP_CANCELLED, NULL);
         if (i == 0 && unusable_rows[_i].listed) {
-            g_string_truncate(s->seen, 0); /* n1 knows from n0 by now */
+            g_string_truncate(s->answers, 0); /* n1 knows from n0 by now */
         }
     }
-    ck_assert_msg(strstr(s->seen->str, " > "), "%s: none served",
+    ck_assert_msg(strstr(s->answers->str, " > "), "%s: none served",
                   unusable_rows[_i].what);
-    ck_assert_msg(!strstr(s->seen->str, unusable_rows[_i].engine), "%s:\n%s",
-                  unusable_rows[_i].what, s->seen->str);
-    stage_free(s);
+    ck_assert_msg(!strstr(s->answers->str, unusable_rows[_i].engine),
+                  "%s:\n%s", unusable_rows[_i].what, s->answers->str);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -220,71 +222,71 @@
         {.seq = 4, .prefix_hash = 9}};
     struct fw_prefixes seven = {.n = 1, .hash = {7}};
     struct fw_prefixes nine = {.n = 1, .hash = {9}};
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
     struct fw_router *r = s->router[0];
     const struct fw_engine *e = Fw_Engine_Find(r, Fw_Hash_Str("p0"));
 
     /* The first batch sets the sequence; the next one has a gap. */
-    route_env_engine(s, "p0")->cache =
+    Fw_RouteEnv_FindEngine(s, "p0")->cache =
         (struct fw_up_cache_batch){.n = 1, .next_seq = 2, .events = first};
-    stage_run(s, 5 * FW_SEC);
+    Fw_RouteEnv_Advance(s, 5 * FW_SEC);
     ck_assert_int_gt(
         Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(e), &seven),
         0);
-    route_env_engine(s, "p0")->cache =
+    Fw_RouteEnv_FindEngine(s, "p0")->cache =
         (struct fw_up_cache_batch){.n = 1, .next_seq = 5, .events = later};
-    stage_run(s, 5 * FW_SEC);
+    Fw_RouteEnv_Advance(s, 5 * FW_SEC);
     ck_assert_int_eq(
         Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(e), &seven),
         0);
     ck_assert_int_gt(
         Fw_Prefix_CachedTokens(&r->prefixes, Fw_Engine_CacheKey(e), &nine), 0);
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
 /* Repeated prompts must go to the engine that has them cached. */
 START_TEST(same_prompt_goes_where_it_is_cached)
 {
-    struct route_env *s = stage_new(2, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(2, FW_POLICY_FULL);
     char first[8];
 
-    stage_ask(s, 0, 1, "a", 2000, NULL);
-    stage_run(s, 300 * FW_MSEC);
-    memcpy(first, s->seen->str, 7);
+    Fw_RouteEnv_SubmitRequest(s, 0, 1, "a", 2000, NULL);
+    Fw_RouteEnv_Advance(s, 300 * FW_MSEC);
+    memcpy(first, s->answers->str, 7);
     first[7] = '\0'; /* "1 pX > " */
-    stage_step(s, 0, 1, FW_STEP_PREFILLED, NULL);
-    stage_step(s, 0, 1, FW_STEP_DONE, NULL);
-    g_string_truncate(s->seen, 0);
+    Fw_RouteEnv_ReportStep(s, 0, 1, FW_STEP_PREFILLED, NULL);
+    Fw_RouteEnv_ReportStep(s, 0, 1, FW_STEP_DONE, NULL);
+    g_string_truncate(s->answers, 0);
     for (uint64_t i = 2; i < 6; i++) {
-        stage_ask(s, (int)(i % 2), i, "a", 2000, NULL);
-        stage_run(s, 300 * FW_MSEC);
-        stage_step(s, (int)(i % 2), i, FW_STEP_PREFILLED, NULL);
-        stage_step(s, (int)(i % 2), i, FW_STEP_DONE, NULL);
-        ck_assert_msg(strncmp(s->seen->str + 1, first + 1, 6) == 0, "%s",
-                      s->seen->str);
-        g_string_truncate(s->seen, 0);
+        Fw_RouteEnv_SubmitRequest(s, (int)(i % 2), i, "a", 2000, NULL);
+        Fw_RouteEnv_Advance(s, 300 * FW_MSEC);
+        Fw_RouteEnv_ReportStep(s, (int)(i % 2), i, FW_STEP_PREFILLED, NULL);
+        Fw_RouteEnv_ReportStep(s, (int)(i % 2), i, FW_STEP_DONE, NULL);
+        ck_assert_msg(strncmp(s->answers->str + 1, first + 1, 6) == 0, "%s",
+                      s->answers->str);
+        g_string_truncate(s->answers, 0);
     }
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
 /* A retry must avoid the engine that failed, and its failure domain. */
 START_TEST(retry_goes_to_another_domain)
 {
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
 
-    stage_ask(s, 0, 1, "a", 100, "p0");
-    stage_run(s, 100 * FW_MSEC);
-    stage_expect(s, "1 p1 > d1\n");
-    stage_free(s);
+    Fw_RouteEnv_SubmitRequest(s, 0, 1, "a", 100, "p0");
+    Fw_RouteEnv_Advance(s, 100 * FW_MSEC);
+    Fw_RouteEnv_ExpectAnswers(s, "1 p1 > d1\n");
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
 /* Neither a server with an open breaker nor one to avoid must be picked. */
 START_TEST(failing_server_is_not_picked)
 {
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
     const char *avoid[] = {"s1", NULL};
     int n_wrong = 0;
 
@@ -300,14 +302,14 @@
     ck_assert_int_eq(n_wrong, 0);
     ck_assert_ptr_null(
         Fw_Route_PickServer(s->router[0], s->cfg, "none", NULL, s->now_us));
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
 /* A request that may crash its engine must not share it with others. */
 START_TEST(exclusive_request_shares_no_engine)
 {
-    struct route_env *s = stage_new(1, FW_POLICY_FULL);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, FW_POLICY_FULL);
     struct fw_route_request req = {.ticket = 1,
                                    .prompt_tokens = 100,
                                    .max_tokens = 10,
@@ -315,23 +317,23 @@
                                    .exclusive = 1};
     struct fw_actions out;
 
-    route_env_engine(s, "d0")->busy = 1;
-    stage_run(s, 2 * FW_SEC);
+    Fw_RouteEnv_FindEngine(s, "d0")->busy = 1;
+    Fw_RouteEnv_Advance(s, 2 * FW_SEC);
     req.arrived_us = s->now_us;
     g_strlcpy(req.team, "a", sizeof(req.team));
     g_strlcpy(req.model, "m", sizeof(req.model));
     Fw_Actions_Init(&out);
     Fw_Route_Submit(s->router[0], s->cfg, &req, s->now_us, &out);
     Fw_Actions_Clear(&out);
-    stage_run(s, 50 * FW_MSEC);
-    ck_assert_msg(strstr(s->seen->str, "> d1\n"), "%s", s->seen->str);
-    g_string_truncate(s->seen, 0);
+    Fw_RouteEnv_Advance(s, 50 * FW_MSEC);
+    ck_assert_msg(strstr(s->answers->str, "> d1\n"), "%s", s->answers->str);
+    g_string_truncate(s->answers, 0);
     for (uint64_t i = 2; i < 5; i++) {
-        stage_ask(s, 0, i, "a", 100, NULL);
+        Fw_RouteEnv_SubmitRequest(s, 0, i, "a", 100, NULL);
     }
-    stage_run(s, 200 * FW_MSEC);
-    ck_assert_msg(!strstr(s->seen->str, "> d1\n"), "%s", s->seen->str);
-    stage_free(s);
+    Fw_RouteEnv_Advance(s, 200 * FW_MSEC);
+    ck_assert_msg(!strstr(s->answers->str, "> d1\n"), "%s", s->answers->str);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
@@ -339,17 +341,17 @@
 START_TEST(baselines_answer_at_once)
 {
     enum fw_policy policy = _i ? FW_POLICY_RANDOM : FW_POLICY_LEAST_LOADED;
-    struct route_env *s = stage_new(1, policy);
+    struct fw_route_env *s = Fw_RouteEnv_New(1, policy);
 
-    route_env_engine(s, "p0")->queued = 5000;
-    route_env_engine(s, "d0")->busy = 1;
-    stage_run(s, 300 * FW_MSEC);
-    stage_ask(s, 0, 1, "a", 100, NULL);
+    Fw_RouteEnv_FindEngine(s, "p0")->queued_tokens = 5000;
+    Fw_RouteEnv_FindEngine(s, "d0")->busy = 1;
+    Fw_RouteEnv_Advance(s, 300 * FW_MSEC);
+    Fw_RouteEnv_SubmitRequest(s, 0, 1, "a", 100, NULL);
     if (policy == FW_POLICY_LEAST_LOADED) {
-        stage_expect(s, "1 p1 > d1\n");
+        Fw_RouteEnv_ExpectAnswers(s, "1 p1 > d1\n");
     }
     ck_assert_int_eq(s->router[0]->m.grants.value, 1);
-    stage_free(s);
+    Fw_RouteEnv_Free(s);
 }
 END_TEST
 
