--- a/src/io/addr.h
+++ b/src/io/addr.h
@@ -1,4 +1,4 @@
-/* "ip:port" and "[ip6]:port". */
+/* Socket addresses in text form: "ip:port", or "[ip6]:port" for IPv6. */
 #ifndef FW_IO_ADDR_H
 #define FW_IO_ADDR_H
 
@@ -6,10 +6,10 @@
 
 #include "base/limits.h"
 
-/* NULL when @text is no IP number with a port. */
+/* Returns a new address, or NULL unless @text is an IP address and port. */
 GSocketAddress *
 Fw_Addr_Parse(const char *text);
-/* @out: at least FW_URL_MAX bytes */
+/* Writes @addr as text; @out holds at least FW_URL_MAX bytes. */
 void
 Fw_Addr_Print(GSocketAddress *addr, char *out);
 
--- a/src/io/api_parse.c
+++ b/src/io/api_parse.c
@@ -5,10 +5,10 @@
 #include "io/json.h"
 
 #define FW_BYTES_PER_TOKEN 4
-#define FW_MAX_TOKENS_MAX (1LL << 31)
+#define FW_MAX_TOKENS_LIMIT (1LL << 31)
 
 static int
-refuse(struct fw_api_error *err, int status, const char *code,
+reject(struct fw_api_error *err, int status, const char *code,
        const char *message)
 {
     *err = (struct fw_api_error){
@@ -17,9 +17,9 @@
 }
 
 static int
-bad(struct fw_api_error *err, const char *message)
+reject_invalid(struct fw_api_error *err, const char *message)
 {
-    return refuse(err, 400, "invalid_request", message);
+    return reject(err, 400, "invalid_request", message);
 }
 
 static int
@@ -29,9 +29,11 @@
     int rc = Fw_Json_CopyStr(obj, "model", out->model, sizeof(out->model));
 
     if (rc == -ENOENT || (!rc && !out->model[0])) {
-        return refuse(err, 400, "model_missing", "model is missing");
+        return reject(err, 400, "model_missing", "model is missing");
     }
-    return rc ? bad(err, "model must be a string of at most 47 bytes") : 0;
+    return rc ? reject_invalid(err,
+                               "model must be a string of at most 47 bytes")
+              : 0;
 }
 
 static int
@@ -44,8 +46,9 @@
     if (rc == -ENOENT) {
         rc = Fw_Json_Int(obj, "max_tokens", &v);
     }
-    if ((rc && rc != -ENOENT) || v <= 0 || v > FW_MAX_TOKENS_MAX) {
-        return bad(err, "max_tokens must be a whole number above zero");
+    if ((rc && rc != -ENOENT) || v <= 0 || v > FW_MAX_TOKENS_LIMIT) {
+        return reject_invalid(err,
+                              "max_tokens must be a whole number above zero");
     }
     out->max_tokens = v;
     return 0;
@@ -59,7 +62,7 @@
     int rc = Fw_Json_Bool(obj, "stream", &out->stream);
 
     if (rc && rc != -ENOENT) {
-        return bad(err, "stream must be true or false");
+        return reject_invalid(err, "stream must be true or false");
     }
     rc = Fw_Json_Object(obj, "stream_options", &options);
     if (rc == -ENOENT) {
@@ -69,33 +72,34 @@
         rc = Fw_Json_Bool(options, "include_usage", &out->include_usage);
     }
     return rc && rc != -ENOENT
-               ? bad(err, "stream_options.include_usage must be true or false")
+               ? reject_invalid(
+                     err, "stream_options.include_usage must be true or false")
                : 0;
 }
 
-/* One answer a request: a second choice would be a second run. */
+/* Several choices per request are not supported. */
 static int
-read_choices(JsonObject *obj, struct fw_api_error *err)
+check_choice_count(JsonObject *obj, struct fw_api_error *err)
 {
     int64_t n = 1;
     int rc = Fw_Json_Int(obj, "n", &n);
 
     if ((rc && rc != -ENOENT) || n != 1) {
-        return bad(err, "n must be 1");
+        return reject_invalid(err, "n must be 1");
     }
     return 0;
 }
 
-/* A string, or an array of one string. */
+/* The prompt is a string, or an array of one string. */
 static int
-read_prompt(JsonObject *obj, GString *text, struct fw_api_error *err)
+append_prompt(JsonObject *obj, GString *text, struct fw_api_error *err)
 {
     const char *s = NULL;
     JsonArray *arr;
     int rc = Fw_Json_Str(obj, "prompt", &s);
 
     if (rc == -ENOENT) {
-        return bad(err, "prompt is missing");
+        return reject_invalid(err, "prompt is missing");
     }
     if (rc && !Fw_Json_Array(obj, "prompt", &arr) &&
         json_array_get_length(arr) == 1) {
@@ -106,14 +110,15 @@
                 : NULL;
     }
     if (!s) {
-        return bad(err, "prompt must be a string or an array of one string");
+        return reject_invalid(
+            err, "prompt must be a string or an array of one string");
     }
     g_string_append(text, s);
     return 0;
 }
 
 static int
-read_parts(JsonArray *parts, GString *text, struct fw_api_error *err)
+append_content_parts(JsonArray *parts, GString *text, struct fw_api_error *err)
 {
     for (guint i = 0; i < json_array_get_length(parts); i++) {
         JsonObject *part = Fw_Json_Element(parts, i);
@@ -122,16 +127,20 @@
 
         if (!part || Fw_Json_Str(part, "type", &type) ||
             strcmp(type, "text") != 0 || Fw_Json_Str(part, "text", &s)) {
-            return bad(err, "a part of content must be of type text");
+            return reject_invalid(err,
+                                  "a part of content must be of type text");
         }
         g_string_append(text, s);
     }
     return 0;
 }
 
-/* "role: text", a line each: the prompt that the engines see of a chat. */
+/*
+ * Engines take one text, so a chat is flattened to a line "role: text" for
+ * each message.
+ */
 static int
-read_message(JsonObject *msg, GString *text, struct fw_api_error *err)
+append_message(JsonObject *msg, GString *text, struct fw_api_error *err)
 {
     const char *role;
     const char *s = "";
@@ -139,15 +148,16 @@
     int rc;
 
     if (!msg || Fw_Json_Str(msg, "role", &role) || !role[0]) {
-        return bad(err, "each message needs a role");
+        return reject_invalid(err, "each message needs a role");
     }
     g_string_append_printf(text, "%s: ", role);
     rc = Fw_Json_Str(msg, "content", &s);
     if (rc == -EBADMSG) {
         if (Fw_Json_Array(msg, "content", &parts)) {
-            return bad(err, "content must be a string or an array of parts");
+            return reject_invalid(
+                err, "content must be a string or an array of parts");
         }
-        if (read_parts(parts, text, err)) {
+        if (append_content_parts(parts, text, err)) {
             return -EBADMSG;
         }
     }
@@ -157,16 +167,17 @@
 }
 
 static int
-read_messages(JsonObject *obj, GString *text, struct fw_api_error *err)
+append_messages(JsonObject *obj, GString *text, struct fw_api_error *err)
 {
     JsonArray *arr;
 
     if (Fw_Json_Array(obj, "messages", &arr) ||
         json_array_get_length(arr) == 0) {
-        return bad(err, "messages must be an array with a message in it");
+        return reject_invalid(
+            err, "messages must be an array with a message in it");
     }
     for (guint i = 0; i < json_array_get_length(arr); i++) {
-        if (read_message(Fw_Json_Element(arr, i), text, err)) {
+        if (append_message(Fw_Json_Element(arr, i), text, err)) {
             return -EBADMSG;
         }
     }
@@ -175,20 +186,21 @@
 }
 
 static int
-read_text(enum fw_api api, JsonObject *obj, const struct fw_api_limits *limits,
-          struct fw_api_request *out, struct fw_api_error *err)
+read_prompt_text(enum fw_api api, JsonObject *obj,
+                 const struct fw_api_limits *limits,
+                 struct fw_api_request *out, struct fw_api_error *err)
 {
     GString *text = g_string_new(NULL);
-    int rc = api == FW_API_CHAT ? read_messages(obj, text, err)
-                                : read_prompt(obj, text, err);
+    int rc = api == FW_API_CHAT ? append_messages(obj, text, err)
+                                : append_prompt(obj, text, err);
 
     if (!rc && text->len == 0) {
-        rc = bad(err, "the prompt is empty");
+        rc = reject_invalid(err, "the prompt is empty");
     }
     out->prompt_tokens =
         (int64_t)(text->len + FW_BYTES_PER_TOKEN - 1) / FW_BYTES_PER_TOKEN;
     if (!rc && out->prompt_tokens > limits->prompt_tokens_max) {
-        rc = refuse(err, 413, "prompt_too_long",
+        rc = reject(err, 413, "prompt_too_long",
                     "the prompt has more tokens than are taken here");
     }
     if (rc) {
@@ -205,10 +217,10 @@
              struct fw_api_error *err)
 {
     if (read_model(obj, out, err) || read_max_tokens(obj, limits, out, err) ||
-        read_stream(obj, out, err) || read_choices(obj, err)) {
+        read_stream(obj, out, err) || check_choice_count(obj, err)) {
         return -EBADMSG;
     }
-    return read_text(api, obj, limits, out, err);
+    return read_prompt_text(api, obj, limits, out, err);
 }
 
 int
@@ -221,7 +233,7 @@
 
     memset(out, 0, sizeof(*out));
     if (!root) {
-        return refuse(err, 400, "invalid_json",
+        return reject(err, 400, "invalid_json",
                       "the body is not a JSON object in UTF-8");
     }
     rc = read_request(api, json_node_get_object(root), limits, out, err);
@@ -230,7 +242,7 @@
 }
 
 int64_t
-Fw_Api_Deadline(const char *text, int64_t now_us)
+Fw_Api_ParseDeadline(const char *text, int64_t now_us)
 {
     GDateTime *at = g_date_time_new_from_iso8601(text, NULL);
     int64_t wall_us;
@@ -245,7 +257,7 @@
 }
 
 int
-Fw_Api_IsId(const char *id)
+Fw_Api_IsValidId(const char *id)
 {
     size_t len = strlen(id);
 
--- a/src/io/api_write.c
+++ b/src/io/api_write.c
@@ -4,14 +4,14 @@
 #include "io/json.h"
 
 static int
-is_chat(const struct fw_api_answer *a)
+is_chat(const struct fw_api_response *a)
 {
     return a->api == FW_API_CHAT;
 }
 
-/* {"id":...,"object":...,"created":...,"model":... */
+/* Opens the object with the members id, object, created and model. */
 static void
-add_head(const struct fw_api_answer *a, const char *object, GString *out)
+add_head(const struct fw_api_response *a, const char *object, GString *out)
 {
     char *id =
         g_strconcat(is_chat(a) ? "chatcmpl-" : "cmpl-", a->request_id, NULL);
@@ -26,7 +26,7 @@
 }
 
 static void
-begin_chunk(const struct fw_api_answer *a, GString *out)
+begin_chunk(const struct fw_api_response *a, GString *out)
 {
     g_string_append(out, "data: ");
     add_head(a, is_chat(a) ? "chat.completion.chunk" : "text_completion", out);
@@ -38,9 +38,9 @@
     g_string_append(out, "}\n\n");
 }
 
-/* A client that asked for usage expects the member in every chunk. */
+/* With include_usage, every chunk but the last has "usage":null. */
 static void
-add_no_usage(const struct fw_api_answer *a, GString *out)
+add_null_usage(const struct fw_api_response *a, GString *out)
 {
     if (a->include_usage) {
         g_string_append(out, ",\"usage\":null");
@@ -59,7 +59,7 @@
 }
 
 static void
-add_engines(const struct fw_call_end *end, GString *out)
+add_routing_details(const struct fw_call_end *end, GString *out)
 {
     g_string_append(out, ",\"fuchsiaward\":{\"prefill\":");
     Fw_Json_AddStr(out, end->prefill);
@@ -71,7 +71,7 @@
 }
 
 void
-Fw_Api_WriteFirst(const struct fw_api_answer *a, GString *out)
+Fw_Api_WriteFirstChunk(const struct fw_api_response *a, GString *out)
 {
     if (!is_chat(a)) {
         return;
@@ -80,13 +80,13 @@
     g_string_append(out, ",\"choices\":[{\"index\":0,\"delta\":{\"role\":"
                          "\"assistant\",\"content\":\"\"},\"logprobs\":null,"
                          "\"finish_reason\":null}]");
-    add_no_usage(a, out);
+    add_null_usage(a, out);
     end_chunk(out);
 }
 
 void
-Fw_Api_WritePiece(const struct fw_api_answer *a, const char *text,
-                  GString *out)
+Fw_Api_WriteTextChunk(const struct fw_api_response *a, const char *text,
+                      GString *out)
 {
     begin_chunk(a, out);
     g_string_append(out, is_chat(a) ? ",\"choices\":[{\"index\":0,\"delta\":{"
@@ -95,13 +95,13 @@
     Fw_Json_AddStr(out, text);
     g_string_append(out, is_chat(a) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":null}]");
-    add_no_usage(a, out);
+    add_null_usage(a, out);
     end_chunk(out);
 }
 
 void
-Fw_Api_WriteLast(const struct fw_api_answer *a, const struct fw_call_end *end,
-                 GString *out)
+Fw_Api_WriteFinalChunk(const struct fw_api_response *a,
+                       const struct fw_call_end *end, GString *out)
 {
     begin_chunk(a, out);
     g_string_append(out, is_chat(a)
@@ -111,20 +111,20 @@
     Fw_Json_AddStr(out, end->reason);
     g_string_append(out, "}]");
     if (a->include_usage) {
-        add_no_usage(a, out);
+        add_null_usage(a, out);
         end_chunk(out);
         begin_chunk(a, out);
         g_string_append(out, ",\"choices\":[]");
         add_usage(end, out);
     }
-    add_engines(end, out);
+    add_routing_details(end, out);
     end_chunk(out);
     g_string_append(out, "data: [DONE]\n\n");
 }
 
 void
-Fw_Api_WriteWhole(const struct fw_api_answer *a, const char *text,
-                  const struct fw_call_end *end, GString *out)
+Fw_Api_WriteResponse(const struct fw_api_response *a, const char *text,
+                     const struct fw_call_end *end, GString *out)
 {
     add_head(a, is_chat(a) ? "chat.completion" : "text_completion", out);
     g_string_append(out, is_chat(a)
@@ -137,7 +137,7 @@
     Fw_Json_AddStr(out, end->reason);
     g_string_append(out, "}]");
     add_usage(end, out);
-    add_engines(end, out);
+    add_routing_details(end, out);
     g_string_append_c(out, '}');
 }
 
--- a/src/io/engine_decode.c
+++ b/src/io/engine_decode.c
@@ -8,7 +8,7 @@
 #define FW_TOKENS_MAX (1LL << 40)
 #define FW_MS_MAX (1LL << 40)
 
-/* A count that is present and sensible. */
+/* Reads a required integer between 0 and @max. */
 static int
 read_count(JsonObject *obj, const char *name, int64_t max, int64_t *out)
 {
@@ -17,9 +17,10 @@
     return rc || *out < 0 || *out > max ? -EBADMSG : 0;
 }
 
-/* Like read_count, 0 when it is missing. */
+/* Like read_count, but a missing member reads as 0. */
 static int
-read_optional(JsonObject *obj, const char *name, int64_t max, int64_t *out)
+read_optional_count(JsonObject *obj, const char *name, int64_t max,
+                    int64_t *out)
 {
     int rc = Fw_Json_Int(obj, name, out);
 
@@ -43,7 +44,7 @@
 }
 
 static int
-read_end(JsonObject *obj, struct fw_up_event *ev)
+read_done_line(JsonObject *obj, struct fw_up_event *ev)
 {
     ev->phase = FW_UP_DONE;
     ev->ran = FW_RAN_YES;
@@ -55,7 +56,7 @@
 }
 
 static int
-read_token(JsonObject *obj, struct fw_up_event *ev)
+read_token_line(JsonObject *obj, struct fw_up_event *ev)
 {
     ev->phase = FW_UP_PIECE;
     ev->ran = FW_RAN_YES;
@@ -66,8 +67,8 @@
 }
 
 int
-Fw_Engine_Line(const char *line, size_t len, struct fw_up_event *ev,
-               JsonNode **root)
+Fw_Engine_DecodeStreamLine(const char *line, size_t len,
+                           struct fw_up_event *ev, JsonNode **root)
 {
     JsonObject *obj;
     int done = 0;
@@ -80,7 +81,7 @@
     obj = json_node_get_object(*root);
     rc = Fw_Json_Bool(obj, "done", &done);
     if (!rc || rc == -ENOENT) {
-        rc = done ? read_end(obj, ev) : read_token(obj, ev);
+        rc = done ? read_done_line(obj, ev) : read_token_line(obj, ev);
     }
     if (rc) {
         json_node_unref(*root);
@@ -94,7 +95,8 @@
 {
     if (Fw_Json_CopyStr(obj, "kv", kv->kv, sizeof(kv->kv)) ||
         read_count(obj, "tokens", FW_TOKENS_MAX, &kv->tokens) ||
-        read_optional(obj, "cached", FW_TOKENS_MAX, &kv->cached_tokens)) {
+        read_optional_count(obj, "cached", FW_TOKENS_MAX,
+                            &kv->cached_tokens)) {
         return -EBADMSG;
     }
     return read_ms(obj, "lapse_ms", &kv->lapse_us);
@@ -161,8 +163,8 @@
 }
 
 static int
-read_held(JsonObject *obj, struct fw_up_held *held,
-          struct fw_engine_answer *own)
+read_held_requests(JsonObject *obj, struct fw_up_held *held,
+                   struct fw_engine_response *resp)
 {
     JsonArray *arr;
     guint n;
@@ -171,24 +173,23 @@
         return -EBADMSG;
     }
     n = json_array_get_length(arr);
-    own->held = g_new0(const char *, n + 1);
-    own->attached = g_new0(unsigned char, n + 1);
+    resp->request_ids = g_new0(const char *, n + 1);
+    resp->attached = g_new0(unsigned char, n + 1);
     for (guint i = 0; i < n; i++) {
         JsonObject *item = Fw_Json_Element(arr, i);
-
         int attached = 0;
 
-        if (!item || Fw_Json_Str(item, "id", &own->held[i])) {
+        if (!item || Fw_Json_Str(item, "id", &resp->request_ids[i])) {
             return -EBADMSG;
         }
         if (Fw_Json_Bool(item, "attached", &attached) == -EBADMSG) {
             return -EBADMSG;
         }
-        own->attached[i] = attached != 0;
+        resp->attached[i] = attached != 0;
     }
     held->n = (int)n;
-    held->requests = own->held;
-    held->attached = own->attached;
+    held->requests = resp->request_ids;
+    held->attached = resp->attached;
     return 0;
 }
 
@@ -212,7 +213,7 @@
 
     if (!obj || read_count(obj, "seq", INT64_MAX, &seq) ||
         read_prefix(obj, &e->prefix) ||
-        read_optional(obj, "tokens", FW_TOKENS_MAX, &e->tokens)) {
+        read_optional_count(obj, "tokens", FW_TOKENS_MAX, &e->tokens)) {
         return -EBADMSG;
     }
     e->seq = (uint64_t)seq;
@@ -222,7 +223,7 @@
 
 static int
 read_cache(JsonObject *obj, struct fw_up_cache_batch *batch,
-           struct fw_engine_answer *own)
+           struct fw_engine_response *resp)
 {
     JsonArray *arr;
     int64_t next;
@@ -233,35 +234,36 @@
         return -EBADMSG;
     }
     n = json_array_get_length(arr);
-    own->cache = g_new0(struct fw_up_cache_event, n + 1);
+    resp->cache_events = g_new0(struct fw_up_cache_event, n + 1);
     for (guint i = 0; i < n; i++) {
-        if (read_cache_event(Fw_Json_Element(arr, i), &own->cache[i])) {
+        if (read_cache_event(Fw_Json_Element(arr, i),
+                             &resp->cache_events[i])) {
             return -EBADMSG;
         }
     }
     batch->n = (int)n;
     batch->next_seq = (uint64_t)next;
-    batch->events = own->cache;
+    batch->events = resp->cache_events;
     return 0;
 }
 
 int
-Fw_Engine_Answer(GBytes *body, struct fw_up_event *ev,
-                 struct fw_engine_answer *own)
+Fw_Engine_DecodeResponse(GBytes *body, struct fw_up_event *ev,
+                         struct fw_engine_response *resp)
 {
     gsize len;
     const char *data = g_bytes_get_data(body, &len);
     JsonObject *obj;
 
-    memset(own, 0, sizeof(*own));
+    memset(resp, 0, sizeof(*resp));
     if (ev->kind == FW_UP_CANCEL || ev->kind == FW_UP_ORDER) {
         return 0;
     }
-    own->root = Fw_Json_Parse(data, len);
-    if (!own->root) {
+    resp->root = Fw_Json_Parse(data, len);
+    if (!resp->root) {
         return -EBADMSG;
     }
-    obj = json_node_get_object(own->root);
+    obj = json_node_get_object(resp->root);
     switch (ev->kind) {
     case FW_UP_PREFILL:
         return read_kv(obj, &ev->u.kv);
@@ -270,9 +272,9 @@
     case FW_UP_LOAD:
         return read_report(obj, &ev->u.report);
     case FW_UP_HELD:
-        return read_held(obj, &ev->u.held, own);
+        return read_held_requests(obj, &ev->u.held, resp);
     case FW_UP_CACHE:
-        return read_cache(obj, &ev->u.cache, own);
+        return read_cache(obj, &ev->u.cache, resp);
     case FW_UP_DECODE:
     case FW_UP_RESUME:
     case FW_UP_CANCEL:
@@ -284,13 +286,13 @@
 }
 
 void
-Fw_Engine_ClearAnswer(struct fw_engine_answer *own)
+Fw_Engine_ClearResponse(struct fw_engine_response *resp)
 {
-    if (own->root) {
-        json_node_unref(own->root);
+    if (resp->root) {
+        json_node_unref(resp->root);
     }
-    g_free(own->held);
-    g_free(own->attached);
-    g_free(own->cache);
-    memset(own, 0, sizeof(*own));
+    g_free(resp->request_ids);
+    g_free(resp->attached);
+    g_free(resp->cache_events);
+    memset(resp, 0, sizeof(*resp));
 }
--- a/src/io/engine_encode.c
+++ b/src/io/engine_encode.c
@@ -44,10 +44,13 @@
     return msg;
 }
 
-/* Safe to repeat by its request id, so a kept connection may carry it. */
+/*
+ * The engine deduplicates by request id, so libsoup may use a persistent
+ * connection and resend.
+ */
 static SoupMessage *
-post_by_id(const struct fw_up_start *up, const char *path, JsonBuilder *b,
-           const char *request)
+post_idempotent(const struct fw_up_start *up, const char *path, JsonBuilder *b,
+                const char *request)
 {
     return post(up, path, b, request, SOUP_MESSAGE_IDEMPOTENT);
 }
@@ -67,7 +70,7 @@
     Fw_Json_SetStr(b, "prompt", prompt);
     Fw_Json_SetInt(b, "priority", p->priority);
     g_free(prompt);
-    msg = post_by_id(up, "/v1/prefill", b, p->request);
+    msg = post_idempotent(up, "/v1/prefill", b, p->request);
     if (msg) {
         soup_message_headers_replace(soup_message_get_request_headers(msg),
                                      "X-Fuchsiaward-Team", p->team);
@@ -84,7 +87,7 @@
     Fw_Json_SetStr(b, "kv", p->kv);
     Fw_Json_SetStr(b, "from", p->from_url);
     Fw_Json_SetInt(b, "tokens", p->tokens);
-    return post_by_id(up, "/v1/kv/import", b, p->request);
+    return post_idempotent(up, "/v1/kv/import", b, p->request);
 }
 
 static SoupMessage *
@@ -98,9 +101,9 @@
         Fw_Json_SetInt(b, "max_tokens", p->max_tokens);
     }
     Fw_Json_SetInt(b, "from_index", p->from_index);
-    return post_by_id(up,
-                      up->kind == FW_UP_DECODE ? "/v1/decode" : "/v1/resume",
-                      b, p->request);
+    return post_idempotent(
+        up, up->kind == FW_UP_DECODE ? "/v1/decode" : "/v1/resume", b,
+        p->request);
 }
 
 static SoupMessage *
@@ -119,13 +122,13 @@
     Fw_Json_SetStr(b, "adapter", p->adapter);
     Fw_Json_SetStr(b, "role", p->role);
     Fw_Json_SetInt(b, "ttl_ms", p->ttl_us / FW_MSEC);
-    /* An order sent again by the library could come after a newer one. */
+    /* No automatic resend: it could arrive after a newer order. */
     return post(up, "/v1/order", b, NULL, SOUP_MESSAGE_NEW_CONNECTION);
 }
 
 static SoupMessage *
-encode_plain(const struct fw_up_start *up, const char *method,
-             const char *path)
+encode_without_body(const struct fw_up_start *up, const char *method,
+                    const char *path)
 {
     char *url = g_strconcat(up->url, path, NULL);
     SoupMessage *msg = Fw_Fetch_Message(method, url, NULL);
@@ -139,7 +142,7 @@
 {
     char *id = g_uri_escape_string(up->u.cancel.request, NULL, FALSE);
     char *path = g_strconcat("/v1/requests/", id, NULL);
-    SoupMessage *msg = encode_plain(up, "DELETE", path);
+    SoupMessage *msg = encode_without_body(up, "DELETE", path);
 
     g_free(path);
     g_free(id);
@@ -153,18 +156,18 @@
 
     g_snprintf(path, sizeof(path), "/v1/cache-events?from=%" G_GUINT64_FORMAT,
                up->u.cache.from_seq);
-    return encode_plain(up, "GET", path);
+    return encode_without_body(up, "GET", path);
 }
 
 /*
- * What goes on to a plain service is named here; the caller's other headers,
- * its key above all, stay.
+ * Only the headers set here reach the service; the caller's other headers,
+ * such as Authorization, are not forwarded.
  */
 static SoupMessage *
 encode_service(const struct fw_up_start *up)
 {
     const struct fw_up_service *p = &up->u.service;
-    SoupMessage *msg = encode_plain(up, p->method, p->path);
+    SoupMessage *msg = encode_without_body(up, p->method, p->path);
     SoupMessageHeaders *h;
 
     if (!msg) {
@@ -181,9 +184,9 @@
                          p->body);
     }
     /*
-     * On a kept connection that closes without an answer the library sends
-     * a GET or PUT again by itself; on a new one it never does. Which calls
-     * may be repeated is the configuration's word, not the method's.
+     * libsoup resends an idempotent method when a persistent connection
+     * closes without a response, but never on a new connection. Here the
+     * configuration, not the method, decides whether a resend is allowed.
      */
     soup_message_add_flags(msg, p->once && !FW_FAULT("once-ignored")
                                     ? SOUP_MESSAGE_NEW_CONNECTION
@@ -192,7 +195,7 @@
 }
 
 SoupMessage *
-Fw_Engine_Encode(const struct fw_up_start *up)
+Fw_Engine_EncodeRequest(const struct fw_up_start *up)
 {
     switch (up->kind) {
     case FW_UP_PREFILL:
@@ -205,9 +208,9 @@
     case FW_UP_CANCEL:
         return encode_cancel(up);
     case FW_UP_LOAD:
-        return encode_plain(up, "GET", "/v1/load");
+        return encode_without_body(up, "GET", "/v1/load");
     case FW_UP_HELD:
-        return encode_plain(up, "GET", "/v1/requests");
+        return encode_without_body(up, "GET", "/v1/requests");
     case FW_UP_CACHE:
         return encode_cache(up);
     case FW_UP_ORDER:
--- a/src/io/fetch.c
+++ b/src/io/fetch.c
@@ -8,21 +8,23 @@
 #define FW_TYPE_KEY "fw-type"
 
 /**
- * struct fw_fetch - one async operation is always under way until the end.
- * @heard_us: when something came last, or the call began
- * @sent: bytes may have left this process
- * @dropped: cancelled by the user: no callback any more
+ * struct fw_fetch - a call; one asynchronous operation is always in progress
+ * until it is freed.
+ * @received: body data not yet delivered
+ * @last_activity_us: start of the call, or time of the last received data
+ * @may_have_sent: the message was started on a connection
+ * @cancelled: by Fw_Fetch_Cancel: no more callbacks
  */
 struct fw_fetch {
     struct fw_fetch_opts opts;
     GCancellable *cancel;
     GSource *timer;
     GInputStream *in;
-    GByteArray *got;
-    int64_t heard_us;
-    int sent;
+    GByteArray *received;
+    int64_t last_activity_us;
+    int may_have_sent;
     int timed_out;
-    int dropped;
+    int cancelled;
     char buf[FW_READ_SIZE];
 };
 
@@ -35,12 +37,12 @@
     g_clear_object(&f->in);
     g_object_unref(f->opts.msg);
     g_object_unref(f->cancel);
-    g_byte_array_unref(f->got);
+    g_byte_array_unref(f->received);
     g_free(f);
 }
 
 static int
-errno_of(const struct fw_fetch *f, const GError *error)
+errno_from_gerror(const struct fw_fetch *f, const GError *error)
 {
     if (f->timed_out) {
         return -ETIMEDOUT;
@@ -73,14 +75,14 @@
 finish(struct fw_fetch *f, int err)
 {
     struct fw_fetch_result r = {
-        .ran = f->sent ? FW_RAN_MAYBE : FW_RAN_NO,
+        .ran = f->may_have_sent ? FW_RAN_MAYBE : FW_RAN_NO,
         .status = f->in ? (int)soup_message_get_status(f->opts.msg) : 0,
         .err = err,
     };
 
-    if (!f->dropped) {
+    if (!f->cancelled) {
         if (!err && !f->opts.line) {
-            r.body = g_bytes_new(f->got->data, f->got->len);
+            r.body = g_bytes_new(f->received->data, f->received->len);
         }
         if (f->in) {
             r.content_type = soup_message_headers_get_content_type(
@@ -99,7 +101,7 @@
 }
 
 static int
-give_line(struct fw_fetch *f, const guint8 *line, size_t len)
+deliver_line(struct fw_fetch *f, const guint8 *line, size_t len)
 {
     if (len > 0 && line[len - 1] == '\r') {
         len--;
@@ -107,36 +109,41 @@
     return len ? f->opts.line(f->opts.ctx, (const char *)line, len) : 0;
 }
 
-/* Hands on all whole lines. A callback may have dropped the call. */
+/* Delivers all complete lines. The callback may cancel the call. */
 static int
-give_lines(struct fw_fetch *f)
+deliver_lines(struct fw_fetch *f)
 {
     size_t start = 0;
     int err = 0;
 
-    while (!err && !f->dropped) {
-        const guint8 *from = f->got->data + start;
+    while (!err && !f->cancelled) {
+        const guint8 *from = f->received->data + start;
         const guint8 *end;
 
-        end = start < f->got->len ? memchr(from, '\n', f->got->len - start)
-                                  : NULL;
+        end = start < f->received->len
+                  ? memchr(from, '\n', f->received->len - start)
+                  : NULL;
         if (!end) {
             break;
         }
-        err = give_line(f, from, (size_t)(end - from));
+        err = deliver_line(f, from, (size_t)(end - from));
         start += (size_t)(end - from) + 1;
     }
     if (start > 0) {
-        g_byte_array_remove_range(f->got, 0, (guint)start);
+        g_byte_array_remove_range(f->received, 0, (guint)start);
     }
-    return !err && f->got->len > FW_FETCH_LINE_MAX ? -EMSGSIZE : err;
+    return !err && f->received->len > FW_FETCH_LINE_MAX_BYTES ? -EMSGSIZE
+                                                              : err;
 }
 
-/* The timer itself is moved only when it fires: that costs a system call. */
+/*
+ * The timer is rescheduled only when it fires, which saves a system call for
+ * each read.
+ */
 static void
-rearm(struct fw_fetch *f)
+record_activity(struct fw_fetch *f)
 {
-    f->heard_us = g_get_monotonic_time();
+    f->last_activity_us = g_get_monotonic_time();
 }
 
 static void
@@ -152,32 +159,32 @@
     int err = 0;
 
     if (n < 0) {
-        err = errno_of(f, error);
+        err = errno_from_gerror(f, error);
         g_error_free(error);
         finish(f, err);
         return;
     }
     if (n == 0) {
-        if (wants_lines(f) && f->got->len > 0 && !f->dropped) {
-            err = give_line(f, f->got->data, f->got->len);
+        if (wants_lines(f) && f->received->len > 0 && !f->cancelled) {
+            err = deliver_line(f, f->received->data, f->received->len);
         }
-        /* Read to its end: the connection is free for the next call. */
+        /* Closing a fully read stream makes the connection reusable. */
         g_input_stream_close(f->in, NULL, NULL);
         finish(f, err);
         return;
     }
-    g_byte_array_append(f->got, (const guint8 *)f->buf, (guint)n);
+    g_byte_array_append(f->received, (const guint8 *)f->buf, (guint)n);
     if (wants_lines(f)) {
-        err = give_lines(f);
+        err = deliver_lines(f);
     }
-    else if (f->got->len > f->opts.body_max) {
+    else if (f->received->len > f->opts.body_max) {
         err = -EMSGSIZE;
     }
-    if (err || f->dropped) {
+    if (err || f->cancelled) {
         finish(f, err);
         return;
     }
-    rearm(f);
+    record_activity(f);
     read_more(f);
 }
 
@@ -189,28 +196,28 @@
 }
 
 static void
-on_sent(GObject *session, GAsyncResult *result, gpointer data)
+on_response_head(GObject *session, GAsyncResult *result, gpointer data)
 {
     struct fw_fetch *f = data;
     GError *error = NULL;
 
     f->in = soup_session_send_finish(SOUP_SESSION(session), result, &error);
     if (!f->in) {
-        int err = errno_of(f, error);
+        int err = errno_from_gerror(f, error);
 
         g_error_free(error);
         finish(f, err);
         return;
     }
-    rearm(f);
+    record_activity(f);
     read_more(f);
 }
 
 static gboolean
-on_silence(gpointer data)
+on_idle_timer(gpointer data)
 {
     struct fw_fetch *f = data;
-    int64_t until = f->heard_us + f->opts.timeout_us;
+    int64_t until = f->last_activity_us + f->opts.timeout_us;
 
     if (g_get_monotonic_time() < until) {
         g_source_set_ready_time(f->timer, until);
@@ -228,7 +235,7 @@
     struct fw_fetch *f = data;
 
     (void)msg;
-    f->sent = 1;
+    f->may_have_sent = 1;
 }
 
 static void
@@ -259,23 +266,23 @@
 
     f->opts = *opts;
     f->cancel = g_cancellable_new();
-    f->got = g_byte_array_new();
+    f->received = g_byte_array_new();
     f->timer = g_source_new(&timer_funcs, sizeof(GSource));
-    g_source_set_callback(f->timer, on_silence, f, NULL);
-    rearm(f);
-    g_source_set_ready_time(f->timer, f->heard_us + opts->timeout_us);
+    g_source_set_callback(f->timer, on_idle_timer, f, NULL);
+    record_activity(f);
+    g_source_set_ready_time(f->timer, f->last_activity_us + opts->timeout_us);
     g_source_attach(f->timer, g_main_context_get_thread_default());
     g_signal_connect(opts->msg, "starting", G_CALLBACK(on_starting), f);
     g_signal_connect(opts->msg, "restarted", G_CALLBACK(on_restarted), f);
     soup_session_send_async(opts->session, opts->msg, G_PRIORITY_DEFAULT,
-                            f->cancel, on_sent, f);
+                            f->cancel, on_response_head, f);
     return f;
 }
 
 void
 Fw_Fetch_Cancel(struct fw_fetch *f)
 {
-    f->dropped = 1;
+    f->cancelled = 1;
     g_cancellable_cancel(f->cancel);
 }
 
@@ -309,7 +316,7 @@
     if (!msg) {
         return NULL;
     }
-    /* An upstream must not send a request elsewhere. */
+    /* An upstream must not redirect a request to another server. */
     soup_message_add_flags(msg, SOUP_MESSAGE_NO_REDIRECT);
     if (json) {
         body = g_bytes_new(json, strlen(json));
--- a/src/io/fetch.h
+++ b/src/io/fetch.h
@@ -1,6 +1,6 @@
 /*
- * One HTTP call out of this process: bounded answer, bounded silence, and a
- * verdict on whether the other side may have seen it.
+ * Asynchronous HTTP client call with a response size limit and an idle
+ * timeout. The result says whether the server may have received the request.
  */
 #ifndef FW_IO_FETCH_H
 #define FW_IO_FETCH_H
@@ -10,14 +10,16 @@
 
 #include "base/verdict.h"
 
-#define FW_FETCH_LINE_MAX 65536
+/* A longer line of a response ends the call with -EMSGSIZE. */
+#define FW_FETCH_LINE_MAX_BYTES 65536
 
 /**
- * struct fw_fetch_result - how the call ended.
- * @ran: no when no byte was sent, else maybe; the caller makes a yes of it
- * @status: HTTP status, or 0 when none came
- * @err: 0 when a whole answer came, else a negative errno
- * @body: NULL unless the answer is whole and was not taken line by line
+ * struct fw_fetch_result - outcome of a call; valid during the callback.
+ * @ran: FW_RAN_NO when nothing was sent, else FW_RAN_MAYBE
+ * @status: HTTP status, or 0 when no response head was received
+ * @err: 0 when the response is complete, else a negative errno
+ * @content_type: NULL when the response has none
+ * @body: NULL after an error and when on_line was set
  */
 struct fw_fetch_result {
     enum fw_ran ran;
@@ -28,13 +30,14 @@
 };
 
 /**
- * struct fw_fetch_opts - what to send and whom to tell.
- * @msg: moved
- * @timeout_us: longest silence
- * @body_max: a longer answer is -EMSGSIZE
- * @line: when set, takes each line of a 200 answer (without its end); a
- *        nonzero return ends the call with that error
- * @done: called once, unless the call is cancelled before
+ * struct fw_fetch_opts - parameters of a call.
+ * @msg: ownership passes to the call
+ * @timeout_us: longest time without received data
+ * @body_max: in bytes; a longer response ends the call with -EMSGSIZE
+ * @ctx: passed to the callbacks
+ * @line: if set, receives each nonempty line of a 200 response, without its
+ *        line end; a nonzero return ends the call with that error
+ * @done: called once, unless the call is cancelled first
  */
 struct fw_fetch_opts {
     SoupSession *session;
@@ -48,31 +51,35 @@
 
 struct fw_fetch;
 
-/* Never calls back before it has returned. */
+/* Starts a call. No callback is made before the function returns. */
 struct fw_fetch *
 Fw_Fetch_Start(const struct fw_fetch_opts *opts);
-/* Closes the connection; no callback follows. */
+/* Aborts the call and invalidates @f; no callback follows. */
 void
 Fw_Fetch_Cancel(struct fw_fetch *f);
 
 /**
- * Fw_Fetch_Session - a session without the library's surprises: no proxy
- * from the environment, no decompression, no silence limit of its own.
+ * Fw_Fetch_NewSession - creates a libsoup session for calls.
+ *
+ * It ignores proxy settings of the environment, does not decompress responses
+ * and has no timeout, since each call has its own.
  */
 SoupSession *
 Fw_Fetch_Session(int max_conns, int max_conns_per_host);
 /**
- * Fw_Fetch_SetBody - the body of a message that Fw_Fetch_Start is to send.
+ * Fw_Fetch_SetBody - sets the request body of a message.
  * @type: content type, may be NULL
  *
- * When a kept connection closes without an answer, the library sends an
- * idempotent message again, but with an empty body, since its stream was read
- * to the end (seen with 3.2.3). The other side would take the empty one for
- * real. Set by this function, the body is put in place again.
+ * When a persistent connection closes without a response, libsoup resends an
+ * idempotent message, but with an empty body, since it has read the body's
+ * stream to the end. A body set here is restored before such a resend.
  */
 void
 Fw_Fetch_SetBody(SoupMessage *msg, const char *type, GBytes *body);
-/* A message with a JSON body; @json may be NULL. NULL for a bad @url. */
+/*
+ * Creates a message that follows no redirects, with a JSON body unless @json
+ * is NULL. Returns NULL when @url is invalid.
+ */
 SoupMessage *
 Fw_Fetch_Message(const char *method, const char *url, const char *json);
 
--- a/src/io/http.h
+++ b/src/io/http.h
@@ -1,7 +1,8 @@
 /*
- * The product's own HTTP ports: callers' port and operators' port. They turn
- * requests into FW_EV_CALL_OPEN, _CALL_CLOSED and _OPERATOR and carry out
- * FW_ACT_CALL_*. Connections and parsing are those of src/http.
+ * The router's HTTP servers: one port for callers, one for operators. They
+ * turn requests into FW_EV_CALL_OPEN, FW_EV_CALL_CLOSED and FW_EV_OPERATOR
+ * and execute FW_ACT_CALL_* actions. Connections and HTTP parsing are in
+ * src/http.
  */
 #ifndef FW_IO_HTTP_H
 #define FW_IO_HTTP_H
@@ -11,24 +12,26 @@
 #include "io/api.h"
 #include "io/sink.h"
 
-/* Bytes of a stream that may wait for a slow reader. */
-#define FW_STREAM_QUEUE_MAX (256UL * 1024)
-/* Silence of a reader after its answer is whole, then it is cut off. */
-#define FW_WRITE_STALL_US (60 * FW_SEC)
-/* A kept connection without a request is closed after this. */
-#define FW_KEEPALIVE_US (120 * FW_SEC)
+/* Unsent bytes of a stream above which its caller is disconnected. */
+#define FW_STREAM_QUEUE_MAX_BYTES (256UL * 1024)
+/* A caller that reads nothing of a complete response for so long is closed. */
+#define FW_WRITE_STALL_TIMEOUT_US (60 * FW_SEC)
+/* Idle time of a persistent connection. */
+#define FW_KEEPALIVE_TIMEOUT_US (120 * FW_SEC)
 
-/** enum fw_http_port - which server. */
+/** enum fw_http_port - index of a server. */
 enum fw_http_port {
     FW_PORT_CALLERS,
     FW_PORT_OPERATORS,
-    FW_PORTS,
+    FW_PORT_COUNT,
 };
 
 /**
- * struct fw_http_opts - what the settings and the core hand in.
- * @read_timeout_us: for head and body of a request together
- * @ready: nonzero when new requests are taken, called with @ctx
+ * struct fw_http_opts - parameters of both servers.
+ * @sink: receives the events
+ * @body_max, @header_max: size limits of a request, in bytes
+ * @read_timeout_us: for receiving a whole request, head and body
+ * @ready: called with @ready_ctx for /readyz; nonzero means ready
  */
 struct fw_http_opts {
     struct fw_sink sink;
@@ -49,18 +52,18 @@
 Fw_Http_Free(struct fw_http *http);
 /**
  * Fw_Http_Listen - binds @addr ("ip:port").
- * @url: of the address really bound, at least FW_URL_MAX bytes
+ * @url: set to "http://ip:port" with the port bound; at least FW_URL_MAX bytes
  *
  * Return: 0 or a negative errno.
  */
 int
 Fw_Http_Listen(struct fw_http *http, enum fw_http_port port, const char *addr,
                char *url);
-/* Carries out one of FW_ACT_CALL_*; unknown handles are ignored. */
+/* Executes one FW_ACT_CALL_* action; an unknown handle is ignored. */
 void
-Fw_Http_Act(struct fw_http *http, const struct fw_action *a);
-/* Nonzero while some answer is not yet written out. */
+Fw_Http_HandleAction(struct fw_http *http, const struct fw_action *a);
+/* Nonzero while a response has not been fully written. */
 int
-Fw_Http_Busy(const struct fw_http *http);
+Fw_Http_HasPendingResponses(const struct fw_http *http);
 
 #endif
--- a/src/io/http_call.c
+++ b/src/io/http_call.c
@@ -1,4 +1,4 @@
-/* Requests that the core has: its answers out, the caller's close in. */
+/* Requests passed to the core: writes responses, reports disconnects. */
 #include <string.h>
 
 #include "io/http_priv.h"
@@ -10,20 +10,20 @@
 
     g_hash_table_remove(http->calls, &call->handle);
     g_hash_table_remove(http->by_caller, call->req.caller);
-    http->open.value--;
-    if (call->text) {
-        g_string_free(call->text, TRUE);
+    http->open_calls.value--;
+    if (call->buffered_text) {
+        g_string_free(call->buffered_text, TRUE);
     }
     g_free(call);
 }
 
 void
-Fw_HttpCall_Gone(struct fw_http_call *call)
+Fw_HttpCall_Disconnected(struct fw_http_call *call)
 {
     struct fw_http *http = call->req.http;
     struct fw_event ev = {.kind = FW_EV_CALL_CLOSED, .u.closed = call->handle};
 
-    http->gone.value++;
+    http->disconnected.value++;
     Fw_HttpCall_Free(call);
     http->opts.sink.event(http->opts.sink.ctx, &ev);
 }
@@ -34,21 +34,21 @@
     struct fw_http_call *call = g_new0(struct fw_http_call, 1);
 
     call->req = *req;
-    call->handle = ++req->http->last_call;
-    call->answer.created_s = g_get_real_time() / FW_SEC;
+    call->handle = ++req->http->last_handle;
+    call->response.created_s = g_get_real_time() / FW_SEC;
     g_hash_table_insert(req->http->calls, &call->handle, call);
     g_hash_table_insert(req->http->by_caller, req->caller, call);
-    req->http->open.value++;
+    req->http->open_calls.value++;
     return call;
 }
 
 static void
-push(struct fw_http_call *call, const GString *out)
+write_stream(struct fw_http_call *call, const GString *out)
 {
     Fw_Caller_Data(call->req.caller, out->str, out->len);
 }
 
-/* The answer is whole: what is left is the connection's to write. */
+/* Completes the response; src/http writes out what is still buffered. */
 static void
 finish_stream(struct fw_http_call *call)
 {
@@ -62,11 +62,11 @@
 begin_stream(struct fw_http_call *call)
 {
     char made[FW_ID_MAX];
-    const char *id = call->answer.request_id;
+    const char *id = call->response.request_id;
     char *fields;
 
     if (!id[0]) {
-        Fw_HttpReply_Id(call->req.head, made);
+        Fw_HttpReply_RequestId(call->req.head, made);
         id = made;
     }
     fields = g_strdup_printf("Server: fuchsiaward\r\nX-Request-Id: %s\r\n"
@@ -78,44 +78,43 @@
 }
 
 static void
-act_start(struct fw_http_call *call, const struct fw_call_start *start)
+handle_start(struct fw_http_call *call, const struct fw_call_start *start)
 {
     GString *out;
 
-    if (call->started || call->whole) {
+    if (call->started || call->unary) {
         return;
     }
     call->started = 1;
-    g_strlcpy(call->answer.request_id, start->request_id, FW_ID_MAX);
-    g_strlcpy(call->answer.model, start->model, FW_NAME_MAX);
+    g_strlcpy(call->response.request_id, start->request_id, FW_ID_MAX);
+    g_strlcpy(call->response.model, start->model, FW_NAME_MAX);
     if (!call->stream) {
-        call->text = g_string_new(NULL);
+        call->buffered_text = g_string_new(NULL);
         return;
     }
     begin_stream(call);
     out = g_string_new(NULL);
-    Fw_Api_WriteFirst(&call->answer, out);
-    push(call, out);
+    Fw_Api_WriteFirstChunk(&call->response, out);
+    write_stream(call, out);
     g_string_free(out, TRUE);
 }
 
 /*
- * A reader slower than its answer would let the unread part grow without
- * bound. It shows as memory that rises with open streams. Past the bound the
- * caller counts as gone.
+ * Bounds the memory held for a caller that reads more slowly than its
+ * response is generated.
  */
 static void
-cut_slow_reader(struct fw_http_call *call)
+disconnect_slow_reader(struct fw_http_call *call)
 {
     struct fw_http_caller *caller = call->req.caller;
 
-    call->req.http->slow.value++;
-    Fw_HttpCall_Gone(call);
+    call->req.http->slow_readers.value++;
+    Fw_HttpCall_Disconnected(call);
     Fw_Caller_Cut(caller);
 }
 
 static void
-act_piece(struct fw_http_call *call, const struct fw_call_piece *piece)
+handle_piece(struct fw_http_call *call, const struct fw_call_piece *piece)
 {
     GString *out;
 
@@ -123,20 +122,20 @@
         return;
     }
     if (!call->stream) {
-        g_string_append(call->text, piece->text);
+        g_string_append(call->buffered_text, piece->text);
         return;
     }
     out = g_string_new(NULL);
-    Fw_Api_WritePiece(&call->answer, piece->text, out);
-    push(call, out);
+    Fw_Api_WriteTextChunk(&call->response, piece->text, out);
+    write_stream(call, out);
     g_string_free(out, TRUE);
-    if (Fw_Caller_Pending(call->req.caller) > FW_STREAM_QUEUE_MAX) {
-        cut_slow_reader(call);
+    if (Fw_Caller_Pending(call->req.caller) > FW_STREAM_QUEUE_MAX_BYTES) {
+        disconnect_slow_reader(call);
     }
 }
 
 static void
-act_end(struct fw_http_call *call, const struct fw_call_end *end)
+handle_end(struct fw_http_call *call, const struct fw_call_end *end)
 {
     struct fw_http_req req = call->req;
     char id[FW_ID_MAX];
@@ -147,41 +146,42 @@
     }
     out = g_string_new(NULL);
     if (call->stream) {
-        Fw_Api_WriteLast(&call->answer, end, out);
-        push(call, out);
+        Fw_Api_WriteFinalChunk(&call->response, end, out);
+        write_stream(call, out);
         finish_stream(call);
     }
     else {
-        Fw_Api_WriteWhole(&call->answer, call->text->str, end, out);
-        g_strlcpy(id, call->answer.request_id, sizeof(id));
+        Fw_Api_WriteResponse(&call->response, call->buffered_text->str, end,
+                             out);
+        g_strlcpy(id, call->response.request_id, sizeof(id));
         Fw_HttpCall_Free(call);
-        Fw_HttpReply_Text(&req, 200, id, "application/json", "", out->str,
+        Fw_HttpReply_Send(&req, 200, id, "application/json", "", out->str,
                           out->len);
     }
     g_string_free(out, TRUE);
 }
 
 static void
-act_fail(struct fw_http_call *call, const struct fw_call_fail *fail)
+handle_fail(struct fw_http_call *call, const struct fw_call_fail *fail)
 {
     struct fw_http_req req = call->req;
     GString *out;
 
     if (!call->started || !call->stream) {
         Fw_HttpCall_Free(call);
-        Fw_HttpReply_Fail(&req, fail, "");
+        Fw_HttpReply_SendFailure(&req, fail, "");
         return;
     }
     out = g_string_new("data: ");
     Fw_Api_WriteError(fail->status, fail->code, fail->message, fail->ran, out);
     g_string_append(out, "\n\n");
-    push(call, out);
+    write_stream(call, out);
     g_string_free(out, TRUE);
     finish_stream(call);
 }
 
 static void
-act_answer(struct fw_http_call *call, const struct fw_call_answer *answer)
+handle_answer(struct fw_http_call *call, const struct fw_call_answer *answer)
 {
     struct fw_http_req req = call->req;
     char ran[40] = "";
@@ -197,7 +197,7 @@
                    Fw_Ran_Name(answer->ran));
     }
     Fw_HttpCall_Free(call);
-    Fw_HttpReply_Text(&req, answer->status, answer->request_id,
+    Fw_HttpReply_Send(&req, answer->status, answer->request_id,
                       answer->content_type, ran, data ? data : "", len);
 }
 
@@ -221,29 +221,29 @@
 }
 
 void
-Fw_Http_Act(struct fw_http *http, const struct fw_action *a)
+Fw_Http_HandleAction(struct fw_http *http, const struct fw_action *a)
 {
     uint64_t handle = handle_of(a);
     struct fw_http_call *call = g_hash_table_lookup(http->calls, &handle);
 
     if (!call) {
-        return; /* the caller closed meanwhile */
+        return; /* the caller has disconnected */
     }
     switch (a->kind) {
     case FW_ACT_CALL_START:
-        act_start(call, &a->u.start);
+        handle_start(call, &a->u.start);
         break;
     case FW_ACT_CALL_PIECE:
-        act_piece(call, &a->u.piece);
+        handle_piece(call, &a->u.piece);
         break;
     case FW_ACT_CALL_END:
-        act_end(call, &a->u.end);
+        handle_end(call, &a->u.end);
         break;
     case FW_ACT_CALL_FAIL:
-        act_fail(call, &a->u.fail);
+        handle_fail(call, &a->u.fail);
         break;
     case FW_ACT_CALL_ANSWER:
-        act_answer(call, &a->u.answer);
+        handle_answer(call, &a->u.answer);
         break;
     default:
         break;
--- a/src/io/http_callers.c
+++ b/src/io/http_callers.c
@@ -1,16 +1,16 @@
-/* The callers' port: requests checked here, before the core sees them. */
+/* Callers' port: validates requests before passing them to the core. */
 #include <errno.h>
 #include <string.h>
 
 #include "io/http_priv.h"
 
-/* Copies field @name, if there, as an id; the reply is made when bad. */
+/* Copies header @name, if present, to @out; rejects an invalid id. */
 static int
-read_id(const struct fw_http_req *req, const char *name, char *out)
+read_id_header(const struct fw_http_req *req, const char *name, char *out)
 {
-    char *id = Fw_HttpReq_Field(req, name);
+    char *id = Fw_HttpReq_Header(req, name);
     char *text;
-    int bad = id && !Fw_Api_IsId(id);
+    int bad = id && !Fw_Api_IsValidId(id);
 
     if (id && !bad) {
         g_strlcpy(out, id, FW_ID_MAX);
@@ -21,43 +21,44 @@
     }
     text = g_strdup_printf(
         "%s must be 1 to 79 visible ASCII characters, no quotes", name);
-    Fw_HttpReply_Error(req, 400, "invalid_header", text);
+    Fw_HttpReply_SendError(req, 400, "invalid_header", text);
     g_free(text);
     return -EBADMSG;
 }
 
 static int
-read_deadline(const struct fw_http_req *req, struct fw_call *call)
+read_deadline_header(const struct fw_http_req *req, struct fw_call *call)
 {
-    char *text = Fw_HttpReq_Field(req, "Fuchsiaward-Deadline");
+    char *text = Fw_HttpReq_Header(req, "Fuchsiaward-Deadline");
 
     if (!text) {
         return 0;
     }
-    call->deadline_us = Fw_Api_Deadline(text, g_get_monotonic_time());
+    call->deadline_us = Fw_Api_ParseDeadline(text, g_get_monotonic_time());
     g_free(text);
     if (call->deadline_us) {
         return 0;
     }
-    Fw_HttpReply_Error(req, 400, "invalid_header",
-                       "Fuchsiaward-Deadline must be an RFC 3339 time with "
-                       "its offset");
+    Fw_HttpReply_SendError(
+        req, 400, "invalid_header",
+        "Fuchsiaward-Deadline must be an RFC 3339 time with "
+        "its offset");
     return -EBADMSG;
 }
 
 static int
-read_headers(const struct fw_http_req *req, struct fw_call *call)
+read_common_headers(const struct fw_http_req *req, struct fw_call *call)
 {
-    return read_id(req, "X-Request-Id", call->request_id) ||
-                   read_id(req, "Idempotency-Key", call->idem_key) ||
-                   read_deadline(req, call)
+    return read_id_header(req, "X-Request-Id", call->request_id) ||
+                   read_id_header(req, "Idempotency-Key", call->idem_key) ||
+                   read_deadline_header(req, call)
                ? -EBADMSG
                : 0;
 }
 
-/* Nonzero when the method is @want; else the reply is made. */
+/* Returns nonzero if the method is @want; otherwise replies with 405. */
 static int
-is_method(const struct fw_http_req *req, const char *want)
+require_method(const struct fw_http_req *req, const char *want)
 {
     struct fw_call_fail fail = {.status = 405,
                                 .code = "method_not_allowed",
@@ -69,19 +70,19 @@
     if (Fw_HttpReq_IsMethod(req, want)) {
         return 1;
     }
-    req->http->refused.value++;
+    req->http->rejected.value++;
     g_snprintf(allow, sizeof(allow), "Allow: %s\r\n", want);
-    Fw_HttpReply_Fail(req, &fail, allow);
+    Fw_HttpReply_SendFailure(req, &fail, allow);
     return 0;
 }
 
-/* Hands the call to the core with the caller's key. */
+/* Passes the call to the core, with the caller's key. */
 static void
-give(const struct fw_http_req *req, struct fw_http_call *c,
-     struct fw_call *call)
+submit_call(const struct fw_http_req *req, struct fw_http_call *c,
+            struct fw_call *call)
 {
     struct fw_event ev = {.kind = FW_EV_CALL_OPEN};
-    char *key = Fw_HttpReply_Key(req);
+    char *key = Fw_HttpReq_BearerKey(req);
 
     call->call = c->handle;
     call->key = key;
@@ -100,12 +101,12 @@
     const char *data;
     gsize len;
 
-    if (!is_method(req, "POST") || read_headers(req, &call)) {
+    if (!require_method(req, "POST") || read_common_headers(req, &call)) {
         return;
     }
     data = g_bytes_get_data(req->body, &len);
     if (Fw_Api_Parse(api, data, len, &req->http->opts.api, &parsed, &err)) {
-        Fw_HttpReply_Error(req, err.status, err.code, err.message);
+        Fw_HttpReply_SendError(req, err.status, err.code, err.message);
         return;
     }
     g_strlcpy(call.model, parsed.model, sizeof(call.model));
@@ -117,9 +118,9 @@
     Fw_Caller_ForgetBody(req->caller); /* the prompt is a copy */
     c = Fw_HttpCall_Open(req);
     c->stream = parsed.stream;
-    c->answer.api = api;
-    c->answer.include_usage = parsed.include_usage;
-    give(req, c, &call);
+    c->response.api = api;
+    c->response.include_usage = parsed.include_usage;
+    submit_call(req, c, &call);
     g_bytes_unref(parsed.prompt);
 }
 
@@ -129,18 +130,21 @@
     struct fw_call call = {.kind = FW_CALL_MODELS};
     struct fw_http_call *c;
 
-    if (!is_method(req, "GET") || read_headers(req, &call)) {
+    if (!require_method(req, "GET") || read_common_headers(req, &call)) {
         return;
     }
     g_strlcpy(call.method, "GET", sizeof(call.method));
     c = Fw_HttpCall_Open(req);
-    c->whole = 1;
-    give(req, c, &call);
+    c->unary = 1;
+    submit_call(req, c, &call);
 }
 
-/* "/NAME/rest": the name into @call, the rest with the query returned. */
+/*
+ * Splits "NAME/path?query": stores NAME in @call->service and returns the rest
+ * as a new string. Returns NULL when NAME is empty or too long.
+ */
 static char *
-split_service(const char *below, struct fw_call *call)
+split_service_path(const char *below, struct fw_call *call)
 {
     size_t len = strcspn(below, "/?");
 
@@ -152,17 +156,17 @@
     return g_strconcat(below[len] == '/' ? "" : "/", below + len, NULL);
 }
 
-/* Return: 0, or -EBADMSG when the reply was made. */
+/* Return: 0, or -EBADMSG after the request was rejected. */
 static int
-read_service(const struct fw_http_req *req, struct fw_call *call)
+read_service_headers(const struct fw_http_req *req, struct fw_call *call)
 {
     char *type;
     int too_long;
 
-    if (read_headers(req, call)) {
+    if (read_common_headers(req, call)) {
         return -EBADMSG;
     }
-    type = Fw_HttpReq_Field(req, "Content-Type");
+    type = Fw_HttpReq_Header(req, "Content-Type");
     too_long = req->head->method_len >= sizeof(call->method) ||
                (type && strlen(type) >= sizeof(call->content_type));
     if (!too_long) {
@@ -172,8 +176,8 @@
     }
     g_free(type);
     if (too_long) {
-        Fw_HttpReply_Error(req, 400, "invalid_header",
-                           "the method or Content-Type is too long");
+        Fw_HttpReply_SendError(req, 400, "invalid_header",
+                               "the method or Content-Type is too long");
         return -EBADMSG;
     }
     return 0;
@@ -186,20 +190,20 @@
     struct fw_http_call *c;
     char *path;
 
-    if (read_service(req, &call)) {
+    if (read_service_headers(req, &call)) {
         return;
     }
-    path = split_service(below, &call);
+    path = split_service_path(below, &call);
     if (!path) {
-        Fw_HttpReply_Error(req, 404, "unknown_service",
-                           "no service has this name");
+        Fw_HttpReply_SendError(req, 404, "unknown_service",
+                               "no service has this name");
         return;
     }
     call.path = path;
     call.body = req->body;
     c = Fw_HttpCall_Open(req);
-    c->whole = 1;
-    give(req, c, &call);
+    c->unary = 1;
+    submit_call(req, c, &call);
     g_free(path);
 }
 
@@ -224,8 +228,8 @@
         handle_service(req, target + strlen(services));
         g_free(target);
     }
-    else if (!Fw_HttpReply_Probe(req, path)) {
-        Fw_HttpReply_Error(req, 404, "not_found", "no such path");
+    else if (!Fw_HttpReply_HandleProbe(req, path)) {
+        Fw_HttpReply_SendError(req, 404, "not_found", "no such path");
     }
     g_free(path);
 }
--- a/src/io/http_operators.c
+++ b/src/io/http_operators.c
@@ -1,4 +1,4 @@
-/* The operators' port: probes, and everything else to the core. */
+/* Operators' port: answers probes, passes "/v1/" requests to the core. */
 #include <string.h>
 
 #include "io/http_priv.h"
@@ -14,18 +14,18 @@
     char *key;
 
     if (h->method_len >= sizeof(op->method)) {
-        Fw_HttpReply_Error(req, 400, "invalid_header",
-                           "the method is too long");
+        Fw_HttpReply_SendError(req, 400, "invalid_header",
+                               "the method is too long");
         return;
     }
     target = g_strndup(h->target, h->target_len);
-    key = Fw_HttpReply_Key(req);
+    key = Fw_HttpReq_BearerKey(req);
     memcpy(op->method, h->method, h->method_len);
     op->path = target;
     op->key = key;
     op->body = req->body;
     call = Fw_HttpCall_Open(req);
-    call->whole = 1;
+    call->unary = 1;
     op->call = call->handle;
     req->http->opts.sink.event(req->http->opts.sink.ctx, &ev);
     g_free(target);
@@ -40,8 +40,8 @@
     if (g_str_has_prefix(path, "/v1/")) {
         handle_operator(req);
     }
-    else if (!Fw_HttpReply_Probe(req, path)) {
-        Fw_HttpReply_Error(req, 404, "not_found", "no such path");
+    else if (!Fw_HttpReply_HandleProbe(req, path)) {
+        Fw_HttpReply_SendError(req, 404, "not_found", "no such path");
     }
     g_free(path);
 }
--- a/src/io/http_priv.h
+++ b/src/io/http_priv.h
@@ -1,34 +1,38 @@
-/* Shared by the http_*.c files only. */
+/* Internal to the http_*.c files. */
 #ifndef FW_IO_HTTP_PRIV_H
 #define FW_IO_HTTP_PRIV_H
 
 #include "http/server.h"
 #include "io/http.h"
 
-/** struct fw_http_port_rec - one port, as its server's callbacks get it. */
-struct fw_http_port_rec {
+/** struct fw_http_listener - one port; context of its server's callbacks. */
+struct fw_http_listener {
     struct fw_http *http;
     enum fw_http_port port;
     struct fw_http_server *server;
 };
 
-/** struct fw_http - both ports. */
+/**
+ * struct fw_http - state of both ports.
+ * @last_handle: handle given to the latest call
+ * @timer: checks the timeouts of all connections
+ */
 struct fw_http {
     struct fw_http_opts opts;
-    struct fw_http_port_rec ports[FW_PORTS];
-    GHashTable *calls;     /* handle to struct fw_http_call */
-    GHashTable *by_caller; /* connection to struct fw_http_call */
-    uint64_t last_call;
+    struct fw_http_listener ports[FW_PORT_COUNT];
+    GHashTable *calls;     /* handle -> struct fw_http_call */
+    GHashTable *by_caller; /* connection -> struct fw_http_call */
+    uint64_t last_handle;
     guint timer;
     struct fw_metric requests;
-    struct fw_metric refused;
+    struct fw_metric rejected;
     struct fw_metric timeouts;
-    struct fw_metric gone;
-    struct fw_metric slow;
-    struct fw_metric open;
+    struct fw_metric disconnected;
+    struct fw_metric slow_readers;
+    struct fw_metric open_calls;
 };
 
-/** struct fw_http_req - a request that was read whole. */
+/** struct fw_http_req - a completely received request. */
 struct fw_http_req {
     struct fw_http *http;
     struct fw_http_caller *caller;
@@ -37,66 +41,75 @@
 };
 
 /**
- * struct fw_http_call - a request that the core has.
- * @whole: answered at once, by FW_ACT_CALL_ANSWER
- * @text: of an answer without stream, so far
+ * struct fw_http_call - a request passed to the core and not yet answered.
+ * @unary: answered by a single FW_ACT_CALL_ANSWER
+ * @stream: the response is sent as server-sent events
+ * @started: FW_ACT_CALL_START was received
+ * @buffered_text: text received so far for a response without streaming
  */
 struct fw_http_call {
     struct fw_http_req req;
     uint64_t handle;
-    int whole;
+    int unary;
     int stream;
     int started;
-    struct fw_api_answer answer;
-    GString *text;
+    struct fw_api_response response;
+    GString *buffered_text;
 };
 
-/* Field @name as a new string, or NULL. */
+/* Value of header @name as a new string, or NULL. */
 char *
-Fw_HttpReq_Field(const struct fw_http_req *req, const char *name);
-/* The target without its query; to be freed. */
+Fw_HttpReq_Header(const struct fw_http_req *req, const char *name);
+/* The request target without its query, as a new string. */
 char *
 Fw_HttpReq_Path(const struct fw_http_req *req);
 int
 Fw_HttpReq_IsMethod(const struct fw_http_req *req, const char *method);
 
-/* The caller's request id where it is valid, else a new one; FW_ID_MAX. */
+/*
+ * Copies the caller's X-Request-Id to @id, or generates an id when it is
+ * missing or invalid. @id holds at least FW_ID_MAX bytes.
+ */
 void
-Fw_HttpReply_Id(const struct fw_http_head *head, char *id);
-/* Answers a request of which the core knows nothing: verdict no. */
+Fw_HttpReply_RequestId(const struct fw_http_head *head, char *id);
+/* Rejects a request that was not passed to the core, with FW_RAN_NO. */
 void
-Fw_HttpReply_Error(const struct fw_http_req *req, int status, const char *code,
-                   const char *message);
-/* @more: further header lines. */
+Fw_HttpReply_SendError(const struct fw_http_req *req, int status,
+                       const char *code, const char *message);
+/* Sends an error response. @more: additional header lines, or "". */
 void
-Fw_HttpReply_Fail(const struct fw_http_req *req,
-                  const struct fw_call_fail *fail, const char *more);
-/* @id may be empty; @fields: further header lines. */
+Fw_HttpReply_SendFailure(const struct fw_http_req *req,
+                         const struct fw_call_fail *fail, const char *more);
+/*
+ * Sends a complete response. An empty @id stands for that of
+ * Fw_HttpReply_RequestId; @fields: additional header lines, or "".
+ */
 void
-Fw_HttpReply_Text(const struct fw_http_req *req, int status, const char *id,
+Fw_HttpReply_Send(const struct fw_http_req *req, int status, const char *id,
                   const char *type, const char *fields, const char *text,
                   size_t len);
-/* Writes the answer to a request that the server refuses by itself. */
+/* Formats the response to a request that src/http rejected. */
 void
-Fw_HttpReply_Refusal(void *ctx, const struct fw_http_head *head, int status,
-                     const char *why, GString *fields, GString *body);
-/* /healthz, /readyz and /metrics; 0 when @path is another. */
+Fw_HttpReply_FormatRejection(void *ctx, const struct fw_http_head *head,
+                             int status, const char *why, GString *fields,
+                             GString *body);
+/* Serves /healthz, /readyz and /metrics; returns 0 for another @path. */
 int
-Fw_HttpReply_Probe(const struct fw_http_req *req, const char *path);
-/* The bearer key of this request as a new string, or NULL. */
+Fw_HttpReply_HandleProbe(const struct fw_http_req *req, const char *path);
+/* The bearer key of the Authorization header as a new string, or NULL. */
 char *
-Fw_HttpReply_Key(const struct fw_http_req *req);
+Fw_HttpReq_BearerKey(const struct fw_http_req *req);
 
-/* Keeps the request until the core answers; then the event may be given. */
+/* Registers a call; do so before passing the request to the core. */
 struct fw_http_call *
 Fw_HttpCall_Open(const struct fw_http_req *req);
-/* The caller closed its connection. */
+/* Frees the call and tells the core that its caller has disconnected. */
 void
-Fw_HttpCall_Gone(struct fw_http_call *call);
+Fw_HttpCall_Disconnected(struct fw_http_call *call);
 void
 Fw_HttpCall_Free(struct fw_http_call *call);
 
-/* Handlers of the two ports. */
+/* Request handlers of the two ports. */
 void
 Fw_HttpCallers_Handle(const struct fw_http_req *req);
 void
--- a/src/io/http_reply.c
+++ b/src/io/http_reply.c
@@ -1,13 +1,13 @@
-/* Answers that need no core, and what all answers have in common. */
+/* Helpers for requests and responses, error responses and probes. */
 #include <inttypes.h>
 #include <string.h>
 
 #include "io/http_priv.h"
 
-#define FW_KEY_MAX 512
+#define FW_BEARER_KEY_MAX_BYTES 512
 
 char *
-Fw_HttpReq_Field(const struct fw_http_req *req, const char *name)
+Fw_HttpReq_Header(const struct fw_http_req *req, const char *name)
 {
     const struct fw_http_field *f = Fw_Http_Find(req->head, name);
 
@@ -32,7 +32,7 @@
 }
 
 void
-Fw_HttpReply_Id(const struct fw_http_head *head, char *id)
+Fw_HttpReply_RequestId(const struct fw_http_head *head, char *id)
 {
     const struct fw_http_field *f =
         head->raw ? Fw_Http_Find(head, "X-Request-Id") : NULL;
@@ -40,7 +40,7 @@
     if (f && f->value_len < FW_ID_MAX) {
         memcpy(id, f->value, f->value_len);
         id[f->value_len] = '\0';
-        if (Fw_Api_IsId(id)) {
+        if (Fw_Api_IsValidId(id)) {
             return;
         }
     }
@@ -48,7 +48,7 @@
 }
 
 char *
-Fw_HttpReply_Key(const struct fw_http_req *req)
+Fw_HttpReq_BearerKey(const struct fw_http_req *req)
 {
     const struct fw_http_field *f = Fw_Http_Find(req->head, "Authorization");
     size_t skip = strlen("Bearer ");
@@ -60,13 +60,13 @@
     while (skip < f->value_len && f->value[skip] == ' ') {
         skip++;
     }
-    return f->value_len - skip <= FW_KEY_MAX
+    return f->value_len - skip <= FW_BEARER_KEY_MAX_BYTES
                ? g_strndup(f->value + skip, f->value_len - skip)
                : NULL;
 }
 
 void
-Fw_HttpReply_Text(const struct fw_http_req *req, int status, const char *id,
+Fw_HttpReply_Send(const struct fw_http_req *req, int status, const char *id,
                   const char *type, const char *fields, const char *text,
                   size_t len)
 {
@@ -74,7 +74,7 @@
     char *all;
 
     if (!id[0]) {
-        Fw_HttpReply_Id(req->head, made);
+        Fw_HttpReply_RequestId(req->head, made);
         id = made;
     }
     all = g_strdup_printf("Server: fuchsiaward\r\nX-Request-Id: %s\r\n"
@@ -87,8 +87,8 @@
 }
 
 void
-Fw_HttpReply_Fail(const struct fw_http_req *req,
-                  const struct fw_call_fail *fail, const char *more)
+Fw_HttpReply_SendFailure(const struct fw_http_req *req,
+                         const struct fw_call_fail *fail, const char *more)
 {
     GString *body = g_string_new(NULL);
     GString *fields = g_string_new(NULL);
@@ -102,27 +102,28 @@
             (int64_t)((fail->retry_after_us + FW_SEC - 1) / FW_SEC));
     }
     g_string_append(fields, more);
-    Fw_HttpReply_Text(req, fail->status, fail->request_id, "application/json",
+    Fw_HttpReply_Send(req, fail->status, fail->request_id, "application/json",
                       fields->str, body->str, body->len);
     g_string_free(fields, TRUE);
     g_string_free(body, TRUE);
 }
 
 void
-Fw_HttpReply_Error(const struct fw_http_req *req, int status, const char *code,
-                   const char *message)
+Fw_HttpReply_SendError(const struct fw_http_req *req, int status,
+                       const char *code, const char *message)
 {
     struct fw_call_fail fail = {.status = status, .ran = FW_RAN_NO};
 
     g_strlcpy(fail.code, code, sizeof(fail.code));
     g_strlcpy(fail.message, message, sizeof(fail.message));
-    req->http->refused.value++;
-    Fw_HttpReply_Fail(req, &fail, "");
+    req->http->rejected.value++;
+    Fw_HttpReply_SendFailure(req, &fail, "");
 }
 
 void
-Fw_HttpReply_Refusal(void *ctx, const struct fw_http_head *head, int status,
-                     const char *why, GString *fields, GString *body)
+Fw_HttpReply_FormatRejection(void *ctx, const struct fw_http_head *head,
+                             int status, const char *why, GString *fields,
+                             GString *body)
 {
     const char *code = status == 413   ? "body_too_large"
                        : status == 431 ? "header_too_large"
@@ -131,7 +132,7 @@
     char id[FW_ID_MAX];
 
     (void)ctx;
-    Fw_HttpReply_Id(head, id);
+    Fw_HttpReply_RequestId(head, id);
     g_string_append_printf(fields,
                            "Content-Type: application/json\r\n"
                            "Fuchsiaward-Ran: no\r\nX-Request-Id: %s\r\n",
@@ -142,12 +143,12 @@
 static void
 reply_plain(const struct fw_http_req *req, int status, const char *text)
 {
-    Fw_HttpReply_Text(req, status, "", "text/plain; charset=utf-8", "", text,
+    Fw_HttpReply_Send(req, status, "", "text/plain; charset=utf-8", "", text,
                       strlen(text));
 }
 
 int
-Fw_HttpReply_Probe(const struct fw_http_req *req, const char *path)
+Fw_HttpReply_HandleProbe(const struct fw_http_req *req, const char *path)
 {
     struct fw_http *http = req->http;
 
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -4,8 +4,8 @@
 #include "http/conn.h"
 #include "io/http_priv.h"
 
-/* Of the read timeout: how exactly it is kept. */
-#define FW_TICKS_PER_TIMEOUT 4
+/* How often timeouts are checked, per read timeout. */
+#define FW_CHECKS_PER_READ_TIMEOUT 4
 
 static void
 add_metrics(struct fw_http *h)
@@ -14,30 +14,30 @@
 
     h->requests = (struct fw_metric){.name = "fw_http_requests_total",
                                      .help = "Requests read whole"};
-    h->refused = (struct fw_metric){
+    h->rejected = (struct fw_metric){
         .name = "fw_http_refused_total",
         .help = "Requests refused before the core saw them"};
     h->timeouts = (struct fw_metric){.name = "fw_http_read_timeouts_total",
                                      .help = "Requests that came too slowly"};
-    h->gone = (struct fw_metric){
+    h->disconnected = (struct fw_metric){
         .name = "fw_http_callers_gone_total",
         .help = "Callers that closed before their answer was whole"};
-    h->slow = (struct fw_metric){
+    h->slow_readers = (struct fw_metric){
         .name = "fw_http_slow_readers_total",
         .help = "Callers cut off since they did not read their answer"};
-    h->open = (struct fw_metric){.name = "fw_http_calls_open",
-                                 .help = "Requests that the core has",
-                                 .is_gauge = 1};
+    h->open_calls = (struct fw_metric){.name = "fw_http_calls_open",
+                                       .help = "Requests that the core has",
+                                       .is_gauge = 1};
     Fw_Metrics_Add(m, &h->requests);
-    Fw_Metrics_Add(m, &h->refused);
+    Fw_Metrics_Add(m, &h->rejected);
     Fw_Metrics_Add(m, &h->timeouts);
-    Fw_Metrics_Add(m, &h->gone);
-    Fw_Metrics_Add(m, &h->slow);
-    Fw_Metrics_Add(m, &h->open);
+    Fw_Metrics_Add(m, &h->disconnected);
+    Fw_Metrics_Add(m, &h->slow_readers);
+    Fw_Metrics_Add(m, &h->open_calls);
 }
 
 static void
-tick_port(const struct fw_http_port_rec *p)
+check_timeouts(const struct fw_http_listener *p)
 {
     if (p->server) {
         Fw_Server_Tick(p->server, Fw_Conn_Now());
@@ -49,8 +49,8 @@
 {
     struct fw_http *h = data;
 
-    for (int i = 0; i < FW_PORTS; i++) {
-        tick_port(&h->ports[i]);
+    for (int i = 0; i < FW_PORT_COUNT; i++) {
+        check_timeouts(&h->ports[i]);
     }
     return G_SOURCE_CONTINUE;
 }
@@ -59,7 +59,7 @@
 Fw_Http_New(const struct fw_http_opts *opts)
 {
     struct fw_http *h = g_new0(struct fw_http, 1);
-    int64_t tick = opts->read_timeout_us / FW_TICKS_PER_TIMEOUT;
+    int64_t tick = opts->read_timeout_us / FW_CHECKS_PER_READ_TIMEOUT;
 
     h->opts = *opts;
     h->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -74,7 +74,7 @@
 on_request(void *ctx, struct fw_http_caller *caller,
            const struct fw_http_head *head, GBytes *body)
 {
-    const struct fw_http_port_rec *p = ctx;
+    const struct fw_http_listener *p = ctx;
     struct fw_http_req req = {
         .http = p->http, .caller = caller, .head = head, .body = body};
 
@@ -88,24 +88,24 @@
 }
 
 static void
-on_gone(void *ctx, struct fw_http_caller *caller)
+on_disconnected(void *ctx, struct fw_http_caller *caller)
 {
-    const struct fw_http_port_rec *p = ctx;
+    const struct fw_http_listener *p = ctx;
     struct fw_http_call *call =
         g_hash_table_lookup(p->http->by_caller, caller);
 
     if (call) {
-        Fw_HttpCall_Gone(call);
+        Fw_HttpCall_Disconnected(call);
     }
 }
 
 static void
-on_refused(void *ctx, int status, const char *why)
+on_rejected(void *ctx, int status, const char *why)
 {
-    const struct fw_http_port_rec *p = ctx;
+    const struct fw_http_listener *p = ctx;
 
     (void)why;
-    p->http->refused.value++;
+    p->http->rejected.value++;
     if (status == 408) {
         p->http->timeouts.value++;
     }
@@ -113,9 +113,9 @@
 
 static const struct fw_http_ops ops = {
     .request = on_request,
-    .gone = on_gone,
-    .refused = on_refused,
-    .refusal = Fw_HttpReply_Refusal,
+    .gone = on_disconnected,
+    .refused = on_rejected,
+    .refusal = Fw_HttpReply_FormatRejection,
 };
 
 int
@@ -129,10 +129,10 @@
         .head_us = h->opts.read_timeout_us,
         .body_us = h->opts.read_timeout_us,
         .whole_us = h->opts.read_timeout_us,
-        .idle_us = FW_KEEPALIVE_US,
-        .stall_us = FW_WRITE_STALL_US,
+        .idle_us = FW_KEEPALIVE_TIMEOUT_US,
+        .stall_us = FW_WRITE_STALL_TIMEOUT_US,
     };
-    struct fw_http_port_rec *p = &h->ports[port];
+    struct fw_http_listener *p = &h->ports[port];
     int err = 0;
 
     p->http = h;
@@ -147,11 +147,11 @@
 }
 
 int
-Fw_Http_Busy(const struct fw_http *h)
+Fw_Http_HasPendingResponses(const struct fw_http *h)
 {
     int n = 0;
 
-    for (int i = 0; i < FW_PORTS; i++) {
+    for (int i = 0; i < FW_PORT_COUNT; i++) {
         n += h->ports[i].server ? Fw_Server_Busy(h->ports[i].server) : 0;
     }
     return n > 0;
@@ -167,7 +167,7 @@
     }
     g_list_free(calls);
     g_source_remove(h->timer);
-    for (int i = 0; i < FW_PORTS; i++) {
+    for (int i = 0; i < FW_PORT_COUNT; i++) {
         Fw_Server_Free(h->ports[i].server);
     }
     g_hash_table_unref(h->calls);
--- a/src/io/json.c
+++ b/src/io/json.c
@@ -3,7 +3,10 @@
 #include <errno.h>
 #include <string.h>
 
-/* Steps over the string that opens at @i; 0 when it holds an escaped NUL. */
+/*
+ * Returns the index of the closing quote of the string that opens at @i, at
+ * least @len when it is not closed, or 0 when it has an escaped NUL.
+ */
 static size_t
 skip_string(const char *s, size_t len, size_t i)
 {
@@ -20,7 +23,7 @@
 }
 
 static int
-looks_safe(const char *s, size_t len)
+is_safe_to_parse(const char *s, size_t len)
 {
     int depth = 0;
 
@@ -50,7 +53,7 @@
     JsonNode *root = NULL;
 
     if (!data || len == 0 || !g_utf8_validate_len(data, len, NULL) ||
-        !looks_safe(data, len)) {
+        !is_safe_to_parse(data, len)) {
         return NULL;
     }
     parser = json_parser_new_immutable();
@@ -65,7 +68,7 @@
     return root;
 }
 
-/* The member, or NULL when it is missing or null. */
+/* Returns the member, or NULL when it is missing or null. */
 static JsonNode *
 member(JsonObject *obj, const char *name)
 {
--- a/src/io/json.h
+++ b/src/io/json.h
@@ -1,4 +1,4 @@
-/* JSON from the network, read with care, and short helpers to write it. */
+/* Parsing of untrusted JSON, and helpers to write JSON. */
 #ifndef FW_IO_JSON_H
 #define FW_IO_JSON_H
 
@@ -8,20 +8,21 @@
 #define FW_JSON_DEPTH_MAX 64
 
 /**
- * Fw_Json_Parse - reads an object.
+ * Fw_Json_Parse - parses a JSON object.
  *
- * The library recurses for each level and cuts strings at a NUL, so deep
- * nesting would overflow the stack and an escaped NUL would lose text: both
- * are refused before it sees them.
+ * json-glib recurses for each nesting level and truncates strings at a NUL,
+ * so input nested deeper than FW_JSON_DEPTH_MAX or with an escaped NUL is
+ * rejected before it is parsed.
  *
- * Return: the root, whose value is an object, or NULL.
+ * Return: the root node, which holds an object, or NULL.
  */
 JsonNode *
 Fw_Json_Parse(const char *data, size_t len);
 
 /*
- * Readers of member @name: 0, -ENOENT when it is missing or null, -EBADMSG
- * when it is of another type or does not fit.
+ * Read member @name. Return 0, -ENOENT when it is missing or null, or -EBADMSG
+ * when it has another type or does not fit; @out is unchanged on -ENOENT.
+ * Strings, arrays and objects are borrowed from @obj.
  */
 int
 Fw_Json_Str(JsonObject *obj, const char *name, const char **out);
@@ -29,7 +30,7 @@
 Fw_Json_CopyStr(JsonObject *obj, const char *name, char *out, size_t size);
 int
 Fw_Json_Int(JsonObject *obj, const char *name, int64_t *out);
-/* Whole or not. */
+/* Accepts integers and fractions. */
 int
 Fw_Json_Number(JsonObject *obj, const char *name, double *out);
 int
@@ -38,17 +39,19 @@
 Fw_Json_Array(JsonObject *obj, const char *name, JsonArray **out);
 int
 Fw_Json_Object(JsonObject *obj, const char *name, JsonObject **out);
-/* Element @i of @arr as an object, or NULL. */
+/* Element @i of @arr, or NULL when it is not an object. */
 JsonObject *
 Fw_Json_Element(JsonArray *arr, guint i);
 
-/* Appends @s in quotes; bytes that are not UTF-8 are replaced. */
+/*
+ * Appends @s as a quoted and escaped JSON string; invalid UTF-8 is replaced.
+ */
 void
 Fw_Json_AddStr(GString *out, const char *s);
-/* The text of @builder's root; takes the builder. */
+/* Returns the JSON text as a new string and frees @builder. */
 char *
 Fw_Json_Take(JsonBuilder *builder);
-/* Adds one member of the open object. */
+/* Add a member to the open object. */
 void
 Fw_Json_SetStr(JsonBuilder *b, const char *name, const char *value);
 void
--- a/src/io/list_client.c
+++ b/src/io/list_client.c
@@ -7,40 +7,40 @@
 #include "io/json.h"
 #include "io/note.h"
 
-#define FW_LIST_TIMEOUT_US (3 * FW_SEC)
-#define FW_LIST_BODY_MAX (4 << 20)
-#define FW_LIST_RETRY_MIN_MS 200
-#define FW_LIST_RETRY_MAX_MS 10000
+#define FW_REGISTRY_TIMEOUT_US (3 * FW_SEC)
+#define FW_REGISTRY_BODY_MAX_BYTES (4 << 20)
+#define FW_REGISTRY_RETRY_MIN_MS 200
+#define FW_REGISTRY_RETRY_MAX_MS 10000
 
 /**
- * struct fw_list_client - at most one read and one write are under way.
+ * struct fw_registry_client - at most one read and one write are under way.
  * @leaving: as the entry should say
- * @reading: the message of @read, for its ETag
- * @retry: source of the next try to write the entry, or 0
+ * @read_msg: the message of @read, for its ETag
+ * @retry_source: source of the next try to write the entry, or 0
  */
-struct fw_list_client {
+struct fw_registry_client {
     struct fw_sink sink;
     SoupSession *session;
     char *url;
     struct fw_self self;
     int leaving;
-    guint retry;
+    guint retry_source;
     guint retry_ms;
     struct fw_fetch *read;
-    SoupMessage *reading;
-    char *tag;    /* ETag of @body, or NULL */
-    GBytes *body; /* the last whole answer */
+    SoupMessage *read_msg;
+    char *etag;          /* ETag of @cached_body, or NULL */
+    GBytes *cached_body; /* the last whole answer */
     struct fw_fetch *write;
-    void (*removed)(void *);
-    void *removed_ctx;
+    void (*unregister_done)(void *);
+    void *unregister_ctx;
     struct fw_metric errors;
 };
 
-struct fw_list_client *
-Fw_ListClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
-                  const char *url, const struct fw_self *self)
+struct fw_registry_client *
+Fw_RegistryClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
+                      const char *url, const struct fw_self *self)
 {
-    struct fw_list_client *c = g_new0(struct fw_list_client, 1);
+    struct fw_registry_client *c = g_new0(struct fw_registry_client, 1);
 
     c->sink = *sink;
     c->session = Fw_Fetch_Session(4, 4);
@@ -53,28 +53,28 @@
 }
 
 static void
-stop_writing(struct fw_list_client *c)
+cancel_write(struct fw_registry_client *c)
 {
     if (c->write) {
         Fw_Fetch_Cancel(c->write);
         c->write = NULL;
     }
-    if (c->retry) {
-        g_source_remove(c->retry);
-        c->retry = 0;
+    if (c->retry_source) {
+        g_source_remove(c->retry_source);
+        c->retry_source = 0;
     }
 }
 
 void
-Fw_ListClient_Free(struct fw_list_client *c)
+Fw_RegistryClient_Free(struct fw_registry_client *c)
 {
-    stop_writing(c);
+    cancel_write(c);
     if (c->read) {
         Fw_Fetch_Cancel(c->read);
     }
-    g_clear_object(&c->reading);
-    g_free(c->tag);
-    g_bytes_unref(c->body);
+    g_clear_object(&c->read_msg);
+    g_free(c->etag);
+    g_bytes_unref(c->cached_body);
     soup_session_abort(c->session);
     g_object_unref(c->session);
     g_free(c->url);
@@ -138,31 +138,31 @@
  * with its ETag keeps the polls small. Return: the body that holds, or NULL
  * when there was no answer that says so. */
 static GBytes *
-current_body(struct fw_list_client *c, const struct fw_fetch_result *r)
+current_body(struct fw_registry_client *c, const struct fw_fetch_result *r)
 {
     const char *tag = soup_message_headers_get_one(
-        soup_message_get_response_headers(c->reading), "ETag");
+        soup_message_get_response_headers(c->read_msg), "ETag");
 
     if (r->err) {
         return NULL;
     }
     if (r->status == SOUP_STATUS_NOT_MODIFIED) {
-        return c->body;
+        return c->cached_body;
     }
     if (r->status != SOUP_STATUS_OK) {
         return NULL;
     }
-    g_free(c->tag);
-    c->tag = g_strdup(tag);
-    g_bytes_unref(c->body);
-    c->body = g_bytes_ref(r->body);
-    return c->body;
+    g_free(c->etag);
+    c->etag = g_strdup(tag);
+    g_bytes_unref(c->cached_body);
+    c->cached_body = g_bytes_ref(r->body);
+    return c->cached_body;
 }
 
 static void
 on_list(void *ctx, const struct fw_fetch_result *r)
 {
-    struct fw_list_client *c = ctx;
+    struct fw_registry_client *c = ctx;
     struct fw_event ev = {.kind = FW_EV_LISTED};
     struct fw_list_entry *entries = NULL;
     JsonNode *root = NULL;
@@ -171,7 +171,7 @@
 
     c->read = NULL;
     body = current_body(c, r);
-    g_clear_object(&c->reading);
+    g_clear_object(&c->read_msg);
     ev.u.listed.err = body ? 0 : r->err ? r->err : -EAGAIN;
     if (body) {
         gsize len;
@@ -194,7 +194,7 @@
 }
 
 void
-Fw_ListClient_Read(struct fw_list_client *c)
+Fw_RegistryClient_Read(struct fw_registry_client *c)
 {
     SoupMessage *msg;
 
@@ -202,23 +202,23 @@
         return; /* its answer will do */
     }
     msg = Fw_Fetch_Message("GET", c->url, NULL);
-    if (c->tag) {
+    if (c->etag) {
         soup_message_headers_replace(soup_message_get_request_headers(msg),
-                                     "If-None-Match", c->tag);
+                                     "If-None-Match", c->etag);
     }
-    c->reading = g_object_ref(msg);
+    c->read_msg = g_object_ref(msg);
     c->read = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
         .msg = msg,
-        .timeout_us = FW_LIST_TIMEOUT_US,
-        .body_max = FW_LIST_BODY_MAX,
+        .timeout_us = FW_REGISTRY_TIMEOUT_US,
+        .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
         .done = on_list,
     });
 }
 
 static char *
-own_entry(const struct fw_list_client *c)
+encode_own_entry(const struct fw_registry_client *c)
 {
     JsonBuilder *b = json_builder_new();
 
@@ -235,22 +235,22 @@
 }
 
 static void
-write_entry(struct fw_list_client *c);
+write_entry(struct fw_registry_client *c);
 
 static gboolean
 on_retry(gpointer data)
 {
-    struct fw_list_client *c = data;
+    struct fw_registry_client *c = data;
 
-    c->retry = 0;
+    c->retry_source = 0;
     write_entry(c);
     return G_SOURCE_REMOVE;
 }
 
 static void
-on_written(void *ctx, const struct fw_fetch_result *r)
+on_entry_written(void *ctx, const struct fw_fetch_result *r)
 {
-    struct fw_list_client *c = ctx;
+    struct fw_registry_client *c = ctx;
 
     c->write = NULL;
     if (!r->err && r->status >= 200 && r->status < 300) {
@@ -261,37 +261,37 @@
     if (!c->retry_ms) {
         Fw_Note_Log(LOG_WARNING, "list_unreachable", "url", c->url, NULL);
     }
-    c->retry_ms =
-        CLAMP(c->retry_ms * 2, FW_LIST_RETRY_MIN_MS, FW_LIST_RETRY_MAX_MS);
-    c->retry = g_timeout_add(c->retry_ms, on_retry, c);
+    c->retry_ms = CLAMP(c->retry_ms * 2, FW_REGISTRY_RETRY_MIN_MS,
+                        FW_REGISTRY_RETRY_MAX_MS);
+    c->retry_source = g_timeout_add(c->retry_ms, on_retry, c);
 }
 
 static void
-write_entry(struct fw_list_client *c)
+write_entry(struct fw_registry_client *c)
 {
-    char *json = own_entry(c);
+    char *json = encode_own_entry(c);
 
-    stop_writing(c);
+    cancel_write(c);
     c->write = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
         .msg = Fw_Fetch_Message("POST", c->url, json),
-        .timeout_us = FW_LIST_TIMEOUT_US,
-        .body_max = FW_LIST_BODY_MAX,
+        .timeout_us = FW_REGISTRY_TIMEOUT_US,
+        .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
-        .done = on_written,
+        .done = on_entry_written,
     });
     g_free(json);
 }
 
 void
-Fw_ListClient_Register(struct fw_list_client *c)
+Fw_RegistryClient_Register(struct fw_registry_client *c)
 {
     c->leaving = 0;
     write_entry(c);
 }
 
 void
-Fw_ListClient_Leave(struct fw_list_client *c)
+Fw_RegistryClient_MarkLeaving(struct fw_registry_client *c)
 {
     c->leaving = 1;
     c->retry_ms = 0;
@@ -301,29 +301,30 @@
 static void
 on_removed(void *ctx, const struct fw_fetch_result *r)
 {
-    struct fw_list_client *c = ctx;
+    struct fw_registry_client *c = ctx;
 
     c->write = NULL;
     if (r->err) {
         c->errors.value++;
     }
-    c->removed(c->removed_ctx);
+    c->unregister_done(c->unregister_ctx);
 }
 
 void
-Fw_ListClient_Remove(struct fw_list_client *c, void (*done)(void *), void *ctx)
+Fw_RegistryClient_Unregister(struct fw_registry_client *c,
+                             void (*done)(void *), void *ctx)
 {
     char *name = g_uri_escape_string(c->self.name, NULL, FALSE);
     char *url = g_strconcat(c->url, "/", name, NULL);
 
-    stop_writing(c);
-    c->removed = done;
-    c->removed_ctx = ctx;
+    cancel_write(c);
+    c->unregister_done = done;
+    c->unregister_ctx = ctx;
     c->write = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
         .msg = Fw_Fetch_Message("DELETE", url, NULL),
         .timeout_us = FW_SEC,
-        .body_max = FW_LIST_BODY_MAX,
+        .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
         .done = on_removed,
     });
--- a/src/io/list_client.h
+++ b/src/io/list_client.h
@@ -9,26 +9,26 @@
 #include "core/types.h"
 #include "io/sink.h"
 
-struct fw_list_client;
+struct fw_registry_client;
 
 /* @url: base URL, the list is at URL/list. */
-struct fw_list_client *
-Fw_ListClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
-                  const char *url, const struct fw_self *self);
+struct fw_registry_client *
+Fw_RegistryClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
+                      const char *url, const struct fw_self *self);
 void
-Fw_ListClient_Free(struct fw_list_client *c);
+Fw_RegistryClient_Free(struct fw_registry_client *c);
 
 void
-Fw_ListClient_Read(struct fw_list_client *c);
+Fw_RegistryClient_Read(struct fw_registry_client *c);
 /* Registers this instance and tries again until the list has taken it. */
 void
-Fw_ListClient_Register(struct fw_list_client *c);
+Fw_RegistryClient_Register(struct fw_registry_client *c);
 /* Marks this instance as leaving, with the same persistence. */
 void
-Fw_ListClient_Leave(struct fw_list_client *c);
+Fw_RegistryClient_MarkLeaving(struct fw_registry_client *c);
 /* Removes the entry, tried once; @done follows in any case. */
 void
-Fw_ListClient_Remove(struct fw_list_client *c, void (*done)(void *),
-                     void *ctx);
+Fw_RegistryClient_Unregister(struct fw_registry_client *c,
+                             void (*done)(void *), void *ctx);
 
 #endif
--- a/src/io/log_client.c
+++ b/src/io/log_client.c
@@ -7,17 +7,17 @@
 #include "io/fetch.h"
 #include "io/json.h"
 
-#define FW_LOG_CONNS 64
+#define FW_LOG_CONNS_MAX 64
 #define FW_LOG_TIMEOUT_US (5 * FW_SEC)
-#define FW_LOG_BODY_MAX (16 << 20)
+#define FW_LOG_BODY_MAX_BYTES (16 << 20)
 
 struct fw_log_client {
     struct fw_sink sink;
     SoupSession *session;
     char *url;
-    struct fw_list all;
+    struct fw_list ops;
     struct fw_metric appends;
-    struct fw_metric unknown;
+    struct fw_metric unacknowledged;
     struct fw_metric read_errors;
 };
 
@@ -38,19 +38,19 @@
     struct fw_log_client *c = g_new0(struct fw_log_client, 1);
 
     c->sink = *sink;
-    c->session = Fw_Fetch_Session(FW_LOG_CONNS, FW_LOG_CONNS);
+    c->session = Fw_Fetch_Session(FW_LOG_CONNS_MAX, FW_LOG_CONNS_MAX);
     c->url = g_strdup(url);
-    Fw_List_Init(&c->all);
+    Fw_List_Init(&c->ops);
     c->appends = (struct fw_metric){.name = "fw_log_appends_total",
                                     .help = "Appends sent to the log"};
-    c->unknown = (struct fw_metric){
+    c->unacknowledged = (struct fw_metric){
         .name = "fw_log_appends_unknown_total",
         .help = "Appends sent to the log that were not answered"};
     c->read_errors =
         (struct fw_metric){.name = "fw_log_read_errors_total",
                            .help = "Reads of the log that failed"};
     Fw_Metrics_Add(metrics, &c->appends);
-    Fw_Metrics_Add(metrics, &c->unknown);
+    Fw_Metrics_Add(metrics, &c->unacknowledged);
     Fw_Metrics_Add(metrics, &c->read_errors);
     return c;
 }
@@ -68,7 +68,7 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &c->all) {
+    FW_LIST_EACH_SAFE (pos, tmp, &c->ops) {
         struct fw_log_op *op = FW_LIST_ENTRY(pos, struct fw_log_op, link);
 
         Fw_Fetch_Cancel(op->fetch);
@@ -89,7 +89,7 @@
     op->ticket = ticket;
     g_strlcpy(op->stream, stream, sizeof(op->stream));
     op->sent_us = g_get_monotonic_time();
-    Fw_List_Append(&c->all, &op->link);
+    Fw_List_Append(&c->ops, &op->link);
     return op;
 }
 
@@ -104,20 +104,20 @@
 
 /* Refused, or nothing was sent: no record of it can be in the log. */
 static int
-surely_not_done(const struct fw_fetch_result *r)
+is_definite_failure(const struct fw_fetch_result *r)
 {
     return r->ran == FW_RAN_NO || r->status == 503 ||
            (r->status >= 400 && r->status < 500);
 }
 
 static int
-read_first(const struct fw_fetch_result *r, uint64_t *first)
+parse_append_result(const struct fw_fetch_result *r, uint64_t *first)
 {
     JsonNode *root;
     int64_t v = 0;
     int rc = -EIO;
 
-    if (surely_not_done(r)) {
+    if (is_definite_failure(r)) {
         return -EAGAIN;
     }
     if (r->err || r->status != 200) {
@@ -144,9 +144,9 @@
 
     ev.u.appended.ticket = op->ticket;
     g_strlcpy(ev.u.appended.stream, op->stream, sizeof(ev.u.appended.stream));
-    ev.u.appended.err = read_first(r, &ev.u.appended.first);
+    ev.u.appended.err = parse_append_result(r, &ev.u.appended.first);
     if (ev.u.appended.err == -EIO) {
-        c->unknown.value++;
+        c->unacknowledged.value++;
     }
     free_op(op);
     c->sink.event(c->sink.ctx, &ev);
@@ -178,7 +178,7 @@
         .session = c->session,
         .msg = msg,
         .timeout_us = FW_LOG_TIMEOUT_US,
-        .body_max = FW_LOG_BODY_MAX,
+        .body_max = FW_LOG_BODY_MAX_BYTES,
         .ctx = op,
         .done = on_appended,
     });
@@ -272,7 +272,7 @@
         .session = c->session,
         .msg = Fw_Fetch_Message("GET", url, NULL),
         .timeout_us = r->wait_us + FW_LOG_TIMEOUT_US,
-        .body_max = FW_LOG_BODY_MAX,
+        .body_max = FW_LOG_BODY_MAX_BYTES,
         .ctx = op,
         .done = on_records,
     });
--- a/src/io/note.c
+++ b/src/io/note.c
@@ -67,7 +67,7 @@
  * waits in memory up to a bound, beyond which lines are dropped and counted.
  */
 static void
-flush_waiting(void)
+flush_pending(void)
 {
     struct pollfd p = {.fd = log_state.fd, .events = POLLOUT};
 
@@ -95,9 +95,9 @@
 }
 
 static void
-emit_bounded(const GString *line)
+emit_nonblocking(const GString *line)
 {
-    flush_waiting();
+    flush_pending();
     if (log_state.untold && !log_state.waiting->len) {
         GString *told = begin_line(LOG_WARNING, "log_lines_dropped");
 
@@ -108,7 +108,7 @@
         g_string_free(told, TRUE);
     }
     queue_line(line);
-    flush_waiting();
+    flush_pending();
 }
 
 static void
@@ -118,7 +118,7 @@
 
     g_string_append(line, "}\n");
     if (log_state.waiting) {
-        emit_bounded(line);
+        emit_nonblocking(line);
     }
     else {
         fwrite(line->str, 1, line->len, to);
@@ -158,7 +158,7 @@
 Fw_Note_Flush(void)
 {
     if (log_state.waiting) {
-        flush_waiting();
+        flush_pending();
     }
 }
 
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -6,9 +6,9 @@
 #include "io/note.h"
 #include "io/peer_priv.h"
 
-#define FW_BACKOFF_MIN_US (100 * FW_MSEC)
-#define FW_BACKOFF_MAX_US (2 * FW_SEC)
-#define FW_PEERS_KEPT 1024
+#define FW_RECONNECT_BACKOFF_MIN_US (100 * FW_MSEC)
+#define FW_RECONNECT_BACKOFF_MAX_US (2 * FW_SEC)
+#define FW_PEERS_EVICTION_THRESHOLD 1024
 
 static void
 free_peer(gpointer data)
@@ -16,8 +16,8 @@
     struct fw_peer *peer = data;
 
     Fw_Peer_DropQueue(peer);
-    if (peer->flush) {
-        g_source_remove(peer->flush);
+    if (peer->flush_source) {
+        g_source_remove(peer->flush_source);
     }
     g_free(peer);
 }
@@ -38,8 +38,8 @@
 }
 
 static void
-add(struct fw_metrics *all, struct fw_metric *m, const char *name,
-    const char *help)
+add_metric(struct fw_metrics *all, struct fw_metric *m, const char *name,
+           const char *help)
 {
     m->name = name;
     m->help = help;
@@ -49,26 +49,28 @@
 void
 Fw_Peers_AddMetrics(struct fw_peers *p, struct fw_metrics *all)
 {
-    struct fw_peer_counts *c = &p->counts;
-
-    add(all, &c->messages_in, "fw_peer_messages_in_total",
-        "Messages from peers");
-    add(all, &c->messages_out, "fw_peer_messages_out_total",
-        "Messages written to peers");
-    add(all, &c->bytes_in, "fw_peer_bytes_in_total",
-        "Bytes from peers, frames with length and HMAC");
-    add(all, &c->bytes_out, "fw_peer_bytes_out_total",
-        "Bytes written to peers, frames with length and HMAC");
-    add(all, &c->dropped, "fw_peer_dropped_total",
-        "Messages to peers that were dropped");
-    add(all, &c->refused, "fw_peer_refused_total",
+    struct fw_peer_metrics *c = &p->metrics;
+
+    add_metric(all, &c->messages_in, "fw_peer_messages_in_total",
+               "Messages from peers");
+    add_metric(all, &c->messages_out, "fw_peer_messages_out_total",
+               "Messages written to peers");
+    add_metric(all, &c->bytes_in, "fw_peer_bytes_in_total",
+               "Bytes from peers, frames with length and HMAC");
+    add_metric(all, &c->bytes_out, "fw_peer_bytes_out_total",
+               "Bytes written to peers, frames with length and HMAC");
+    add_metric(all, &c->dropped, "fw_peer_dropped_total",
+               "Messages to peers that were dropped");
+    add_metric(
+        all, &c->rejected, "fw_peer_refused_total",
         "Connections that did not prove the secret or broke the protocol");
-    add(all, &c->open, "fw_peer_connections", "Proven connections to peers");
-    c->open.is_gauge = 1;
+    add_metric(all, &c->open_connections, "fw_peer_connections",
+               "Proven connections to peers");
+    c->open_connections.is_gauge = 1;
 }
 
 static gboolean
-is_forgettable(gpointer name, gpointer value, gpointer data)
+is_evictable(gpointer name, gpointer value, gpointer data)
 {
     const struct fw_peer *peer = value;
     const int64_t *now = data;
@@ -79,22 +81,22 @@
 
 /* Names of instances that were replaced would pile up over the months. */
 static void
-forget_unused(struct fw_peers *p)
+evict_unused(struct fw_peers *p)
 {
     int64_t now = g_get_monotonic_time();
 
-    if (g_hash_table_size(p->by_name) >= FW_PEERS_KEPT) {
-        g_hash_table_foreach_remove(p->by_name, is_forgettable, &now);
+    if (g_hash_table_size(p->by_name) >= FW_PEERS_EVICTION_THRESHOLD) {
+        g_hash_table_foreach_remove(p->by_name, is_evictable, &now);
     }
 }
 
 struct fw_peer *
-Fw_Peers_Find(struct fw_peers *p, const char *name)
+Fw_Peers_FindOrAdd(struct fw_peers *p, const char *name)
 {
     struct fw_peer *peer = g_hash_table_lookup(p->by_name, name);
 
     if (!peer) {
-        forget_unused(p);
+        evict_unused(p);
         peer = g_new0(struct fw_peer, 1);
         peer->peers = p;
         g_strlcpy(peer->name, name, sizeof(peer->name));
@@ -106,7 +108,7 @@
 
 /* A connection of an older process under the same name is of no use. */
 static void
-attach(struct fw_peer *peer, struct fw_peer_conn *conn)
+adopt_connection(struct fw_peer *peer, struct fw_peer_conn *conn)
 {
     struct fw_peer_conn *old = peer->conn;
 
@@ -131,15 +133,15 @@
     struct fw_peer *peer = conn->owner;
 
     if (!conn->dialed) {
-        p->strangers--;
+        p->unauthenticated--;
     }
-    p->counts.open.value++;
+    p->metrics.open_connections.value++;
     if (peer && strcmp(peer->name, conn->peer.name) != 0) {
         Fw_PeerConn_Close(conn, "another instance is at this address");
         return;
     }
-    peer = Fw_Peers_Find(p, conn->peer.name);
-    attach(peer, conn);
+    peer = Fw_Peers_FindOrAdd(p, conn->peer.name);
+    adopt_connection(peer, conn);
     peer->backoff_us = 0;
     peer->retry_us = 0;
     Fw_Peer_Flush(peer);
@@ -148,7 +150,7 @@
 static int
 on_frame(void *ctx, struct fw_peer_conn *conn, const uint8_t *data, size_t len)
 {
-    return Fw_Peers_TakeFrame(ctx, conn, data, len);
+    return Fw_Peers_ReceiveFrame(ctx, conn, data, len);
 }
 
 static void
@@ -156,7 +158,7 @@
 {
     struct fw_peers *p = ctx;
 
-    p->counts.bytes_out.value += (int64_t)bytes;
+    p->metrics.bytes_out.value += (int64_t)bytes;
     if (conn->owner) {
         Fw_Peer_Flush(conn->owner);
     }
@@ -167,10 +169,10 @@
  * to it in the same moment.
  */
 static void
-back_off(struct fw_peer *peer)
+schedule_reconnect(struct fw_peer *peer)
 {
-    int64_t wait =
-        CLAMP(peer->backoff_us * 2, FW_BACKOFF_MIN_US, FW_BACKOFF_MAX_US);
+    int64_t wait = CLAMP(peer->backoff_us * 2, FW_RECONNECT_BACKOFF_MIN_US,
+                         FW_RECONNECT_BACKOFF_MAX_US);
 
     peer->backoff_us = wait;
     peer->retry_us = g_get_monotonic_time() + wait / 2 +
@@ -179,8 +181,8 @@
 
 /* Plain ends of a proven connection are everyday; the rest is told. */
 static void
-tell(struct fw_peers *p, const struct fw_peer_conn *conn, int was_open,
-     const char *why)
+log_unexpected_close(struct fw_peers *p, const struct fw_peer_conn *conn,
+                     int was_open, const char *why)
 {
     int plain = g_str_has_prefix(why, "closed") ||
                 g_str_has_prefix(why, "read failed") ||
@@ -192,7 +194,7 @@
     if (plain && (was_open || conn->dialed)) {
         return;
     }
-    p->counts.refused.value++;
+    p->metrics.rejected.value++;
     Fw_Note_Log(LOG_WARNING, "peer_refused", "peer", conn->peer.name, "reason",
                 why, NULL);
 }
@@ -206,21 +208,21 @@
 
     Fw_List_Remove(&conn->link);
     if (was_open) {
-        p->counts.open.value--;
+        p->metrics.open_connections.value--;
     }
     else if (!conn->dialed) {
-        p->strangers--;
+        p->unauthenticated--;
     }
     if (peer && peer->conn == conn) {
         peer->conn = NULL;
         conn->owner = NULL;
         Fw_Peer_DropQueue(peer);
         if (conn->dialed && !was_open) {
-            back_off(peer);
+            schedule_reconnect(peer);
         }
     }
     if (!p->closing) {
-        tell(p, conn, was_open, why);
+        log_unexpected_close(p, conn, was_open, why);
     }
 }
 
@@ -231,10 +233,10 @@
         .self = &p->self,
         .secret = p->secret,
         .ctx = p,
-        .open = on_open,
-        .frame = on_frame,
-        .written = on_written,
-        .closed = on_closed,
+        .on_open = on_open,
+        .on_frame = on_frame,
+        .on_written = on_written,
+        .on_closed = on_closed,
     };
 }
 
@@ -249,11 +251,11 @@
 
     (void)service;
     (void)source;
-    if (p->strangers >= FW_PEER_STRANGERS_MAX) {
-        p->counts.refused.value++;
+    if (p->unauthenticated >= FW_PEER_UNAUTHENTICATED_MAX) {
+        p->metrics.rejected.value++;
         return TRUE;
     }
-    p->strangers++;
+    p->unauthenticated++;
     conn = Fw_PeerConn_Accept(&opts, io);
     Fw_List_Append(&p->conns, &conn->link);
     return TRUE;
--- a/src/io/peer.h
+++ b/src/io/peer.h
@@ -19,9 +19,9 @@
 #include "io/sink.h"
 
 /* Bytes that may wait for one peer; beyond, the oldest go. */
-#define FW_PEER_QUEUE_MAX (512 * 1024)
+#define FW_PEER_QUEUE_MAX_BYTES (512 * 1024)
 /* Connections whose other side has not proven itself yet. */
-#define FW_PEER_STRANGERS_MAX 64
+#define FW_PEER_UNAUTHENTICATED_MAX 64
 
 struct fw_peers;
 
--- a/src/io/peer_auth.c
+++ b/src/io/peer_auth.c
@@ -25,7 +25,7 @@
 }
 
 void
-Fw_PeerAuth_Identify(const char *name, uint64_t boot, struct fw_peer_id *id)
+Fw_PeerAuth_InitId(const char *name, uint64_t boot, struct fw_peer_id *id)
 {
     memset(id, 0, sizeof(*id));
     g_strlcpy(id->name, name, sizeof(id->name));
@@ -34,7 +34,7 @@
 }
 
 static void
-put_id(GByteArray *out, const struct fw_peer_id *id)
+append_id(GByteArray *out, const struct fw_peer_id *id)
 {
     uint64_t boot = GUINT64_TO_BE(id->boot);
     guint8 len = (guint8)strlen(id->name);
@@ -46,14 +46,14 @@
 }
 
 void
-Fw_PeerAuth_PutHello(GByteArray *out, const struct fw_peer_hello *hello)
+Fw_PeerAuth_EncodeHello(GByteArray *out, const struct fw_peer_hello *hello)
 {
     guint8 kind = (guint8)hello->kind;
 
     g_byte_array_append(out, (const guint8 *)FW_MAGIC, FW_MAGIC_SIZE);
     g_byte_array_append(out, &kind, 1);
     if (hello->kind != FW_HELLO_PROVE) {
-        put_id(out, &hello->id);
+        append_id(out, &hello->id);
     }
     if (hello->kind != FW_HELLO_DIAL) {
         g_byte_array_append(out, hello->proof, FW_PROOF_SIZE);
@@ -67,7 +67,7 @@
 };
 
 static int
-take(struct cursor *c, void *out, size_t n)
+read_bytes(struct cursor *c, void *out, size_t n)
 {
     if (c->left < n) {
         return -EBADMSG;
@@ -79,14 +79,15 @@
 }
 
 static int
-take_id(struct cursor *c, struct fw_peer_id *id)
+read_id(struct cursor *c, struct fw_peer_id *id)
 {
     uint64_t boot;
     uint8_t len;
 
-    if (take(c, &boot, sizeof(boot)) ||
-        take(c, id->challenge, FW_CHALLENGE_SIZE) || take(c, &len, 1) ||
-        len == 0 || len >= FW_NAME_MAX || take(c, id->name, len)) {
+    if (read_bytes(c, &boot, sizeof(boot)) ||
+        read_bytes(c, id->challenge, FW_CHALLENGE_SIZE) ||
+        read_bytes(c, &len, 1) || len == 0 || len >= FW_NAME_MAX ||
+        read_bytes(c, id->name, len)) {
         return -EBADMSG;
     }
     id->boot = GUINT64_FROM_BE(boot);
@@ -100,23 +101,24 @@
 }
 
 int
-Fw_PeerAuth_GetHello(const uint8_t *data, size_t len,
-                     enum fw_peer_hello_kind kind, struct fw_peer_hello *hello)
+Fw_PeerAuth_DecodeHello(const uint8_t *data, size_t len,
+                        enum fw_peer_hello_kind kind,
+                        struct fw_peer_hello *hello)
 {
     struct cursor c = {.at = data, .left = len};
     char magic[FW_MAGIC_SIZE + 1];
 
     memset(hello, 0, sizeof(*hello));
-    if (take(&c, magic, sizeof(magic)) ||
+    if (read_bytes(&c, magic, sizeof(magic)) ||
         memcmp(magic, FW_MAGIC, FW_MAGIC_SIZE) != 0 ||
         magic[FW_MAGIC_SIZE] != (char)kind) {
         return -EBADMSG;
     }
     hello->kind = kind;
-    if (kind != FW_HELLO_PROVE && take_id(&c, &hello->id)) {
+    if (kind != FW_HELLO_PROVE && read_id(&c, &hello->id)) {
         return -EBADMSG;
     }
-    if (kind != FW_HELLO_DIAL && take(&c, hello->proof, FW_PROOF_SIZE)) {
+    if (kind != FW_HELLO_DIAL && read_bytes(&c, hello->proof, FW_PROOF_SIZE)) {
         return -EBADMSG;
     }
     return c.left == 0 ? 0 : -EBADMSG;
@@ -136,8 +138,8 @@
     GHmac *mac = g_hmac_new(G_CHECKSUM_SHA256, key, key_len);
 
     g_byte_array_append(said, &tag, 1);
-    put_id(said, dialer);
-    put_id(said, acceptor);
+    append_id(said, dialer);
+    append_id(said, acceptor);
     g_hmac_update(mac, said->data, said->len);
     g_hmac_get_digest(mac, out, &size);
     g_hmac_unref(mac);
@@ -162,7 +164,7 @@
 }
 
 int
-Fw_PeerAuth_Equal(const uint8_t *a, const uint8_t *b, size_t len)
+Fw_PeerAuth_EqualConstantTime(const uint8_t *a, const uint8_t *b, size_t len)
 {
     unsigned diff = 0;
 
--- a/src/io/peer_auth.h
+++ b/src/io/peer_auth.h
@@ -22,7 +22,7 @@
 #define FW_CHALLENGE_SIZE 16
 #define FW_PROOF_SIZE 32
 #define FW_FRAME_MAC_SIZE 12
-#define FW_HELLO_MAX 160 /* longest frame before a peer is proven */
+#define FW_HELLO_MAX_BYTES 160 /* longest frame before a peer is proven */
 
 /** struct fw_peer_id - what a side says about itself. */
 struct fw_peer_id {
@@ -55,14 +55,14 @@
 
 /* Fills in @id with a new challenge. */
 void
-Fw_PeerAuth_Identify(const char *name, uint64_t boot, struct fw_peer_id *id);
+Fw_PeerAuth_InitId(const char *name, uint64_t boot, struct fw_peer_id *id);
 void
-Fw_PeerAuth_PutHello(GByteArray *out, const struct fw_peer_hello *hello);
+Fw_PeerAuth_EncodeHello(GByteArray *out, const struct fw_peer_hello *hello);
 /* Return: 0, or -EBADMSG when it is not @kind or not well formed. */
 int
-Fw_PeerAuth_GetHello(const uint8_t *data, size_t len,
-                     enum fw_peer_hello_kind kind,
-                     struct fw_peer_hello *hello);
+Fw_PeerAuth_DecodeHello(const uint8_t *data, size_t len,
+                        enum fw_peer_hello_kind kind,
+                        struct fw_peer_hello *hello);
 void
 Fw_PeerAuth_Derive(GBytes *secret, enum fw_peer_label label,
                    const struct fw_peer_id *dialer,
@@ -75,6 +75,6 @@
                 uint8_t out[FW_FRAME_MAC_SIZE]);
 /* Constant time: how long it takes tells nothing about the right value. */
 int
-Fw_PeerAuth_Equal(const uint8_t *a, const uint8_t *b, size_t len);
+Fw_PeerAuth_EqualConstantTime(const uint8_t *a, const uint8_t *b, size_t len);
 
 #endif
--- a/src/io/peer_conn.h
+++ b/src/io/peer_conn.h
@@ -8,28 +8,29 @@
 #include "core/types.h"
 #include "io/peer_auth.h"
 
-#define FW_FRAME_MAX (64 * 1024)
-#define FW_FRAME_CONFIG_MAX (1024 * 1024) /* one message of FW_AREA_CONFIG */
-#define FW_HANDSHAKE_US (5 * FW_SEC)
+#define FW_FRAME_MAX_BYTES (64 * 1024)
+#define FW_FRAME_CONFIG_MAX_BYTES                                             \
+    (1024 * 1024) /* one message of FW_AREA_CONFIG */
+#define FW_HANDSHAKE_TIMEOUT_US (5 * FW_SEC)
 
 struct fw_peer_conn;
 
 /**
  * struct fw_peer_conn_opts - whom it tells.
- * @open: the other side is proven
- * @frame: one authentic frame; nonzero when it is not well formed
- * @written: all that was given has left
- * @closed: last callback; @why is a literal. Nothing must be sent any more
+ * @on_open: the other side is proven
+ * @on_frame: one authentic frame; nonzero when it is not well formed
+ * @on_written: all that was given has left
+ * @on_closed: last callback; @why is a literal. Nothing must be sent any more
  */
 struct fw_peer_conn_opts {
     const struct fw_self *self;
     GBytes *secret;
     void *ctx;
-    void (*open)(void *ctx, struct fw_peer_conn *conn);
-    int (*frame)(void *ctx, struct fw_peer_conn *conn, const uint8_t *data,
-                 size_t len);
-    void (*written)(void *ctx, struct fw_peer_conn *conn, size_t bytes);
-    void (*closed)(void *ctx, struct fw_peer_conn *conn, const char *why);
+    void (*on_open)(void *ctx, struct fw_peer_conn *conn);
+    int (*on_frame)(void *ctx, struct fw_peer_conn *conn, const uint8_t *data,
+                    size_t len);
+    void (*on_written)(void *ctx, struct fw_peer_conn *conn, size_t bytes);
+    void (*on_closed)(void *ctx, struct fw_peer_conn *conn, const char *why);
 };
 
 /**
@@ -45,7 +46,7 @@
     int is_open;
     int was_open;
     struct fw_list link;
-    struct fw_peer_wire *wire;
+    struct fw_peer_conn_private *priv;
 };
 
 /* A connection to @addr that is yet to be made; NULL when it is no address. */
@@ -56,10 +57,11 @@
                    GSocketConnection *io);
 /* Nonzero while a write is under way: then nothing may be given. */
 int
-Fw_PeerConn_Busy(const struct fw_peer_conn *conn);
+Fw_PeerConn_IsWriting(const struct fw_peer_conn *conn);
 /* Sends frames, each as its payload; call Fw_PeerConn_Flush after the last. */
 void
-Fw_PeerConn_Frame(struct fw_peer_conn *conn, const uint8_t *data, size_t len);
+Fw_PeerConn_AppendFrame(struct fw_peer_conn *conn, const uint8_t *data,
+                        size_t len);
 void
 Fw_PeerConn_Flush(struct fw_peer_conn *conn);
 /* The closed callback is made at once, unless it was made before. */
--- a/src/io/peer_priv.h
+++ b/src/io/peer_priv.h
@@ -5,22 +5,22 @@
 #include "io/peer.h"
 #include "io/peer_conn.h"
 
-/** struct fw_peer_counts - what the wire costs. */
-struct fw_peer_counts {
+/** struct fw_peer_metrics - what the wire costs. */
+struct fw_peer_metrics {
     struct fw_metric messages_in;
     struct fw_metric messages_out;
     struct fw_metric bytes_in;
     struct fw_metric bytes_out;
     struct fw_metric dropped;
-    struct fw_metric refused;
-    struct fw_metric open;
+    struct fw_metric rejected;
+    struct fw_metric open_connections;
 };
 
 /**
  * struct fw_peers - all connections of this instance.
  * @by_name: name -> struct fw_peer
  * @conns: all connections, dialed and accepted
- * @strangers: accepted and not yet proven
+ * @unauthenticated: accepted and not yet proven
  */
 struct fw_peers {
     struct fw_sink sink;
@@ -29,15 +29,15 @@
     GSocketService *service;
     GHashTable *by_name;
     struct fw_list conns;
-    int strangers;
+    int unauthenticated;
     int closing;
-    struct fw_peer_counts counts;
+    struct fw_peer_metrics metrics;
 };
 
 /**
  * struct fw_peer - another instance, as far as it was sent to or heard of.
  * @conn: the connection that messages to it take; may not be open yet
- * @queue: packed messages (struct fw_peer_item) not yet written
+ * @queue: packed messages (struct fw_peer_message) not yet written
  * @retry_us: no dialing before
  * @backoff_us: the next wait after a failure
  */
@@ -47,14 +47,14 @@
     char addr[FW_URL_MAX];
     struct fw_peer_conn *conn;
     GQueue queue;
-    size_t queued;
-    guint flush;
+    size_t queued_bytes;
+    guint flush_source;
     int64_t retry_us;
     int64_t backoff_us;
 };
 
 struct fw_peer *
-Fw_Peers_Find(struct fw_peers *p, const char *name);
+Fw_Peers_FindOrAdd(struct fw_peers *p, const char *name);
 struct fw_peer_conn_opts
 Fw_Peers_ConnOpts(struct fw_peers *p);
 /* Writes what is queued, when the connection is free. */
@@ -64,7 +64,7 @@
 Fw_Peer_DropQueue(struct fw_peer *peer);
 /* Gives the messages of a frame to the core. */
 int
-Fw_Peers_TakeFrame(struct fw_peers *p, const struct fw_peer_conn *conn,
-                   const uint8_t *data, size_t len);
+Fw_Peers_ReceiveFrame(struct fw_peers *p, const struct fw_peer_conn *conn,
+                      const uint8_t *data, size_t len);
 
 #endif
--- a/src/io/peer_receive.c
+++ b/src/io/peer_receive.c
@@ -5,21 +5,22 @@
 #include "io/peer_priv.h"
 
 static void
-give(struct fw_peers *p, const struct fw_peer_conn *conn, struct fw_msg *msg)
+deliver_message(struct fw_peers *p, const struct fw_peer_conn *conn,
+                struct fw_msg *msg)
 {
     struct fw_event ev = {.kind = FW_EV_PEER};
 
     g_strlcpy(ev.u.peer.from, conn->peer.name, sizeof(ev.u.peer.from));
     ev.u.peer.boot = conn->peer.boot;
     ev.u.peer.msg = msg;
-    p->counts.messages_in.value++;
+    p->metrics.messages_in.value++;
     p->sink.event(p->sink.ctx, &ev);
 }
 
 /* Only configuration state may come in frames larger than the rest. */
 static int
-take_message(struct fw_peers *p, const struct fw_peer_conn *conn,
-             const msgpack_object *obj, size_t frame_len)
+receive_message(struct fw_peers *p, const struct fw_peer_conn *conn,
+                const msgpack_object *obj, size_t frame_len)
 {
     struct fw_msg msg = {0};
     int rc = Fw_Msg_Unpack(obj, &msg);
@@ -27,24 +28,24 @@
     if (rc) {
         return rc;
     }
-    if (frame_len > FW_FRAME_MAX && msg.area != FW_AREA_CONFIG) {
+    if (frame_len > FW_FRAME_MAX_BYTES && msg.area != FW_AREA_CONFIG) {
         rc = -EBADMSG;
     }
     else {
-        give(p, conn, &msg);
+        deliver_message(p, conn, &msg);
     }
     Fw_Msg_Clear(&msg);
     return rc;
 }
 
 int
-Fw_Peers_TakeFrame(struct fw_peers *p, const struct fw_peer_conn *conn,
-                   const uint8_t *data, size_t len)
+Fw_Peers_ReceiveFrame(struct fw_peers *p, const struct fw_peer_conn *conn,
+                      const uint8_t *data, size_t len)
 {
     size_t at = 0;
     int rc = 0;
 
-    p->counts.bytes_in.value +=
+    p->metrics.bytes_in.value +=
         (int64_t)(len + sizeof(uint32_t) + FW_FRAME_MAC_SIZE);
     if (!Fw_PackScan_IsSane(data, len)) {
         return -EBADMSG;
@@ -55,7 +56,7 @@
         msgpack_unpacked_init(&one);
         rc = msgpack_unpack_next(&one, (const char *)data, len, &at) ==
                      MSGPACK_UNPACK_SUCCESS
-                 ? take_message(p, conn, &one.data, len)
+                 ? receive_message(p, conn, &one.data, len)
                  : -EBADMSG;
         msgpack_unpacked_destroy(&one);
     }
--- a/src/io/peer_send.c
+++ b/src/io/peer_send.c
@@ -4,29 +4,29 @@
 #include "io/peer_priv.h"
 
 /* As much is put into one write; the rest waits until it has left. */
-#define FW_WRITE_MAX (256 * 1024)
+#define FW_WRITE_BATCH_MAX_BYTES (256 * 1024)
 
-/** struct fw_peer_item - one packed message. */
-struct fw_peer_item {
+/** struct fw_peer_message - one packed message. */
+struct fw_peer_message {
     enum fw_area area;
-    msgpack_sbuffer text;
+    msgpack_sbuffer packed;
 };
 
 static void
-free_item(struct fw_peer_item *item)
+free_message(struct fw_peer_message *item)
 {
-    msgpack_sbuffer_destroy(&item->text);
+    msgpack_sbuffer_destroy(&item->packed);
     g_free(item);
 }
 
 static void
 drop_oldest(struct fw_peer *peer)
 {
-    struct fw_peer_item *item = g_queue_pop_head(&peer->queue);
+    struct fw_peer_message *item = g_queue_pop_head(&peer->queue);
 
-    peer->queued -= item->text.size;
-    peer->peers->counts.dropped.value++;
-    free_item(item);
+    peer->queued_bytes -= item->packed.size;
+    peer->peers->metrics.dropped.value++;
+    free_message(item);
 }
 
 void
@@ -38,41 +38,44 @@
 }
 
 static size_t
-limit_of(const struct fw_peer_item *item)
+message_size_max(const struct fw_peer_message *item)
 {
-    return item->area == FW_AREA_CONFIG ? FW_FRAME_CONFIG_MAX : FW_FRAME_MAX;
+    return item->area == FW_AREA_CONFIG ? FW_FRAME_CONFIG_MAX_BYTES
+                                        : FW_FRAME_MAX_BYTES;
 }
 
 /* Takes as many messages as fit one frame, at least one. */
 static void
-put_frame(struct fw_peer *peer)
+append_frame(struct fw_peer *peer)
 {
     GByteArray *frame = g_byte_array_new();
-    struct fw_peer_item *item;
+    struct fw_peer_message *item;
 
     do {
         item = g_queue_pop_head(&peer->queue);
-        peer->queued -= item->text.size;
-        peer->peers->counts.messages_out.value++;
-        g_byte_array_append(frame, (const guint8 *)item->text.data,
-                            (guint)item->text.size);
-        free_item(item);
+        peer->queued_bytes -= item->packed.size;
+        peer->peers->metrics.messages_out.value++;
+        g_byte_array_append(frame, (const guint8 *)item->packed.data,
+                            (guint)item->packed.size);
+        free_message(item);
         item = g_queue_peek_head(&peer->queue);
-    } while (item && frame->len + item->text.size <= FW_FRAME_MAX);
-    Fw_PeerConn_Frame(peer->conn, frame->data, frame->len);
+    } while (item && frame->len + item->packed.size <= FW_FRAME_MAX_BYTES);
+    Fw_PeerConn_AppendFrame(peer->conn, frame->data, frame->len);
     g_byte_array_unref(frame);
 }
 
 void
 Fw_Peer_Flush(struct fw_peer *peer)
 {
-    size_t before = peer->queued;
+    size_t before = peer->queued_bytes;
 
-    if (!peer->conn || !peer->conn->is_open || Fw_PeerConn_Busy(peer->conn)) {
+    if (!peer->conn || !peer->conn->is_open ||
+        Fw_PeerConn_IsWriting(peer->conn)) {
         return;
     }
-    while (peer->queue.length > 0 && before - peer->queued < FW_WRITE_MAX) {
-        put_frame(peer);
+    while (peer->queue.length > 0 &&
+           before - peer->queued_bytes < FW_WRITE_BATCH_MAX_BYTES) {
+        append_frame(peer);
     }
     Fw_PeerConn_Flush(peer->conn);
 }
@@ -82,7 +85,7 @@
 {
     struct fw_peer *peer = data;
 
-    peer->flush = 0;
+    peer->flush_source = 0;
     Fw_Peer_Flush(peer);
     return G_SOURCE_REMOVE;
 }
@@ -114,15 +117,15 @@
     return 1;
 }
 
-static struct fw_peer_item *
-pack(const struct fw_msg *msg)
+static struct fw_peer_message *
+pack_message(const struct fw_msg *msg)
 {
-    struct fw_peer_item *item = g_new0(struct fw_peer_item, 1);
+    struct fw_peer_message *item = g_new0(struct fw_peer_message, 1);
     msgpack_packer pk;
 
     item->area = msg->area;
-    msgpack_sbuffer_init(&item->text);
-    msgpack_packer_init(&pk, &item->text, msgpack_sbuffer_write);
+    msgpack_sbuffer_init(&item->packed);
+    msgpack_packer_init(&pk, &item->packed, msgpack_sbuffer_write);
     Fw_Msg_Pack(&pk, msg);
     return item;
 }
@@ -130,17 +133,17 @@
 void
 Fw_Peers_Send(struct fw_peers *p, const struct fw_peer_send *send)
 {
-    struct fw_peer *peer = Fw_Peers_Find(p, send->to);
-    struct fw_peer_item *item;
+    struct fw_peer *peer = Fw_Peers_FindOrAdd(p, send->to);
+    struct fw_peer_message *item;
 
     if (!connect_peer(peer, send->addr)) {
-        p->counts.dropped.value++;
+        p->metrics.dropped.value++;
         return;
     }
-    item = pack(&send->msg);
-    if (item->text.size > limit_of(item)) {
-        p->counts.dropped.value++;
-        free_item(item);
+    item = pack_message(&send->msg);
+    if (item->packed.size > message_size_max(item)) {
+        p->metrics.dropped.value++;
+        free_message(item);
         return;
     }
     /*
@@ -148,13 +151,13 @@
      * What is newest is worth most to it.
      */
     while (peer->queue.length > 0 &&
-           peer->queued + item->text.size > FW_PEER_QUEUE_MAX) {
+           peer->queued_bytes + item->packed.size > FW_PEER_QUEUE_MAX_BYTES) {
         drop_oldest(peer);
     }
     g_queue_push_tail(&peer->queue, item);
-    peer->queued += item->text.size;
-    if (!peer->flush) {
-        peer->flush =
+    peer->queued_bytes += item->packed.size;
+    if (!peer->flush_source) {
+        peer->flush_source =
             g_idle_add_full(G_PRIORITY_DEFAULT, on_flush, peer, NULL);
     }
 }
--- a/src/io/shell.c
+++ b/src/io/shell.c
@@ -12,14 +12,14 @@
 #include "io/up_client.h"
 
 /* Time for the last answers to be written out after the core is done. */
-#define FW_FLUSH_US (2 * FW_SEC)
-#define FW_FLUSH_POLL_MS 20
+#define FW_FLUSH_TIMEOUT_US (2 * FW_SEC)
+#define FW_FLUSH_POLL_INTERVAL_MS 20
 
 /**
  * struct fw_shell - the loop and all that hangs on it.
- * @todo: actions not yet carried out, in order
- * @acting: they are being carried out further up the stack
- * @wake_us: when the next tick is due, INT64_MAX for never
+ * @pending: actions not yet carried out, in order
+ * @executing: they are being carried out further up the stack
+ * @next_tick_us: when the next tick is due, INT64_MAX for never
  * @now_us: time of the last step; time given to the core never falls
  */
 struct fw_shell {
@@ -28,53 +28,53 @@
     struct fw_core core;
     GMainLoop *loop;
     struct fw_http *http;
-    struct fw_up_client *up;
+    struct fw_upstream_client *upstreams;
     struct fw_log_client *log;
-    struct fw_list_client *list;
+    struct fw_registry_client *registry;
     struct fw_peers *peers;
-    struct fw_list todo;
-    int acting;
+    struct fw_list pending;
+    int executing;
     int64_t now_us;
-    int64_t wake_us;
+    int64_t next_tick_us;
     GSource *timer;
     guint signals[2];
     int draining;
-    int leaving; /* the core said so */
-    int over;
+    int exiting; /* the core said so */
+    int stopped;
     int64_t flush_until_us;
-    guint flush;
+    guint flush_source;
     char callers_url[FW_URL_MAX];
     char operators_url[FW_URL_MAX];
 };
 
 static void
-act(struct fw_shell *sh, const struct fw_action *a);
+execute(struct fw_shell *sh, const struct fw_action *a);
 
 /* Carrying out may bring the next event; what that puts out comes after. */
 static void
-act_all(struct fw_shell *sh)
+execute_pending(struct fw_shell *sh)
 {
-    if (sh->acting) {
+    if (sh->executing) {
         return;
     }
-    sh->acting = 1;
-    while (!Fw_List_Empty(&sh->todo)) {
+    sh->executing = 1;
+    while (!Fw_List_Empty(&sh->pending)) {
         struct fw_action *a =
-            FW_LIST_ENTRY(sh->todo.next, struct fw_action, link);
+            FW_LIST_ENTRY(sh->pending.next, struct fw_action, link);
 
         Fw_List_Remove(&a->link);
-        act(sh, a);
+        execute(sh, a);
         Fw_Action_Free(a);
     }
-    sh->acting = 0;
+    sh->executing = 0;
 }
 
 /* Setting the time costs a system call even when it stays as it is. */
 static void
-set_wake(struct fw_shell *sh, int64_t at_us)
+schedule_tick(struct fw_shell *sh, int64_t at_us)
 {
-    if (at_us < sh->wake_us) {
-        sh->wake_us = at_us;
+    if (at_us < sh->next_tick_us) {
+        sh->next_tick_us = at_us;
         g_source_set_ready_time(sh->timer, at_us);
     }
 }
@@ -85,7 +85,7 @@
     struct fw_actions out;
     struct fw_action *a;
 
-    if (sh->leaving) {
+    if (sh->exiting) {
         return;
     }
     Fw_Actions_Init(&out);
@@ -93,11 +93,11 @@
     if (sh->core.step(sh->core.ctx, ev, sh->now_us, &out)) {
         Fw_Note_Log(LOG_ERR, "event_refused", NULL);
     }
-    set_wake(sh, out.wake_us);
+    schedule_tick(sh, out.wake_us);
     while ((a = Fw_Actions_Take(&out))) {
-        Fw_List_Append(&sh->todo, &a->link);
+        Fw_List_Append(&sh->pending, &a->link);
     }
-    act_all(sh);
+    execute_pending(sh);
 }
 
 static void
@@ -111,16 +111,16 @@
 {
     struct fw_shell *sh = data;
 
-    sh->wake_us = INT64_MAX;
+    sh->next_tick_us = INT64_MAX;
     g_source_set_ready_time(sh->timer, -1);
     step(sh, &(struct fw_event){.kind = FW_EV_TICK});
     return G_SOURCE_CONTINUE;
 }
 
 static void
-leave(struct fw_shell *sh)
+stop_loop(struct fw_shell *sh)
 {
-    sh->over = 1;
+    sh->stopped = 1;
     g_main_loop_quit(sh->loop);
 }
 
@@ -129,36 +129,36 @@
 {
     struct fw_shell *sh = data;
 
-    if (Fw_Http_Busy(sh->http) &&
+    if (Fw_Http_HasPendingResponses(sh->http) &&
         g_get_monotonic_time() < sh->flush_until_us) {
         return G_SOURCE_CONTINUE;
     }
-    sh->flush = 0;
-    leave(sh);
+    sh->flush_source = 0;
+    stop_loop(sh);
     return G_SOURCE_REMOVE;
 }
 
 static void
-on_removed(void *ctx)
+on_unregistered(void *ctx)
 {
     struct fw_shell *sh = ctx;
 
-    sh->flush = g_timeout_add(FW_FLUSH_POLL_MS, on_flush, sh);
+    sh->flush_source = g_timeout_add(FW_FLUSH_POLL_INTERVAL_MS, on_flush, sh);
 }
 
 static void
-act_exit(struct fw_shell *sh)
+begin_exit(struct fw_shell *sh)
 {
-    if (sh->leaving) {
+    if (sh->exiting) {
         return;
     }
-    sh->leaving = 1;
-    sh->flush_until_us = g_get_monotonic_time() + FW_FLUSH_US;
-    Fw_ListClient_Remove(sh->list, on_removed, sh);
+    sh->exiting = 1;
+    sh->flush_until_us = g_get_monotonic_time() + FW_FLUSH_TIMEOUT_US;
+    Fw_RegistryClient_Unregister(sh->registry, on_unregistered, sh);
 }
 
 static void
-act(struct fw_shell *sh, const struct fw_action *a)
+execute(struct fw_shell *sh, const struct fw_action *a)
 {
     switch (a->kind) {
     case FW_ACT_CALL_START:
@@ -166,13 +166,13 @@
     case FW_ACT_CALL_END:
     case FW_ACT_CALL_FAIL:
     case FW_ACT_CALL_ANSWER:
-        Fw_Http_Act(sh->http, a);
+        Fw_Http_HandleAction(sh->http, a);
         break;
     case FW_ACT_UP_START:
-        Fw_UpClient_Start(sh->up, &a->u.up);
+        Fw_UpstreamClient_Start(sh->upstreams, &a->u.up);
         break;
     case FW_ACT_UP_STOP:
-        Fw_UpClient_Stop(sh->up, a->u.stop);
+        Fw_UpstreamClient_Stop(sh->upstreams, a->u.stop);
         break;
     case FW_ACT_PEER_SEND:
         Fw_Peers_Send(sh->peers, &a->u.send);
@@ -184,13 +184,13 @@
         Fw_LogClient_Read(sh->log, &a->u.read);
         break;
     case FW_ACT_LIST_READ:
-        Fw_ListClient_Read(sh->list);
+        Fw_RegistryClient_Read(sh->registry);
         break;
     case FW_ACT_NOTE:
         Fw_Note_Write(&a->u.note);
         break;
     case FW_ACT_EXIT:
-        act_exit(sh);
+        begin_exit(sh);
         break;
     }
 }
@@ -211,8 +211,8 @@
 
     sh->opts = opts;
     sh->loop = g_main_loop_new(NULL, FALSE);
-    sh->wake_us = INT64_MAX;
-    Fw_List_Init(&sh->todo);
+    sh->next_tick_us = INT64_MAX;
+    Fw_List_Init(&sh->pending);
     sh->timer = g_source_new(&timer_funcs, sizeof(GSource));
     g_source_set_callback(sh->timer, on_timer, sh, NULL);
     sh->peers = Fw_Peers_New(&(struct fw_sink){.ctx = sh, .event = on_event},
@@ -242,7 +242,7 @@
 }
 
 static void
-make_parts(struct fw_shell *sh)
+create_components(struct fw_shell *sh)
 {
     const struct fw_shell_opts *o = sh->opts;
     struct fw_sink sink = {.ctx = sh, .event = on_event};
@@ -257,11 +257,12 @@
         .ready = is_ready,
         .ready_ctx = sh,
     });
-    sh->up = Fw_UpClient_New(&sink, sh->core.metrics, o->max_conns,
-                             o->max_conns_per_host, o->body_max);
+    sh->upstreams =
+        Fw_UpstreamClient_New(&sink, sh->core.metrics, o->max_conns,
+                              o->max_conns_per_host, o->body_max);
     sh->log = Fw_LogClient_New(&sink, sh->core.metrics, o->log_url);
-    sh->list =
-        Fw_ListClient_New(&sink, sh->core.metrics, o->list_url, &sh->self);
+    sh->registry =
+        Fw_RegistryClient_New(&sink, sh->core.metrics, o->list_url, &sh->self);
     Fw_Peers_AddMetrics(sh->peers, sh->core.metrics);
 }
 
@@ -271,7 +272,7 @@
     int rc;
 
     sh->core = *core;
-    make_parts(sh);
+    create_components(sh);
     rc = Fw_Http_Listen(sh->http, FW_PORT_CALLERS, sh->opts->callers,
                         sh->callers_url);
     if (!rc) {
@@ -287,7 +288,7 @@
     g_source_attach(sh->timer, NULL);
     Fw_Note_Log(LOG_NOTICE, "listening", "callers", sh->callers_url,
                 "operators", sh->operators_url, "peers", sh->self.addr, NULL);
-    Fw_ListClient_Register(sh->list);
+    Fw_RegistryClient_Register(sh->registry);
     step(sh, &(struct fw_event){.kind = FW_EV_TICK});
     return 0;
 }
@@ -299,22 +300,22 @@
         return;
     }
     sh->draining = 1;
-    Fw_ListClient_Leave(sh->list);
+    Fw_RegistryClient_MarkLeaving(sh->registry);
     step(sh, &(struct fw_event){.kind = FW_EV_DRAIN});
 }
 
 void
 Fw_Shell_Run(struct fw_shell *sh)
 {
-    if (!sh->over) {
+    if (!sh->stopped) {
         g_main_loop_run(sh->loop);
     }
 }
 
 int
-Fw_Shell_Over(const struct fw_shell *sh)
+Fw_Shell_HasStopped(const struct fw_shell *sh)
 {
-    return sh->over;
+    return sh->stopped;
 }
 
 const char *
@@ -330,13 +331,13 @@
 }
 
 static void
-free_parts(struct fw_shell *sh)
+free_components(struct fw_shell *sh)
 {
     if (sh->http) {
         Fw_Http_Free(sh->http);
-        Fw_UpClient_Free(sh->up);
+        Fw_UpstreamClient_Free(sh->upstreams);
         Fw_LogClient_Free(sh->log);
-        Fw_ListClient_Free(sh->list);
+        Fw_RegistryClient_Free(sh->registry);
     }
     Fw_Peers_Free(sh->peers);
 }
@@ -344,19 +345,19 @@
 void
 Fw_Shell_Free(struct fw_shell *sh)
 {
-    sh->leaving = 1;
+    sh->exiting = 1;
     for (int i = 0; i < 2; i++) {
         if (sh->signals[i]) {
             g_source_remove(sh->signals[i]);
         }
     }
-    if (sh->flush) {
-        g_source_remove(sh->flush);
+    if (sh->flush_source) {
+        g_source_remove(sh->flush_source);
     }
-    free_parts(sh);
-    while (!Fw_List_Empty(&sh->todo)) {
+    free_components(sh);
+    while (!Fw_List_Empty(&sh->pending)) {
         struct fw_action *a =
-            FW_LIST_ENTRY(sh->todo.next, struct fw_action, link);
+            FW_LIST_ENTRY(sh->pending.next, struct fw_action, link);
 
         Fw_List_Remove(&a->link);
         Fw_Action_Free(a);
--- a/src/io/shell.h
+++ b/src/io/shell.h
@@ -75,7 +75,7 @@
 Fw_Shell_Run(struct fw_shell *shell);
 /* Nonzero once the core has drained and all answers are out. */
 int
-Fw_Shell_Over(const struct fw_shell *shell);
+Fw_Shell_HasStopped(const struct fw_shell *shell);
 /* URLs really bound, for tests; after Fw_Shell_Start. */
 const char *
 Fw_Shell_CallersUrl(const struct fw_shell *shell);
--- a/src/io/up_client.c
+++ b/src/io/up_client.c
@@ -7,53 +7,53 @@
 #include "io/engine_wire.h"
 #include "io/fetch.h"
 
-#define FW_ENGINE_BODY_MAX (4 << 20)
+#define FW_ENGINE_BODY_MAX_BYTES (4 << 20)
 /*
  * For each new message the library looks at all kept connections of its
  * session, twice. With one to each of a thousand upstreams that would be most
  * of a call's cost, so upstreams are spread over several sessions.
  */
-#define FW_GROUPS 16
+#define FW_SESSION_COUNT 16
 
 /**
- * struct fw_up_op - a running call.
+ * struct fw_upstream_op - a running call.
  * @ended: the core has had its last event; the rest of the stream is only
  *         read so that the connection can be used again
  */
-struct fw_up_op {
-    struct fw_up_client *client;
+struct fw_upstream_op {
+    struct fw_upstream_client *client;
     struct fw_fetch *fetch;
-    uint64_t op;
+    uint64_t id;
     enum fw_up_kind kind;
     int ended;
-    guint idle;
+    guint idle_source;
     struct fw_list link;
 };
 
-struct fw_up_client {
+struct fw_upstream_client {
     struct fw_sink sink;
-    SoupSession *sessions[FW_GROUPS];
+    SoupSession *sessions[FW_SESSION_COUNT];
     size_t body_max;
-    GHashTable *by_op;  /* op number -> struct fw_up_op, not ended */
-    struct fw_list all; /* with those that have ended */
+    GHashTable *by_op;  /* op number -> struct fw_upstream_op, not ended */
+    struct fw_list ops; /* with those that have ended */
     struct fw_metric started;
     struct fw_metric failed;
     struct fw_metric open;
 };
 
-struct fw_up_client *
-Fw_UpClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
-                int max_conns, int max_conns_per_host, size_t body_max)
+struct fw_upstream_client *
+Fw_UpstreamClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
+                      int max_conns, int max_conns_per_host, size_t body_max)
 {
-    struct fw_up_client *c = g_new0(struct fw_up_client, 1);
+    struct fw_upstream_client *c = g_new0(struct fw_upstream_client, 1);
 
     c->sink = *sink;
-    for (int i = 0; i < FW_GROUPS; i++) {
+    for (int i = 0; i < FW_SESSION_COUNT; i++) {
         c->sessions[i] = Fw_Fetch_Session(max_conns, max_conns_per_host);
     }
     c->body_max = body_max;
     c->by_op = g_hash_table_new(g_int64_hash, g_int64_equal);
-    Fw_List_Init(&c->all);
+    Fw_List_Init(&c->ops);
     c->started = (struct fw_metric){.name = "fw_upstream_calls_total",
                                     .help = "Calls to upstreams begun"};
     c->failed = (struct fw_metric){.name = "fw_upstream_failures_total",
@@ -68,28 +68,28 @@
 }
 
 static void
-forget(struct fw_up_op *op)
+mark_ended(struct fw_upstream_op *op)
 {
     if (!op->ended) {
-        g_hash_table_remove(op->client->by_op, &op->op);
+        g_hash_table_remove(op->client->by_op, &op->id);
         op->client->open.value--;
         op->ended = 1;
     }
 }
 
 static void
-free_op(struct fw_up_op *op)
+free_op(struct fw_upstream_op *op)
 {
-    forget(op);
+    mark_ended(op);
     Fw_List_Remove(&op->link);
-    if (op->idle) {
-        g_source_remove(op->idle);
+    if (op->idle_source) {
+        g_source_remove(op->idle_source);
     }
     g_free(op);
 }
 
 static void
-give(struct fw_up_op *op, const struct fw_up_event *up)
+deliver_event(struct fw_upstream_op *op, const struct fw_up_event *up)
 {
     struct fw_event ev = {.kind = FW_EV_UP, .u.up = *up};
     struct fw_sink sink = op->client->sink;
@@ -98,7 +98,7 @@
         op->client->failed.value++;
     }
     if (up->phase != FW_UP_PIECE) {
-        forget(op);
+        mark_ended(op);
     }
     sink.event(sink.ctx, &ev);
 }
@@ -106,17 +106,17 @@
 static int
 on_line(void *ctx, const char *line, size_t len)
 {
-    struct fw_up_op *op = ctx;
-    struct fw_up_event up = {.op = op->op, .kind = op->kind, .status = 200};
+    struct fw_upstream_op *op = ctx;
+    struct fw_up_event up = {.op = op->id, .kind = op->kind, .status = 200};
     JsonNode *root;
     int rc;
 
     if (op->ended) {
         return 0;
     }
-    rc = Fw_Engine_Line(line, len, &up, &root);
+    rc = Fw_Engine_DecodeStreamLine(line, len, &up, &root);
     if (!rc) {
-        give(op, &up);
+        deliver_event(op, &up);
         json_node_unref(root);
     }
     return rc;
@@ -130,33 +130,35 @@
 
 /* An engine that answers so has surely not begun. */
 static int
-means_not_begun(int status)
+is_not_started_status(int status)
 {
     return status == 404 || status == 409 || status == 410 || status == 429 ||
            status == 503;
 }
 
 static void
-give_engine_answer(struct fw_up_op *op, const struct fw_fetch_result *r,
-                   struct fw_up_event *up)
+deliver_engine_response(struct fw_upstream_op *op,
+                        const struct fw_fetch_result *r,
+                        struct fw_up_event *up)
 {
-    struct fw_engine_answer own = {0};
+    struct fw_engine_response resp = {0};
 
     if (is_stream(op->kind)) {
         up->err = -EPIPE; /* the stream closed before its last line */
     }
     else {
-        up->err = Fw_Engine_Answer(r->body, up, &own);
+        up->err = Fw_Engine_DecodeResponse(r->body, up, &resp);
     }
     up->phase = up->err ? FW_UP_FAILED : FW_UP_DONE;
     up->ran = up->err ? FW_RAN_MAYBE : FW_RAN_YES;
-    give(op, up);
-    Fw_Engine_ClearAnswer(&own);
+    deliver_event(op, up);
+    Fw_Engine_ClearResponse(&resp);
 }
 
 static void
-give_service_answer(struct fw_up_op *op, const struct fw_fetch_result *r,
-                    struct fw_up_event *up)
+deliver_service_response(struct fw_upstream_op *op,
+                         const struct fw_fetch_result *r,
+                         struct fw_up_event *up)
 {
     up->phase = FW_UP_DONE;
     up->ran = FW_RAN_YES;
@@ -165,11 +167,11 @@
     g_strlcpy(up->u.answer.content_type,
               r->content_type ? r->content_type : "application/octet-stream",
               sizeof(up->u.answer.content_type));
-    give(op, up);
+    deliver_event(op, up);
 }
 
 static int
-is_success(const struct fw_up_op *op, int status)
+is_success(const struct fw_upstream_op *op, int status)
 {
     return status == 200 || status == 204 ||
            (op->kind == FW_UP_CANCEL && status == 404);
@@ -178,9 +180,9 @@
 static void
 on_done(void *ctx, const struct fw_fetch_result *r)
 {
-    struct fw_up_op *op = ctx;
+    struct fw_upstream_op *op = ctx;
     struct fw_up_event up = {
-        .op = op->op, .kind = op->kind, .status = r->status, .ran = r->ran};
+        .op = op->id, .kind = op->kind, .status = r->status, .ran = r->ran};
 
     if (op->ended) {
         free_op(op);
@@ -189,16 +191,16 @@
     if (r->err || (op->kind != FW_UP_SERVICE && !is_success(op, r->status))) {
         up.phase = FW_UP_FAILED;
         up.err = r->err;
-        if (op->kind != FW_UP_SERVICE && means_not_begun(r->status)) {
+        if (op->kind != FW_UP_SERVICE && is_not_started_status(r->status)) {
             up.ran = FW_RAN_NO;
         }
-        give(op, &up);
+        deliver_event(op, &up);
     }
     else if (op->kind == FW_UP_SERVICE) {
-        give_service_answer(op, r, &up);
+        deliver_service_response(op, r, &up);
     }
     else {
-        give_engine_answer(op, r, &up);
+        deliver_engine_response(op, r, &up);
     }
     free_op(op);
 }
@@ -207,42 +209,43 @@
 static gboolean
 on_bad_url(gpointer data)
 {
-    struct fw_up_op *op = data;
-    struct fw_up_event up = {.op = op->op,
+    struct fw_upstream_op *op = data;
+    struct fw_up_event up = {.op = op->id,
                              .kind = op->kind,
                              .phase = FW_UP_FAILED,
                              .ran = FW_RAN_NO,
                              .err = -EINVAL};
 
-    op->idle = 0;
-    give(op, &up);
+    op->idle_source = 0;
+    deliver_event(op, &up);
     free_op(op);
     return G_SOURCE_REMOVE;
 }
 
 void
-Fw_UpClient_Start(struct fw_up_client *c, const struct fw_up_start *up)
+Fw_UpstreamClient_Start(struct fw_upstream_client *c,
+                        const struct fw_up_start *up)
 {
-    struct fw_up_op *op = g_new0(struct fw_up_op, 1);
-    SoupMessage *msg = Fw_Engine_Encode(up);
+    struct fw_upstream_op *op = g_new0(struct fw_upstream_op, 1);
+    SoupMessage *msg = Fw_Engine_EncodeRequest(up);
 
     op->client = c;
-    op->op = up->op;
+    op->id = up->op;
     op->kind = up->kind;
-    Fw_List_Append(&c->all, &op->link);
-    g_hash_table_insert(c->by_op, &op->op, op);
+    Fw_List_Append(&c->ops, &op->link);
+    g_hash_table_insert(c->by_op, &op->id, op);
     c->started.value++;
     c->open.value++;
     if (!msg) {
-        op->idle = g_idle_add(on_bad_url, op);
+        op->idle_source = g_idle_add(on_bad_url, op);
         return;
     }
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
-        .session = c->sessions[Fw_Hash_Str(up->url) % FW_GROUPS],
+        .session = c->sessions[Fw_Hash_Str(up->url) % FW_SESSION_COUNT],
         .msg = msg,
         .timeout_us = up->timeout_us > 0 ? up->timeout_us : 30 * FW_SEC,
         .body_max =
-            up->kind == FW_UP_SERVICE ? c->body_max : FW_ENGINE_BODY_MAX,
+            up->kind == FW_UP_SERVICE ? c->body_max : FW_ENGINE_BODY_MAX_BYTES,
         .ctx = op,
         .line = is_stream(up->kind) ? on_line : NULL,
         .done = on_done,
@@ -250,7 +253,7 @@
 }
 
 static void
-stop(struct fw_up_op *op)
+cancel_op(struct fw_upstream_op *op)
 {
     if (op->fetch) {
         Fw_Fetch_Cancel(op->fetch);
@@ -259,25 +262,25 @@
 }
 
 void
-Fw_UpClient_Stop(struct fw_up_client *c, uint64_t number)
+Fw_UpstreamClient_Stop(struct fw_upstream_client *c, uint64_t number)
 {
-    struct fw_up_op *op = g_hash_table_lookup(c->by_op, &number);
+    struct fw_upstream_op *op = g_hash_table_lookup(c->by_op, &number);
 
     if (op) {
-        stop(op);
+        cancel_op(op);
     }
 }
 
 void
-Fw_UpClient_Free(struct fw_up_client *c)
+Fw_UpstreamClient_Free(struct fw_upstream_client *c)
 {
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &c->all) {
-        stop(FW_LIST_ENTRY(pos, struct fw_up_op, link));
+    FW_LIST_EACH_SAFE (pos, tmp, &c->ops) {
+        cancel_op(FW_LIST_ENTRY(pos, struct fw_upstream_op, link));
     }
-    for (int i = 0; i < FW_GROUPS; i++) {
+    for (int i = 0; i < FW_SESSION_COUNT; i++) {
         soup_session_abort(c->sessions[i]);
         g_object_unref(c->sessions[i]);
     }
--- a/tests/io/rig.c
+++ b/tests/io/rig.c
@@ -8,9 +8,9 @@
 #include "io/note.h"
 
 /* Long beyond any wait: ends a test that would hang. */
-#define FW_HANG_S 10
+#define FW_WAIT_TIMEOUT_S 10
 
-static const char *waiting_in;
+static const char *last_waited_text;
 
 static gboolean
 on_hang(gpointer data)
@@ -25,11 +25,11 @@
 Fw_Rig_Until(int (*done)(void *), void *ctx)
 {
     int hangs = 0;
-    guint guard = g_timeout_add_seconds(FW_HANG_S, on_hang, &hangs);
+    guint guard = g_timeout_add_seconds(FW_WAIT_TIMEOUT_S, on_hang, &hangs);
 
     while (!done(ctx)) {
         ck_assert_msg(!hangs, "waited for ever, there is: %s",
-                      waiting_in ? waiting_in : "");
+                      last_waited_text ? last_waited_text : "");
         g_main_context_iteration(NULL, TRUE);
     }
     g_source_remove(guard);
@@ -122,7 +122,7 @@
 {
     struct wanted *w = ctx;
 
-    waiting_in = w->in->str; /* tells why a wait was in vain */
+    last_waited_text = w->in->str; /* tells why a wait was in vain */
     return strstr(w->in->str, w->text) != NULL;
 }
 
@@ -132,7 +132,7 @@
     struct wanted w = {.in = c->got, .text = text};
 
     Fw_Rig_Until(has_text, &w);
-    waiting_in = NULL;
+    last_waited_text = NULL;
 }
 
 static int
@@ -429,5 +429,5 @@
     struct wanted w = {.in = core->seen, .text = text};
 
     Fw_Rig_Until(has_text, &w);
-    waiting_in = NULL;
+    last_waited_text = NULL;
 }
--- a/tests/io/side.c
+++ b/tests/io/side.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 void
-Fw_Side_Begin(struct side *s, const char *name, uint64_t boot,
-              const char *secret)
+Fw_PeerFixture_Start(struct side *s, const char *name, uint64_t boot,
+                     const char *secret)
 {
     GBytes *bytes = g_bytes_new(secret, 16);
     struct fw_sink sink;
@@ -21,14 +21,14 @@
 }
 
 void
-Fw_Side_End(struct side *s)
+Fw_PeerFixture_Stop(struct side *s)
 {
     Fw_Peers_Free(s->peers);
     Fw_RigCore_Clear(&s->core);
 }
 
 void
-Fw_Side_Ping(struct side *from, const struct side *to)
+Fw_PeerFixture_SendPing(struct side *from, const struct side *to)
 {
     struct fw_peer_send send = {
         .msg = {.area = FW_AREA_FLEET,
@@ -40,7 +40,8 @@
 }
 
 void
-Fw_Side_SendState(struct side *from, const struct side *to, size_t size)
+Fw_PeerFixture_SendConfig(struct side *from, const struct side *to,
+                          size_t size)
 {
     struct fw_peer_send send = {
         .msg = {.area = FW_AREA_CONFIG,
@@ -54,7 +55,7 @@
 }
 
 int64_t
-Fw_Side_Metric(const struct side *s, const char *name)
+Fw_PeerFixture_Metric(const struct side *s, const char *name)
 {
     struct fw_list *pos;
 
@@ -81,11 +82,12 @@
 {
     struct counted *c = ctx;
 
-    return Fw_Side_Metric(c->side, c->name) >= c->want;
+    return Fw_PeerFixture_Metric(c->side, c->name) >= c->want;
 }
 
 void
-Fw_Side_ExpectMetric(const struct side *s, const char *name, int64_t want)
+Fw_PeerFixture_ExpectMetric(const struct side *s, const char *name,
+                            int64_t want)
 {
     struct counted c = {.side = s, .name = name, .want = want};
 
--- a/tests/io/side.h
+++ b/tests/io/side.h
@@ -5,7 +5,7 @@
 #include "io/peer.h"
 #include "tests/io/rig.h"
 
-#define FW_SIDE_SECRET "0123456789abcdef"
+#define FW_PEER_FIXTURE_SECRET "0123456789abcdef"
 
 /** struct side - one instance as far as its peers see it. */
 struct side {
@@ -17,19 +17,21 @@
 
 /* @secret: 16 bytes */
 void
-Fw_Side_Begin(struct side *s, const char *name, uint64_t boot,
-              const char *secret);
+Fw_PeerFixture_Start(struct side *s, const char *name, uint64_t boot,
+                     const char *secret);
 void
-Fw_Side_End(struct side *s);
+Fw_PeerFixture_Stop(struct side *s);
 void
-Fw_Side_Ping(struct side *from, const struct side *to);
+Fw_PeerFixture_SendPing(struct side *from, const struct side *to);
 /* A part of the configuration's state, of @size bytes. */
 void
-Fw_Side_SendState(struct side *from, const struct side *to, size_t size);
+Fw_PeerFixture_SendConfig(struct side *from, const struct side *to,
+                          size_t size);
 int64_t
-Fw_Side_Metric(const struct side *s, const char *name);
+Fw_PeerFixture_Metric(const struct side *s, const char *name);
 /* Waits until it is @want at least. */
 void
-Fw_Side_ExpectMetric(const struct side *s, const char *name, int64_t want);
+Fw_PeerFixture_ExpectMetric(const struct side *s, const char *name,
+                            int64_t want);
 
 #endif
--- a/tests/io/test_api.c
+++ b/tests/io/test_api.c
@@ -173,10 +173,10 @@
                                         "2026-13-02T09:00:00Z"};
 
     for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++) {
-        ck_assert_int_eq(Fw_Api_Deadline(wrong[i], 5), 0);
+        ck_assert_int_eq(Fw_Api_ParseDeadline(wrong[i], 5), 0);
     }
-    ck_assert_int_eq(Fw_Api_Deadline("1999-12-02T09:00:00Z", 5), 1);
-    ck_assert_int_gt(Fw_Api_Deadline("2199-12-02T09:00:00+01:00", 5),
+    ck_assert_int_eq(Fw_Api_ParseDeadline("1999-12-02T09:00:00Z", 5), 1);
+    ck_assert_int_gt(Fw_Api_ParseDeadline("2199-12-02T09:00:00+01:00", 5),
                      FW_SEC * 86400);
 }
 END_TEST
--- a/tests/io/test_engine_wire.c
+++ b/tests/io/test_engine_wire.c
@@ -18,9 +18,9 @@
                          "\"leaving\":true,\"role\":\"decode\",\"models\":["
                          "\"m@1\",\"m@1+a\"],\"more\":{}}");
     struct fw_up_event ev = {.kind = FW_UP_LOAD};
-    struct fw_engine_answer own;
+    struct fw_engine_response own;
 
-    ck_assert_int_eq(Fw_Engine_Answer(body, &ev, &own), 0);
+    ck_assert_int_eq(Fw_Engine_DecodeResponse(body, &ev, &own), 0);
     ck_assert_int_eq(ev.u.report.lag_us, 95500);
     ck_assert_int_eq(ev.u.report.slots, 20);
     ck_assert_int_eq(ev.u.report.busy, 3);
@@ -30,7 +30,7 @@
     ck_assert_str_eq(ev.u.report.role, "decode");
     ck_assert_int_eq(ev.u.report.n_models, 2);
     ck_assert_str_eq(ev.u.report.models[1], "m@1+a");
-    Fw_Engine_ClearAnswer(&own);
+    Fw_Engine_ClearResponse(&own);
     g_bytes_unref(body);
 }
 END_TEST
@@ -44,19 +44,19 @@
                           "false},{\"seq\":8,\"prefix\":\"1\",\"tokens\":0,"
                           "\"evicted\":true}]}");
     struct fw_up_event ev = {.kind = FW_UP_HELD};
-    struct fw_engine_answer own;
+    struct fw_engine_response own;
 
-    ck_assert_int_eq(Fw_Engine_Answer(held, &ev, &own), 0);
+    ck_assert_int_eq(Fw_Engine_DecodeResponse(held, &ev, &own), 0);
     ck_assert_int_eq(ev.u.held.n, 2);
     ck_assert_str_eq(ev.u.held.requests[0], "one.7.1");
-    Fw_Engine_ClearAnswer(&own);
+    Fw_Engine_ClearResponse(&own);
     ev = (struct fw_up_event){.kind = FW_UP_CACHE};
-    ck_assert_int_eq(Fw_Engine_Answer(cache, &ev, &own), 0);
+    ck_assert_int_eq(Fw_Engine_DecodeResponse(cache, &ev, &own), 0);
     ck_assert_int_eq(ev.u.cache.n, 2);
     ck_assert_uint_eq(ev.u.cache.next_seq, 9);
     ck_assert_uint_eq(ev.u.cache.events[0].prefix, 0x00ff00ff00ff00ffULL);
     ck_assert_int_eq(ev.u.cache.events[1].evicted, 1);
-    Fw_Engine_ClearAnswer(&own);
+    Fw_Engine_ClearResponse(&own);
     g_bytes_unref(held);
     g_bytes_unref(cache);
 }
@@ -98,10 +98,10 @@
 {
     GBytes *body = bytes(wrong[_i].body);
     struct fw_up_event ev = {.kind = wrong[_i].kind};
-    struct fw_engine_answer own;
+    struct fw_engine_response own;
 
-    ck_assert_int_ne(Fw_Engine_Answer(body, &ev, &own), 0);
-    Fw_Engine_ClearAnswer(&own);
+    ck_assert_int_ne(Fw_Engine_DecodeResponse(body, &ev, &own), 0);
+    Fw_Engine_ClearResponse(&own);
     g_bytes_unref(body);
 }
 END_TEST
@@ -136,7 +136,7 @@
     SoupMessage *msg;
 
     g_strlcpy(up.url, "http://127.0.0.1:9/base", sizeof(up.url));
-    msg = Fw_Engine_Encode(&up);
+    msg = Fw_Engine_EncodeRequest(&up);
     ck_assert_str_eq(soup_message_get_method(msg), requests[_i].method);
     ck_assert_str_eq(g_uri_get_path(soup_message_get_uri(msg)) + 5,
                      requests[_i].path);
--- a/tests/io/test_peer.c
+++ b/tests/io/test_peer.c
@@ -14,25 +14,26 @@
     struct side one;
     struct side two;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
-    Fw_Side_Begin(&two, "two", 9, FW_SIDE_SECRET);
-    Fw_Side_Ping(&one, &two);
-    Fw_Side_Ping(&one, &two);
-    Fw_Side_Ping(&one, &two);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_SendPing(&one, &two);
+    Fw_PeerFixture_SendPing(&one, &two);
+    Fw_PeerFixture_SendPing(&one, &two);
     Fw_Rig_ExpectSeen(&two.core, "peer one boot=7 area=1\n"
                                  "peer one boot=7 area=1\n"
                                  "peer one boot=7 area=1\n");
-    Fw_Side_Ping(&two, &one);
-    Fw_Side_SendState(&two, &one, 300000);
+    Fw_PeerFixture_SendPing(&two, &one);
+    Fw_PeerFixture_SendConfig(&two, &one, 300000);
     Fw_Rig_ExpectSeen(&one.core,
                       "peer two boot=9 area=1\npeer two boot=9 area=6\n");
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_connections"), 1);
-    ck_assert_int_eq(Fw_Side_Metric(&two, "fw_peer_connections"), 1);
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_messages_out_total"), 3);
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_bytes_in_total"),
-                     Fw_Side_Metric(&two, "fw_peer_bytes_out_total"));
-    Fw_Side_End(&one);
-    Fw_Side_End(&two);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_connections"), 1);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&two, "fw_peer_connections"), 1);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_messages_out_total"),
+                     3);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_bytes_in_total"),
+                     Fw_PeerFixture_Metric(&two, "fw_peer_bytes_out_total"));
+    Fw_PeerFixture_Stop(&one);
+    Fw_PeerFixture_Stop(&two);
 }
 END_TEST
 
@@ -46,18 +47,18 @@
     struct side one;
     struct side two;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
-    Fw_Side_Begin(&two, "two", 9, "another secret!!");
-    Fw_Side_Ping(&one, &two);
-    Fw_Side_ExpectMetric(&one, "fw_peer_refused_total", 1);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_Start(&two, "two", 9, "another secret!!");
+    Fw_PeerFixture_SendPing(&one, &two);
+    Fw_PeerFixture_ExpectMetric(&one, "fw_peer_refused_total", 1);
     Fw_Rig_Settle();
     ck_assert_str_eq(one.core.seen->str, "");
     ck_assert_str_eq(two.core.seen->str, "");
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_dropped_total"), 1);
-    Fw_Side_Ping(&one, &two);
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_dropped_total"), 2);
-    Fw_Side_End(&one);
-    Fw_Side_End(&two);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 1);
+    Fw_PeerFixture_SendPing(&one, &two);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 2);
+    Fw_PeerFixture_Stop(&one);
+    Fw_PeerFixture_Stop(&two);
 }
 END_TEST
 
@@ -67,15 +68,15 @@
     struct side one;
     struct side two;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
-    Fw_Side_Begin(&two, "two", 9, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
     g_strlcpy(two.self.name, "three", sizeof(two.self.name));
-    Fw_Side_Ping(&one, &two);
-    Fw_Side_ExpectMetric(&one, "fw_peer_refused_total", 1);
+    Fw_PeerFixture_SendPing(&one, &two);
+    Fw_PeerFixture_ExpectMetric(&one, "fw_peer_refused_total", 1);
     Fw_Rig_Settle();
     ck_assert_str_eq(two.core.seen->str, "");
-    Fw_Side_End(&one);
-    Fw_Side_End(&two);
+    Fw_PeerFixture_Stop(&one);
+    Fw_PeerFixture_Stop(&two);
 }
 END_TEST
 
@@ -102,7 +103,7 @@
 {
     GByteArray *text = g_byte_array_new();
 
-    Fw_PeerAuth_PutHello(text, hello);
+    Fw_PeerAuth_EncodeHello(text, hello);
     send_frame(c, text->data, text->len);
     g_byte_array_unref(text);
 }
@@ -126,15 +127,15 @@
     struct fw_peer_hello hello = {.kind = FW_HELLO_DIAL};
     struct fw_peer_hello got;
 
-    r->secret = g_bytes_new(FW_SIDE_SECRET, 16);
+    r->secret = g_bytes_new(FW_PEER_FIXTURE_SECRET, 16);
     r->conn = Fw_RigConn_Open(to->addr);
-    Fw_PeerAuth_Identify("raw", 3, &r->mine);
+    Fw_PeerAuth_InitId("raw", 3, &r->mine);
     hello.id = r->mine;
     send_hello(r->conn, &hello);
     Fw_Rig_Until(has_frame, r->conn);
-    ck_assert_int_eq(Fw_PeerAuth_GetHello((uint8_t *)r->conn->got->str + 4,
-                                          r->conn->got->len - 4,
-                                          FW_HELLO_ACCEPT, &got),
+    ck_assert_int_eq(Fw_PeerAuth_DecodeHello((uint8_t *)r->conn->got->str + 4,
+                                             r->conn->got->len - 4,
+                                             FW_HELLO_ACCEPT, &got),
                      0);
     r->theirs = got.id;
     hello.kind = FW_HELLO_PROVE;
@@ -203,7 +204,7 @@
     size_t len;
     size_t n;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
     len = pack_ping(text);
     n = seal(&r, 0, text, len, frame);
@@ -219,9 +220,9 @@
     send_frame(r.conn, frame, _i == FW_SHORTEN ? 5 : n);
     Fw_RigConn_ExpectEof(r.conn);
     ck_assert_str_eq(one.core.seen->str, "peer raw boot=3 area=1\n");
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_refused_total"), 1);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_refused_total"), 1);
     raw_close(&r);
-    Fw_Side_End(&one);
+    Fw_PeerFixture_Stop(&one);
 }
 END_TEST
 
@@ -235,7 +236,7 @@
     size_t n;
 
     Fw_Fault_Active = "frame-number-ignored";
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
     n = seal(&r, 0, text, pack_ping(text), frame);
     send_frame(r.conn, frame, n);
@@ -243,7 +244,7 @@
     Fw_Rig_ExpectSeen(&one.core,
                       "peer raw boot=3 area=1\npeer raw boot=3 area=1\n");
     raw_close(&r);
-    Fw_Side_End(&one);
+    Fw_PeerFixture_Stop(&one);
 }
 END_TEST
 
@@ -264,14 +265,14 @@
     uint8_t frame[64];
     size_t n;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
     n = seal(&r, 0, nonsense[_i].payload, nonsense[_i].len, frame);
     send_frame(r.conn, frame, n);
     Fw_RigConn_ExpectEof(r.conn);
     ck_assert_str_eq(one.core.seen->str, "");
     raw_close(&r);
-    Fw_Side_End(&one);
+    Fw_PeerFixture_Stop(&one);
 }
 END_TEST
 
@@ -286,9 +287,9 @@
     uint8_t *frame;
     size_t n;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
-    while (many->len <= FW_FRAME_MAX) {
+    while (many->len <= FW_FRAME_MAX_BYTES) {
         g_byte_array_append(many, (guint8 *)text, (guint)len);
     }
     frame = g_malloc(many->len + FW_FRAME_MAC_SIZE);
@@ -299,7 +300,7 @@
     g_free(frame);
     g_byte_array_unref(many);
     raw_close(&r);
-    Fw_Side_End(&one);
+    Fw_PeerFixture_Stop(&one);
 }
 END_TEST
 
@@ -325,17 +326,17 @@
     struct side two;
     struct rig_conn *c;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
-    Fw_Side_Begin(&two, "two", 9, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
     c = Fw_RigConn_Open(one.addr);
     Fw_RigConn_Send(c, greetings[_i].text, (gssize)greetings[_i].len);
     Fw_RigConn_ExpectEof(c);
     ck_assert_str_eq(c->got->str, "");
-    Fw_Side_Ping(&two, &one);
+    Fw_PeerFixture_SendPing(&two, &one);
     Fw_Rig_ExpectSeen(&one.core, "peer two boot=9 area=1\n");
     Fw_RigConn_Close(c);
-    Fw_Side_End(&one);
-    Fw_Side_End(&two);
+    Fw_PeerFixture_Stop(&one);
+    Fw_PeerFixture_Stop(&two);
 }
 END_TEST
 
@@ -349,15 +350,15 @@
     struct side two = {.self = {.name = "two"}};
     struct rig_server *silent = Fw_RigServer_New();
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     g_strlcpy(two.addr, silent->url + strlen("http://"), sizeof(two.addr));
     for (int i = 0; i < 10; i++) {
-        Fw_Side_SendState(&one, &two, 100000);
+        Fw_PeerFixture_SendConfig(&one, &two, 100000);
     }
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_dropped_total"), 5);
-    Fw_Side_SendState(&one, &two, 2000000);
-    ck_assert_int_eq(Fw_Side_Metric(&one, "fw_peer_dropped_total"), 6);
-    Fw_Side_End(&one);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 5);
+    Fw_PeerFixture_SendConfig(&one, &two, 2000000);
+    ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 6);
+    Fw_PeerFixture_Stop(&one);
     Fw_RigServer_Free(silent);
 }
 END_TEST
@@ -368,18 +369,18 @@
     struct side one;
     struct side two;
 
-    Fw_Side_Begin(&one, "one", 7, FW_SIDE_SECRET);
-    Fw_Side_Begin(&two, "two", 9, FW_SIDE_SECRET);
-    Fw_Side_Ping(&one, &two);
+    Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_SendPing(&one, &two);
     Fw_Rig_ExpectSeen(&two.core, "peer one");
-    Fw_Side_End(&two);
-    Fw_Side_Begin(&two, "two", 10, FW_SIDE_SECRET);
-    Fw_Side_Ping(&one, &two);
+    Fw_PeerFixture_Stop(&two);
+    Fw_PeerFixture_Start(&two, "two", 10, FW_PEER_FIXTURE_SECRET);
+    Fw_PeerFixture_SendPing(&one, &two);
     Fw_Rig_ExpectSeen(&two.core, "peer one boot=7 area=1\n");
-    Fw_Side_Ping(&two, &one);
+    Fw_PeerFixture_SendPing(&two, &one);
     Fw_Rig_ExpectSeen(&one.core, "peer two boot=10 area=1\n");
-    Fw_Side_End(&one);
-    Fw_Side_End(&two);
+    Fw_PeerFixture_Stop(&one);
+    Fw_PeerFixture_Stop(&two);
 }
 END_TEST
 
--- a/tests/io/test_platform.c
+++ b/tests/io/test_platform.c
@@ -20,7 +20,7 @@
     struct rig_core core;
     struct rig_server *server;
     struct fw_log_client *log;
-    struct fw_list_client *list;
+    struct fw_registry_client *list;
 };
 
 static void
@@ -33,14 +33,14 @@
     b->server = Fw_RigServer_New();
     b->log = Fw_LogClient_New(&sink, &b->core.metrics, b->server->url);
     b->list =
-        Fw_ListClient_New(&sink, &b->core.metrics, b->server->url, &self);
+        Fw_RegistryClient_New(&sink, &b->core.metrics, b->server->url, &self);
 }
 
 static void
 end(struct harness *b)
 {
     Fw_LogClient_Free(b->log);
-    Fw_ListClient_Free(b->list);
+    Fw_RegistryClient_Free(b->list);
     Fw_RigServer_Free(b->server);
     Fw_RigCore_Clear(&b->core);
 }
@@ -171,8 +171,8 @@
     struct harness b;
 
     begin(&b);
-    Fw_ListClient_Read(b.list);
-    Fw_ListClient_Read(b.list);
+    Fw_RegistryClient_Read(b.list);
+    Fw_RegistryClient_Read(b.list);
     answer(&b, 0, lists[_i].reply);
     Fw_Rig_ExpectSeen(&b.core, lists[_i].seen);
     end(&b);
@@ -201,17 +201,17 @@
     int gone = 0;
 
     begin(&b);
-    Fw_ListClient_Register(b.list);
+    Fw_RegistryClient_Register(b.list);
     answer(&b, 0, "HTTP/1.1 503 Out\r\nContent-Length: 0\r\n\r\n");
     Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 1),
                       "{\"kind\":\"instance\",\"name\":\"one\",\"addr\":"
                       "\"127.0.0.1:9\",\"domain\":\"a\",\"region\":\"r\","
                       "\"leaving\":false}");
     answer(&b, 1, FW_OK "{}");
-    Fw_ListClient_Leave(b.list);
+    Fw_RegistryClient_MarkLeaving(b.list);
     Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 2), "\"leaving\":true}");
     answer(&b, 2, FW_OK "{}");
-    Fw_ListClient_Remove(b.list, removed, &gone);
+    Fw_RegistryClient_Unregister(b.list, removed, &gone);
     Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 3),
                       "DELETE /list/one HTTP/1.1\r\n");
     answer(&b, 3, "HTTP/1.1 204 No Content\r\n\r\n");
--- a/tests/io/test_shell.c
+++ b/tests/io/test_shell.c
@@ -40,7 +40,7 @@
 static int
 is_over(void *ctx)
 {
-    return Fw_Shell_Over(ctx);
+    return Fw_Shell_HasStopped(ctx);
 }
 
 static void
--- a/tests/io/test_upstream.c
+++ b/tests/io/test_upstream.c
@@ -11,7 +11,7 @@
 struct harness {
     struct rig_core core;
     struct rig_server *server;
-    struct fw_up_client *client;
+    struct fw_upstream_client *client;
 };
 
 static void
@@ -22,13 +22,13 @@
     Fw_RigCore_Init(&b->core);
     sink = Fw_RigCore_Sink(&b->core);
     b->server = Fw_RigServer_New();
-    b->client = Fw_UpClient_New(&sink, &b->core.metrics, 16, 16, 4096);
+    b->client = Fw_UpstreamClient_New(&sink, &b->core.metrics, 16, 16, 4096);
 }
 
 static void
 end(struct harness *b)
 {
-    Fw_UpClient_Free(b->client);
+    Fw_UpstreamClient_Free(b->client);
     Fw_RigServer_Free(b->server);
     Fw_RigCore_Clear(&b->core);
 }
@@ -53,7 +53,7 @@
                                          .model = "tides",
                                          .prompt = g_bytes_new("a \"b", 4),
                                          .priority = 3};
-    Fw_UpClient_Start(b->client, &s);
+    Fw_UpstreamClient_Start(b->client, &s);
     g_bytes_unref(s.u.prefill.prompt);
 }
 
@@ -65,7 +65,7 @@
     s.timeout_us = timeout_us;
     s.u.decode = (struct fw_up_decode){
         .request = "one.7.1", .kv = "kv-1", .max_tokens = 9, .from_index = 2};
-    Fw_UpClient_Start(b->client, &s);
+    Fw_UpstreamClient_Start(b->client, &s);
 }
 
 static void
@@ -81,7 +81,7 @@
                                          .body = g_bytes_new("abc", 3),
                                          .once = once};
     g_strlcpy(s.u.service.method, method, sizeof(s.u.service.method));
-    Fw_UpClient_Start(b->client, &s);
+    Fw_UpstreamClient_Start(b->client, &s);
     g_bytes_unref(s.u.service.body);
 }
 
@@ -316,8 +316,8 @@
         Fw_Rig_ExpectSeen(&b.core, "2=low");
         g_string_truncate(b.core.seen, 0);
     }
-    Fw_UpClient_Stop(b.client, 1);
-    Fw_UpClient_Stop(b.client, 1);
+    Fw_UpstreamClient_Stop(b.client, 1);
+    Fw_UpstreamClient_Stop(b.client, 1);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(b.server, 0));
     ck_assert_str_eq(b.core.seen->str, "");
     end(&b);
@@ -411,7 +411,7 @@
     begin(&b);
     s = up(&b, FW_UP_LOAD);
     g_strlcpy(s.url, "not a url", sizeof(s.url));
-    Fw_UpClient_Start(b.client, &s);
+    Fw_UpstreamClient_Start(b.client, &s);
     ck_assert_str_eq(b.core.seen->str, "");
     Fw_Rig_ExpectSeen(&b.core,
                       "up failed ran=no status=0 err=Invalid argument\n");
