--- a/src/io/list_client.c
+++ b/src/io/list_client.c
@@ -13,10 +13,13 @@
 #define FW_REGISTRY_RETRY_MAX_MS 10000
 
 /**
- * struct fw_registry_client - at most one read and one write are under way.
- * @leaving: as the entry should say
- * @read_msg: the message of @read, for its ETag
- * @retry_source: source of the next try to write the entry, or 0
+ * struct fw_registry_client - at most one read and one write are in progress.
+ * @leaving: value to write into the entry
+ * @retry_source: GLib source of the next attempt to write the entry, or 0
+ * @retry_ms: delay of the last retry, or 0 after a success
+ * @read_msg: message of @read, for the ETag of its response
+ * @etag: ETag of @cached_body, or NULL
+ * @cached_body: body of the last 200 response
  */
 struct fw_registry_client {
     struct fw_sink sink;
@@ -28,8 +31,8 @@
     guint retry_ms;
     struct fw_fetch *read;
     SoupMessage *read_msg;
-    char *etag;          /* ETag of @cached_body, or NULL */
-    GBytes *cached_body; /* the last whole answer */
+    char *etag;
+    GBytes *cached_body;
     struct fw_fetch *write;
     void (*unregister_done)(void *);
     void *unregister_ctx;
@@ -109,7 +112,7 @@
     return rc == -ENOENT ? 0 : rc;
 }
 
-/* An entry that makes no sense is left out: the others still count. */
+/* Invalid entries are skipped, so that they don't invalidate the others. */
 static int
 read_entries(JsonObject *obj, struct fw_list_entry **entries, int *n)
 {
@@ -134,9 +137,10 @@
     return 0;
 }
 
-/* The list of a large fleet takes many kilobytes and seldom changes; asking
- * with its ETag keeps the polls small. Return: the body that holds, or NULL
- * when there was no answer that says so. */
+/*
+ * Returns the current registry body, or NULL when the request failed. It is
+ * read with If-None-Match and seldom changes, so most responses are 304.
+ */
 static GBytes *
 current_body(struct fw_registry_client *c, const struct fw_fetch_result *r)
 {
@@ -199,7 +203,7 @@
     SoupMessage *msg;
 
     if (c->read) {
-        return; /* its answer will do */
+        return; /* a request is in progress */
     }
     msg = Fw_Fetch_Message("GET", c->url, NULL);
     if (c->etag) {
--- a/src/io/list_client.h
+++ b/src/io/list_client.h
@@ -1,6 +1,7 @@
 /*
- * The platform's list of instances and upstreams: carries out
- * FW_ACT_LIST_READ, gives FW_EV_LISTED, and keeps this instance's own entry.
+ * Client of the platform's service registry ("list" in settings and URLs),
+ * which names all instances and upstreams. Executes FW_ACT_LIST_READ, emits
+ * FW_EV_LISTED and maintains this instance's own entry.
  */
 #ifndef FW_IO_LIST_CLIENT_H
 #define FW_IO_LIST_CLIENT_H
@@ -11,22 +12,23 @@
 
 struct fw_registry_client;
 
-/* @url: base URL, the list is at URL/list. */
+/* @url: base URL of the registry; requests go to URL/list. */
 struct fw_registry_client *
 Fw_RegistryClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
                       const char *url, const struct fw_self *self);
 void
 Fw_RegistryClient_Free(struct fw_registry_client *c);
 
+/* Requests all entries, unless such a request is in progress. */
 void
 Fw_RegistryClient_Read(struct fw_registry_client *c);
-/* Registers this instance and tries again until the list has taken it. */
+/* Writes this instance's entry; retries with backoff until it succeeds. */
 void
 Fw_RegistryClient_Register(struct fw_registry_client *c);
-/* Marks this instance as leaving, with the same persistence. */
+/* Marks this instance as leaving; retries like Fw_RegistryClient_Register. */
 void
 Fw_RegistryClient_MarkLeaving(struct fw_registry_client *c);
-/* Removes the entry, tried once; @done follows in any case. */
+/* Removes the entry without retries; then calls @done, also on failure. */
 void
 Fw_RegistryClient_Unregister(struct fw_registry_client *c,
                              void (*done)(void *), void *ctx);
--- a/src/io/log_client.c
+++ b/src/io/log_client.c
@@ -21,7 +21,11 @@
     struct fw_metric read_errors;
 };
 
-/** struct fw_log_op - one call under way. */
+/**
+ * struct fw_log_op - a request in progress.
+ * @ticket: chosen by the core, returned with the event
+ * @sent_us: monotonic time of the request
+ */
 struct fw_log_op {
     struct fw_log_client *client;
     struct fw_fetch *fetch;
@@ -102,7 +106,7 @@
     return Fw_Json_Parse(data, len);
 }
 
-/* Refused, or nothing was sent: no record of it can be in the log. */
+/* Rejected, or never sent: the records are certainly not in the log. */
 static int
 is_definite_failure(const struct fw_fetch_result *r)
 {
@@ -171,7 +175,7 @@
     json_builder_end_object(b);
     json = Fw_Json_Take(b);
     msg = Fw_Fetch_Message("POST", url, json);
-    /* Sent again by the library, the records would be in the log twice. */
+    /* No automatic resend by libsoup: it would append the records twice. */
     soup_message_add_flags(msg, SOUP_MESSAGE_NEW_CONNECTION);
     c->appends.value++;
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
@@ -198,7 +202,7 @@
     return 0;
 }
 
-/* @texts borrows from @obj and is to be freed by the caller. */
+/* @texts is freed by the caller; its strings belong to @obj. */
 static int
 read_records(JsonObject *obj, struct fw_log_records *out, const char ***texts)
 {
--- a/src/io/log_client.h
+++ b/src/io/log_client.h
@@ -1,6 +1,6 @@
 /*
- * The platform's append-only log: carries out FW_ACT_LOG_APPEND and _READ,
- * gives FW_EV_LOG_APPENDED and _RECORDS.
+ * Client of the platform's append-only log. Executes FW_ACT_LOG_APPEND and
+ * FW_ACT_LOG_READ, emits FW_EV_LOG_APPENDED and FW_EV_LOG_RECORDS.
  */
 #ifndef FW_IO_LOG_CLIENT_H
 #define FW_IO_LOG_CLIENT_H
@@ -11,7 +11,7 @@
 
 struct fw_log_client;
 
-/* @url: base URL; streams are below URL/log/. */
+/* @url: base URL of the log; stream NAME is at URL/log/NAME. */
 struct fw_log_client *
 Fw_LogClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
                  const char *url);
@@ -19,14 +19,15 @@
 Fw_LogClient_Free(struct fw_log_client *c);
 
 /**
- * Fw_LogClient_Append - answered by one event.
+ * Fw_LogClient_Append - appends records to a stream, without retries.
  *
- * err is 0, -EAGAIN when the records are surely not in the log (refused, or
- * nothing was sent), -EIO when that is not known.
+ * Emits one FW_EV_LOG_APPENDED. Its err is 0, -EAGAIN when the records are
+ * certainly not in the log (rejected, or never sent), or -EIO when the outcome
+ * is unknown.
  */
 void
 Fw_LogClient_Append(struct fw_log_client *c, const struct fw_log_append *a);
-/* Answered by one event; any failure may be tried again. */
+/* Reads records; emits one FW_EV_LOG_RECORDS. Errors may be retried. */
 void
 Fw_LogClient_Read(struct fw_log_client *c, const struct fw_log_read *r);
 
--- a/src/io/note.c
+++ b/src/io/note.c
@@ -9,19 +9,19 @@
 
 static struct {
     char instance[FW_NAME_MAX];
-    FILE *to;
-    int fd;
-    size_t bound;
-    GString *waiting; /* NULL unless bounded */
-    int64_t untold;   /* lines dropped since the last word on it */
+    FILE *stream;
+    int fd; /* used with @pending */
+    size_t pending_max_bytes;
+    GString *pending;         /* unwritten lines; NULL in blocking mode */
+    int64_t unreported_drops; /* lines dropped since the last report */
     struct fw_metric dropped;
 } log_state;
 
 void
-Fw_Note_Setup(const char *instance, FILE *to)
+Fw_Note_Setup(const char *instance, FILE *stream)
 {
     g_strlcpy(log_state.instance, instance, sizeof(log_state.instance));
-    log_state.to = to;
+    log_state.stream = stream;
 }
 
 static const char *
@@ -62,50 +62,49 @@
 }
 
 /*
- * Lines for a pipe whose reader may stop reading. A write of up to
- * PIPE_BUF bytes to a pipe that polls as writable never blocks; the rest
- * waits in memory up to a bound, beyond which lines are dropped and counted.
+ * A write of up to PIPE_BUF bytes to a pipe that polls as writable does not
+ * block, even when the reader has stopped reading.
  */
 static void
 flush_pending(void)
 {
     struct pollfd p = {.fd = log_state.fd, .events = POLLOUT};
 
-    while (log_state.waiting->len && poll(&p, 1, 0) == 1 &&
+    while (log_state.pending->len && poll(&p, 1, 0) == 1 &&
            (p.revents & POLLOUT)) {
-        size_t n = MIN(log_state.waiting->len, (size_t)PIPE_BUF);
-        ssize_t done = write(log_state.fd, log_state.waiting->str, n);
+        size_t n = MIN(log_state.pending->len, (size_t)PIPE_BUF);
+        ssize_t done = write(log_state.fd, log_state.pending->str, n);
 
         if (done <= 0) {
             return;
         }
-        g_string_erase(log_state.waiting, 0, done);
+        g_string_erase(log_state.pending, 0, done);
     }
 }
 
 static void
 queue_line(const GString *line)
 {
-    if (log_state.waiting->len + line->len > log_state.bound) {
+    if (log_state.pending->len + line->len > log_state.pending_max_bytes) {
         log_state.dropped.value++;
-        log_state.untold++;
+        log_state.unreported_drops++;
         return;
     }
-    g_string_append_len(log_state.waiting, line->str, (gssize)line->len);
+    g_string_append_len(log_state.pending, line->str, (gssize)line->len);
 }
 
 static void
 emit_nonblocking(const GString *line)
 {
     flush_pending();
-    if (log_state.untold && !log_state.waiting->len) {
-        GString *told = begin_line(LOG_WARNING, "log_lines_dropped");
-
-        g_string_append_printf(told, ",\"lines\":%" G_GINT64_FORMAT "}\n",
-                               log_state.untold);
-        log_state.untold = 0;
-        queue_line(told);
-        g_string_free(told, TRUE);
+    if (log_state.unreported_drops && !log_state.pending->len) {
+        GString *report = begin_line(LOG_WARNING, "log_lines_dropped");
+
+        g_string_append_printf(report, ",\"lines\":%" G_GINT64_FORMAT "}\n",
+                               log_state.unreported_drops);
+        log_state.unreported_drops = 0;
+        queue_line(report);
+        g_string_free(report, TRUE);
     }
     queue_line(line);
     flush_pending();
@@ -114,27 +113,27 @@
 static void
 end_line(GString *line)
 {
-    FILE *to = log_state.to ? log_state.to : stderr;
+    FILE *stream = log_state.stream ? log_state.stream : stderr;
 
     g_string_append(line, "}\n");
-    if (log_state.waiting) {
+    if (log_state.pending) {
         emit_nonblocking(line);
     }
     else {
-        fwrite(line->str, 1, line->len, to);
-        fflush(to);
+        fwrite(line->str, 1, line->len, stream);
+        fflush(stream);
     }
     g_string_free(line, TRUE);
 }
 
 void
-Fw_Note_SetupBounded(const char *instance, int fd, size_t bound)
+Fw_Note_SetupBounded(const char *instance, int fd, size_t pending_max_bytes)
 {
     Fw_Note_Setup(instance, NULL);
     log_state.fd = fd;
-    log_state.bound = bound;
-    if (!log_state.waiting) {
-        log_state.waiting = g_string_new(NULL);
+    log_state.pending_max_bytes = pending_max_bytes;
+    if (!log_state.pending) {
+        log_state.pending = g_string_new(NULL);
     }
     log_state.dropped.name = "fw_log_lines_dropped_total";
     log_state.dropped.help =
@@ -157,7 +156,7 @@
 void
 Fw_Note_Flush(void)
 {
-    if (log_state.waiting) {
+    if (log_state.pending) {
         flush_pending();
     }
 }
--- a/src/io/note.h
+++ b/src/io/note.h
@@ -1,4 +1,4 @@
-/* The log: one JSON object a line. */
+/* Logger of this process: writes one JSON object per line. */
 #ifndef FW_IO_NOTE_H
 #define FW_IO_NOTE_H
 
@@ -8,35 +8,39 @@
 #include "base/metrics.h"
 #include "core/action.h"
 
-/* Name put on each line, and where lines go (standard error by default). */
+/*
+ * Sets the instance name in each line and the stream that lines are written
+ * to; without a call, or with NULL, that is standard error.
+ */
 void
-Fw_Note_Setup(const char *instance, FILE *to);
+Fw_Note_Setup(const char *instance, FILE *stream);
 /**
- * Fw_Note_SetupBounded - lines go to @fd without ever blocking.
- * @bound: bytes that may wait in memory; lines beyond are dropped, counted
- *         and told about with the next line that fits
+ * Fw_Logger_SetupNonblocking - logs to pipe @fd without blocking.
+ * @pending_max_bytes: bytes to buffer while the pipe is full; further lines
+ * are dropped and counted, and reported in a log line once the buffer is empty
  */
 void
-Fw_Note_SetupBounded(const char *instance, int fd, size_t bound);
-/* Lines dropped since Fw_Note_SetupBounded. */
+Fw_Note_SetupBounded(const char *instance, int fd, size_t pending_max_bytes);
+/* Number of lines dropped since Fw_Logger_SetupNonblocking. */
 int64_t
 Fw_Note_Dropped(void);
-/* Once after Fw_Note_SetupBounded. */
+/* To be called once, after Fw_Logger_SetupNonblocking. */
 void
 Fw_Note_AddMetrics(struct fw_metrics *m);
-/* Writes what waits, as far as its reader takes it. */
+/* Writes buffered lines as far as possible without blocking. */
 void
 Fw_Note_Flush(void);
-/* A line whose further members are JSON already, without braces. */
+/* Logs a line; @members is JSON, without braces, added to the object. */
 void
 Fw_Note_Members(int severity, const char *event, const char *members);
+/* Logs a line that the core put out. */
 void
 Fw_Note_Write(const struct fw_note *note);
 /**
- * Fw_Note_Log - a line from the shell itself.
- * @severity: syslog severity (LOG_INFO ...)
+ * Fw_Logger_Log - logs a line with string fields.
+ * @severity: syslog severity, such as LOG_INFO
  *
- * Pairs of field name and string value follow, closed by NULL.
+ * Pairs of field name and value follow, terminated by NULL.
  */
 void
 Fw_Note_Log(int severity, const char *event, ...) __attribute__((sentinel));
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -1,4 +1,4 @@
-/* Who is connected: listening, connections coming and going. */
+/* Peers: listening, and the life cycle of connections. */
 #include <errno.h>
 #include <string.h>
 
@@ -79,7 +79,7 @@
     return !peer->conn && peer->retry_us < *now;
 }
 
-/* Names of instances that were replaced would pile up over the months. */
+/* Prevents records of replaced instances from accumulating. */
 static void
 evict_unused(struct fw_peers *p)
 {
@@ -106,7 +106,10 @@
     return peer;
 }
 
-/* A connection of an older process under the same name is of no use. */
+/*
+ * Makes @conn the connection of @peer, unless the present one is open and of
+ * the same or a later process.
+ */
 static void
 adopt_connection(struct fw_peer *peer, struct fw_peer_conn *conn)
 {
@@ -137,7 +140,7 @@
     }
     p->metrics.open_connections.value++;
     if (peer && strcmp(peer->name, conn->peer.name) != 0) {
-        Fw_PeerConn_Close(conn, "another instance is at this address");
+        Fw_PeerConn_Close(conn, "unexpected instance at this address");
         return;
     }
     peer = Fw_Peers_FindOrAdd(p, conn->peer.name);
@@ -164,10 +167,7 @@
     }
 }
 
-/*
- * Jittered, so that instances that lost the same peer do not all come back
- * to it in the same moment.
- */
+/* Uses jitter, so that instances don't reconnect to a peer all at once. */
 static void
 schedule_reconnect(struct fw_peer *peer)
 {
@@ -179,19 +179,22 @@
                      g_random_int_range(0, (gint32)(wait / 2));
 }
 
-/* Plain ends of a proven connection are everyday; the rest is told. */
+/*
+ * Counts and logs a close unless it is routine: a network error or shutdown of
+ * a dialed or authenticated connection.
+ */
 static void
 log_unexpected_close(struct fw_peers *p, const struct fw_peer_conn *conn,
                      int was_open, const char *why)
 {
-    int plain = g_str_has_prefix(why, "closed") ||
-                g_str_has_prefix(why, "read failed") ||
-                g_str_has_prefix(why, "write failed") ||
-                g_str_has_prefix(why, "replaced") ||
-                g_str_has_prefix(why, "stopping") ||
-                g_str_has_prefix(why, "connect failed");
-
-    if (plain && (was_open || conn->dialed)) {
+    int routine = g_str_has_prefix(why, "closed") ||
+                  g_str_has_prefix(why, "read failed") ||
+                  g_str_has_prefix(why, "write failed") ||
+                  g_str_has_prefix(why, "replaced") ||
+                  g_str_has_prefix(why, "stopping") ||
+                  g_str_has_prefix(why, "connect failed");
+
+    if (routine && (was_open || conn->dialed)) {
         return;
     }
     p->metrics.rejected.value++;
@@ -240,7 +243,7 @@
     };
 }
 
-/* Strangers are few at a time, so that they can't take all descriptors. */
+/* Limits unauthenticated connections, so they can't exhaust descriptors. */
 static gboolean
 on_incoming(GSocketService *service, GSocketConnection *io, GObject *source,
             gpointer data)
--- a/src/io/peer.h
+++ b/src/io/peer.h
@@ -1,14 +1,13 @@
 /*
  * Messages between instances over TCP.
  *
- * A frame is a 4-byte big-endian length, msgpack messages one after the
- * other, and an HMAC of 12 bytes, which the length counts. Both sides first
- * prove the fleet's secret over both challenges, names and boots
- * (peer_auth.h). Each later frame is authenticated under a key of its
- * connection and direction together with its number in it, so an altered,
- * repeated, left out or reordered frame closes the connection. The number is
- * counted on both sides and costs no bytes. Messages queued in one turn of
- * the loop go out in one frame.
+ * Both sides first authenticate with the fleet's shared secret (peer_auth.h).
+ * A frame is a 4-byte big-endian length, one or more msgpack messages and a
+ * 12-byte MAC, which is counted in the length. The MAC has a key for each
+ * connection and direction and covers an implicit sequence number, so an
+ * altered, replayed, missing or reordered frame closes the connection.
+ * Messages are batched: those queued in one iteration of the main loop share
+ * frames.
  */
 #ifndef FW_IO_PEER_H
 #define FW_IO_PEER_H
@@ -18,14 +17,14 @@
 #include "core/types.h"
 #include "io/sink.h"
 
-/* Bytes that may wait for one peer; beyond, the oldest go. */
+/* Bytes queued for one peer; beyond, the oldest messages are dropped. */
 #define FW_PEER_QUEUE_MAX_BYTES (512 * 1024)
-/* Connections whose other side has not proven itself yet. */
+/* Accepted connections whose handshake is not complete. */
 #define FW_PEER_UNAUTHENTICATED_MAX 64
 
 struct fw_peers;
 
-/* @self: its name and boot are what peers see; @secret: of the fleet. */
+/* @self: identity of this instance; @secret: shared secret of the fleet. */
 struct fw_peers *
 Fw_Peers_New(const struct fw_sink *sink, const struct fw_self *self,
              GBytes *secret);
@@ -35,13 +34,17 @@
 Fw_Peers_AddMetrics(struct fw_peers *p, struct fw_metrics *metrics);
 /**
  * Fw_Peers_Listen - binds @addr ("ip:port").
- * @bound: the address really bound, at least FW_URL_MAX bytes
+ * @bound: set to the address with the port bound; at least FW_URL_MAX bytes
  *
  * Return: 0 or a negative errno.
  */
 int
 Fw_Peers_Listen(struct fw_peers *p, const char *addr, char *bound);
-/* Fire and forget: dropped and counted when the peer can't be reached. */
+/*
+ * Queues a message, connecting to the peer if necessary. Delivery is not
+ * guaranteed: messages are dropped, and counted, while the peer is
+ * unreachable.
+ */
 void
 Fw_Peers_Send(struct fw_peers *p, const struct fw_peer_send *send);
 
--- a/src/io/peer_auth.c
+++ b/src/io/peer_auth.c
@@ -8,7 +8,7 @@
 #define FW_MAGIC_SIZE 3
 #define FW_BOOT_SIZE 8
 
-/* A foreseeable challenge would let a stranger prepare an exchange. */
+/* Challenges must be unpredictable, or a proof could be obtained early. */
 static void
 fill_challenge(uint8_t *out)
 {
@@ -18,7 +18,7 @@
         ssize_t n = getrandom(out + done, FW_CHALLENGE_SIZE - done, 0);
 
         if (n < 0 && errno != EINTR) {
-            g_error("no random numbers: %s", g_strerror(errno));
+            g_error("getrandom failed: %s", g_strerror(errno));
         }
         done += n > 0 ? (size_t)n : 0;
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/** struct cursor - what is left to read. */
+/** struct cursor - unread input. */
 struct cursor {
     const uint8_t *at;
     size_t left;
@@ -130,37 +130,37 @@
                    const struct fw_peer_id *acceptor,
                    uint8_t out[FW_PROOF_SIZE])
 {
-    GByteArray *said = g_byte_array_new();
+    GByteArray *input = g_byte_array_new();
     guint8 tag = (guint8)label;
     gsize size = FW_PROOF_SIZE;
     gsize key_len;
     const guchar *key = g_bytes_get_data(secret, &key_len);
     GHmac *mac = g_hmac_new(G_CHECKSUM_SHA256, key, key_len);
 
-    g_byte_array_append(said, &tag, 1);
-    append_id(said, dialer);
-    append_id(said, acceptor);
-    g_hmac_update(mac, said->data, said->len);
+    g_byte_array_append(input, &tag, 1);
+    append_id(input, dialer);
+    append_id(input, acceptor);
+    g_hmac_update(mac, input->data, input->len);
     g_hmac_get_digest(mac, out, &size);
     g_hmac_unref(mac);
-    g_byte_array_unref(said);
+    g_byte_array_unref(input);
 }
 
 void
-Fw_PeerAuth_Mac(const uint8_t key[FW_PROOF_SIZE], uint64_t number,
+Fw_PeerAuth_Mac(const uint8_t key[FW_PROOF_SIZE], uint64_t seq,
                 const uint8_t *data, size_t len,
                 uint8_t out[FW_FRAME_MAC_SIZE])
 {
-    uint64_t be = GUINT64_TO_BE(number);
-    uint8_t whole[FW_PROOF_SIZE];
-    gsize size = sizeof(whole);
+    uint64_t be = GUINT64_TO_BE(seq);
+    uint8_t full[FW_PROOF_SIZE];
+    gsize size = sizeof(full);
     GHmac *mac = g_hmac_new(G_CHECKSUM_SHA256, key, FW_PROOF_SIZE);
 
     g_hmac_update(mac, (const guchar *)&be, sizeof(be));
     g_hmac_update(mac, data, (gssize)len);
-    g_hmac_get_digest(mac, whole, &size);
+    g_hmac_get_digest(mac, full, &size);
     g_hmac_unref(mac);
-    memcpy(out, whole, FW_FRAME_MAC_SIZE);
+    memcpy(out, full, FW_FRAME_MAC_SIZE);
 }
 
 int
--- a/src/io/peer_auth.h
+++ b/src/io/peer_auth.h
@@ -1,15 +1,16 @@
 /*
- * How two instances prove the fleet's secret to each other, and the
- * authentication of each frame afterwards. No sockets.
+ * Mutual authentication of two instances by the fleet's shared secret, and
+ * message authentication of the frames that follow. Independent of sockets.
  *
  *   dialer   -> acceptor  "FW1d" identity
  *   acceptor -> dialer    "FW1a" identity proof
  *   dialer   -> acceptor  "FW1p" proof
  *
- * An identity is boot (8 bytes), challenge, length of the name, name. A proof
- * is an HMAC-SHA256 under the secret over a label and both identities, so
- * neither can be used for the other side or for another connection. Fixed
- * fields, so that no decoder sees bytes of a stranger.
+ * An identity consists of boot (8 bytes, big-endian), challenge, length of the
+ * name (1 byte) and name. A proof is an HMAC-SHA256 under the secret over a
+ * label and both identities, so it is valid only for its sender and
+ * connection. The layout is fixed, so no msgpack decoder handles
+ * unauthenticated input.
  */
 #ifndef FW_IO_PEER_AUTH_H
 #define FW_IO_PEER_AUTH_H
@@ -22,9 +23,13 @@
 #define FW_CHALLENGE_SIZE 16
 #define FW_PROOF_SIZE 32
 #define FW_FRAME_MAC_SIZE 12
-#define FW_HELLO_MAX_BYTES 160 /* longest frame before a peer is proven */
+#define FW_HELLO_MAX_BYTES 160 /* longest message of the handshake */
 
-/** struct fw_peer_id - what a side says about itself. */
+/**
+ * struct fw_peer_id - identity of one side of a connection.
+ * @boot: identifies the process; a later start has a higher number
+ * @challenge: random, new for each connection
+ */
 struct fw_peer_id {
     char name[FW_NAME_MAX];
     uint64_t boot;
@@ -33,47 +38,56 @@
 
 /** enum fw_peer_hello_kind - the three messages of the handshake. */
 enum fw_peer_hello_kind {
-    FW_HELLO_DIAL = 'd',
-    FW_HELLO_ACCEPT = 'a',
-    FW_HELLO_PROVE = 'p',
+    FW_HELLO_DIAL = 'd',   /* dialer: identity */
+    FW_HELLO_ACCEPT = 'a', /* acceptor: identity and proof */
+    FW_HELLO_PROVE = 'p',  /* dialer: proof */
 };
 
-/** struct fw_peer_hello - @id is not in PROVE, @proof not in DIAL. */
+/**
+ * struct fw_peer_hello - a message of the handshake.
+ * @id: unused in FW_HELLO_PROVE
+ * @proof: unused in FW_HELLO_DIAL
+ */
 struct fw_peer_hello {
     enum fw_peer_hello_kind kind;
     struct fw_peer_id id;
     uint8_t proof[FW_PROOF_SIZE];
 };
 
-/** enum fw_peer_label - what is derived from the secret. */
+/** enum fw_peer_label - purpose of a value derived from the secret. */
 enum fw_peer_label {
     FW_LABEL_ACCEPTOR_PROOF,
     FW_LABEL_DIALER_PROOF,
-    FW_LABEL_ACCEPTOR_KEY, /* of frames that the acceptor sends */
+    FW_LABEL_ACCEPTOR_KEY, /* MAC key of frames that the acceptor sends */
     FW_LABEL_DIALER_KEY,
 };
 
-/* Fills in @id with a new challenge. */
+/* Sets all fields of @id, with a new challenge. */
 void
 Fw_PeerAuth_InitId(const char *name, uint64_t boot, struct fw_peer_id *id);
+/* Appends the encoded message to @out. */
 void
 Fw_PeerAuth_EncodeHello(GByteArray *out, const struct fw_peer_hello *hello);
-/* Return: 0, or -EBADMSG when it is not @kind or not well formed. */
+/* Returns 0, or -EBADMSG when the message is malformed or not of @kind. */
 int
 Fw_PeerAuth_DecodeHello(const uint8_t *data, size_t len,
                         enum fw_peer_hello_kind kind,
                         struct fw_peer_hello *hello);
+/* Derives the proof or key for @label from the secret and both identities. */
 void
 Fw_PeerAuth_Derive(GBytes *secret, enum fw_peer_label label,
                    const struct fw_peer_id *dialer,
                    const struct fw_peer_id *acceptor,
                    uint8_t out[FW_PROOF_SIZE]);
-/* @number: of the frame on its connection and direction, from 0. */
+/*
+ * Computes the truncated HMAC-SHA256 of a frame.
+ * @seq: sequence number of the frame in its connection and direction, from 0
+ */
 void
-Fw_PeerAuth_Mac(const uint8_t key[FW_PROOF_SIZE], uint64_t number,
+Fw_PeerAuth_Mac(const uint8_t key[FW_PROOF_SIZE], uint64_t seq,
                 const uint8_t *data, size_t len,
                 uint8_t out[FW_FRAME_MAC_SIZE]);
-/* Constant time: how long it takes tells nothing about the right value. */
+/* Compares in constant time, so that timing reveals nothing of the value. */
 int
 Fw_PeerAuth_EqualConstantTime(const uint8_t *a, const uint8_t *b, size_t len);
 
--- a/src/io/peer_conn.c
+++ b/src/io/peer_conn.c
@@ -10,22 +10,26 @@
 
 #define FW_LENGTH_SIZE 4
 #define FW_READ_SIZE 8192
-/* Data that the other side does not acknowledge for so long: it is gone. */
+/* Closes a connection whose sent data is not acknowledged for so long. */
 #define FW_ACK_TIMEOUT_MS 5000
 
-/** enum conn_state - how far a connection is. */
+/** enum conn_state - progress of a connection. */
 enum conn_state {
     FW_CONN_DIALING,
-    FW_CONN_WAIT_DIAL,   /* acceptor: for the first message */
-    FW_CONN_WAIT_ACCEPT, /* dialer: for the second */
-    FW_CONN_WAIT_PROVE,  /* acceptor: for the third */
+    FW_CONN_WAIT_DIAL,   /* acceptor: waiting for FW_HELLO_DIAL */
+    FW_CONN_WAIT_ACCEPT, /* dialer: waiting for FW_HELLO_ACCEPT */
+    FW_CONN_WAIT_PROVE,  /* acceptor: waiting for FW_HELLO_PROVE */
     FW_CONN_OPEN,
     FW_CONN_CLOSED,
 };
 
 /**
- * struct fw_peer_conn_private - the part that only this file knows.
- * @pending_ops: async operations under way; the last one frees it
+ * struct fw_peer_conn_private - private part of a connection.
+ * @seq_in, @seq_out: sequence number of the next frame in each direction
+ * @in: received data not yet processed
+ * @out: data being written or to be written
+ * @pending_ops: asynchronous operations in progress; a closed connection is
+ *               freed when the last one ends
  */
 struct fw_peer_conn_private {
     struct fw_peer_conn_opts opts;
@@ -48,23 +52,23 @@
 static void
 free_conn(struct fw_peer_conn *c)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
 
-    g_clear_object(&w->io);
-    g_object_unref(w->cancel);
-    g_byte_array_unref(w->in);
-    g_byte_array_unref(w->out);
-    g_free(w);
+    g_clear_object(&priv->io);
+    g_object_unref(priv->cancel);
+    g_byte_array_unref(priv->in);
+    g_byte_array_unref(priv->out);
+    g_free(priv);
     g_free(c);
 }
 
 static void
-cancel_handshake_timer(struct fw_peer_conn_private *w)
+cancel_handshake_timer(struct fw_peer_conn_private *priv)
 {
-    if (w->handshake_timer) {
-        g_source_destroy(w->handshake_timer);
-        g_source_unref(w->handshake_timer);
-        w->handshake_timer = NULL;
+    if (priv->handshake_timer) {
+        g_source_destroy(priv->handshake_timer);
+        g_source_unref(priv->handshake_timer);
+        priv->handshake_timer = NULL;
     }
 }
 
@@ -75,7 +79,10 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Ends one async operation. */
+/*
+ * Records the end of an asynchronous operation. Returns nonzero when the
+ * connection is closed, and possibly freed.
+ */
 static int
 finish_operation(struct fw_peer_conn *c)
 {
@@ -92,23 +99,23 @@
 void
 Fw_PeerConn_Close(struct fw_peer_conn *c, const char *why)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
 
-    if (w->state == FW_CONN_CLOSED) {
+    if (priv->state == FW_CONN_CLOSED) {
         return;
     }
-    w->state = FW_CONN_CLOSED;
+    priv->state = FW_CONN_CLOSED;
     c->is_open = 0;
-    cancel_handshake_timer(w);
-    g_cancellable_cancel(w->cancel);
-    if (w->io) {
-        g_socket_shutdown(g_socket_connection_get_socket(w->io), TRUE, TRUE,
+    cancel_handshake_timer(priv);
+    g_cancellable_cancel(priv->cancel);
+    if (priv->io) {
+        g_socket_shutdown(g_socket_connection_get_socket(priv->io), TRUE, TRUE,
                           NULL);
     }
-    w->opts.on_closed(w->opts.ctx, c, why);
-    if (w->pending_ops == 0) {
-        /* The caller may still look at it in this turn of the loop. */
-        w->pending_ops = 1;
+    priv->opts.on_closed(priv->opts.ctx, c, why);
+    if (priv->pending_ops == 0) {
+        /* Deferred, since the caller may still access the connection. */
+        priv->pending_ops = 1;
         g_idle_add(on_free, c);
     }
 }
@@ -123,37 +130,37 @@
 on_written(GObject *stream, GAsyncResult *result, gpointer data)
 {
     struct fw_peer_conn *c = data;
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
     gsize n = 0;
     int ok = g_output_stream_write_all_finish(G_OUTPUT_STREAM(stream), result,
                                               &n, NULL);
 
-    w->writing = 0;
+    priv->writing = 0;
     if (finish_operation(c)) {
         return;
     }
-    g_byte_array_set_size(w->out, 0);
+    g_byte_array_set_size(priv->out, 0);
     if (!ok) {
         Fw_PeerConn_Close(c, "write failed");
     }
-    else if (w->state == FW_CONN_OPEN) {
-        w->opts.on_written(w->opts.ctx, c, n);
+    else if (priv->state == FW_CONN_OPEN) {
+        priv->opts.on_written(priv->opts.ctx, c, n);
     }
 }
 
 void
 Fw_PeerConn_Flush(struct fw_peer_conn *c)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
 
-    if (w->out->len == 0 || w->writing) {
+    if (priv->out->len == 0 || priv->writing) {
         return;
     }
-    w->writing = 1;
-    w->pending_ops++;
+    priv->writing = 1;
+    priv->pending_ops++;
     g_output_stream_write_all_async(
-        g_io_stream_get_output_stream(G_IO_STREAM(w->io)), w->out->data,
-        w->out->len, G_PRIORITY_DEFAULT, w->cancel, on_written, c);
+        g_io_stream_get_output_stream(G_IO_STREAM(priv->io)), priv->out->data,
+        priv->out->len, G_PRIORITY_DEFAULT, priv->cancel, on_written, c);
 }
 
 static void
@@ -168,13 +175,13 @@
 Fw_PeerConn_AppendFrame(struct fw_peer_conn *c, const uint8_t *data,
                         size_t len)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
     uint8_t mac[FW_FRAME_MAC_SIZE];
 
-    Fw_PeerAuth_Mac(w->key_out, w->seq_out++, data, len, mac);
-    append_length(w->out, len + FW_FRAME_MAC_SIZE);
-    g_byte_array_append(w->out, data, (guint)len);
-    g_byte_array_append(w->out, mac, FW_FRAME_MAC_SIZE);
+    Fw_PeerAuth_Mac(priv->key_out, priv->seq_out++, data, len, mac);
+    append_length(priv->out, len + FW_FRAME_MAC_SIZE);
+    g_byte_array_append(priv->out, data, (guint)len);
+    g_byte_array_append(priv->out, mac, FW_FRAME_MAC_SIZE);
 }
 
 static void
@@ -192,11 +199,11 @@
 static void
 derive(const struct fw_peer_conn *c, enum fw_peer_label label, uint8_t *out)
 {
-    const struct fw_peer_conn_private *w = c->priv;
+    const struct fw_peer_conn_private *priv = c->priv;
 
-    Fw_PeerAuth_Derive(w->opts.secret, label,
-                       c->dialed ? &w->self_id : &c->peer,
-                       c->dialed ? &c->peer : &w->self_id, out);
+    Fw_PeerAuth_Derive(priv->opts.secret, label,
+                       c->dialed ? &priv->self_id : &c->peer,
+                       c->dialed ? &c->peer : &priv->self_id, out);
 }
 
 static int
@@ -212,33 +219,34 @@
 static void
 complete_handshake(struct fw_peer_conn *c)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
 
-    derive(c, FW_LABEL_DIALER_KEY, c->dialed ? w->key_out : w->key_in);
-    derive(c, FW_LABEL_ACCEPTOR_KEY, c->dialed ? w->key_in : w->key_out);
-    cancel_handshake_timer(w);
-    w->state = FW_CONN_OPEN;
+    derive(c, FW_LABEL_DIALER_KEY, c->dialed ? priv->key_out : priv->key_in);
+    derive(c, FW_LABEL_ACCEPTOR_KEY, c->dialed ? priv->key_in : priv->key_out);
+    cancel_handshake_timer(priv);
+    priv->state = FW_CONN_OPEN;
     c->is_open = 1;
     c->was_open = 1;
-    w->opts.on_open(w->opts.ctx, c);
+    priv->opts.on_open(priv->opts.ctx, c);
 }
 
 static const char *
 handle_dial(struct fw_peer_conn *c, const uint8_t *data, size_t len)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
     struct fw_peer_hello got;
-    struct fw_peer_hello reply = {.kind = FW_HELLO_ACCEPT, .id = w->self_id};
+    struct fw_peer_hello reply = {.kind = FW_HELLO_ACCEPT,
+                                  .id = priv->self_id};
 
     if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_DIAL, &got)) {
-        return "no greeting";
+        return "invalid handshake message";
     }
     c->peer = got.id;
-    if (strcmp(got.id.name, w->self_id.name) == 0) {
-        return "bears this instance's own name";
+    if (strcmp(got.id.name, priv->self_id.name) == 0) {
+        return "peer has this instance's name";
     }
     derive(c, FW_LABEL_ACCEPTOR_PROOF, reply.proof);
-    w->state = FW_CONN_WAIT_PROVE;
+    priv->state = FW_CONN_WAIT_PROVE;
     send_hello(c, &reply);
     return NULL;
 }
@@ -250,11 +258,11 @@
     struct fw_peer_hello reply = {.kind = FW_HELLO_PROVE};
 
     if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_ACCEPT, &got)) {
-        return "no greeting";
+        return "invalid handshake message";
     }
     c->peer = got.id;
     if (!verify_proof(c, FW_LABEL_ACCEPTOR_PROOF, got.proof)) {
-        return "did not prove the secret";
+        return "authentication failed";
     }
     derive(c, FW_LABEL_DIALER_PROOF, reply.proof);
     send_hello(c, &reply);
@@ -269,39 +277,40 @@
 
     if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_PROVE, &got) ||
         !verify_proof(c, FW_LABEL_DIALER_PROOF, got.proof)) {
-        return "did not prove the secret";
+        return "authentication failed";
     }
     complete_handshake(c);
     return NULL;
 }
 
 /*
- * A frame that was altered, repeated, left out or moved fits no key and
- * number; whoever sits on the way gains nothing but a closed connection.
+ * The MAC covers the sequence number, so altered, replayed, missing and
+ * reordered frames are detected.
  */
 static const char *
 handle_frame(struct fw_peer_conn *c, const uint8_t *data, size_t len)
 {
-    struct fw_peer_conn_private *w = c->priv;
-    uint64_t number = w->seq_in++;
+    struct fw_peer_conn_private *priv = c->priv;
+    uint64_t seq = priv->seq_in++;
     uint8_t mac[FW_FRAME_MAC_SIZE];
 
     if (FW_FAULT("frame-number-ignored")) {
-        number = 0;
+        seq = 0;
     }
     if (len < FW_FRAME_MAC_SIZE) {
-        return "short frame";
+        return "frame too short";
     }
     len -= FW_FRAME_MAC_SIZE;
-    Fw_PeerAuth_Mac(w->key_in, number, data, len, mac);
+    Fw_PeerAuth_Mac(priv->key_in, seq, data, len, mac);
     if (!Fw_PeerAuth_EqualConstantTime(mac, data + len, FW_FRAME_MAC_SIZE)) {
-        return "frame not authentic";
+        return "frame authentication failed";
     }
-    return w->opts.on_frame(w->opts.ctx, c, data, len) ? "malformed message"
-                                                       : NULL;
+    return priv->opts.on_frame(priv->opts.ctx, c, data, len)
+               ? "malformed message"
+               : NULL;
 }
 
-/* Return: NULL, or why the connection must close. */
+/* Returns NULL, or the reason to close the connection. */
 static const char *
 handle_message(struct fw_peer_conn *c, const uint8_t *data, size_t len)
 {
@@ -318,42 +327,45 @@
     case FW_CONN_CLOSED:
         break;
     }
-    return "out of turn";
+    return "unexpected message";
 }
 
 static size_t
-message_size_max(const struct fw_peer_conn_private *w)
+message_size_max(const struct fw_peer_conn_private *priv)
 {
-    return w->state == FW_CONN_OPEN
+    return priv->state == FW_CONN_OPEN
                ? FW_FRAME_CONFIG_MAX_BYTES + FW_FRAME_MAC_SIZE
                : FW_HELLO_MAX_BYTES;
 }
 
-/* Takes all whole frames; a callback may close the connection. */
+/*
+ * Processes all complete messages; a callback may close the connection.
+ * Returns NULL, or the reason to close it.
+ */
 static const char *
 handle_input(struct fw_peer_conn *c)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
     size_t at = 0;
     const char *why = NULL;
 
-    while (!why && w->state != FW_CONN_CLOSED &&
-           w->in->len - at >= FW_LENGTH_SIZE) {
+    while (!why && priv->state != FW_CONN_CLOSED &&
+           priv->in->len - at >= FW_LENGTH_SIZE) {
         uint32_t be;
         size_t len;
 
-        memcpy(&be, w->in->data + at, FW_LENGTH_SIZE);
+        memcpy(&be, priv->in->data + at, FW_LENGTH_SIZE);
         len = GUINT32_FROM_BE(be);
-        if (len > message_size_max(w)) {
+        if (len > message_size_max(priv)) {
             return "frame too long";
         }
-        if (w->in->len - at - FW_LENGTH_SIZE < len) {
+        if (priv->in->len - at - FW_LENGTH_SIZE < len) {
             break;
         }
-        why = handle_message(c, w->in->data + at + FW_LENGTH_SIZE, len);
+        why = handle_message(c, priv->in->data + at + FW_LENGTH_SIZE, len);
         at += FW_LENGTH_SIZE + len;
     }
-    g_byte_array_remove_range(w->in, 0, (guint)at);
+    g_byte_array_remove_range(priv->in, 0, (guint)at);
     return why;
 }
 
@@ -386,18 +398,18 @@
 static void
 read_more(struct fw_peer_conn *c)
 {
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
 
-    w->pending_ops++;
-    g_input_stream_read_async(g_io_stream_get_input_stream(G_IO_STREAM(w->io)),
-                              w->buf, sizeof(w->buf), G_PRIORITY_DEFAULT,
-                              w->cancel, on_read, c);
+    priv->pending_ops++;
+    g_input_stream_read_async(
+        g_io_stream_get_input_stream(G_IO_STREAM(priv->io)), priv->buf,
+        sizeof(priv->buf), G_PRIORITY_DEFAULT, priv->cancel, on_read, c);
 }
 
 static gboolean
 on_handshake_timeout(gpointer data)
 {
-    Fw_PeerConn_Close(data, "handshake too slow");
+    Fw_PeerConn_Close(data, "handshake timed out");
     return G_SOURCE_REMOVE;
 }
 
@@ -405,29 +417,30 @@
 new_conn(const struct fw_peer_conn_opts *opts, int dialed)
 {
     struct fw_peer_conn *c = g_new0(struct fw_peer_conn, 1);
-    struct fw_peer_conn_private *w = g_new0(struct fw_peer_conn_private, 1);
+    struct fw_peer_conn_private *priv = g_new0(struct fw_peer_conn_private, 1);
 
     c->dialed = dialed;
-    c->priv = w;
+    c->priv = priv;
     Fw_List_Init(&c->link);
-    w->opts = *opts;
-    w->cancel = g_cancellable_new();
-    w->in = g_byte_array_new();
-    w->out = g_byte_array_new();
-    w->handshake_timer =
+    priv->opts = *opts;
+    priv->cancel = g_cancellable_new();
+    priv->in = g_byte_array_new();
+    priv->out = g_byte_array_new();
+    priv->handshake_timer =
         g_timeout_source_new((guint)(FW_HANDSHAKE_TIMEOUT_US / FW_MSEC));
-    g_source_set_callback(w->handshake_timer, on_handshake_timeout, c, NULL);
-    g_source_attach(w->handshake_timer, NULL);
-    Fw_PeerAuth_InitId(opts->self->name, opts->self->boot, &w->self_id);
+    g_source_set_callback(priv->handshake_timer, on_handshake_timeout, c,
+                          NULL);
+    g_source_attach(priv->handshake_timer, NULL);
+    Fw_PeerAuth_InitId(opts->self->name, opts->self->boot, &priv->self_id);
     return c;
 }
 
 static void
-adopt_socket(struct fw_peer_conn_private *w, GSocketConnection *io)
+adopt_socket(struct fw_peer_conn_private *priv, GSocketConnection *io)
 {
     GSocket *sock = g_socket_connection_get_socket(io);
 
-    w->io = g_object_ref(io);
+    priv->io = g_object_ref(io);
     g_socket_set_keepalive(sock, TRUE);
     g_socket_set_option(sock, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
     g_socket_set_option(sock, IPPROTO_TCP, TCP_USER_TIMEOUT, FW_ACK_TIMEOUT_MS,
@@ -438,13 +451,13 @@
 on_connected(GObject *client, GAsyncResult *result, gpointer data)
 {
     struct fw_peer_conn *c = data;
-    struct fw_peer_conn_private *w = c->priv;
+    struct fw_peer_conn_private *priv = c->priv;
     GSocketConnection *io =
         g_socket_client_connect_finish(G_SOCKET_CLIENT(client), result, NULL);
-    struct fw_peer_hello hello = {.kind = FW_HELLO_DIAL, .id = w->self_id};
+    struct fw_peer_hello hello = {.kind = FW_HELLO_DIAL, .id = priv->self_id};
 
     if (io) {
-        adopt_socket(w, io);
+        adopt_socket(priv, io);
         g_object_unref(io);
     }
     if (finish_operation(c)) {
@@ -454,7 +467,7 @@
         Fw_PeerConn_Close(c, "connect failed");
         return;
     }
-    w->state = FW_CONN_WAIT_ACCEPT;
+    priv->state = FW_CONN_WAIT_ACCEPT;
     send_hello(c, &hello);
     read_more(c);
 }
--- a/src/io/peer_conn.h
+++ b/src/io/peer_conn.h
@@ -8,19 +8,22 @@
 #include "core/types.h"
 #include "io/peer_auth.h"
 
+/* Longest payload of a frame. */
 #define FW_FRAME_MAX_BYTES (64 * 1024)
-#define FW_FRAME_CONFIG_MAX_BYTES                                             \
-    (1024 * 1024) /* one message of FW_AREA_CONFIG */
+#define FW_FRAME_CONFIG_MAX_BYTES (1024 * 1024) /* for FW_AREA_CONFIG */
 #define FW_HANDSHAKE_TIMEOUT_US (5 * FW_SEC)
 
 struct fw_peer_conn;
 
 /**
- * struct fw_peer_conn_opts - whom it tells.
- * @on_open: the other side is proven
- * @on_frame: one authentic frame; nonzero when it is not well formed
- * @on_written: all that was given has left
- * @on_closed: last callback; @why is a literal. Nothing must be sent any more
+ * struct fw_peer_conn_opts - parameters and callbacks of a connection.
+ * @ctx: passed to the callbacks
+ * @on_open: the handshake is complete
+ * @on_frame: an authentic frame was received; a nonzero return, for a
+ *            malformed payload, closes the connection
+ * @on_written: all appended frames were written, @bytes in total
+ * @on_closed: last callback; @conn is freed later, from the main loop. @why is
+ *             a literal
  */
 struct fw_peer_conn_opts {
     const struct fw_self *self;
@@ -34,10 +37,13 @@
 };
 
 /**
- * struct fw_peer_conn - public part.
- * @owner: free for the user
- * @peer: proven once @is_open; before, what the other side claims
- * @is_open: proven and not closed; @was_open: was ever proven
+ * struct fw_peer_conn - public part of a connection.
+ * @owner: for use by the owner of the connection
+ * @peer: identity of the other side, authenticated once @was_open is set
+ * @dialed: this instance opened the connection
+ * @is_open: the handshake is complete and the connection not closed
+ * @was_open: the handshake was completed
+ * @link: for use by the owner
  */
 struct fw_peer_conn {
     void *owner;
@@ -49,22 +55,26 @@
     struct fw_peer_conn_private *priv;
 };
 
-/* A connection to @addr that is yet to be made; NULL when it is no address. */
+/* Starts to connect; returns NULL when @addr is not a valid address. */
 struct fw_peer_conn *
 Fw_PeerConn_Dial(const struct fw_peer_conn_opts *opts, const char *addr);
+/* Starts the handshake on an accepted connection. */
 struct fw_peer_conn *
 Fw_PeerConn_Accept(const struct fw_peer_conn_opts *opts,
                    GSocketConnection *io);
-/* Nonzero while a write is under way: then nothing may be given. */
+/* Nonzero while a write is in progress; no frame may be appended then. */
 int
 Fw_PeerConn_IsWriting(const struct fw_peer_conn *conn);
-/* Sends frames, each as its payload; call Fw_PeerConn_Flush after the last. */
+/* Appends a frame to the next write, which Fw_PeerConn_Flush starts. */
 void
 Fw_PeerConn_AppendFrame(struct fw_peer_conn *conn, const uint8_t *data,
                         size_t len);
 void
 Fw_PeerConn_Flush(struct fw_peer_conn *conn);
-/* The closed callback is made at once, unless it was made before. */
+/*
+ * Closes the connection and calls on_closed before it returns. Does nothing
+ * when the connection is closed already.
+ */
 void
 Fw_PeerConn_Close(struct fw_peer_conn *conn, const char *why);
 
--- a/src/io/peer_priv.h
+++ b/src/io/peer_priv.h
@@ -1,11 +1,16 @@
-/* Shared by peer.c, peer_send.c and peer_receive.c only. */
+/* Internal to peer.c, peer_send.c and peer_receive.c. */
 #ifndef FW_IO_PEER_PRIV_H
 #define FW_IO_PEER_PRIV_H
 
 #include "io/peer.h"
 #include "io/peer_conn.h"
 
-/** struct fw_peer_metrics - what the wire costs. */
+/**
+ * struct fw_peer_metrics - metrics of all connections.
+ * @bytes_in, @bytes_out: with lengths and MACs
+ * @dropped: messages not sent
+ * @rejected: connections closed for failed authentication or invalid data
+ */
 struct fw_peer_metrics {
     struct fw_metric messages_in;
     struct fw_metric messages_out;
@@ -20,7 +25,8 @@
  * struct fw_peers - all connections of this instance.
  * @by_name: name -> struct fw_peer
  * @conns: all connections, dialed and accepted
- * @unauthenticated: accepted and not yet proven
+ * @unauthenticated: number of accepted connections in their handshake
+ * @closing: set while Fw_Peers_Free closes the connections
  */
 struct fw_peers {
     struct fw_sink sink;
@@ -35,11 +41,14 @@
 };
 
 /**
- * struct fw_peer - another instance, as far as it was sent to or heard of.
- * @conn: the connection that messages to it take; may not be open yet
- * @queue: packed messages (struct fw_peer_message) not yet written
- * @retry_us: no dialing before
- * @backoff_us: the next wait after a failure
+ * struct fw_peer - another instance that was sent to or has connected.
+ * @addr: address last dialed
+ * @conn: connection to send on, or NULL; may be in its handshake
+ * @queue: unsent messages (struct fw_peer_message)
+ * @queued_bytes: total size of @queue
+ * @flush_source: GLib source that writes the queue, or 0
+ * @retry_us: monotonic time before which the peer is not dialed
+ * @backoff_us: delay used after the last failure
  */
 struct fw_peer {
     struct fw_peers *peers;
@@ -53,16 +62,18 @@
     int64_t backoff_us;
 };
 
+/* Returns the record for @name, creating it if necessary. */
 struct fw_peer *
 Fw_Peers_FindOrAdd(struct fw_peers *p, const char *name);
 struct fw_peer_conn_opts
 Fw_Peers_ConnOpts(struct fw_peers *p);
-/* Writes what is queued, when the connection is free. */
+/* Writes queued messages unless a write is in progress. */
 void
 Fw_Peer_Flush(struct fw_peer *peer);
+/* Drops all queued messages and counts them. */
 void
 Fw_Peer_DropQueue(struct fw_peer *peer);
-/* Gives the messages of a frame to the core. */
+/* Passes the messages of an authentic frame to the core; 0 or -EBADMSG. */
 int
 Fw_Peers_ReceiveFrame(struct fw_peers *p, const struct fw_peer_conn *conn,
                       const uint8_t *data, size_t len);
--- a/src/io/peer_receive.c
+++ b/src/io/peer_receive.c
@@ -1,4 +1,4 @@
-/* Messages in: authentic frames taken apart and given to the core. */
+/* Unpacks received frames and passes their messages to the core. */
 #include <errno.h>
 
 #include "core/pack_scan.h"
@@ -17,7 +17,7 @@
     p->sink.event(p->sink.ctx, &ev);
 }
 
-/* Only configuration state may come in frames larger than the rest. */
+/* Frames larger than FW_FRAME_MAX_BYTES may hold only configuration. */
 static int
 receive_message(struct fw_peers *p, const struct fw_peer_conn *conn,
                 const msgpack_object *obj, size_t frame_len)
--- a/src/io/peer_send.c
+++ b/src/io/peer_send.c
@@ -1,12 +1,12 @@
-/* Messages out: packed, queued within bounds, gathered into frames. */
+/* Packs outgoing messages, queues them and batches them into frames. */
 #include <string.h>
 
 #include "io/peer_priv.h"
 
-/* As much is put into one write; the rest waits until it has left. */
+/* Bytes of messages in one write, exceeded by at most one frame. */
 #define FW_WRITE_BATCH_MAX_BYTES (256 * 1024)
 
-/** struct fw_peer_message - one packed message. */
+/** struct fw_peer_message - a queued message. */
 struct fw_peer_message {
     enum fw_area area;
     msgpack_sbuffer packed;
@@ -44,7 +44,7 @@
                                         : FW_FRAME_MAX_BYTES;
 }
 
-/* Takes as many messages as fit one frame, at least one. */
+/* Moves messages into a frame: at least one, and as many as fit. */
 static void
 append_frame(struct fw_peer *peer)
 {
@@ -90,7 +90,10 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Return: nonzero when @peer has a connection, made or in the making. */
+/*
+ * Dials the peer unless it has a connection or is in backoff. Returns nonzero
+ * when a connection is open or in progress.
+ */
 static int
 connect_peer(struct fw_peer *peer, const char *addr)
 {
@@ -98,7 +101,8 @@
     struct fw_peer_conn_opts opts = Fw_Peers_ConnOpts(p);
 
     if (peer->conn && peer->conn->dialed && strcmp(peer->addr, addr) != 0) {
-        Fw_PeerConn_Close(peer->conn, "replaced: the peer has moved");
+        Fw_PeerConn_Close(peer->conn,
+                          "replaced: the peer's address has changed");
         peer->retry_us = 0;
     }
     if (peer->conn) {
@@ -147,8 +151,8 @@
         return;
     }
     /*
-     * A peer that reads too slowly would let its queue grow without bound.
-     * What is newest is worth most to it.
+     * Bounds the queue of a peer that reads slowly. The oldest messages are
+     * dropped, since newer ones supersede them.
      */
     while (peer->queue.length > 0 &&
            peer->queued_bytes + item->packed.size > FW_PEER_QUEUE_MAX_BYTES) {
--- a/src/io/shell.c
+++ b/src/io/shell.c
@@ -11,16 +11,20 @@
 #include "io/peer.h"
 #include "io/up_client.h"
 
-/* Time for the last answers to be written out after the core is done. */
+/* Time to write the last responses after the core has drained. */
 #define FW_FLUSH_TIMEOUT_US (2 * FW_SEC)
 #define FW_FLUSH_POLL_INTERVAL_MS 20
 
 /**
- * struct fw_shell - the loop and all that hangs on it.
- * @pending: actions not yet carried out, in order
- * @executing: they are being carried out further up the stack
- * @next_tick_us: when the next tick is due, INT64_MAX for never
- * @now_us: time of the last step; time given to the core never falls
+ * struct fw_shell - the main loop and the components it drives.
+ * @pending: actions to be executed, in order
+ * @executing: execute_pending is running further up the stack
+ * @now_us: time of the last step; the time passed to the core never decreases
+ * @next_tick_us: monotonic time of the next tick, INT64_MAX for none
+ * @draining: a graceful shutdown was requested
+ * @exiting: the core requested the exit; it is no longer stepped
+ * @flush_until_us: when to stop waiting for responses to be written
+ * @flush_source: GLib source that polls for unwritten responses, or 0
  */
 struct fw_shell {
     const struct fw_shell_opts *opts;
@@ -39,7 +43,7 @@
     GSource *timer;
     guint signals[2];
     int draining;
-    int exiting; /* the core said so */
+    int exiting;
     int stopped;
     int64_t flush_until_us;
     guint flush_source;
@@ -50,7 +54,10 @@
 static void
 execute(struct fw_shell *sh, const struct fw_action *a);
 
-/* Carrying out may bring the next event; what that puts out comes after. */
+/*
+ * Executing an action may emit an event and thus add actions; these are
+ * executed by the outermost call, in order.
+ */
 static void
 execute_pending(struct fw_shell *sh)
 {
@@ -69,7 +76,7 @@
     sh->executing = 0;
 }
 
-/* Setting the time costs a system call even when it stays as it is. */
+/* Avoids the system call of g_source_set_ready_time where possible. */
 static void
 schedule_tick(struct fw_shell *sh, int64_t at_us)
 {
--- a/src/io/shell.h
+++ b/src/io/shell.h
@@ -1,7 +1,7 @@
 /*
- * The shell around the core: one loop on one thread that turns sockets,
- * timers and signals into events, steps the core, and carries out what it
- * puts out.
+ * The I/O shell around the core: a single-threaded main loop that turns
+ * network input, timers and signals into events, steps the core with them and
+ * executes the actions that it returns.
  */
 #ifndef FW_IO_SHELL_H
 #define FW_IO_SHELL_H
@@ -15,11 +15,13 @@
 #include "io/api.h"
 
 /**
- * struct fw_shell_opts - from the settings.
- * @callers, @operators, @peers: "ip:port" to listen on
- * @log_url, @list_url: base URLs of the platform's services
- * @secret: proves membership between instances
- * @read_timeout_us: for head and body of a caller's request together
+ * struct fw_shell_opts - parameters from the configuration.
+ * @callers, @operators, @peers: addresses to listen on, "ip:port"
+ * @log_url, @list_url: base URLs of the platform's log and service registry
+ * @secret: shared secret of the fleet
+ * @body_max, @header_max: size limits of a request, in bytes
+ * @read_timeout_us: for receiving a whole request, head and body
+ * @max_conns, @max_conns_per_host: see Fw_UpstreamClient_New
  */
 struct fw_shell_opts {
     char callers[FW_URL_MAX];
@@ -37,8 +39,11 @@
 };
 
 /**
- * struct fw_core - what the shell drives: in the daemon Fw_Node_Step, in the
- * shell's own tests a script.
+ * struct fw_core - the core that the shell drives, normally Fw_Node_Step.
+ * @ctx: passed to the functions
+ * @step: handles an event and appends actions to @out; returns nonzero when it
+ *        rejects the event
+ * @ready: nonzero when the instance accepts new requests
  */
 struct fw_core {
     void *ctx;
@@ -51,7 +56,8 @@
 struct fw_shell;
 
 /**
- * Fw_Shell_New - binds the peers' address and writes it into @self->addr.
+ * Fw_Shell_New - creates a shell and starts to listen for peers.
+ * @self: its addr is set to the address bound for peers
  * @opts: must outlive the shell
  *
  * Return: the shell, or NULL with a negative errno in @err.
@@ -60,23 +66,26 @@
 Fw_Shell_New(const struct fw_shell_opts *opts, struct fw_self *self, int *err);
 
 /**
- * Fw_Shell_Start - listens, logs where, registers in the list and steps the
- * core for the first time.
+ * Fw_Shell_Start - listens for callers and operators, registers the instance
+ * in the service registry and steps the core for the first time.
  *
  * Return: 0, or a negative errno when an address can't be bound.
  */
 int
 Fw_Shell_Start(struct fw_shell *shell, const struct fw_core *core);
-/* Begins a graceful stop, as SIGTERM does; a second one changes nothing. */
+/* Starts a graceful shutdown, as SIGTERM does; idempotent. */
 void
 Fw_Shell_Drain(struct fw_shell *shell);
-/* Runs until the core has drained. */
+/* Runs the main loop until the shutdown is complete. */
 void
 Fw_Shell_Run(struct fw_shell *shell);
-/* Nonzero once the core has drained and all answers are out. */
+/*
+ * Nonzero once the core has drained and all responses were written or the time
+ * to write them is over.
+ */
 int
 Fw_Shell_HasStopped(const struct fw_shell *shell);
-/* URLs really bound, for tests; after Fw_Shell_Start. */
+/* URLs with the ports bound; valid after Fw_Shell_Start. */
 const char *
 Fw_Shell_CallersUrl(const struct fw_shell *shell);
 const char *
--- a/src/io/sink.h
+++ b/src/io/sink.h
@@ -1,12 +1,12 @@
-/* Where the parts of the shell hand in what happened. */
+/* Destination of the events that the components of the shell emit. */
 #ifndef FW_IO_SINK_H
 #define FW_IO_SINK_H
 
 #include "core/event.h"
 
 /**
- * struct fw_sink - takes events; the shell steps the core with each.
- * @event: may be called from any callback of the loop
+ * struct fw_sink - receives events; the shell steps the core with each.
+ * @event: called with @ctx from callbacks of the main loop
  */
 struct fw_sink {
     void *ctx;
--- a/src/io/up_client.c
+++ b/src/io/up_client.c
@@ -9,16 +9,17 @@
 
 #define FW_ENGINE_BODY_MAX_BYTES (4 << 20)
 /*
- * For each new message the library looks at all kept connections of its
- * session, twice. With one to each of a thousand upstreams that would be most
- * of a call's cost, so upstreams are spread over several sessions.
+ * For each message libsoup scans all connections of the session, which is slow
+ * with many upstreams, so they are distributed over several sessions.
  */
 #define FW_SESSION_COUNT 16
 
 /**
- * struct fw_upstream_op - a running call.
- * @ended: the core has had its last event; the rest of the stream is only
- *         read so that the connection can be used again
+ * struct fw_upstream_op - a call in progress.
+ * @id: op number chosen by the core
+ * @ended: the final event was emitted; the rest of the response is read only
+ *         to make the connection reusable
+ * @idle_source: GLib source that reports an invalid URL, or 0
  */
 struct fw_upstream_op {
     struct fw_upstream_client *client;
@@ -34,8 +35,8 @@
     struct fw_sink sink;
     SoupSession *sessions[FW_SESSION_COUNT];
     size_t body_max;
-    GHashTable *by_op;  /* op number -> struct fw_upstream_op, not ended */
-    struct fw_list ops; /* with those that have ended */
+    GHashTable *by_op;  /* op number -> struct fw_upstream_op, unless ended */
+    struct fw_list ops; /* including ended ones */
     struct fw_metric started;
     struct fw_metric failed;
     struct fw_metric open;
@@ -128,7 +129,7 @@
     return kind == FW_UP_DECODE || kind == FW_UP_RESUME;
 }
 
-/* An engine that answers so has surely not begun. */
+/* Statuses by which an engine guarantees that it has not started the call. */
 static int
 is_not_started_status(int status)
 {
@@ -144,7 +145,7 @@
     struct fw_engine_response resp = {0};
 
     if (is_stream(op->kind)) {
-        up->err = -EPIPE; /* the stream closed before its last line */
+        up->err = -EPIPE; /* the stream ended without a final line */
     }
     else {
         up->err = Fw_Engine_DecodeResponse(r->body, up, &resp);
@@ -205,7 +206,7 @@
     free_op(op);
 }
 
-/* The address makes no URL: told from the loop, like any other failure. */
+/* Reports an invalid URL from the main loop, like any other failure. */
 static gboolean
 on_bad_url(gpointer data)
 {
--- a/src/io/up_client.h
+++ b/src/io/up_client.h
@@ -1,4 +1,7 @@
-/* Calls to upstreams: carries out FW_ACT_UP_START, gives FW_EV_UP. */
+/*
+ * HTTP client for upstreams: engines and plain services. Executes
+ * FW_ACT_UP_START and FW_ACT_UP_STOP, emits FW_EV_UP.
+ */
 #ifndef FW_IO_UP_CLIENT_H
 #define FW_IO_UP_CLIENT_H
 
@@ -9,22 +12,30 @@
 struct fw_upstream_client;
 
 /**
- * Fw_UpstreamClient_New - connections are bounded by @max_conns for each of 16
- * groups of upstreams and, to one upstream, by @max_conns_per_host: beyond,
- * calls wait unseen.
- * @body_max: longest answer of a plain service
+ * Fw_UpstreamClient_New - creates a client for all upstreams.
+ * @max_conns: connections of each of FW_SESSION_COUNT sessions, over which the
+ *             upstreams are distributed
+ * @max_conns_per_host: connections to one upstream
+ * @body_max: longest response of a plain service, in bytes
+ *
+ * Calls beyond a connection limit are queued by libsoup; their idle timeout
+ * runs meanwhile.
  */
 struct fw_upstream_client *
 Fw_UpstreamClient_New(const struct fw_sink *sink, struct fw_metrics *metrics,
                       int max_conns, int max_conns_per_host, size_t body_max);
-/* Closes all connections; no event follows. */
+/* Aborts all calls without further events. */
 void
 Fw_UpstreamClient_Free(struct fw_upstream_client *c);
 
+/* Starts a call; its events follow from the main loop. */
 void
 Fw_UpstreamClient_Start(struct fw_upstream_client *c,
                         const struct fw_up_start *up);
-/* Closes the connection of @op, if it still runs; no event follows. */
+/*
+ * Aborts call @op without further events and closes its connection, so that
+ * the upstream notices. Does nothing when the call has ended.
+ */
 void
 Fw_UpstreamClient_Stop(struct fw_upstream_client *c, uint64_t op);
 
