--- a/src/io/http_call.c
+++ b/src/io/http_call.c
@@ -61,13 +61,13 @@
 static void
 begin_stream(struct fw_http_call *call)
 {
-    char made[FW_ID_MAX];
+    char generated[FW_ID_MAX];
     const char *id = call->response.request_id;
     char *fields;
 
     if (!id[0]) {
-        Fw_HttpReply_RequestId(call->req.head, made);
-        id = made;
+        Fw_HttpReply_RequestId(call->req.head, generated);
+        id = generated;
     }
     fields = g_strdup_printf("Server: fuchsiaward\r\nX-Request-Id: %s\r\n"
                              "Content-Type: text/event-stream\r\n"
--- a/src/io/http_callers.c
+++ b/src/io/http_callers.c
@@ -10,13 +10,13 @@
 {
     char *id = Fw_HttpReq_Header(req, name);
     char *text;
-    int bad = id && !Fw_Api_IsValidId(id);
+    int invalid = id && !Fw_Api_IsValidId(id);
 
-    if (id && !bad) {
+    if (id && !invalid) {
         g_strlcpy(out, id, FW_ID_MAX);
     }
     g_free(id);
-    if (!bad) {
+    if (!invalid) {
         return 0;
     }
     text = g_strdup_printf(
@@ -144,16 +144,16 @@
  * as a new string. Returns NULL when NAME is empty or too long.
  */
 static char *
-split_service_path(const char *below, struct fw_call *call)
+split_service_path(const char *target, struct fw_call *call)
 {
-    size_t len = strcspn(below, "/?");
+    size_t len = strcspn(target, "/?");
 
     if (len == 0 || len >= sizeof(call->service)) {
         return NULL;
     }
-    memcpy(call->service, below, len);
+    memcpy(call->service, target, len);
     call->service[len] = '\0';
-    return g_strconcat(below[len] == '/' ? "" : "/", below + len, NULL);
+    return g_strconcat(target[len] == '/' ? "" : "/", target + len, NULL);
 }
 
 /* Return: 0, or -EBADMSG after the request was rejected. */
@@ -184,7 +184,7 @@
 }
 
 static void
-handle_service(const struct fw_http_req *req, const char *below)
+handle_service(const struct fw_http_req *req, const char *target)
 {
     struct fw_call call = {.kind = FW_CALL_SERVICE};
     struct fw_http_call *c;
@@ -193,7 +193,7 @@
     if (read_service_headers(req, &call)) {
         return;
     }
-    path = split_service_path(below, &call);
+    path = split_service_path(target, &call);
     if (!path) {
         Fw_HttpReply_SendError(req, 404, "unknown_service",
                                "no service has this name");
--- a/src/io/http_priv.h
+++ b/src/io/http_priv.h
@@ -76,10 +76,10 @@
 void
 Fw_HttpReply_SendError(const struct fw_http_req *req, int status,
                        const char *code, const char *message);
-/* Sends an error response. @more: additional header lines, or "". */
+/* Sends an error response. @extra: additional header lines, or "". */
 void
 Fw_HttpReply_SendFailure(const struct fw_http_req *req,
-                         const struct fw_call_fail *fail, const char *more);
+                         const struct fw_call_fail *fail, const char *extra);
 /*
  * Sends a complete response. An empty @id stands for that of
  * Fw_HttpReply_RequestId; @fields: additional header lines, or "".
@@ -91,7 +91,7 @@
 /* Formats the response to a request that src/http rejected. */
 void
 Fw_HttpReply_FormatRejection(void *ctx, const struct fw_http_head *head,
-                             int status, const char *why, GString *fields,
+                             int status, const char *reason, GString *fields,
                              GString *body);
 /* Serves /healthz, /readyz and /metrics; returns 0 for another @path. */
 int
--- a/src/io/http_reply.c
+++ b/src/io/http_reply.c
@@ -70,12 +70,12 @@
                   const char *type, const char *fields, const char *text,
                   size_t len)
 {
-    char made[FW_ID_MAX];
+    char generated[FW_ID_MAX];
     char *all;
 
     if (!id[0]) {
-        Fw_HttpReply_RequestId(req->head, made);
-        id = made;
+        Fw_HttpReply_RequestId(req->head, generated);
+        id = generated;
     }
     all = g_strdup_printf("Server: fuchsiaward\r\nX-Request-Id: %s\r\n"
                           "Content-Type: %s\r\n%s",
@@ -88,7 +88,7 @@
 
 void
 Fw_HttpReply_SendFailure(const struct fw_http_req *req,
-                         const struct fw_call_fail *fail, const char *more)
+                         const struct fw_call_fail *fail, const char *extra)
 {
     GString *body = g_string_new(NULL);
     GString *fields = g_string_new(NULL);
@@ -101,7 +101,7 @@
             fields, "Retry-After: %" PRId64 "\r\n",
             (int64_t)((fail->retry_after_us + FW_SEC - 1) / FW_SEC));
     }
-    g_string_append(fields, more);
+    g_string_append(fields, extra);
     Fw_HttpReply_Send(req, fail->status, fail->request_id, "application/json",
                       fields->str, body->str, body->len);
     g_string_free(fields, TRUE);
@@ -122,7 +122,7 @@
 
 void
 Fw_HttpReply_FormatRejection(void *ctx, const struct fw_http_head *head,
-                             int status, const char *why, GString *fields,
+                             int status, const char *reason, GString *fields,
                              GString *body)
 {
     const char *code = status == 413   ? "body_too_large"
@@ -137,7 +137,7 @@
                            "Content-Type: application/json\r\n"
                            "Fuchsiaward-Ran: no\r\nX-Request-Id: %s\r\n",
                            id);
-    Fw_Api_WriteError(status, code, why, FW_RAN_NO, body);
+    Fw_Api_WriteError(status, code, reason, FW_RAN_NO, body);
 }
 
 static void
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -100,11 +100,11 @@
 }
 
 static void
-on_rejected(void *ctx, int status, const char *why)
+on_rejected(void *ctx, int status, const char *reason)
 {
     const struct fw_http_listener *p = ctx;
 
-    (void)why;
+    (void)reason;
     p->http->rejected.value++;
     if (status == 408) {
         p->http->timeouts.value++;
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -185,25 +185,25 @@
  */
 static void
 log_unexpected_close(struct fw_peers *p, const struct fw_peer_conn *conn,
-                     int was_open, const char *why)
+                     int was_open, const char *reason)
 {
-    int routine = g_str_has_prefix(why, "closed") ||
-                  g_str_has_prefix(why, "read failed") ||
-                  g_str_has_prefix(why, "write failed") ||
-                  g_str_has_prefix(why, "replaced") ||
-                  g_str_has_prefix(why, "stopping") ||
-                  g_str_has_prefix(why, "connect failed");
+    int routine = g_str_has_prefix(reason, "closed") ||
+                  g_str_has_prefix(reason, "read failed") ||
+                  g_str_has_prefix(reason, "write failed") ||
+                  g_str_has_prefix(reason, "replaced") ||
+                  g_str_has_prefix(reason, "stopping") ||
+                  g_str_has_prefix(reason, "connect failed");
 
     if (routine && (was_open || conn->dialed)) {
         return;
     }
     p->metrics.rejected.value++;
     Fw_Note_Log(LOG_WARNING, "peer_refused", "peer", conn->peer.name, "reason",
-                why, NULL);
+                reason, NULL);
 }
 
 static void
-on_closed(void *ctx, struct fw_peer_conn *conn, const char *why)
+on_closed(void *ctx, struct fw_peer_conn *conn, const char *reason)
 {
     struct fw_peers *p = ctx;
     struct fw_peer *peer = conn->owner;
@@ -225,7 +225,7 @@
         }
     }
     if (!p->closing) {
-        log_unexpected_close(p, conn, was_open, why);
+        log_unexpected_close(p, conn, was_open, reason);
     }
 }
 
@@ -267,23 +267,23 @@
 int
 Fw_Peers_Listen(struct fw_peers *p, const char *addr, char *bound)
 {
-    GSocketAddress *at = Fw_Addr_Parse(addr);
-    GSocketAddress *got = NULL;
+    GSocketAddress *address = Fw_Addr_Parse(addr);
+    GSocketAddress *bound_address = NULL;
     int ok;
 
-    if (!at) {
+    if (!address) {
         return -EINVAL;
     }
     p->service = g_socket_service_new();
     ok = g_socket_listener_add_address(
-        G_SOCKET_LISTENER(p->service), at, G_SOCKET_TYPE_STREAM,
-        G_SOCKET_PROTOCOL_TCP, NULL, &got, NULL);
-    g_object_unref(at);
+        G_SOCKET_LISTENER(p->service), address, G_SOCKET_TYPE_STREAM,
+        G_SOCKET_PROTOCOL_TCP, NULL, &bound_address, NULL);
+    g_object_unref(address);
     if (!ok) {
         return -EADDRINUSE;
     }
-    Fw_Addr_Print(got, bound);
-    g_object_unref(got);
+    Fw_Addr_Print(bound_address, bound);
+    g_object_unref(bound_address);
     g_signal_connect(p->service, "incoming", G_CALLBACK(on_incoming), p);
     g_socket_service_start(p->service);
     return 0;
--- a/src/io/peer_conn.c
+++ b/src/io/peer_conn.c
@@ -97,7 +97,7 @@
 }
 
 void
-Fw_PeerConn_Close(struct fw_peer_conn *c, const char *why)
+Fw_PeerConn_Close(struct fw_peer_conn *c, const char *reason)
 {
     struct fw_peer_conn_private *priv = c->priv;
 
@@ -112,7 +112,7 @@
         g_socket_shutdown(g_socket_connection_get_socket(priv->io), TRUE, TRUE,
                           NULL);
     }
-    priv->opts.on_closed(priv->opts.ctx, c, why);
+    priv->opts.on_closed(priv->opts.ctx, c, reason);
     if (priv->pending_ops == 0) {
         /* Deferred, since the caller may still access the connection. */
         priv->pending_ops = 1;
@@ -234,15 +234,15 @@
 handle_dial(struct fw_peer_conn *c, const uint8_t *data, size_t len)
 {
     struct fw_peer_conn_private *priv = c->priv;
-    struct fw_peer_hello got;
+    struct fw_peer_hello received;
     struct fw_peer_hello reply = {.kind = FW_HELLO_ACCEPT,
                                   .id = priv->self_id};
 
-    if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_DIAL, &got)) {
+    if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_DIAL, &received)) {
         return "invalid handshake message";
     }
-    c->peer = got.id;
-    if (strcmp(got.id.name, priv->self_id.name) == 0) {
+    c->peer = received.id;
+    if (strcmp(received.id.name, priv->self_id.name) == 0) {
         return "peer has this instance's name";
     }
     derive(c, FW_LABEL_ACCEPTOR_PROOF, reply.proof);
@@ -254,14 +254,14 @@
 static const char *
 handle_accept(struct fw_peer_conn *c, const uint8_t *data, size_t len)
 {
-    struct fw_peer_hello got;
+    struct fw_peer_hello received;
     struct fw_peer_hello reply = {.kind = FW_HELLO_PROVE};
 
-    if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_ACCEPT, &got)) {
+    if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_ACCEPT, &received)) {
         return "invalid handshake message";
     }
-    c->peer = got.id;
-    if (!verify_proof(c, FW_LABEL_ACCEPTOR_PROOF, got.proof)) {
+    c->peer = received.id;
+    if (!verify_proof(c, FW_LABEL_ACCEPTOR_PROOF, received.proof)) {
         return "authentication failed";
     }
     derive(c, FW_LABEL_DIALER_PROOF, reply.proof);
@@ -273,10 +273,10 @@
 static const char *
 handle_prove(struct fw_peer_conn *c, const uint8_t *data, size_t len)
 {
-    struct fw_peer_hello got;
+    struct fw_peer_hello received;
 
-    if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_PROVE, &got) ||
-        !verify_proof(c, FW_LABEL_DIALER_PROOF, got.proof)) {
+    if (Fw_PeerAuth_DecodeHello(data, len, FW_HELLO_PROVE, &received) ||
+        !verify_proof(c, FW_LABEL_DIALER_PROOF, received.proof)) {
         return "authentication failed";
     }
     complete_handshake(c);
@@ -346,27 +346,28 @@
 handle_input(struct fw_peer_conn *c)
 {
     struct fw_peer_conn_private *priv = c->priv;
-    size_t at = 0;
-    const char *why = NULL;
+    size_t offset = 0;
+    const char *reason = NULL;
 
-    while (!why && priv->state != FW_CONN_CLOSED &&
-           priv->in->len - at >= FW_LENGTH_SIZE) {
+    while (!reason && priv->state != FW_CONN_CLOSED &&
+           priv->in->len - offset >= FW_LENGTH_SIZE) {
         uint32_t be;
         size_t len;
 
-        memcpy(&be, priv->in->data + at, FW_LENGTH_SIZE);
+        memcpy(&be, priv->in->data + offset, FW_LENGTH_SIZE);
         len = GUINT32_FROM_BE(be);
         if (len > message_size_max(priv)) {
             return "frame too long";
         }
-        if (priv->in->len - at - FW_LENGTH_SIZE < len) {
+        if (priv->in->len - offset - FW_LENGTH_SIZE < len) {
             break;
         }
-        why = handle_message(c, priv->in->data + at + FW_LENGTH_SIZE, len);
-        at += FW_LENGTH_SIZE + len;
+        reason =
+            handle_message(c, priv->in->data + offset + FW_LENGTH_SIZE, len);
+        offset += FW_LENGTH_SIZE + len;
     }
-    g_byte_array_remove_range(priv->in, 0, (guint)at);
-    return why;
+    g_byte_array_remove_range(priv->in, 0, (guint)offset);
+    return reason;
 }
 
 static void
@@ -378,17 +379,17 @@
     struct fw_peer_conn *c = data;
     gssize n =
         g_input_stream_read_finish(G_INPUT_STREAM(stream), result, NULL);
-    const char *why;
+    const char *reason;
 
     if (c->priv->state != FW_CONN_CLOSED && n > 0) {
         g_byte_array_append(c->priv->in, c->priv->buf, (guint)n);
-        why = handle_input(c);
+        reason = handle_input(c);
     }
     else {
-        why = n == 0 ? "closed by the peer" : "read failed";
+        reason = n == 0 ? "closed by the peer" : "read failed";
     }
-    if (why) {
-        Fw_PeerConn_Close(c, why);
+    if (reason) {
+        Fw_PeerConn_Close(c, reason);
     }
     if (!finish_operation(c)) {
         read_more(c);
@@ -475,11 +476,11 @@
 struct fw_peer_conn *
 Fw_PeerConn_Dial(const struct fw_peer_conn_opts *opts, const char *addr)
 {
-    GSocketAddress *at = Fw_Addr_Parse(addr);
+    GSocketAddress *address = Fw_Addr_Parse(addr);
     GSocketClient *client;
     struct fw_peer_conn *c;
 
-    if (!at) {
+    if (!address) {
         return NULL;
     }
     c = new_conn(opts, 1);
@@ -487,10 +488,10 @@
     g_socket_client_set_enable_proxy(client, FALSE);
     c->priv->state = FW_CONN_DIALING;
     c->priv->pending_ops++;
-    g_socket_client_connect_async(client, G_SOCKET_CONNECTABLE(at),
+    g_socket_client_connect_async(client, G_SOCKET_CONNECTABLE(address),
                                   c->priv->cancel, on_connected, c);
     g_object_unref(client);
-    g_object_unref(at);
+    g_object_unref(address);
     return c;
 }
 
--- a/src/io/peer_conn.h
+++ b/src/io/peer_conn.h
@@ -22,8 +22,8 @@
  * @on_frame: an authentic frame was received; a nonzero return, for a
  *            malformed payload, closes the connection
  * @on_written: all appended frames were written, @bytes in total
- * @on_closed: last callback; @conn is freed later, from the main loop. @why is
- *             a literal
+ * @on_closed: last callback, with a literal as reason; @conn is freed later,
+ *             from the main loop
  */
 struct fw_peer_conn_opts {
     const struct fw_self *self;
@@ -33,7 +33,8 @@
     int (*on_frame)(void *ctx, struct fw_peer_conn *conn, const uint8_t *data,
                     size_t len);
     void (*on_written)(void *ctx, struct fw_peer_conn *conn, size_t bytes);
-    void (*on_closed)(void *ctx, struct fw_peer_conn *conn, const char *why);
+    void (*on_closed)(void *ctx, struct fw_peer_conn *conn,
+                      const char *reason);
 };
 
 /**
@@ -76,6 +77,6 @@
  * when the connection is closed already.
  */
 void
-Fw_PeerConn_Close(struct fw_peer_conn *conn, const char *why);
+Fw_PeerConn_Close(struct fw_peer_conn *conn, const char *reason);
 
 #endif
--- a/src/io/peer_receive.c
+++ b/src/io/peer_receive.c
@@ -42,7 +42,7 @@
 Fw_Peers_ReceiveFrame(struct fw_peers *p, const struct fw_peer_conn *conn,
                       const uint8_t *data, size_t len)
 {
-    size_t at = 0;
+    size_t offset = 0;
     int rc = 0;
 
     p->metrics.bytes_in.value +=
@@ -50,11 +50,11 @@
     if (!Fw_PackScan_IsSane(data, len)) {
         return -EBADMSG;
     }
-    while (!rc && at < len && conn->is_open) {
+    while (!rc && offset < len && conn->is_open) {
         msgpack_unpacked one;
 
         msgpack_unpacked_init(&one);
-        rc = msgpack_unpack_next(&one, (const char *)data, len, &at) ==
+        rc = msgpack_unpack_next(&one, (const char *)data, len, &offset) ==
                      MSGPACK_UNPACK_SUCCESS
                  ? receive_message(p, conn, &one.data, len)
                  : -EBADMSG;
--- a/tests/io/rig.c
+++ b/tests/io/rig.c
@@ -7,32 +7,33 @@
 #include "io/addr.h"
 #include "io/note.h"
 
-/* Long beyond any wait: ends a test that would hang. */
+/* Fails a test that waits longer. */
 #define FW_WAIT_TIMEOUT_S 10
 
 static const char *last_waited_text;
 
 static gboolean
-on_hang(gpointer data)
+on_wait_timeout(gpointer data)
 {
-    int *hangs = data;
+    int *timed_out = data;
 
-    *hangs = 1;
+    *timed_out = 1;
     return G_SOURCE_CONTINUE;
 }
 
 void
 Fw_Rig_Until(int (*done)(void *), void *ctx)
 {
-    int hangs = 0;
-    guint guard = g_timeout_add_seconds(FW_WAIT_TIMEOUT_S, on_hang, &hangs);
+    int timed_out = 0;
+    guint timeout_source =
+        g_timeout_add_seconds(FW_WAIT_TIMEOUT_S, on_wait_timeout, &timed_out);
 
     while (!done(ctx)) {
-        ck_assert_msg(!hangs, "waited for ever, there is: %s",
+        ck_assert_msg(!timed_out, "timed out; received so far: %s",
                       last_waited_text ? last_waited_text : "");
         g_main_context_iteration(NULL, TRUE);
     }
-    g_source_remove(guard);
+    g_source_remove(timeout_source);
 }
 
 void
@@ -101,7 +102,7 @@
 
         if (n < 0) {
             if (c->eof) {
-                return; /* refused while still sending */
+                return; /* closed by the server while sending */
             }
             g_main_context_iteration(NULL, FALSE);
             continue;
@@ -111,8 +112,8 @@
     }
 }
 
-/** struct wanted - what a wait is for. */
-struct wanted {
+/** struct text_wait - condition: @in contains @text. */
+struct text_wait {
     const GString *in;
     const char *text;
 };
@@ -120,16 +121,16 @@
 static int
 has_text(void *ctx)
 {
-    struct wanted *w = ctx;
+    struct text_wait *w = ctx;
 
-    last_waited_text = w->in->str; /* tells why a wait was in vain */
+    last_waited_text = w->in->str; /* printed when the wait times out */
     return strstr(w->in->str, w->text) != NULL;
 }
 
 void
 Fw_RigConn_Expect(struct rig_conn *c, const char *text)
 {
-    struct wanted w = {.in = c->got, .text = text};
+    struct text_wait w = {.in = c->got, .text = text};
 
     Fw_Rig_Until(has_text, &w);
     last_waited_text = NULL;
@@ -181,26 +182,26 @@
 Fw_RigServer_New(void)
 {
     struct rig_server *s = g_new0(struct rig_server, 1);
-    GSocketAddress *at = Fw_Addr_Parse("127.0.0.1:0");
+    GSocketAddress *address = Fw_Addr_Parse("127.0.0.1:0");
     GSocketAddress *got;
     char addr[FW_URL_MAX];
 
     s->service = g_socket_service_new();
     s->conns = g_ptr_array_new();
     ck_assert(g_socket_listener_add_address(
-        G_SOCKET_LISTENER(s->service), at, G_SOCKET_TYPE_STREAM,
+        G_SOCKET_LISTENER(s->service), address, G_SOCKET_TYPE_STREAM,
         G_SOCKET_PROTOCOL_TCP, NULL, &got, NULL));
     Fw_Addr_Print(got, addr);
     g_snprintf(s->url, sizeof(s->url), "http://%s", addr);
     g_object_unref(got);
-    g_object_unref(at);
+    g_object_unref(address);
     g_signal_connect(s->service, "incoming", G_CALLBACK(on_incoming), s);
     g_socket_service_start(s->service);
     return s;
 }
 
-/** struct counted - a wait for a number of connections. */
-struct counted {
+/** struct conn_wait - condition: at least @n connections were accepted. */
+struct conn_wait {
     struct rig_server *server;
     guint n;
 };
@@ -208,7 +209,7 @@
 static int
 has_conns(void *ctx)
 {
-    struct counted *c = ctx;
+    struct conn_wait *c = ctx;
 
     return c->server->conns->len >= c->n;
 }
@@ -216,7 +217,7 @@
 struct rig_conn *
 Fw_RigServer_Conn(struct rig_server *s, guint i)
 {
-    struct counted c = {.server = s, .n = i + 1};
+    struct conn_wait c = {.server = s, .n = i + 1};
 
     Fw_Rig_Until(has_conns, &c);
     return g_ptr_array_index(s->conns, i);
@@ -357,7 +358,7 @@
 }
 
 static void
-take_event(void *ctx, const struct fw_event *ev)
+record_event(void *ctx, const struct fw_event *ev)
 {
     write_event(((struct rig_core *)ctx)->seen, ev);
 }
@@ -365,7 +366,7 @@
 struct fw_sink
 Fw_RigCore_Sink(struct rig_core *core)
 {
-    return (struct fw_sink){.ctx = core, .event = take_event};
+    return (struct fw_sink){.ctx = core, .event = record_event};
 }
 
 static int
@@ -426,7 +427,7 @@
 void
 Fw_Rig_ExpectSeen(struct rig_core *core, const char *text)
 {
-    struct wanted w = {.in = core->seen, .text = text};
+    struct text_wait w = {.in = core->seen, .text = text};
 
     Fw_Rig_Until(has_text, &w);
     last_waited_text = NULL;
--- a/tests/io/rig.h
+++ b/tests/io/rig.h
@@ -1,6 +1,6 @@
 /*
- * What the tests of the shell share: the loop driven until a condition, raw
- * connections, a raw server with scripted answers, and a scripted core.
+ * Test fixtures for the I/O code: running the main loop until a condition
+ * holds, raw TCP connections, a raw TCP server and a scripted core.
  */
 #ifndef FW_TESTS_IO_RIG_H
 #define FW_TESTS_IO_RIG_H
@@ -10,14 +10,14 @@
 #include "io/shell.h"
 #include "io/sink.h"
 
-/* Runs the loop until @done says so; a test that waits for ever fails. */
+/* Runs the main loop until @done returns nonzero; fails after a timeout. */
 void
 Fw_Rig_Until(int (*done)(void *), void *ctx);
-/* Lets everything that is ready now run. */
+/* Runs the main loop until nothing more is ready. */
 void
 Fw_Rig_Settle(void);
 
-/** struct rig_conn - a raw connection; what came is in @got. */
+/** struct rig_conn - a raw connection; @got holds the received data. */
 struct rig_conn {
     GSocket *sock;
     GSource *source;
@@ -28,22 +28,24 @@
 /* @url: "http://ip:port" or "ip:port" */
 struct rig_conn *
 Fw_RigConn_Open(const char *url);
+/* Wraps a connected socket. */
 struct rig_conn *
 Fw_RigConn_Take(GSocket *sock);
+/* @len: -1 for a NUL-terminated string */
 void
 Fw_RigConn_Send(struct rig_conn *c, const char *data, gssize len);
-/* Waits for @text, and for the end of the connection. */
+/* Wait until @text was received, or the other side has closed. */
 void
 Fw_RigConn_Expect(struct rig_conn *c, const char *text);
 void
 Fw_RigConn_ExpectEof(struct rig_conn *c);
-/* Stops reading: bytes stay in the kernel. */
+/* Stops reading, so that data stays in the kernel's buffer. */
 void
 Fw_RigConn_StopReading(struct rig_conn *c);
 void
 Fw_RigConn_Close(struct rig_conn *c);
 
-/** struct rig_server - accepts; @conns in the order in which they came. */
+/** struct rig_server - a TCP server; @conns in the order of acceptance. */
 struct rig_server {
     GSocketService *service;
     GPtrArray *conns;
@@ -52,17 +54,18 @@
 
 struct rig_server *
 Fw_RigServer_New(void);
-/* Waits for the @i-th connection. */
+/* Returns connection @i, from 0, and waits for it if necessary. */
 struct rig_conn *
 Fw_RigServer_Conn(struct rig_server *s, guint i);
 void
 Fw_RigServer_Free(struct rig_server *s);
 
 /**
- * struct rig_core - a core that writes down events and does as told.
- * @seen: one line an event
- * @react: what to put out for an event; may be NULL
- * @is_ready: answer to /readyz
+ * struct rig_core - a scripted core that records events.
+ * @seen: one line per event
+ * @react: adds the actions for an event; may be NULL
+ * @is_ready: status that /readyz reports
+ * @last_call: handle of the latest call
  */
 struct rig_core {
     GString *seen;
@@ -73,7 +76,7 @@
     struct fw_metrics metrics;
 };
 
-/* For parts that are tested without the shell. */
+/* For components that are tested without the shell. */
 void
 Fw_RigCore_Init(struct rig_core *core);
 void
@@ -81,7 +84,7 @@
 struct fw_sink
 Fw_RigCore_Sink(struct rig_core *core);
 
-/** struct rig - a shell around a scripted core. */
+/** struct rig - a shell with a scripted core and a raw platform server. */
 struct rig {
     struct rig_core core;
     struct fw_shell_opts opts;
@@ -90,14 +93,14 @@
     struct rig_server *platform;
 };
 
-/* Settings may be changed between the two. */
+/* Options may be changed between Fw_Rig_Init and Fw_Rig_Start. */
 void
 Fw_Rig_Init(struct rig *rig);
 void
 Fw_Rig_Start(struct rig *rig);
 void
 Fw_Rig_Stop(struct rig *rig);
-/* Waits until @text is in what the core has seen. */
+/* Waits until the recorded events contain @text. */
 void
 Fw_Rig_ExpectSeen(struct rig_core *core, const char *text);
 
--- a/tests/io/side.c
+++ b/tests/io/side.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 void
-Fw_PeerFixture_Start(struct side *s, const char *name, uint64_t boot,
+Fw_PeerFixture_Start(struct peer_fixture *s, const char *name, uint64_t boot,
                      const char *secret)
 {
     GBytes *bytes = g_bytes_new(secret, 16);
@@ -21,14 +21,15 @@
 }
 
 void
-Fw_PeerFixture_Stop(struct side *s)
+Fw_PeerFixture_Stop(struct peer_fixture *s)
 {
     Fw_Peers_Free(s->peers);
     Fw_RigCore_Clear(&s->core);
 }
 
 void
-Fw_PeerFixture_SendPing(struct side *from, const struct side *to)
+Fw_PeerFixture_SendPing(struct peer_fixture *from,
+                        const struct peer_fixture *to)
 {
     struct fw_peer_send send = {
         .msg = {.area = FW_AREA_FLEET,
@@ -40,8 +41,8 @@
 }
 
 void
-Fw_PeerFixture_SendConfig(struct side *from, const struct side *to,
-                          size_t size)
+Fw_PeerFixture_SendConfig(struct peer_fixture *from,
+                          const struct peer_fixture *to, size_t size)
 {
     struct fw_peer_send send = {
         .msg = {.area = FW_AREA_CONFIG,
@@ -55,7 +56,7 @@
 }
 
 int64_t
-Fw_PeerFixture_Metric(const struct side *s, const char *name)
+Fw_PeerFixture_Metric(const struct peer_fixture *s, const char *name)
 {
     struct fw_list *pos;
 
@@ -70,26 +71,25 @@
     return 0;
 }
 
-/** struct counted - a wait for a metric. */
-struct counted {
-    const struct side *side;
+struct metric_wait {
+    const struct peer_fixture *fixture;
     const char *name;
     int64_t want;
 };
 
 static int
-has_counted(void *ctx)
+metric_reached(void *ctx)
 {
-    struct counted *c = ctx;
+    struct metric_wait *c = ctx;
 
-    return Fw_PeerFixture_Metric(c->side, c->name) >= c->want;
+    return Fw_PeerFixture_Metric(c->fixture, c->name) >= c->want;
 }
 
 void
-Fw_PeerFixture_ExpectMetric(const struct side *s, const char *name,
+Fw_PeerFixture_ExpectMetric(const struct peer_fixture *s, const char *name,
                             int64_t want)
 {
-    struct counted c = {.side = s, .name = name, .want = want};
+    struct metric_wait c = {.fixture = s, .name = name, .want = want};
 
-    Fw_Rig_Until(has_counted, &c);
+    Fw_Rig_Until(metric_reached, &c);
 }
--- a/tests/io/side.h
+++ b/tests/io/side.h
@@ -1,4 +1,4 @@
-/* An instance as far as its peers see it. */
+/* Test fixture: the peer connections of an instance. */
 #ifndef FW_TESTS_IO_SIDE_H
 #define FW_TESTS_IO_SIDE_H
 
@@ -7,8 +7,7 @@
 
 #define FW_PEER_FIXTURE_SECRET "0123456789abcdef"
 
-/** struct side - one instance as far as its peers see it. */
-struct side {
+struct peer_fixture {
     struct rig_core core;
     struct fw_self self;
     struct fw_peers *peers;
@@ -17,21 +16,22 @@
 
 /* @secret: 16 bytes */
 void
-Fw_PeerFixture_Start(struct side *s, const char *name, uint64_t boot,
+Fw_PeerFixture_Start(struct peer_fixture *s, const char *name, uint64_t boot,
                      const char *secret);
 void
-Fw_PeerFixture_Stop(struct side *s);
+Fw_PeerFixture_Stop(struct peer_fixture *s);
 void
-Fw_PeerFixture_SendPing(struct side *from, const struct side *to);
-/* A part of the configuration's state, of @size bytes. */
+Fw_PeerFixture_SendPing(struct peer_fixture *from,
+                        const struct peer_fixture *to);
+/* Sends a configuration message with @size bytes of text. */
 void
-Fw_PeerFixture_SendConfig(struct side *from, const struct side *to,
-                          size_t size);
+Fw_PeerFixture_SendConfig(struct peer_fixture *from,
+                          const struct peer_fixture *to, size_t size);
 int64_t
-Fw_PeerFixture_Metric(const struct side *s, const char *name);
-/* Waits until it is @want at least. */
+Fw_PeerFixture_Metric(const struct peer_fixture *s, const char *name);
+/* Runs the main loop until the metric is at least @want. */
 void
-Fw_PeerFixture_ExpectMetric(const struct side *s, const char *name,
+Fw_PeerFixture_ExpectMetric(const struct peer_fixture *s, const char *name,
                             int64_t want);
 
 #endif
--- a/tests/io/test_bad_requests.c
+++ b/tests/io/test_bad_requests.c
@@ -1,4 +1,4 @@
-/* What callers send that must be refused, and what must be cut off. */
+/* Requests that must be rejected, and connections that must be closed. */
 #include <check.h>
 #include <string.h>
 
@@ -6,10 +6,9 @@
 #include "tests/http/bad_heads.h"
 #include "tests/io/rig.h"
 
-/* What is wrong with a request, and what its caller is told. */
 static const struct {
     const char *text;
-    int body; /* bytes of 'x' after it */
+    int body; /* number of 'x' bytes sent after @text */
     const char *want[3];
 } bad_requests[] = {
     {"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n{",
@@ -58,7 +57,7 @@
      {"HTTP/1.1 400 ", "malformed_request", "Fuchsiaward-Ran: no"}},
 };
 
-START_TEST(bad_requests_are_refused_with_verdict_no)
+START_TEST(bad_requests_are_rejected_as_not_run)
 {
     struct rig rig;
     struct rig_conn *c;
@@ -83,10 +82,10 @@
 END_TEST
 
 /*
- * A head that two programs can read in two ways hides a second request from
- * one of them. It gets one refusal and a close, whatever follows it.
+ * Request smuggling: a head that a proxy and the router parse differently is
+ * rejected, and what follows it on the connection is not parsed.
  */
-START_TEST(a_doubtful_head_is_refused_on_both_ports)
+START_TEST(ambiguous_heads_are_rejected_on_both_ports)
 {
     struct rig rig;
 
@@ -109,9 +108,8 @@
 }
 END_TEST
 
-/* Bytes that are no HTTP at all: closed or refused, and the next one served.
- */
-static const char *const garbage[] = {
+/* Input that is not valid HTTP. */
+static const char *const invalid_http[] = {
     "\r\n\r\n\r\n\r\n",
     "GET\r\n\r\n",
     "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 \r\n\r\n",
@@ -123,8 +121,8 @@
     "GET http://[::1 HTTP/1.1\r\nHost: \xff\xfe\r\n\r\n",
 };
 
-/* Headers without end: the connection is cut, memory stays bounded. */
-START_TEST(headers_without_end_are_cut_off)
+/* Guards against unbounded memory for a header that never ends. */
+START_TEST(endless_header_closes_the_connection)
 {
     struct rig rig;
     struct rig_conn *c;
@@ -144,7 +142,7 @@
 }
 END_TEST
 
-START_TEST(garbage_harms_nobody_else)
+START_TEST(invalid_http_affects_no_other_connection)
 {
     struct rig rig;
     struct rig_conn *bad;
@@ -153,7 +151,7 @@
     Fw_Rig_Init(&rig);
     Fw_Rig_Start(&rig);
     bad = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
-    Fw_RigConn_Send(bad, garbage[_i], -1);
+    Fw_RigConn_Send(bad, invalid_http[_i], -1);
     good = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
     Fw_RigConn_Send(good, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", -1);
     Fw_RigConn_Expect(good, "HTTP/1.1 200 OK");
@@ -164,17 +162,13 @@
 }
 END_TEST
 
-/*
- * A phone loses its network in the middle of sending: half a head or half a
- * body arrives and then nothing. It would hold a connection and its memory
- * for ever.
- */
-static const char *const halves[] = {
+/* Guards against connections held open by requests that never complete. */
+static const char *const incomplete_requests[] = {
     "POST /v1/comple",
     "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{",
 };
 
-START_TEST(a_half_sent_request_times_out)
+START_TEST(incomplete_requests_time_out)
 {
     struct rig rig;
     struct rig_conn *c;
@@ -183,7 +177,7 @@
     rig.opts.read_timeout_us = 50 * FW_MSEC;
     Fw_Rig_Start(&rig);
     c = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
-    Fw_RigConn_Send(c, halves[_i], -1);
+    Fw_RigConn_Send(c, incomplete_requests[_i], -1);
     Fw_RigConn_ExpectEof(c);
     ck_assert_ptr_nonnull(strstr(c->got->str, "HTTP/1.1 408 "));
     ck_assert_ptr_nonnull(strstr(c->got->str, "Fuchsiaward-Ran: no\r\n"));
@@ -199,14 +193,14 @@
     TCase *tc = Fw_Suite_New("bad_requests");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_loop_test(tc, bad_requests_are_refused_with_verdict_no, 0,
+    tcase_add_loop_test(tc, bad_requests_are_rejected_as_not_run, 0,
                         G_N_ELEMENTS(bad_requests));
-    tcase_add_loop_test(tc, a_doubtful_head_is_refused_on_both_ports, 0,
+    tcase_add_loop_test(tc, ambiguous_heads_are_rejected_on_both_ports, 0,
                         FW_BAD_HEADS);
-    tcase_add_test(tc, headers_without_end_are_cut_off);
-    tcase_add_loop_test(tc, garbage_harms_nobody_else, 0,
-                        G_N_ELEMENTS(garbage));
-    tcase_add_loop_test(tc, a_half_sent_request_times_out, 0,
-                        G_N_ELEMENTS(halves));
+    tcase_add_test(tc, endless_header_closes_the_connection);
+    tcase_add_loop_test(tc, invalid_http_affects_no_other_connection, 0,
+                        G_N_ELEMENTS(invalid_http));
+    tcase_add_loop_test(tc, incomplete_requests_time_out, 0,
+                        G_N_ELEMENTS(incomplete_requests));
     return Fw_Suite_Run(tc);
 }
--- a/tests/io/test_callers.c
+++ b/tests/io/test_callers.c
@@ -1,4 +1,4 @@
-/* The callers' port over real connections, before a scripted core. */
+/* The callers' and operators' ports over TCP, with a scripted core. */
 #include <check.h>
 #include <string.h>
 
@@ -6,7 +6,7 @@
 #include "tests/io/rig.h"
 
 static void
-put_start(struct fw_actions *out, uint64_t call)
+add_start(struct fw_actions *out, uint64_t call)
 {
     struct fw_call_start *s = &Fw_Actions_Add(out, FW_ACT_CALL_START)->u.start;
 
@@ -16,7 +16,7 @@
 }
 
 static void
-put_piece(struct fw_actions *out, uint64_t call, const char *text)
+add_piece(struct fw_actions *out, uint64_t call, const char *text)
 {
     struct fw_call_piece *p = &Fw_Actions_Add(out, FW_ACT_CALL_PIECE)->u.piece;
 
@@ -25,7 +25,7 @@
 }
 
 static void
-put_end(struct fw_actions *out, uint64_t call)
+add_end(struct fw_actions *out, uint64_t call)
 {
     struct fw_call_end *e = &Fw_Actions_Add(out, FW_ACT_CALL_END)->u.end;
 
@@ -40,7 +40,7 @@
 }
 
 static void
-put_fail(struct fw_actions *out, uint64_t call, int64_t retry_after_us)
+add_fail(struct fw_actions *out, uint64_t call, int64_t retry_after_us)
 {
     struct fw_call_fail *f = &Fw_Actions_Add(out, FW_ACT_CALL_FAIL)->u.fail;
 
@@ -54,33 +54,33 @@
 }
 
 static void
-answer_at_once(struct rig_core *core, const struct fw_event *ev,
-               struct fw_actions *out)
+complete_immediately(struct rig_core *core, const struct fw_event *ev,
+                     struct fw_actions *out)
 {
     if (ev->kind == FW_EV_CALL_OPEN) {
-        put_start(out, core->last_call);
-        put_piece(out, core->last_call, "low ");
-        put_piece(out, core->last_call, "water \"\n");
-        put_end(out, core->last_call);
+        add_start(out, core->last_call);
+        add_piece(out, core->last_call, "low ");
+        add_piece(out, core->last_call, "water \"\n");
+        add_end(out, core->last_call);
     }
 }
 
 static void
-fail_at_once(struct rig_core *core, const struct fw_event *ev,
-             struct fw_actions *out)
+fail_immediately(struct rig_core *core, const struct fw_event *ev,
+                 struct fw_actions *out)
 {
     if (ev->kind == FW_EV_CALL_OPEN) {
-        put_fail(out, core->last_call, 1100 * FW_MSEC);
+        add_fail(out, core->last_call, 1100 * FW_MSEC);
     }
 }
 
 static void
-start_and_fail(struct rig_core *core, const struct fw_event *ev,
-               struct fw_actions *out)
+start_then_fail(struct rig_core *core, const struct fw_event *ev,
+                struct fw_actions *out)
 {
     if (ev->kind == FW_EV_CALL_OPEN) {
-        put_start(out, core->last_call);
-        put_fail(out, core->last_call, 0);
+        add_start(out, core->last_call);
+        add_fail(out, core->last_call, 0);
     }
 }
 
@@ -89,36 +89,36 @@
            struct fw_actions *out)
 {
     if (ev->kind == FW_EV_CALL_OPEN) {
-        put_start(out, core->last_call);
-        put_piece(out, core->last_call, "low ");
+        add_start(out, core->last_call);
+        add_piece(out, core->last_call, "low ");
     }
 }
 
 static char *
-request(const char *path, const char *more, const char *body)
+request(const char *path, const char *fields, const char *body)
 {
     return g_strdup_printf("POST %s HTTP/1.1\r\nHost: x\r\n%s"
                            "Content-Length: %zu\r\n\r\n%s",
-                           path, more, strlen(body), body);
+                           path, fields, strlen(body), body);
 }
 
 static struct rig_conn *
-call(struct rig *rig, const char *path, const char *more, const char *body)
+call(struct rig *rig, const char *path, const char *fields, const char *body)
 {
     struct rig_conn *c = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig->shell));
-    char *text = request(path, more, body);
+    char *text = request(path, fields, body);
 
     Fw_RigConn_Send(c, text, -1);
     g_free(text);
     return c;
 }
 
-/* The bodies as today's clients of this API expect them, "created" cut out. */
+/* Substrings of the expected responses, without the value of "created". */
 static const struct {
     const char *path;
     const char *body;
     const char *parts[6];
-} shapes[] = {
+} responses[] = {
     {"/v1/completions",
      "{\"model\":\"tides\",\"prompt\":\"x\"}",
      {"{\"id\":\"cmpl-r-1\",\"object\":\"text_completion\",\"created\":",
@@ -155,19 +155,19 @@
       "\"choices\":[],\"usage\":{\"prompt_tokens\":3", "data: [DONE]\n\n"}},
 };
 
-START_TEST(answers_have_the_shape_of_the_api)
+START_TEST(responses_match_the_api)
 {
     struct rig rig;
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = answer_at_once;
+    rig.core.react = complete_immediately;
     Fw_Rig_Start(&rig);
-    c = call(&rig, shapes[_i].path, "Authorization: Bearer k\r\n",
-             shapes[_i].body);
+    c = call(&rig, responses[_i].path, "Authorization: Bearer k\r\n",
+             responses[_i].body);
     Fw_RigConn_Expect(c, "X-Request-Id: r-1");
-    for (int i = 0; i < 6 && shapes[_i].parts[i]; i++) {
-        Fw_RigConn_Expect(c, shapes[_i].parts[i]);
+    for (int i = 0; i < 6 && responses[_i].parts[i]; i++) {
+        Fw_RigConn_Expect(c, responses[_i].parts[i]);
     }
     ck_assert_ptr_null(strstr(c->got->str, "Fuchsiaward-Ran"));
     Fw_RigConn_Close(c);
@@ -175,13 +175,13 @@
 }
 END_TEST
 
-START_TEST(a_refusal_carries_verdict_and_wait)
+START_TEST(errors_carry_verdict_and_retry_after)
 {
     struct rig rig;
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = fail_at_once;
+    rig.core.react = fail_immediately;
     Fw_Rig_Start(&rig);
     c = call(&rig, "/v1/completions", "",
              "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}");
@@ -199,17 +199,16 @@
 END_TEST
 
 /*
- * An upstream dies for good after the first words went out. The caller has
- * its 200 already; the stream must end with the error and its verdict, and
- * without the mark of a whole answer.
+ * A failure after the 200 was sent must end the stream with an error and its
+ * verdict, without "[DONE]".
  */
-START_TEST(a_stream_that_fails_ends_with_the_error)
+START_TEST(failed_streams_end_with_the_error)
 {
     struct rig rig;
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = start_and_fail;
+    rig.core.react = start_then_fail;
     Fw_Rig_Start(&rig);
     c = call(&rig, "/v1/completions", "Connection: close\r\n",
              "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}");
@@ -224,17 +223,17 @@
 END_TEST
 
 /*
- * Two people share a connection that a proxy keeps open. Each request must
- * count for the key that came with it, not for the first key on the line.
+ * Guards against applying the key of one request to the next one on a
+ * persistent connection, which a proxy may share between callers.
  */
-START_TEST(the_key_is_read_on_each_request)
+START_TEST(key_is_read_from_each_request)
 {
     struct rig rig;
     struct rig_conn *c;
     char *text;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = answer_at_once;
+    rig.core.react = complete_immediately;
     Fw_Rig_Start(&rig);
     c = call(&rig, "/v1/completions", "Authorization: Bearer first\r\n",
              "{\"model\":\"tides\",\"prompt\":\"abcde\"}");
@@ -258,36 +257,35 @@
 END_TEST
 
 /*
- * The caller closes its window: before the first word, between two words, or
- * with its next request already sent. Nobody reads the answer any more, and
- * the engine's slot would stay taken if the core did not learn of it.
+ * The core must learn of a disconnect before the response, during it or with a
+ * pipelined request, or the engine's slot would stay in use.
  */
 static const struct {
     void (*react)(struct rig_core *, const struct fw_event *,
                   struct fw_actions *);
     const char *wait_for;
     const char *extra;
-} closings[] = {
+} disconnects[] = {
     {NULL, NULL, ""},
     {start_only, "low ", ""},
     {NULL, NULL, "POST /v1/completions HTTP/1.1\r\nHost: x\r\n\r\n"},
 };
 
-START_TEST(a_caller_that_closes_is_noticed)
+START_TEST(disconnects_are_reported)
 {
     struct rig rig;
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = closings[_i].react;
+    rig.core.react = disconnects[_i].react;
     Fw_Rig_Start(&rig);
     c = call(&rig, "/v1/completions", "",
              "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}");
     Fw_Rig_ExpectSeen(&rig.core, "open completion");
-    if (closings[_i].wait_for) {
-        Fw_RigConn_Expect(c, closings[_i].wait_for);
+    if (disconnects[_i].wait_for) {
+        Fw_RigConn_Expect(c, disconnects[_i].wait_for);
     }
-    Fw_RigConn_Send(c, closings[_i].extra, -1);
+    Fw_RigConn_Send(c, disconnects[_i].extra, -1);
     Fw_Rig_Settle();
     ck_assert_ptr_null(strstr(rig.core.seen->str, "closed"));
     Fw_RigConn_Close(c);
@@ -297,7 +295,8 @@
 END_TEST
 
 static void
-flood(struct rig_core *core, const struct fw_event *ev, struct fw_actions *out)
+send_large_stream(struct rig_core *core, const struct fw_event *ev,
+                  struct fw_actions *out)
 {
     char *text;
 
@@ -305,25 +304,21 @@
         return;
     }
     text = g_strnfill(10000, 'x');
-    put_start(out, core->last_call);
+    add_start(out, core->last_call);
     for (int i = 0; i < 2000; i++) {
-        put_piece(out, core->last_call, text);
+        add_piece(out, core->last_call, text);
     }
     g_free(text);
 }
 
-/*
- * A caller opens a stream and stops reading. What it does not read would
- * pile up in the instance's memory, for as long as the answer is; it is cut
- * off instead and its engine freed.
- */
-START_TEST(a_reader_that_stops_is_cut_off)
+/* Guards against unbounded memory for a caller that stops reading. */
+START_TEST(stalled_readers_are_disconnected)
 {
     struct rig rig;
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = flood;
+    rig.core.react = send_large_stream;
     Fw_Rig_Start(&rig);
     c = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
     Fw_RigConn_StopReading(c);
@@ -339,8 +334,8 @@
 END_TEST
 
 static void
-answer_whole(struct rig_core *core, const struct fw_event *ev,
-             struct fw_actions *out)
+answer_with_body(struct rig_core *core, const struct fw_event *ev,
+                 struct fw_actions *out)
 {
     struct fw_call_answer *a;
 
@@ -362,7 +357,7 @@
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = answer_whole;
+    rig.core.react = answer_with_body;
     Fw_Rig_Start(&rig);
     c = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
     Fw_RigConn_Send(c,
@@ -388,7 +383,7 @@
 }
 END_TEST
 
-START_TEST(probes_answer_on_both_ports)
+START_TEST(probes_are_served_on_both_ports)
 {
     static const struct {
         const char *path;
@@ -427,15 +422,15 @@
     TCase *tc = Fw_Suite_New("callers");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_loop_test(tc, answers_have_the_shape_of_the_api, 0,
-                        G_N_ELEMENTS(shapes));
-    tcase_add_test(tc, a_refusal_carries_verdict_and_wait);
-    tcase_add_test(tc, a_stream_that_fails_ends_with_the_error);
-    tcase_add_test(tc, the_key_is_read_on_each_request);
-    tcase_add_loop_test(tc, a_caller_that_closes_is_noticed, 0,
-                        G_N_ELEMENTS(closings));
-    tcase_add_test(tc, a_reader_that_stops_is_cut_off);
+    tcase_add_loop_test(tc, responses_match_the_api, 0,
+                        G_N_ELEMENTS(responses));
+    tcase_add_test(tc, errors_carry_verdict_and_retry_after);
+    tcase_add_test(tc, failed_streams_end_with_the_error);
+    tcase_add_test(tc, key_is_read_from_each_request);
+    tcase_add_loop_test(tc, disconnects_are_reported, 0,
+                        G_N_ELEMENTS(disconnects));
+    tcase_add_test(tc, stalled_readers_are_disconnected);
     tcase_add_test(tc, services_and_operators_reach_the_core);
-    tcase_add_test(tc, probes_answer_on_both_ports);
+    tcase_add_test(tc, probes_are_served_on_both_ports);
     return Fw_Suite_Run(tc);
 }
--- a/tests/io/test_engine_wire.c
+++ b/tests/io/test_engine_wire.c
@@ -1,4 +1,4 @@
-/* The engines' JSON, one answer and one request of each kind. */
+/* Encoding of requests to engines and decoding of their responses. */
 #include <check.h>
 #include <string.h>
 
@@ -11,16 +11,16 @@
     return g_bytes_new_static(text, strlen(text));
 }
 
-START_TEST(a_load_report_is_read_whole)
+START_TEST(load_report_is_decoded)
 {
     GBytes *body = bytes("{\"lag_ms\":95.5,\"slots\":20,\"busy\":3,"
                          "\"queued_tokens\":7,\"kv_used\":5,\"kv_total\":9,"
                          "\"leaving\":true,\"role\":\"decode\",\"models\":["
                          "\"m@1\",\"m@1+a\"],\"more\":{}}");
     struct fw_up_event ev = {.kind = FW_UP_LOAD};
-    struct fw_engine_response own;
+    struct fw_engine_response resp;
 
-    ck_assert_int_eq(Fw_Engine_DecodeResponse(body, &ev, &own), 0);
+    ck_assert_int_eq(Fw_Engine_DecodeResponse(body, &ev, &resp), 0);
     ck_assert_int_eq(ev.u.report.lag_us, 95500);
     ck_assert_int_eq(ev.u.report.slots, 20);
     ck_assert_int_eq(ev.u.report.busy, 3);
@@ -30,12 +30,12 @@
     ck_assert_str_eq(ev.u.report.role, "decode");
     ck_assert_int_eq(ev.u.report.n_models, 2);
     ck_assert_str_eq(ev.u.report.models[1], "m@1+a");
-    Fw_Engine_ClearResponse(&own);
+    Fw_Engine_ClearResponse(&resp);
     g_bytes_unref(body);
 }
 END_TEST
 
-START_TEST(held_requests_and_cache_events_are_listed)
+START_TEST(held_requests_and_cache_events_are_decoded)
 {
     GBytes *held = bytes("{\"requests\":[{\"id\":\"one.7.1\",\"stage\":\"kv\","
                          "\"tokens\":4},{\"id\":\"x\"}]}");
@@ -44,29 +44,29 @@
                           "false},{\"seq\":8,\"prefix\":\"1\",\"tokens\":0,"
                           "\"evicted\":true}]}");
     struct fw_up_event ev = {.kind = FW_UP_HELD};
-    struct fw_engine_response own;
+    struct fw_engine_response resp;
 
-    ck_assert_int_eq(Fw_Engine_DecodeResponse(held, &ev, &own), 0);
+    ck_assert_int_eq(Fw_Engine_DecodeResponse(held, &ev, &resp), 0);
     ck_assert_int_eq(ev.u.held.n, 2);
     ck_assert_str_eq(ev.u.held.requests[0], "one.7.1");
-    Fw_Engine_ClearResponse(&own);
+    Fw_Engine_ClearResponse(&resp);
     ev = (struct fw_up_event){.kind = FW_UP_CACHE};
-    ck_assert_int_eq(Fw_Engine_DecodeResponse(cache, &ev, &own), 0);
+    ck_assert_int_eq(Fw_Engine_DecodeResponse(cache, &ev, &resp), 0);
     ck_assert_int_eq(ev.u.cache.n, 2);
     ck_assert_uint_eq(ev.u.cache.next_seq, 9);
     ck_assert_uint_eq(ev.u.cache.events[0].prefix, 0x00ff00ff00ff00ffULL);
     ck_assert_int_eq(ev.u.cache.events[1].evicted, 1);
-    Fw_Engine_ClearResponse(&own);
+    Fw_Engine_ClearResponse(&resp);
     g_bytes_unref(held);
     g_bytes_unref(cache);
 }
 END_TEST
 
-/* An engine of another make, or one gone wrong: told, never believed. */
+/* Responses of an incompatible or faulty engine. */
 static const struct {
     enum fw_up_kind kind;
     const char *body;
-} wrong[] = {
+} invalid[] = {
     {FW_UP_IMPORT, "{}"},
     {FW_UP_IMPORT, "{\"transfer_ms\":-1}"},
     {FW_UP_IMPORT, "{\"transfer_ms\":1e300}"},
@@ -94,14 +94,14 @@
      "2345678901234567890\",\"tokens\":1,\"lapse_ms\":1}"},
 };
 
-START_TEST(wrong_answers_are_refused)
+START_TEST(invalid_responses_are_rejected)
 {
-    GBytes *body = bytes(wrong[_i].body);
-    struct fw_up_event ev = {.kind = wrong[_i].kind};
-    struct fw_engine_response own;
+    GBytes *body = bytes(invalid[_i].body);
+    struct fw_up_event ev = {.kind = invalid[_i].kind};
+    struct fw_engine_response resp;
 
-    ck_assert_int_ne(Fw_Engine_DecodeResponse(body, &ev, &own), 0);
-    Fw_Engine_ClearResponse(&own);
+    ck_assert_int_ne(Fw_Engine_DecodeResponse(body, &ev, &resp), 0);
+    Fw_Engine_ClearResponse(&resp);
     g_bytes_unref(body);
 }
 END_TEST
@@ -130,7 +130,7 @@
      SOUP_MESSAGE_NEW_CONNECTION},
 };
 
-START_TEST(requests_take_the_agreed_way)
+START_TEST(requests_have_method_path_and_flags)
 {
     struct fw_up_start up = requests[_i].up;
     SoupMessage *msg;
@@ -151,10 +151,11 @@
 {
     TCase *tc = Fw_Suite_New("engine_wire");
 
-    tcase_add_test(tc, a_load_report_is_read_whole);
-    tcase_add_test(tc, held_requests_and_cache_events_are_listed);
-    tcase_add_loop_test(tc, wrong_answers_are_refused, 0, G_N_ELEMENTS(wrong));
-    tcase_add_loop_test(tc, requests_take_the_agreed_way, 0,
+    tcase_add_test(tc, load_report_is_decoded);
+    tcase_add_test(tc, held_requests_and_cache_events_are_decoded);
+    tcase_add_loop_test(tc, invalid_responses_are_rejected, 0,
+                        G_N_ELEMENTS(invalid));
+    tcase_add_loop_test(tc, requests_have_method_path_and_flags, 0,
                         G_N_ELEMENTS(requests));
     return Fw_Suite_Run(tc);
 }
--- a/tests/io/test_peer.c
+++ b/tests/io/test_peer.c
@@ -1,4 +1,4 @@
-/* Messages between instances: over loopback, and against raw connections. */
+/* Messages between instances, over loopback and from a raw peer. */
 #include <check.h>
 #include <string.h>
 
@@ -11,8 +11,8 @@
 
 START_TEST(messages_go_both_ways_on_one_connection)
 {
-    struct side one;
-    struct side two;
+    struct peer_fixture one;
+    struct peer_fixture two;
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
@@ -38,14 +38,13 @@
 END_TEST
 
 /*
- * A process that does not know the fleet's secret takes an instance's address
- * or dials one. Nothing it says may reach the core, nor may it be told
- * anything.
+ * A process without the fleet's secret must neither deliver messages to an
+ * instance nor receive any.
  */
-START_TEST(a_stranger_is_refused)
+START_TEST(peers_without_the_secret_are_rejected)
 {
-    struct side one;
-    struct side two;
+    struct peer_fixture one;
+    struct peer_fixture two;
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_Start(&two, "two", 9, "another secret!!");
@@ -62,11 +61,11 @@
 }
 END_TEST
 
-/* The address of an instance that died was given to another one. */
-START_TEST(another_instance_at_the_address_gets_nothing)
+/* The address of a peer may be reassigned to another instance. */
+START_TEST(unexpected_instance_receives_nothing)
 {
-    struct side one;
-    struct side two;
+    struct peer_fixture one;
+    struct peer_fixture two;
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
@@ -80,11 +79,11 @@
 }
 END_TEST
 
-/** struct raw - a hand-made peer that knows the secret. */
-struct raw {
+/** struct raw_peer - a peer that knows the secret but sends raw frames. */
+struct raw_peer {
     struct rig_conn *conn;
-    struct fw_peer_id mine;
-    struct fw_peer_id theirs;
+    struct fw_peer_id self_id;
+    struct fw_peer_id peer_id;
     GBytes *secret;
     uint8_t key[FW_PROOF_SIZE];
 };
@@ -122,44 +121,44 @@
 }
 
 static void
-raw_open(struct raw *r, const struct side *to)
+raw_open(struct raw_peer *r, const struct peer_fixture *to)
 {
     struct fw_peer_hello hello = {.kind = FW_HELLO_DIAL};
     struct fw_peer_hello got;
 
     r->secret = g_bytes_new(FW_PEER_FIXTURE_SECRET, 16);
     r->conn = Fw_RigConn_Open(to->addr);
-    Fw_PeerAuth_InitId("raw", 3, &r->mine);
-    hello.id = r->mine;
+    Fw_PeerAuth_InitId("raw", 3, &r->self_id);
+    hello.id = r->self_id;
     send_hello(r->conn, &hello);
     Fw_Rig_Until(has_frame, r->conn);
     ck_assert_int_eq(Fw_PeerAuth_DecodeHello((uint8_t *)r->conn->got->str + 4,
                                              r->conn->got->len - 4,
                                              FW_HELLO_ACCEPT, &got),
                      0);
-    r->theirs = got.id;
+    r->peer_id = got.id;
     hello.kind = FW_HELLO_PROVE;
-    Fw_PeerAuth_Derive(r->secret, FW_LABEL_DIALER_PROOF, &r->mine, &r->theirs,
-                       hello.proof);
-    Fw_PeerAuth_Derive(r->secret, FW_LABEL_DIALER_KEY, &r->mine, &r->theirs,
-                       r->key);
+    Fw_PeerAuth_Derive(r->secret, FW_LABEL_DIALER_PROOF, &r->self_id,
+                       &r->peer_id, hello.proof);
+    Fw_PeerAuth_Derive(r->secret, FW_LABEL_DIALER_KEY, &r->self_id,
+                       &r->peer_id, r->key);
     send_hello(r->conn, &hello);
 }
 
 static void
-raw_close(struct raw *r)
+raw_close(struct raw_peer *r)
 {
     Fw_RigConn_Close(r->conn);
     g_bytes_unref(r->secret);
 }
 
-/* A frame of @payload as number @number; @out as large as needed. */
+/* Writes @payload and its MAC to @out; returns the length. */
 static size_t
-seal(const struct raw *r, uint64_t number, const void *payload, size_t len,
-     uint8_t *out)
+make_frame(const struct raw_peer *r, uint64_t seq, const void *payload,
+           size_t len, uint8_t *out)
 {
     memcpy(out, payload, len);
-    Fw_PeerAuth_Mac(r->key, number, payload, len, out + len);
+    Fw_PeerAuth_Mac(r->key, seq, payload, len, out + len);
     return len + FW_FRAME_MAC_SIZE;
 }
 
@@ -182,23 +181,21 @@
 }
 
 /*
- * Someone on the way between two instances repeats a frame, leaves one out,
- * changes a byte or sends its own. A repeated grant of tokens would be spent
- * twice. The first frame, untouched, must arrive; after the second the
- * connection must be closed with nothing more taken.
+ * Guards against tampering on the network, such as a replay that grants tokens
+ * twice. The first frame is valid; the second must close the connection.
  */
-enum meddling {
-    FW_REPEAT,
-    FW_LEAVE_OUT,
-    FW_ALTER,
-    FW_FORGE,
-    FW_SHORTEN
+enum tampering {
+    FW_TAMPER_REPLAY,
+    FW_TAMPER_OMIT,
+    FW_TAMPER_PAYLOAD,
+    FW_TAMPER_MAC,
+    FW_TAMPER_TRUNCATE
 };
 
-START_TEST(meddling_closes_the_connection)
+START_TEST(tampering_closes_the_connection)
 {
-    struct side one;
-    struct raw r;
+    struct peer_fixture one;
+    struct raw_peer r;
     char text[256];
     uint8_t frame[300];
     size_t len;
@@ -207,17 +204,17 @@
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
     len = pack_ping(text);
-    n = seal(&r, 0, text, len, frame);
+    n = make_frame(&r, 0, text, len, frame);
     send_frame(r.conn, frame, n);
     Fw_Rig_ExpectSeen(&one.core, "peer raw boot=3 area=1\n");
-    n = seal(&r,
-             _i == FW_REPEAT      ? 0
-             : _i == FW_LEAVE_OUT ? 2
-                                  : 1,
-             text, len, frame);
-    frame[0] ^= _i == FW_ALTER;
-    frame[n - 1] ^= _i == FW_FORGE;
-    send_frame(r.conn, frame, _i == FW_SHORTEN ? 5 : n);
+    n = make_frame(&r,
+                   _i == FW_TAMPER_REPLAY ? 0
+                   : _i == FW_TAMPER_OMIT ? 2
+                                          : 1,
+                   text, len, frame);
+    frame[0] ^= _i == FW_TAMPER_PAYLOAD;
+    frame[n - 1] ^= _i == FW_TAMPER_MAC;
+    send_frame(r.conn, frame, _i == FW_TAMPER_TRUNCATE ? 5 : n);
     Fw_RigConn_ExpectEof(r.conn);
     ck_assert_str_eq(one.core.seen->str, "peer raw boot=3 area=1\n");
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_refused_total"), 1);
@@ -226,11 +223,11 @@
 }
 END_TEST
 
-/* With the number left out of the check, a repeated frame gets in. */
-START_TEST(a_planted_fault_lets_a_repeated_frame_in)
+/* Shows that the sequence number is what prevents a replay. */
+START_TEST(injected_fault_accepts_a_replayed_frame)
 {
-    struct side one;
-    struct raw r;
+    struct peer_fixture one;
+    struct raw_peer r;
     char text[256];
     uint8_t frame[300];
     size_t n;
@@ -238,7 +235,7 @@
     Fw_Fault_Active = "frame-number-ignored";
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
-    n = seal(&r, 0, text, pack_ping(text), frame);
+    n = make_frame(&r, 0, text, pack_ping(text), frame);
     send_frame(r.conn, frame, n);
     send_frame(r.conn, frame, n);
     Fw_Rig_ExpectSeen(&one.core,
@@ -248,26 +245,27 @@
 }
 END_TEST
 
-/* A peer with a fault of its own: authentic frames that make no sense. */
+/* Authentic frames with malformed payloads, as from a faulty peer. */
 static const struct {
     const char *payload;
     size_t len;
-} nonsense[] = {
+} malformed_payloads[] = {
     {"\xc1", 1},         {"\x92\x01", 2},     {"\xdd\xff\xff\xff\xff", 5},
     {"\x92\x01\x05", 3}, {"\x92\x63\x90", 3}, {"\x91\x91\x91\x91", 4},
     {"text", 4},
 };
 
-START_TEST(nonsense_closes_the_connection)
+START_TEST(malformed_payload_closes_the_connection)
 {
-    struct side one;
-    struct raw r;
+    struct peer_fixture one;
+    struct raw_peer r;
     uint8_t frame[64];
     size_t n;
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     raw_open(&r, &one);
-    n = seal(&r, 0, nonsense[_i].payload, nonsense[_i].len, frame);
+    n = make_frame(&r, 0, malformed_payloads[_i].payload,
+                   malformed_payloads[_i].len, frame);
     send_frame(r.conn, frame, n);
     Fw_RigConn_ExpectEof(r.conn);
     ck_assert_str_eq(one.core.seen->str, "");
@@ -276,11 +274,11 @@
 }
 END_TEST
 
-/* Only configuration state may be large. */
-START_TEST(a_large_frame_of_another_kind_closes_the_connection)
+/* Only configuration messages may exceed FW_FRAME_MAX_BYTES. */
+START_TEST(large_frame_without_config_closes_the_connection)
 {
-    struct side one;
-    struct raw r;
+    struct peer_fixture one;
+    struct raw_peer r;
     char text[256];
     size_t len = pack_ping(text);
     GByteArray *many = g_byte_array_new();
@@ -293,7 +291,7 @@
         g_byte_array_append(many, (guint8 *)text, (guint)len);
     }
     frame = g_malloc(many->len + FW_FRAME_MAC_SIZE);
-    n = seal(&r, 0, many->data, many->len, frame);
+    n = make_frame(&r, 0, many->data, many->len, frame);
     send_frame(r.conn, frame, n);
     Fw_RigConn_ExpectEof(r.conn);
     ck_assert_str_eq(one.core.seen->str, "");
@@ -304,11 +302,11 @@
 }
 END_TEST
 
-/* What a stranger may throw at the port; nobody else must notice. */
+/* Invalid input before authentication; other peers must not be affected. */
 static const struct {
     const char *text;
     size_t len;
-} greetings[] = {
+} invalid_hellos[] = {
     {"GET / HTTP/1.1\r\n\r\n", 18},
     {"\0\0\0\0", 4},
     {"\xff\xff\xff\xff", 4},
@@ -320,16 +318,17 @@
     {"\0\0\0\40FW1d12345678abcdefghijklmnop\3one", 36},
 };
 
-START_TEST(a_bad_greeting_is_closed)
+START_TEST(invalid_hello_closes_the_connection)
 {
-    struct side one;
-    struct side two;
+    struct peer_fixture one;
+    struct peer_fixture two;
     struct rig_conn *c;
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
     c = Fw_RigConn_Open(one.addr);
-    Fw_RigConn_Send(c, greetings[_i].text, (gssize)greetings[_i].len);
+    Fw_RigConn_Send(c, invalid_hellos[_i].text,
+                    (gssize)invalid_hellos[_i].len);
     Fw_RigConn_ExpectEof(c);
     ck_assert_str_eq(c->got->str, "");
     Fw_PeerFixture_SendPing(&two, &one);
@@ -340,18 +339,15 @@
 }
 END_TEST
 
-/*
- * A peer is stopped by a debugger or swapped out: its connection stands but
- * nothing is read. What waits for it must not fill this instance's memory.
- */
-START_TEST(the_queue_for_a_peer_is_bounded)
+/* Guards against unbounded memory for a peer that stops reading. */
+START_TEST(peer_queue_is_bounded)
 {
-    struct side one;
-    struct side two = {.self = {.name = "two"}};
-    struct rig_server *silent = Fw_RigServer_New();
+    struct peer_fixture one;
+    struct peer_fixture two = {.self = {.name = "two"}};
+    struct rig_server *stalled = Fw_RigServer_New();
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
-    g_strlcpy(two.addr, silent->url + strlen("http://"), sizeof(two.addr));
+    g_strlcpy(two.addr, stalled->url + strlen("http://"), sizeof(two.addr));
     for (int i = 0; i < 10; i++) {
         Fw_PeerFixture_SendConfig(&one, &two, 100000);
     }
@@ -359,15 +355,15 @@
     Fw_PeerFixture_SendConfig(&one, &two, 2000000);
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 6);
     Fw_PeerFixture_Stop(&one);
-    Fw_RigServer_Free(silent);
+    Fw_RigServer_Free(stalled);
 }
 END_TEST
 
-/* An instance is replaced: same name, new process, new address. */
-START_TEST(a_restarted_peer_is_found_again)
+/* A restarted instance has the same name, but a new boot and address. */
+START_TEST(restarted_peer_is_reconnected)
 {
-    struct side one;
-    struct side two;
+    struct peer_fixture one;
+    struct peer_fixture two;
 
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
@@ -391,16 +387,16 @@
 
     tcase_set_timeout(tc, 60);
     tcase_add_test(tc, messages_go_both_ways_on_one_connection);
-    tcase_add_test(tc, a_stranger_is_refused);
-    tcase_add_test(tc, another_instance_at_the_address_gets_nothing);
-    tcase_add_loop_test(tc, meddling_closes_the_connection, 0, 5);
-    tcase_add_test(tc, a_planted_fault_lets_a_repeated_frame_in);
-    tcase_add_loop_test(tc, nonsense_closes_the_connection, 0,
-                        G_N_ELEMENTS(nonsense));
-    tcase_add_test(tc, a_large_frame_of_another_kind_closes_the_connection);
-    tcase_add_loop_test(tc, a_bad_greeting_is_closed, 0,
-                        G_N_ELEMENTS(greetings));
-    tcase_add_test(tc, the_queue_for_a_peer_is_bounded);
-    tcase_add_test(tc, a_restarted_peer_is_found_again);
+    tcase_add_test(tc, peers_without_the_secret_are_rejected);
+    tcase_add_test(tc, unexpected_instance_receives_nothing);
+    tcase_add_loop_test(tc, tampering_closes_the_connection, 0, 5);
+    tcase_add_test(tc, injected_fault_accepts_a_replayed_frame);
+    tcase_add_loop_test(tc, malformed_payload_closes_the_connection, 0,
+                        G_N_ELEMENTS(malformed_payloads));
+    tcase_add_test(tc, large_frame_without_config_closes_the_connection);
+    tcase_add_loop_test(tc, invalid_hello_closes_the_connection, 0,
+                        G_N_ELEMENTS(invalid_hellos));
+    tcase_add_test(tc, peer_queue_is_bounded);
+    tcase_add_test(tc, restarted_peer_is_reconnected);
     return Fw_Suite_Run(tc);
 }
--- a/tests/io/test_platform.c
+++ b/tests/io/test_platform.c
@@ -1,4 +1,4 @@
-/* The clients of the log and the list, against a raw server. */
+/* Clients of the platform's log and service registry, with a raw server. */
 #include <check.h>
 #include <string.h>
 
@@ -20,36 +20,36 @@
     struct rig_core core;
     struct rig_server *server;
     struct fw_log_client *log;
-    struct fw_registry_client *list;
+    struct fw_registry_client *registry;
 };
 
 static void
-begin(struct harness *b)
+begin(struct harness *h)
 {
     struct fw_sink sink;
 
-    Fw_RigCore_Init(&b->core);
-    sink = Fw_RigCore_Sink(&b->core);
-    b->server = Fw_RigServer_New();
-    b->log = Fw_LogClient_New(&sink, &b->core.metrics, b->server->url);
-    b->list =
-        Fw_RegistryClient_New(&sink, &b->core.metrics, b->server->url, &self);
+    Fw_RigCore_Init(&h->core);
+    sink = Fw_RigCore_Sink(&h->core);
+    h->server = Fw_RigServer_New();
+    h->log = Fw_LogClient_New(&sink, &h->core.metrics, h->server->url);
+    h->registry =
+        Fw_RegistryClient_New(&sink, &h->core.metrics, h->server->url, &self);
 }
 
 static void
-end(struct harness *b)
+end(struct harness *h)
 {
-    Fw_LogClient_Free(b->log);
-    Fw_RegistryClient_Free(b->list);
-    Fw_RigServer_Free(b->server);
-    Fw_RigCore_Clear(&b->core);
+    Fw_LogClient_Free(h->log);
+    Fw_RegistryClient_Free(h->registry);
+    Fw_RigServer_Free(h->server);
+    Fw_RigCore_Clear(&h->core);
 }
 
 /* Answers the @i-th connection with @reply and closes it. */
 static void
-answer(struct harness *b, guint i, const char *reply)
+answer(struct harness *h, guint i, const char *reply)
 {
-    struct rig_conn *c = Fw_RigServer_Conn(b->server, i);
+    struct rig_conn *c = Fw_RigServer_Conn(h->server, i);
 
     Fw_RigConn_Expect(c, "\r\n\r\n");
     Fw_RigConn_Send(c, reply, -1);
@@ -57,9 +57,8 @@
 }
 
 /*
- * The log refuses, fails or stays silent. Whether a record is in it decides
- * what may be done next, so "surely not" (-11) is only said of a refusal; all
- * else is "not known" (-5), to be settled by reading.
+ * An append may be retried only when the record is certainly not in the log:
+ * -EAGAIN (-11) after a rejection. Any other failure is -EIO (-5).
  */
 static const struct {
     const char *reply;
@@ -77,39 +76,39 @@
      "appended err=-5"},
 };
 
-START_TEST(an_append_tells_what_is_known)
+START_TEST(append_outcomes_are_classified)
 {
     const char *records[] = {"{\"a\":1}", "two"};
     struct fw_log_append a = {
         .ticket = 1, .stream = "config", .n = 2, .records = (char **)records};
-    struct harness b;
+    struct harness h;
 
-    begin(&b);
-    Fw_LogClient_Append(b.log, &a);
-    Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 0),
+    begin(&h);
+    Fw_LogClient_Append(h.log, &a);
+    Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 0),
                       "{\"records\":[\"{\\\"a\\\":1}\",\"two\"]}");
-    ck_assert(g_str_has_prefix(Fw_RigServer_Conn(b.server, 0)->got->str,
+    ck_assert(g_str_has_prefix(Fw_RigServer_Conn(h.server, 0)->got->str,
                                "POST /log/config HTTP/1.1\r\n"));
-    answer(&b, 0, appends[_i].reply);
-    Fw_Rig_ExpectSeen(&b.core, appends[_i].seen);
+    answer(&h, 0, appends[_i].reply);
+    Fw_Rig_ExpectSeen(&h.core, appends[_i].seen);
     Fw_Rig_Settle();
-    ck_assert_uint_eq(b.server->conns->len, 1);
-    end(&b);
+    ck_assert_uint_eq(h.server->conns->len, 1);
+    end(&h);
 }
 END_TEST
 
-/* The log's host is down: nothing was sent, so nothing can be in it. */
-START_TEST(an_append_to_nobody_is_surely_not_in)
+/* A refused connection proves that nothing was appended. */
+START_TEST(append_to_an_unreachable_log_is_retryable)
 {
     struct fw_log_append a = {.ticket = 1, .stream = "config"};
-    struct harness b;
-
-    begin(&b);
-    g_socket_service_stop(b.server->service);
-    g_socket_listener_close(G_SOCKET_LISTENER(b.server->service));
-    Fw_LogClient_Append(b.log, &a);
-    Fw_Rig_ExpectSeen(&b.core, "appended err=-11 first=0\n");
-    end(&b);
+    struct harness h;
+
+    begin(&h);
+    g_socket_service_stop(h.server->service);
+    g_socket_listener_close(G_SOCKET_LISTENER(h.server->service));
+    Fw_LogClient_Append(h.log, &a);
+    Fw_Rig_ExpectSeen(&h.core, "appended err=-11 first=0\n");
+    end(&h);
 }
 END_TEST
 
@@ -130,29 +129,29 @@
     {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", "records err=-32 n=0"},
 };
 
-START_TEST(a_read_gives_whole_records_or_an_error)
+START_TEST(reads_return_records_or_an_error)
 {
     struct fw_log_read r = {.ticket = 1,
                             .stream = "roles",
                             .from = 3,
                             .max_records = 10,
                             .wait_us = 1500 * FW_MSEC};
-    struct harness b;
+    struct harness h;
 
-    begin(&b);
-    Fw_LogClient_Read(b.log, &r);
-    Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 0),
+    begin(&h);
+    Fw_LogClient_Read(h.log, &r);
+    Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 0),
                       "GET /log/roles?from=3&max=10&wait_ms=1500 HTTP/1.1");
-    answer(&b, 0, reads[_i].reply);
-    Fw_Rig_ExpectSeen(&b.core, reads[_i].seen);
-    end(&b);
+    answer(&h, 0, reads[_i].reply);
+    Fw_Rig_ExpectSeen(&h.core, reads[_i].seen);
+    end(&h);
 }
 END_TEST
 
 static const struct {
     const char *reply;
     const char *seen;
-} lists[] = {
+} registry_reads[] = {
     {FW_OK "{\"entries\":[{\"kind\":\"instance\",\"name\":\"two\",\"addr\":"
            "\"127.0.0.1:1\",\"leaving\":true},{\"kind\":\"upstream\",\"name\":"
            "\"p\",\"addr\":\"http://x\",\"domain\":\"a\",\"region\":\"r\"}]}",
@@ -166,21 +165,21 @@
     {"", "listed err="},
 };
 
-START_TEST(the_list_is_read_entry_by_entry)
+START_TEST(registry_responses_are_parsed)
 {
-    struct harness b;
-
-    begin(&b);
-    Fw_RegistryClient_Read(b.list);
-    Fw_RegistryClient_Read(b.list);
-    answer(&b, 0, lists[_i].reply);
-    Fw_Rig_ExpectSeen(&b.core, lists[_i].seen);
-    end(&b);
+    struct harness h;
+
+    begin(&h);
+    Fw_RegistryClient_Read(h.registry);
+    Fw_RegistryClient_Read(h.registry);
+    answer(&h, 0, registry_reads[_i].reply);
+    Fw_Rig_ExpectSeen(&h.core, registry_reads[_i].seen);
+    end(&h);
 }
 END_TEST
 
 static void
-removed(void *ctx)
+on_unregistered(void *ctx)
 {
     *(int *)ctx = 1;
 }
@@ -192,31 +191,31 @@
 }
 
 /*
- * The list is away when the instance starts. It must come into the list all
- * the same, or the balancer and the other instances would never know of it.
+ * Guards against an instance that stays unknown to load balancer and peers
+ * because the registry was unavailable at startup.
  */
-START_TEST(the_own_entry_is_written_until_taken)
+START_TEST(own_entry_is_retried_until_written)
 {
-    struct harness b;
-    int gone = 0;
+    struct harness h;
+    int unregistered = 0;
 
-    begin(&b);
-    Fw_RegistryClient_Register(b.list);
-    answer(&b, 0, "HTTP/1.1 503 Out\r\nContent-Length: 0\r\n\r\n");
-    Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 1),
+    begin(&h);
+    Fw_RegistryClient_Register(h.registry);
+    answer(&h, 0, "HTTP/1.1 503 Out\r\nContent-Length: 0\r\n\r\n");
+    Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 1),
                       "{\"kind\":\"instance\",\"name\":\"one\",\"addr\":"
                       "\"127.0.0.1:9\",\"domain\":\"a\",\"region\":\"r\","
                       "\"leaving\":false}");
-    answer(&b, 1, FW_OK "{}");
-    Fw_RegistryClient_MarkLeaving(b.list);
-    Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 2), "\"leaving\":true}");
-    answer(&b, 2, FW_OK "{}");
-    Fw_RegistryClient_Unregister(b.list, removed, &gone);
-    Fw_RigConn_Expect(Fw_RigServer_Conn(b.server, 3),
+    answer(&h, 1, FW_OK "{}");
+    Fw_RegistryClient_MarkLeaving(h.registry);
+    Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 2), "\"leaving\":true}");
+    answer(&h, 2, FW_OK "{}");
+    Fw_RegistryClient_Unregister(h.registry, on_unregistered, &unregistered);
+    Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 3),
                       "DELETE /list/one HTTP/1.1\r\n");
-    answer(&b, 3, "HTTP/1.1 204 No Content\r\n\r\n");
-    Fw_Rig_Until(is_set, &gone);
-    end(&b);
+    answer(&h, 3, "HTTP/1.1 204 No Content\r\n\r\n");
+    Fw_Rig_Until(is_set, &unregistered);
+    end(&h);
 }
 END_TEST
 
@@ -226,13 +225,13 @@
     TCase *tc = Fw_Suite_New("platform");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_loop_test(tc, an_append_tells_what_is_known, 0,
+    tcase_add_loop_test(tc, append_outcomes_are_classified, 0,
                         G_N_ELEMENTS(appends));
-    tcase_add_test(tc, an_append_to_nobody_is_surely_not_in);
-    tcase_add_loop_test(tc, a_read_gives_whole_records_or_an_error, 0,
+    tcase_add_test(tc, append_to_an_unreachable_log_is_retryable);
+    tcase_add_loop_test(tc, reads_return_records_or_an_error, 0,
                         G_N_ELEMENTS(reads));
-    tcase_add_loop_test(tc, the_list_is_read_entry_by_entry, 0,
-                        G_N_ELEMENTS(lists));
-    tcase_add_test(tc, the_own_entry_is_written_until_taken);
+    tcase_add_loop_test(tc, registry_responses_are_parsed, 0,
+                        G_N_ELEMENTS(registry_reads));
+    tcase_add_test(tc, own_entry_is_retried_until_written);
     return Fw_Suite_Run(tc);
 }
--- a/tests/io/test_shell.c
+++ b/tests/io/test_shell.c
@@ -1,4 +1,4 @@
-/* The loop around the core: timers, signals, a graceful stop. */
+/* The main loop: timers, signals and graceful shutdown. */
 #include <check.h>
 #include <signal.h>
 #include <string.h>
@@ -6,21 +6,21 @@
 #include "tests/base/suite.h"
 #include "tests/io/rig.h"
 
-static int may_leave;
+static int may_exit;
 
-/* Goes on with its stream while it drains, then ends it and leaves. */
+/* Keeps a stream open while draining, until may_exit is set. */
 static void
-drain_core(struct rig_core *core, const struct fw_event *ev,
-           struct fw_actions *out)
+drain_then_exit(struct rig_core *core, const struct fw_event *ev,
+                struct fw_actions *out)
 {
     if (ev->kind == FW_EV_CALL_OPEN) {
         Fw_Actions_Add(out, FW_ACT_CALL_START)->u.start.call = core->last_call;
     }
     else if (ev->kind == FW_EV_DRAIN) {
         core->is_ready = 0;
-        Fw_Actions_Wake(out, 1); /* at once, but from the loop */
+        Fw_Actions_Wake(out, 1); /* in the next iteration of the main loop */
     }
-    else if (ev->kind == FW_EV_TICK && !core->is_ready && !may_leave) {
+    else if (ev->kind == FW_EV_TICK && !core->is_ready && !may_exit) {
         Fw_Actions_Wake(out, g_get_monotonic_time() + FW_MSEC);
     }
     else if (ev->kind == FW_EV_TICK && !core->is_ready) {
@@ -38,7 +38,7 @@
 }
 
 static int
-is_over(void *ctx)
+has_stopped(void *ctx)
 {
     return Fw_Shell_HasStopped(ctx);
 }
@@ -56,17 +56,16 @@
 }
 
 /*
- * The platform replaces the instance while a caller reads its answer: SIGTERM
- * and, from an impatient operator, another. The answer must end whole, the
- * list must know, and the process must leave by itself.
+ * After SIGTERM, also when repeated, a running stream must be completed, the
+ * registry updated and the main loop left.
  */
-START_TEST(a_stop_ends_what_runs)
+START_TEST(shutdown_completes_running_streams)
 {
     struct rig rig;
     struct rig_conn *c;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = drain_core;
+    rig.core.react = drain_then_exit;
     Fw_Rig_Start(&rig);
     answer_platform(&rig, 0, "\"leaving\":false}");
     c = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
@@ -80,11 +79,11 @@
     raise(SIGTERM);
     Fw_Rig_ExpectSeen(&rig.core, "drain\n");
     answer_platform(&rig, 1, "\"leaving\":true}");
-    may_leave = 1;
+    may_exit = 1;
     Fw_RigConn_Expect(c, "data: [DONE]\n\n");
     ck_assert_ptr_nonnull(strstr(c->got->str, "low water"));
     answer_platform(&rig, 2, "DELETE /list/one");
-    Fw_Rig_Until(is_over, rig.shell);
+    Fw_Rig_Until(has_stopped, rig.shell);
     ck_assert_ptr_eq(strstr(rig.core.seen->str, "drain"),
                      g_strrstr(rig.core.seen->str, "drain"));
     Fw_RigConn_Close(c);
@@ -92,19 +91,19 @@
 }
 END_TEST
 
-/* The list is down, too: the process leaves all the same. */
-START_TEST(a_stop_needs_no_list)
+/* Guards against a shutdown that hangs while the registry is unreachable. */
+START_TEST(shutdown_does_not_need_the_registry)
 {
     struct rig rig;
 
     Fw_Rig_Init(&rig);
-    rig.core.react = drain_core;
+    rig.core.react = drain_then_exit;
     Fw_Rig_Start(&rig);
     g_socket_service_stop(rig.platform->service);
     g_socket_listener_close(G_SOCKET_LISTENER(rig.platform->service));
-    may_leave = 1;
+    may_exit = 1;
     raise(SIGINT);
-    Fw_Rig_Until(is_over, rig.shell);
+    Fw_Rig_Until(has_stopped, rig.shell);
     Fw_Rig_Stop(&rig);
 }
 END_TEST
@@ -128,7 +127,7 @@
     return *(int *)ctx >= 5;
 }
 
-START_TEST(the_earliest_wish_wakes)
+START_TEST(earliest_wakeup_is_used)
 {
     struct rig rig;
 
@@ -141,8 +140,7 @@
 }
 END_TEST
 
-/* Another process has the port already. */
-START_TEST(a_taken_port_is_told)
+START_TEST(port_in_use_is_reported)
 {
     struct rig rig;
     struct fw_core core = {0};
@@ -168,9 +166,9 @@
     TCase *tc = Fw_Suite_New("shell");
 
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, a_stop_ends_what_runs);
-    tcase_add_test(tc, a_stop_needs_no_list);
-    tcase_add_test(tc, the_earliest_wish_wakes);
-    tcase_add_test(tc, a_taken_port_is_told);
+    tcase_add_test(tc, shutdown_completes_running_streams);
+    tcase_add_test(tc, shutdown_does_not_need_the_registry);
+    tcase_add_test(tc, earliest_wakeup_is_used);
+    tcase_add_test(tc, port_in_use_is_reported);
     return Fw_Suite_Run(tc);
 }
