--- a/src/io/api.h
+++ b/src/io/api.h
@@ -96,8 +96,8 @@
 /*
  * Chunks of a streamed response, appended to @out as server-sent events. The
  * first chunk carries the role of a chat message and is empty for
- * FW_API_COMPLETION. The final one carries finish reason and usage and is
- * followed by "data: [DONE]".
+ * FW_API_COMPLETION. The final one carries the finish reason; it is followed
+ * by a chunk with token counts, if requested, and by "data: [DONE]".
  */
 void
 Fw_Api_WriteFirstChunk(const struct fw_api_response *a, GString *out);
--- a/src/io/fetch.h
+++ b/src/io/fetch.h
@@ -10,7 +10,10 @@
 
 #include "base/verdict.h"
 
-/* A longer line of a response ends the call with -EMSGSIZE. */
+/*
+ * Buffered bytes of an unterminated line above which a call ends with
+ * -EMSGSIZE.
+ */
 #define FW_FETCH_LINE_MAX_BYTES 65536
 
 /**
--- a/src/io/list_client.c
+++ b/src/io/list_client.c
@@ -138,8 +138,8 @@
 }
 
 /*
- * Returns the current registry body, or NULL when the request failed. It is
- * read with If-None-Match and seldom changes, so most responses are 304.
+ * Returns the current registry body, or NULL when the request failed. Requests
+ * carry If-None-Match, so an unchanged body is not transferred again.
  */
 static GBytes *
 current_body(struct fw_registry_client *c, const struct fw_fetch_result *r)
--- a/src/io/note.h
+++ b/src/io/note.h
@@ -16,8 +16,10 @@
 Fw_Note_Setup(const char *instance, FILE *stream);
 /**
  * Fw_Logger_SetupNonblocking - logs to pipe @fd without blocking.
- * @pending_max_bytes: bytes to buffer while the pipe is full; further lines
- * are dropped and counted, and reported in a log line once the buffer is empty
+ * @pending_max_bytes: limit for lines buffered while the pipe is full
+ *
+ * Lines beyond the limit are dropped and counted. Their number is logged once
+ * the buffer is empty.
  */
 void
 Fw_Note_SetupBounded(const char *instance, int fd, size_t pending_max_bytes);
@@ -33,7 +35,7 @@
 /* Logs a line; @members is JSON, without braces, added to the object. */
 void
 Fw_Note_Members(int severity, const char *event, const char *members);
-/* Logs a line that the core put out. */
+/* Logs a line requested by the core (FW_ACT_NOTE). */
 void
 Fw_Note_Write(const struct fw_note *note);
 /**
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -180,8 +180,8 @@
 }
 
 /*
- * Counts and logs a close unless it is routine: a network error or shutdown of
- * a dialed or authenticated connection.
+ * Counts and logs a close unless it is routine: a network error, replacement
+ * or shutdown of a dialed or authenticated connection.
  */
 static void
 log_unexpected_close(struct fw_peers *p, const struct fw_peer_conn *conn,
--- a/src/io/peer.h
+++ b/src/io/peer.h
@@ -19,7 +19,7 @@
 
 /* Bytes queued for one peer; beyond, the oldest messages are dropped. */
 #define FW_PEER_QUEUE_MAX_BYTES (512 * 1024)
-/* Accepted connections whose handshake is not complete. */
+/* Accepted connections in their handshake; further ones are rejected. */
 #define FW_PEER_UNAUTHENTICATED_MAX 64
 
 struct fw_peers;
--- a/src/io/peer_conn.h
+++ b/src/io/peer_conn.h
@@ -66,10 +66,11 @@
 /* Nonzero while a write is in progress; no frame may be appended then. */
 int
 Fw_PeerConn_IsWriting(const struct fw_peer_conn *conn);
-/* Appends a frame to the next write, which Fw_PeerConn_Flush starts. */
+/* Appends a frame with payload @data to the next write. */
 void
 Fw_PeerConn_AppendFrame(struct fw_peer_conn *conn, const uint8_t *data,
                         size_t len);
+/* Starts to write the appended frames. */
 void
 Fw_PeerConn_Flush(struct fw_peer_conn *conn);
 /*
--- a/src/io/peer_priv.h
+++ b/src/io/peer_priv.h
@@ -67,7 +67,7 @@
 Fw_Peers_FindOrAdd(struct fw_peers *p, const char *name);
 struct fw_peer_conn_opts
 Fw_Peers_ConnOpts(struct fw_peers *p);
-/* Writes queued messages unless a write is in progress. */
+/* Starts to write queued messages if the connection is open and idle. */
 void
 Fw_Peer_Flush(struct fw_peer *peer);
 /* Drops all queued messages and counts them. */
