--- a/src/io/api_write.c
+++ b/src/io/api_write.c
@@ -11,7 +11,8 @@
 
 /* Opens the object with the members id, object, created and model. */
 static void
-add_head(const struct fw_api_response *a, const char *object, GString *out)
+add_common_members(const struct fw_api_response *a, const char *object,
+                   GString *out)
 {
     char *id =
         g_strconcat(is_chat(a) ? "chatcmpl-" : "cmpl-", a->request_id, NULL);
@@ -29,7 +30,8 @@
 begin_chunk(const struct fw_api_response *a, GString *out)
 {
     g_string_append(out, "data: ");
-    add_head(a, is_chat(a) ? "chat.completion.chunk" : "text_completion", out);
+    add_common_members(
+        a, is_chat(a) ? "chat.completion.chunk" : "text_completion", out);
 }
 
 static void
@@ -126,7 +128,8 @@
 Fw_Api_WriteResponse(const struct fw_api_response *a, const char *text,
                      const struct fw_call_end *end, GString *out)
 {
-    add_head(a, is_chat(a) ? "chat.completion" : "text_completion", out);
+    add_common_members(a, is_chat(a) ? "chat.completion" : "text_completion",
+                       out);
     g_string_append(out, is_chat(a)
                              ? ",\"choices\":[{\"index\":0,\"message\":{"
                                "\"role\":\"assistant\",\"content\":"
--- a/src/io/fetch.c
+++ b/src/io/fetch.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 #include <string.h>
 
-#define FW_READ_SIZE 16384
+#define FW_READ_CHUNK_BYTES 16384
 #define FW_BODY_KEY "fw-body"
 #define FW_TYPE_KEY "fw-type"
 
@@ -18,23 +18,23 @@
 struct fw_fetch {
     struct fw_fetch_opts opts;
     GCancellable *cancel;
-    GSource *timer;
-    GInputStream *in;
+    GSource *idle_timer;
+    GInputStream *response;
     GByteArray *received;
     int64_t last_activity_us;
     int may_have_sent;
     int timed_out;
     int cancelled;
-    char buf[FW_READ_SIZE];
+    char read_chunk[FW_READ_CHUNK_BYTES];
 };
 
 static void
 free_fetch(struct fw_fetch *f)
 {
-    g_source_destroy(f->timer);
-    g_source_unref(f->timer);
+    g_source_destroy(f->idle_timer);
+    g_source_unref(f->idle_timer);
     g_signal_handlers_disconnect_by_data(f->opts.msg, f);
-    g_clear_object(&f->in);
+    g_clear_object(&f->response);
     g_object_unref(f->opts.msg);
     g_object_unref(f->cancel);
     g_byte_array_unref(f->received);
@@ -76,7 +76,7 @@
 {
     struct fw_fetch_result r = {
         .ran = f->may_have_sent ? FW_RAN_MAYBE : FW_RAN_NO,
-        .status = f->in ? (int)soup_message_get_status(f->opts.msg) : 0,
+        .status = f->response ? (int)soup_message_get_status(f->opts.msg) : 0,
         .err = err,
     };
 
@@ -84,7 +84,7 @@
         if (!err && !f->opts.line) {
             r.body = g_bytes_new(f->received->data, f->received->len);
         }
-        if (f->in) {
+        if (f->response) {
             r.content_type = soup_message_headers_get_content_type(
                 soup_message_get_response_headers(f->opts.msg), NULL);
         }
@@ -95,7 +95,7 @@
 }
 
 static int
-wants_lines(const struct fw_fetch *f)
+is_line_mode(const struct fw_fetch *f)
 {
     return f->opts.line && soup_message_get_status(f->opts.msg) == 200;
 }
@@ -165,16 +165,16 @@
         return;
     }
     if (n == 0) {
-        if (wants_lines(f) && f->received->len > 0 && !f->cancelled) {
+        if (is_line_mode(f) && f->received->len > 0 && !f->cancelled) {
             err = deliver_line(f, f->received->data, f->received->len);
         }
         /* Closing a fully read stream makes the connection reusable. */
-        g_input_stream_close(f->in, NULL, NULL);
+        g_input_stream_close(f->response, NULL, NULL);
         finish(f, err);
         return;
     }
-    g_byte_array_append(f->received, (const guint8 *)f->buf, (guint)n);
-    if (wants_lines(f)) {
+    g_byte_array_append(f->received, (const guint8 *)f->read_chunk, (guint)n);
+    if (is_line_mode(f)) {
         err = deliver_lines(f);
     }
     else if (f->received->len > f->opts.body_max) {
@@ -191,8 +191,9 @@
 static void
 read_more(struct fw_fetch *f)
 {
-    g_input_stream_read_async(f->in, f->buf, sizeof(f->buf),
-                              G_PRIORITY_DEFAULT, f->cancel, on_read, f);
+    g_input_stream_read_async(f->response, f->read_chunk,
+                              sizeof(f->read_chunk), G_PRIORITY_DEFAULT,
+                              f->cancel, on_read, f);
 }
 
 static void
@@ -201,8 +202,9 @@
     struct fw_fetch *f = data;
     GError *error = NULL;
 
-    f->in = soup_session_send_finish(SOUP_SESSION(session), result, &error);
-    if (!f->in) {
+    f->response =
+        soup_session_send_finish(SOUP_SESSION(session), result, &error);
+    if (!f->response) {
         int err = errno_from_gerror(f, error);
 
         g_error_free(error);
@@ -220,11 +222,11 @@
     int64_t until = f->last_activity_us + f->opts.timeout_us;
 
     if (g_get_monotonic_time() < until) {
-        g_source_set_ready_time(f->timer, until);
+        g_source_set_ready_time(f->idle_timer, until);
         return G_SOURCE_CONTINUE;
     }
     f->timed_out = 1;
-    g_source_set_ready_time(f->timer, -1);
+    g_source_set_ready_time(f->idle_timer, -1);
     g_cancellable_cancel(f->cancel);
     return G_SOURCE_CONTINUE;
 }
@@ -267,11 +269,12 @@
     f->opts = *opts;
     f->cancel = g_cancellable_new();
     f->received = g_byte_array_new();
-    f->timer = g_source_new(&timer_funcs, sizeof(GSource));
-    g_source_set_callback(f->timer, on_idle_timer, f, NULL);
+    f->idle_timer = g_source_new(&timer_funcs, sizeof(GSource));
+    g_source_set_callback(f->idle_timer, on_idle_timer, f, NULL);
     record_activity(f);
-    g_source_set_ready_time(f->timer, f->last_activity_us + opts->timeout_us);
-    g_source_attach(f->timer, g_main_context_get_thread_default());
+    g_source_set_ready_time(f->idle_timer,
+                            f->last_activity_us + opts->timeout_us);
+    g_source_attach(f->idle_timer, g_main_context_get_thread_default());
     g_signal_connect(opts->msg, "starting", G_CALLBACK(on_starting), f);
     g_signal_connect(opts->msg, "restarted", G_CALLBACK(on_restarted), f);
     soup_session_send_async(opts->session, opts->msg, G_PRIORITY_DEFAULT,
--- a/src/io/http_call.c
+++ b/src/io/http_call.c
@@ -18,7 +18,7 @@
 }
 
 void
-Fw_HttpCall_Disconnected(struct fw_http_call *call)
+Fw_HttpCall_ReportDisconnect(struct fw_http_call *call)
 {
     struct fw_http *http = call->req.http;
     struct fw_event ev = {.kind = FW_EV_CALL_CLOSED, .u.closed = call->handle};
@@ -66,7 +66,7 @@
     char *fields;
 
     if (!id[0]) {
-        Fw_HttpReply_RequestId(call->req.head, generated);
+        Fw_HttpReply_GetRequestId(call->req.head, generated);
         id = generated;
     }
     fields = g_strdup_printf("Server: fuchsiaward\r\nX-Request-Id: %s\r\n"
@@ -109,7 +109,7 @@
     struct fw_http_caller *caller = call->req.caller;
 
     call->req.http->slow_readers.value++;
-    Fw_HttpCall_Disconnected(call);
+    Fw_HttpCall_ReportDisconnect(call);
     Fw_Caller_Cut(caller);
 }
 
@@ -202,7 +202,7 @@
 }
 
 static uint64_t
-handle_of(const struct fw_action *a)
+get_call_handle(const struct fw_action *a)
 {
     switch (a->kind) {
     case FW_ACT_CALL_START:
@@ -223,7 +223,7 @@
 void
 Fw_Http_HandleAction(struct fw_http *http, const struct fw_action *a)
 {
-    uint64_t handle = handle_of(a);
+    uint64_t handle = get_call_handle(a);
     struct fw_http_call *call = g_hash_table_lookup(http->calls, &handle);
 
     if (!call) {
--- a/src/io/http_priv.h
+++ b/src/io/http_priv.h
@@ -15,7 +15,7 @@
 /**
  * struct fw_http - state of both ports.
  * @last_handle: handle given to the latest call
- * @timer: checks the timeouts of all connections
+ * @timeout_source: checks the timeouts of all connections
  */
 struct fw_http {
     struct fw_http_opts opts;
@@ -23,7 +23,7 @@
     GHashTable *calls;     /* handle -> struct fw_http_call */
     GHashTable *by_caller; /* connection -> struct fw_http_call */
     uint64_t last_handle;
-    guint timer;
+    guint timeout_source;
     struct fw_metric requests;
     struct fw_metric rejected;
     struct fw_metric timeouts;
@@ -71,7 +71,7 @@
  * missing or invalid. @id holds at least FW_ID_MAX bytes.
  */
 void
-Fw_HttpReply_RequestId(const struct fw_http_head *head, char *id);
+Fw_HttpReply_GetRequestId(const struct fw_http_head *head, char *id);
 /* Rejects a request that was not passed to the core, with FW_RAN_NO. */
 void
 Fw_HttpReply_SendError(const struct fw_http_req *req, int status,
@@ -82,7 +82,7 @@
                          const struct fw_call_fail *fail, const char *extra);
 /*
  * Sends a complete response. An empty @id stands for that of
- * Fw_HttpReply_RequestId; @fields: additional header lines, or "".
+ * Fw_HttpReply_GetRequestId; @fields: additional header lines, or "".
  */
 void
 Fw_HttpReply_Send(const struct fw_http_req *req, int status, const char *id,
@@ -105,7 +105,7 @@
 Fw_HttpCall_Open(const struct fw_http_req *req);
 /* Frees the call and tells the core that its caller has disconnected. */
 void
-Fw_HttpCall_Disconnected(struct fw_http_call *call);
+Fw_HttpCall_ReportDisconnect(struct fw_http_call *call);
 void
 Fw_HttpCall_Free(struct fw_http_call *call);
 
--- a/src/io/http_reply.c
+++ b/src/io/http_reply.c
@@ -32,7 +32,7 @@
 }
 
 void
-Fw_HttpReply_RequestId(const struct fw_http_head *head, char *id)
+Fw_HttpReply_GetRequestId(const struct fw_http_head *head, char *id)
 {
     const struct fw_http_field *f =
         head->raw ? Fw_Http_Find(head, "X-Request-Id") : NULL;
@@ -74,7 +74,7 @@
     char *all;
 
     if (!id[0]) {
-        Fw_HttpReply_RequestId(req->head, generated);
+        Fw_HttpReply_GetRequestId(req->head, generated);
         id = generated;
     }
     all = g_strdup_printf("Server: fuchsiaward\r\nX-Request-Id: %s\r\n"
@@ -132,7 +132,7 @@
     char id[FW_ID_MAX];
 
     (void)ctx;
-    Fw_HttpReply_RequestId(head, id);
+    Fw_HttpReply_GetRequestId(head, id);
     g_string_append_printf(fields,
                            "Content-Type: application/json\r\n"
                            "Fuchsiaward-Ran: no\r\nX-Request-Id: %s\r\n",
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -64,7 +64,7 @@
     h->opts = *opts;
     h->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
     h->by_caller = g_hash_table_new(NULL, NULL);
-    h->timer = g_timeout_add(
+    h->timeout_source = g_timeout_add(
         (guint)(CLAMP(tick, 10 * FW_MSEC, FW_SEC) / FW_MSEC), on_tick, h);
     add_metrics(h);
     return h;
@@ -95,7 +95,7 @@
         g_hash_table_lookup(p->http->by_caller, caller);
 
     if (call) {
-        Fw_HttpCall_Disconnected(call);
+        Fw_HttpCall_ReportDisconnect(call);
     }
 }
 
@@ -166,7 +166,7 @@
         Fw_HttpCall_Free(c->data);
     }
     g_list_free(calls);
-    g_source_remove(h->timer);
+    g_source_remove(h->timeout_source);
     for (int i = 0; i < FW_PORT_COUNT; i++) {
         Fw_Server_Free(h->ports[i].server);
     }
--- a/src/io/list_client.c
+++ b/src/io/list_client.c
@@ -142,7 +142,7 @@
  * carry If-None-Match, so an unchanged body is not transferred again.
  */
 static GBytes *
-current_body(struct fw_registry_client *c, const struct fw_fetch_result *r)
+get_current_body(struct fw_registry_client *c, const struct fw_fetch_result *r)
 {
     const char *tag = soup_message_headers_get_one(
         soup_message_get_response_headers(c->read_msg), "ETag");
@@ -164,7 +164,7 @@
 }
 
 static void
-on_list(void *ctx, const struct fw_fetch_result *r)
+on_entries_read(void *ctx, const struct fw_fetch_result *r)
 {
     struct fw_registry_client *c = ctx;
     struct fw_event ev = {.kind = FW_EV_LISTED};
@@ -174,7 +174,7 @@
     GBytes *body;
 
     c->read = NULL;
-    body = current_body(c, r);
+    body = get_current_body(c, r);
     g_clear_object(&c->read_msg);
     ev.u.listed.err = body ? 0 : r->err ? r->err : -EAGAIN;
     if (body) {
@@ -217,7 +217,7 @@
         .timeout_us = FW_REGISTRY_TIMEOUT_US,
         .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
-        .done = on_list,
+        .done = on_entries_read,
     });
 }
 
@@ -303,7 +303,7 @@
 }
 
 static void
-on_removed(void *ctx, const struct fw_fetch_result *r)
+on_unregistered(void *ctx, const struct fw_fetch_result *r)
 {
     struct fw_registry_client *c = ctx;
 
@@ -330,7 +330,7 @@
         .timeout_us = FW_SEC,
         .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
-        .done = on_removed,
+        .done = on_unregistered,
     });
     g_free(url);
     g_free(name);
--- a/src/io/peer_auth.h
+++ b/src/io/peer_auth.h
@@ -27,7 +27,7 @@
 
 /**
  * struct fw_peer_id - identity of one side of a connection.
- * @boot: identifies the process; a later start has a higher number
+ * @boot: identifies the process, see struct fw_self
  * @challenge: random, new for each connection
  */
 struct fw_peer_id {
--- a/src/io/peer_conn.c
+++ b/src/io/peer_conn.c
@@ -9,7 +9,7 @@
 #include "io/addr.h"
 
 #define FW_LENGTH_SIZE 4
-#define FW_READ_SIZE 8192
+#define FW_READ_CHUNK_BYTES 8192
 /* Closes a connection whose sent data is not acknowledged for so long. */
 #define FW_ACK_TIMEOUT_MS 5000
 
@@ -26,8 +26,8 @@
 /**
  * struct fw_peer_conn_private - private part of a connection.
  * @seq_in, @seq_out: sequence number of the next frame in each direction
- * @in: received data not yet processed
- * @out: data being written or to be written
+ * @read_buf: received data not yet processed
+ * @write_buf: data being written or to be written
  * @pending_ops: asynchronous operations in progress; a closed connection is
  *               freed when the last one ends
  */
@@ -42,11 +42,11 @@
     GSocketConnection *io;
     GCancellable *cancel;
     GSource *handshake_timer;
-    GByteArray *in;
-    GByteArray *out;
+    GByteArray *read_buf;
+    GByteArray *write_buf;
     int writing;
     int pending_ops;
-    guint8 buf[FW_READ_SIZE];
+    guint8 read_chunk[FW_READ_CHUNK_BYTES];
 };
 
 static void
@@ -56,8 +56,8 @@
 
     g_clear_object(&priv->io);
     g_object_unref(priv->cancel);
-    g_byte_array_unref(priv->in);
-    g_byte_array_unref(priv->out);
+    g_byte_array_unref(priv->read_buf);
+    g_byte_array_unref(priv->write_buf);
     g_free(priv);
     g_free(c);
 }
@@ -73,7 +73,7 @@
 }
 
 static gboolean
-on_free(gpointer data)
+on_idle_free(gpointer data)
 {
     free_conn(data);
     return G_SOURCE_REMOVE;
@@ -116,7 +116,7 @@
     if (priv->pending_ops == 0) {
         /* Deferred, since the caller may still access the connection. */
         priv->pending_ops = 1;
-        g_idle_add(on_free, c);
+        g_idle_add(on_idle_free, c);
     }
 }
 
@@ -139,7 +139,7 @@
     if (finish_operation(c)) {
         return;
     }
-    g_byte_array_set_size(priv->out, 0);
+    g_byte_array_set_size(priv->write_buf, 0);
     if (!ok) {
         Fw_PeerConn_Close(c, "write failed");
     }
@@ -153,14 +153,15 @@
 {
     struct fw_peer_conn_private *priv = c->priv;
 
-    if (priv->out->len == 0 || priv->writing) {
+    if (priv->write_buf->len == 0 || priv->writing) {
         return;
     }
     priv->writing = 1;
     priv->pending_ops++;
     g_output_stream_write_all_async(
-        g_io_stream_get_output_stream(G_IO_STREAM(priv->io)), priv->out->data,
-        priv->out->len, G_PRIORITY_DEFAULT, priv->cancel, on_written, c);
+        g_io_stream_get_output_stream(G_IO_STREAM(priv->io)),
+        priv->write_buf->data, priv->write_buf->len, G_PRIORITY_DEFAULT,
+        priv->cancel, on_written, c);
 }
 
 static void
@@ -179,9 +180,9 @@
     uint8_t mac[FW_FRAME_MAC_SIZE];
 
     Fw_PeerAuth_Mac(priv->key_out, priv->seq_out++, data, len, mac);
-    append_length(priv->out, len + FW_FRAME_MAC_SIZE);
-    g_byte_array_append(priv->out, data, (guint)len);
-    g_byte_array_append(priv->out, mac, FW_FRAME_MAC_SIZE);
+    append_length(priv->write_buf, len + FW_FRAME_MAC_SIZE);
+    g_byte_array_append(priv->write_buf, data, (guint)len);
+    g_byte_array_append(priv->write_buf, mac, FW_FRAME_MAC_SIZE);
 }
 
 static void
@@ -190,8 +191,8 @@
     GByteArray *text = g_byte_array_new();
 
     Fw_PeerAuth_EncodeHello(text, hello);
-    append_length(c->priv->out, text->len);
-    g_byte_array_append(c->priv->out, text->data, text->len);
+    append_length(c->priv->write_buf, text->len);
+    g_byte_array_append(c->priv->write_buf, text->data, text->len);
     g_byte_array_unref(text);
     Fw_PeerConn_Flush(c);
 }
@@ -350,23 +351,23 @@
     const char *reason = NULL;
 
     while (!reason && priv->state != FW_CONN_CLOSED &&
-           priv->in->len - offset >= FW_LENGTH_SIZE) {
+           priv->read_buf->len - offset >= FW_LENGTH_SIZE) {
         uint32_t be;
         size_t len;
 
-        memcpy(&be, priv->in->data + offset, FW_LENGTH_SIZE);
+        memcpy(&be, priv->read_buf->data + offset, FW_LENGTH_SIZE);
         len = GUINT32_FROM_BE(be);
         if (len > message_size_max(priv)) {
             return "frame too long";
         }
-        if (priv->in->len - offset - FW_LENGTH_SIZE < len) {
+        if (priv->read_buf->len - offset - FW_LENGTH_SIZE < len) {
             break;
         }
-        reason =
-            handle_message(c, priv->in->data + offset + FW_LENGTH_SIZE, len);
+        reason = handle_message(
+            c, priv->read_buf->data + offset + FW_LENGTH_SIZE, len);
         offset += FW_LENGTH_SIZE + len;
     }
-    g_byte_array_remove_range(priv->in, 0, (guint)offset);
+    g_byte_array_remove_range(priv->read_buf, 0, (guint)offset);
     return reason;
 }
 
@@ -382,7 +383,7 @@
     const char *reason;
 
     if (c->priv->state != FW_CONN_CLOSED && n > 0) {
-        g_byte_array_append(c->priv->in, c->priv->buf, (guint)n);
+        g_byte_array_append(c->priv->read_buf, c->priv->read_chunk, (guint)n);
         reason = handle_input(c);
     }
     else {
@@ -403,8 +404,9 @@
 
     priv->pending_ops++;
     g_input_stream_read_async(
-        g_io_stream_get_input_stream(G_IO_STREAM(priv->io)), priv->buf,
-        sizeof(priv->buf), G_PRIORITY_DEFAULT, priv->cancel, on_read, c);
+        g_io_stream_get_input_stream(G_IO_STREAM(priv->io)), priv->read_chunk,
+        sizeof(priv->read_chunk), G_PRIORITY_DEFAULT, priv->cancel, on_read,
+        c);
 }
 
 static gboolean
@@ -425,8 +427,8 @@
     Fw_List_Init(&c->link);
     priv->opts = *opts;
     priv->cancel = g_cancellable_new();
-    priv->in = g_byte_array_new();
-    priv->out = g_byte_array_new();
+    priv->read_buf = g_byte_array_new();
+    priv->write_buf = g_byte_array_new();
     priv->handshake_timer =
         g_timeout_source_new((guint)(FW_HANDSHAKE_TIMEOUT_US / FW_MSEC));
     g_source_set_callback(priv->handshake_timer, on_handshake_timeout, c,
--- a/src/io/shell.c
+++ b/src/io/shell.c
@@ -23,7 +23,7 @@
  * @next_tick_us: monotonic time of the next tick, INT64_MAX for none
  * @draining: a graceful shutdown was requested
  * @exiting: the core requested the exit; it is no longer stepped
- * @flush_until_us: when to stop waiting for responses to be written
+ * @flush_deadline_us: when to stop waiting for responses to be written
  * @flush_source: GLib source that polls for unwritten responses, or 0
  */
 struct fw_shell {
@@ -40,12 +40,12 @@
     int executing;
     int64_t now_us;
     int64_t next_tick_us;
-    GSource *timer;
+    GSource *tick_source;
     guint signals[2];
     int draining;
     int exiting;
     int stopped;
-    int64_t flush_until_us;
+    int64_t flush_deadline_us;
     guint flush_source;
     char callers_url[FW_URL_MAX];
     char operators_url[FW_URL_MAX];
@@ -82,7 +82,7 @@
 {
     if (at_us < sh->next_tick_us) {
         sh->next_tick_us = at_us;
-        g_source_set_ready_time(sh->timer, at_us);
+        g_source_set_ready_time(sh->tick_source, at_us);
     }
 }
 
@@ -114,12 +114,12 @@
 }
 
 static gboolean
-on_timer(gpointer data)
+on_tick(gpointer data)
 {
     struct fw_shell *sh = data;
 
     sh->next_tick_us = INT64_MAX;
-    g_source_set_ready_time(sh->timer, -1);
+    g_source_set_ready_time(sh->tick_source, -1);
     step(sh, &(struct fw_event){.kind = FW_EV_TICK});
     return G_SOURCE_CONTINUE;
 }
@@ -132,12 +132,12 @@
 }
 
 static gboolean
-on_flush(gpointer data)
+on_flush_poll(gpointer data)
 {
     struct fw_shell *sh = data;
 
     if (Fw_Http_HasPendingResponses(sh->http) &&
-        g_get_monotonic_time() < sh->flush_until_us) {
+        g_get_monotonic_time() < sh->flush_deadline_us) {
         return G_SOURCE_CONTINUE;
     }
     sh->flush_source = 0;
@@ -150,7 +150,8 @@
 {
     struct fw_shell *sh = ctx;
 
-    sh->flush_source = g_timeout_add(FW_FLUSH_POLL_INTERVAL_MS, on_flush, sh);
+    sh->flush_source =
+        g_timeout_add(FW_FLUSH_POLL_INTERVAL_MS, on_flush_poll, sh);
 }
 
 static void
@@ -160,7 +161,7 @@
         return;
     }
     sh->exiting = 1;
-    sh->flush_until_us = g_get_monotonic_time() + FW_FLUSH_TIMEOUT_US;
+    sh->flush_deadline_us = g_get_monotonic_time() + FW_FLUSH_TIMEOUT_US;
     Fw_RegistryClient_Unregister(sh->registry, on_unregistered, sh);
 }
 
@@ -220,8 +221,8 @@
     sh->loop = g_main_loop_new(NULL, FALSE);
     sh->next_tick_us = INT64_MAX;
     Fw_List_Init(&sh->pending);
-    sh->timer = g_source_new(&timer_funcs, sizeof(GSource));
-    g_source_set_callback(sh->timer, on_timer, sh, NULL);
+    sh->tick_source = g_source_new(&timer_funcs, sizeof(GSource));
+    g_source_set_callback(sh->tick_source, on_tick, sh, NULL);
     sh->peers = Fw_Peers_New(&(struct fw_sink){.ctx = sh, .event = on_event},
                              self, opts->secret);
     *err = Fw_Peers_Listen(sh->peers, opts->peers, self->addr);
@@ -292,7 +293,7 @@
     signal(SIGPIPE, SIG_IGN);
     sh->signals[0] = g_unix_signal_add(SIGTERM, on_signal, sh);
     sh->signals[1] = g_unix_signal_add(SIGINT, on_signal, sh);
-    g_source_attach(sh->timer, NULL);
+    g_source_attach(sh->tick_source, NULL);
     Fw_Note_Log(LOG_NOTICE, "listening", "callers", sh->callers_url,
                 "operators", sh->operators_url, "peers", sh->self.addr, NULL);
     Fw_RegistryClient_Register(sh->registry);
@@ -369,8 +370,8 @@
         Fw_List_Remove(&a->link);
         Fw_Action_Free(a);
     }
-    g_source_destroy(sh->timer);
-    g_source_unref(sh->timer);
+    g_source_destroy(sh->tick_source);
+    g_source_unref(sh->tick_source);
     g_main_loop_unref(sh->loop);
     g_free(sh);
 }
