--- a/src/io/api.h
+++ b/src/io/api.h
@@ -100,16 +100,16 @@
  * by a chunk with token counts, if requested, and by "data: [DONE]".
  */
 void
-Fw_Api_WriteFirstChunk(const struct fw_api_response *a, GString *out);
+Fw_Api_WriteFirstChunk(const struct fw_api_response *resp, GString *out);
 void
-Fw_Api_WriteTextChunk(const struct fw_api_response *a, const char *text,
+Fw_Api_WriteTextChunk(const struct fw_api_response *resp, const char *text,
                       GString *out);
 void
-Fw_Api_WriteFinalChunk(const struct fw_api_response *a,
+Fw_Api_WriteFinalChunk(const struct fw_api_response *resp,
                        const struct fw_call_end *end, GString *out);
 /* Writes the response to a request without "stream". */
 void
-Fw_Api_WriteResponse(const struct fw_api_response *a, const char *text,
+Fw_Api_WriteResponse(const struct fw_api_response *resp, const char *text,
                      const struct fw_call_end *end, GString *out);
 /* Writes {"error":{...}}, with the run verdict @ran as a member. */
 void
--- a/src/io/api_write.c
+++ b/src/io/api_write.c
@@ -4,34 +4,35 @@
 #include "io/json.h"
 
 static int
-is_chat(const struct fw_api_response *a)
+is_chat(const struct fw_api_response *resp)
 {
-    return a->api == FW_API_CHAT;
+    return resp->api == FW_API_CHAT;
 }
 
 /* Opens the object with the members id, object, created and model. */
 static void
-add_common_members(const struct fw_api_response *a, const char *object,
+add_common_members(const struct fw_api_response *resp, const char *object,
                    GString *out)
 {
-    char *id =
-        g_strconcat(is_chat(a) ? "chatcmpl-" : "cmpl-", a->request_id, NULL);
+    char *id = g_strconcat(is_chat(resp) ? "chatcmpl-" : "cmpl-",
+                           resp->request_id, NULL);
 
     g_string_append(out, "{\"id\":");
     Fw_Json_AddStr(out, id);
     g_string_append_printf(
         out, ",\"object\":\"%s\",\"created\":%" PRId64 ",\"model\":", object,
-        a->created_s);
-    Fw_Json_AddStr(out, a->model);
+        resp->created_s);
+    Fw_Json_AddStr(out, resp->model);
     g_free(id);
 }
 
 static void
-begin_chunk(const struct fw_api_response *a, GString *out)
+begin_chunk(const struct fw_api_response *resp, GString *out)
 {
     g_string_append(out, "data: ");
     add_common_members(
-        a, is_chat(a) ? "chat.completion.chunk" : "text_completion", out);
+        resp, is_chat(resp) ? "chat.completion.chunk" : "text_completion",
+        out);
 }
 
 static void
@@ -42,9 +43,9 @@
 
 /* With include_usage, every chunk but the last has "usage":null. */
 static void
-add_null_usage(const struct fw_api_response *a, GString *out)
+add_null_usage(const struct fw_api_response *resp, GString *out)
 {
-    if (a->include_usage) {
+    if (resp->include_usage) {
         g_string_append(out, ",\"usage\":null");
     }
 }
@@ -73,49 +74,50 @@
 }
 
 void
-Fw_Api_WriteFirstChunk(const struct fw_api_response *a, GString *out)
+Fw_Api_WriteFirstChunk(const struct fw_api_response *resp, GString *out)
 {
-    if (!is_chat(a)) {
+    if (!is_chat(resp)) {
         return;
     }
-    begin_chunk(a, out);
+    begin_chunk(resp, out);
     g_string_append(out, ",\"choices\":[{\"index\":0,\"delta\":{\"role\":"
                          "\"assistant\",\"content\":\"\"},\"logprobs\":null,"
                          "\"finish_reason\":null}]");
-    add_null_usage(a, out);
+    add_null_usage(resp, out);
     end_chunk(out);
 }
 
 void
-Fw_Api_WriteTextChunk(const struct fw_api_response *a, const char *text,
+Fw_Api_WriteTextChunk(const struct fw_api_response *resp, const char *text,
                       GString *out)
 {
-    begin_chunk(a, out);
-    g_string_append(out, is_chat(a) ? ",\"choices\":[{\"index\":0,\"delta\":{"
-                                      "\"content\":"
-                                    : ",\"choices\":[{\"index\":0,\"text\":");
+    begin_chunk(resp, out);
+    g_string_append(out, is_chat(resp)
+                             ? ",\"choices\":[{\"index\":0,\"delta\":{"
+                               "\"content\":"
+                             : ",\"choices\":[{\"index\":0,\"text\":");
     Fw_Json_AddStr(out, text);
-    g_string_append(out, is_chat(a) ? "}" : "");
+    g_string_append(out, is_chat(resp) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":null}]");
-    add_null_usage(a, out);
+    add_null_usage(resp, out);
     end_chunk(out);
 }
 
 void
-Fw_Api_WriteFinalChunk(const struct fw_api_response *a,
+Fw_Api_WriteFinalChunk(const struct fw_api_response *resp,
                        const struct fw_call_end *end, GString *out)
 {
-    begin_chunk(a, out);
-    g_string_append(out, is_chat(a)
+    begin_chunk(resp, out);
+    g_string_append(out, is_chat(resp)
                              ? ",\"choices\":[{\"index\":0,\"delta\":{}"
                              : ",\"choices\":[{\"index\":0,\"text\":\"\"");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":");
     Fw_Json_AddStr(out, end->reason);
     g_string_append(out, "}]");
-    if (a->include_usage) {
-        add_null_usage(a, out);
+    if (resp->include_usage) {
+        add_null_usage(resp, out);
         end_chunk(out);
-        begin_chunk(a, out);
+        begin_chunk(resp, out);
         g_string_append(out, ",\"choices\":[]");
         add_usage(end, out);
     }
@@ -125,17 +127,17 @@
 }
 
 void
-Fw_Api_WriteResponse(const struct fw_api_response *a, const char *text,
+Fw_Api_WriteResponse(const struct fw_api_response *resp, const char *text,
                      const struct fw_call_end *end, GString *out)
 {
-    add_common_members(a, is_chat(a) ? "chat.completion" : "text_completion",
-                       out);
-    g_string_append(out, is_chat(a)
+    add_common_members(
+        resp, is_chat(resp) ? "chat.completion" : "text_completion", out);
+    g_string_append(out, is_chat(resp)
                              ? ",\"choices\":[{\"index\":0,\"message\":{"
                                "\"role\":\"assistant\",\"content\":"
                              : ",\"choices\":[{\"index\":0,\"text\":");
     Fw_Json_AddStr(out, text);
-    g_string_append(out, is_chat(a) ? "}" : "");
+    g_string_append(out, is_chat(resp) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":");
     Fw_Json_AddStr(out, end->reason);
     g_string_append(out, "}]");
