--- a/src/io/api_write.c
+++ b/src/io/api_write.c
@@ -4,32 +4,35 @@
 #include "io/json.h"
 
 static int
-is_chat(const struct fw_api_answer *a)
+is_chat(const struct fw_api_response *resp)
 {
-    return a->api == FW_API_CHAT;
+    return resp->api == FW_API_CHAT;
 }
 
-/* {"id":...,"object":...,"created":...,"model":... */
+/* Opens the object with the members id, object, created and model. */
 static void
-add_head(const struct fw_api_answer *a, const char *object, GString *out)
+add_common_members(const struct fw_api_response *resp, const char *object,
+                   GString *out)
 {
-    char *id =
-        g_strconcat(is_chat(a) ? "chatcmpl-" : "cmpl-", a->request_id, NULL);
+    char *id = g_strconcat(is_chat(resp) ? "chatcmpl-" : "cmpl-",
+                           resp->request_id, NULL);
 
     g_string_append(out, "{\"id\":");
     Fw_Json_AddStr(out, id);
     g_string_append_printf(
         out, ",\"object\":\"%s\",\"created\":%" PRId64 ",\"model\":", object,
-        a->created_s);
-    Fw_Json_AddStr(out, a->model);
+        resp->created_s);
+    Fw_Json_AddStr(out, resp->model);
     g_free(id);
 }
 
 static void
-begin_chunk(const struct fw_api_answer *a, GString *out)
+begin_chunk(const struct fw_api_response *resp, GString *out)
 {
     g_string_append(out, "data: ");
-    add_head(a, is_chat(a) ? "chat.completion.chunk" : "text_completion", out);
+    add_common_members(
+        resp, is_chat(resp) ? "chat.completion.chunk" : "text_completion",
+        out);
 }
 
 static void
@@ -38,11 +41,11 @@
     g_string_append(out, "}\n\n");
 }
 
-/* A client that asked for usage expects the member in every chunk. */
+/* With include_usage, every chunk but the last has "usage":null. */
 static void
-add_no_usage(const struct fw_api_answer *a, GString *out)
+add_null_usage(const struct fw_api_response *resp, GString *out)
 {
-    if (a->include_usage) {
+    if (resp->include_usage) {
         g_string_append(out, ",\"usage\":null");
     }
 }
@@ -59,7 +62,7 @@
 }
 
 static void
-add_engines(const struct fw_call_end *end, GString *out)
+add_routing_details(const struct fw_call_end *end, GString *out)
 {
     g_string_append(out, ",\"fuchsiaward\":{\"prefill\":");
     Fw_Json_AddStr(out, end->prefill);
@@ -71,73 +74,75 @@
 }
 
 void
-Fw_Api_WriteFirst(const struct fw_api_answer *a, GString *out)
+Fw_Api_WriteFirstChunk(const struct fw_api_response *resp, GString *out)
 {
-    if (!is_chat(a)) {
+    if (!is_chat(resp)) {
         return;
     }
-    begin_chunk(a, out);
+    begin_chunk(resp, out);
     g_string_append(out, ",\"choices\":[{\"index\":0,\"delta\":{\"role\":"
                          "\"assistant\",\"content\":\"\"},\"logprobs\":null,"
                          "\"finish_reason\":null}]");
-    add_no_usage(a, out);
+    add_null_usage(resp, out);
     end_chunk(out);
 }
 
 void
-Fw_Api_WritePiece(const struct fw_api_answer *a, const char *text,
-                  GString *out)
+Fw_Api_WriteTextChunk(const struct fw_api_response *resp, const char *text,
+                      GString *out)
 {
-    begin_chunk(a, out);
-    g_string_append(out, is_chat(a) ? ",\"choices\":[{\"index\":0,\"delta\":{"
-                                      "\"content\":"
-                                    : ",\"choices\":[{\"index\":0,\"text\":");
+    begin_chunk(resp, out);
+    g_string_append(out, is_chat(resp)
+                             ? ",\"choices\":[{\"index\":0,\"delta\":{"
+                               "\"content\":"
+                             : ",\"choices\":[{\"index\":0,\"text\":");
     Fw_Json_AddStr(out, text);
-    g_string_append(out, is_chat(a) ? "}" : "");
+    g_string_append(out, is_chat(resp) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":null}]");
-    add_no_usage(a, out);
+    add_null_usage(resp, out);
     end_chunk(out);
 }
 
 void
-Fw_Api_WriteLast(const struct fw_api_answer *a, const struct fw_call_end *end,
-                 GString *out)
+Fw_Api_WriteFinalChunk(const struct fw_api_response *resp,
+                       const struct fw_call_end *end, GString *out)
 {
-    begin_chunk(a, out);
-    g_string_append(out, is_chat(a)
+    begin_chunk(resp, out);
+    g_string_append(out, is_chat(resp)
                              ? ",\"choices\":[{\"index\":0,\"delta\":{}"
                              : ",\"choices\":[{\"index\":0,\"text\":\"\"");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":");
     Fw_Json_AddStr(out, end->reason);
     g_string_append(out, "}]");
-    if (a->include_usage) {
-        add_no_usage(a, out);
+    if (resp->include_usage) {
+        add_null_usage(resp, out);
         end_chunk(out);
-        begin_chunk(a, out);
+        begin_chunk(resp, out);
         g_string_append(out, ",\"choices\":[]");
         add_usage(end, out);
     }
-    add_engines(end, out);
+    add_routing_details(end, out);
     end_chunk(out);
     g_string_append(out, "data: [DONE]\n\n");
 }
 
 void
-Fw_Api_WriteWhole(const struct fw_api_answer *a, const char *text,
-                  const struct fw_call_end *end, GString *out)
+Fw_Api_WriteResponse(const struct fw_api_response *resp, const char *text,
+                     const struct fw_call_end *end, GString *out)
 {
-    add_head(a, is_chat(a) ? "chat.completion" : "text_completion", out);
-    g_string_append(out, is_chat(a)
+    add_common_members(
+        resp, is_chat(resp) ? "chat.completion" : "text_completion", out);
+    g_string_append(out, is_chat(resp)
                              ? ",\"choices\":[{\"index\":0,\"message\":{"
                                "\"role\":\"assistant\",\"content\":"
                              : ",\"choices\":[{\"index\":0,\"text\":");
     Fw_Json_AddStr(out, text);
-    g_string_append(out, is_chat(a) ? "}" : "");
+    g_string_append(out, is_chat(resp) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":");
     Fw_Json_AddStr(out, end->reason);
     g_string_append(out, "}]");
     add_usage(end, out);
-    add_engines(end, out);
+    add_routing_details(end, out);
     g_string_append_c(out, '}');
 }
 
--- a/src/io/log_client.c
+++ b/src/io/log_client.c
@@ -7,21 +7,25 @@
 #include "io/fetch.h"
 #include "io/json.h"
 
-#define FW_LOG_CONNS 64
+#define FW_LOG_CONNS_MAX 64
 #define FW_LOG_TIMEOUT_US (5 * FW_SEC)
-#define FW_LOG_BODY_MAX (16 << 20)
+#define FW_LOG_BODY_MAX_BYTES (16 << 20)
 
 struct fw_log_client {
     struct fw_sink sink;
     SoupSession *session;
     char *url;
-    struct fw_list all;
+    struct fw_list ops;
     struct fw_metric appends;
-    struct fw_metric unknown;
+    struct fw_metric unacknowledged;
     struct fw_metric read_errors;
 };
 
-/** struct fw_log_op - one call under way. */
+/**
+ * struct fw_log_op - a request in progress.
+ * @ticket: chosen by the core, returned with the event
+ * @sent_us: monotonic time of the request
+ */
 struct fw_log_op {
     struct fw_log_client *client;
     struct fw_fetch *fetch;
@@ -38,19 +42,19 @@
     struct fw_log_client *c = g_new0(struct fw_log_client, 1);
 
     c->sink = *sink;
-    c->session = Fw_Fetch_Session(FW_LOG_CONNS, FW_LOG_CONNS);
+    c->session = Fw_Fetch_Session(FW_LOG_CONNS_MAX, FW_LOG_CONNS_MAX);
     c->url = g_strdup(url);
-    Fw_List_Init(&c->all);
+    Fw_List_Init(&c->ops);
     c->appends = (struct fw_metric){.name = "fw_log_appends_total",
                                     .help = "Appends sent to the log"};
-    c->unknown = (struct fw_metric){
+    c->unacknowledged = (struct fw_metric){
         .name = "fw_log_appends_unknown_total",
         .help = "Appends sent to the log that were not answered"};
     c->read_errors =
         (struct fw_metric){.name = "fw_log_read_errors_total",
                            .help = "Reads of the log that failed"};
     Fw_Metrics_Add(metrics, &c->appends);
-    Fw_Metrics_Add(metrics, &c->unknown);
+    Fw_Metrics_Add(metrics, &c->unacknowledged);
     Fw_Metrics_Add(metrics, &c->read_errors);
     return c;
 }
@@ -68,7 +72,7 @@
     struct fw_list *pos;
     struct fw_list *tmp;
 
-    FW_LIST_EACH_SAFE (pos, tmp, &c->all) {
+    FW_LIST_EACH_SAFE (pos, tmp, &c->ops) {
         struct fw_log_op *op = FW_LIST_ENTRY(pos, struct fw_log_op, link);
 
         Fw_Fetch_Cancel(op->fetch);
@@ -89,7 +93,7 @@
     op->ticket = ticket;
     g_strlcpy(op->stream, stream, sizeof(op->stream));
     op->sent_us = g_get_monotonic_time();
-    Fw_List_Append(&c->all, &op->link);
+    Fw_List_Append(&c->ops, &op->link);
     return op;
 }
 
@@ -102,22 +106,22 @@
     return Fw_Json_Parse(data, len);
 }
 
-/* Refused, or nothing was sent: no record of it can be in the log. */
+/* Rejected, or never sent: the records are certainly not in the log. */
 static int
-surely_not_done(const struct fw_fetch_result *r)
+is_definite_failure(const struct fw_fetch_result *r)
 {
     return r->ran == FW_RAN_NO || r->status == 503 ||
            (r->status >= 400 && r->status < 500);
 }
 
 static int
-read_first(const struct fw_fetch_result *r, uint64_t *first)
+parse_append_result(const struct fw_fetch_result *r, uint64_t *first)
 {
     JsonNode *root;
     int64_t v = 0;
     int rc = -EIO;
 
-    if (surely_not_done(r)) {
+    if (is_definite_failure(r)) {
         return -EAGAIN;
     }
     if (r->err || r->status != 200) {
@@ -144,9 +148,9 @@
 
     ev.u.appended.ticket = op->ticket;
     g_strlcpy(ev.u.appended.stream, op->stream, sizeof(ev.u.appended.stream));
-    ev.u.appended.err = read_first(r, &ev.u.appended.first_offset);
+    ev.u.appended.err = parse_append_result(r, &ev.u.appended.first);
     if (ev.u.appended.err == -EIO) {
-        c->unknown.value++;
+        c->unacknowledged.value++;
     }
     free_op(op);
     c->sink.event(c->sink.ctx, &ev);
@@ -171,14 +175,14 @@
     json_builder_end_object(b);
     json = Fw_Json_Take(b);
     msg = Fw_Fetch_Message("POST", url, json);
-    /* Sent again by the library, the records would be in the log twice. */
+    /* No automatic resend by libsoup: it would append the records twice. */
     soup_message_add_flags(msg, SOUP_MESSAGE_NEW_CONNECTION);
     c->appends.value++;
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
         .msg = msg,
         .timeout_us = FW_LOG_TIMEOUT_US,
-        .body_max = FW_LOG_BODY_MAX,
+        .body_max = FW_LOG_BODY_MAX_BYTES,
         .ctx = op,
         .done = on_appended,
     });
@@ -198,7 +202,7 @@
     return 0;
 }
 
-/* @texts borrows from @obj and is to be freed by the caller. */
+/* @texts is freed by the caller; its strings belong to @obj. */
 static int
 read_records(JsonObject *obj, struct fw_log_records *out, const char ***texts)
 {
@@ -273,7 +277,7 @@
         .session = c->session,
         .msg = Fw_Fetch_Message("GET", url, NULL),
         .timeout_us = r->wait_us + FW_LOG_TIMEOUT_US,
-        .body_max = FW_LOG_BODY_MAX,
+        .body_max = FW_LOG_BODY_MAX_BYTES,
         .ctx = op,
         .done = on_records,
     });
