--- a/src/io/engine_decode.c
+++ b/src/io/engine_decode.c
@@ -164,7 +164,7 @@
 }
 
 static int
-read_held_requests(JsonObject *obj, struct fw_up_held *held,
+read_held_requests(JsonObject *obj, struct fw_up_request_list *held,
                    struct fw_engine_response *resp)
 {
     JsonArray *arr;
@@ -213,7 +213,7 @@
     int rc;
 
     if (!obj || read_count(obj, "seq", INT64_MAX, &seq) ||
-        read_prefix(obj, &e->prefix) ||
+        read_prefix(obj, &e->prefix_hash) ||
         read_optional_count(obj, "tokens", FW_TOKENS_MAX, &e->tokens)) {
         return -EBADMSG;
     }
@@ -272,9 +272,9 @@
         return read_ms(obj, "transfer_ms", &ev->u.transfer_us);
     case FW_UP_LOAD_REPORT:
         return read_report(obj, &ev->u.report);
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         return read_held_requests(obj, &ev->u.held, resp);
-    case FW_UP_CACHE:
+    case FW_UP_CACHE_EVENTS:
         return read_cache(obj, &ev->u.cache, resp);
     case FW_UP_DECODE:
     case FW_UP_RESUME:
--- a/src/io/engine_encode.c
+++ b/src/io/engine_encode.c
@@ -207,11 +207,11 @@
         return encode_decode(up);
     case FW_UP_CANCEL:
         return encode_cancel(up);
-    case FW_UP_LOAD:
+    case FW_UP_LOAD_REPORT:
         return encode_without_body(up, "GET", "/v1/load");
-    case FW_UP_HELD:
+    case FW_UP_LIST_REQUESTS:
         return encode_without_body(up, "GET", "/v1/requests");
-    case FW_UP_CACHE:
+    case FW_UP_CACHE_EVENTS:
         return encode_cache(up);
     case FW_UP_ORDER:
         return encode_order(up);
--- a/src/io/engine_wire.h
+++ b/src/io/engine_wire.h
@@ -33,7 +33,7 @@
 /**
  * struct fw_engine_response - owns the memory that a decoded event refers to.
  * @root: parsed JSON, or NULL
- * @request_ids: ids of FW_UP_HELD; the strings belong to @root
+ * @request_ids: ids of FW_UP_LIST_REQUESTS; the strings belong to @root
  * @attached: per request id, nonzero while its client is connected
  */
 struct fw_engine_response {
--- a/src/io/http_call.c
+++ b/src/io/http_call.c
@@ -110,11 +110,11 @@
 
     call->req.http->slow_readers.value++;
     Fw_HttpCall_ReportDisconnect(call);
-    Fw_Caller_Cut(caller);
+    Fw_Caller_Abort(caller);
 }
 
 static void
-handle_piece(struct fw_http_call *call, const struct fw_call_piece *piece)
+handle_piece(struct fw_http_call *call, const struct fw_call_token *piece)
 {
     GString *out;
 
@@ -129,7 +129,7 @@
     Fw_Api_WriteTextChunk(&call->response, piece->text, out);
     write_stream(call, out);
     g_string_free(out, TRUE);
-    if (Fw_Caller_Pending(call->req.caller) > FW_STREAM_QUEUE_MAX_BYTES) {
+    if (Fw_Caller_Unsent(call->req.caller) > FW_STREAM_QUEUE_MAX_BYTES) {
         disconnect_slow_reader(call);
     }
 }
@@ -181,7 +181,7 @@
 }
 
 static void
-handle_answer(struct fw_http_call *call, const struct fw_call_answer *answer)
+handle_answer(struct fw_http_call *call, const struct fw_call_response *answer)
 {
     struct fw_http_req req = call->req;
     char ran[40] = "";
@@ -233,7 +233,7 @@
     case FW_ACT_CALL_START:
         handle_start(call, &a->u.start);
         break;
-    case FW_ACT_CALL_PIECE:
+    case FW_ACT_CALL_TOKEN:
         handle_piece(call, &a->u.piece);
         break;
     case FW_ACT_CALL_END:
@@ -242,7 +242,7 @@
     case FW_ACT_CALL_FAIL:
         handle_fail(call, &a->u.fail);
         break;
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         handle_answer(call, &a->u.answer);
         break;
     default:
--- a/src/io/http_priv.h
+++ b/src/io/http_priv.h
@@ -42,7 +42,7 @@
 
 /**
  * struct fw_http_call - a request passed to the core and not yet answered.
- * @unary: answered by a single FW_ACT_CALL_ANSWER
+ * @unary: answered by a single FW_ACT_CALL_RESPONSE
  * @stream: the response is sent as server-sent events
  * @started: FW_ACT_CALL_START was received
  * @buffered_text: text received so far for a response without streaming
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -113,9 +113,9 @@
 
 static const struct fw_http_ops ops = {
     .request = on_request,
-    .gone = on_disconnected,
-    .refused = on_rejected,
-    .refusal = Fw_HttpReply_FormatRejection,
+    .disconnected = on_disconnected,
+    .rejected = on_rejected,
+    .format_rejection = Fw_HttpReply_FormatRejection,
 };
 
 int
@@ -125,12 +125,12 @@
     struct fw_http_limits l = {
         .header_bytes = h->opts.header_max,
         .body_bytes = h->opts.body_max,
-        .held_bytes = SIZE_MAX,
-        .head_us = h->opts.read_timeout_us,
-        .body_us = h->opts.read_timeout_us,
-        .whole_us = h->opts.read_timeout_us,
-        .idle_us = FW_KEEPALIVE_TIMEOUT_US,
-        .stall_us = FW_WRITE_STALL_TIMEOUT_US,
+        .buffered_bytes = SIZE_MAX,
+        .head_timeout_us = h->opts.read_timeout_us,
+        .body_idle_timeout_us = h->opts.read_timeout_us,
+        .request_timeout_us = h->opts.read_timeout_us,
+        .keep_alive_timeout_us = FW_KEEPALIVE_TIMEOUT_US,
+        .write_stall_timeout_us = FW_WRITE_STALL_TIMEOUT_US,
     };
     struct fw_http_listener *p = &h->ports[port];
     int err = 0;
@@ -152,7 +152,7 @@
     int n = 0;
 
     for (int i = 0; i < FW_PORT_COUNT; i++) {
-        n += h->ports[i].server ? Fw_Server_Busy(h->ports[i].server) : 0;
+        n += h->ports[i].server ? Fw_Server_CountBusy(h->ports[i].server) : 0;
     }
     return n > 0;
 }
--- a/src/io/list_client.c
+++ b/src/io/list_client.c
@@ -167,8 +167,8 @@
 on_entries_read(void *ctx, const struct fw_fetch_result *r)
 {
     struct fw_registry_client *c = ctx;
-    struct fw_event ev = {.kind = FW_EV_LISTED};
-    struct fw_list_entry *entries = NULL;
+    struct fw_event ev = {.kind = FW_EV_REGISTRY};
+    struct fw_registry_entry *entries = NULL;
     JsonNode *root = NULL;
 
     GBytes *body;
--- a/src/io/list_client.h
+++ b/src/io/list_client.h
@@ -1,7 +1,7 @@
 /*
  * Client of the platform's service registry ("list" in settings and URLs),
- * which names all instances and upstreams. Executes FW_ACT_LIST_READ, emits
- * FW_EV_LISTED and maintains this instance's own entry.
+ * which names all instances and upstreams. Executes FW_ACT_REGISTRY_READ,
+ * emits FW_EV_REGISTRY and maintains this instance's own entry.
  */
 #ifndef FW_IO_LIST_CLIENT_H
 #define FW_IO_LIST_CLIENT_H
--- a/src/io/log_client.c
+++ b/src/io/log_client.c
@@ -148,7 +148,7 @@
 
     ev.u.appended.ticket = op->ticket;
     g_strlcpy(ev.u.appended.stream, op->stream, sizeof(ev.u.appended.stream));
-    ev.u.appended.err = parse_append_result(r, &ev.u.appended.first);
+    ev.u.appended.err = parse_append_result(r, &ev.u.appended.first_offset);
     if (ev.u.appended.err == -EIO) {
         c->unacknowledged.value++;
     }
--- a/src/io/shell.c
+++ b/src/io/shell.c
@@ -101,7 +101,7 @@
         Fw_Note_Log(LOG_ERR, "event_refused", NULL);
     }
     schedule_tick(sh, out.wake_us);
-    while ((a = Fw_Actions_Take(&out))) {
+    while ((a = Fw_Actions_Pop(&out))) {
         Fw_List_Append(&sh->pending, &a->link);
     }
     execute_pending(sh);
@@ -173,7 +173,7 @@
     case FW_ACT_CALL_TOKEN:
     case FW_ACT_CALL_END:
     case FW_ACT_CALL_FAIL:
-    case FW_ACT_CALL_ANSWER:
+    case FW_ACT_CALL_RESPONSE:
         Fw_Http_HandleAction(sh->http, a);
         break;
     case FW_ACT_UP_START:
@@ -191,7 +191,7 @@
     case FW_ACT_LOG_READ:
         Fw_LogClient_Read(sh->log, &a->u.read);
         break;
-    case FW_ACT_LIST_READ:
+    case FW_ACT_REGISTRY_READ:
         Fw_RegistryClient_Read(sh->registry);
         break;
     case FW_ACT_NOTE:
--- a/src/io/up_client.c
+++ b/src/io/up_client.c
@@ -98,7 +98,7 @@
     if (up->phase == FW_UP_FAILED) {
         op->client->failed.value++;
     }
-    if (up->phase != FW_UP_PIECE) {
+    if (up->phase != FW_UP_TOKEN) {
         mark_ended(op);
     }
     sink.event(sink.ctx, &ev);
--- a/tests/io/test_bad_requests.c
+++ b/tests/io/test_bad_requests.c
@@ -196,7 +196,7 @@
     tcase_add_loop_test(tc, bad_requests_are_rejected_as_not_run, 0,
                         G_N_ELEMENTS(bad_requests));
     tcase_add_loop_test(tc, ambiguous_heads_are_rejected_on_both_ports, 0,
-                        FW_BAD_HEADS);
+                        FW_BAD_HEADS_COUNT);
     tcase_add_test(tc, endless_header_closes_the_connection);
     tcase_add_loop_test(tc, invalid_http_affects_no_other_connection, 0,
                         G_N_ELEMENTS(invalid_http));
--- a/tests/io/test_engine_wire.c
+++ b/tests/io/test_engine_wire.c
@@ -17,11 +17,11 @@
                          "\"queued_tokens\":7,\"kv_used\":5,\"kv_total\":9,"
                          "\"leaving\":true,\"role\":\"decode\",\"models\":["
                          "\"m@1\",\"m@1+a\"],\"more\":{}}");
-    struct fw_up_event ev = {.kind = FW_UP_LOAD};
+    struct fw_up_event ev = {.kind = FW_UP_LOAD_REPORT};
     struct fw_engine_response resp;
 
     ck_assert_int_eq(Fw_Engine_DecodeResponse(body, &ev, &resp), 0);
-    ck_assert_int_eq(ev.u.report.lag_us, 95500);
+    ck_assert_int_eq(ev.u.report.age_us, 95500);
     ck_assert_int_eq(ev.u.report.slots, 20);
     ck_assert_int_eq(ev.u.report.busy_slots, 3);
     ck_assert_int_eq(ev.u.report.queued_tokens, 7);
@@ -43,14 +43,14 @@
                           "\"00ff00ff00ff00ff\",\"tokens\":256,\"evicted\":"
                           "false},{\"seq\":8,\"prefix\":\"1\",\"tokens\":0,"
                           "\"evicted\":true}]}");
-    struct fw_up_event ev = {.kind = FW_UP_HELD};
+    struct fw_up_event ev = {.kind = FW_UP_LIST_REQUESTS};
     struct fw_engine_response resp;
 
     ck_assert_int_eq(Fw_Engine_DecodeResponse(held, &ev, &resp), 0);
     ck_assert_int_eq(ev.u.held.n, 2);
     ck_assert_str_eq(ev.u.held.requests[0], "one.7.1");
     Fw_Engine_ClearResponse(&resp);
-    ev = (struct fw_up_event){.kind = FW_UP_CACHE};
+    ev = (struct fw_up_event){.kind = FW_UP_CACHE_EVENTS};
     ck_assert_int_eq(Fw_Engine_DecodeResponse(cache, &ev, &resp), 0);
     ck_assert_int_eq(ev.u.cache.n, 2);
     ck_assert_uint_eq(ev.u.cache.next_seq, 9);
--- a/tests/io/test_upstream.c
+++ b/tests/io/test_upstream.c
@@ -407,7 +407,7 @@
     struct fw_up_start s;
 
     begin(&h);
-    s = new_call(&h, FW_UP_LOAD);
+    s = new_call(&h, FW_UP_LOAD_REPORT);
     g_strlcpy(s.url, "not a url", sizeof(s.url));
     Fw_UpstreamClient_Start(h.client, &s);
     ck_assert_str_eq(h.core.seen->str, "");
