--- a/bench/bench_open.c
+++ b/bench/bench_open.c
@@ -10,7 +10,7 @@
 #include <sys/socket.h>
 
 #include "io/addr.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "io/shell.h"
 
 #define FW_OPEN_CALLS 1000
@@ -87,7 +87,7 @@
     int err;
 
     Fw_Metrics_Init(&metrics);
-    Fw_Note_Setup("bench", fopen("/dev/null", "w"));
+    Fw_Logger_Setup("bench", fopen("/dev/null", "w"));
     shell = Fw_Shell_New(&opts, &self, &err);
     if (!shell || Fw_Shell_Start(shell, &core)) {
         die("can't start the shell");
--- a/bench/load/http.c
+++ b/bench/load/http.c
@@ -25,13 +25,13 @@
                     const char *json, const char *key, GBytes **body)
 {
     struct sync_call w = {.loop = g_main_loop_new(NULL, FALSE)};
-    SoupMessage *msg = Fw_Fetch_Message(method, url, json);
+    SoupMessage *msg = Fw_Fetch_NewMessage(method, url, json);
     struct fw_fetch_opts opts = {.session = session,
                                  .msg = msg,
-                                 .timeout_us = 20 * FW_SEC,
+                                 .idle_timeout_us = 20 * FW_SEC,
                                  .body_max = FW_RESPONSE_MAX_BYTES,
                                  .ctx = &w,
-                                 .done = on_done};
+                                 .on_done = on_done};
 
     if (!msg) {
         g_main_loop_unref(w.loop);
--- a/bench/load/report.c
+++ b/bench/load/report.c
@@ -175,7 +175,7 @@
     }
     json_builder_end_object(b);
     json_builder_end_object(b);
-    return Fw_Json_Take(b);
+    return Fw_Json_FinishBuilder(b);
 }
 
 static void
--- a/bench/load/run.c
+++ b/bench/load/run.c
@@ -11,7 +11,7 @@
 {
     GString *err = g_string_new(NULL);
     struct fw_loadgen_fleet *f = Fw_LoadgenFleet_Read(fleet_file, err);
-    SoupSession *session = Fw_Fetch_Session(FW_CONNS_MAX, FW_CONNS_MAX);
+    SoupSession *session = Fw_Fetch_NewSession(FW_CONNS_MAX, FW_CONNS_MAX);
     char *keys[FW_LOADGEN_TEAMS] = {NULL};
     int rc = f ? 0 : -EINVAL;
     GArray *schedule;
--- a/bench/load/sender.c
+++ b/bench/load/sender.c
@@ -148,8 +148,8 @@
     json_builder_set_member_name(b, "stream");
     json_builder_add_boolean_value(b, TRUE);
     json_builder_end_object(b);
-    json = Fw_Json_Take(b);
-    msg = Fw_Fetch_Message("POST", url, json);
+    json = Fw_Json_FinishBuilder(b);
+    msg = Fw_Fetch_NewMessage("POST", url, json);
     if (msg && s->deadline_us) {
         GDateTime *now = g_date_time_new_now_utc();
         GDateTime *at = g_date_time_add(now, s->deadline_us);
@@ -181,7 +181,7 @@
     case FW_LOADGEN_ORDER:
         url = g_strconcat(base, "/v1/services/grid-desk/orders", NULL);
         body = g_strdup_printf("{\"order\":\"%s\"}", s->id);
-        msg = Fw_Fetch_Message("POST", url, body);
+        msg = Fw_Fetch_NewMessage("POST", url, body);
         g_free(body);
         g_free(url);
         if (msg) {
@@ -193,7 +193,7 @@
         break;
     }
     url = g_strconcat(base, "/v1/services/grid-desk/readings", NULL);
-    msg = Fw_Fetch_Message("GET", url, NULL);
+    msg = Fw_Fetch_NewMessage("GET", url, NULL);
     g_free(url);
     return msg;
 }
@@ -205,10 +205,10 @@
         sender->fleet->caller_urls[sender->next % (guint)sender->n_targets];
     struct call *call = g_new0(struct call, 1);
     struct fw_fetch_opts opts = {.session = sender->session,
-                                 .timeout_us = FW_IDLE_TIMEOUT_US,
+                                 .idle_timeout_us = FW_IDLE_TIMEOUT_US,
                                  .body_max = FW_BODY_MAX_BYTES,
                                  .ctx = call,
-                                 .done = on_done};
+                                 .on_done = on_done};
     SoupMessageHeaders *h;
     char *bearer = g_strconcat("Bearer ", sender->keys[s->team], NULL);
 
@@ -216,7 +216,7 @@
     call->req = s;
     call->msg = g_object_ref(build_message(sender, s, base));
     opts.msg = call->msg;
-    opts.line = s->kind == FW_LOADGEN_COMPLETION ? on_line : NULL;
+    opts.on_line = s->kind == FW_LOADGEN_COMPLETION ? on_line : NULL;
     h = soup_message_get_request_headers(call->msg);
     soup_message_headers_replace(h, "Authorization", bearer);
     soup_message_headers_replace(h, "X-Request-Id", s->id);
--- a/bench/load/teams.c
+++ b/bench/load/teams.c
@@ -68,7 +68,7 @@
     }
     json_builder_end_array(b);
     json_builder_end_object(b);
-    record = Fw_Json_Take(b);
+    record = Fw_Json_FinishBuilder(b);
     b = json_builder_new();
     json_builder_begin_object(b);
     json_builder_set_member_name(b, "records");
@@ -76,7 +76,7 @@
     json_builder_add_string_value(b, record);
     json_builder_end_array(b);
     json_builder_end_object(b);
-    body = Fw_Json_Take(b);
+    body = Fw_Json_FinishBuilder(b);
     g_free(record);
     g_free(at);
     g_date_time_unref(now);
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -7,7 +7,7 @@
 
 #include "daemon/ini.h"
 #include "daemon/settings.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "io/shell.h"
 #include "relayd/relayd.h"
 
@@ -91,13 +91,13 @@
     int rc = Fw_Shell_Start(shell, &core);
 
     if (rc) {
-        Fw_Note_Log(LOG_ERR, "listen_failed", "callers", s->shell.callers,
-                    "operators", s->shell.operators, "error", g_strerror(-rc),
-                    NULL);
+        Fw_Logger_Log(LOG_ERR, "listen_failed", "callers", s->shell.callers,
+                      "operators", s->shell.operators, "error",
+                      g_strerror(-rc), NULL);
     }
     else {
         Fw_Shell_Run(shell);
-        Fw_Note_Log(LOG_NOTICE, "stopped", NULL);
+        Fw_Logger_Log(LOG_NOTICE, "stopped", NULL);
     }
     Fw_Shell_Free(shell);
     Fw_Node_Free(node);
@@ -129,11 +129,11 @@
     s->node.self.boot = (uint64_t)(g_get_real_time() / FW_MSEC);
     s->node.seed = g_random_int();
     s->node.route.seed = g_random_int();
-    Fw_Note_Setup(s->node.self.name, stderr);
+    Fw_Logger_Setup(s->node.self.name, stderr);
     shell = Fw_Shell_New(&s->shell, &s->node.self, &err);
     if (!shell) {
-        Fw_Note_Log(LOG_ERR, "listen_failed", "peers", s->shell.peers, "error",
-                    g_strerror(-err), NULL);
+        Fw_Logger_Log(LOG_ERR, "listen_failed", "peers", s->shell.peers,
+                      "error", g_strerror(-err), NULL);
         return EX_UNAVAILABLE;
     }
     return serve(s, shell);
@@ -159,12 +159,12 @@
     raise_descriptor_limit();
     opts.relay.boot = (uint64_t)(g_get_real_time() / FW_MSEC);
     opts.relay.seed = g_random_int();
-    Fw_Note_SetupBounded(opts.relay.name, STDOUT_FILENO,
-                         (size_t)opts.log_buffer_bytes);
+    Fw_Logger_SetupNonblocking(opts.relay.name, STDOUT_FILENO,
+                               (size_t)opts.log_buffer_bytes);
     d = Fw_Relayd_New(&opts, path, &err);
     if (!d) {
-        Fw_Note_Log(LOG_ERR, "listen_failed", "callers", opts.callers_addr,
-                    "error", g_strerror(-err), NULL);
+        Fw_Logger_Log(LOG_ERR, "listen_failed", "callers", opts.callers_addr,
+                      "error", g_strerror(-err), NULL);
         return EX_UNAVAILABLE;
     }
     Fw_Relayd_Run(d);
--- a/src/io/api_parse.c
+++ b/src/io/api_parse.c
@@ -121,7 +121,7 @@
 append_content_parts(JsonArray *parts, GString *text, struct fw_api_error *err)
 {
     for (guint i = 0; i < json_array_get_length(parts); i++) {
-        JsonObject *part = Fw_Json_Element(parts, i);
+        JsonObject *part = Fw_Json_ObjectAt(parts, i);
         const char *type;
         const char *s;
 
@@ -177,7 +177,7 @@
             err, "messages must be an array with a message in it");
     }
     for (guint i = 0; i < json_array_get_length(arr); i++) {
-        if (append_message(Fw_Json_Element(arr, i), text, err)) {
+        if (append_message(Fw_Json_ObjectAt(arr, i), text, err)) {
             return -EBADMSG;
         }
     }
--- a/src/io/api_write.c
+++ b/src/io/api_write.c
@@ -18,11 +18,11 @@
                            resp->request_id, NULL);
 
     g_string_append(out, "{\"id\":");
-    Fw_Json_AddStr(out, id);
+    Fw_Json_AppendStr(out, id);
     g_string_append_printf(
         out, ",\"object\":\"%s\",\"created\":%" PRId64 ",\"model\":", object,
         resp->created_s);
-    Fw_Json_AddStr(out, resp->model);
+    Fw_Json_AppendStr(out, resp->model);
     g_free(id);
 }
 
@@ -65,9 +65,9 @@
 add_routing_details(const struct fw_call_end *end, GString *out)
 {
     g_string_append(out, ",\"fuchsiaward\":{\"prefill\":");
-    Fw_Json_AddStr(out, end->prefill);
+    Fw_Json_AppendStr(out, end->prefill);
     g_string_append(out, ",\"decode\":");
-    Fw_Json_AddStr(out, end->decode);
+    Fw_Json_AppendStr(out, end->decode);
     g_string_append_printf(
         out, ",\"transfer_ms\":%" PRId64 ",\"cached_tokens\":%" PRId64 "}",
         (int64_t)(end->transfer_us / FW_MSEC), end->cached_tokens);
@@ -96,7 +96,7 @@
                              ? ",\"choices\":[{\"index\":0,\"delta\":{"
                                "\"content\":"
                              : ",\"choices\":[{\"index\":0,\"text\":");
-    Fw_Json_AddStr(out, text);
+    Fw_Json_AppendStr(out, text);
     g_string_append(out, is_chat(resp) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":null}]");
     add_null_usage(resp, out);
@@ -112,7 +112,7 @@
                              ? ",\"choices\":[{\"index\":0,\"delta\":{}"
                              : ",\"choices\":[{\"index\":0,\"text\":\"\"");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":");
-    Fw_Json_AddStr(out, end->reason);
+    Fw_Json_AppendStr(out, end->reason);
     g_string_append(out, "}]");
     if (resp->include_usage) {
         add_null_usage(resp, out);
@@ -136,10 +136,10 @@
                              ? ",\"choices\":[{\"index\":0,\"message\":{"
                                "\"role\":\"assistant\",\"content\":"
                              : ",\"choices\":[{\"index\":0,\"text\":");
-    Fw_Json_AddStr(out, text);
+    Fw_Json_AppendStr(out, text);
     g_string_append(out, is_chat(resp) ? "}" : "");
     g_string_append(out, ",\"logprobs\":null,\"finish_reason\":");
-    Fw_Json_AddStr(out, end->reason);
+    Fw_Json_AppendStr(out, end->reason);
     g_string_append(out, "}]");
     add_usage(end, out);
     add_routing_details(end, out);
@@ -166,9 +166,9 @@
                   enum fw_ran ran, GString *out)
 {
     g_string_append(out, "{\"error\":{\"message\":");
-    Fw_Json_AddStr(out, message);
+    Fw_Json_AppendStr(out, message);
     g_string_append_printf(out,
                            ",\"type\":\"%s\",\"code\":", error_type(status));
-    Fw_Json_AddStr(out, code);
+    Fw_Json_AppendStr(out, code);
     g_string_append_printf(out, ",\"ran\":\"%s\"}}", Fw_Ran_Name(ran));
 }
--- a/src/io/engine_decode.c
+++ b/src/io/engine_decode.c
@@ -36,7 +36,7 @@
 {
     double ms;
 
-    if (Fw_Json_Number(obj, name, &ms) || !(ms >= 0 && ms < FW_MS_MAX)) {
+    if (Fw_Json_Double(obj, name, &ms) || !(ms >= 0 && ms < FW_MS_MAX)) {
         return -EBADMSG;
     }
     *out_us = (int64_t)(ms * FW_MSEC);
@@ -177,7 +177,7 @@
     resp->request_ids = g_new0(const char *, n + 1);
     resp->attached = g_new0(unsigned char, n + 1);
     for (guint i = 0; i < n; i++) {
-        JsonObject *item = Fw_Json_Element(arr, i);
+        JsonObject *item = Fw_Json_ObjectAt(arr, i);
         int attached = 0;
 
         if (!item || Fw_Json_Str(item, "id", &resp->request_ids[i])) {
@@ -237,7 +237,7 @@
     n = json_array_get_length(arr);
     resp->cache_events = g_new0(struct fw_up_cache_event, n + 1);
     for (guint i = 0; i < n; i++) {
-        if (read_cache_event(Fw_Json_Element(arr, i),
+        if (read_cache_event(Fw_Json_ObjectAt(arr, i),
                              &resp->cache_events[i])) {
             return -EBADMSG;
         }
--- a/src/io/engine_encode.c
+++ b/src/io/engine_encode.c
@@ -21,7 +21,7 @@
 end_body(JsonBuilder *b)
 {
     json_builder_end_object(b);
-    return Fw_Json_Take(b);
+    return Fw_Json_FinishBuilder(b);
 }
 
 static SoupMessage *
@@ -30,7 +30,7 @@
 {
     char *url = g_strconcat(up->url, path, NULL);
     char *json = end_body(b);
-    SoupMessage *msg = Fw_Fetch_Message("POST", url, json);
+    SoupMessage *msg = Fw_Fetch_NewMessage("POST", url, json);
 
     if (msg) {
         soup_message_add_flags(msg, flags);
@@ -131,7 +131,7 @@
                     const char *path)
 {
     char *url = g_strconcat(up->url, path, NULL);
-    SoupMessage *msg = Fw_Fetch_Message(method, url, NULL);
+    SoupMessage *msg = Fw_Fetch_NewMessage(method, url, NULL);
 
     g_free(url);
     return msg;
--- a/src/io/fetch.c
+++ b/src/io/fetch.c
@@ -81,14 +81,14 @@
     };
 
     if (!f->cancelled) {
-        if (!err && !f->opts.line) {
+        if (!err && !f->opts.on_line) {
             r.body = g_bytes_new(f->received->data, f->received->len);
         }
         if (f->response) {
             r.content_type = soup_message_headers_get_content_type(
                 soup_message_get_response_headers(f->opts.msg), NULL);
         }
-        f->opts.done(f->opts.ctx, &r);
+        f->opts.on_done(f->opts.ctx, &r);
         g_bytes_unref(r.body);
     }
     free_fetch(f);
@@ -97,7 +97,7 @@
 static int
 is_line_mode(const struct fw_fetch *f)
 {
-    return f->opts.line && soup_message_get_status(f->opts.msg) == 200;
+    return f->opts.on_line && soup_message_get_status(f->opts.msg) == 200;
 }
 
 static int
@@ -106,7 +106,7 @@
     if (len > 0 && line[len - 1] == '\r') {
         len--;
     }
-    return len ? f->opts.line(f->opts.ctx, (const char *)line, len) : 0;
+    return len ? f->opts.on_line(f->opts.ctx, (const char *)line, len) : 0;
 }
 
 /* Delivers all complete lines. The callback may cancel the call. */
@@ -219,7 +219,7 @@
 on_idle_timer(gpointer data)
 {
     struct fw_fetch *f = data;
-    int64_t until = f->last_activity_us + f->opts.timeout_us;
+    int64_t until = f->last_activity_us + f->opts.idle_timeout_us;
 
     if (g_get_monotonic_time() < until) {
         g_source_set_ready_time(f->idle_timer, until);
@@ -273,7 +273,7 @@
     g_source_set_callback(f->idle_timer, on_idle_timer, f, NULL);
     record_activity(f);
     g_source_set_ready_time(f->idle_timer,
-                            f->last_activity_us + opts->timeout_us);
+                            f->last_activity_us + opts->idle_timeout_us);
     g_source_attach(f->idle_timer, g_main_context_get_thread_default());
     g_signal_connect(opts->msg, "starting", G_CALLBACK(on_starting), f);
     g_signal_connect(opts->msg, "restarted", G_CALLBACK(on_restarted), f);
@@ -290,7 +290,7 @@
 }
 
 SoupSession *
-Fw_Fetch_Session(int max_conns, int max_conns_per_host)
+Fw_Fetch_NewSession(int max_conns, int max_conns_per_host)
 {
     SoupSession *s = soup_session_new_with_options(
         "max-conns", max_conns, "max-conns-per-host", max_conns_per_host,
@@ -311,7 +311,7 @@
 }
 
 SoupMessage *
-Fw_Fetch_Message(const char *method, const char *url, const char *json)
+Fw_Fetch_NewMessage(const char *method, const char *url, const char *json)
 {
     SoupMessage *msg = soup_message_new(method, url);
     GBytes *body;
--- a/src/io/fetch.h
+++ b/src/io/fetch.h
@@ -35,21 +35,21 @@
 /**
  * struct fw_fetch_opts - parameters of a call.
  * @msg: ownership passes to the call
- * @timeout_us: longest time without received data
+ * @idle_timeout_us: longest time without received data
  * @body_max: in bytes; a longer response ends the call with -EMSGSIZE
  * @ctx: passed to the callbacks
- * @line: if set, receives each nonempty line of a 200 response, without its
+ * @on_line: if set, receives each nonempty line of a 200 response, without its
  *        line end; a nonzero return ends the call with that error
- * @done: called once, unless the call is cancelled first
+ * @on_done: called once, unless the call is cancelled first
  */
 struct fw_fetch_opts {
     SoupSession *session;
     SoupMessage *msg;
-    int64_t timeout_us;
+    int64_t idle_timeout_us;
     size_t body_max;
     void *ctx;
-    int (*line)(void *ctx, const char *line, size_t len);
-    void (*done)(void *ctx, const struct fw_fetch_result *result);
+    int (*on_line)(void *ctx, const char *line, size_t len);
+    void (*on_done)(void *ctx, const struct fw_fetch_result *result);
 };
 
 struct fw_fetch;
@@ -68,7 +68,7 @@
  * and has no timeout, since each call has its own.
  */
 SoupSession *
-Fw_Fetch_Session(int max_conns, int max_conns_per_host);
+Fw_Fetch_NewSession(int max_conns, int max_conns_per_host);
 /**
  * Fw_Fetch_SetBody - sets the request body of a message.
  * @type: content type, may be NULL
@@ -84,6 +84,6 @@
  * is NULL. Returns NULL when @url is invalid.
  */
 SoupMessage *
-Fw_Fetch_Message(const char *method, const char *url, const char *json);
+Fw_Fetch_NewMessage(const char *method, const char *url, const char *json);
 
 #endif
--- a/src/io/json.c
+++ b/src/io/json.c
@@ -120,7 +120,7 @@
 }
 
 int
-Fw_Json_Number(JsonObject *obj, const char *name, double *out)
+Fw_Json_Double(JsonObject *obj, const char *name, double *out)
 {
     JsonNode *node = member(obj, name);
 
@@ -181,7 +181,7 @@
 }
 
 JsonObject *
-Fw_Json_Element(JsonArray *arr, guint i)
+Fw_Json_ObjectAt(JsonArray *arr, guint i)
 {
     JsonNode *node = json_array_get_element(arr, i);
 
@@ -189,7 +189,7 @@
 }
 
 void
-Fw_Json_AddStr(GString *out, const char *s)
+Fw_Json_AppendStr(GString *out, const char *s)
 {
     char *valid = g_utf8_make_valid(s, -1);
     JsonNode *node = json_node_new(JSON_NODE_VALUE);
@@ -204,7 +204,7 @@
 }
 
 char *
-Fw_Json_Take(JsonBuilder *builder)
+Fw_Json_FinishBuilder(JsonBuilder *builder)
 {
     JsonNode *root = json_builder_get_root(builder);
     char *text = json_to_string(root, FALSE);
--- a/src/io/json.h
+++ b/src/io/json.h
@@ -32,7 +32,7 @@
 Fw_Json_Int(JsonObject *obj, const char *name, int64_t *out);
 /* Accepts integers and fractions. */
 int
-Fw_Json_Number(JsonObject *obj, const char *name, double *out);
+Fw_Json_Double(JsonObject *obj, const char *name, double *out);
 int
 Fw_Json_Bool(JsonObject *obj, const char *name, int *out);
 int
@@ -41,16 +41,16 @@
 Fw_Json_Object(JsonObject *obj, const char *name, JsonObject **out);
 /* Element @i of @arr, or NULL when it is not an object. */
 JsonObject *
-Fw_Json_Element(JsonArray *arr, guint i);
+Fw_Json_ObjectAt(JsonArray *arr, guint i);
 
 /*
  * Appends @s as a quoted and escaped JSON string; invalid UTF-8 is replaced.
  */
 void
-Fw_Json_AddStr(GString *out, const char *s);
+Fw_Json_AppendStr(GString *out, const char *s);
 /* Returns the JSON text as a new string and frees @builder. */
 char *
-Fw_Json_Take(JsonBuilder *builder);
+Fw_Json_FinishBuilder(JsonBuilder *builder);
 /* Add a member to the open object. */
 void
 Fw_Json_SetStr(JsonBuilder *b, const char *name, const char *value);
--- a/src/io/log_client.c
+++ b/src/io/log_client.c
@@ -42,7 +42,7 @@
     struct fw_log_client *c = g_new0(struct fw_log_client, 1);
 
     c->sink = *sink;
-    c->session = Fw_Fetch_Session(FW_LOG_CONNS_MAX, FW_LOG_CONNS_MAX);
+    c->session = Fw_Fetch_NewSession(FW_LOG_CONNS_MAX, FW_LOG_CONNS_MAX);
     c->url = g_strdup(url);
     Fw_List_Init(&c->ops);
     c->appends = (struct fw_metric){.name = "fw_log_appends_total",
@@ -173,18 +173,18 @@
     }
     json_builder_end_array(b);
     json_builder_end_object(b);
-    json = Fw_Json_Take(b);
-    msg = Fw_Fetch_Message("POST", url, json);
+    json = Fw_Json_FinishBuilder(b);
+    msg = Fw_Fetch_NewMessage("POST", url, json);
     /* No automatic resend by libsoup: it would append the records twice. */
     soup_message_add_flags(msg, SOUP_MESSAGE_NEW_CONNECTION);
     c->appends.value++;
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
         .msg = msg,
-        .timeout_us = FW_LOG_TIMEOUT_US,
+        .idle_timeout_us = FW_LOG_TIMEOUT_US,
         .body_max = FW_LOG_BODY_MAX_BYTES,
         .ctx = op,
-        .done = on_appended,
+        .on_done = on_appended,
     });
     g_free(json);
     g_free(url);
@@ -275,11 +275,11 @@
 
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
-        .msg = Fw_Fetch_Message("GET", url, NULL),
-        .timeout_us = r->wait_us + FW_LOG_TIMEOUT_US,
+        .msg = Fw_Fetch_NewMessage("GET", url, NULL),
+        .idle_timeout_us = r->wait_us + FW_LOG_TIMEOUT_US,
         .body_max = FW_LOG_BODY_MAX_BYTES,
         .ctx = op,
-        .done = on_records,
+        .on_done = on_records,
     });
     g_free(url);
 }
--- a/src/io/note.c
+++ b/src/io/logger.c
@@ -1,4 +1,4 @@
-#include "io/note.h"
+#include "io/logger.h"
 
 #include <limits.h>
 #include <poll.h>
@@ -18,7 +18,7 @@
 } log_state;
 
 void
-Fw_Note_Setup(const char *instance, FILE *stream)
+Fw_Logger_Setup(const char *instance, FILE *stream)
 {
     g_strlcpy(log_state.instance, instance, sizeof(log_state.instance));
     log_state.stream = stream;
@@ -44,9 +44,9 @@
                            g_date_time_get_microsecond(now) / 1000);
     g_string_append_printf(
         line, "\",\"severity\":\"%s\",\"event\":", severity_name(severity));
-    Fw_Json_AddStr(line, event);
+    Fw_Json_AppendStr(line, event);
     g_string_append(line, ",\"instance\":");
-    Fw_Json_AddStr(line, log_state.instance);
+    Fw_Json_AppendStr(line, log_state.instance);
     g_free(ts);
     g_date_time_unref(now);
     return line;
@@ -56,9 +56,9 @@
 add_field(GString *line, const char *name, const char *value)
 {
     g_string_append_c(line, ',');
-    Fw_Json_AddStr(line, name);
+    Fw_Json_AppendStr(line, name);
     g_string_append_c(line, ':');
-    Fw_Json_AddStr(line, value ? value : "");
+    Fw_Json_AppendStr(line, value ? value : "");
 }
 
 /*
@@ -127,9 +127,10 @@
 }
 
 void
-Fw_Note_SetupBounded(const char *instance, int fd, size_t pending_max_bytes)
+Fw_Logger_SetupNonblocking(const char *instance, int fd,
+                           size_t pending_max_bytes)
 {
-    Fw_Note_Setup(instance, NULL);
+    Fw_Logger_Setup(instance, NULL);
     log_state.fd = fd;
     log_state.pending_max_bytes = pending_max_bytes;
     if (!log_state.pending) {
@@ -142,19 +143,19 @@
 }
 
 int64_t
-Fw_Note_Dropped(void)
+Fw_Logger_DroppedLines(void)
 {
     return log_state.dropped.value;
 }
 
 void
-Fw_Note_AddMetrics(struct fw_metrics *m)
+Fw_Logger_AddMetrics(struct fw_metrics *m)
 {
     Fw_Metrics_Add(m, &log_state.dropped);
 }
 
 void
-Fw_Note_Flush(void)
+Fw_Logger_Flush(void)
 {
     if (log_state.pending) {
         flush_pending();
@@ -162,7 +163,7 @@
 }
 
 void
-Fw_Note_Members(int severity, const char *event, const char *members)
+Fw_Logger_LogJsonFields(int severity, const char *event, const char *members)
 {
     GString *line = begin_line(severity, event);
 
@@ -174,7 +175,7 @@
 }
 
 void
-Fw_Note_Write(const struct fw_note *note)
+Fw_Logger_LogNote(const struct fw_note *note)
 {
     GString *line = begin_line(note->severity, note->event);
 
@@ -185,7 +186,7 @@
 }
 
 void
-Fw_Note_Log(int severity, const char *event, ...)
+Fw_Logger_Log(int severity, const char *event, ...)
 {
     GString *line = begin_line(severity, event);
     const char *name;
--- a/src/io/note.h
+++ b/src/io/logger.h
@@ -1,6 +1,6 @@
 /* Logger of this process: writes one JSON object per line. */
-#ifndef FW_IO_NOTE_H
-#define FW_IO_NOTE_H
+#ifndef FW_IO_LOGGER_H
+#define FW_IO_LOGGER_H
 
 #include <stdio.h>
 #include <syslog.h>
@@ -13,7 +13,7 @@
  * to; without a call, or with NULL, that is standard error.
  */
 void
-Fw_Note_Setup(const char *instance, FILE *stream);
+Fw_Logger_Setup(const char *instance, FILE *stream);
 /**
  * Fw_Logger_SetupNonblocking - logs to pipe @fd without blocking.
  * @pending_max_bytes: limit for lines buffered while the pipe is full
@@ -22,22 +22,23 @@
  * the buffer is empty.
  */
 void
-Fw_Note_SetupBounded(const char *instance, int fd, size_t pending_max_bytes);
+Fw_Logger_SetupNonblocking(const char *instance, int fd,
+                           size_t pending_max_bytes);
 /* Number of lines dropped since Fw_Logger_SetupNonblocking. */
 int64_t
-Fw_Note_Dropped(void);
+Fw_Logger_DroppedLines(void);
 /* To be called once, after Fw_Logger_SetupNonblocking. */
 void
-Fw_Note_AddMetrics(struct fw_metrics *m);
+Fw_Logger_AddMetrics(struct fw_metrics *m);
 /* Writes buffered lines as far as possible without blocking. */
 void
-Fw_Note_Flush(void);
+Fw_Logger_Flush(void);
 /* Logs a line; @members is JSON, without braces, added to the object. */
 void
-Fw_Note_Members(int severity, const char *event, const char *members);
+Fw_Logger_LogJsonFields(int severity, const char *event, const char *members);
 /* Logs a line requested by the core (FW_ACT_NOTE). */
 void
-Fw_Note_Write(const struct fw_note *note);
+Fw_Logger_LogNote(const struct fw_note *note);
 /**
  * Fw_Logger_Log - logs a line with string fields.
  * @severity: syslog severity, such as LOG_INFO
@@ -45,6 +46,6 @@
  * Pairs of field name and value follow, terminated by NULL.
  */
 void
-Fw_Note_Log(int severity, const char *event, ...) __attribute__((sentinel));
+Fw_Logger_Log(int severity, const char *event, ...) __attribute__((sentinel));
 
 #endif
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "io/addr.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "io/peer_priv.h"
 
 #define FW_RECONNECT_BACKOFF_MIN_US (100 * FW_MSEC)
@@ -198,8 +198,8 @@
         return;
     }
     p->metrics.rejected.value++;
-    Fw_Note_Log(LOG_WARNING, "peer_refused", "peer", conn->peer.name, "reason",
-                reason, NULL);
+    Fw_Logger_Log(LOG_WARNING, "peer_refused", "peer", conn->peer.name,
+                  "reason", reason, NULL);
 }
 
 static void
--- a/src/io/list_client.c
+++ b/src/io/registry_client.c
@@ -1,11 +1,11 @@
-#include "io/list_client.h"
+#include "io/registry_client.h"
 
 #include <errno.h>
 #include <string.h>
 
 #include "io/fetch.h"
 #include "io/json.h"
-#include "io/note.h"
+#include "io/logger.h"
 
 #define FW_REGISTRY_TIMEOUT_US (3 * FW_SEC)
 #define FW_REGISTRY_BODY_MAX_BYTES (4 << 20)
@@ -46,7 +46,7 @@
     struct fw_registry_client *c = g_new0(struct fw_registry_client, 1);
 
     c->sink = *sink;
-    c->session = Fw_Fetch_Session(4, 4);
+    c->session = Fw_Fetch_NewSession(4, 4);
     c->url = g_strconcat(url, "/list", NULL);
     c->self = *self;
     c->errors = (struct fw_metric){.name = "fw_list_errors_total",
@@ -127,7 +127,7 @@
     for (guint i = 0; i < len; i++) {
         struct fw_registry_entry *e = &(*entries)[*n];
 
-        if (!read_entry(Fw_Json_Element(arr, i), e)) {
+        if (!read_entry(Fw_Json_ObjectAt(arr, i), e)) {
             (*n)++;
         }
         else {
@@ -205,7 +205,7 @@
     if (c->read) {
         return; /* a request is in progress */
     }
-    msg = Fw_Fetch_Message("GET", c->url, NULL);
+    msg = Fw_Fetch_NewMessage("GET", c->url, NULL);
     if (c->etag) {
         soup_message_headers_replace(soup_message_get_request_headers(msg),
                                      "If-None-Match", c->etag);
@@ -214,10 +214,10 @@
     c->read = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
         .msg = msg,
-        .timeout_us = FW_REGISTRY_TIMEOUT_US,
+        .idle_timeout_us = FW_REGISTRY_TIMEOUT_US,
         .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
-        .done = on_entries_read,
+        .on_done = on_entries_read,
     });
 }
 
@@ -235,7 +235,7 @@
     json_builder_set_member_name(b, "leaving");
     json_builder_add_boolean_value(b, c->leaving);
     json_builder_end_object(b);
-    return Fw_Json_Take(b);
+    return Fw_Json_FinishBuilder(b);
 }
 
 static void
@@ -263,7 +263,7 @@
     }
     c->errors.value++;
     if (!c->retry_ms) {
-        Fw_Note_Log(LOG_WARNING, "list_unreachable", "url", c->url, NULL);
+        Fw_Logger_Log(LOG_WARNING, "list_unreachable", "url", c->url, NULL);
     }
     c->retry_ms = CLAMP(c->retry_ms * 2, FW_REGISTRY_RETRY_MIN_MS,
                         FW_REGISTRY_RETRY_MAX_MS);
@@ -278,11 +278,11 @@
     cancel_write(c);
     c->write = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
-        .msg = Fw_Fetch_Message("POST", c->url, json),
-        .timeout_us = FW_REGISTRY_TIMEOUT_US,
+        .msg = Fw_Fetch_NewMessage("POST", c->url, json),
+        .idle_timeout_us = FW_REGISTRY_TIMEOUT_US,
         .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
-        .done = on_entry_written,
+        .on_done = on_entry_written,
     });
     g_free(json);
 }
@@ -326,11 +326,11 @@
     c->unregister_ctx = ctx;
     c->write = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->session,
-        .msg = Fw_Fetch_Message("DELETE", url, NULL),
-        .timeout_us = FW_SEC,
+        .msg = Fw_Fetch_NewMessage("DELETE", url, NULL),
+        .idle_timeout_us = FW_SEC,
         .body_max = FW_REGISTRY_BODY_MAX_BYTES,
         .ctx = c,
-        .done = on_unregistered,
+        .on_done = on_unregistered,
     });
     g_free(url);
     g_free(name);
--- a/src/io/list_client.h
+++ b/src/io/registry_client.h
@@ -3,8 +3,8 @@
  * which names all instances and upstreams. Executes FW_ACT_REGISTRY_READ,
  * emits FW_EV_REGISTRY and maintains this instance's own entry.
  */
-#ifndef FW_IO_LIST_CLIENT_H
-#define FW_IO_LIST_CLIENT_H
+#ifndef FW_IO_REGISTRY_CLIENT_H
+#define FW_IO_REGISTRY_CLIENT_H
 
 #include "base/metrics.h"
 #include "core/types.h"
--- a/src/io/shell.c
+++ b/src/io/shell.c
@@ -5,11 +5,11 @@
 #include <signal.h>
 
 #include "io/http.h"
-#include "io/list_client.h"
 #include "io/log_client.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "io/peer.h"
-#include "io/up_client.h"
+#include "io/registry_client.h"
+#include "io/upstream_client.h"
 
 /* Time to write the last responses after the core has drained. */
 #define FW_FLUSH_TIMEOUT_US (2 * FW_SEC)
@@ -98,7 +98,7 @@
     Fw_Actions_Init(&out);
     sh->now_us = MAX(sh->now_us, g_get_monotonic_time());
     if (sh->core.step(sh->core.ctx, ev, sh->now_us, &out)) {
-        Fw_Note_Log(LOG_ERR, "event_refused", NULL);
+        Fw_Logger_Log(LOG_ERR, "event_refused", NULL);
     }
     schedule_tick(sh, out.wake_us);
     while ((a = Fw_Actions_Pop(&out))) {
@@ -195,7 +195,7 @@
         Fw_RegistryClient_Read(sh->registry);
         break;
     case FW_ACT_NOTE:
-        Fw_Note_Write(&a->u.note);
+        Fw_Logger_LogNote(&a->u.note);
         break;
     case FW_ACT_EXIT:
         begin_exit(sh);
@@ -294,8 +294,9 @@
     sh->signals[0] = g_unix_signal_add(SIGTERM, on_signal, sh);
     sh->signals[1] = g_unix_signal_add(SIGINT, on_signal, sh);
     g_source_attach(sh->tick_source, NULL);
-    Fw_Note_Log(LOG_NOTICE, "listening", "callers", sh->callers_url,
-                "operators", sh->operators_url, "peers", sh->self.addr, NULL);
+    Fw_Logger_Log(LOG_NOTICE, "listening", "callers", sh->callers_url,
+                  "operators", sh->operators_url, "peers", sh->self.addr,
+                  NULL);
     Fw_RegistryClient_Register(sh->registry);
     step(sh, &(struct fw_event){.kind = FW_EV_TICK});
     return 0;
--- a/src/io/up_client.c
+++ b/src/io/upstream_client.c
@@ -1,4 +1,4 @@
-#include "io/up_client.h"
+#include "io/upstream_client.h"
 
 #include <errno.h>
 #include <string.h>
@@ -50,7 +50,7 @@
 
     c->sink = *sink;
     for (int i = 0; i < FW_SESSION_COUNT; i++) {
-        c->sessions[i] = Fw_Fetch_Session(max_conns, max_conns_per_host);
+        c->sessions[i] = Fw_Fetch_NewSession(max_conns, max_conns_per_host);
     }
     c->body_max = body_max;
     c->by_op = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -244,13 +244,13 @@
     op->fetch = Fw_Fetch_Start(&(struct fw_fetch_opts){
         .session = c->sessions[Fw_Hash_Str(up->url) % FW_SESSION_COUNT],
         .msg = msg,
-        .timeout_us =
+        .idle_timeout_us =
             up->idle_timeout_us > 0 ? up->idle_timeout_us : 30 * FW_SEC,
         .body_max =
             up->kind == FW_UP_SERVICE ? c->body_max : FW_ENGINE_BODY_MAX_BYTES,
         .ctx = op,
-        .line = is_stream(up->kind) ? on_line : NULL,
-        .done = on_done,
+        .on_line = is_stream(up->kind) ? on_line : NULL,
+        .on_done = on_done,
     });
 }
 
--- a/src/io/up_client.h
+++ b/src/io/upstream_client.h
@@ -2,8 +2,8 @@
  * HTTP client for upstreams: engines and plain services. Executes
  * FW_ACT_UP_START and FW_ACT_UP_STOP, emits FW_EV_UP.
  */
-#ifndef FW_IO_UP_CLIENT_H
-#define FW_IO_UP_CLIENT_H
+#ifndef FW_IO_UPSTREAM_CLIENT_H
+#define FW_IO_UPSTREAM_CLIENT_H
 
 #include "base/metrics.h"
 #include "core/up.h"
--- a/src/relayd/actions.c
+++ b/src/relayd/actions.c
@@ -2,7 +2,7 @@
 #include <errno.h>
 
 #include "http/conn.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "relayd/relayd_internal.h"
 
 static struct fw_caller_request *
@@ -99,7 +99,8 @@
         Fw_ConnPool_CloseIdle(d->pool, a->u.addr);
         break;
     case FW_RL_DO_LOG:
-        Fw_Note_Members(a->u.log.severity, a->u.log.event, a->u.log.text);
+        Fw_Logger_LogJsonFields(a->u.log.severity, a->u.log.event,
+                                a->u.log.text);
         break;
     }
 }
--- a/src/relayd/peer_socket.c
+++ b/src/relayd/peer_socket.c
@@ -3,7 +3,7 @@
 
 #include "http/conn.h"
 #include "io/addr.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "relayd/relayd_internal.h"
 
 /* Size of the receive buffer; longer datagrams are truncated. */
@@ -17,8 +17,8 @@
 count_unsent(struct fw_relayd *d, const char *addr, const char *why)
 {
     if (d->digests_unsent.value++ == 0) {
-        Fw_Note_Log(LOG_WARNING, "digest_unsent", "to", addr, "why", why,
-                    NULL);
+        Fw_Logger_Log(LOG_WARNING, "digest_unsent", "to", addr, "why", why,
+                      NULL);
     }
 }
 
@@ -83,10 +83,10 @@
                               &d->outbox);
     flush_outbox(d);
     if (rc < 0) {
-        Fw_Note_Log(LOG_WARNING, "digest_unreadable", "from", addr, NULL);
+        Fw_Logger_Log(LOG_WARNING, "digest_unreadable", "from", addr, NULL);
     }
     else if (rc > 0) {
-        Fw_Note_Log(LOG_NOTICE, "member_met", "addr", addr, NULL);
+        Fw_Logger_Log(LOG_NOTICE, "member_met", "addr", addr, NULL);
     }
     place_waiting_requests(d);
 }
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "http/conn.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "relayd/relayd_internal.h"
 
 /*
@@ -32,7 +32,7 @@
     struct fw_rl_request_info ask;
 
     if (Fw_Platform_ParseRequest(head, body, &ask)) {
-        Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
+        Fw_Logger_Log(LOG_WARNING, "request_unreadable", NULL);
         Fw_Caller_Respond(caller, 400, "Content-Type: text/plain\r\n",
                           "a field of the request can't be read\n");
         return;
@@ -84,8 +84,8 @@
 
     (void)ctx;
     g_snprintf(text, sizeof(text), "%d", status);
-    Fw_Note_Log(LOG_WARNING, "request_malformed", "status", text, "why", why,
-                NULL);
+    Fw_Logger_Log(LOG_WARNING, "request_malformed", "status", text, "why", why,
+                  NULL);
 }
 
 /* The data queued for a slow caller was written: resumes its upstream. */
@@ -168,14 +168,14 @@
 
     d->settings_mtime_us = settings_mtime_us(d->settings_path);
     if (Fw_Relayd_LoadSettings(d->settings_path, &o, &error)) {
-        Fw_Note_Log(LOG_ERR, "settings_rejected", "error", error, NULL);
+        Fw_Logger_Log(LOG_ERR, "settings_rejected", "error", error, NULL);
         g_free(error);
         return;
     }
     o.relay.boot = d->opts.relay.boot;
     o.relay.seed = d->opts.relay.seed;
     apply_settings(d, &o);
-    Fw_Note_Log(LOG_NOTICE, "settings_reloaded", NULL);
+    Fw_Logger_Log(LOG_NOTICE, "settings_reloaded", NULL);
 }
 
 static gboolean
@@ -250,7 +250,7 @@
     if (gap > FW_LOOP_STALL_US) {
         g_snprintf(ms, sizeof(ms), "%" G_GINT64_FORMAT,
                    (gint64)(gap / FW_MSEC));
-        Fw_Note_Log(LOG_WARNING, "stood_still", "ms", ms, NULL);
+        Fw_Logger_Log(LOG_WARNING, "stood_still", "ms", ms, NULL);
     }
 }
 
@@ -275,7 +275,7 @@
     apply_limits(d);
     check_settings(d, now);
     check_stopped(d, now);
-    Fw_Note_Flush();
+    Fw_Logger_Flush();
     g_source_set_ready_time(d->timer, g_get_monotonic_time() +
                                           Fw_Relay_NextTickUs(d->relay, now) -
                                           now);
@@ -320,9 +320,9 @@
     Fw_Server_Url(d->caller_server, callers);
     Fw_Server_Url(d->ready_server, ready);
     Fw_Server_Url(d->metrics_server, metrics);
-    Fw_Note_Log(LOG_NOTICE, "started", "version", "0.2", "callers", callers,
-                "ready", ready, "metrics", metrics, "store",
-                d->opts.store_addr, NULL);
+    Fw_Logger_Log(LOG_NOTICE, "started", "version", "0.2", "callers", callers,
+                  "ready", ready, "metrics", metrics, "store",
+                  d->opts.store_addr, NULL);
 }
 
 struct fw_relayd *
@@ -337,7 +337,7 @@
     d->relay = Fw_Relay_New(&d->opts.relay, Fw_Conn_NowUs());
     d->pool = Fw_ConnPool_New();
     Fw_ConnPool_AddMetrics(d->pool, Fw_Relay_Metrics(d->relay));
-    Fw_Note_AddMetrics(Fw_Relay_Metrics(d->relay));
+    Fw_Logger_AddMetrics(Fw_Relay_Metrics(d->relay));
     Fw_UpstreamCall_AddMetrics(d);
     d->requests_by_caller = g_hash_table_new(NULL, NULL);
     d->requests_by_id =
@@ -367,8 +367,8 @@
     for (size_t i = 0; i < G_N_ELEMENTS(d->signals); i++) {
         g_source_remove(d->signals[i]);
     }
-    Fw_Note_Log(LOG_NOTICE, "stopped", NULL);
-    Fw_Note_Flush();
+    Fw_Logger_Log(LOG_NOTICE, "stopped", NULL);
+    Fw_Logger_Flush();
 }
 
 int
--- a/src/relayd/store_apply.c
+++ b/src/relayd/store_apply.c
@@ -3,7 +3,7 @@
 
 #include "http/conn.h"
 #include "io/json.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "relayd/store_internal.h"
 
 static void
@@ -20,7 +20,7 @@
         config = Fw_Platform_ParseConfig(rec->value, rec->len, &why);
     }
     if (!config) {
-        Fw_Note_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
+        Fw_Logger_Log(LOG_ERR, "configuration_rejected", "why", why, NULL);
     }
     Fw_Relay_SetRules(d->relay, config, rec->offset, Fw_Conn_NowUs(), acts);
     Fw_Rules_Unref(config);
@@ -41,7 +41,8 @@
         Fw_Relay_UpdateServer(d->relay, rec->key, &e, now, acts);
     }
     else {
-        Fw_Note_Log(LOG_WARNING, "entry_unreadable", "server", rec->key, NULL);
+        Fw_Logger_Log(LOG_WARNING, "entry_unreadable", "server", rec->key,
+                      NULL);
     }
 }
 
--- a/src/relayd/store_client.c
+++ b/src/relayd/store_client.c
@@ -208,7 +208,7 @@
     Fw_Json_SetInt(b, "cpu_ppm", d->opts.relay.cpu_ppm);
     Fw_Json_SetInt(b, "boot", (int64_t)d->opts.relay.boot);
     json_builder_end_object(b);
-    return Fw_Json_Take(b);
+    return Fw_Json_FinishBuilder(b);
 }
 
 struct fw_store_client *
--- a/src/relayd/store_response.c
+++ b/src/relayd/store_response.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "http/conn.h"
-#include "io/note.h"
+#include "io/logger.h"
 #include "relayd/store_internal.h"
 
 /* Mean delay of a retry; drawn from half to one and a half of it. */
@@ -25,7 +25,7 @@
 
         g_snprintf(ms, sizeof(ms), "%" G_GINT64_FORMAT,
                    (int64_t)((now - s->unreachable_since_us) / FW_MSEC));
-        Fw_Note_Log(LOG_NOTICE, "store_back", "away_ms", ms, NULL);
+        Fw_Logger_Log(LOG_NOTICE, "store_back", "away_ms", ms, NULL);
         s->unreachable_since_us = 0;
         Fw_Relay_StoreRecovered(s->d->relay, now);
     }
@@ -48,7 +48,7 @@
     Fw_StoreClient_CountRequest(tc, outcome);
     if (!s->unreachable_since_us) {
         s->unreachable_since_us = now;
-        Fw_Note_Log(LOG_WARNING, "store_lost", "why", why, NULL);
+        Fw_Logger_Log(LOG_WARNING, "store_lost", "why", why, NULL);
         Fw_Relay_StoreUnreachable(s->d->relay);
     }
     tc->next_request_us = now + delay_us;
@@ -134,9 +134,9 @@
         g_snprintf(offset, sizeof(offset), "%" G_GUINT64_FORMAT,
                    c == FW_RL_CLAIM_WON ? response->first_offset
                                         : response->end_offset);
-        Fw_Note_Log(LOG_NOTICE,
-                    c == FW_RL_CLAIM_WON ? "role_taken" : "role_not_taken",
-                    "offset", offset, NULL);
+        Fw_Logger_Log(LOG_NOTICE,
+                      c == FW_RL_CLAIM_WON ? "role_taken" : "role_not_taken",
+                      "offset", offset, NULL);
         Fw_Relay_ClaimEnded(r, c,
                             c == FW_RL_CLAIM_WON ? response->first_offset
                                                  : response->end_offset,
@@ -166,9 +166,9 @@
 static void
 fall_back_to_store(struct fw_topic_client *tc, const char *why)
 {
-    Fw_Note_Log(LOG_NOTICE, "handover_failed", "topic",
-                topic_labels[tc->topic], "from", tc->peer_addr, "why", why,
-                NULL);
+    Fw_Logger_Log(LOG_NOTICE, "handover_failed", "topic",
+                  topic_labels[tc->topic], "from", tc->peer_addr, "why", why,
+                  NULL);
     tc->peer_addr[0] = 0;
     tc->next_request_us = 0;
     tc->force_store = 1;
@@ -228,8 +228,8 @@
         char from[24];
 
         g_snprintf(from, sizeof(from), "%" G_GUINT64_FORMAT, tc->next_offset);
-        Fw_Note_Log(LOG_NOTICE, "history_cut", "topic",
-                    topic_labels[tc->topic], "from", from, NULL);
+        Fw_Logger_Log(LOG_NOTICE, "history_cut", "topic",
+                      topic_labels[tc->topic], "from", from, NULL);
         tc->op = FW_STORE_OP_NEWEST;
         tc->paging = 0;
         tc->next_request_us = 0;
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -134,7 +134,7 @@
     if (responses[_i].close) {
         g_socket_shutdown(up->sock, FALSE, TRUE, NULL);
     }
-    Fw_Rig_Until(has_ended, &c);
+    Fw_Rig_RunUntil(has_ended, &c);
     ck_assert_int_eq(c.err, responses[_i].err);
     if (responses[_i].expected_body) {
         ck_assert_int_eq(c.status, 200);
@@ -179,7 +179,7 @@
     start_call(p, s->url, &a, &reuse_opts);
     Fw_RigConn_Expect(Fw_RigServer_Conn(s, 0), "\r\n\r\nhi");
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0), reuse_cases[_i].response, -1);
-    Fw_Rig_Until(has_ended, &a);
+    Fw_Rig_RunUntil(has_ended, &a);
     ck_assert_str_eq(a.body->str, "ok");
     start_call(p, s->url, &b, &reuse_opts);
     Fw_Rig_Settle();
@@ -208,7 +208,7 @@
     start_call(p, s->url, &a, &reuse_opts);
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0),
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", -1);
-    Fw_Rig_Until(has_ended, &a);
+    Fw_Rig_RunUntil(has_ended, &a);
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0), "HTTP/1.1 200 OK\r\n", -1);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(s, 0));
     call_free(&a);
@@ -233,7 +233,7 @@
     start_call(p, s->url, &a, &reuse_opts);
     Fw_RigConn_Send(Fw_RigServer_Conn(s, 0),
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", -1);
-    Fw_Rig_Until(has_ended, &a);
+    Fw_Rig_RunUntil(has_ended, &a);
     start_call(p, s->url, &b, &fresh);
     Fw_RigServer_Conn(s, 1);
     Fw_Exchange_Abort(b.x);
@@ -255,7 +255,7 @@
 
     Fw_RigServer_Free(s);
     start_call(p, url, &c, &reuse_opts);
-    Fw_Rig_Until(has_ended, &c);
+    Fw_Rig_RunUntil(has_ended, &c);
     ck_assert_int_eq(c.err, -ECONNREFUSED);
     ck_assert_int_eq(c.sent, FW_SENT_NONE);
     call_free(&c);
--- a/tests/http/test_server.c
+++ b/tests/http/test_server.c
@@ -121,7 +121,7 @@
     Fw_RigConn_Send(c, filler, -1);
     Fw_RigConn_Expect(c, invalid[_i].expected);
     Fw_RigConn_ExpectEof(c);
-    ck_assert_ptr_null(strstr(c->got->str + 1, "HTTP/1.1"));
+    ck_assert_ptr_null(strstr(c->received->str + 1, "HTTP/1.1"));
     ck_assert_str_eq(s.requests->str, "");
     ck_assert_int_eq(s.rejected, 1);
     Fw_RigConn_Close(c);
@@ -170,7 +170,7 @@
     Fw_Rig_Settle();
     Fw_Server_Tick(s.server, Fw_Conn_NowUs() + 1 * FW_SEC);
     Fw_Rig_Settle();
-    ck_assert_uint_eq(c->got->len, 0);
+    ck_assert_uint_eq(c->received->len, 0);
     Fw_Server_Tick(s.server, Fw_Conn_NowUs() + 3 * FW_SEC);
     Fw_RigConn_Expect(c, "HTTP/1.1 408 ");
     Fw_RigConn_ExpectEof(c);
@@ -202,7 +202,7 @@
     s->hold_response = 1;
     c = Fw_RigConn_Open(s->addr);
     Fw_RigConn_Send(c, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n", -1);
-    Fw_Rig_Until(has_request, s);
+    Fw_Rig_RunUntil(has_request, s);
     return c;
 }
 
@@ -216,7 +216,7 @@
     struct rig_conn *c = open_request(&s);
 
     Fw_RigConn_Close(c);
-    Fw_Rig_Until(has_disconnected, &s);
+    Fw_Rig_RunUntil(has_disconnected, &s);
     fixture_close(&s);
 }
 END_TEST
@@ -250,7 +250,7 @@
     Fw_RigConn_Expect(c, "hello");
     Fw_Caller_Abort(s.pending);
     Fw_RigConn_ExpectEof(c);
-    ck_assert_ptr_null(strstr(c->got->str, "0\r\n\r\n"));
+    ck_assert_ptr_null(strstr(c->received->str, "0\r\n\r\n"));
     Fw_RigConn_Close(c);
     fixture_close(&s);
 }
--- a/tests/io/side.c
+++ b/tests/io/peer_fixture.c
@@ -1,4 +1,4 @@
-#include "tests/io/side.h"
+#include "tests/io/peer_fixture.h"
 
 #include <check.h>
 #include <string.h>
@@ -91,5 +91,5 @@
 {
     struct metric_wait c = {.fixture = s, .name = name, .want = want};
 
-    Fw_Rig_Until(metric_reached, &c);
+    Fw_Rig_RunUntil(metric_reached, &c);
 }
--- a/tests/io/side.h
+++ b/tests/io/peer_fixture.h
@@ -1,6 +1,6 @@
 /* Test fixture: the peer connections of an instance. */
-#ifndef FW_TESTS_IO_SIDE_H
-#define FW_TESTS_IO_SIDE_H
+#ifndef FW_TESTS_IO_PEER_FIXTURE_H
+#define FW_TESTS_IO_PEER_FIXTURE_H
 
 #include "io/peer.h"
 #include "tests/io/rig.h"
--- a/tests/io/rig.c
+++ b/tests/io/rig.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "io/addr.h"
-#include "io/note.h"
+#include "io/logger.h"
 
 /* Fails a test that waits longer. */
 #define FW_WAIT_TIMEOUT_S 10
@@ -22,7 +22,7 @@
 }
 
 void
-Fw_Rig_Until(int (*done)(void *), void *ctx)
+Fw_Rig_RunUntil(int (*done)(void *), void *ctx)
 {
     int timed_out = 0;
     guint timeout_source =
@@ -55,7 +55,7 @@
 
     (void)cond;
     if (n > 0) {
-        g_string_append_len(c->got, buf, n);
+        g_string_append_len(c->received, buf, n);
         return G_SOURCE_CONTINUE;
     }
     c->eof = 1;
@@ -63,12 +63,12 @@
 }
 
 struct rig_conn *
-Fw_RigConn_Take(GSocket *sock)
+Fw_RigConn_FromSocket(GSocket *sock)
 {
     struct rig_conn *c = g_new0(struct rig_conn, 1);
 
     c->sock = g_object_ref(sock);
-    c->got = g_string_new(NULL);
+    c->received = g_string_new(NULL);
     c->source = g_socket_create_source(sock, G_IO_IN, NULL);
     g_source_set_callback(c->source, G_SOURCE_FUNC(on_readable), c, NULL);
     g_source_attach(c->source, NULL);
@@ -85,7 +85,7 @@
     struct rig_conn *c;
 
     ck_assert(g_socket_connect(sock, addr, NULL, NULL));
-    c = Fw_RigConn_Take(sock);
+    c = Fw_RigConn_FromSocket(sock);
     g_object_unref(sock);
     g_object_unref(addr);
     return c;
@@ -130,9 +130,9 @@
 void
 Fw_RigConn_Expect(struct rig_conn *c, const char *text)
 {
-    struct text_wait w = {.in = c->got, .text = text};
+    struct text_wait w = {.in = c->received, .text = text};
 
-    Fw_Rig_Until(has_text, &w);
+    Fw_Rig_RunUntil(has_text, &w);
     last_waited_text = NULL;
 }
 
@@ -145,7 +145,7 @@
 void
 Fw_RigConn_ExpectEof(struct rig_conn *c)
 {
-    Fw_Rig_Until(is_eof, c);
+    Fw_Rig_RunUntil(is_eof, c);
 }
 
 void
@@ -161,7 +161,7 @@
     g_source_unref(c->source);
     g_socket_close(c->sock, NULL);
     g_object_unref(c->sock);
-    g_string_free(c->got, TRUE);
+    g_string_free(c->received, TRUE);
     g_free(c);
 }
 
@@ -174,7 +174,7 @@
     (void)service;
     (void)source;
     g_ptr_array_add(s->conns,
-                    Fw_RigConn_Take(g_socket_connection_get_socket(io)));
+                    Fw_RigConn_FromSocket(g_socket_connection_get_socket(io)));
     return TRUE;
 }
 
@@ -219,7 +219,7 @@
 {
     struct conn_wait c = {.server = s, .n = i + 1};
 
-    Fw_Rig_Until(has_conns, &c);
+    Fw_Rig_RunUntil(has_conns, &c);
     return g_ptr_array_index(s->conns, i);
 }
 
@@ -328,7 +328,7 @@
     struct rig_core *core = ctx;
 
     (void)now_us;
-    write_event(core->seen, ev);
+    write_event(core->events, ev);
     if (ev->kind == FW_EV_CALL_OPEN) {
         core->last_call = ev->u.open.call;
     }
@@ -345,23 +345,23 @@
 Fw_RigCore_Init(struct rig_core *core)
 {
     memset(core, 0, sizeof(*core));
-    core->seen = g_string_new(NULL);
+    core->events = g_string_new(NULL);
     core->is_ready = 1;
     Fw_Metrics_Init(&core->metrics);
-    Fw_Note_Setup("one", fopen("/dev/null", "w"));
+    Fw_Logger_Setup("one", fopen("/dev/null", "w"));
 }
 
 void
 Fw_RigCore_Clear(struct rig_core *core)
 {
-    g_string_free(core->seen, TRUE);
+    g_string_free(core->events, TRUE);
     Fw_Rig_Settle();
 }
 
 static void
 record_event(void *ctx, const struct fw_event *ev)
 {
-    write_event(((struct rig_core *)ctx)->seen, ev);
+    write_event(((struct rig_core *)ctx)->events, ev);
 }
 
 struct fw_sink
@@ -426,10 +426,10 @@
 }
 
 void
-Fw_Rig_ExpectSeen(struct rig_core *core, const char *text)
+Fw_Rig_ExpectEvent(struct rig_core *core, const char *text)
 {
-    struct text_wait w = {.in = core->seen, .text = text};
+    struct text_wait w = {.in = core->events, .text = text};
 
-    Fw_Rig_Until(has_text, &w);
+    Fw_Rig_RunUntil(has_text, &w);
     last_waited_text = NULL;
 }
--- a/tests/io/rig.h
+++ b/tests/io/rig.h
@@ -12,16 +12,16 @@
 
 /* Runs the main loop until @done returns nonzero; fails after a timeout. */
 void
-Fw_Rig_Until(int (*done)(void *), void *ctx);
+Fw_Rig_RunUntil(int (*done)(void *), void *ctx);
 /* Runs the main loop until nothing more is ready. */
 void
 Fw_Rig_Settle(void);
 
-/** struct rig_conn - a raw connection; @got holds the received data. */
+/** struct rig_conn - a raw connection; @received holds the received data. */
 struct rig_conn {
     GSocket *sock;
     GSource *source;
-    GString *got;
+    GString *received;
     int eof;
 };
 
@@ -30,7 +30,7 @@
 Fw_RigConn_Open(const char *url);
 /* Wraps a connected socket. */
 struct rig_conn *
-Fw_RigConn_Take(GSocket *sock);
+Fw_RigConn_FromSocket(GSocket *sock);
 /* @len: -1 for a NUL-terminated string */
 void
 Fw_RigConn_Send(struct rig_conn *c, const char *data, gssize len);
@@ -62,13 +62,13 @@
 
 /**
  * struct rig_core - a scripted core that records events.
- * @seen: one line per event
+ * @events: one line per event
  * @react: adds the actions for an event; may be NULL
  * @is_ready: status that /readyz reports
  * @last_call: handle of the latest call
  */
 struct rig_core {
-    GString *seen;
+    GString *events;
     void (*react)(struct rig_core *core, const struct fw_event *ev,
                   struct fw_actions *out);
     int is_ready;
@@ -102,6 +102,6 @@
 Fw_Rig_Stop(struct rig *rig);
 /* Waits until the recorded events contain @text. */
 void
-Fw_Rig_ExpectSeen(struct rig_core *core, const char *text);
+Fw_Rig_ExpectEvent(struct rig_core *core, const char *text);
 
 #endif
--- a/tests/io/test_bad_requests.c
+++ b/tests/io/test_bad_requests.c
@@ -74,7 +74,7 @@
     for (int i = 0; i < 3; i++) {
         Fw_RigConn_Expect(c, bad_requests[_i].want[i]);
     }
-    ck_assert_ptr_null(strstr(rig.core.seen->str, "open"));
+    ck_assert_ptr_null(strstr(rig.core.events->str, "open"));
     Fw_RigConn_Close(c);
     g_free(filler);
     Fw_Rig_Stop(&rig);
@@ -100,10 +100,10 @@
         Fw_RigConn_Send(c, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n", -1);
         Fw_RigConn_Expect(c, "HTTP/1.1 400 ");
         Fw_RigConn_ExpectEof(c);
-        ck_assert_ptr_null(strstr(c->got->str + 1, "HTTP/1.1 "));
+        ck_assert_ptr_null(strstr(c->received->str + 1, "HTTP/1.1 "));
         Fw_RigConn_Close(c);
     }
-    ck_assert_str_eq(rig.core.seen->str, "");
+    ck_assert_str_eq(rig.core.events->str, "");
     Fw_Rig_Stop(&rig);
 }
 END_TEST
@@ -155,7 +155,7 @@
     good = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
     Fw_RigConn_Send(good, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", -1);
     Fw_RigConn_Expect(good, "HTTP/1.1 200 OK");
-    ck_assert_ptr_null(strstr(rig.core.seen->str, "open"));
+    ck_assert_ptr_null(strstr(rig.core.events->str, "open"));
     Fw_RigConn_Close(bad);
     Fw_RigConn_Close(good);
     Fw_Rig_Stop(&rig);
@@ -179,9 +179,9 @@
     c = Fw_RigConn_Open(Fw_Shell_CallersUrl(rig.shell));
     Fw_RigConn_Send(c, incomplete_requests[_i], -1);
     Fw_RigConn_ExpectEof(c);
-    ck_assert_ptr_nonnull(strstr(c->got->str, "HTTP/1.1 408 "));
-    ck_assert_ptr_nonnull(strstr(c->got->str, "Fuchsiaward-Ran: no\r\n"));
-    ck_assert_ptr_nonnull(strstr(c->got->str, "\"ran\":\"no\"}}"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "HTTP/1.1 408 "));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "Fuchsiaward-Ran: no\r\n"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "\"ran\":\"no\"}}"));
     Fw_RigConn_Close(c);
     Fw_Rig_Stop(&rig);
 }
--- a/tests/io/test_callers.c
+++ b/tests/io/test_callers.c
@@ -169,7 +169,7 @@
     for (int i = 0; i < 6 && responses[_i].parts[i]; i++) {
         Fw_RigConn_Expect(c, responses[_i].parts[i]);
     }
-    ck_assert_ptr_null(strstr(c->got->str, "Fuchsiaward-Ran"));
+    ck_assert_ptr_null(strstr(c->received->str, "Fuchsiaward-Ran"));
     Fw_RigConn_Close(c);
     Fw_Rig_Stop(&rig);
 }
@@ -186,13 +186,14 @@
     c = call(&rig, "/v1/completions", "",
              "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}");
     Fw_RigConn_Expect(c, "\"ran\":\"maybe\"}}");
-    ck_assert_ptr_nonnull(strstr(c->got->str, "HTTP/1.1 429 "));
-    ck_assert_ptr_nonnull(strstr(c->got->str, "Fuchsiaward-Ran: maybe\r\n"));
-    ck_assert_ptr_nonnull(strstr(c->got->str, "Retry-After: 2\r\n"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "HTTP/1.1 429 "));
     ck_assert_ptr_nonnull(
-        strstr(c->got->str, "{\"error\":{\"message\":\"over the \\\"rate\\\"\""
-                            ",\"type\":\"rate_limit_error\",\"code\":"
-                            "\"rate_limited\",\"ran\":\"maybe\"}}"));
+        strstr(c->received->str, "Fuchsiaward-Ran: maybe\r\n"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "Retry-After: 2\r\n"));
+    ck_assert_ptr_nonnull(strstr(
+        c->received->str, "{\"error\":{\"message\":\"over the \\\"rate\\\"\""
+                          ",\"type\":\"rate_limit_error\",\"code\":"
+                          "\"rate_limited\",\"ran\":\"maybe\"}}"));
     Fw_RigConn_Close(c);
     Fw_Rig_Stop(&rig);
 }
@@ -213,10 +214,10 @@
     c = call(&rig, "/v1/completions", "Connection: close\r\n",
              "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}");
     Fw_RigConn_ExpectEof(c);
-    ck_assert_ptr_nonnull(strstr(c->got->str, "HTTP/1.1 200 "));
-    ck_assert_ptr_nonnull(strstr(c->got->str, "data: {\"error\":{"));
-    ck_assert_ptr_nonnull(strstr(c->got->str, "\"ran\":\"maybe\"}}\n\n"));
-    ck_assert_ptr_null(strstr(c->got->str, "[DONE]"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "HTTP/1.1 200 "));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "data: {\"error\":{"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "\"ran\":\"maybe\"}}\n\n"));
+    ck_assert_ptr_null(strstr(c->received->str, "[DONE]"));
     Fw_RigConn_Close(c);
     Fw_Rig_Stop(&rig);
 }
@@ -242,13 +243,13 @@
                    "{\"model\":\"tides\",\"prompt\":\"x\"}");
     Fw_RigConn_Send(c, text, -1);
     g_free(text);
-    Fw_Rig_ExpectSeen(&rig.core, "key=second");
+    Fw_Rig_ExpectEvent(&rig.core, "key=second");
     text = request("/v1/completions", "",
                    "{\"model\":\"tides\",\"prompt\":\"x\"}");
     Fw_RigConn_Send(c, text, -1);
     g_free(text);
-    Fw_Rig_ExpectSeen(&rig.core, "key=-");
-    ck_assert_ptr_nonnull(strstr(rig.core.seen->str,
+    Fw_Rig_ExpectEvent(&rig.core, "key=-");
+    ck_assert_ptr_nonnull(strstr(rig.core.events->str,
                                  "open completion key=first model=tides "
                                  "prompt=abcde tokens=2 max=16 stream=0\n"));
     Fw_RigConn_Close(c);
@@ -281,15 +282,15 @@
     Fw_Rig_Start(&rig);
     c = call(&rig, "/v1/completions", "",
              "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}");
-    Fw_Rig_ExpectSeen(&rig.core, "open completion");
+    Fw_Rig_ExpectEvent(&rig.core, "open completion");
     if (disconnects[_i].wait_for) {
         Fw_RigConn_Expect(c, disconnects[_i].wait_for);
     }
     Fw_RigConn_Send(c, disconnects[_i].extra, -1);
     Fw_Rig_Settle();
-    ck_assert_ptr_null(strstr(rig.core.seen->str, "closed"));
+    ck_assert_ptr_null(strstr(rig.core.events->str, "closed"));
     Fw_RigConn_Close(c);
-    Fw_Rig_ExpectSeen(&rig.core, "closed\n");
+    Fw_Rig_ExpectEvent(&rig.core, "closed\n");
     Fw_Rig_Stop(&rig);
 }
 END_TEST
@@ -327,7 +328,7 @@
                     "Content-Length: 44\r\n\r\n"
                     "{\"model\":\"tides\",\"prompt\":\"x\",\"stream\":true}",
                     -1);
-    Fw_Rig_ExpectSeen(&rig.core, "closed\n");
+    Fw_Rig_ExpectEvent(&rig.core, "closed\n");
     Fw_RigConn_Close(c);
     Fw_Rig_Stop(&rig);
 }
@@ -374,7 +375,7 @@
                     "Authorization: Bearer op\r\n\r\n",
                     -1);
     Fw_RigConn_Expect(c, "X-Request-Id: r-9\r\n");
-    ck_assert_str_eq(rig.core.seen->str,
+    ck_assert_str_eq(rig.core.events->str,
                      "open service key=- PUT grid-desk/orders/a%20b?x=1 "
                      "idem=k-1 body=3\n"
                      "operator GET /v1/show/teams?name=a key=op\n");
--- a/tests/io/test_peer.c
+++ b/tests/io/test_peer.c
@@ -7,7 +7,7 @@
 #include "io/peer_auth.h"
 #include "io/peer_conn.h"
 #include "tests/base/suite.h"
-#include "tests/io/side.h"
+#include "tests/io/peer_fixture.h"
 
 START_TEST(messages_go_both_ways_on_one_connection)
 {
@@ -19,13 +19,13 @@
     Fw_PeerFixture_SendPing(&one, &two);
     Fw_PeerFixture_SendPing(&one, &two);
     Fw_PeerFixture_SendPing(&one, &two);
-    Fw_Rig_ExpectSeen(&two.core, "peer one boot=7 area=1\n"
-                                 "peer one boot=7 area=1\n"
-                                 "peer one boot=7 area=1\n");
+    Fw_Rig_ExpectEvent(&two.core, "peer one boot=7 area=1\n"
+                                  "peer one boot=7 area=1\n"
+                                  "peer one boot=7 area=1\n");
     Fw_PeerFixture_SendPing(&two, &one);
     Fw_PeerFixture_SendConfig(&two, &one, 300000);
-    Fw_Rig_ExpectSeen(&one.core,
-                      "peer two boot=9 area=1\npeer two boot=9 area=6\n");
+    Fw_Rig_ExpectEvent(&one.core,
+                       "peer two boot=9 area=1\npeer two boot=9 area=6\n");
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_connections"), 1);
     ck_assert_int_eq(Fw_PeerFixture_Metric(&two, "fw_peer_connections"), 1);
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_messages_out_total"),
@@ -51,8 +51,8 @@
     Fw_PeerFixture_SendPing(&one, &two);
     Fw_PeerFixture_ExpectMetric(&one, "fw_peer_refused_total", 1);
     Fw_Rig_Settle();
-    ck_assert_str_eq(one.core.seen->str, "");
-    ck_assert_str_eq(two.core.seen->str, "");
+    ck_assert_str_eq(one.core.events->str, "");
+    ck_assert_str_eq(two.core.events->str, "");
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 1);
     Fw_PeerFixture_SendPing(&one, &two);
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_dropped_total"), 2);
@@ -73,7 +73,7 @@
     Fw_PeerFixture_SendPing(&one, &two);
     Fw_PeerFixture_ExpectMetric(&one, "fw_peer_refused_total", 1);
     Fw_Rig_Settle();
-    ck_assert_str_eq(two.core.seen->str, "");
+    ck_assert_str_eq(two.core.events->str, "");
     Fw_PeerFixture_Stop(&one);
     Fw_PeerFixture_Stop(&two);
 }
@@ -113,11 +113,11 @@
     const struct rig_conn *c = ctx;
     uint32_t be;
 
-    if (c->got->len < 4) {
+    if (c->received->len < 4) {
         return 0;
     }
-    memcpy(&be, c->got->str, 4);
-    return c->got->len >= 4 + GUINT32_FROM_BE(be);
+    memcpy(&be, c->received->str, 4);
+    return c->received->len >= 4 + GUINT32_FROM_BE(be);
 }
 
 static void
@@ -131,10 +131,10 @@
     Fw_PeerAuth_InitId("raw", 3, &r->self_id);
     hello.id = r->self_id;
     send_hello(r->conn, &hello);
-    Fw_Rig_Until(has_frame, r->conn);
-    ck_assert_int_eq(Fw_PeerAuth_DecodeHello((uint8_t *)r->conn->got->str + 4,
-                                             r->conn->got->len - 4,
-                                             FW_HELLO_ACCEPT, &got),
+    Fw_Rig_RunUntil(has_frame, r->conn);
+    ck_assert_int_eq(Fw_PeerAuth_DecodeHello(
+                         (uint8_t *)r->conn->received->str + 4,
+                         r->conn->received->len - 4, FW_HELLO_ACCEPT, &got),
                      0);
     r->peer_id = got.id;
     hello.kind = FW_HELLO_PROVE;
@@ -206,7 +206,7 @@
     len = pack_ping(text);
     n = make_frame(&r, 0, text, len, frame);
     send_frame(r.conn, frame, n);
-    Fw_Rig_ExpectSeen(&one.core, "peer raw boot=3 area=1\n");
+    Fw_Rig_ExpectEvent(&one.core, "peer raw boot=3 area=1\n");
     n = make_frame(&r,
                    _i == FW_TAMPER_REPLAY ? 0
                    : _i == FW_TAMPER_OMIT ? 2
@@ -216,7 +216,7 @@
     frame[n - 1] ^= _i == FW_TAMPER_MAC;
     send_frame(r.conn, frame, _i == FW_TAMPER_TRUNCATE ? 5 : n);
     Fw_RigConn_ExpectEof(r.conn);
-    ck_assert_str_eq(one.core.seen->str, "peer raw boot=3 area=1\n");
+    ck_assert_str_eq(one.core.events->str, "peer raw boot=3 area=1\n");
     ck_assert_int_eq(Fw_PeerFixture_Metric(&one, "fw_peer_refused_total"), 1);
     raw_close(&r);
     Fw_PeerFixture_Stop(&one);
@@ -238,8 +238,8 @@
     n = make_frame(&r, 0, text, pack_ping(text), frame);
     send_frame(r.conn, frame, n);
     send_frame(r.conn, frame, n);
-    Fw_Rig_ExpectSeen(&one.core,
-                      "peer raw boot=3 area=1\npeer raw boot=3 area=1\n");
+    Fw_Rig_ExpectEvent(&one.core,
+                       "peer raw boot=3 area=1\npeer raw boot=3 area=1\n");
     raw_close(&r);
     Fw_PeerFixture_Stop(&one);
 }
@@ -268,7 +268,7 @@
                    malformed_payloads[_i].len, frame);
     send_frame(r.conn, frame, n);
     Fw_RigConn_ExpectEof(r.conn);
-    ck_assert_str_eq(one.core.seen->str, "");
+    ck_assert_str_eq(one.core.events->str, "");
     raw_close(&r);
     Fw_PeerFixture_Stop(&one);
 }
@@ -294,7 +294,7 @@
     n = make_frame(&r, 0, many->data, many->len, frame);
     send_frame(r.conn, frame, n);
     Fw_RigConn_ExpectEof(r.conn);
-    ck_assert_str_eq(one.core.seen->str, "");
+    ck_assert_str_eq(one.core.events->str, "");
     g_free(frame);
     g_byte_array_unref(many);
     raw_close(&r);
@@ -330,9 +330,9 @@
     Fw_RigConn_Send(c, invalid_hellos[_i].text,
                     (gssize)invalid_hellos[_i].len);
     Fw_RigConn_ExpectEof(c);
-    ck_assert_str_eq(c->got->str, "");
+    ck_assert_str_eq(c->received->str, "");
     Fw_PeerFixture_SendPing(&two, &one);
-    Fw_Rig_ExpectSeen(&one.core, "peer two boot=9 area=1\n");
+    Fw_Rig_ExpectEvent(&one.core, "peer two boot=9 area=1\n");
     Fw_RigConn_Close(c);
     Fw_PeerFixture_Stop(&one);
     Fw_PeerFixture_Stop(&two);
@@ -368,13 +368,13 @@
     Fw_PeerFixture_Start(&one, "one", 7, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_Start(&two, "two", 9, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_SendPing(&one, &two);
-    Fw_Rig_ExpectSeen(&two.core, "peer one");
+    Fw_Rig_ExpectEvent(&two.core, "peer one");
     Fw_PeerFixture_Stop(&two);
     Fw_PeerFixture_Start(&two, "two", 10, FW_PEER_FIXTURE_SECRET);
     Fw_PeerFixture_SendPing(&one, &two);
-    Fw_Rig_ExpectSeen(&two.core, "peer one boot=7 area=1\n");
+    Fw_Rig_ExpectEvent(&two.core, "peer one boot=7 area=1\n");
     Fw_PeerFixture_SendPing(&two, &one);
-    Fw_Rig_ExpectSeen(&one.core, "peer two boot=10 area=1\n");
+    Fw_Rig_ExpectEvent(&one.core, "peer two boot=10 area=1\n");
     Fw_PeerFixture_Stop(&one);
     Fw_PeerFixture_Stop(&two);
 }
--- a/tests/io/test_platform.c
+++ b/tests/io/test_platform.c
@@ -2,8 +2,8 @@
 #include <check.h>
 #include <string.h>
 
-#include "io/list_client.h"
 #include "io/log_client.h"
+#include "io/registry_client.h"
 #include "tests/base/suite.h"
 #include "tests/io/rig.h"
 
@@ -87,10 +87,10 @@
     Fw_LogClient_Append(h.log, &a);
     Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 0),
                       "{\"records\":[\"{\\\"a\\\":1}\",\"two\"]}");
-    ck_assert(g_str_has_prefix(Fw_RigServer_Conn(h.server, 0)->got->str,
+    ck_assert(g_str_has_prefix(Fw_RigServer_Conn(h.server, 0)->received->str,
                                "POST /log/config HTTP/1.1\r\n"));
     answer(&h, 0, appends[_i].reply);
-    Fw_Rig_ExpectSeen(&h.core, appends[_i].seen);
+    Fw_Rig_ExpectEvent(&h.core, appends[_i].seen);
     Fw_Rig_Settle();
     ck_assert_uint_eq(h.server->conns->len, 1);
     end(&h);
@@ -107,7 +107,7 @@
     g_socket_service_stop(h.server->service);
     g_socket_listener_close(G_SOCKET_LISTENER(h.server->service));
     Fw_LogClient_Append(h.log, &a);
-    Fw_Rig_ExpectSeen(&h.core, "appended err=-11 first=0\n");
+    Fw_Rig_ExpectEvent(&h.core, "appended err=-11 first=0\n");
     end(&h);
 }
 END_TEST
@@ -143,7 +143,7 @@
     Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 0),
                       "GET /log/roles?from=3&max=10&wait_ms=1500 HTTP/1.1");
     answer(&h, 0, reads[_i].reply);
-    Fw_Rig_ExpectSeen(&h.core, reads[_i].seen);
+    Fw_Rig_ExpectEvent(&h.core, reads[_i].seen);
     end(&h);
 }
 END_TEST
@@ -173,7 +173,7 @@
     Fw_RegistryClient_Read(h.registry);
     Fw_RegistryClient_Read(h.registry);
     answer(&h, 0, registry_reads[_i].reply);
-    Fw_Rig_ExpectSeen(&h.core, registry_reads[_i].seen);
+    Fw_Rig_ExpectEvent(&h.core, registry_reads[_i].seen);
     end(&h);
 }
 END_TEST
@@ -214,7 +214,7 @@
     Fw_RigConn_Expect(Fw_RigServer_Conn(h.server, 3),
                       "DELETE /list/one HTTP/1.1\r\n");
     answer(&h, 3, "HTTP/1.1 204 No Content\r\n\r\n");
-    Fw_Rig_Until(is_set, &unregistered);
+    Fw_Rig_RunUntil(is_set, &unregistered);
     end(&h);
 }
 END_TEST
--- a/tests/io/test_shell.c
+++ b/tests/io/test_shell.c
@@ -77,15 +77,15 @@
     Fw_RigConn_Expect(c, "text/event-stream");
     raise(SIGTERM);
     raise(SIGTERM);
-    Fw_Rig_ExpectSeen(&rig.core, "drain\n");
+    Fw_Rig_ExpectEvent(&rig.core, "drain\n");
     answer_platform(&rig, 1, "\"leaving\":true}");
     may_exit = 1;
     Fw_RigConn_Expect(c, "data: [DONE]\n\n");
-    ck_assert_ptr_nonnull(strstr(c->got->str, "low water"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "low water"));
     answer_platform(&rig, 2, "DELETE /list/one");
-    Fw_Rig_Until(has_stopped, rig.shell);
-    ck_assert_ptr_eq(strstr(rig.core.seen->str, "drain"),
-                     g_strrstr(rig.core.seen->str, "drain"));
+    Fw_Rig_RunUntil(has_stopped, rig.shell);
+    ck_assert_ptr_eq(strstr(rig.core.events->str, "drain"),
+                     g_strrstr(rig.core.events->str, "drain"));
     Fw_RigConn_Close(c);
     Fw_Rig_Stop(&rig);
 }
@@ -103,7 +103,7 @@
     g_socket_listener_close(G_SOCKET_LISTENER(rig.platform->service));
     may_exit = 1;
     raise(SIGINT);
-    Fw_Rig_Until(has_stopped, rig.shell);
+    Fw_Rig_RunUntil(has_stopped, rig.shell);
     Fw_Rig_Stop(&rig);
 }
 END_TEST
@@ -135,7 +135,7 @@
     Fw_Rig_Init(&rig);
     rig.core.react = count_ticks;
     Fw_Rig_Start(&rig);
-    Fw_Rig_Until(has_ticked, &ticks);
+    Fw_Rig_RunUntil(has_ticked, &ticks);
     Fw_Rig_Stop(&rig);
 }
 END_TEST
--- a/tests/io/test_upstream.c
+++ b/tests/io/test_upstream.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/fault.h"
-#include "io/up_client.h"
+#include "io/upstream_client.h"
 #include "tests/base/suite.h"
 #include "tests/io/rig.h"
 
@@ -161,9 +161,9 @@
     if (prefills[_i].disconnect) {
         disconnect(&h, 0);
     }
-    Fw_Rig_ExpectSeen(&h.core, "\n");
-    ck_assert_msg(g_str_has_prefix(h.core.seen->str, prefills[_i].seen), "%s",
-                  h.core.seen->str);
+    Fw_Rig_ExpectEvent(&h.core, "\n");
+    ck_assert_msg(g_str_has_prefix(h.core.events->str, prefills[_i].seen),
+                  "%s", h.core.events->str);
     end(&h);
 }
 END_TEST
@@ -177,8 +177,8 @@
     g_socket_listener_close(G_SOCKET_LISTENER(h.server->service));
     Fw_Rig_Settle();
     start_prefill(&h, 20 * FW_SEC);
-    Fw_Rig_ExpectSeen(&h.core,
-                      "up failed ran=no status=0 err=Connection refused\n");
+    Fw_Rig_ExpectEvent(&h.core,
+                       "up failed ran=no status=0 err=Connection refused\n");
     end(&h);
 }
 END_TEST
@@ -195,9 +195,9 @@
     else {
         start_decode(&h, 50 * FW_MSEC);
         answer(&h, 0, FW_OPEN "{\"i\":2,\"t\":\"low \"}\n");
-        Fw_Rig_ExpectSeen(&h.core, "up piece ran=yes status=200 err=0 2=low");
+        Fw_Rig_ExpectEvent(&h.core, "up piece ran=yes status=200 err=0 2=low");
     }
-    Fw_Rig_ExpectSeen(&h.core, "err=Connection timed out\n");
+    Fw_Rig_ExpectEvent(&h.core, "err=Connection timed out\n");
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(h.server, 0));
     end(&h);
 }
@@ -270,9 +270,9 @@
     answer(&h, 0, FW_OPEN);
     Fw_RigConn_Send(Fw_RigServer_Conn(h.server, 0), streams[_i].lines, -1);
     disconnect(&h, 0);
-    Fw_Rig_ExpectSeen(&h.core, streams[_i].seen);
+    Fw_Rig_ExpectEvent(&h.core, streams[_i].seen);
     Fw_Rig_Settle();
-    ck_assert_str_eq(h.core.seen->str, streams[_i].seen);
+    ck_assert_str_eq(h.core.events->str, streams[_i].seen);
     end(&h);
 }
 END_TEST
@@ -287,8 +287,8 @@
     start_decode(&h, 20 * FW_SEC);
     answer(&h, 0, FW_OPEN);
     Fw_RigConn_Send(Fw_RigServer_Conn(h.server, 0), text, -1);
-    Fw_Rig_ExpectSeen(&h.core,
-                      "up failed ran=maybe status=200 err=Message too long\n");
+    Fw_Rig_ExpectEvent(
+        &h.core, "up failed ran=maybe status=200 err=Message too long\n");
     g_free(text);
     end(&h);
 }
@@ -312,13 +312,13 @@
     else {
         start_decode(&h, 20 * FW_SEC);
         answer(&h, 0, FW_OPEN "{\"i\":2,\"t\":\"low \"}\n");
-        Fw_Rig_ExpectSeen(&h.core, "2=low");
-        g_string_truncate(h.core.seen, 0);
+        Fw_Rig_ExpectEvent(&h.core, "2=low");
+        g_string_truncate(h.core.events, 0);
     }
     Fw_UpstreamClient_Stop(h.client, 1);
     Fw_UpstreamClient_Stop(h.client, 1);
     Fw_RigConn_ExpectEof(Fw_RigServer_Conn(h.server, 0));
-    ck_assert_str_eq(h.core.seen->str, "");
+    ck_assert_str_eq(h.core.events->str, "");
     end(&h);
 }
 END_TEST
@@ -339,11 +339,11 @@
     Fw_Fault_Active = _i == 2 ? "once-ignored" : NULL;
     start_service(&h, "PUT", 0);
     answer(&h, 0, FW_OK "2\r\nContent-Type: text/x\r\n\r\nok");
-    Fw_Rig_ExpectSeen(&h.core, "up done ran=yes status=200 err=0\n");
+    Fw_Rig_ExpectEvent(&h.core, "up done ran=yes status=200 err=0\n");
     Fw_Rig_Settle();
-    g_string_truncate(h.core.seen, 0);
+    g_string_truncate(h.core.events, 0);
     c = Fw_RigServer_Conn(h.server, 0);
-    g_string_truncate(c->got, 0);
+    g_string_truncate(c->received, 0);
     start_service(&h, "PUT", _i > 0);
     if (once) {
         c = Fw_RigServer_Conn(h.server, 1);
@@ -351,7 +351,7 @@
     Fw_RigConn_Expect(c, "abc");
     g_socket_shutdown(c->sock, TRUE, TRUE, NULL);
     if (once) {
-        Fw_Rig_ExpectSeen(&h.core, "up failed ran=maybe status=0 err=");
+        Fw_Rig_ExpectEvent(&h.core, "up failed ran=maybe status=0 err=");
         Fw_Rig_Settle();
         ck_assert_uint_eq(h.server->conns->len, 2);
     }
@@ -372,15 +372,15 @@
     c = Fw_RigServer_Conn(h.server, 0);
     Fw_RigConn_Expect(c, "abc");
     ck_assert_msg(
-        g_str_has_prefix(c->got->str, "POST /orders?x=1 HTTP/1.1\r\n"), "%s",
-        c->got->str);
+        g_str_has_prefix(c->received->str, "POST /orders?x=1 HTTP/1.1\r\n"),
+        "%s", c->received->str);
     Fw_RigConn_Expect(c, "X-Fuchsiaward-Team: skippers\r\n");
     Fw_RigConn_Expect(c, "X-Request-Id: r-1\r\n");
     Fw_RigConn_Expect(c, "Idempotency-Key: k-1\r\n");
     Fw_RigConn_Expect(c, "Content-Type: text/plain\r\n");
-    ck_assert_ptr_null(strstr(c->got->str, "Authorization"));
+    ck_assert_ptr_null(strstr(c->received->str, "Authorization"));
     Fw_RigConn_Send(c, "HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n", -1);
-    Fw_Rig_ExpectSeen(&h.core, "up done ran=yes status=422 err=0\n");
+    Fw_Rig_ExpectEvent(&h.core, "up done ran=yes status=422 err=0\n");
     end(&h);
 }
 END_TEST
@@ -394,8 +394,8 @@
     start_service(&h, "POST", 1);
     answer(&h, 0, FW_OK "9000\r\n\r\n");
     Fw_RigConn_Send(Fw_RigServer_Conn(h.server, 0), text, -1);
-    Fw_Rig_ExpectSeen(&h.core,
-                      "up failed ran=maybe status=200 err=Message too long\n");
+    Fw_Rig_ExpectEvent(
+        &h.core, "up failed ran=maybe status=200 err=Message too long\n");
     g_free(text);
     end(&h);
 }
@@ -410,9 +410,9 @@
     s = new_call(&h, FW_UP_LOAD_REPORT);
     g_strlcpy(s.url, "not a url", sizeof(s.url));
     Fw_UpstreamClient_Start(h.client, &s);
-    ck_assert_str_eq(h.core.seen->str, "");
-    Fw_Rig_ExpectSeen(&h.core,
-                      "up failed ran=no status=0 err=Invalid argument\n");
+    ck_assert_str_eq(h.core.events->str, "");
+    Fw_Rig_ExpectEvent(&h.core,
+                       "up failed ran=no status=0 err=Invalid argument\n");
     end(&h);
 }
 END_TEST
--- a/tests/relayd/router_env.c
+++ b/tests/relayd/router_env.c
@@ -68,7 +68,7 @@
     ck_assert_ptr_nonnull(env->router);
     g_snprintf(env->callers, sizeof(env->callers), "127.0.0.1:%d",
                Fw_Relayd_CallersPort(env->router));
-    Fw_Rig_Until(Fw_RouterEnv_IsReady, env);
+    Fw_Rig_RunUntil(Fw_RouterEnv_IsReady, env);
 }
 
 void
@@ -76,7 +76,7 @@
 {
     *env = (struct router_env){0};
     env->null_fd = open("/dev/null", O_WRONLY);
-    Fw_Note_SetupBounded("n1", env->null_fd, 65536);
+    Fw_Logger_SetupNonblocking("n1", env->null_fd, 65536);
     env->store = Fw_WireStore_New("127.0.0.1:0");
     env->p1 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[0]);
     env->d1 = Fw_WireServer_New(env->store, "127.0.0.1:0", &servers[1]);
--- a/tests/relayd/router_env.h
+++ b/tests/relayd/router_env.h
@@ -5,7 +5,7 @@
 #ifndef FW_TESTS_RELAYD_ROUTER_ENV_H
 #define FW_TESTS_RELAYD_ROUTER_ENV_H
 
-#include "io/note.h"
+#include "io/logger.h"
 #include "relayd/relayd.h"
 #include "stand/wire/wire.h"
 #include "tests/base/suite.h"
--- a/tests/relayd/test_log_events.c
+++ b/tests/relayd/test_log_events.c
@@ -79,7 +79,7 @@
 wait_for_event(struct log_reader *reader, const char *event)
 {
     reader->event = event;
-    Fw_Rig_Until(has_event, reader);
+    Fw_Rig_RunUntil(has_event, reader);
 }
 
 static void
@@ -196,14 +196,14 @@
     Fw_RouterEnv_Init(&env);
     env.opts.relay.prefill_permille =
         600; /* an engine is to change its stage */
-    Fw_Note_SetupBounded("n1", fds[1], 65536);
+    Fw_Logger_SetupNonblocking("n1", fds[1], 65536);
     Fw_RouterEnv_StartRouter(&env);
     provoke_events(&env, &reader);
     for (size_t i = 0; i < G_N_ELEMENTS(expected_events); i++) {
         check_line(&reader, expected_events[i].event,
                    expected_events[i].members);
     }
-    Fw_Note_SetupBounded("n1", env.null_fd, 65536);
+    Fw_Logger_SetupNonblocking("n1", env.null_fd, 65536);
     Fw_RouterEnv_Free(&env);
     g_string_free(reader.text, TRUE);
     close(fds[0]);
--- a/tests/relayd/test_relayd.c
+++ b/tests/relayd/test_relayd.c
@@ -29,7 +29,7 @@
     Fw_RigConn_Expect(c, "HTTP/1.1 200 OK");
     Fw_RigConn_Expect(c, "id: 9\ndata: piece 9\n\n");
     Fw_RigConn_Expect(c, "\r\n0\r\n\r\n");
-    ck_assert_ptr_nonnull(strstr(c->got->str, "Server-Stamp: d"));
+    ck_assert_ptr_nonnull(strstr(c->received->str, "Server-Stamp: d"));
     ck_assert_int_eq(Fw_WireServer_StartedCount(env.p1), 1);
     ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastRequestHead(env.p1),
                                  "POST /outlook/%7eebb?q=%zz HTTP/1.1\r\n"));
@@ -39,7 +39,7 @@
         strstr(Fw_WireServer_LastRequestHead(env.p1), "Bearer"));
     ck_assert_ptr_nonnull(strstr(Fw_WireServer_LastRequestHead(env.p1),
                                  "Request-Priority: 1\r\n"));
-    Fw_Rig_Until(all_released, &env);
+    Fw_Rig_RunUntil(all_released, &env);
     Fw_RigConn_Close(c);
     Fw_RouterEnv_Free(&env);
 }
@@ -138,9 +138,9 @@
     c = Fw_RouterEnv_SendRequest(&env, "POST /outlook/x", FW_TOKENS);
     Fw_RigConn_Expect(c, "piece 2");
     Fw_RigConn_ExpectEof(c);
-    ck_assert_ptr_null(strstr(c->got->str, "piece 3"));
-    ck_assert_ptr_null(strstr(c->got->str, "\r\n0\r\n"));
-    Fw_Rig_Until(all_released, &env);
+    ck_assert_ptr_null(strstr(c->received->str, "piece 3"));
+    ck_assert_ptr_null(strstr(c->received->str, "\r\n0\r\n"));
+    Fw_Rig_RunUntil(all_released, &env);
     Fw_RigConn_Close(c);
     Fw_RouterEnv_Free(&env);
 }
@@ -160,7 +160,7 @@
     }
     Fw_RigConn_Expect(c, until[_i]);
     Fw_RigConn_Close(c);
-    Fw_Rig_Until(all_released, &env);
+    Fw_Rig_RunUntil(all_released, &env);
     Fw_RouterEnv_Free(&env);
 }
 END_TEST
@@ -173,7 +173,8 @@
     int refused;
 
     Fw_RigConn_Expect(c, "HTTP/1.1 ");
-    refused = strstr(c->got->str, " 401 ") || strstr(c->got->str, " 503 ");
+    refused =
+        strstr(c->received->str, " 401 ") || strstr(c->received->str, " 503 ");
     Fw_RigConn_Close(c);
     return refused;
 }
@@ -185,7 +186,7 @@
     Fw_RouterEnv_InitAndStart(&env);
     ck_assert(!is_rejected(&env));
     Fw_RouterEnv_PutConfig(&env, 2, "\"k2\"");
-    Fw_Rig_Until(is_rejected, &env);
+    Fw_Rig_RunUntil(is_rejected, &env);
     Fw_RouterEnv_Free(&env);
 }
 END_TEST
@@ -205,7 +206,7 @@
     Fw_RouterEnv_InitAndStart(&env);
     Fw_WireStore_SetMode(env.store, modes[_i]);
     ck_assert(!is_rejected(&env));
-    Fw_Rig_Until(is_rejected, &env);
+    Fw_Rig_RunUntil(is_rejected, &env);
     ck_assert(!Fw_RouterEnv_IsReady(&env));
     c = Fw_RouterEnv_SendRequest(&env, "GET /public/x", "");
     Fw_RigConn_Expect(c, "Connection: close");
@@ -216,7 +217,7 @@
         Fw_WireStore_Truncate(env.store, "keyed.servers");
     }
     Fw_WireStore_SetMode(env.store, FW_WIRE_STORE_NORMAL);
-    Fw_Rig_Until(Fw_RouterEnv_IsReady, &env);
+    Fw_Rig_RunUntil(Fw_RouterEnv_IsReady, &env);
     ck_assert(!is_rejected(&env));
     Fw_RouterEnv_Free(&env);
 }
@@ -320,7 +321,7 @@
     Fw_Relayd_Drain(env.router);
     ck_assert(!Fw_RouterEnv_IsReady(&env));
     Fw_RigConn_Expect(c, "\r\n0\r\n\r\n");
-    Fw_Rig_Until(is_stopped, &env);
+    Fw_Rig_RunUntil(is_stopped, &env);
     Fw_RigConn_Close(c);
     Fw_RouterEnv_Free(&env);
 }
@@ -337,12 +338,12 @@
 
     ck_assert_int_eq(pipe(fds), 0);
     Fw_RouterEnv_InitAndStart(&env);
-    Fw_Note_SetupBounded("n1", fds[1], 4096);
+    Fw_Logger_SetupNonblocking("n1", fds[1], 4096);
     for (int i = 0; i < 600; i++) {
         ck_assert(!is_rejected(&env));
     }
-    ck_assert_int_gt(Fw_Note_Dropped(), 0);
-    Fw_Note_SetupBounded("n1", env.null_fd, 65536);
+    ck_assert_int_gt(Fw_Logger_DroppedLines(), 0);
+    Fw_Logger_SetupNonblocking("n1", env.null_fd, 65536);
     Fw_RouterEnv_Free(&env);
     close(fds[0]);
     close(fds[1]);
@@ -382,13 +383,13 @@
     Fw_RouterEnv_Init(&env);
     env.opts.relay.digest_period_us = 20 * FW_MSEC;
     Fw_RouterEnv_StartRouter(&env);
-    Fw_Note_SetupBounded("n1", fds[1], 65536);
+    Fw_Logger_SetupNonblocking("n1", fds[1], 65536);
     reader.fd = fds[0];
     Fw_WireStore_Put(env.store, "keyed.fuchsiaward", "n9",
                      "{\"addr\":\"nowhere\",\"boot\":1}");
-    Fw_Rig_Until(has_unsent_digest, &reader);
+    Fw_Rig_RunUntil(has_unsent_digest, &reader);
     ck_assert_ptr_nonnull(strstr(reader.text, "nowhere"));
-    Fw_Note_SetupBounded("n1", env.null_fd, 65536);
+    Fw_Logger_SetupNonblocking("n1", env.null_fd, 65536);
     Fw_RouterEnv_Free(&env);
     close(fds[0]);
     close(fds[1]);
--- a/tests/system/events.sh
+++ b/tests/system/events.sh
@@ -5,10 +5,10 @@
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 page=docs/OPERATIONS.md
-src="src/relay src/relayd src/io/note.c"
+src="src/relay src/relayd src/io/logger.c"
 # The event is the first lower-case string literal of the call.
 cat $(find $src -name '*.c') | tr '\n' ' ' |
-    grep -oE 'Fw_(RelayActions|Note)_Log\( *[^";]*("[a-z_]+"( : "[a-z_]+")?)' |
+    grep -oE 'Fw_(RelayActions|Logger)_Log\( *[^";]*("[a-z_]+"( : "[a-z_]+")?)' |
     grep -oE '"[a-z_]+"' | tr -d '"' | sort -u > "$dir/logged"
 sed -n '/^## Events/,/^## Metrics/p' $page | grep '^|' | cut -d'|' -f2 |
     grep -oE '`[a-z_]+`' | tr -d '`' | sort -u > "$dir/told"
@@ -22,7 +22,7 @@
     [ "$e" = log_lines_dropped ] || grep -qx "$e" "$dir/logged" ||
         { echo "nothing logs $e"; bad=1; }
 done
-cat $(find src/relay src/relayd src/http/*.c src/io/note.c -name '*.c') |
+cat $(find src/relay src/relayd src/http/*.c src/io/logger.c -name '*.c') |
     grep -oE '"fw_[a-z_]+"' | tr -d '"' | sort -u > "$dir/served"
 for m in $(cat "$dir/served"); do
     grep -q "$m" $page && continue
