--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -1,33 +1,35 @@
-/* The account of what the fleet spends in sum, by real time. */
+/* Reference token buckets for the tokens that all instances grant. */
 #include <string.h>
 
 #include "explore/p_limit.h"
 
-/* Clocks that run fast refill fast, within the bound that is stated. */
-#define DRIFT (1.0 + FW_ROLE_DRIFT_PPM / 1e6)
-
-#define FW_REFUND_US (5 * FW_SEC) /* gathered before they are sent */
+/* An instance whose clock runs fast refills its bucket faster. */
+#define DRIFT_FACTOR (1.0 + FW_ROLE_DRIFT_PPM / 1e6)
+/* Time in which an instance returns refunded tokens that it cannot keep. */
+#define REFUND_DELAY_MAX_US (5 * FW_SEC)
 
 void
-Fw_Account_Settle(struct fw_account *a, int64_t real_us)
+Fw_Account_Refill(struct fw_account *a, int64_t real_us)
 {
     double dt = (double)MAX(real_us - a->at_us, 0) / FW_SEC;
 
     a->at_us = MAX(real_us, a->at_us);
-    a->level = MIN(a->level + dt * (double)a->team.rate * DRIFT,
+    a->level = MIN(a->level + dt * (double)a->team.rate * DRIFT_FACTOR,
                    (double)a->team.burst);
 }
 
 /*
- * A refund counts when it reaches a bucket, which nobody outside can tell.
- * So each refunded token may stand in once for a token over the account, and
- * joins the account when the network can no longer hold it.
+ * The time at which a refund reaches the bucket of an instance is unknown. So
+ * until its latest arrival each refunded token may cover one token of excess;
+ * after that the rest is added to the reference bucket. Return: the part of
+ * @missing that is not covered.
  */
 static double
-draw_refunds(struct fw_limit_check *c, int team, double missing)
+cover_from_refunds(struct fw_limit_check *c, int team, double missing)
 {
     for (guint i = 0; i < c->refunds->len; i++) {
-        struct fw_refund *r = &g_array_index(c->refunds, struct fw_refund, i);
+        struct fw_limit_check_refund *r =
+            &g_array_index(c->refunds, struct fw_limit_check_refund, i);
         double take = r->team == team ? MIN(missing, r->tokens) : 0;
         r->tokens -= take;
         missing -= take;
@@ -35,93 +37,96 @@
     return missing;
 }
 
+/* Adds refunds that must have arrived to their buckets. */
 static void
-settle_refunds(struct fw_limit_check *c, int64_t real_us)
+apply_due_refunds(struct fw_limit_check *c, int64_t real_us)
 {
     for (guint i = c->refunds->len; i > 0; i--) {
-        struct fw_refund r =
-            g_array_index(c->refunds, struct fw_refund, i - 1);
+        struct fw_limit_check_refund r =
+            g_array_index(c->refunds, struct fw_limit_check_refund, i - 1);
         struct fw_account *a = &c->accounts[r.team];
         if (real_us < r.until_us) {
             continue;
         }
-        Fw_Account_Settle(a, r.until_us);
+        Fw_Account_Refill(a, r.until_us);
         a->level = MIN(a->level + r.tokens, (double)a->team.burst);
         g_array_remove_index(c->refunds, i - 1);
     }
 }
 
 static void
-on_granted(struct fw_limit_check *c, struct fw_fleet_env *w,
-           const struct fw_open_ask *q)
+on_granted(struct fw_limit_check *c, struct fw_fleet_env *env,
+           const struct fw_limit_check_request *req)
 {
-    struct fw_account *a = &c->accounts[q->team];
-    struct fw_grant_note note = {.site = q->site,
-                                 .boot = w->sites[q->site].self.boot,
-                                 .team = q->team,
-                                 .tokens = q->tokens};
-
-    settle_refunds(c, w->real_us);
-    Fw_Account_Settle(a, w->real_us);
-    a->level -= (double)q->tokens;
-    a->spent += q->tokens;
-    Fw_Run_Trace(w->run,
-                 "%8.3f %s spends %" G_GINT64_FORMAT " of %s, leaving %.0f",
-                 (double)w->real_us / FW_SEC, w->sites[q->site].self.name,
-                 q->tokens, a->team.name, a->level);
+    struct fw_account *a = &c->accounts[req->team];
+    struct fw_limit_check_grant grant = {
+        .instance = req->instance,
+        .boot = env->instances[req->instance].self.boot,
+        .team = req->team,
+        .tokens = req->tokens};
+
+    apply_due_refunds(c, env->real_us);
+    Fw_Account_Refill(a, env->real_us);
+    a->level -= (double)req->tokens;
+    a->spent += req->tokens;
+    Fw_Run_Trace(
+        env->run, "%8.3f %s spends %" G_GINT64_FORMAT " of %s, leaving %.0f",
+        (double)env->real_us / FW_SEC, env->instances[req->instance].self.name,
+        req->tokens, a->team.name, a->level);
     a->granted++;
-    g_array_append_val(c->granted, note);
+    g_array_append_val(c->granted, grant);
     if (a->level < -1.0) {
-        a->level = -draw_refunds(c, q->team, -a->level);
+        a->level = -cover_from_refunds(c, req->team, -a->level);
     }
     if (a->level < -1.0) {
-        c->over += (int64_t)-a->level;
-        if (c->strict) {
-            Fw_Run_Breach(w->run,
-                          "at %.3f team %s spent %.0f tokens over its rate "
-                          "and burst",
-                          (double)w->real_us / FW_SEC, a->team.name,
-                          -a->level);
+        c->overspent_tokens += (int64_t)-a->level;
+        if (c->fail_on_overspend) {
+            Fw_Run_Fail(env->run,
+                        "at %.3f team %s spent %.0f tokens over its rate "
+                        "and burst",
+                        (double)env->real_us / FW_SEC, a->team.name,
+                        -a->level);
         }
         a->level = 0;
     }
 }
 
 static void
-on_answer(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
+on_answer(struct fw_limit_check *c, struct fw_fleet_env *env, int instance,
           const struct fw_limit_answer *ans)
 {
-    for (guint i = 0; i < c->open->len; i++) {
-        struct fw_open_ask q = g_array_index(c->open, struct fw_open_ask, i);
-        struct fw_account *a = &c->accounts[q.team];
-        if (q.ticket != ans->ticket || q.site != site) {
+    for (guint i = 0; i < c->pending->len; i++) {
+        struct fw_limit_check_request req =
+            g_array_index(c->pending, struct fw_limit_check_request, i);
+        struct fw_account *a = &c->accounts[req.team];
+        if (req.ticket != ans->ticket || req.instance != instance) {
             continue;
         }
-        g_array_remove_index_fast(c->open, i);
+        g_array_remove_index_fast(c->pending, i);
         if (ans->granted) {
-            on_granted(c, w, &q);
+            on_granted(c, env, &req);
         }
         else {
-            Fw_Account_Settle(a, w->real_us);
+            Fw_Account_Refill(a, env->real_us);
             a->refused++;
             c->retry_us = ans->retry_after_us;
-            a->wrongful += a->level >= (double)q.tokens;
+            a->wrongful += a->level >= (double)req.tokens;
         }
         return;
     }
-    Fw_Run_Breach(w->run, "an answer that nobody asked for");
+    Fw_Run_Fail(env->run, "an answer for an unknown request");
 }
 
 static void
-take_answers(struct fw_fleet_env *w, void *arg)
+take_answers(struct fw_fleet_env *env, void *arg)
 {
     struct fw_limit_check *c = arg;
     struct fw_limit_answer ans;
 
-    for (int i = 0; i < w->n; i++) {
-        while (Fw_FleetEnv_Runs(w, i) &&
-               Fw_Limit_TakeAnswer(w->sites[i].limit, &ans)) {
-            on_answer(c, w, i, &ans);
+    for (int i = 0; i < env->n; i++) {
+        while (Fw_FleetEnv_IsRunning(env, i) &&
+               Fw_Limit_TakeAnswer(env->instances[i].limit, &ans)) {
+            on_answer(c, env, i, &ans);
         }
     }
 }
@@ -139,96 +144,103 @@
 }
 
 void
-Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *w,
+Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *env,
                    int64_t term_us)
 {
     struct fw_config *cfg = g_new0(struct fw_config, 1);
 
     memset(c, 0, sizeof(*c));
-    c->open = g_array_new(FALSE, TRUE, sizeof(struct fw_open_ask));
-    c->refunds = g_array_new(FALSE, TRUE, sizeof(struct fw_refund));
-    c->granted = g_array_new(FALSE, TRUE, sizeof(struct fw_grant_note));
+    c->pending =
+        g_array_new(FALSE, TRUE, sizeof(struct fw_limit_check_request));
+    c->refunds =
+        g_array_new(FALSE, TRUE, sizeof(struct fw_limit_check_refund));
+    c->granted = g_array_new(FALSE, TRUE, sizeof(struct fw_limit_check_grant));
     cfg->next_offset = 2;
     cfg->teams = g_hash_table_new(g_str_hash, g_str_equal);
     add_team(c, 0, cfg->teams, "large", 1000, 5000);
     add_team(c, 1, cfg->teams, "small", 40, 400);
-    w->use_roles = 1;
-    w->wait_us[FW_ROLE_BUDGET] = term_us;
-    w->cfg = cfg;
-    w->check = take_answers;
-    w->arg = c;
+    env->use_roles = 1;
+    env->role_wait_us[FW_ROLE_BUDGET] = term_us;
+    env->cfg = cfg;
+    env->check = take_answers;
+    env->arg = c;
 }
 
 void
-Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *w)
+Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *env)
 {
-    struct fw_config *cfg = (struct fw_config *)w->cfg;
+    struct fw_config *cfg = (struct fw_config *)env->cfg;
 
-    Fw_FleetEnv_Clear(w);
+    Fw_FleetEnv_Clear(env);
     g_hash_table_unref(cfg->teams);
     g_free(cfg);
-    g_array_unref(c->open);
+    g_array_unref(c->pending);
     g_array_unref(c->granted);
     g_array_unref(c->refunds);
 }
 
 void
-Fw_LimitCheck_Ask(struct fw_limit_check *c, struct fw_fleet_env *w, int site,
-                  int team, int64_t tokens)
+Fw_LimitCheck_Request(struct fw_limit_check *c, struct fw_fleet_env *env,
+                      int instance, int team, int64_t tokens)
 {
-    struct fw_open_ask q = {
-        .ticket = ++c->ticket, .site = site, .team = team, .tokens = tokens};
+    struct fw_limit_check_request req = {.ticket = ++c->ticket,
+                                         .instance = instance,
+                                         .team = team,
+                                         .tokens = tokens};
     struct fw_actions out;
 
-    if (!Fw_FleetEnv_Runs(w, site)) {
+    if (!Fw_FleetEnv_IsRunning(env, instance)) {
         return;
     }
-    g_array_append_val(c->open, q);
+    g_array_append_val(c->pending, req);
     Fw_Actions_Init(&out);
-    Fw_Limit_Request(w->sites[site].limit, &c->accounts[team].team, q.ticket,
-                     tokens, Fw_FleetEnv_Local(w, site), &out);
-    Fw_FleetEnv_Carry(w, site, &out);
-    take_answers(w, c);
+    Fw_Limit_Request(env->instances[instance].limit, &c->accounts[team].team,
+                     req.ticket, tokens, Fw_FleetEnv_LocalTime(env, instance),
+                     &out);
+    Fw_FleetEnv_PerformActions(env, instance, &out);
+    take_answers(env, c);
 }
 
 void
-Fw_LimitCheck_RefundNow(struct fw_limit_check *c, struct fw_fleet_env *w,
-                        int site, int team, int64_t tokens)
+Fw_LimitCheck_RefundTokens(struct fw_limit_check *c, struct fw_fleet_env *env,
+                           int instance, int team, int64_t tokens)
 {
     struct fw_account *a = &c->accounts[team];
-    struct fw_refund refund = {
+    struct fw_limit_check_refund refund = {
         .team = team,
         .tokens = (double)tokens,
-        .until_us = w->real_us + w->late_max_us + FW_REFUND_US,
+        .until_us = env->real_us + env->delay_max_us + REFUND_DELAY_MAX_US,
     };
     struct fw_actions out;
 
     g_array_append_val(c->refunds, refund);
-    Fw_Run_Trace(w->run, "%8.3f %s refunds %" G_GINT64_FORMAT " of %s",
-                 (double)w->real_us / FW_SEC, w->sites[site].self.name, tokens,
-                 a->team.name);
+    Fw_Run_Trace(env->run, "%8.3f %s refunds %" G_GINT64_FORMAT " of %s",
+                 (double)env->real_us / FW_SEC,
+                 env->instances[instance].self.name, tokens, a->team.name);
     Fw_Actions_Init(&out);
-    Fw_Limit_Refund(w->sites[site].limit, &a->team, tokens,
-                    Fw_FleetEnv_Local(w, site), &out);
-    Fw_FleetEnv_Carry(w, site, &out);
+    Fw_Limit_Refund(env->instances[instance].limit, &a->team, tokens,
+                    Fw_FleetEnv_LocalTime(env, instance), &out);
+    Fw_FleetEnv_PerformActions(env, instance, &out);
 }
 
 void
-Fw_LimitCheck_Refund(struct fw_limit_check *c, struct fw_fleet_env *w)
+Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *env)
 {
-    struct fw_grant_note note;
+    struct fw_limit_check_grant grant;
     guint i;
 
     if (c->granted->len == 0) {
         return;
     }
-    i = (guint)Fw_FleetEnv_Below(w, (gint32)c->granted->len);
-    note = g_array_index(c->granted, struct fw_grant_note, i);
+    i = (guint)Fw_FleetEnv_RandBelow(env, (gint32)c->granted->len);
+    grant = g_array_index(c->granted, struct fw_limit_check_grant, i);
     g_array_remove_index_fast(c->granted, i);
-    if (!Fw_FleetEnv_Runs(w, note.site) ||
-        w->sites[note.site].self.boot != note.boot || note.tokens == 0) {
+    if (!Fw_FleetEnv_IsRunning(env, grant.instance) ||
+        env->instances[grant.instance].self.boot != grant.boot ||
+        grant.tokens == 0) {
         return;
     }
-    Fw_LimitCheck_RefundNow(c, w, note.site, note.team,
-                            Fw_FleetEnv_Below(w, (gint32)note.tokens));
+    Fw_LimitCheck_RefundTokens(
+        c, env, grant.instance, grant.team,
+        Fw_FleetEnv_RandBelow(env, (gint32)grant.tokens));
 }
--- a/src/io/json.c
+++ b/src/io/json.c
@@ -3,7 +3,10 @@
 #include <errno.h>
 #include <string.h>
 
-/* Steps over the string that opens at @i; 0 when it holds an escaped NUL. */
+/*
+ * Returns the index of the closing quote of the string that opens at @i, at
+ * least @len when it is not closed, or 0 when it has an escaped NUL.
+ */
 static size_t
 skip_string(const char *s, size_t len, size_t i)
 {
@@ -20,7 +23,7 @@
 }
 
 static int
-looks_safe(const char *s, size_t len)
+is_safe_to_parse(const char *s, size_t len)
 {
     int depth = 0;
 
@@ -50,7 +53,7 @@
     JsonNode *root = NULL;
 
     if (!data || len == 0 || !g_utf8_validate_len(data, len, NULL) ||
-        !looks_safe(data, len)) {
+        !is_safe_to_parse(data, len)) {
         return NULL;
     }
     parser = json_parser_new_immutable();
@@ -65,7 +68,7 @@
     return root;
 }
 
-/* The member, or NULL when it is missing or null. */
+/* Returns the member, or NULL when it is missing or null. */
 static JsonNode *
 member(JsonObject *obj, const char *name)
 {
@@ -117,7 +120,7 @@
 }
 
 int
-Fw_Json_Number(JsonObject *obj, const char *name, double *out)
+Fw_Json_Double(JsonObject *obj, const char *name, double *out)
 {
     JsonNode *node = member(obj, name);
 
@@ -178,7 +181,7 @@
 }
 
 JsonObject *
-Fw_Json_Element(JsonArray *arr, guint i)
+Fw_Json_ObjectAt(JsonArray *arr, guint i)
 {
     JsonNode *node = json_array_get_element(arr, i);
 
@@ -186,7 +189,7 @@
 }
 
 void
-Fw_Json_AddStr(GString *out, const char *s)
+Fw_Json_AppendStr(GString *out, const char *s)
 {
     char *valid = g_utf8_make_valid(s, -1);
     JsonNode *node = json_node_new(JSON_NODE_VALUE);
@@ -201,7 +204,7 @@
 }
 
 char *
-Fw_Json_Take(JsonBuilder *builder)
+Fw_Json_FinishBuilder(JsonBuilder *builder)
 {
     JsonNode *root = json_builder_get_root(builder);
     char *text = json_to_string(root, FALSE);
--- a/tests/io/rig.c
+++ b/tests/io/rig.c
@@ -5,34 +5,35 @@
 #include <string.h>
 
 #include "io/addr.h"
-#include "io/note.h"
+#include "io/logger.h"
 
-/* Long beyond any wait: ends a test that would hang. */
-#define FW_HANG_S 10
+/* Fails a test that waits longer. */
+#define FW_WAIT_TIMEOUT_S 10
 
-static const char *waiting_in;
+static const char *last_waited_text;
 
 static gboolean
-on_hang(gpointer data)
+on_wait_timeout(gpointer data)
 {
-    int *hangs = data;
+    int *timed_out = data;
 
-    *hangs = 1;
+    *timed_out = 1;
     return G_SOURCE_CONTINUE;
 }
 
 void
-Fw_Rig_Until(int (*done)(void *), void *ctx)
+Fw_Rig_RunUntil(int (*done)(void *), void *ctx)
 {
-    int hangs = 0;
-    guint guard = g_timeout_add_seconds(FW_HANG_S, on_hang, &hangs);
+    int timed_out = 0;
+    guint timeout_source =
+        g_timeout_add_seconds(FW_WAIT_TIMEOUT_S, on_wait_timeout, &timed_out);
 
     while (!done(ctx)) {
-        ck_assert_msg(!hangs, "waited for ever, there is: %s",
-                      waiting_in ? waiting_in : "");
+        ck_assert_msg(!timed_out, "timed out; received so far: %s",
+                      last_waited_text ? last_waited_text : "");
         g_main_context_iteration(NULL, TRUE);
     }
-    g_source_remove(guard);
+    g_source_remove(timeout_source);
 }
 
 void
@@ -54,7 +55,7 @@
 
     (void)cond;
     if (n > 0) {
-        g_string_append_len(c->got, buf, n);
+        g_string_append_len(c->received, buf, n);
         return G_SOURCE_CONTINUE;
     }
     c->eof = 1;
@@ -62,12 +63,12 @@
 }
 
 struct rig_conn *
-Fw_RigConn_Take(GSocket *sock)
+Fw_RigConn_FromSocket(GSocket *sock)
 {
     struct rig_conn *c = g_new0(struct rig_conn, 1);
 
     c->sock = g_object_ref(sock);
-    c->got = g_string_new(NULL);
+    c->received = g_string_new(NULL);
     c->source = g_socket_create_source(sock, G_IO_IN, NULL);
     g_source_set_callback(c->source, G_SOURCE_FUNC(on_readable), c, NULL);
     g_source_attach(c->source, NULL);
@@ -84,7 +85,7 @@
     struct rig_conn *c;
 
     ck_assert(g_socket_connect(sock, addr, NULL, NULL));
-    c = Fw_RigConn_Take(sock);
+    c = Fw_RigConn_FromSocket(sock);
     g_object_unref(sock);
     g_object_unref(addr);
     return c;
@@ -101,7 +102,7 @@
 
         if (n < 0) {
             if (c->eof) {
-                return; /* refused while still sending */
+                return; /* closed by the server while sending */
             }
             g_main_context_iteration(NULL, FALSE);
             continue;
@@ -111,8 +112,8 @@
     }
 }
 
-/** struct wanted - what a wait is for. */
-struct wanted {
+/** struct text_wait - condition: @in contains @text. */
+struct text_wait {
     const GString *in;
     const char *text;
 };
@@ -120,19 +121,19 @@
 static int
 has_text(void *ctx)
 {
-    struct wanted *w = ctx;
+    struct text_wait *w = ctx;
 
-    waiting_in = w->in->str; /* tells why a wait was in vain */
+    last_waited_text = w->in->str; /* printed when the wait times out */
     return strstr(w->in->str, w->text) != NULL;
 }
 
 void
 Fw_RigConn_Expect(struct rig_conn *c, const char *text)
 {
-    struct wanted w = {.in = c->got, .text = text};
+    struct text_wait w = {.in = c->received, .text = text};
 
-    Fw_Rig_Until(has_text, &w);
-    waiting_in = NULL;
+    Fw_Rig_RunUntil(has_text, &w);
+    last_waited_text = NULL;
 }
 
 static int
@@ -144,7 +145,7 @@
 void
 Fw_RigConn_ExpectEof(struct rig_conn *c)
 {
-    Fw_Rig_Until(is_eof, c);
+    Fw_Rig_RunUntil(is_eof, c);
 }
 
 void
@@ -160,7 +161,7 @@
     g_source_unref(c->source);
     g_socket_close(c->sock, NULL);
     g_object_unref(c->sock);
-    g_string_free(c->got, TRUE);
+    g_string_free(c->received, TRUE);
     g_free(c);
 }
 
@@ -173,7 +174,7 @@
     (void)service;
     (void)source;
     g_ptr_array_add(s->conns,
-                    Fw_RigConn_Take(g_socket_connection_get_socket(io)));
+                    Fw_RigConn_FromSocket(g_socket_connection_get_socket(io)));
     return TRUE;
 }
 
@@ -181,26 +182,26 @@
 Fw_RigServer_New(void)
 {
     struct rig_server *s = g_new0(struct rig_server, 1);
-    GSocketAddress *at = Fw_Addr_Parse("127.0.0.1:0");
+    GSocketAddress *address = Fw_Addr_Parse("127.0.0.1:0");
     GSocketAddress *got;
     char addr[FW_URL_MAX];
 
     s->service = g_socket_service_new();
     s->conns = g_ptr_array_new();
     ck_assert(g_socket_listener_add_address(
-        G_SOCKET_LISTENER(s->service), at, G_SOCKET_TYPE_STREAM,
+        G_SOCKET_LISTENER(s->service), address, G_SOCKET_TYPE_STREAM,
         G_SOCKET_PROTOCOL_TCP, NULL, &got, NULL));
     Fw_Addr_Print(got, addr);
     g_snprintf(s->url, sizeof(s->url), "http://%s", addr);
     g_object_unref(got);
-    g_object_unref(at);
+    g_object_unref(address);
     g_signal_connect(s->service, "incoming", G_CALLBACK(on_incoming), s);
     g_socket_service_start(s->service);
     return s;
 }
 
-/** struct counted - a wait for a number of connections. */
-struct counted {
+/** struct conn_wait - condition: at least @n connections were accepted. */
+struct conn_wait {
     struct rig_server *server;
     guint n;
 };
@@ -208,7 +209,7 @@
 static int
 has_conns(void *ctx)
 {
-    struct counted *c = ctx;
+    struct conn_wait *c = ctx;
 
     return c->server->conns->len >= c->n;
 }
@@ -216,9 +217,9 @@
 struct rig_conn *
 Fw_RigServer_Conn(struct rig_server *s, guint i)
 {
-    struct counted c = {.server = s, .n = i + 1};
+    struct conn_wait c = {.server = s, .n = i + 1};
 
-    Fw_Rig_Until(has_conns, &c);
+    Fw_Rig_RunUntil(has_conns, &c);
     return g_ptr_array_index(s->conns, i);
 }
 
@@ -327,7 +328,7 @@
     struct rig_core *core = ctx;
 
     (void)now_us;
-    write_event(core->seen, ev);
+    write_event(core->events, ev);
     if (ev->kind == FW_EV_CALL_OPEN) {
         core->last_call = ev->u.open.call;
     }
@@ -344,29 +345,29 @@
 Fw_RigCore_Init(struct rig_core *core)
 {
     memset(core, 0, sizeof(*core));
-    core->seen = g_string_new(NULL);
+    core->events = g_string_new(NULL);
     core->is_ready = 1;
     Fw_Metrics_Init(&core->metrics);
-    Fw_Note_Setup("one", fopen("/dev/null", "w"));
+    Fw_Logger_Setup("one", fopen("/dev/null", "w"));
 }
 
 void
 Fw_RigCore_Clear(struct rig_core *core)
 {
-    g_string_free(core->seen, TRUE);
+    g_string_free(core->events, TRUE);
     Fw_Rig_Settle();
 }
 
 static void
-take_event(void *ctx, const struct fw_event *ev)
+record_event(void *ctx, const struct fw_event *ev)
 {
-    write_event(((struct rig_core *)ctx)->seen, ev);
+    write_event(((struct rig_core *)ctx)->events, ev);
 }
 
 struct fw_sink
 Fw_RigCore_Sink(struct rig_core *core)
 {
-    return (struct fw_sink){.ctx = core, .event = take_event};
+    return (struct fw_sink){.ctx = core, .event = record_event};
 }
 
 static int
@@ -425,10 +426,10 @@
 }
 
 void
-Fw_Rig_ExpectSeen(struct rig_core *core, const char *text)
+Fw_Rig_ExpectEvent(struct rig_core *core, const char *text)
 {
-    struct wanted w = {.in = core->seen, .text = text};
+    struct text_wait w = {.in = core->events, .text = text};
 
-    Fw_Rig_Until(has_text, &w);
-    waiting_in = NULL;
+    Fw_Rig_RunUntil(has_text, &w);
+    last_waited_text = NULL;
 }
