--- a/src/relay/allowance.c
+++ b/src/relay/allowance.c
@@ -6,7 +6,7 @@
  * subtracted on receipt, if necessary below zero, so that tokens granted twice
  * in between are made up for later. A leaf uses a copy of its hub's bucket.
  *
- * A bucket is refilled at the rate's share of the instances in touch. In a
+ * A bucket is refilled at the rate's share of the live instances. In a
  * network partition the sum over all sides therefore stays within the rate.
  */
 #include <string.h>
@@ -16,15 +16,15 @@
 #include "relay/relay_internal.h"
 
 /* Initial level as a fraction of the burst; earlier spending is unknown. */
-#define FW_INITIAL_LEVEL 0.25
+#define FW_INITIAL_LEVEL_FRACTION 0.25
 /* Time after creation during which the level of a peer is adopted. */
-#define FW_ADOPT_US (3 * FW_SEC)
+#define FW_ADOPTION_PERIOD_US (3 * FW_SEC)
 /* Below this fraction of the capacity, spending is sent soon. */
-#define FW_SEND_SOON_LEVEL 0.5
+#define FW_SEND_SOON_LEVEL_FRACTION 0.5
 /* Then, unsent spending above this fraction of it is sent at once. */
-#define FW_SEND_AT_ONCE_SPENT 0.02
+#define FW_SEND_AT_ONCE_SPENT_FRACTION 0.02
 /* Below this fraction of the capacity, leaves get the level at once. */
-#define FW_PUSH_TO_LEAVES_LEVEL 0.1
+#define FW_PUSH_TO_LEAVES_LEVEL_FRACTION 0.1
 /* Tokens below its capacity at which a bucket still counts as full. */
 #define FW_FULL_SLACK_TOKENS 1.0
 /* Parts of the tolerated overage and burst that are added to the bucket. */
@@ -42,7 +42,7 @@
 #define FW_RETRY_MIN_US (100 * FW_MSEC)
 #define FW_RETRY_MAX_US (4 * FW_SEC)
 
-/* Capacity of the bucket for the instances in touch. */
+/* Part of the burst that the live instances may use, tokens. */
 static double
 capacity(const struct fw_rl_allowance *p)
 {
@@ -50,17 +50,17 @@
 }
 
 /*
- * Refills the bucket up to @now_us. When instances get out of touch the level
- * is reduced to the share of those in touch, or a team could spend its burst
- * once on each side of a partition.
+ * Refills the bucket up to @now_us. When fewer instances are live, the level
+ * is reduced to their share, or a team could spend its burst once on each side
+ * of a partition.
  */
 static void
 refill(struct fw_relay *r, struct fw_rl_allowance *p, int64_t now_us)
 {
-    int in_touch;
-    int instances = Fw_Members_Count(r, now_us, &in_touch);
+    int n_live;
+    int instances = Fw_Members_Count(r, now_us, &n_live);
     double part =
-        FW_FAULT("allowance-whole-rate") ? 1.0 : (double)in_touch / instances;
+        FW_FAULT("allowance-whole-rate") ? 1.0 : (double)n_live / instances;
     double more =
         (double)p->rate * part * (double)(now_us - p->at_us) / FW_SEC;
 
@@ -116,7 +116,7 @@
     if (!p) {
         p = g_new0(struct fw_rl_allowance, 1);
         p->hash = Fw_Hash_Str(t->name);
-        p->level = FW_INITIAL_LEVEL * (double)t->burst;
+        p->level = FW_INITIAL_LEVEL_FRACTION * (double)t->burst;
         p->at_us = now_us;
         p->created_us = now_us;
         p->fleet_share = 1.0;
@@ -168,13 +168,15 @@
     int64_t known = r->x.is_hub ? p->digest_spent : p->report_spent;
     int64_t unsent = p->spent + p->leaf_spent - known;
 
-    if (p->level >= FW_SEND_SOON_LEVEL * capacity(p)) {
+    if (p->level >= FW_SEND_SOON_LEVEL_FRACTION * capacity(p)) {
         return;
     }
     r->x.send_soon = 1;
-    r->x.delta_pending |= (double)unsent > FW_SEND_AT_ONCE_SPENT * capacity(p);
+    r->x.delta_pending |=
+        (double)unsent > FW_SEND_AT_ONCE_SPENT_FRACTION * capacity(p);
     r->x.push_pending |=
-        r->x.is_hub && p->level < FW_PUSH_TO_LEAVES_LEVEL * capacity(p);
+        r->x.is_hub &&
+        p->level < FW_PUSH_TO_LEAVES_LEVEL_FRACTION * capacity(p);
 }
 
 int
@@ -224,8 +226,9 @@
     /* Refill before subtracting: a full bucket earns nothing meanwhile. */
     refill(r, p, now_us);
     r->x.push_pending |=
-        tokens > 0 && p->level < FW_PUSH_TO_LEAVES_LEVEL * capacity(p);
-    if (!p->adopted && now_us - p->created_us < FW_ADOPT_US) {
+        tokens > 0 &&
+        p->level < FW_PUSH_TO_LEAVES_LEVEL_FRACTION * capacity(p);
+    if (!p->adopted && now_us - p->created_us < FW_ADOPTION_PERIOD_US) {
         p->adopted = 1;
         p->level = (double)level;
         p->at_us = now_us;
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -15,8 +15,9 @@
 #define FW_LOAD_EXPIRY_US (2 * FW_SEC)
 
 /**
- * struct known_instance - an instance that this one or a hub has heard of.
- * @seen_us: when this instance or a hub last heard from it, 0 for never
+ * struct known_instance - an instance known to this one or to a hub.
+ * @seen_us: when this instance or a hub last received a message from it, 0 for
+ *     never
  * @member: NULL if only hubs know its name and address
  * @is_expired: excluded from the size of the fleet
  */
@@ -240,7 +241,8 @@
 
 /*
  * A leaf keeps members that it hasn't found unreachable, a hub also those that
- * it never heard from: they may be live and may have to replace a hub.
+ * have never sent it a message: they may be live and may have to replace a
+ * hub.
  */
 static int
 is_expired(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
--- a/src/relay/message.c
+++ b/src/relay/message.c
@@ -200,7 +200,7 @@
         }
     }
     for (int i = 0; i < r->n_strikes; i++) {
-        *Fw_Rows_LookupOrAdd(counts, r->strikes[i].digest, 0) +=
+        *Fw_Rows_LookupOrAdd(counts, r->strikes[i].fingerprint, 0) +=
             r->strikes[i].count;
     }
     pack_counts(pk, counts);
--- a/src/relay/open.c
+++ b/src/relay/open.c
@@ -4,17 +4,16 @@
 #include "base/hash.h"
 #include "relay/relay_internal.h"
 
-/* Retry-After of a refusal for lack of a current configuration. */
+/* Retry-After of a rejection for lack of a current configuration. */
 #define FW_RETRY_NO_CONFIG_US (1 * FW_SEC)
 /*
- * Server crashes attributed to one request after which it is refused. One or
- * two can be coincidence.
+ * A request with this many strikes, counted by all instances, is rejected. One
+ * or two can be coincidence.
  */
-#define FW_POISON_CRASHES_MAX 3
+#define FW_REJECT_STRIKES 3
 /*
- * Remaining grace period below which a draining instance refuses a request:
- * the 99th percentile of a stream's duration, and the usual time limit of a
- * plain request.
+ * Remaining grace period below which a draining instance rejects a request,
+ * since it might not be able to complete it.
  */
 #define FW_DRAIN_MIN_STREAM_US (5500 * FW_MSEC)
 #define FW_DRAIN_MIN_PLAIN_US (1800 * FW_MSEC)
@@ -24,11 +23,11 @@
 #define FW_RETRY_ELSEWHERE_US (50 * FW_MSEC)
 /*
  * Age of the configuration above which callers are asked to open their next
- * connection elsewhere, so that they leave before keys are refused as stale.
- * In normal operation the age stays below 1.5 s.
+ * connection elsewhere, so that they leave before keys are rejected as stale.
+ * The age must not be reached in normal operation.
  */
 #define FW_CONFIG_AGE_SHED_US (2200 * FW_MSEC)
-/* Retry-After of a request that is refused for crashing its servers. */
+/* Retry-After of a request that is rejected for crashing its servers. */
 #define FW_RETRY_POISON_US (60 * FW_SEC)
 
 /* Weighted choice by a hash of the request's id: retries get the same one. */
@@ -56,13 +55,13 @@
 
 static int64_t
 allowance_cost(const struct fw_rl_team_rule *t,
-               const struct fw_rl_request_info *ask)
+               const struct fw_rl_request_info *info)
 {
     if (t->by_request) {
         return 1;
     }
-    return ask->tokens_in >= 0 ? ask->tokens_in + ask->tokens_out_max
-                               : t->plain_cost;
+    return info->tokens_in >= 0 ? info->tokens_in + info->tokens_out_max
+                                : t->plain_cost;
 }
 
 /*
@@ -80,13 +79,13 @@
 }
 
 static struct fw_rl_call *
-call_new(struct fw_relay *r, uint64_t id, const struct fw_rl_request_info *ask,
-         int64_t now_us)
+call_new(struct fw_relay *r, uint64_t id,
+         const struct fw_rl_request_info *info, int64_t now_us)
 {
     struct fw_rl_call *c = g_new0(struct fw_rl_call, 1);
 
     c->id = id;
-    c->info = *ask;
+    c->info = *info;
     sanitize_id(c->info.id);
     c->opened_us = now_us;
     c->deadline_us = INT64_MAX;
@@ -121,16 +120,16 @@
 
 /*
  * When this instance is partitioned from most others, or one of them has a
- * newer configuration, callers are told to retry at once, since others can
- * serve them. Otherwise the others are likely to be stale as well.
+ * newer configuration, the suggested retry delay is short, since others can
+ * serve the callers. Otherwise the others are likely to be stale as well.
  */
 int64_t
 Fw_Relay_StaleRetryUs(struct fw_relay *r, int64_t now_us)
 {
-    int in_touch;
-    int count = Fw_Members_Count(r, now_us, &in_touch);
+    int n_live;
+    int count = Fw_Members_Count(r, now_us, &n_live);
 
-    return in_touch * 2 < count || Fw_StoreSync_IsBehind(r, now_us)
+    return n_live * 2 < count || Fw_StoreSync_IsBehind(r, now_us)
                ? FW_RETRY_ELSEWHERE_US
                : FW_RETRY_NO_CONFIG_US;
 }
@@ -229,10 +228,10 @@
 
 void
 Fw_Relay_Open(struct fw_relay *r, uint64_t call,
-              const struct fw_rl_request_info *ask, int64_t now_us,
+              const struct fw_rl_request_info *info, int64_t now_us,
               struct fw_rl_actions *out)
 {
-    struct fw_rl_call *c = call_new(r, call, ask, now_us);
+    struct fw_rl_call *c = call_new(r, call, info, now_us);
     const struct fw_rl_route_rule *route;
 
     if (!r->rules) {
@@ -240,14 +239,14 @@
                        now_us, out);
         return;
     }
-    route = Fw_Rules_Route(r->rules, ask->host, ask->path);
+    route = Fw_Rules_Route(r->rules, info->host, info->path);
     if (!route) {
         Fw_Call_Reject(r, c, 404, 0, "no_route", now_us, out);
         return;
     }
     c->route = *route;
     c->priority = route->priority;
-    g_strlcpy(c->service, choose_service(route, ask->id), sizeof(c->service));
+    g_strlcpy(c->service, choose_service(route, info->id), sizeof(c->service));
     set_deadline(c, now_us);
     if (must_refuse_draining(r, c, now_us)) {
         Fw_Call_Reject(r, c, 503, FW_RETRY_ELSEWHERE_US, "stopping", now_us,
@@ -260,8 +259,8 @@
     else if (!admit_team(r, c, now_us, out)) {
         return;
     }
-    if (Fw_Poison_CountStrikes(r, ask->body_digest, now_us) >=
-        FW_POISON_CRASHES_MAX) {
+    if (Fw_Poison_CountStrikes(r, info->body_digest, now_us) >=
+        FW_REJECT_STRIKES) {
         Fw_Call_Reject(r, c, 503, FW_RETRY_POISON_US, "poison", now_us, out);
         return;
     }
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -80,8 +80,8 @@
  * @load_rows: load of servers in its last message, of struct fw_rl_load_row;
  *     NULL for none
  * @load_us: when @load_rows was last updated
- * @strikes: digest of a request to the number of servers that failed while
- *     they ran it; NULL for none
+ * @strikes: fingerprint of a request to the number of its strikes counted by
+ *     this member, see struct fw_rl_strike; NULL for none
  * @prefill_rates: hash of a service to prompt tokens a second; NULL for none
  * @reads_store: reads the platform's store itself
  * @store_unreachable: it gets no answer from the store
@@ -304,7 +304,7 @@
  * @spent: team, tokens spent, and in a digest the level of its allowance or in
  *     a report the tokens that hubs have counted
  * @load: server and its load
- * @strikes: request and the number of servers that failed while they ran it
+ * @strikes: fingerprint of a request and its strikes, see struct fw_rl_strike
  * @store_state: one row of how far the sender has read the store
  */
 struct fw_rl_common_rows {
@@ -458,7 +458,7 @@
 /* Hash of the servers known here, independent of their order. */
 uint64_t
 Fw_StoreSync_ServerListHash(const struct fw_relay *r);
-/* Has a recently heard instance a newer configuration than this one? */
+/* Whether a member that sent a message recently has a newer configuration. */
 int
 Fw_StoreSync_IsBehind(const struct fw_relay *r, int64_t now_us);
 /* Sends a query to an instance that reads the store, if one is due. */
--- a/src/relay/poison.c
+++ b/src/relay/poison.c
@@ -2,8 +2,9 @@
  * Detection of requests that crash the servers that run them. Retried by
  * their callers, such requests could take down a whole service.
  *
- * A broken connection counts as a strike only if the server's process ends
- * shortly after. The strikes of all instances are added up.
+ * A request whose connection to a server breaks is a crash suspect. It gets a
+ * strike if the server's process ends shortly after. The strikes counted by
+ * all instances are added up.
  */
 #include "relay/relay_internal.h"
 
@@ -16,25 +17,25 @@
 #define FW_STRIKE_TTL_US (120 * FW_SEC)
 
 void
-Fw_Poison_NoteDisconnect(struct fw_relay *r, uint64_t digest,
+Fw_Poison_NoteDisconnect(struct fw_relay *r, uint64_t fingerprint,
                          const struct fw_rl_server *s, int64_t now_us)
 {
     struct fw_rl_crash_suspect *q =
         &r->crash_suspects[r->n_crash_suspects++ % FW_RL_CRASH_SUSPECTS_MAX];
 
-    *q = (struct fw_rl_crash_suspect){.digest = digest,
+    *q = (struct fw_rl_crash_suspect){.fingerprint = fingerprint,
                                       .server =
                                           s->hash ^ (uint64_t)s->entry.born_ms,
                                       .at_us = now_us};
 }
 
 static struct fw_rl_strike *
-find_or_add_strike(struct fw_relay *r, uint64_t digest)
+find_or_add_strike(struct fw_relay *r, uint64_t fingerprint)
 {
     struct fw_rl_strike *oldest = &r->strikes[0];
 
     for (int i = 0; i < r->n_strikes; i++) {
-        if (r->strikes[i].digest == digest) {
+        if (r->strikes[i].fingerprint == fingerprint) {
             return &r->strikes[i];
         }
         if (r->strikes[i].at_us < oldest->at_us) {
@@ -44,7 +45,7 @@
     if (r->n_strikes < FW_RL_STRIKES_MAX) {
         oldest = &r->strikes[r->n_strikes++];
     }
-    *oldest = (struct fw_rl_strike){.digest = digest};
+    *oldest = (struct fw_rl_strike){.fingerprint = fingerprint};
     return oldest;
 }
 
@@ -63,25 +64,25 @@
             continue;
         }
         q->server = 0;
-        k = find_or_add_strike(r, q->digest);
+        k = find_or_add_strike(r, q->fingerprint);
         k->count++;
         k->at_us = now_us;
         Fw_RelayActions_Log(out, r, LOG_WARNING, "strike",
                             "\"digest\":\"%016" G_GINT64_MODIFIER
                             "x\",\"count\":%d,\"server\":\"%s\"",
-                            q->digest, k->count, s->entry.id);
+                            q->fingerprint, k->count, s->entry.id);
     }
 }
 
 int
-Fw_Poison_CountStrikes(const struct fw_relay *r, uint64_t digest,
+Fw_Poison_CountStrikes(const struct fw_relay *r, uint64_t fingerprint,
                        int64_t now_us)
 {
     struct fw_list *pos;
     int n = 0;
 
     for (int i = 0; i < r->n_strikes; i++) {
-        if (r->strikes[i].digest == digest &&
+        if (r->strikes[i].fingerprint == fingerprint &&
             now_us - r->strikes[i].at_us < FW_STRIKE_TTL_US) {
             n += r->strikes[i].count;
         }
@@ -90,7 +91,7 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        n += (int)Fw_Rows_Lookup(m->strikes, digest);
+        n += (int)Fw_Rows_Lookup(m->strikes, fingerprint);
     }
     return n;
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -203,8 +203,8 @@
  * @reserve_permille: part of a request's maximum output tokens to reserve
  * @local_prefill_us: the decode engine prefills the prompt itself if a
  *     prefill engine would take longer than this
- * @prefill_permille: assumed part of a service's engines that are busy with
- *     prefill, until the load was measured
+ * @prefill_permille: part of a service's engines assumed to be busy with
+ *     prefill until prompts have been received long enough to estimate it
  * @overage_ppm: tolerated excess over a team's rate
  * @tolerance_tokens: tolerated excess over a team's burst
  * @lease_us: duration of a lease of the order role
@@ -256,7 +256,7 @@
 /* A caller's request was received; @call is its id until it has ended. */
 void
 Fw_Relay_Open(struct fw_relay *r, uint64_t call,
-              const struct fw_rl_request_info *ask, int64_t now_us,
+              const struct fw_rl_request_info *info, int64_t now_us,
               struct fw_rl_actions *out);
 /* The caller has disconnected. */
 void
@@ -340,10 +340,10 @@
 };
 
 void
-Fw_Outbox_Init(struct fw_rl_outbox *mail);
+Fw_Outbox_Init(struct fw_rl_outbox *outbox);
 /* Frees the messages. */
 void
-Fw_Outbox_Clear(struct fw_rl_outbox *mail);
+Fw_Outbox_Clear(struct fw_rl_outbox *outbox);
 /* Appends the messages to other instances that are due. */
 void
 Fw_Relay_WriteMessages(struct fw_relay *r, int64_t now_us,
@@ -357,7 +357,7 @@
 Fw_Relay_NextMessageUs(const struct fw_relay *r);
 /*
  * Handles a message from another instance at @addr and appends replies to
- * @out. Return: 1 if the sender is new or was out of touch, 0 otherwise,
+ * @out. Return: 1 if the sender is new or was not live, 0 otherwise,
  * -EBADMSG if the message is invalid.
  */
 int
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -89,7 +89,7 @@
  * @rate: refill rate, tokens per second
  * @burst: capacity, tokens
  * @level: tokens left; negative if other instances spent more than was known
- * @fleet_share: fraction of all instances that are in touch, as of @at_us
+ * @fleet_share: fraction of all known instances that are live, as of @at_us
  * @at_us: time up to which the bucket was refilled
  * @spent: tokens spent by this instance since its start
  * @leaf_spent: tokens spent by this hub's leaves, as counted by this instance
@@ -249,25 +249,29 @@
 };
 
 /**
- * struct fw_rl_strike - servers that ended while running one request.
- * @digest: hash of the request
- * @count: number of these servers
- * @at_us: when the last one ended
+ * struct fw_rl_strike - strikes of one request.
+ *
+ * A strike is the end of a server's process shortly after its connection broke
+ * while it ran the request. A request with too many strikes is rejected.
+ *
+ * @fingerprint: fw_rl_request_info.fingerprint of the request
+ * @count: number of strikes seen by this instance
+ * @at_us: time of the last strike
  */
 struct fw_rl_strike {
-    uint64_t digest;
+    uint64_t fingerprint;
     int count;
     int64_t at_us;
 };
 
 /**
  * struct fw_rl_crash_suspect - a request whose connection to a server broke.
- * @digest: hash of the request
+ * @fingerprint: fw_rl_request_info.fingerprint of the request
  * @server: hash of the server's id and start time, 0 once counted as a strike
  * @at_us: when the connection broke
  */
 struct fw_rl_crash_suspect {
-    uint64_t digest;
+    uint64_t fingerprint;
     uint64_t server;
     int64_t at_us;
 };
@@ -344,7 +348,7 @@
 /**
  * struct fw_relay - state of the relay core.
  * @metrics: registry of all metrics
- * @n: the relay's own metrics
+ * @relay_metrics: the relay's own metrics
  * @rules: current configuration, NULL for none
  * @rules_offset: its log offset
  * @rules_fresh_us: latest time at which @rules was known to be the newest
@@ -353,7 +357,7 @@
  * @calls: request id to struct fw_rl_call
  * @ops: xid to struct fw_rl_op
  * @hash: hash of this instance's name
- * @known_instances: hash of an instance's name to when it was last in touch
+ * @known_instances: hash of an instance's name to struct known_instance
  * @loads: hash of a server's id to the load of other instances there
  * @allowances: hash of a team's name to struct fw_rl_allowance
  * @retry_budgets: struct fw_rl_retry_budget
@@ -685,9 +689,9 @@
                     int64_t now_us);
 
 /* poison.c */
-/* The connection to @s broke while it ran the request with @digest. */
+/* The connection to @s broke while it ran the request with @fingerprint. */
 void
-Fw_Poison_NoteDisconnect(struct fw_relay *r, uint64_t digest,
+Fw_Poison_NoteDisconnect(struct fw_relay *r, uint64_t fingerprint,
                          const struct fw_rl_server *s, int64_t now_us);
 /*
  * @s has ended. Adds a strike to each request whose connection to it broke
@@ -696,9 +700,9 @@
 void
 Fw_Poison_ServerLost(struct fw_relay *r, const struct fw_rl_server *s,
                      int64_t now_us, struct fw_rl_actions *out);
-/* Strikes of the request with @digest, counted by all instances. */
+/* Strikes of the request with @fingerprint, counted by all instances. */
 int
-Fw_Poison_CountStrikes(const struct fw_relay *r, uint64_t digest,
+Fw_Poison_CountStrikes(const struct fw_relay *r, uint64_t fingerprint,
                        int64_t now_us);
 
 /* stage_order.c */
--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -29,9 +29,9 @@
     int64_t now = Fw_Conn_NowUs();
     struct fw_caller_request *c;
     struct fw_rl_actions acts;
-    struct fw_rl_request_info ask;
+    struct fw_rl_request_info info;
 
-    if (Fw_Platform_ParseRequest(head, body, &ask)) {
+    if (Fw_Platform_ParseRequest(head, body, &info)) {
         Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
         Fw_Caller_Respond(caller, 400, "Content-Type: text/plain\r\n",
                           "a field of the request can't be read\n");
@@ -42,7 +42,7 @@
     c->caller = caller;
     c->head = head;
     c->body = body;
-    g_strlcpy(c->request_id, ask.id, sizeof(c->request_id));
+    g_strlcpy(c->request_id, info.id, sizeof(c->request_id));
     g_hash_table_insert(d->requests_by_caller, caller, c);
     g_hash_table_insert(d->requests_by_id, &c->id, c);
     /*
@@ -53,7 +53,7 @@
     Fw_Server_SetCloseAfterResponse(d->caller_server,
                                     Fw_Relay_ShedsConnections(d->relay, now));
     Fw_RelayActions_Init(&acts);
-    Fw_Relay_Open(d->relay, c->id, &ask, now, &acts);
+    Fw_Relay_Open(d->relay, c->id, &info, now, &acts);
     Fw_Relayd_ExecuteActions(d, &acts);
 }
 
--- a/src/relayd/store_client.c
+++ b/src/relayd/store_client.c
@@ -13,7 +13,7 @@
 #define FW_STORE_TIMEOUT_US (1200 * FW_MSEC)
 /* Longest idle time of a connection that is reused. */
 #define FW_STORE_REUSE_US (10 * FW_SEC)
-/* Leaves time for the response after a slow connect. */
+/* Shorter than FW_STORE_TIMEOUT_US, to leave time for the response. */
 #define FW_STORE_CONNECT_US (400 * FW_MSEC)
 
 static enum fw_head_action
--- a/src/relayd/store_response.c
+++ b/src/relayd/store_response.c
@@ -12,7 +12,7 @@
 
 /* Mean delay of a retry; drawn from half to one and a half of it. */
 #define FW_STORE_RETRY_US (250 * FW_MSEC)
-/* Interval of reads of the instances while no other one is heard. */
+/* Interval of reads of the instances while this one is isolated. */
 #define FW_INSTANCES_INTERVAL_US (3 * FW_SEC)
 
 static void
--- a/tests/relay/script.c
+++ b/tests/relay/script.c
@@ -42,7 +42,7 @@
     "run", "prefill", "hold", "drop-hold", "drop-kv", "report", "stage"};
 
 static void
-print_ask(GString *out, const struct fw_rl_upstream_call *c)
+print_upstream_call(GString *out, const struct fw_rl_upstream_call *c)
 {
     g_string_append_printf(out, "  ask %d %s %s", (int)c->xid,
                            call_kind_names[c->kind], c->server);
@@ -107,7 +107,7 @@
         g_string_append_printf(out, "  cut %d\n", (int)a->u.call);
         break;
     case FW_RL_DO_CALL:
-        print_ask(out, &a->u.upstream_call);
+        print_upstream_call(out, &a->u.upstream_call);
         break;
     case FW_RL_DO_CANCEL_CALL:
         g_string_append_printf(out, "  stop %d\n", (int)a->u.xid);
@@ -131,7 +131,7 @@
 static void
 do_open(struct relay_script_run *run)
 {
-    struct fw_rl_request_info ask = {
+    struct fw_rl_request_info info = {
         .tokens_in = Fw_RelayScript_GetNumber(run, "in", -1),
         .tokens_out_max = Fw_RelayScript_GetNumber(run, "out", -1),
         .tokens_out_hint = -1,
@@ -139,13 +139,13 @@
     const char *key = Fw_RelayScript_GetString(run, "key");
     const char *id = Fw_RelayScript_GetString(run, "id");
 
-    g_strlcpy(ask.host, "h", sizeof(ask.host));
-    g_strlcpy(ask.path, run->word[2], sizeof(ask.path));
-    g_strlcpy(ask.key, key ? key : "", sizeof(ask.key));
-    g_strlcpy(ask.id, id ? id : run->word[1], sizeof(ask.id));
-    ask.timeout_us = Fw_RelayScript_GetNumber(run, "left_ms", 0) * FW_MSEC;
-    ask.body_digest = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
-    Fw_Relay_Open(run->r, Fw_RelayScript_GetArg(run, 1), &ask, run->now_us,
+    g_strlcpy(info.host, "h", sizeof(info.host));
+    g_strlcpy(info.path, run->word[2], sizeof(info.path));
+    g_strlcpy(info.key, key ? key : "", sizeof(info.key));
+    g_strlcpy(info.id, id ? id : run->word[1], sizeof(info.id));
+    info.timeout_us = Fw_RelayScript_GetNumber(run, "left_ms", 0) * FW_MSEC;
+    info.body_digest = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
+    Fw_Relay_Open(run->r, Fw_RelayScript_GetArg(run, 1), &info, run->now_us,
                   &run->acts);
 }
 
--- a/tests/relay/script_world.c
+++ b/tests/relay/script_world.c
@@ -96,7 +96,7 @@
             int64_t spent, int64_t level)
 {
     GByteArray *msg = g_byte_array_new();
-    struct fw_rl_outbox mail;
+    struct fw_rl_outbox outbox;
     msgpack_packer pk;
 
     Fw_Pack_Begin(&pk, msg);
@@ -124,12 +124,12 @@
         msgpack_pack_uint64(&pk, 0);
     }
     msgpack_pack_array(&pk, 0);
-    Fw_Outbox_Init(&mail);
+    Fw_Outbox_Init(&outbox);
     ck_assert_int_ge(Fw_Relay_ReadMessage(run->r, "127.0.0.9:1", msg->data,
-                                          msg->len, run->now_us, &mail),
+                                          msg->len, run->now_us, &outbox),
                      0);
-    Fw_Outbox_Clear(&mail);
-    g_ptr_array_unref(mail.all);
+    Fw_Outbox_Clear(&outbox);
+    g_ptr_array_unref(outbox.all);
     g_byte_array_unref(msg);
 }
 
--- a/tests/relay/test_digest.c
+++ b/tests/relay/test_digest.c
@@ -50,16 +50,16 @@
     struct fw_relay_opts opts = {
         .name = "n1", .boot = 1, .retry_window_us = 1};
     struct fw_relay *r = Fw_Relay_New(&opts, FW_SEC);
-    struct fw_rl_outbox mail;
+    struct fw_rl_outbox outbox;
 
-    Fw_Outbox_Init(&mail);
+    Fw_Outbox_Init(&outbox);
     ck_assert_msg(Fw_Relay_ReadMessage(
                       r, "127.0.0.9:1", invalid_messages[_i].bytes,
-                      invalid_messages[_i].len, FW_SEC, &mail) == -EBADMSG,
+                      invalid_messages[_i].len, FW_SEC, &outbox) == -EBADMSG,
                   "%s is accepted", invalid_messages[_i].name);
     ck_assert(Fw_List_Empty(&r->members));
-    ck_assert_uint_eq(mail.all->len, 0);
-    g_ptr_array_unref(mail.all);
+    ck_assert_uint_eq(outbox.all->len, 0);
+    g_ptr_array_unref(outbox.all);
     Fw_Relay_Free(r);
 }
 END_TEST
@@ -71,7 +71,7 @@
     struct fw_rl_rules *rules;
     const struct fw_rl_team_rule *team;
     GByteArray *msg;
-    struct fw_rl_outbox mail;
+    struct fw_rl_outbox outbox;
 };
 
 #define FW_NOW_US (10 * FW_SEC)
@@ -97,9 +97,9 @@
 deliver(struct instance_pair *p)
 {
     ck_assert_int_ge(Fw_Relay_ReadMessage(p->to, "127.0.0.9:1", p->msg->data,
-                                          p->msg->len, FW_NOW_US, &p->mail),
+                                          p->msg->len, FW_NOW_US, &p->outbox),
                      0);
-    Fw_Outbox_Clear(&p->mail);
+    Fw_Outbox_Clear(&p->outbox);
 }
 
 static int
@@ -125,7 +125,7 @@
     p->from = make_relay("n1", p->rules);
     p->to = make_relay("n2", p->rules);
     p->msg = g_byte_array_new();
-    Fw_Outbox_Init(&p->mail);
+    Fw_Outbox_Init(&p->outbox);
     Fw_Digest_Write(p->from, FW_NOW_US, p->msg);
     deliver(p);
     g_byte_array_set_size(p->msg, 0);
@@ -135,8 +135,8 @@
 pair_clear(struct instance_pair *p)
 {
     g_byte_array_unref(p->msg);
-    Fw_Outbox_Clear(&p->mail);
-    g_ptr_array_unref(p->mail.all);
+    Fw_Outbox_Clear(&p->outbox);
+    g_ptr_array_unref(p->outbox.all);
     Fw_Relay_Free(p->from);
     Fw_Relay_Free(p->to);
     Fw_Rules_Unref(p->rules);
@@ -221,24 +221,25 @@
 
     pair_init(&p);
     Fw_Relay_SetFreshAsOf(p.to, FW_NOW_US);
-    Fw_StoreSync_SendQuery(p.to, FW_NOW_US + FW_SEC, &p.mail);
-    ck_assert_uint_eq(p.mail.all->len, 0);
+    Fw_StoreSync_SendQuery(p.to, FW_NOW_US + FW_SEC, &p.outbox);
+    ck_assert_uint_eq(p.outbox.all->len, 0);
     Fw_Digest_Write(p.from, later_us, p.msg);
     Fw_Relay_ReadMessage(p.to, "127.0.0.9:1", p.msg->data, p.msg->len,
-                         later_us, &p.mail);
-    Fw_Outbox_Clear(&p.mail);
-    Fw_StoreSync_SendQuery(p.to, later_us, &p.mail);
-    ck_assert_uint_eq(p.mail.all->len, 1);
-    d = g_ptr_array_index(p.mail.all, 0);
+                         later_us, &p.outbox);
+    Fw_Outbox_Clear(&p.outbox);
+    Fw_StoreSync_SendQuery(p.to, later_us, &p.outbox);
+    ck_assert_uint_eq(p.outbox.all->len, 1);
+    d = g_ptr_array_index(p.outbox.all, 0);
     ck_assert_str_eq(d->addr, "127.0.0.9:1");
     data = g_bytes_get_data(d->data, &len);
     Fw_Relay_SetFreshAsOf(p.from, later_us - FW_SEC);
-    Fw_Relay_ReadMessage(p.from, "127.0.0.8:1", data, len, later_us, &p.mail);
-    ck_assert_uint_eq(p.mail.all->len, 2);
-    d = g_ptr_array_index(p.mail.all, 1);
+    Fw_Relay_ReadMessage(p.from, "127.0.0.8:1", data, len, later_us,
+                         &p.outbox);
+    ck_assert_uint_eq(p.outbox.all->len, 2);
+    d = g_ptr_array_index(p.outbox.all, 1);
     ck_assert_str_eq(d->addr, "127.0.0.8:1");
     data = g_bytes_get_data(d->data, &len);
-    Fw_Relay_ReadMessage(p.to, "127.0.0.9:1", data, len, later_us, &p.mail);
+    Fw_Relay_ReadMessage(p.to, "127.0.0.9:1", data, len, later_us, &p.outbox);
     ck_assert(Fw_Relay_AreKeysFresh(p.to, later_us + 2 * FW_SEC));
     ck_assert(!Fw_Relay_AreKeysFresh(p.to, later_us + 3 * FW_SEC));
     pair_clear(&p);
