--- a/src/decide/prefill_pool.c
+++ b/src/decide/prefill_pool.c
@@ -26,25 +26,28 @@
 }
 
 void
-Fw_PrefillLoad_Add(struct fw_prefill_load *r, int64_t tokens, int64_t now_us)
+Fw_PrefillLoad_Add(struct fw_prefill_load *load, int64_t tokens,
+                   int64_t now_us)
 {
-    r->sum = r->sum * decay((double)(now_us - r->at_us)) + (double)tokens;
-    r->at_us = now_us;
-    if (!r->since_us) {
-        r->since_us = now_us;
+    load->sum =
+        load->sum * decay((double)(now_us - load->at_us)) + (double)tokens;
+    load->at_us = now_us;
+    if (!load->since_us) {
+        load->since_us = now_us;
     }
 }
 
 /* Normalizes by the time observed, so that it is unbiased after a start. */
 double
-Fw_PrefillLoad_Rate(const struct fw_prefill_load *r, int64_t now_us)
+Fw_PrefillLoad_Rate(const struct fw_prefill_load *load, int64_t now_us)
 {
-    double observed_us = MAX((double)(now_us - r->since_us), FW_LOAD_MIN_US);
+    double observed_us =
+        MAX((double)(now_us - load->since_us), FW_LOAD_MIN_US);
 
-    if (!r->since_us) {
+    if (!load->since_us) {
         return 0;
     }
-    return r->sum * decay((double)(now_us - r->at_us)) /
+    return load->sum * decay((double)(now_us - load->at_us)) /
            (FW_LOAD_DECAY_US * (1 - decay(observed_us))) * FW_SEC;
 }
 
--- a/src/decide/prefill_pool.h
+++ b/src/decide/prefill_pool.h
@@ -22,10 +22,11 @@
 };
 
 void
-Fw_PrefillLoad_Add(struct fw_prefill_load *r, int64_t tokens, int64_t now_us);
+Fw_PrefillLoad_Add(struct fw_prefill_load *load, int64_t tokens,
+                   int64_t now_us);
 /* Prompt tokens per second, as of @now_us. */
 double
-Fw_PrefillLoad_Rate(const struct fw_prefill_load *r, int64_t now_us);
+Fw_PrefillLoad_Rate(const struct fw_prefill_load *load, int64_t now_us);
 
 /**
  * Fw_PrefillPool_BusyEngines - mean number of engines busy with prefill.
--- a/src/decide/service_stats.c
+++ b/src/decide/service_stats.c
@@ -37,40 +37,44 @@
 #define FW_RETRY_MAX_US (15 * FW_SEC)
 
 void
-Fw_ServiceStats_Init(struct fw_service_stats *l, const char *service)
+Fw_ServiceStats_Init(struct fw_service_stats *stats, const char *service)
 {
-    memset(l, 0, sizeof(*l));
-    g_strlcpy(l->service, service, sizeof(l->service));
-    Fw_Mean_Init(&l->stream_us, FW_STREAM_PRIOR_US, 0);
-    Fw_Mean_Init(&l->decode_tokens_per_us, FW_DECODE_PRIOR_TOKENS_PER_US, 0);
-    Fw_Mean_Init(&l->prefill_us_per_token, FW_PREFILL_PRIOR_US_PER_TOKEN, 0);
-    Fw_Mean_Init(&l->prefill_delay_us, 0, FW_PREFILL_DELAY_DEV_PRIOR_US);
-    Fw_Mean_Init(&l->first_event_us, FW_FIRST_EVENT_PRIOR_US,
+    memset(stats, 0, sizeof(*stats));
+    g_strlcpy(stats->service, service, sizeof(stats->service));
+    Fw_Mean_Init(&stats->stream_us, FW_STREAM_PRIOR_US, 0);
+    Fw_Mean_Init(&stats->decode_tokens_per_us, FW_DECODE_PRIOR_TOKENS_PER_US,
+                 0);
+    Fw_Mean_Init(&stats->prefill_us_per_token, FW_PREFILL_PRIOR_US_PER_TOKEN,
+                 0);
+    Fw_Mean_Init(&stats->prefill_delay_us, 0, FW_PREFILL_DELAY_DEV_PRIOR_US);
+    Fw_Mean_Init(&stats->first_event_us, FW_FIRST_EVENT_PRIOR_US,
                  FW_FIRST_EVENT_DEV_PRIOR_US);
 }
 
 void
-Fw_ServiceStats_NotePrefill(struct fw_service_stats *l, int64_t tokens,
+Fw_ServiceStats_NotePrefill(struct fw_service_stats *stats, int64_t tokens,
                             int64_t took_us)
 {
-    double delay = (double)(took_us - Fw_ServiceStats_PrefillTime(l, tokens));
+    double delay =
+        (double)(took_us - Fw_ServiceStats_PrefillTime(stats, tokens));
 
-    Fw_Mean_Update(&l->prefill_delay_us, delay);
-    Fw_Mean_Update(&l->prefill_us_per_token,
+    Fw_Mean_Update(&stats->prefill_delay_us, delay);
+    Fw_Mean_Update(&stats->prefill_us_per_token,
                    (double)took_us / (double)MAX(tokens, 1));
 }
 
 int64_t
-Fw_ServiceStats_PrefillTime(const struct fw_service_stats *l, int64_t tokens)
+Fw_ServiceStats_PrefillTime(const struct fw_service_stats *stats,
+                            int64_t tokens)
 {
-    return (int64_t)(l->prefill_us_per_token.mean * (double)tokens);
+    return (int64_t)(stats->prefill_us_per_token.mean * (double)tokens);
 }
 
 int64_t
-Fw_ServiceStats_PrefillSlack(const struct fw_service_stats *l)
+Fw_ServiceStats_PrefillSlack(const struct fw_service_stats *stats)
 {
-    double us = l->prefill_delay_us.mean +
-                FW_PREFILL_SLACK_DEVIATIONS * l->prefill_delay_us.dev;
+    double us = stats->prefill_delay_us.mean +
+                FW_PREFILL_SLACK_DEVIATIONS * stats->prefill_delay_us.dev;
 
     return CLAMP((int64_t)us, FW_PREFILL_SLACK_MIN_US,
                  FW_PREFILL_SLACK_MAX_US);
@@ -81,11 +85,11 @@
  * request would take memory from those that can still meet theirs.
  */
 int64_t
-Fw_ServiceStats_QueueLimit(const struct fw_service_stats *l,
+Fw_ServiceStats_QueueLimit(const struct fw_service_stats *stats,
                            int64_t objective_us)
 {
-    double first_event = l->first_event_us.mean +
-                         FW_FIRST_EVENT_DEVIATIONS * l->first_event_us.dev;
+    double first_event = stats->first_event_us.mean +
+                         FW_FIRST_EVENT_DEVIATIONS * stats->first_event_us.dev;
 
     if (objective_us <= 0) {
         return FW_QUEUE_DEFAULT_US;
@@ -94,20 +98,21 @@
 }
 
 int64_t
-Fw_ServiceStats_FullBackoff(const struct fw_service_stats *l, int running)
+Fw_ServiceStats_FullBackoff(const struct fw_service_stats *stats, int running)
 {
-    double us = FW_FULL_BACKOFF_FRACTION * l->stream_us.mean / MAX(running, 1);
+    double us =
+        FW_FULL_BACKOFF_FRACTION * stats->stream_us.mean / MAX(running, 1);
 
     return CLAMP((int64_t)us, FW_FULL_BACKOFF_MIN_US, FW_FULL_BACKOFF_MAX_US);
 }
 
-/* Many of the streams that now fill the engines have ended by then. */
+/* A fraction of the mean stream duration, in which many streams end. */
 int64_t
-Fw_ServiceStats_RetryAfter(const struct fw_service_stats *l, double chance)
+Fw_ServiceStats_RetryAfter(const struct fw_service_stats *stats, double chance)
 {
     double fraction = FW_RETRY_MIN_FRACTION +
                       (FW_RETRY_MAX_FRACTION - FW_RETRY_MIN_FRACTION) * chance;
 
-    return CLAMP((int64_t)(l->stream_us.mean * fraction), FW_RETRY_MIN_US,
+    return CLAMP((int64_t)(stats->stream_us.mean * fraction), FW_RETRY_MIN_US,
                  FW_RETRY_MAX_US);
 }
--- a/src/decide/service_stats.h
+++ b/src/decide/service_stats.h
@@ -33,32 +33,34 @@
 };
 
 void
-Fw_ServiceStats_Init(struct fw_service_stats *l, const char *service);
+Fw_ServiceStats_Init(struct fw_service_stats *stats, const char *service);
 /* Records a prefill's duration; @tokens: queued there, its own included. */
 void
-Fw_ServiceStats_NotePrefill(struct fw_service_stats *l, int64_t tokens,
+Fw_ServiceStats_NotePrefill(struct fw_service_stats *stats, int64_t tokens,
                             int64_t took_us);
 /* Predicted time in us to prefill @tokens, all those queued included. */
 int64_t
-Fw_ServiceStats_PrefillTime(const struct fw_service_stats *l, int64_t tokens);
+Fw_ServiceStats_PrefillTime(const struct fw_service_stats *stats,
+                            int64_t tokens);
 /* Time in us to wait beyond the prediction before trying another engine. */
 int64_t
-Fw_ServiceStats_PrefillSlack(const struct fw_service_stats *l);
+Fw_ServiceStats_PrefillSlack(const struct fw_service_stats *stats);
 /*
  * Longest time in us that a request may be queued for a reservation.
  * @objective_us: objective of its route, 0 for none
  */
 int64_t
-Fw_ServiceStats_QueueLimit(const struct fw_service_stats *l,
+Fw_ServiceStats_QueueLimit(const struct fw_service_stats *stats,
                            int64_t objective_us);
 /*
  * Time in us before a reservation is requested again of an engine that
  * rejected one while @running streams ran there.
  */
 int64_t
-Fw_ServiceStats_FullBackoff(const struct fw_service_stats *l, int running);
+Fw_ServiceStats_FullBackoff(const struct fw_service_stats *stats, int running);
 /* Retry-After in us for a rejected stream; @chance: random, from 0 to 1. */
 int64_t
-Fw_ServiceStats_RetryAfter(const struct fw_service_stats *l, double chance);
+Fw_ServiceStats_RetryAfter(const struct fw_service_stats *stats,
+                           double chance);
 
 #endif
--- a/src/relay/digest.c
+++ b/src/relay/digest.c
@@ -9,7 +9,7 @@
 #include "relay/relay_internal.h"
 
 #define FW_MSG_TYPE_DIGEST 7
-#define FW_DIGEST_SIZE 12
+#define FW_DIGEST_ELEMENTS 12
 
 static int
 is_current_leaf(const struct fw_rl_member *m)
@@ -47,7 +47,7 @@
     msgpack_packer pk;
 
     Fw_Pack_Begin(&pk, out);
-    msgpack_pack_array(&pk, FW_DIGEST_SIZE);
+    msgpack_pack_array(&pk, FW_DIGEST_ELEMENTS);
     msgpack_pack_int(&pk, FW_MSG_TYPE_DIGEST);
     Fw_Message_PackSender(r, &pk);
     msgpack_pack_uint64(&pk, ++r->digest_seq);
@@ -73,9 +73,9 @@
     uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_DIGEST_SIZE || Fw_Unpack_U64(o, 0, &type) ||
-        type != FW_MSG_TYPE_DIGEST || Fw_Message_ReadSender(o, &d->from) ||
-        Fw_Unpack_U64(o, 5, &d->seq)) {
+        o->via.array.size != FW_DIGEST_ELEMENTS ||
+        Fw_Unpack_U64(o, 0, &type) || type != FW_MSG_TYPE_DIGEST ||
+        Fw_Message_ReadSender(o, &d->from) || Fw_Unpack_U64(o, 5, &d->seq)) {
         return -EBADMSG;
     }
     d->leaves = Fw_Rows_Unpack(o, 11, 2);
--- a/src/relay/kv_demand.c
+++ b/src/relay/kv_demand.c
@@ -34,21 +34,21 @@
 Fw_KvDemand_NoteStreamEnd(struct fw_relay *r, const struct fw_rl_call *c,
                           int64_t events, int64_t now_us)
 {
-    struct fw_service_stats *l = Fw_ServiceStats_Get(r, c->service);
+    struct fw_service_stats *stats = Fw_ServiceStats_Get(r, c->service);
     double took = (double)MAX(now_us - c->sent_us, 1);
     double tokens = c->length.mean;
 
     if (c->info.last_event_id >= 0) {
         return;
     }
-    Fw_Mean_Update(&l->stream_us, took);
+    Fw_Mean_Update(&stats->stream_us, took);
     if (events > 0) {
-        Fw_Length_Update(&l->length, c->info.tokens_out_hint,
+        Fw_Length_Update(&stats->length, c->info.tokens_out_hint,
                          c->info.tokens_out_max, events);
-        tokens = (double)events *
-                 Fw_Length_TokensPerEvent(&l->length, c->info.tokens_out_max);
+        tokens = (double)events * Fw_Length_TokensPerEvent(
+                                      &stats->length, c->info.tokens_out_max);
     }
-    Fw_Mean_Update(&l->decode_tokens_per_us, tokens / took);
+    Fw_Mean_Update(&stats->decode_tokens_per_us, tokens / took);
 }
 
 int64_t
--- a/src/relay/place.c
+++ b/src/relay/place.c
@@ -15,7 +15,7 @@
 /* Weight of a server's error rate in its score. */
 #define FW_ERROR_RATE_WEIGHT 8.0
 /* Relative random spread of scores: spreads load over similar servers. */
-#define FW_SCORE_JITTER 0.3
+#define FW_SCORE_JITTER_FRACTION 0.3
 /*
  * A plain server is given as many requests as it can answer within this
  * fraction of the route's objective; beyond that all its answers are late.
@@ -28,10 +28,10 @@
 #define FW_MIN_REQUESTS_PER_SLOT 1.5
 /*
  * Above the limit requests are rejected with a probability that reaches 1 at
- * this fraction over it. Peers' loads are known 75 to 150 ms late, so a hard
+ * this fraction over it. Peers' loads are known only after a delay, so a hard
  * limit would oscillate between admitting all requests and none.
  */
-#define FW_OVERLOAD_RAMP 0.5
+#define FW_OVERLOAD_RAMP_FRACTION 0.5
 /* Time for which a prefill engine that rejected a prompt is skipped. */
 #define FW_PREFILL_BACKOFF_US (300 * FW_MSEC)
 /* Fixed-point scale of the baseline policies' scores, per request. */
@@ -99,7 +99,7 @@
     }
     return response_us * load_factor * load_factor *
            (1.0 + FW_ERROR_RATE_WEIGHT * s->error_rate) *
-           (1.0 + g_rand_double_range(r->rand, 0, FW_SCORE_JITTER));
+           (1.0 + g_rand_double_range(r->rand, 0, FW_SCORE_JITTER_FRACTION));
 }
 
 /*
@@ -161,7 +161,8 @@
     }
     Fw_Place_Load(r, s, now_us, &l);
     limit = max_running(s, c->route.objective_us);
-    reject_probability = (l.running + 1 - limit) / (FW_OVERLOAD_RAMP * limit);
+    reject_probability =
+        (l.running + 1 - limit) / (FW_OVERLOAD_RAMP_FRACTION * limit);
     return reject_probability > 0 &&
            g_rand_double(r->rand) < reject_probability;
 }
--- a/src/relay/plain.c
+++ b/src/relay/plain.c
@@ -104,8 +104,8 @@
 
 /*
  * Returns the server to retry @c at and charges the retry budget, or NULL if
- * it may not be retried. Crowded servers get no retries, which would delay
- * the requests that wait there.
+ * it may not be retried. Overloaded servers get no retries, which would delay
+ * the requests queued there.
  */
 static struct fw_rl_server *
 take_retry_server(struct fw_relay *r, const struct fw_rl_call *c,
--- a/src/relay/reply.c
+++ b/src/relay/reply.c
@@ -12,7 +12,7 @@
 #include "relay/relay_internal.h"
 
 #define FW_MSG_TYPE_REPLY 9
-#define FW_REPLY_SIZE 11
+#define FW_REPLY_ELEMENTS 11
 
 static void
 pack_levels(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us,
@@ -49,7 +49,7 @@
     msgpack_packer pk;
 
     Fw_Pack_Begin(&pk, out);
-    msgpack_pack_array(&pk, FW_REPLY_SIZE);
+    msgpack_pack_array(&pk, FW_REPLY_ELEMENTS);
     msgpack_pack_int(&pk, FW_MSG_TYPE_REPLY);
     Fw_Pack_Str(&pk, r->opts.name);
     msgpack_pack_uint64(&pk, r->opts.boot);
@@ -98,7 +98,7 @@
     uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_REPLY_SIZE || Fw_Unpack_U64(o, 0, &type) ||
+        o->via.array.size != FW_REPLY_ELEMENTS || Fw_Unpack_U64(o, 0, &type) ||
         type != FW_MSG_TYPE_REPLY ||
         Fw_Unpack_Str(o, 1, p->name, sizeof(p->name)) || !p->name[0] ||
         Fw_Unpack_U64(o, 2, &p->boot) || Fw_Unpack_U64(o, 3, &p->leaf_boot) ||
--- a/src/relay/report.c
+++ b/src/relay/report.c
@@ -13,7 +13,7 @@
 #include "relay/relay_internal.h"
 
 #define FW_MSG_TYPE_REPORT 8
-#define FW_REPORT_SIZE 12
+#define FW_REPORT_ELEMENTS 12
 
 static void
 pack_spent(struct fw_relay *r, msgpack_packer *pk)
@@ -48,7 +48,7 @@
 
     r->x.report_sent_us = now_us;
     Fw_Pack_Begin(&pk, out);
-    msgpack_pack_array(&pk, FW_REPORT_SIZE);
+    msgpack_pack_array(&pk, FW_REPORT_ELEMENTS);
     msgpack_pack_int(&pk, FW_MSG_TYPE_REPORT);
     Fw_Message_PackSender(r, &pk);
     msgpack_pack_uint64(&pk, r->x.report_session);
@@ -74,8 +74,9 @@
     uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY ||
-        o->via.array.size != FW_REPORT_SIZE || Fw_Unpack_U64(o, 0, &type) ||
-        type != FW_MSG_TYPE_REPORT || Fw_Message_ReadSender(o, &p->from) ||
+        o->via.array.size != FW_REPORT_ELEMENTS ||
+        Fw_Unpack_U64(o, 0, &type) || type != FW_MSG_TYPE_REPORT ||
+        Fw_Message_ReadSender(o, &p->from) ||
         Fw_Unpack_U64(o, 5, &p->session) || Fw_Unpack_U64(o, 6, &p->seq)) {
         return -EBADMSG;
     }
--- a/src/relay/service_stats.c
+++ b/src/relay/service_stats.c
@@ -9,12 +9,13 @@
 #include "core/pack.h"
 #include "relay/relay_internal.h"
 
-#define FW_FORM_SERVICE_STATS 5
+#define FW_MSG_TYPE_SERVICE_STATS 5
 /*
- * Reports are first requested after this number of answers, then at this
- * interval, because tokens per event may change with the engine's version.
+ * Reports are first requested after this number of complete streams, then at
+ * this interval, because tokens per event may change with the engine's
+ * version.
  */
-#define FW_REPORT_MIN_ANSWERS 4
+#define FW_REPORT_MIN_STREAMS 4
 #define FW_REPORT_PERIOD_US (60 * FW_SEC)
 /* Minimum age of a running stream; a report may be a second old. */
 #define FW_REPORT_MIN_AGE_US (1500 * FW_MSEC)
@@ -28,18 +29,18 @@
 struct fw_service_stats *
 Fw_ServiceStats_Get(const struct fw_relay *r, const char *service)
 {
-    struct fw_service_stats *l;
+    struct fw_service_stats *stats;
 
     for (guint i = 0; i < r->service_stats->len; i++) {
-        l = g_ptr_array_index(r->service_stats, i);
-        if (strcmp(l->service, service) == 0) {
-            return l;
+        stats = g_ptr_array_index(r->service_stats, i);
+        if (strcmp(stats->service, service) == 0) {
+            return stats;
         }
     }
-    l = g_new(struct fw_service_stats, 1);
-    Fw_ServiceStats_Init(l, service);
-    g_ptr_array_add(r->service_stats, l);
-    return l;
+    stats = g_new(struct fw_service_stats, 1);
+    Fw_ServiceStats_Init(stats, service);
+    g_ptr_array_add(r->service_stats, stats);
+    return stats;
 }
 
 /* Returns a server with a stream that its report will contain, or NULL. */
@@ -77,17 +78,18 @@
                                      .connect_us = FW_RL_CONNECT_TIMEOUT_US};
 
     for (guint i = 0; i < r->service_stats->len; i++) {
-        struct fw_service_stats *l = g_ptr_array_index(r->service_stats, i);
+        struct fw_service_stats *stats =
+            g_ptr_array_index(r->service_stats, i);
         struct fw_rl_server *s;
 
-        if (l->length.n < FW_REPORT_MIN_ANSWERS ||
-            (l->report_requested_us &&
-             now_us - l->report_requested_us < FW_REPORT_PERIOD_US)) {
+        if (stats->length.n < FW_REPORT_MIN_STREAMS ||
+            (stats->report_requested_us &&
+             now_us - stats->report_requested_us < FW_REPORT_PERIOD_US)) {
             continue;
         }
-        s = find_server_to_report(r, l->service, now_us);
+        s = find_server_to_report(r, stats->service, now_us);
         if (s) {
-            l->report_requested_us = now_us;
+            stats->report_requested_us = now_us;
             Fw_Call_Upstream(r, NULL, s, &up,
                              now_us + FW_RL_RELEASE_TIMEOUT_US, now_us, out)
                 ->is_calibration = 1;
@@ -143,16 +145,16 @@
     }
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, 2);
-    msgpack_pack_int(&pk, FW_FORM_SERVICE_STATS);
+    msgpack_pack_int(&pk, FW_MSG_TYPE_SERVICE_STATS);
     msgpack_pack_array(&pk, r->service_stats->len);
     for (guint i = 0; i < r->service_stats->len; i++) {
-        const struct fw_service_stats *l =
+        const struct fw_service_stats *stats =
             g_ptr_array_index(r->service_stats, i);
         double params[FW_LENGTH_PARAMS];
 
-        Fw_Length_Export(&l->length, params);
+        Fw_Length_Export(&stats->length, params);
         msgpack_pack_array(&pk, FW_PARAMS_ROW_WIDTH);
-        msgpack_pack_uint64(&pk, Fw_Hash_Str(l->service));
+        msgpack_pack_uint64(&pk, Fw_Hash_Str(stats->service));
         for (int k = 0; k < FW_LENGTH_PARAMS; k++) {
             msgpack_pack_int64(&pk, (int64_t)(params[k] * FW_PARAM_SCALE));
         }
@@ -183,10 +185,10 @@
 Fw_ServiceStats_Read(struct fw_relay *r, const msgpack_object *o)
 {
     const msgpack_object_array *rows;
-    uint64_t form;
+    uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 2 ||
-        Fw_Unpack_U64(o, 0, &form) || form != FW_FORM_SERVICE_STATS) {
+        Fw_Unpack_U64(o, 0, &type) || type != FW_MSG_TYPE_SERVICE_STATS) {
         return -EBADMSG;
     }
     rows = Fw_Rows_Unpack(o, 1, FW_PARAMS_ROW_WIDTH);
--- a/src/relay/stage_order.c
+++ b/src/relay/stage_order.c
@@ -51,8 +51,8 @@
 }
 
 /*
- * Whether this instance should give the orders: of the hubs in touch, the one
- * with the lowest name.
+ * Whether this instance should give the orders: it is a hub, and no hub with a
+ * lower name sent a digest within the last second.
  */
 static int
 should_give_orders(const struct fw_relay *r, int64_t now_us)
@@ -93,7 +93,10 @@
             now_us - r->order_lease.last_claim_us > r->opts.lease_us + FW_SEC);
 }
 
-/* Prompt tokens per second that all instances in touch receive. */
+/*
+ * Prompt tokens per second received by this instance and by all members that
+ * sent a message within FW_PEER_LOAD_TTL_US.
+ */
 static double
 total_prefill_rate(const struct fw_relay *r,
                    const struct fw_service_stats *stats, int64_t now_us)
--- a/src/relay/store_sync.c
+++ b/src/relay/store_sync.c
@@ -20,8 +20,11 @@
 #define FW_MSG_TYPE_QUERY 2
 #define FW_MSG_TYPE_ANSWER 3
 
-/* Hubs that poll the store: the first by hash of name that can reach it. */
-#define FW_STORE_READERS 2
+/*
+ * Number of hubs that poll the store: of those that sent a digest recently and
+ * can reach the store, the ones with the lowest hashes of their names.
+ */
+#define FW_STORE_POLLERS 2
 /* Interval of a hub's queries; the next one replaces an unanswered one. */
 #define FW_QUERY_INTERVAL_HUB_US (300 * FW_MSEC)
 /* Interval of a leaf's queries, sent only while its data is stale. */
@@ -38,14 +41,17 @@
 /* Time after the start to wait for the list of members, and for a hub. */
 #define FW_MEMBER_LIST_WAIT_US (300 * FW_MSEC)
 #define FW_HUB_WAIT_US (1 * FW_SEC)
-/* A member is live for queries if it sent a message within this time. */
-#define FW_READER_TIMEOUT_US (2500 * FW_MSEC)
+/*
+ * A member that sent no message for this long isn't queried, and a hub that
+ * sent no digest for this long isn't counted among those that poll.
+ */
+#define FW_POLLER_TIMEOUT_US (2500 * FW_MSEC)
 
 static int
-is_live(const struct fw_rl_member *m, int64_t now_us)
+sent_recently(const struct fw_rl_member *m, int64_t now_us)
 {
     return m->last_message_us &&
-           now_us - m->last_message_us < FW_READER_TIMEOUT_US;
+           now_us - m->last_message_us < FW_POLLER_TIMEOUT_US;
 }
 
 /*
@@ -66,7 +72,7 @@
 Fw_Relay_ReadsStore(const struct fw_relay *r, int64_t now_us)
 {
     struct fw_list *pos;
-    int readers_before = 0;
+    int pollers_before = 0;
 
     if (!r->rules || !r->has_server_list) {
         return !waits_after_start(r, now_us);
@@ -81,22 +87,23 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        readers_before += m->last_digest_us &&
-                          now_us - m->last_digest_us < FW_READER_TIMEOUT_US &&
+        pollers_before += m->last_digest_us &&
+                          now_us - m->last_digest_us < FW_POLLER_TIMEOUT_US &&
                           !m->store_unreachable && m->hash < r->hash;
     }
-    return readers_before < FW_STORE_READERS;
+    return pollers_before < FW_STORE_POLLERS;
 }
 
 /*
- * In a fleet with instances that don't poll the store, polls wait half as
- * long: the data of a reader may be up to two waits old, and that of the
- * instances that query it is older by the time of a query.
+ * The configuration is known to be current as of the start of the last
+ * answered long poll, which may be two poll timeouts ago. In a fleet where
+ * some instances query those that poll, which makes their data older still,
+ * the timeout is halved.
  */
 int64_t
 Fw_Relay_RulesPollUs(struct fw_relay *r, int64_t base_us, int64_t now_us)
 {
-    return Fw_Members_Count(r, now_us, NULL) <= FW_STORE_READERS ? base_us
+    return Fw_Members_Count(r, now_us, NULL) <= FW_STORE_POLLERS ? base_us
                                                                  : base_us / 2;
 }
 
@@ -146,7 +153,8 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (is_live(m, now_us) && m->rules_end > Fw_StoreSync_RulesEnd(r)) {
+        if (sent_recently(m, now_us) &&
+            m->rules_end > Fw_StoreSync_RulesEnd(r)) {
             return 1;
         }
     }
@@ -200,7 +208,7 @@
     FW_LIST_EACH (pos, &r->members) {
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (m->reads_store && is_live(m, now_us) &&
+        if (m->reads_store && sent_recently(m, now_us) &&
             g_rand_int_range(r->rand, 0, ++n) == 0) {
             picked = m;
         }
