--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -42,12 +42,16 @@
 void
 Fw_Idem_Free(struct fw_idem *c);
 
-/* Claims the right to run a call; the answer comes by Fw_Idem_TakeAnswer. */
+/* Claims the right to run a call. The answer is available from
+ * Fw_Idem_TakeAnswer, at once or later: FW_IDEM_UNAVAILABLE if the claim times
+ * out. It may become available in any call that takes @now_us, so take the
+ * answers after each. */
 void
 Fw_Idem_Claim(struct fw_idem *c, uint64_t ticket, const char *service,
               const char *team, const char *idem_key, uint64_t body_hash,
               int64_t now_us, struct fw_actions *out);
-/* Return: 1 when an answer was moved to @ans, 0 when there is none. */
+/* Moves the next available answer to @ans; the caller owns @ans->body.
+ * Return: 1 when an answer was moved, 0 when none is available. */
 int
 Fw_Idem_TakeAnswer(struct fw_idem *c, struct fw_idem_answer *ans);
 /**
--- a/src/limit/bucket.c
+++ b/src/limit/bucket.c
@@ -7,7 +7,8 @@
 static int64_t
 max_level(const struct fw_bucket *b)
 {
-    return MAX(b->burst - b->reserved[0] - b->reserved[1], 0) * FW_MICROTOKENS;
+    return MAX(b->burst - b->reserved[0] - b->reserved[1], 0) *
+           FW_MICROTOKENS_PER_TOKEN;
 }
 
 static void
@@ -54,8 +55,8 @@
     int64_t n;
 
     Fw_Bucket_Refill(b, now_us);
-    n = CLAMP(tokens, 0, b->level / FW_MICROTOKENS);
-    b->level -= n * FW_MICROTOKENS;
+    n = CLAMP(tokens, 0, b->level / FW_MICROTOKENS_PER_TOKEN);
+    b->level -= n * FW_MICROTOKENS_PER_TOKEN;
     if (reserve) {
         b->reserved[0] += n;
     }
@@ -88,5 +89,5 @@
 Fw_Bucket_Cancel(struct fw_bucket *b, int64_t tokens, int64_t now_us)
 {
     Fw_Bucket_Commit(b, tokens, now_us);
-    Fw_Bucket_Put(b, tokens * FW_MICROTOKENS, now_us);
+    Fw_Bucket_Put(b, tokens * FW_MICROTOKENS_PER_TOKEN, now_us);
 }
--- a/src/limit/bucket.h
+++ b/src/limit/bucket.h
@@ -7,7 +7,7 @@
 
 #include "base/limits.h"
 
-#define FW_MICROTOKENS 1000000LL /* in one token */
+#define FW_MICROTOKENS_PER_TOKEN 1000000LL
 
 /*
  * A peer spends the tokens granted to it within FW_RESERVATION_US or not at
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -188,7 +188,7 @@
      * before, or the team was added well after this ledger was started. */
     if (p->is_first || (p->teams_loaded &&
                         now_us >= p->ledger_since_us + FW_NEW_TEAM_DELAY_US)) {
-        Fw_Bucket_Put(&s->unleased, s->unleased.burst * FW_MICROTOKENS,
-                      now_us);
+        Fw_Bucket_Put(&s->unleased,
+                      s->unleased.burst * FW_MICROTOKENS_PER_TOKEN, now_us);
     }
 }
--- a/src/limit/ledger_renew.c
+++ b/src/limit/ledger_renew.c
@@ -78,7 +78,7 @@
         }
         back = renewal ? MIN(returned_level(renewal, s->name),
                              (g->burst - MIN(g->burst, g->offered_burst)) *
-                                 FW_MICROTOKENS)
+                                 FW_MICROTOKENS_PER_TOKEN)
                        : g->offered_level;
         if (renewal) {
             g->rate = g->offered_rate;
@@ -103,9 +103,9 @@
     for (guint i = 0; i < p->shares->len; i++) {
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         const struct fw_lease_grant *g = find_grant(s, holder);
-        back[i] =
-            g ? MIN(returned_level(msg, s->name), g->burst * FW_MICROTOKENS)
-              : 0;
+        back[i] = g ? MIN(returned_level(msg, s->name),
+                          g->burst * FW_MICROTOKENS_PER_TOKEN)
+                    : 0;
     }
     Fw_Ledger_ClearGrants(l, p, holder, now_us);
     for (guint i = 0; i < p->shares->len; i++) {
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -216,7 +216,7 @@
 Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
                  int64_t now_us)
 {
-    int64_t left = tokens * FW_MICROTOKENS;
+    int64_t left = tokens * FW_MICROTOKENS_PER_TOKEN;
 
     if (Fw_TeamShare_UnleasedUsable(l, s, 0, now_us)) {
         left -= Fw_Bucket_Put(&s->unleased, left, now_us);
@@ -224,7 +224,7 @@
     if (Fw_TeamShare_LeaseUsable(l, s, 0, now_us)) {
         left -= Fw_Bucket_Put(&s->leased, left, now_us);
     }
-    return tokens - left / FW_MICROTOKENS;
+    return tokens - left / FW_MICROTOKENS_PER_TOKEN;
 }
 
 void
--- a/src/limit/limit_internal.h
+++ b/src/limit/limit_internal.h
@@ -79,7 +79,7 @@
  *          fw_limit_partition.lease_until_us
  * @unreturned: unused tokens still to be returned to other instances
  * @demand_tokens, @demand_requests: requested in the current renewal interval
- * @wanted_rate: rate of the lease to ask for, 0 for none
+ * @wanted_rate: rate of the lease to request, 0 for none
  * @excess: micro-tokens above the burst of a reduced lease, to be given back
  *          to the leader
  * @scaled_down: reduced here since the team's rate or burst was lowered, and
--- a/src/limit/token_request.c
+++ b/src/limit/token_request.c
@@ -8,8 +8,8 @@
 
 #include "limit/limit_internal.h"
 
-/* Ends the reservations, since all tokens are spent now. Peers are told of
- * large grants only; small ones expire there. */
+/* Ends the reservations, since all tokens are spent now. Peers are
+ * notified for large grants only; the reservations of small ones expire. */
 static void
 commit_grants(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
               struct fw_actions *out)
@@ -176,8 +176,9 @@
         finish_request(l, a, 1, 0, now_us, out);
         return 1;
     }
-    Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS, now_us);
-    Fw_Bucket_Put(&s->unleased, got.unleased * FW_MICROTOKENS, now_us);
+    Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS_PER_TOKEN, now_us);
+    Fw_Bucket_Put(&s->unleased, got.unleased * FW_MICROTOKENS_PER_TOKEN,
+                  now_us);
     return 0;
 }
 
--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -129,7 +129,8 @@
 }
 
 /*
- * Only the fold decides the outcome, not the result of the append: a record
+ * Only the replica, which applies the log's records in order, decides the
+ * outcome, not the result of the append: a record
  * may have been written although the append failed, and a written record may
  * still conflict with an earlier one. Reporting a failure that is not one
  * would make the operator retry with a new id and overwrite later changes.
--- a/src/operate/operate.h
+++ b/src/operate/operate.h
@@ -16,7 +16,7 @@
  *
  * Usage:
  *
- *   struct fw_operate_view view = {.self = &self, .fold = fold,
+ *   struct fw_operate_view view = {.self = &self, .replica = replica,
  *       .fleet = fleet, .router = router, .requests = requests,
  *       .explain = explain, .orders = orders};
  *
@@ -24,7 +24,7 @@
  *       Fw_Operate_HandleCall(op, &view, &ev->u.oper, now_us, out);
  *   case FW_EV_LOG_APPENDED with FW_OWNER_OPERATE:
  *       Fw_Operate_OnAppended(op, &view, &ev->u.appended, now_us, out);
- *   after every event passed to the fold, and on each tick:
+ *   after every event passed to the replica, and on each tick:
  *       Fw_Operate_AnswerPending(op, &view, now_us, out);
  *
  * docs/operations/configuration.md documents the API.
@@ -49,7 +49,7 @@
 /**
  * struct fw_operate_view - the instance's state, read-only, for queries.
  *
- * All members but @self and @fold may be NULL; queries about a NULL member
+ * All members but @self and @replica may be NULL; queries about a NULL member
  * return no rows.
  */
 struct fw_operate_view {
--- a/src/operate/operate_internal.h
+++ b/src/operate/operate_internal.h
@@ -99,6 +99,7 @@
 
 /* The verdict on change @id as a new node, or NULL if there is none yet. */
 JsonNode *
-Fw_Operate_VerdictJson(const struct fw_config_replica *fold, const char *id);
+Fw_Operate_VerdictJson(const struct fw_config_replica *replica,
+                       const char *id);
 
 #endif
--- a/src/operate/query.c
+++ b/src/operate/query.c
@@ -285,10 +285,10 @@
 }
 
 JsonNode *
-Fw_Operate_VerdictJson(const struct fw_config_replica *fold, const char *id)
+Fw_Operate_VerdictJson(const struct fw_config_replica *replica, const char *id)
 {
     const struct fw_change_outcome *seen =
-        Fw_ConfigReplica_FindOutcome(fold, id);
+        Fw_ConfigReplica_FindOutcome(replica, id);
     const struct fw_audit_entry *e;
     JsonObject *obj;
 
@@ -300,7 +300,7 @@
     json_object_set_string_member(obj, "verdict",
                                   Fw_Change_VerdictName(seen->verdict));
     json_object_set_int_member(obj, "version", (int64_t)seen->offset);
-    e = Fw_Audit_Find(Fw_ConfigReplica_Audit(fold), seen->offset);
+    e = Fw_Audit_Find(Fw_ConfigReplica_Audit(replica), seen->offset);
     if (e) {
         JsonNode *node = json_from_string(e->text, NULL);
 
--- a/src/operate/sheet.h
+++ b/src/operate/sheet.h
@@ -101,7 +101,7 @@
  * @errors: struct fw_sheet_error
  * @rows: struct fw_sheet_row *, without rows that could not be parsed
  * @item_keys: set of "kind name" of the rows read so far, to find duplicates
- * @fold: borrowed
+ * @replica: configuration that the sheet is compared with; borrowed
  * @baseline: NULL during the first pass, which looks for the base version
  */
 struct fw_sheet_plan {
@@ -118,12 +118,12 @@
 
 /**
  * Fw_Sheet_Plan - parses and validates a sheet without applying it.
- * @fold: must outlive the plan
+ * @replica: must outlive the plan
  *
  * Return: a new plan; if its @n_errors is nonzero it must not be applied.
  */
 struct fw_sheet_plan *
-Fw_Sheet_Plan(const struct fw_config_replica *fold, const char *data,
+Fw_Sheet_Plan(const struct fw_config_replica *replica, const char *data,
               size_t len);
 void
 Fw_Sheet_FreePlan(struct fw_sheet_plan *plan);
--- a/src/operate/sheet_compare.c
+++ b/src/operate/sheet_compare.c
@@ -55,11 +55,11 @@
 
 static void
 load_baseline(struct fw_sheet_baseline *baseline,
-              const struct fw_config_replica *fold, uint64_t base_version)
+              const struct fw_config_replica *replica, uint64_t base_version)
 {
-    const struct fw_audit *audit = Fw_ConfigReplica_Audit(fold);
+    const struct fw_audit *audit = Fw_ConfigReplica_Audit(replica);
     const struct fw_list *pos;
-    uint64_t reached = Fw_ConfigReplica_Config(fold)->next_offset;
+    uint64_t reached = Fw_ConfigReplica_Config(replica)->next_offset;
 
     baseline->complete = 1;
     baseline->before =
@@ -121,10 +121,10 @@
 
 static void
 report_conflict(struct fw_sheet_plan *plan, const struct fw_sheet_row *row,
-                const struct fw_config_replica *fold)
+                const struct fw_config_replica *replica)
 {
     const struct fw_audit_entry *e =
-        Fw_Audit_Find(Fw_ConfigReplica_Audit(fold), row->current_version);
+        Fw_Audit_Find(Fw_ConfigReplica_Audit(replica), row->current_version);
     char found[48];
 
     g_snprintf(found, sizeof(found), "%.20s, changed at %" G_GUINT64_FORMAT,
@@ -152,7 +152,7 @@
 static void
 choose_action(struct fw_sheet_plan *plan, struct fw_sheet_row *row,
               const struct item_values *v,
-              const struct fw_config_replica *fold,
+              const struct fw_config_replica *replica,
               const struct fw_sheet_baseline *baseline)
 {
     char *key = item_key(row->kind, row->name);
@@ -177,7 +177,7 @@
                           "an item in force; or a sheet exported lately");
     }
     else {
-        report_conflict(plan, row, fold);
+        report_conflict(plan, row, replica);
     }
 }
 
--- a/src/operate/sheet_internal.h
+++ b/src/operate/sheet_internal.h
@@ -41,7 +41,7 @@
 /* Sets the row's action by comparing it with the value in force. */
 void
 Fw_Sheet_CompareRow(struct fw_sheet_plan *plan, struct fw_sheet_row *row);
-/* Checks that the fold would accept the plan's changes as one record. */
+/* Checks that the replica would accept the plan's changes as one record. */
 void
 Fw_Sheet_Validate(struct fw_sheet_plan *plan);
 
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -107,7 +107,9 @@
 Fw_Route_Submit(struct fw_router *r, const struct fw_config *cfg,
                 const struct fw_route_request *req, int64_t now_us,
                 struct fw_actions *out);
-/* Takes the next answer. Return: 0 if there is none. */
+/* Copies the next available answer to @ans, which needs no freeing. Answers
+ * may become available in any call that takes @now_us. Return: nonzero when an
+ * answer was stored, 0 when none is available. */
 int
 Fw_Route_TakeAnswer(struct fw_router *r, struct fw_route_answer *ans);
 /**
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -116,12 +116,12 @@
 {
     struct fw_bucket b = {.rate = 1000, .burst = 1000};
 
-    Fw_Bucket_Put(&b, 1000 * FW_MICROTOKENS, 0);
+    Fw_Bucket_Put(&b, 1000 * FW_MICROTOKENS_PER_TOKEN, 0);
     ck_assert_int_eq(Fw_Bucket_Take(&b, 400, 1, 0), 400);
     Fw_Bucket_Refill(&b, FW_RESERVATION_US - 1);
-    ck_assert_int_eq(b.level / FW_MICROTOKENS, 600);
+    ck_assert_int_eq(b.level / FW_MICROTOKENS_PER_TOKEN, 600);
     Fw_Bucket_Refill(&b, 3 * FW_RESERVATION_US);
-    ck_assert_int_eq(b.level / FW_MICROTOKENS, 1000);
+    ck_assert_int_eq(b.level / FW_MICROTOKENS_PER_TOKEN, 1000);
 }
 END_TEST
 
@@ -129,11 +129,11 @@
 {
     struct fw_bucket b = {.rate = 0, .burst = 100};
 
-    Fw_Bucket_Put(&b, 100 * FW_MICROTOKENS, 0);
+    Fw_Bucket_Put(&b, 100 * FW_MICROTOKENS_PER_TOKEN, 0);
     ck_assert_int_eq(Fw_Bucket_Take(&b, 70, 1, 0), 70);
     Fw_Bucket_Cancel(&b, 70, 1);
-    ck_assert_int_eq(b.level / FW_MICROTOKENS, 100);
-    ck_assert_int_eq(Fw_Bucket_Put(&b, FW_MICROTOKENS, 2), 0);
+    ck_assert_int_eq(b.level / FW_MICROTOKENS_PER_TOKEN, 100);
+    ck_assert_int_eq(Fw_Bucket_Put(&b, FW_MICROTOKENS_PER_TOKEN, 2), 0);
 }
 END_TEST
 
