--- a/src/fleet/fleet_internal.h
+++ b/src/fleet/fleet_internal.h
@@ -85,7 +85,7 @@
 
 struct fw_member_entry *
 Fw_Member_Find(const struct fw_fleet *f, const char *name);
-/* Adds a member, in the state dead until something is heard of it. */
+/* Adds a member in the state dead, until an update about it is received. */
 struct fw_member_entry *
 Fw_Member_Add(struct fw_fleet *f, const char *name, const char *addr,
               const char *domain, const char *region);
--- a/src/fleet/fleet_msg.c
+++ b/src/fleet/fleet_msg.c
@@ -7,13 +7,13 @@
 #include "core/pack.h"
 #include "fleet/fleet.h"
 
-#define MSG_FIELDS 8
-#define UPDATE_FIELDS 7
+#define FW_FLEET_MSG_FIELDS 8
+#define FW_FLEET_UPDATE_FIELDS 7
 
 static void
 pack_update(msgpack_packer *pk, const struct fw_fleet_update *u)
 {
-    msgpack_pack_array(pk, UPDATE_FIELDS);
+    msgpack_pack_array(pk, FW_FLEET_UPDATE_FIELDS);
     Fw_Pack_Str(pk, u->name);
     Fw_Pack_Str(pk, u->addr);
     Fw_Pack_Str(pk, u->domain);
@@ -26,7 +26,7 @@
 void
 Fw_Fleet_PackMsg(msgpack_packer *pk, const struct fw_fleet_msg *msg)
 {
-    msgpack_pack_array(pk, MSG_FIELDS);
+    msgpack_pack_array(pk, FW_FLEET_MSG_FIELDS);
     msgpack_pack_int(pk, (int)msg->kind);
     msgpack_pack_uint64(pk, msg->seq);
     Fw_Pack_Str(pk, msg->target);
--- a/src/fleet/gossip.c
+++ b/src/fleet/gossip.c
@@ -11,16 +11,17 @@
 #include "base/fault.h"
 #include "fleet/fleet_internal.h"
 
-#define RETRANSMIT_FACTOR 3
+#define FW_RETRANSMIT_FACTOR 3
 
-/* Proportional to the logarithm of the fleet's size, so that each member gets
- * the update with high probability. */
+/* Sends the member's state along with further messages. Their number grows
+ * with the logarithm of the fleet's size, so that each member receives the
+ * update with high probability. */
 void
 Fw_Gossip_Queue(struct fw_fleet *f, struct fw_member_entry *e)
 {
     if (strcmp(e->m.region, f->self.region) == 0) {
         e->retransmits =
-            RETRANSMIT_FACTOR * (int)g_bit_storage(f->candidates->len + 1);
+            FW_RETRANSMIT_FACTOR * (int)g_bit_storage(f->candidates->len + 1);
     }
 }
 
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -212,7 +212,7 @@
     if (delay < 0) {
         s->vacant_since_us = 0;
         /* The log drops old records: without a refresh, an instance that
-         * starts later couldn't tell who holds the role. */
+         * starts later would not know the holder. */
         rec->replaces = FW_ROLE_REPLACES_ANY;
         return Fw_Role_IsHeldHere(r, s) && !s->stopped &&
                now_us >= s->applied_us + FW_ROLE_REFRESH_INTERVAL_US;
--- a/src/fleet/role_internal.h
+++ b/src/fleet/role_internal.h
@@ -4,7 +4,7 @@
 
 #include "fleet/role.h"
 
-/* From start to the first claim; the peers are known by then. */
+/* Delay of the first claim after the start, for the peers to become known. */
 #define FW_ROLE_START_DELAY_US (1500 * FW_MSEC)
 /* How long a role is vacant before it is claimed: after the death or restart
  * of its holder, and if the holder leaves or isn't known. */
--- a/src/request/request_internal.h
+++ b/src/request/request_internal.h
@@ -318,7 +318,8 @@
 int
 Fw_Request_StartDecode(struct fw_requests *rs, struct fw_request *rq,
                        enum fw_up_kind kind, struct fw_actions *out);
-/* Tells @upstream to free all that attempt @seq holds there. */
+/* Sends @upstream a cancel of attempt @seq, to free all that it holds there.
+ */
 void
 Fw_Request_SendCancel(struct fw_requests *rs, const char *upstream,
                       uint64_t seq, struct fw_actions *out);
@@ -391,7 +392,7 @@
 void
 Fw_Join_LookUpOwner(struct fw_requests *rs, struct fw_request *rq,
                     int64_t now_us, struct fw_actions *out);
-/* Tells the owner that @rq no longer needs its answer. */
+/* Notifies the owner that @rq no longer waits for its response. */
 void
 Fw_Join_Leave(struct fw_requests *rs, struct fw_request *rq,
               struct fw_actions *out);
