--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -71,7 +71,7 @@
         l->partitions[i].shares = g_ptr_array_new();
     }
     Fw_List_Init(&l->requests);
-    g_queue_init(&l->results);
+    g_queue_init(&l->answers);
     g_queue_init(&l->peer_grants);
     add_metrics(l, metrics);
     return l;
@@ -86,7 +86,7 @@
     FW_LIST_EACH_SAFE (pos, tmp, &l->requests) {
         g_free(FW_LIST_ENTRY(pos, struct fw_token_request, link));
     }
-    g_queue_clear_full(&l->results, g_free);
+    g_queue_clear_full(&l->answers, g_free);
     g_queue_clear_full(&l->peer_grants, g_free);
     for (int i = 0; i < l->n_partitions; i++) {
         g_array_unref(l->partitions[i].holders);
@@ -351,7 +351,7 @@
 int
 Fw_Limit_TakeAnswer(struct fw_limit *l, struct fw_limit_answer *ans)
 {
-    struct fw_limit_answer *a = g_queue_pop_head(&l->results);
+    struct fw_limit_answer *a = g_queue_pop_head(&l->answers);
 
     if (!a) {
         return 0;
--- a/src/limit/limit.h
+++ b/src/limit/limit.h
@@ -39,22 +39,22 @@
 
 /**
  * Fw_Limit_Request - requests @tokens for @team.
- * @ticket: identifies the request in its result, unique on this instance
+ * @ticket: identifies the request in its answer, unique on this instance
  *
- * The result is available from Fw_Limit_TakeAnswer: at once if local tokens
+ * The answer is available from Fw_Limit_TakeAnswer: at once if local tokens
  * suffice, else after peers were asked in turn, within a bounded time. It may
- * become available in any call that takes @now_us, so take the results after
+ * become available in any call that takes @now_us, so take the answers after
  * each.
  */
 void
 Fw_Limit_Request(struct fw_limit *l, const struct fw_team *team,
                  uint64_t ticket, int64_t tokens, int64_t now_us,
                  struct fw_actions *out);
-/* Copies the next result to @ans, which needs no freeing.
- * Return: nonzero when a result was stored, 0 when none is available. */
+/* Copies the next answer to @ans, which needs no freeing.
+ * Return: nonzero when an answer was stored, 0 when none is available. */
 int
 Fw_Limit_TakeAnswer(struct fw_limit *l, struct fw_limit_answer *ans);
-/* Cancels a request without a result; tokens collected for it, or granted
+/* Cancels a request without an answer; tokens collected for it, or granted
  * later, are returned. */
 void
 Fw_Limit_Cancel(struct fw_limit *l, uint64_t ticket);
--- a/src/limit/limit_internal.h
+++ b/src/limit/limit_internal.h
@@ -208,7 +208,7 @@
  * @collected: tokens obtained so far, from peers and local buckets
  * @leased, @unleased: tokens reserved in the local buckets
  * @first_sent_us, @last_sent_us: when the first and the last peer was asked
- * @done: its result is decided; kept until @free_us to return late grants
+ * @done: its answer is decided; kept until @free_us to return late grants
  * @cancelled: collected tokens are returned in the next tick
  */
 struct fw_token_request {
@@ -267,7 +267,7 @@
     int n_partitions;
     struct fw_limit_partition *partitions;
     struct fw_list requests; /* struct fw_token_request */
-    GQueue results;          /* struct fw_limit_answer */
+    GQueue answers;          /* struct fw_limit_answer */
     GQueue peer_grants;      /* struct fw_peer_grant, the oldest first */
     GHashTable *senders;     /* peer to struct fw_return_sender */
     uint64_t seq;
--- a/src/limit/token_request.c
+++ b/src/limit/token_request.c
@@ -38,7 +38,7 @@
     ans->ticket = a->ticket;
     ans->granted = granted;
     ans->retry_after_us = retry_us;
-    g_queue_push_tail(&l->results, ans);
+    g_queue_push_tail(&l->answers, ans);
     a->done = 1;
     a->free_us = now_us + FW_LATE_GRANT_US;
     if (granted) {
--- a/src/relay/exchange.c
+++ b/src/relay/exchange.c
@@ -124,7 +124,7 @@
     g_byte_array_unref(msg);
 }
 
-/* A reply is written for each leaf, as it holds what was counted of it. */
+/* Each leaf gets its own reply, which contains what was counted for it. */
 static void
 push_to_leaves(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
@@ -291,7 +291,7 @@
 }
 
 /*
- * Sends a new peer the list of hubs, what was learned of each service and, if
+ * Sends a new peer the list of hubs, the length models of the services and, if
  * both are hubs, a digest.
  */
 static void
--- a/src/relay/hubs.c
+++ b/src/relay/hubs.c
@@ -51,7 +51,7 @@
     return m ? m->hash : r->hash;
 }
 
-/* Does @a rank before @b? More CPU does, and at equal CPU the lower hash. */
+/* Whether @a ranks before @b: by more CPU, at equal CPU by the lower hash. */
 static int
 ranks_before(const struct fw_relay *r, const struct fw_rl_member *a,
              const struct fw_rl_member *b)
@@ -99,7 +99,7 @@
 }
 
 static uint64_t
-own_domain(const struct fw_relay *r)
+own_domain_hash(const struct fw_relay *r)
 {
     return Fw_Hash_Str(r->opts.domain);
 }
@@ -116,7 +116,7 @@
     struct fw_list *pos;
     int n = 1;
 
-    find_or_add_domain(&k, own_domain(r));
+    find_or_add_domain(&k, own_domain_hash(r));
     FW_LIST_EACH (pos, &r->members) {
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
@@ -129,7 +129,7 @@
                : MAX(FW_HUBS_TARGET / k.n_domains, FW_HUBS_PER_DOMAIN_MIN);
 }
 
-/* Marks the hubs of each domain. Return: is this instance among them? */
+/* Marks the hubs of each domain. Return: nonzero if this instance is one. */
 static int
 rank_hubs(struct fw_relay *r, int hubs_per_domain, int with_unreachable)
 {
@@ -137,7 +137,7 @@
     struct fw_list *pos;
     int is_hub = 0;
 
-    insert_ranked(&k, NULL, own_domain(r));
+    insert_ranked(&k, NULL, own_domain_hash(r));
     FW_LIST_EACH (pos, &r->members) {
         struct fw_rl_member *m = FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
@@ -230,14 +230,15 @@
 }
 
 /*
- * Reachable hubs of the own domain. With @nominal_only, without those that are
- * hubs only because a nominal hub is unreachable from here.
+ * Whether this instance may choose @m as its hub: a reachable hub of its own
+ * domain. With @nominal_only, not one that is a hub only because a nominal hub
+ * is unreachable from here.
  */
 static int
 is_candidate(const struct fw_relay *r, const struct fw_rl_member *m,
              int nominal_only)
 {
-    return m->domain == own_domain(r) && m->is_ranked_hub &&
+    return m->domain == own_domain_hash(r) && m->is_ranked_hub &&
            (m->is_nominal_hub || !nominal_only);
 }
 
--- a/src/relay/plain.c
+++ b/src/relay/plain.c
@@ -10,10 +10,7 @@
 #include "base/fault.h"
 #include "relay/relay_internal.h"
 
-/*
- * Timeout of an attempt that can be retried: three times the slowest usual
- * response.
- */
+/* Timeout of an attempt that can be retried. */
 #define FW_ATTEMPT_TIMEOUT_US (350 * FW_MSEC)
 /* Retry-After when no server is available. */
 #define FW_RETRY_NO_SERVER_US (1 * FW_SEC)
@@ -33,7 +30,7 @@
 }
 
 static void
-refuse_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
+reject_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
                   int64_t now_us, struct fw_rl_actions *out)
 {
     int64_t retry_us =
@@ -95,7 +92,7 @@
                        out);
     }
     else if (Fw_Place_IsOverloaded(r, c, s, now_us)) {
-        refuse_overloaded(r, c, "servers_crowded", now_us, out);
+        reject_overloaded(r, c, "servers_crowded", now_us, out);
     }
     else {
         send_attempt(r, c, s, now_us, out);
@@ -169,7 +166,7 @@
             retry(r, c, next, "not run", now_us, out);
         }
         else {
-            refuse_overloaded(r, c, "servers_full", now_us, out);
+            reject_overloaded(r, c, "servers_full", now_us, out);
         }
         return;
     }
--- a/src/relay/retry_budget.c
+++ b/src/relay/retry_budget.c
@@ -9,11 +9,11 @@
 
 #include "relay/relay_internal.h"
 
-/* Usable part of the fixed number; the rest is for unknown instances. */
-#define FW_EXTRA_PERMILLE 800
+/* Usable part of retry_extra; the rest is for instances not known here. */
+#define FW_RETRY_EXTRA_USABLE_PERMILLE 800
 
 static struct fw_rl_retry_budget *
-budget_of(struct fw_relay *r, const char *service, int64_t now_us)
+find_or_add_budget(struct fw_relay *r, const char *service, int64_t now_us)
 {
     int64_t slot = now_us * (FW_RL_RETRY_BUDGET_SLOTS - 2) /
                    MAX(r->opts.retry_window_us, 1);
@@ -44,7 +44,7 @@
 Fw_RetryBudget_NoteRequest(struct fw_relay *r, const char *service,
                            int64_t now_us)
 {
-    struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
+    struct fw_rl_retry_budget *b = find_or_add_budget(r, service, now_us);
 
     b->requests[b->slot % FW_RL_RETRY_BUDGET_SLOTS]++;
 }
@@ -53,7 +53,7 @@
 Fw_RetryBudget_Take(struct fw_relay *r, const char *service, int n,
                     int64_t now_us)
 {
-    struct fw_rl_retry_budget *b = budget_of(r, service, now_us);
+    struct fw_rl_retry_budget *b = find_or_add_budget(r, service, now_us);
     int instances = Fw_Members_Count(r, now_us, NULL);
     int64_t requests = 0;
     int64_t retries = 0;
@@ -67,7 +67,8 @@
     requests =
         requests * (FW_RL_RETRY_BUDGET_SLOTS - 2) / FW_RL_RETRY_BUDGET_SLOTS;
     allowed = requests * r->opts.retry_ratio_ppm / 1000000 +
-              r->opts.retry_extra * FW_EXTRA_PERMILLE / 1000 / instances;
+              r->opts.retry_extra * FW_RETRY_EXTRA_USABLE_PERMILLE / 1000 /
+                  instances;
     if (retries + n > allowed) {
         return 0;
     }
--- a/src/relay/servers.c
+++ b/src/relay/servers.c
@@ -17,7 +17,7 @@
  * times it is doubled. Each request that tries such a server loses a connect
  * timeout; a crashed server is usually back within seconds.
  */
-#define FW_BACKOFF_US (700 * FW_MSEC)
+#define FW_BACKOFF_INITIAL_US (700 * FW_MSEC)
 #define FW_BACKOFF_DOUBLINGS_MAX 2
 /* Consecutive timeouts that start a backoff. */
 #define FW_TIMEOUTS_MAX 2
@@ -85,7 +85,7 @@
     int doublings = MIN(s->consecutive_backoffs, FW_BACKOFF_DOUBLINGS_MAX);
 
     s->consecutive_backoffs++;
-    s->backoff_until_us = now_us + (FW_BACKOFF_US << doublings);
+    s->backoff_until_us = now_us + (FW_BACKOFF_INITIAL_US << doublings);
 }
 
 /*
@@ -103,7 +103,7 @@
 
 /*
  * An engine that changes its stage grants reservations but runs nothing for
- * twelve seconds, so prefills for it are wasted. A single rejection may have
+ * several seconds, so prefills for it are wasted. A single rejection may have
  * another cause, such as an expired KV cache.
  */
 void
--- a/src/request/orphan.c
+++ b/src/request/orphan.c
@@ -20,9 +20,11 @@
 #include "base/hash.h"
 #include "request/request_internal.h"
 
-#define FW_ORPHAN_POLL_US (10 * FW_SEC) /* per engine coordinated */
-#define FW_ORPHAN_FAST_POLL_US FW_SEC
-#define FW_ORPHAN_FAST_POLL_FOR_US (15 * FW_SEC) /* after a member failed */
+/* Interval of polls, times the number of engines coordinated here. */
+#define FW_ORPHAN_POLL_INTERVAL_US (10 * FW_SEC)
+/* Interval of polls for a while after a member failed. */
+#define FW_ORPHAN_FAST_POLL_INTERVAL_US FW_SEC
+#define FW_ORPHAN_FAST_POLL_PERIOD_US (15 * FW_SEC)
 #define FW_ORPHAN_CANDIDATE_TTL_US (120 * FW_SEC)
 #define FW_ORPHAN_GRACE_US (2 * FW_SEC)
 #define FW_ORPHAN_ATTACHED_GRACE_US (30 * FW_SEC)
@@ -96,12 +98,13 @@
 }
 
 static gboolean
-expired(gpointer key, gpointer value, gpointer now)
+is_expired(gpointer key, gpointer value, gpointer now)
 {
-    const struct fw_orphan_candidate *s = value;
+    const struct fw_orphan_candidate *candidate = value;
 
     (void)key;
-    return *(int64_t *)now - s->last_seen_us > FW_ORPHAN_CANDIDATE_TTL_US;
+    return *(int64_t *)now - candidate->last_seen_us >
+           FW_ORPHAN_CANDIDATE_TTL_US;
 }
 
 static guint
@@ -126,7 +129,8 @@
     guint alive = count_alive(rs);
 
     if (alive < rs->orphans.alive_members) {
-        rs->orphans.fast_poll_until_us = now_us + FW_ORPHAN_FAST_POLL_FOR_US;
+        rs->orphans.fast_poll_until_us =
+            now_us + FW_ORPHAN_FAST_POLL_PERIOD_US;
         rs->orphans.next_poll_us = now_us;
     }
     rs->orphans.alive_members = alive;
@@ -140,12 +144,13 @@
 
     check_members(rs, now_us);
     if (now_us >= o->next_poll_us) {
-        g_hash_table_foreach_remove(o->candidates, expired, &now_us);
+        g_hash_table_foreach_remove(o->candidates, is_expired, &now_us);
         Fw_Directory_Expire(&rs->directory, now_us);
         n = poll_all(rs, out);
-        o->next_poll_us = now_us + (now_us < o->fast_poll_until_us
-                                        ? FW_ORPHAN_FAST_POLL_US
-                                        : FW_ORPHAN_POLL_US * MAX(n, 1));
+        o->next_poll_us =
+            now_us + (now_us < o->fast_poll_until_us
+                          ? FW_ORPHAN_FAST_POLL_INTERVAL_US
+                          : FW_ORPHAN_POLL_INTERVAL_US * MAX(n, 1));
     }
     Fw_Actions_Wake(out, o->next_poll_us);
 }
@@ -177,21 +182,21 @@
                  int attached, int dead, int64_t now_us,
                  struct fw_actions *out)
 {
-    struct fw_orphan_candidate *s =
+    struct fw_orphan_candidate *candidate =
         g_hash_table_lookup(rs->orphans.candidates, id);
     int64_t grace_us =
         attached ? FW_ORPHAN_ATTACHED_GRACE_US : FW_ORPHAN_GRACE_US;
 
-    if (!s) {
-        s = g_new0(struct fw_orphan_candidate, 1);
-        s->first_seen_us = now_us;
-        g_hash_table_replace(rs->orphans.candidates, g_strdup(id), s);
+    if (!candidate) {
+        candidate = g_new0(struct fw_orphan_candidate, 1);
+        candidate->first_seen_us = now_us;
+        g_hash_table_replace(rs->orphans.candidates, g_strdup(id), candidate);
     }
-    s->last_seen_us = now_us;
+    candidate->last_seen_us = now_us;
     if (FW_FAULT("orphan-on-suspicion")) {
         grace_us = 0;
     }
-    if (dead && now_us - s->first_seen_us >= grace_us) {
+    if (dead && now_us - candidate->first_seen_us >= grace_us) {
         cancel_orphan(rs, engine, id, out);
     }
 }
--- a/src/route/breaker_cmd.c
+++ b/src/route/breaker_cmd.c
@@ -1,7 +1,8 @@
 #include "route/policy.h"
 
-#define FW_BREAKER_FAILURES 3
-#define FW_BREAKER_SLOW 5
+/* Consecutive failures, or consecutive slow calls, that open the breaker. */
+#define FW_BREAKER_FAILURES_MAX 3
+#define FW_BREAKER_SLOW_MAX 5
 /* A call is slow above this multiple of the expected time plus the margin. */
 #define FW_BREAKER_SLOW_FACTOR 4
 #define FW_BREAKER_SLOW_MARGIN_US (50 * FW_MSEC)
@@ -29,7 +30,7 @@
         return 0;
     }
     if (b->state == FW_BREAKER_HALF_OPEN ||
-        b->n_failures >= FW_BREAKER_FAILURES) {
+        b->n_failures >= FW_BREAKER_FAILURES_MAX) {
         return open_breaker(b, now_us);
     }
     return 0;
@@ -49,7 +50,8 @@
     }
     if (slow) {
         b->n_slow++;
-        return b->state == FW_BREAKER_HALF_OPEN || b->n_slow >= FW_BREAKER_SLOW
+        return b->state == FW_BREAKER_HALF_OPEN ||
+                       b->n_slow >= FW_BREAKER_SLOW_MAX
                    ? open_breaker(b, now_us)
                    : 0;
     }
--- a/src/route/coord_reserve.c
+++ b/src/route/coord_reserve.c
@@ -7,8 +7,8 @@
  * engine does not idle between grants.
  */
 #define FW_PREFILL_BACKLOG_MAX_US (150 * FW_MSEC)
-/* Longest time for which a KV may wait for the link and be transferred; the
- * prefill engine may have dropped it after that. */
+/* Longest time for which a KV cache may wait for the link and be transferred;
+ * the prefill engine may have evicted it after that. */
 #define FW_KV_TRANSFER_MAX_US (700 * FW_MSEC)
 /* Prefill time independent of the number of tokens. */
 #define FW_PREFILL_OVERHEAD_US (3 * FW_MSEC)
@@ -67,23 +67,23 @@
     }
 }
 
-/* The link from that domain; if there is none yet, it takes the place of the
- * one that is free the earliest. */
+/* Returns the link from @from_domain. If there is none yet, it replaces the
+ * one that becomes free the earliest. */
 static struct fw_kv_link_state *
 find_link(struct fw_coord *c, uint64_t from_domain)
 {
-    struct fw_kv_link_state *idlest = &c->links[0];
+    struct fw_kv_link_state *earliest_free = &c->links[0];
 
     for (int i = 0; i < FW_COORD_LINKS; i++) {
         if (c->links[i].from_domain == from_domain) {
             return &c->links[i];
         }
-        if (c->links[i].busy_until_us < idlest->busy_until_us) {
-            idlest = &c->links[i];
+        if (c->links[i].busy_until_us < earliest_free->busy_until_us) {
+            earliest_free = &c->links[i];
         }
     }
-    *idlest = (struct fw_kv_link_state){.from_domain = from_domain};
-    return idlest;
+    *earliest_free = (struct fw_kv_link_state){.from_domain = from_domain};
+    return earliest_free;
 }
 
 static void
