--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -10,7 +10,7 @@
 #include "base/hash.h"
 #include "fleet/fleet_internal.h"
 
-#define DEAD_PINGS_PER_TICK 16
+#define FW_DEAD_PINGS_PER_TICK 16
 
 static void
 send_msg(struct fw_fleet *f, const char *to, const char *addr,
@@ -185,7 +185,7 @@
         if (!e->listed && now_us > e->m.changed_us + FW_DEAD_RETENTION_US) {
             g_hash_table_iter_remove(&it);
         }
-        else if (now_us >= e->next_ping_us && pings < DEAD_PINGS_PER_TICK) {
+        else if (now_us >= e->next_ping_us && pings < FW_DEAD_PINGS_PER_TICK) {
             pings++;
             e->next_ping_us = now_us + e->backoff_us +
                               g_rand_int_range(f->rand, 0, 500) * FW_MSEC;
--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -5,7 +5,7 @@
 
 #include "idem/idem_internal.h"
 
-#define SEQ_BITS 20 /* numbers per millisecond of boot time */
+#define FW_SEQ_BITS 20 /* numbers per millisecond of boot time */
 
 static void
 add_metric(struct fw_metrics *metrics, struct fw_metric *m, const char *name,
@@ -38,7 +38,7 @@
     c->start_us = -1;
     /* Numbers are not reused after a restart: a reply meant for the previous
      * process must not grant a claim of this one. */
-    c->seq = (self->boot & UINT32_MAX) << SEQ_BITS;
+    c->seq = (self->boot & UINT32_MAX) << FW_SEQ_BITS;
     c->parts = g_new0(struct fw_idem_partition, c->partitions);
     for (int i = 0; i < c->partitions; i++) {
         init_part(&c->parts[i], i);
--- a/src/idem/idem_query.c
+++ b/src/idem/idem_query.c
@@ -5,9 +5,10 @@
 #include "base/hash.h"
 #include "idem/idem_internal.h"
 
-#define KEY_TIME_DIGITS 13 /* milliseconds in decimal, until the year 2286 */
-#define UUID_LEN 36
-#define UUID_VERSION_INDEX 14
+#define FW_KEY_TIME_DIGITS                                                    \
+    13 /* milliseconds in decimal, until the year 2286 */
+#define FW_UUID_LEN 36
+#define FW_UUID_VERSION_INDEX 14
 
 /* Without a record of "not run" the key can't be used again, but that must
  * not delay a shutdown while the log is down. */
@@ -108,8 +109,8 @@
 {
     char hex[13];
 
-    if (strlen(key) != UUID_LEN || key[8] != '-' || key[13] != '-' ||
-        key[UUID_VERSION_INDEX] != '7') {
+    if (strlen(key) != FW_UUID_LEN || key[8] != '-' || key[13] != '-' ||
+        key[FW_UUID_VERSION_INDEX] != '7') {
         return 0;
     }
     memcpy(hex, key, 8);
@@ -124,8 +125,8 @@
 int64_t
 Fw_Idem_ParseKeyTime(const char *key)
 {
-    if (strspn(key, "0123456789") == KEY_TIME_DIGITS &&
-        key[KEY_TIME_DIGITS] == '-') {
+    if (strspn(key, "0123456789") == FW_KEY_TIME_DIGITS &&
+        key[FW_KEY_TIME_DIGITS] == '-') {
         return g_ascii_strtoll(key, NULL, 10);
     }
     return parse_uuid_time(key);
--- a/src/idem/partition_cmd.c
+++ b/src/idem/partition_cmd.c
@@ -7,7 +7,7 @@
 #include "base/hash.h"
 #include "idem/idem_internal.h"
 
-#define APPEND_BURST 4
+#define FW_APPEND_BURST_MAX 4
 
 void
 Fw_Idem_FreeRequest(struct fw_idem_request *rq)
@@ -186,9 +186,9 @@
             &FW_LIST_ENTRY(pos, struct fw_idem_request, link)->rec);
     }
     if (n > 0) {
-        p->next_append_us =
-            MAX(p->next_append_us, now_us - APPEND_BURST * interval_us) +
-            interval_us;
+        p->next_append_us = MAX(p->next_append_us,
+                                now_us - FW_APPEND_BURST_MAX * interval_us) +
+                            interval_us;
         p->phase = FW_IDEM_APPENDING;
         p->ticket = Fw_Idem_NewOp(c);
         c->appends.value++;
--- a/src/limit/bucket.c
+++ b/src/limit/bucket.c
@@ -2,7 +2,8 @@
 
 #include <glib.h>
 
-#define REFILL_MAX_US (3600 * FW_SEC) /* bounds rate * time within int64 */
+#define FW_REFILL_MAX_US (3600 * FW_SEC) /* bounds rate * time within int64   \
+                                          */
 
 static int64_t
 max_level(const struct fw_bucket *b)
@@ -14,7 +15,7 @@
 static void
 add_tokens(struct fw_bucket *b, int64_t to_us)
 {
-    int64_t dt = CLAMP(to_us - b->at_us, 0, REFILL_MAX_US);
+    int64_t dt = CLAMP(to_us - b->at_us, 0, FW_REFILL_MAX_US);
 
     b->at_us = MAX(b->at_us, to_us);
     b->level = MIN(b->level + b->rate * dt, max_level(b));
--- a/src/limit/handover.c
+++ b/src/limit/handover.c
@@ -8,7 +8,7 @@
 
 #include "limit/limit_internal.h"
 
-#define OFFER_INTERVAL_US (150 * FW_MSEC)
+#define FW_OFFER_INTERVAL_US (150 * FW_MSEC)
 
 static void
 send_offer(struct fw_limit *l, int partition, struct fw_actions *out)
@@ -32,7 +32,7 @@
             continue;
         }
         if (now_us >= p->next_offer_us) {
-            p->next_offer_us = now_us + OFFER_INTERVAL_US;
+            p->next_offer_us = now_us + FW_OFFER_INTERVAL_US;
             send_offer(l, i, out);
         }
         Fw_Actions_Wake(out, p->next_offer_us);
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -7,7 +7,7 @@
 #include "base/fault.h"
 #include "limit/limit_internal.h"
 
-#define RETRY_DELAY_MAX_US (3 * FW_SEC)
+#define FW_RETRY_DELAY_MAX_US (3 * FW_SEC)
 
 /* Sets the wanted rates from the demand of the last renewal interval. */
 static void
@@ -120,7 +120,7 @@
     if (p->renew_pending && now_us >= p->renew_sent_us + FW_RENEW_TIMEOUT_US) {
         p->renew_pending = 0;
         p->next_renew_us =
-            now_us + g_rand_int_range(l->rand, 0, RETRY_DELAY_MAX_US);
+            now_us + g_rand_int_range(l->rand, 0, FW_RETRY_DELAY_MAX_US);
     }
     if (p->renew_pending || now_us < p->next_renew_us || l->draining ||
         !leader || strcmp(leader, l->self.name) == 0) {
--- a/src/limit/ledger_renew.c
+++ b/src/limit/ledger_renew.c
@@ -1,6 +1,6 @@
 /*
- * Renewals, on the leader: first what the renewal shows to be held is
- * confirmed, then the holder's new size is offered.
+ * Renewals of leases, handled by the leader. A renewal confirms which offers
+ * its holder has applied; the reply offers new sizes of the holder's leases.
  */
 #include <errno.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "limit/limit_internal.h"
 
 /* Part of a team's rate leased out by demand; the rest stays unleased. */
-#define LEASED_PART_MAX 0.75
+#define FW_LEASED_FRACTION_MAX 0.75
 
 static int
 find_holder(struct fw_limit_partition *p, const char *name, uint64_t boot)
@@ -63,8 +63,9 @@
     return 0;
 }
 
-/* Closes the holder's open offers: applied as @renewal shows, or, if that is
- * NULL, never to be applied, so that their tokens are put back. */
+/* Settles the holder's open offers. They were applied if @renewal is set,
+ * which also returns tokens that the holder no longer needs; if it is NULL,
+ * they will never be applied and their tokens are put back. */
 static void
 settle_offers(struct fw_limit *l, struct fw_limit_partition *p, int holder,
               const struct fw_limit_msg *renewal, int64_t now_us)
@@ -117,8 +118,9 @@
     g_free(back);
 }
 
-/* Confirms what the renewal shows the holder to have. Return: 0, or -ESTALE if
- * that is not of this ledger or unknown, and has to expire first. */
+/* Settles the offers that the renewal acknowledges. Return: 0, or -ESTALE if
+ * it is of another ledger or acknowledges an unknown offer: the holder's
+ * leases must expire first. */
 static int
 settle_holder(struct fw_limit *l, struct fw_limit_partition *p, int holder,
               const struct fw_limit_msg *msg, int64_t now_us)
@@ -154,16 +156,16 @@
         struct fw_team_share *s = g_ptr_array_index(p->shares, i);
         struct fw_lease_grant *g = find_grant(s, holder);
         int64_t want = 0;
-        int again = 0;
+        int resend = 0;
         for (int e = 0; e < msg->n_entries; e++) {
             if (strcmp(msg->entries[e].team, s->name) == 0) {
                 want = msg->entries[e].rate;
-                again = msg->entries[e].level > 0;
+                resend = msg->entries[e].level > 0;
             }
         }
         if (g) {
             g->wanted_rate = want;
-            g->resend = again;
+            g->resend = resend;
         }
         else if (want > 0) {
             struct fw_lease_grant fresh = {.holder = holder,
@@ -187,9 +189,9 @@
             &g_array_index(s->grants, struct fw_lease_grant, i);
         wanted += g->wanted_rate;
     }
-    if ((double)wanted > LEASED_PART_MAX * (double)s->rate) {
+    if ((double)wanted > FW_LEASED_FRACTION_MAX * (double)s->rate) {
         rate = (int64_t)((double)mine->wanted_rate / (double)wanted *
-                         LEASED_PART_MAX * (double)s->rate);
+                         FW_LEASED_FRACTION_MAX * (double)s->rate);
     }
     if (followers > 0) {
         rate = MAX(rate, s->rate / (followers + 1));
--- a/src/limit/limit_msg.c
+++ b/src/limit/limit_msg.c
@@ -6,16 +6,16 @@
 
 #include "core/pack.h"
 
-#define FIELDS 12
-#define COMPACT_FIELDS 4
-#define ENTRY_FIELDS 5
-#define GRANT_FIELDS 6
-#define HOLDER_FIELDS 6
+#define FW_LIMIT_MSG_FIELDS 12
+#define FW_LIMIT_COMPACT_FIELDS 4
+#define FW_LIMIT_ENTRY_FIELDS 5
+#define FW_LIMIT_GRANT_FIELDS 6
+#define FW_LIMIT_HOLDER_FIELDS 6
 
 static void
 pack_entry(msgpack_packer *pk, const struct fw_limit_entry *e)
 {
-    msgpack_pack_array(pk, ENTRY_FIELDS);
+    msgpack_pack_array(pk, FW_LIMIT_ENTRY_FIELDS);
     Fw_Pack_Str(pk, e->team);
     msgpack_pack_int64(pk, e->rate);
     msgpack_pack_int64(pk, e->burst);
@@ -23,7 +23,7 @@
     msgpack_pack_array(pk, (size_t)e->n_grants);
     for (int i = 0; i < e->n_grants; i++) {
         const struct fw_limit_grant *g = &e->grants[i];
-        msgpack_pack_array(pk, GRANT_FIELDS);
+        msgpack_pack_array(pk, FW_LIMIT_GRANT_FIELDS);
         msgpack_pack_int(pk, g->holder);
         msgpack_pack_int64(pk, g->rate);
         msgpack_pack_int64(pk, g->burst);
@@ -36,7 +36,7 @@
 static void
 pack_holder(msgpack_packer *pk, const struct fw_limit_holder *h)
 {
-    msgpack_pack_array(pk, HOLDER_FIELDS);
+    msgpack_pack_array(pk, FW_LIMIT_HOLDER_FIELDS);
     Fw_Pack_Str(pk, h->name);
     msgpack_pack_uint64(pk, h->boot);
     msgpack_pack_uint64(pk, h->last_seq);
@@ -55,7 +55,7 @@
 static void
 pack_compact(msgpack_packer *pk, const struct fw_limit_msg *msg)
 {
-    msgpack_pack_array(pk, COMPACT_FIELDS);
+    msgpack_pack_array(pk, FW_LIMIT_COMPACT_FIELDS);
     msgpack_pack_int(pk, (int)msg->kind);
     msgpack_pack_uint64(pk, msg->seq);
     msgpack_pack_int64(pk, msg->tokens);
@@ -69,7 +69,7 @@
         pack_compact(pk, msg);
         return;
     }
-    msgpack_pack_array(pk, FIELDS);
+    msgpack_pack_array(pk, FW_LIMIT_MSG_FIELDS);
     msgpack_pack_int(pk, (int)msg->kind);
     msgpack_pack_uint64(pk, msg->seq);
     msgpack_pack_int(pk, msg->partition);
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -186,7 +186,7 @@
 /* Time without a message after which a peer isn't live. */
 int64_t
 Fw_Members_TimeoutUs(const struct fw_relay *r);
-/* Has this instance or a hub seen @m within FW_RL_ISOLATION_TIMEOUT_US? */
+/* Whether this instance or a hub saw @m within FW_RL_ISOLATION_TIMEOUT_US. */
 int
 Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
                         int64_t now_us);
@@ -206,11 +206,11 @@
 /* The hub that this instance reports to as a leaf, or NULL for none. */
 struct fw_rl_member *
 Fw_Hubs_ChooseHub(const struct fw_relay *r);
-/* Is @m a hub by its rank, or has it recently sent a digest? */
+/* Whether @m is a hub by its rank, or sent a digest recently. */
 int
 Fw_Hubs_IsActing(const struct fw_relay *r, const struct fw_rl_member *m,
                  int64_t now_us);
-/* Does @m report to this instance? */
+/* Whether @m reports to this instance. */
 int
 Fw_Hubs_IsLeaf(const struct fw_relay *r, const struct fw_rl_member *m,
                int64_t now_us);
@@ -442,8 +442,9 @@
 
 /* exchange.c */
 /*
- * Should the placement of a request that arrived at @since_us wait until the
- * hub has sent newer load? Requests a report if so.
+ * Whether the placement of a request that arrived at @since_us should wait
+ * until the hub has sent newer load. If so, a report is sent to the hub, whose
+ * reply contains that load.
  */
 int
 Fw_Exchange_ShouldWait(struct fw_relay *r, int64_t since_us, int64_t now_us);
--- a/src/relay/stage_order.c
+++ b/src/relay/stage_order.c
@@ -397,13 +397,13 @@
 {
     struct fw_rl_server *s = Fw_Servers_Ref(op->server);
     enum fw_rl_upstream_kind kind = op->kind;
-    int about_runs = op->is_calibration;
+    int is_calibration = op->is_calibration;
 
     Fw_Op_End(r, op);
     if (kind == FW_RL_UP_REPORT) {
         Fw_ServiceStats_ApplyReport(r, s->entry.service, ans);
     }
-    if (kind == FW_RL_UP_REPORT && !about_runs) {
+    if (kind == FW_RL_UP_REPORT && !is_calibration) {
         handle_report(r, s, ans, now_us, out);
     }
     else if (kind == FW_RL_UP_SET_STAGE) {
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -10,7 +10,7 @@
                    int64_t now_us, struct fw_actions *out)
 {
     const char *avoid[FW_ATTEMPTS_MAX + 1] = {NULL};
-    struct fw_route_request ask = {
+    struct fw_route_request req = {
         .ticket = rq->ticket,
         .prompt = rq->body,
         .prompt_tokens = rq->prompt_tokens + rq->piece_ends->len,
@@ -26,12 +26,12 @@
     for (int i = 0; i < rq->n_failed_upstreams; i++) {
         avoid[i] = rq->failed_upstreams[i];
     }
-    g_strlcpy(ask.team, rq->team, sizeof(ask.team));
-    g_strlcpy(ask.model, rq->model, sizeof(ask.model));
+    g_strlcpy(req.team, rq->team, sizeof(req.team));
+    g_strlcpy(req.model, rq->model, sizeof(req.model));
     rq->stage = FW_STAGE_QUEUE;
     rq->stage_deadline_us = 0;
     Fw_Route_Submit(rs->deps.router, Fw_ConfigReplica_Config(rs->deps.fold),
-                    &ask, now_us, out);
+                    &req, now_us, out);
 }
 
 /* Text that an attempt prefills: the prompt and the output emitted so far. */
--- a/src/route/pair.c
+++ b/src/route/pair.c
@@ -25,7 +25,7 @@
 /* Index of the prefix hashed for that: 2,048 bytes. */
 #define FW_AFFINITY_LEVEL 1
 
-struct cand {
+struct candidate {
     struct fw_engine *e;
     const struct fw_upstream *u;
     int64_t cost_us;
@@ -34,10 +34,10 @@
     int64_t cached;
 };
 
-struct cands {
+struct candidates {
     int n;
     int n_serving; /* engines that serve the model, also those denied */
-    struct cand c[FW_CANDIDATES_MAX];
+    struct candidate c[FW_CANDIDATES_MAX];
 };
 
 static int
@@ -55,7 +55,7 @@
 collect_candidates(const struct fw_router *r, const struct fw_config *cfg,
                    const struct fw_job *job, const struct fw_reservation *res,
                    const GPtrArray *engines, uint64_t serving, int is_prefill,
-                   int64_t now_us, struct cands *out)
+                   int64_t now_us, struct candidates *out)
 {
     const char *const *avoid = (const char *const *)job->avoid;
 
@@ -79,7 +79,7 @@
             !Fw_Breaker_Allows(&e->breaker, now_us)) {
             continue;
         }
-        out->c[out->n++] = (struct cand){.e = e, .u = u};
+        out->c[out->n++] = (struct candidate){.e = e, .u = u};
         if (Fw_Usable_InAvoidedDomain(cfg, avoid, u->domain)) {
             out->c[out->n - 1].cost_us = FW_LOST_DOMAIN_COST_US;
         }
@@ -88,13 +88,13 @@
 
 static void
 add_prefill_cost(const struct fw_router *r, const struct fw_job *job,
-                 struct cands *cs, int64_t now_us)
+                 struct candidates *cs, int64_t now_us)
 {
-    struct cand *affine = NULL;
+    struct candidate *affine = NULL;
     uint64_t best = 0;
 
     for (int i = 0; i < cs->n; i++) {
-        struct cand *c = &cs->c[i];
+        struct candidate *c = &cs->c[i];
         int64_t rate = MAX(c->u->prefill_rate, 1);
 
         c->cached =
@@ -120,10 +120,10 @@
 }
 
 static void
-add_decode_cost(struct cands *cs, int64_t now_us)
+add_decode_cost(struct candidates *cs, int64_t now_us)
 {
     for (int i = 0; i < cs->n; i++) {
-        struct cand *c = &cs->c[i];
+        struct candidate *c = &cs->c[i];
         int slots = MAX(c->u->slots, 1);
         int64_t free_slots = Fw_Engine_FreeSlots(c->e, slots, now_us);
 
@@ -137,25 +137,27 @@
     }
 }
 
-/* struct best - the cheapest pair so far and the cost of the next best. */
-struct best {
+/** struct best_pair - the cheapest pair so far and the cost of the next best.
+ */
+struct best_pair {
     int found;
     int64_t cost_us;
     int64_t next_cost_us;
-    struct cand p;
-    struct cand d;
+    struct candidate p;
+    struct candidate d;
     int64_t transfer_us;
     uint64_t serving;
 };
 
 static void
 compare_pairs(const struct fw_job *job, const struct fw_offer *o,
-              const struct cands *ps, const struct cands *ds, struct best *b)
+              const struct candidates *ps, const struct candidates *ds,
+              struct best_pair *b)
 {
     for (int i = 0; i < ps->n; i++) {
         for (int k = 0; k < ds->n; k++) {
-            const struct cand *p = &ps->c[i];
-            const struct cand *d = &ds->c[k];
+            const struct candidate *p = &ps->c[i];
+            const struct candidate *d = &ds->c[k];
             int64_t rate = Fw_Cost_LinkRate(d->u, p->u->domain);
             int64_t transfer_us = Fw_Cost_TransferUs(
                 job->prompt_tokens, o->pool->kv_bytes_per_token, rate);
@@ -177,7 +179,7 @@
 }
 
 static void
-assign_pair(struct fw_job *job, const struct best *b)
+assign_pair(struct fw_job *job, const struct best_pair *b)
 {
     job->serving = b->serving;
     if (job->prefill.state != FW_RESERVATION_GRANTED) {
@@ -208,12 +210,12 @@
     int n = Fw_Serving_Offers(r, cfg, job->model_queue->model, offers);
     int granted = job->prefill.state == FW_RESERVATION_GRANTED ||
                   job->decode.state == FW_RESERVATION_GRANTED;
-    struct best b = {0};
+    struct best_pair b = {0};
     int serving = 0;
 
     for (int i = 0; i < n; i++) {
-        struct cands ps;
-        struct cands ds;
+        struct candidates ps;
+        struct candidates ds;
 
         if (granted && offers[i].serving != job->serving) {
             continue;
