--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -4,7 +4,7 @@
  *
  * Until instances learn of each other's decisions they grant the same tokens
  * and choose the same engine. A team's allowance is then overdrawn and its
- * later requests refused, and an engine's KV cache is overcommitted, so that
+ * later requests rejected, and an engine's KV cache is overcommitted, so that
  * it preempts streams while others have room.
  */
 #include <errno.h>
--- a/src/relay/hub_list.c
+++ b/src/relay/hub_list.c
@@ -85,20 +85,20 @@
 }
 
 static void
-apply_entry(struct fw_relay *r, const struct hub_entry *l, int64_t now_us)
+apply_entry(struct fw_relay *r, const struct hub_entry *entry, int64_t now_us)
 {
     struct fw_rl_member *m;
 
-    if (strcmp(l->name, r->opts.name) == 0) {
+    if (strcmp(entry->name, r->opts.name) == 0) {
         return;
     }
-    m = Fw_Members_Find(r, l->name);
+    m = Fw_Members_Find(r, entry->name);
     if (!m) {
-        m = Fw_Members_Add(r, l->name, now_us);
+        m = Fw_Members_Add(r, entry->name, now_us);
     }
-    g_strlcpy(m->addr, l->addr, sizeof(m->addr));
-    m->domain = l->domain;
-    m->cpu_ppm = l->cpu_ppm;
+    g_strlcpy(m->addr, entry->addr, sizeof(m->addr));
+    m->domain = entry->domain;
+    m->cpu_ppm = entry->cpu_ppm;
     if (m->unreachable_since_us &&
         now_us - m->unreachable_since_us >= FW_UNREACHABLE_RETRY_US) {
         m->unreachable_since_us = 0;
@@ -112,7 +112,7 @@
 {
     const msgpack_object *rows;
     struct hub_entry from;
-    struct hub_entry l;
+    struct hub_entry entry;
     uint64_t type;
 
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != 5 ||
@@ -127,15 +127,15 @@
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
         const msgpack_object *row = Fw_Unpack_Array(rows, i);
 
-        if (!row || read_entry(row, &l)) {
+        if (!row || read_entry(row, &entry)) {
             return -EBADMSG;
         }
     }
     g_strlcpy(from.addr, addr, sizeof(from.addr));
     apply_entry(r, &from, now_us);
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
-        read_entry(Fw_Unpack_Array(rows, i), &l);
-        apply_entry(r, &l, now_us);
+        read_entry(Fw_Unpack_Array(rows, i), &entry);
+        apply_entry(r, &entry, now_us);
     }
     return 0;
 }
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -31,13 +31,14 @@
 static struct known_instance *
 find_or_add_instance(struct fw_relay *r, uint64_t hash)
 {
-    struct known_instance *s = g_hash_table_lookup(r->known_instances, &hash);
+    struct known_instance *known =
+        g_hash_table_lookup(r->known_instances, &hash);
 
-    if (!s) {
-        s = g_new0(struct known_instance, 1);
-        g_hash_table_insert(r->known_instances, Fw_Rows_NewKey(hash), s);
+    if (!known) {
+        known = g_new0(struct known_instance, 1);
+        g_hash_table_insert(r->known_instances, Fw_Rows_NewKey(hash), known);
     }
-    return s;
+    return known;
 }
 
 int64_t
@@ -49,13 +50,13 @@
 void
 Fw_Members_NoteSeen(struct fw_relay *r, uint64_t hash, int64_t seen_us)
 {
-    struct known_instance *s;
+    struct known_instance *known;
 
     if (hash == r->hash) {
         return;
     }
-    s = find_or_add_instance(r, hash);
-    s->seen_us = MAX(s->seen_us, seen_us);
+    known = find_or_add_instance(r, hash);
+    known->seen_us = MAX(known->seen_us, seen_us);
     r->x.recount = 1;
 }
 
@@ -89,10 +90,10 @@
 Fw_Members_Find(const struct fw_relay *r, const char *name)
 {
     uint64_t hash = Fw_Hash_Str(name);
-    const struct known_instance *s =
+    const struct known_instance *known =
         g_hash_table_lookup(r->known_instances, &hash);
 
-    return s ? s->member : NULL;
+    return known ? known->member : NULL;
 }
 
 struct fw_rl_member *
@@ -188,9 +189,10 @@
 Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
                         int64_t now_us)
 {
-    const struct known_instance *s = find_or_add_instance(r, m->hash);
+    const struct known_instance *known = find_or_add_instance(r, m->hash);
 
-    return s->seen_us && now_us - s->seen_us < FW_RL_ISOLATION_TIMEOUT_US;
+    return known->seen_us &&
+           now_us - known->seen_us < FW_RL_ISOLATION_TIMEOUT_US;
 }
 
 static void
@@ -206,13 +208,13 @@
     r->x.n_live = 1;
     g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct known_instance *s = v;
+        const struct known_instance *known = v;
 
-        if (s->is_expired) {
+        if (known->is_expired) {
             continue;
         }
         r->x.n_instances++;
-        r->x.n_live += s->seen_us && now_us - s->seen_us < timeout_us;
+        r->x.n_live += known->seen_us && now_us - known->seen_us < timeout_us;
     }
 }
 
@@ -240,9 +242,9 @@
 }
 
 /*
- * A leaf keeps members that it hasn't found unreachable, a hub also those that
- * have never sent it a message: they may be live and may have to replace a
- * hub.
+ * A leaf removes only members that are unreachable, a hub also those that have
+ * sent it messages before. The others are kept: they may be live and may have
+ * to replace a hub.
  */
 static int
 is_expired(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
@@ -262,11 +264,11 @@
 
     g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct known_instance *s = v;
+        struct known_instance *known = v;
 
-        s->is_expired =
-            now_us - MAX(s->seen_us, s->added_us) >= FW_MEMBER_EXPIRY_US;
-        if (s->is_expired && !s->member) {
+        known->is_expired = now_us - MAX(known->seen_us, known->added_us) >=
+                            FW_MEMBER_EXPIRY_US;
+        if (known->is_expired && !known->member) {
             g_hash_table_iter_remove(&it);
         }
     }
--- a/src/relay/open.c
+++ b/src/relay/open.c
@@ -1,4 +1,5 @@
-/* Arrival of a caller's request: routing, admission and immediate refusal. */
+/* Arrival of a caller's request: routing, admission and immediate rejection.
+ */
 #include <string.h>
 
 #include "base/hash.h"
@@ -22,9 +23,9 @@
 /* Retry-After when another instance can serve the request now. */
 #define FW_RETRY_ELSEWHERE_US (50 * FW_MSEC)
 /*
- * Age of the configuration above which callers are asked to open their next
- * connection elsewhere, so that they leave before keys are rejected as stale.
- * The age must not be reached in normal operation.
+ * Age of the configuration above which callers' connections are closed after a
+ * response, so that they reconnect to another instance before their keys are
+ * rejected as stale. Longer than any age in normal operation.
  */
 #define FW_CONFIG_AGE_SHED_US (2200 * FW_MSEC)
 /* Retry-After of a request that is rejected for crashing its servers. */
@@ -163,7 +164,7 @@
         c->info.id, c->team, c->cost, level, part);
 }
 
-/* Return: nonzero if admitted, 0 if the request was refused and freed. */
+/* Return: nonzero if admitted, 0 if the request was rejected and freed. */
 static int
 admit_team(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
            struct fw_rl_actions *out)
@@ -197,11 +198,11 @@
 
 /*
  * Requests still arrive at a draining instance until its load balancer has
- * noticed. Those that would not complete within the grace period are refused,
+ * noticed. Those that would not complete within the grace period are rejected,
  * since they would be cut off at its end.
  */
 static int
-must_refuse_draining(const struct fw_relay *r, const struct fw_rl_call *c,
+must_reject_draining(const struct fw_relay *r, const struct fw_rl_call *c,
                      int64_t now_us)
 {
     int64_t left = r->drain_start_us + r->opts.grace_us - now_us;
@@ -248,7 +249,7 @@
     c->priority = route->priority;
     g_strlcpy(c->service, choose_service(route, info->id), sizeof(c->service));
     set_deadline(c, now_us);
-    if (must_refuse_draining(r, c, now_us)) {
+    if (must_reject_draining(r, c, now_us)) {
         Fw_Call_Reject(r, c, 503, FW_RETRY_ELSEWHERE_US, "stopping", now_us,
                        out);
         return;
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -130,8 +130,9 @@
  * @report_seq, @report_sent_us: of the last report sent
  * @next_send_us: when the next digest or report is due
  * @earliest_send_us: when it may be sent if @send_soon is set
- * @next_delta_us, @next_push_us: when the next delta to hubs, or reply to
- *     leaves that no report asked for, may be sent
+ * @next_delta_us: when the next delta may be sent to hubs
+ * @next_push_us: when the next reply that answers no report may be sent to
+ *     leaves
  * @next_hub_list_us: when leaves are sent the next list of hubs
  * @next_announce_us: when instances that no hub has seen are sent one
  * @send_soon: send the next digest or report before it is due
--- a/src/relay/place.c
+++ b/src/relay/place.c
@@ -197,11 +197,11 @@
           const struct fw_rl_engine_spec *spec, const struct fw_rl_call *c,
           int64_t now_us)
 {
-    const struct fw_service_stats *known = Fw_ServiceStats_Get(r, c->service);
+    const struct fw_service_stats *stats = Fw_ServiceStats_Get(r, c->service);
     struct fw_rl_load l;
 
     Fw_Place_Load(r, s, now_us, &l);
-    if (now_us - s->full_us < Fw_ServiceStats_FullBackoff(known, l.running) &&
+    if (now_us - s->full_us < Fw_ServiceStats_FullBackoff(stats, l.running) &&
         c->kv_tokens >= s->full_tokens) {
         return -1;
     }
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -286,7 +286,7 @@
  * @claim_pending: a claim of this instance has not been answered yet
  * @fence: fencing token of the lease held here, 0 for none
  * @expires_us: end of the lease held here
- * @reports_requested: engines were asked for reports under this lease
+ * @reports_requested: reports were requested of engines under this lease
  * @reports_until_us: no orders before this time, while reports arrive
  */
 struct fw_rl_order_lease {
--- a/src/relay/stream.c
+++ b/src/relay/stream.c
@@ -12,12 +12,11 @@
 
 /*
  * Timeout of a reservation request, after which the request is queued again.
- * An engine normally answers within a few milliseconds.
  */
 #define FW_RESERVE_TIMEOUT_US (120 * FW_MSEC)
 /*
  * Age above which a reservation is not used for another prefill: it could
- * expire before the prefill completes. Reservations usually last 2 s.
+ * expire before the prefill completes.
  */
 #define FW_RESERVATION_AGE_MAX_US (1 * FW_SEC)
 /* Retries of one request at other engines, of its prefill or as a whole. */
@@ -37,7 +36,7 @@
 }
 
 static void
-refuse_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
+reject_overloaded(struct fw_relay *r, struct fw_rl_call *c, const char *reason,
                   int64_t now_us, struct fw_rl_actions *out)
 {
     Fw_Call_Reject(r, c, 503, Fw_Stream_RetryAfter(r, c), reason, now_us, out);
@@ -49,10 +48,10 @@
 {
     const struct fw_rl_service_rule *s =
         Fw_Rules_Service(r->rules, c->service);
-    struct fw_service_stats *known = Fw_ServiceStats_Get(r, c->service);
+    struct fw_service_stats *stats = Fw_ServiceStats_Get(r, c->service);
 
-    Fw_PrefillLoad_Add(&known->prefill_load, c->info.tokens_in, now_us);
-    Fw_Length_Estimate(&known->length, c->info.tokens_out_hint,
+    Fw_PrefillLoad_Add(&stats->prefill_load, c->info.tokens_in, now_us);
+    Fw_Length_Estimate(&stats->length, c->info.tokens_out_hint,
                        c->info.tokens_out_max, &c->length);
     Fw_KvDemand_Update(r, c, now_us);
     c->reservation_tokens = Fw_KvDemand_Reservation(r, c);
@@ -60,7 +59,7 @@
     c->queue_limit_us =
         r->opts.queue_limit_us
             ? r->opts.queue_limit_us
-            : Fw_ServiceStats_QueueLimit(known, c->route.objective_us);
+            : Fw_ServiceStats_QueueLimit(stats, c->route.objective_us);
     c->queue_until_us = MIN(now_us + c->queue_limit_us, c->deadline_us);
     if (c->info.tokens_in + c->info.tokens_out_max > s->engine.kv_tokens) {
         Fw_Call_Reject(r, c, 503, 0, "larger_than_an_engine", now_us, out);
@@ -133,7 +132,7 @@
 {
     c->state = FW_RL_QUEUED;
     if (now_us >= c->queue_until_us) {
-        refuse_overloaded(r, c, "no_room", now_us, out);
+        reject_overloaded(r, c, "no_room", now_us, out);
         return;
     }
     Fw_Queue_PutBack(&r->queue, &c->item);
@@ -141,7 +140,7 @@
 }
 
 /*
- * Releases what @c holds at engines and queues it again, or refuses it if it
+ * Releases what @c holds at engines and queues it again, or rejects it if it
  * may not be retried.
  * @wasted_calls: charged to the retry budget: calls that reached an engine in
  *     vain, one for a run and one for the prefill before it
@@ -163,7 +162,7 @@
     c->tried[c->n_tried++] = failed;
     Fw_Call_Release(r, c, now_us, out);
     if (!retry) {
-        refuse_overloaded(r, c, reason, now_us, out);
+        reject_overloaded(r, c, reason, now_us, out);
         return;
     }
     c->queue_until_us =
@@ -173,11 +172,11 @@
 }
 
 /*
- * Refuses @c if the configuration has become too old to trust its key.
- * Return: nonzero if @c was refused and freed.
+ * Rejects @c if the configuration has become too old to trust its key.
+ * Return: nonzero if @c was rejected and freed.
  */
 static int
-refuse_if_stale(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
+reject_if_stale(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
                 struct fw_rl_actions *out)
 {
     if (Fw_Relay_MayServe(r, c, now_us)) {
@@ -200,7 +199,7 @@
         .connect_us = FW_RL_CONNECT_TIMEOUT_US,
     };
 
-    if (refuse_if_stale(r, c, now_us, out)) {
+    if (reject_if_stale(r, c, now_us, out)) {
         return;
     }
     g_strlcpy(up.team, c->team, sizeof(up.team));
@@ -228,7 +227,7 @@
 start_prefill(struct fw_relay *r, struct fw_rl_call *c, int64_t now_us,
               struct fw_rl_actions *out)
 {
-    const struct fw_service_stats *known = Fw_ServiceStats_Get(r, c->service);
+    const struct fw_service_stats *stats = Fw_ServiceStats_Get(r, c->service);
     int64_t wait_us;
     struct fw_rl_server *s = Fw_Place_Prefill(r, c, now_us, &wait_us);
     struct fw_rl_load load;
@@ -245,7 +244,7 @@
         send_run(r, c, now_us, out); /* prefill at the decode engine */
         return;
     }
-    if (refuse_if_stale(r, c, now_us, out)) {
+    if (reject_if_stale(r, c, now_us, out)) {
         return;
     }
     g_strlcpy(up.team, c->team, sizeof(up.team));
@@ -259,14 +258,14 @@
     r->n.prefills.value++;
     Fw_Call_Upstream(
         r, c, s, &up,
-        MIN(now_us + wait_us + Fw_ServiceStats_PrefillSlack(known),
+        MIN(now_us + wait_us + Fw_ServiceStats_PrefillSlack(stats),
             c->deadline_us),
         now_us, out);
 }
 
 /*
  * Retries a failed prefill at another engine and keeps the reservation, which
- * might not be had again in a full fleet.
+ * might not be granted again in a full fleet.
  * @wasted_calls: charged to the retry budget: 1 if the prefill's call reached
  *     an engine, else 0
  */
