--- a/src/idem/idem_query.c
+++ b/src/idem/idem_query.c
@@ -5,8 +5,8 @@
 #include "base/hash.h"
 #include "idem/idem_internal.h"
 
-#define FW_KEY_TIME_DIGITS                                                    \
-    13 /* milliseconds in decimal, until the year 2286 */
+/* Milliseconds in decimal, until the year 2286. */
+#define FW_KEY_TIME_DIGITS 13
 #define FW_UUID_LEN 36
 #define FW_UUID_VERSION_INDEX 14
 
--- a/src/limit/bucket.c
+++ b/src/limit/bucket.c
@@ -2,8 +2,8 @@
 
 #include <glib.h>
 
-#define FW_REFILL_MAX_US (3600 * FW_SEC) /* bounds rate * time within int64   \
-                                          */
+/* Bounds the product of rate and time within int64. */
+#define FW_REFILL_MAX_US (3600 * FW_SEC)
 
 static int64_t
 max_level(const struct fw_bucket *b)
--- a/src/relay/open.c
+++ b/src/relay/open.c
@@ -1,5 +1,4 @@
-/* Arrival of a caller's request: routing, admission and immediate rejection.
- */
+/* Arrival of a caller's request: routing, admission, immediate rejection. */
 #include <string.h>
 
 #include "base/hash.h"
--- a/src/request/request_internal.h
+++ b/src/request/request_internal.h
@@ -318,8 +318,7 @@
 int
 Fw_Request_StartDecode(struct fw_requests *rs, struct fw_request *rq,
                        enum fw_up_kind kind, struct fw_actions *out);
-/* Sends @upstream a cancel of attempt @seq, to free all that it holds there.
- */
+/* Cancels attempt @seq at @upstream, to free all that it holds there. */
 void
 Fw_Request_SendCancel(struct fw_requests *rs, const char *upstream,
                       uint64_t seq, struct fw_actions *out);
--- a/src/route/pair.c
+++ b/src/route/pair.c
@@ -137,8 +137,7 @@
     }
 }
 
-/** struct best_pair - the cheapest pair so far and the cost of the next best.
- */
+/** struct best_pair - cheapest pair so far and the cost of the next best. */
 struct best_pair {
     int found;
     int64_t cost_us;
