--- a/src/limit/limit_internal.h
+++ b/src/limit/limit_internal.h
@@ -79,7 +79,7 @@
  *          fw_limit_partition.lease_until_us
  * @unreturned: unused tokens still to be returned to other instances
  * @demand_tokens, @demand_requests: requested in the current renewal interval
- * @wanted_rate: rate of the lease to ask for, 0 for none
+ * @wanted_rate: rate of the lease to request, 0 for none
  * @excess: micro-tokens above the burst of a reduced lease, to be given back
  *          to the leader
  * @scaled_down: reduced here since the team's rate or burst was lowered, and
@@ -208,7 +208,7 @@
  * @collected: tokens obtained so far, from peers and local buckets
  * @leased, @unleased: tokens reserved in the local buckets
  * @first_sent_us, @last_sent_us: when the first and the last peer was asked
- * @done: its result is decided; kept until @free_us to return late grants
+ * @done: its answer is decided; kept until @free_us to return late grants
  * @cancelled: collected tokens are returned in the next tick
  */
 struct fw_token_request {
@@ -267,7 +267,7 @@
     int n_partitions;
     struct fw_limit_partition *partitions;
     struct fw_list requests; /* struct fw_token_request */
-    GQueue results;          /* struct fw_limit_answer */
+    GQueue answers;          /* struct fw_limit_answer */
     GQueue peer_grants;      /* struct fw_peer_grant, the oldest first */
     GHashTable *senders;     /* peer to struct fw_return_sender */
     uint64_t seq;
--- a/src/relay/peers.h
+++ b/src/relay/peers.h
@@ -80,8 +80,8 @@
  * @load_rows: load of servers in its last message, of struct fw_rl_load_row;
  *     NULL for none
  * @load_us: when @load_rows was last updated
- * @strikes: digest of a request to the number of servers that failed while
- *     they ran it; NULL for none
+ * @strikes: fingerprint of a request to the number of its strikes counted by
+ *     this member, see struct fw_rl_strike; NULL for none
  * @prefill_rates: hash of a service to prompt tokens a second; NULL for none
  * @reads_store: reads the platform's store itself
  * @store_unreachable: it gets no answer from the store
@@ -130,8 +130,9 @@
  * @report_seq, @report_sent_us: of the last report sent
  * @next_send_us: when the next digest or report is due
  * @earliest_send_us: when it may be sent if @send_soon is set
- * @next_delta_us, @next_push_us: when the next delta to hubs, or reply to
- *     leaves that no report asked for, may be sent
+ * @next_delta_us: when the next delta may be sent to hubs
+ * @next_push_us: when the next reply that answers no report may be sent to
+ *     leaves
  * @next_hub_list_us: when leaves are sent the next list of hubs
  * @next_announce_us: when instances that no hub has seen are sent one
  * @send_soon: send the next digest or report before it is due
@@ -186,7 +187,7 @@
 /* Time without a message after which a peer isn't live. */
 int64_t
 Fw_Members_TimeoutUs(const struct fw_relay *r);
-/* Has this instance or a hub seen @m within FW_RL_ISOLATION_TIMEOUT_US? */
+/* Whether this instance or a hub saw @m within FW_RL_ISOLATION_TIMEOUT_US. */
 int
 Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
                         int64_t now_us);
@@ -206,11 +207,11 @@
 /* The hub that this instance reports to as a leaf, or NULL for none. */
 struct fw_rl_member *
 Fw_Hubs_ChooseHub(const struct fw_relay *r);
-/* Is @m a hub by its rank, or has it recently sent a digest? */
+/* Whether @m is a hub by its rank, or sent a digest recently. */
 int
 Fw_Hubs_IsActing(const struct fw_relay *r, const struct fw_rl_member *m,
                  int64_t now_us);
-/* Does @m report to this instance? */
+/* Whether @m reports to this instance. */
 int
 Fw_Hubs_IsLeaf(const struct fw_relay *r, const struct fw_rl_member *m,
                int64_t now_us);
@@ -304,7 +305,7 @@
  * @spent: team, tokens spent, and in a digest the level of its allowance or in
  *     a report the tokens that hubs have counted
  * @load: server and its load
- * @strikes: request and the number of servers that failed while they ran it
+ * @strikes: fingerprint of a request and its strikes, see struct fw_rl_strike
  * @store_state: one row of how far the sender has read the store
  */
 struct fw_rl_common_rows {
@@ -442,8 +443,9 @@
 
 /* exchange.c */
 /*
- * Should the placement of a request that arrived at @since_us wait until the
- * hub has sent newer load? Requests a report if so.
+ * Whether the placement of a request that arrived at @since_us should wait
+ * until the hub has sent newer load. If so, a report is sent to the hub, whose
+ * reply contains that load.
  */
 int
 Fw_Exchange_ShouldWait(struct fw_relay *r, int64_t since_us, int64_t now_us);
@@ -458,7 +460,7 @@
 /* Hash of the servers known here, independent of their order. */
 uint64_t
 Fw_StoreSync_ServerListHash(const struct fw_relay *r);
-/* Has a recently heard instance a newer configuration than this one? */
+/* Whether a member that sent a message recently has a newer configuration. */
 int
 Fw_StoreSync_IsBehind(const struct fw_relay *r, int64_t now_us);
 /* Sends a query to an instance that reads the store, if one is due. */
--- a/src/relay/stage_order.c
+++ b/src/relay/stage_order.c
@@ -51,8 +51,8 @@
 }
 
 /*
- * Whether this instance should give the orders: of the hubs in touch, the one
- * with the lowest name.
+ * Whether this instance should give the orders: it is a hub, and no hub with a
+ * lower name sent a digest within the last second.
  */
 static int
 should_give_orders(const struct fw_relay *r, int64_t now_us)
@@ -93,7 +93,10 @@
             now_us - r->order_lease.last_claim_us > r->opts.lease_us + FW_SEC);
 }
 
-/* Prompt tokens per second that all instances in touch receive. */
+/*
+ * Prompt tokens per second received by this instance and by all members that
+ * sent a message within FW_PEER_LOAD_TTL_US.
+ */
 static double
 total_prefill_rate(const struct fw_relay *r,
                    const struct fw_service_stats *stats, int64_t now_us)
@@ -394,13 +397,13 @@
 {
     struct fw_rl_server *s = Fw_Servers_Ref(op->server);
     enum fw_rl_upstream_kind kind = op->kind;
-    int about_runs = op->is_calibration;
+    int is_calibration = op->is_calibration;
 
     Fw_Op_End(r, op);
     if (kind == FW_RL_UP_REPORT) {
         Fw_ServiceStats_ApplyReport(r, s->entry.service, ans);
     }
-    if (kind == FW_RL_UP_REPORT && !about_runs) {
+    if (kind == FW_RL_UP_REPORT && !is_calibration) {
         handle_report(r, s, ans, now_us, out);
     }
     else if (kind == FW_RL_UP_SET_STAGE) {
