--- a/src/relayd/relayd.c
+++ b/src/relayd/relayd.c
@@ -32,7 +32,7 @@
     struct fw_rl_request_info info;
 
     if (Fw_Platform_ParseRequest(head, body, &info)) {
-        Fw_Note_Log(LOG_WARNING, "request_unreadable", NULL);
+        Fw_Logger_Log(LOG_WARNING, "request_unreadable", NULL);
         Fw_Caller_Respond(caller, 400, "Content-Type: text/plain\r\n",
                           "a field of the request can't be read\n");
         return;
