--- a/explore/relay_requests.c
+++ b/explore/relay_requests.c
@@ -253,7 +253,7 @@
     struct fw_rl_request_info ask = {.host = "h",
                                      .tokens_in = kind == 2 ? 1000 : -1,
                                      .tokens_out_max = kind == 2 ? 1000 : -1,
-                                     .body_digest = (uint64_t)w->n};
+                                     .fingerprint = (uint64_t)w->n};
     uint64_t id = (uint64_t)w->n++;
 
     w->requests[id].once = kind != 0;
--- a/src/node/maintenance.c
+++ b/src/node/maintenance.c
@@ -58,7 +58,7 @@
 static void
 report_staleness(struct fw_node *node, int64_t now_us, struct fw_actions *out)
 {
-    int64_t stale_us = Fw_ConfigReplica_StalenessUs(node->fold, now_us);
+    int64_t stale_us = Fw_ConfigReplica_StalenessUs(node->replica, now_us);
 
     node->stale_metric.value = stale_us;
     if (stale_us < node->opts.key_stale_us ||
@@ -79,21 +79,21 @@
         Fw_Fleet_Pick(node->fleet, Fw_Hash_Str(FW_STREAM_SNAPSHOT), 0);
 
     Fw_ConfigReplica_SetSnapshotWriter(
-        node->fold, writer && !node->drain_started_us &&
-                        Fw_Fleet_IsSelf(node->fleet, writer));
-    if (Fw_ConfigReplica_NeedsPeer(node->fold, now_us)) {
+        node->replica, writer && !node->drain_started_us &&
+                           Fw_Fleet_IsSelf(node->fleet, writer));
+    if (Fw_ConfigReplica_NeedsPeer(node->replica, now_us)) {
         GPtrArray *all = Fw_Fleet_Members(node->fleet);
         const struct fw_member *m =
             all->len ? g_ptr_array_index(all, node->next_peer++ % all->len)
                      : NULL;
 
         if (m && !Fw_Fleet_IsSelf(node->fleet, m)) {
-            Fw_ConfigReplica_RequestFromPeer(node->fold, m->name, m->addr,
+            Fw_ConfigReplica_RequestFromPeer(node->replica, m->name, m->addr,
                                              now_us, out);
         }
         g_ptr_array_unref(all);
     }
-    Fw_ConfigReplica_Tick(node->fold, now_us, out);
+    Fw_ConfigReplica_Tick(node->replica, now_us, out);
 }
 
 /* Polls more often while no peer is known: such an instance regards itself as
@@ -126,7 +126,7 @@
 static void
 warm_up(struct fw_node *node, int64_t now_us, struct fw_actions *out)
 {
-    if (node->warm || !Fw_ConfigReplica_IsReady(node->fold)) {
+    if (node->warm || !Fw_ConfigReplica_IsReady(node->replica)) {
         return;
     }
     if (!node->configured_us) {
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -35,8 +35,8 @@
     node->explain = Fw_Explain_New();
     node->operate =
         Fw_Operate_New(&o->self, o->seed + 3, &node->metrics, now_us);
-    node->fold = Fw_ConfigReplica_New(o->self.name, o->seed + 2,
-                                      &node->metrics, now_us);
+    node->replica = Fw_ConfigReplica_New(o->self.name, o->seed + 2,
+                                         &node->metrics, now_us);
     node->fleet = Fw_Fleet_New(&o->self, o->seed, &node->metrics);
     node->roles = Fw_Roles_New(&o->self, o->partitions, takeover_wait_us);
     node->limit = Fw_Limit_New(&o->self, node->fleet, node->roles, o->seed + 1,
@@ -46,7 +46,7 @@
     node->router =
         Fw_Router_New(&o->self, node->fleet, &o->route, &node->metrics);
     node->orders = Fw_Orders_New(node->roles, o->seed + 4, &node->metrics);
-    deps.fold = node->fold;
+    deps.replica = node->replica;
     deps.fleet = node->fleet;
     deps.limit = node->limit;
     deps.idem = node->idem;
@@ -84,7 +84,7 @@
     Fw_Limit_Free(node->limit);
     Fw_Roles_Free(node->roles);
     Fw_Fleet_Free(node->fleet);
-    Fw_ConfigReplica_Free(node->fold);
+    Fw_ConfigReplica_Free(node->replica);
     Fw_Operate_Free(node->operate);
     Fw_Explain_Free(node->explain);
     g_free(node);
@@ -93,7 +93,7 @@
 const struct fw_config *
 Fw_Node_Config(const struct fw_node *node)
 {
-    return Fw_ConfigReplica_Config(node->fold);
+    return Fw_ConfigReplica_Config(node->replica);
 }
 
 struct fw_metrics *
--- a/src/node/node_internal.h
+++ b/src/node/node_internal.h
@@ -30,7 +30,7 @@
 struct fw_node {
     struct fw_node_opts opts;
     struct fw_metrics metrics;
-    struct fw_config_replica *fold;
+    struct fw_config_replica *replica;
     struct fw_fleet *fleet;
     struct fw_roles *roles;
     struct fw_limit *limit;
--- a/src/node/step.c
+++ b/src/node/step.c
@@ -28,7 +28,7 @@
         refuse(call, "draining", "this instance is stopping", out);
         return;
     }
-    if (!Fw_ConfigReplica_IsReady(node->fold)) {
+    if (!Fw_ConfigReplica_IsReady(node->replica)) {
         refuse(call, "not_configured",
                "this instance has no configuration yet", out);
         return;
@@ -86,7 +86,7 @@
     case FW_AREA_CONFIG:
         m = Fw_Fleet_Find(node->fleet, peer->from);
         if (m) {
-            Fw_ConfigReplica_OnMsg(node->fold, peer->from, m->addr,
+            Fw_ConfigReplica_OnMsg(node->replica, peer->from, m->addr,
                                    &msg->u.config, now_us, out);
         }
         break;
@@ -98,7 +98,7 @@
 {
     return (struct fw_operate_view){
         .self = &node->opts.self,
-        .fold = node->fold,
+        .replica = node->replica,
         .fleet = node->fleet,
         .router = node->router,
         .requests = node->requests,
@@ -115,7 +115,7 @@
 
     switch (Fw_Owner_Of(a->ticket)) {
     case FW_OWNER_CONFIG:
-        Fw_ConfigReplica_OnAppended(node->fold, a, now_us, out);
+        Fw_ConfigReplica_OnAppended(node->replica, a, now_us, out);
         break;
     case FW_OWNER_ROLES:
         Fw_Roles_OnAppended(node->roles, a, now_us, out);
@@ -137,7 +137,7 @@
 {
     switch (Fw_Owner_Of(r->ticket)) {
     case FW_OWNER_CONFIG:
-        Fw_ConfigReplica_OnRecords(node->fold, r, now_us, out);
+        Fw_ConfigReplica_OnRecords(node->replica, r, now_us, out);
         break;
     case FW_OWNER_ROLES:
         Fw_Roles_OnRecords(node->roles, r, now_us, out);
--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -48,7 +48,7 @@
                   const char *id, JsonNode *report, struct fw_actions *out)
 {
     const struct fw_change_outcome *seen =
-        Fw_ConfigReplica_FindOutcome(view->fold, id);
+        Fw_ConfigReplica_FindOutcome(view->replica, id);
 
     if (!seen) {
         return 0;
@@ -56,7 +56,7 @@
     answer_verdict(call, http_status_of(seen->verdict),
                    seen->verdict == FW_CHANGE_ACCEPTED ? FW_RAN_YES
                                                        : FW_RAN_NO,
-                   Fw_Operate_VerdictJson(view->fold, id), report, out);
+                   Fw_Operate_VerdictJson(view->replica, id), report, out);
     return 1;
 }
 
@@ -246,9 +246,9 @@
         return;
     }
     items_text = json_to_string(items, FALSE);
-    text = format_record(op, req, id,
-                         Fw_ConfigReplica_Config(view->fold)->next_offset - 1,
-                         items_text, now_us);
+    text = format_record(
+        op, req, id, Fw_ConfigReplica_Config(view->replica)->next_offset - 1,
+        items_text, now_us);
     if (check_record(req, id, text, out) == 0) {
         append_change(op, req->call->call, id, text, NULL, now_us, out);
     }
@@ -299,7 +299,7 @@
     if (apply && answer_if_decided(view, req->call->call, id, NULL, out)) {
         return;
     }
-    plan = Fw_Sheet_Plan(view->fold, data, len);
+    plan = Fw_Sheet_Plan(view->replica, data, len);
     if (plan->n_errors > 0 || !apply || plan->n_changes == 0) {
         JsonNode *verdict =
             make_verdict(id,
@@ -310,7 +310,7 @@
 
         json_object_set_int_member(
             json_node_get_object(verdict), "version",
-            (int64_t)Fw_ConfigReplica_Config(view->fold)->next_offset - 1);
+            (int64_t)Fw_ConfigReplica_Config(view->replica)->next_offset - 1);
         answer_verdict(req->call->call, plan->n_errors ? 422 : 200,
                        plan->n_errors ? FW_RAN_NO : FW_RAN_YES, verdict,
                        Fw_Sheet_Report(plan), out);
--- a/src/operate/operate.c
+++ b/src/operate/operate.c
@@ -103,13 +103,13 @@
     size_t len = query ? (size_t)(query - call->path) : strlen(call->path);
     struct fw_operate_request req = {.call = call};
 
-    if (!Fw_ConfigReplica_IsReady(view->fold)) {
+    if (!Fw_ConfigReplica_IsReady(view->replica)) {
         Fw_Answer_Error(call->call, 503, FW_RAN_NO, "not_configured",
                         "this instance has no configuration yet", out);
         return;
     }
-    req.oper = Fw_Config_FindOperatorByKey(Fw_ConfigReplica_Config(view->fold),
-                                           call->key);
+    req.oper = Fw_Config_FindOperatorByKey(
+        Fw_ConfigReplica_Config(view->replica), call->key);
     if (!req.oper) {
         op->refused.value++;
         Fw_Answer_Error(call->call, 401, FW_RAN_NO, "not_an_operator",
--- a/src/operate/operate.h
+++ b/src/operate/operate.h
@@ -54,7 +54,7 @@
  */
 struct fw_operate_view {
     const struct fw_self *self;
-    const struct fw_config_replica *fold;
+    const struct fw_config_replica *replica;
     const struct fw_fleet *fleet;
     const struct fw_router *router;
     const struct fw_requests *requests;
--- a/src/operate/query.c
+++ b/src/operate/query.c
@@ -11,7 +11,7 @@
     json_object_set_string_member(obj, "instance", view->self->name);
     json_object_set_int_member(
         obj, "version",
-        (int64_t)Fw_ConfigReplica_Config(view->fold)->next_offset - 1);
+        (int64_t)Fw_ConfigReplica_Config(view->replica)->next_offset - 1);
 }
 
 static void
@@ -32,7 +32,7 @@
     add_version(obj, view);
     json_object_set_int_member(
         obj, "log_read_ms_ago",
-        Fw_ConfigReplica_StalenessUs(view->fold, now_us) / FW_MSEC);
+        Fw_ConfigReplica_StalenessUs(view->replica, now_us) / FW_MSEC);
     answer_object(req, obj, out);
 }
 
@@ -40,7 +40,7 @@
 show_config(const struct fw_operate_view *view,
             const struct fw_operate_request *req, struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(view->fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(view->replica);
     JsonObject *obj = json_object_new();
     JsonObject *counts = json_object_new();
     char digest[17];
@@ -65,7 +65,7 @@
 item_row(const struct fw_operate_view *view, enum fw_item_kind kind,
          const char *name)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(view->fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(view->replica);
     JsonNode *value = Fw_Config_ItemValue(cfg, kind, name);
     JsonObject *row = json_object_new();
 
@@ -87,7 +87,7 @@
            struct fw_actions *out)
 {
     GPtrArray *names =
-        Fw_Config_ItemNames(Fw_ConfigReplica_Config(view->fold), kind);
+        Fw_Config_ItemNames(Fw_ConfigReplica_Config(view->replica), kind);
     const char *only = Fw_Operate_ParamText(req, "name", NULL);
     const char *after = Fw_Operate_ParamText(req, "after", "");
     uint64_t max = Fw_Operate_ParamNumber(req, "max", FW_PAGE_ROWS_MAX);
@@ -224,7 +224,7 @@
 show_audit(const struct fw_operate_view *view,
            const struct fw_operate_request *req, struct fw_actions *out)
 {
-    const struct fw_audit *audit = Fw_ConfigReplica_Audit(view->fold);
+    const struct fw_audit *audit = Fw_ConfigReplica_Audit(view->replica);
     uint64_t before = Fw_Operate_ParamNumber(req, "before", G_MAXINT64);
     uint64_t max = Fw_Operate_ParamNumber(req, "max", 50);
     const char *who = Fw_Operate_ParamText(req, "who", NULL);
@@ -317,7 +317,7 @@
             const struct fw_operate_request *req, struct fw_actions *out)
 {
     const char *id = Fw_Operate_ParamText(req, "id", "");
-    JsonNode *node = Fw_Operate_VerdictJson(view->fold, id);
+    JsonNode *node = Fw_Operate_VerdictJson(view->replica, id);
     JsonObject *obj;
 
     if (!node) {
@@ -336,7 +336,7 @@
 {
     struct fw_call_response *a =
         &Fw_Actions_Add(out, FW_ACT_CALL_RESPONSE)->u.answer;
-    char *text = Fw_Sheet_Export(Fw_ConfigReplica_Config(view->fold));
+    char *text = Fw_Sheet_Export(Fw_ConfigReplica_Config(view->replica));
 
     a->call = req->call->call;
     a->status = 200;
--- a/src/operate/sheet.c
+++ b/src/operate/sheet.c
@@ -48,7 +48,7 @@
     plan->rows = g_ptr_array_new_with_free_func(free_row);
     plan->item_keys =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    plan->fold = replica;
+    plan->replica = replica;
     /* Two passes: rows are compared as they are read, to avoid holding a
      * JSON tree for each, but the row with the base version may be last. */
     Fw_Sheet_ReadCsv(plan, data, len);
--- a/src/operate/sheet.h
+++ b/src/operate/sheet.h
@@ -112,7 +112,7 @@
     GArray *errors;
     GPtrArray *rows;
     GHashTable *item_keys;
-    const struct fw_config_replica *fold;
+    const struct fw_config_replica *replica;
     struct fw_sheet_baseline *baseline;
 };
 
--- a/src/operate/sheet_compare.c
+++ b/src/operate/sheet_compare.c
@@ -219,7 +219,7 @@
                           "an upstream in force; a sheet adds none");
         return;
     }
-    choose_action(plan, row, v, plan->fold, plan->baseline);
+    choose_action(plan, row, v, plan->replica, plan->baseline);
     if (row->action != FW_ROW_ADD && row->action != FW_ROW_UPDATE) {
         return;
     }
@@ -235,7 +235,7 @@
 void
 Fw_Sheet_CompareRow(struct fw_sheet_plan *plan, struct fw_sheet_row *row)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(plan->fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(plan->replica);
     struct item_values v;
 
     v.before = Fw_Config_ItemValue(cfg, row->kind, row->name);
@@ -269,7 +269,7 @@
                            plan->base_version, items);
 
     if (Fw_Change_Parse(text, &ch, &why) ||
-        Fw_ConfigReplica_Evaluate(plan->fold, &ch, &why) !=
+        Fw_ConfigReplica_Evaluate(plan->replica, &ch, &why) !=
             FW_CHANGE_ACCEPTED) {
         Fw_Sheet_AddError(plan, 0, "(sheet)", why.text,
                           "a change that is valid as a whole");
@@ -285,7 +285,7 @@
     char found[24];
 
     if (plan->base_version >=
-        Fw_ConfigReplica_Config(plan->fold)->next_offset) {
+        Fw_ConfigReplica_Config(plan->replica)->next_offset) {
         g_snprintf(found, sizeof(found), "%" G_GUINT64_FORMAT,
                    plan->base_version);
         Fw_Sheet_AddError(plan, 0, "name", found,
@@ -293,7 +293,7 @@
         return -EINVAL;
     }
     plan->baseline = g_new0(struct fw_sheet_baseline, 1);
-    load_baseline(plan->baseline, plan->fold, plan->base_version);
+    load_baseline(plan->baseline, plan->replica, plan->base_version);
     return 0;
 }
 
--- a/src/relay/allowance.c
+++ b/src/relay/allowance.c
@@ -165,17 +165,17 @@
 static void
 schedule_messages(struct fw_relay *r, const struct fw_rl_allowance *p)
 {
-    int64_t known = r->x.is_hub ? p->digest_spent : p->report_spent;
+    int64_t known = r->exchange.is_hub ? p->digest_spent : p->report_spent;
     int64_t unsent = p->spent + p->leaf_spent - known;
 
     if (p->level >= FW_SEND_SOON_LEVEL_FRACTION * capacity(p)) {
         return;
     }
-    r->x.send_soon = 1;
-    r->x.delta_pending |=
+    r->exchange.send_soon = 1;
+    r->exchange.delta_pending |=
         (double)unsent > FW_SEND_AT_ONCE_SPENT_FRACTION * capacity(p);
-    r->x.push_pending |=
-        r->x.is_hub &&
+    r->exchange.push_pending |=
+        r->exchange.is_hub &&
         p->level < FW_PUSH_TO_LEAVES_LEVEL_FRACTION * capacity(p);
 }
 
@@ -225,7 +225,7 @@
     }
     /* Refill before subtracting: a full bucket earns nothing meanwhile. */
     refill(r, p, now_us);
-    r->x.push_pending |=
+    r->exchange.push_pending |=
         tokens > 0 &&
         p->level < FW_PUSH_TO_LEAVES_LEVEL_FRACTION * capacity(p);
     if (!p->adopted && now_us - p->created_us < FW_ADOPTION_PERIOD_US) {
--- a/src/relay/call.c
+++ b/src/relay/call.c
@@ -155,10 +155,10 @@
     Fw_Relay_CountRejection(r, reason);
     if (status == 502 || status == 504) {
         retry_us = 0;
-        r->n.failed.value++;
+        r->relay_metrics.failed.value++;
     }
     else {
-        r->n.rejected.value++;
+        r->relay_metrics.rejected.value++;
     }
     Fw_RelayActions_Log(out, r, LOG_WARNING, "refused",
                         "\"id\":\"%s\",\"route\":\"%s\",\"team\":\"%s\","
@@ -190,8 +190,8 @@
     c->is_forwarded = 1;
     c->response_us = now_us;
     c->ran = FW_RAN_YES;
-    Fw_Histogram_Add(&r->n.response_s, now_us - c->opened_us);
-    r->n.forwarded.value++;
+    Fw_Histogram_Add(&r->relay_metrics.response_s, now_us - c->opened_us);
+    r->relay_metrics.forwarded.value++;
 }
 
 /* Milliseconds from @c's arrival to @us, or -1 if @us is unset. */
@@ -215,10 +215,10 @@
                int64_t now_us, struct fw_rl_actions *out)
 {
     if (whole) {
-        Fw_Histogram_Add(&r->n.total_s, now_us - c->opened_us);
+        Fw_Histogram_Add(&r->relay_metrics.total_s, now_us - c->opened_us);
     }
     else {
-        r->n.aborted.value++;
+        r->relay_metrics.aborted.value++;
     }
     Fw_RelayActions_Log(
         out, r, whole ? LOG_INFO : LOG_WARNING, whole ? "answered" : "cut",
--- a/src/relay/delta.c
+++ b/src/relay/delta.c
@@ -59,7 +59,7 @@
 Fw_Delta_NotePlacement(struct fw_relay *r, struct fw_rl_server *s)
 {
     s->is_unsent = 1;
-    r->x.delta_pending = 1;
+    r->exchange.delta_pending = 1;
 }
 
 void
@@ -127,7 +127,7 @@
         return -EBADMSG;
     }
     m = Fw_Members_Find(r, name);
-    if (!r->x.is_hub || !m || boot != m->boot || seq <= m->digest_seq ||
+    if (!r->exchange.is_hub || !m || boot != m->boot || seq <= m->digest_seq ||
         !m->last_digest_us ||
         now_us - m->last_digest_us >= Fw_Members_TimeoutUs(r)) {
         return 0;
--- a/src/relay/digest.c
+++ b/src/relay/digest.c
@@ -105,7 +105,7 @@
 apply_common_rows(struct fw_relay *r, struct fw_rl_member *m,
                   const struct digest *d, int is_first, int64_t now_us)
 {
-    if (!r->x.is_hub) {
+    if (!r->exchange.is_hub) {
         return;
     }
     Fw_Rows_ReplaceTable(&m->prefill_rates, d->common.prefill_rates);
--- a/src/relay/exchange.c
+++ b/src/relay/exchange.c
@@ -119,8 +119,8 @@
 
     Fw_Delta_Write(r, now_us, msg);
     n = send_to_matching(r, is_reachable_hub, msg, now_us, out);
-    r->x.delta_pending = 0;
-    r->x.next_delta_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
+    r->exchange.delta_pending = 0;
+    r->exchange.next_delta_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
     g_byte_array_unref(msg);
 }
 
@@ -143,8 +143,8 @@
             n++;
         }
     }
-    r->x.push_pending = 0;
-    r->x.next_push_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
+    r->exchange.push_pending = 0;
+    r->exchange.next_push_us = now_us + n * FW_RL_SEND_INTERVAL_PER_PEER_US;
 }
 
 static void
@@ -163,22 +163,22 @@
 static void
 schedule_next_send(struct fw_relay *r, int64_t now_us)
 {
-    r->x.send_soon = 0;
-    r->x.next_send_us = now_us + r->opts.digest_period_us;
-    r->x.earliest_send_us = now_us + r->opts.digest_period_us / 2;
+    r->exchange.send_soon = 0;
+    r->exchange.next_send_us = now_us + r->opts.digest_period_us;
+    r->exchange.earliest_send_us = now_us + r->opts.digest_period_us / 2;
 }
 
 static int
 is_send_due(const struct fw_relay *r, int64_t now_us)
 {
-    return now_us >= r->x.next_send_us ||
-           (r->x.send_soon && now_us >= r->x.earliest_send_us);
+    return now_us >= r->exchange.next_send_us ||
+           (r->exchange.send_soon && now_us >= r->exchange.earliest_send_us);
 }
 
 static void
 act_as_hub(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
-    struct fw_rl_exchange *x = &r->x;
+    struct fw_rl_exchange *x = &r->exchange;
 
     if (is_send_due(r, now_us)) {
         schedule_next_send(r, now_us);
@@ -210,9 +210,9 @@
 static void
 change_hub(struct fw_relay *r, struct fw_rl_member *hub)
 {
-    if (r->x.hub != hub) {
-        r->x.hub = hub;
-        r->x.report_session++;
+    if (r->exchange.hub != hub) {
+        r->exchange.hub = hub;
+        r->exchange.report_session++;
         if (hub) {
             hub->awaiting_since_us = 0;
         }
@@ -222,7 +222,7 @@
 static void
 act_as_leaf(struct fw_relay *r, int64_t now_us, struct fw_rl_outbox *out)
 {
-    struct fw_rl_exchange *x = &r->x;
+    struct fw_rl_exchange *x = &r->exchange;
     int send_early = (x->send_soon || x->delta_pending) &&
                      now_us - x->report_sent_us >= FW_REPORT_INTERVAL_MIN_US;
     GByteArray *msg;
@@ -257,14 +257,14 @@
 int
 Fw_Exchange_ShouldWait(struct fw_relay *r, int64_t since_us, int64_t now_us)
 {
-    const struct fw_rl_member *hub = r->x.hub;
+    const struct fw_rl_member *hub = r->exchange.hub;
 
-    if (r->x.is_hub || !hub || hub->unreachable_since_us ||
-        now_us - r->x.load_as_of_us < FW_LOAD_AGE_MAX_US ||
+    if (r->exchange.is_hub || !hub || hub->unreachable_since_us ||
+        now_us - r->exchange.load_as_of_us < FW_LOAD_AGE_MAX_US ||
         now_us - since_us >= FW_PLACEMENT_WAIT_MAX_US) {
         return 0;
     }
-    r->x.delta_pending = 1;
+    r->exchange.delta_pending = 1;
     return 1;
 }
 
@@ -275,7 +275,7 @@
     if (is_send_due(r, now_us)) {
         Fw_Hubs_UpdateRoles(r, now_us);
     }
-    if (r->x.is_hub) {
+    if (r->exchange.is_hub) {
         act_as_hub(r, now_us, out);
     }
     else {
@@ -287,7 +287,7 @@
 int64_t
 Fw_Relay_NextMessageUs(const struct fw_relay *r)
 {
-    return r->x.next_send_us;
+    return r->exchange.next_send_us;
 }
 
 /*
@@ -300,7 +300,7 @@
 {
     GByteArray *msg = g_byte_array_new();
 
-    if (with_digest && r->x.is_hub) {
+    if (with_digest && r->exchange.is_hub) {
         Fw_Digest_Write(r, now_us, msg);
         Fw_Outbox_Add(out, addr, msg);
         g_byte_array_set_size(msg, 0);
--- a/src/relay/hubs.c
+++ b/src/relay/hubs.c
@@ -203,11 +203,11 @@
 {
     struct fw_list *pos;
 
-    if (r->x.hub) {
-        Fw_Load_Drop(r, r->x.hub);
+    if (r->exchange.hub) {
+        Fw_Load_Drop(r, r->exchange.hub);
     }
-    r->x.hub = NULL;
-    r->x.recount = 1;
+    r->exchange.hub = NULL;
+    r->exchange.recount = 1;
     FW_LIST_EACH (pos, &r->members) {
         FW_LIST_ENTRY(pos, struct fw_rl_member, link)->awaiting_since_us = 0;
     }
@@ -216,15 +216,16 @@
 void
 Fw_Hubs_UpdateRoles(struct fw_relay *r, int64_t now_us)
 {
-    int was_hub = r->x.is_hub;
+    int was_hub = r->exchange.is_hub;
     int hubs_per_domain = MIN(count_hubs_per_domain(r), FW_HUBS_TARGET);
 
     rank_hubs(r, hubs_per_domain, 1);
-    r->x.is_hub = rank_hubs(r, hubs_per_domain, 0) || has_leaves(r, now_us);
+    r->exchange.is_hub =
+        rank_hubs(r, hubs_per_domain, 0) || has_leaves(r, now_us);
     if (r->draining && Fw_Hubs_ChooseHub(r)) {
-        r->x.is_hub = 0;
+        r->exchange.is_hub = 0;
     }
-    if (r->x.is_hub != was_hub) {
+    if (r->exchange.is_hub != was_hub) {
         change_role(r);
     }
 }
--- a/src/relay/load.c
+++ b/src/relay/load.c
@@ -104,7 +104,7 @@
     m->load_scope = scope;
     Fw_Load_Merge(r, m, rows, now_us);
     sum_load(m, &running[1], &prefill_tokens[1]);
-    r->x.delta_pending |=
+    r->exchange.delta_pending |=
         scope == FW_RL_SCOPE_LEAF &&
         (running[1] > running[0] || prefill_tokens[1] > prefill_tokens[0]);
 }
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -57,7 +57,7 @@
     }
     known = find_or_add_instance(r, hash);
     known->seen_us = MAX(known->seen_us, seen_us);
-    r->x.recount = 1;
+    r->exchange.recount = 1;
 }
 
 /* The values of @m are in the digests of the hub that it reports to now. */
@@ -80,7 +80,7 @@
         return;
     }
     m = find_or_add_instance(r, hash)->member;
-    if (m && m != r->x.hub && m->last_message_us < seen_us) {
+    if (m && m != r->exchange.hub && m->last_message_us < seen_us) {
         drop_reported_state(r, m);
     }
     Fw_Members_NoteSeen(r, hash, seen_us);
@@ -106,7 +106,7 @@
     m->added_us = now_us;
     find_or_add_instance(r, m->hash)->added_us = now_us;
     find_or_add_instance(r, m->hash)->member = m;
-    r->x.recount = 1;
+    r->exchange.recount = 1;
     Fw_List_Append(&r->members, &m->link);
     return m;
 }
@@ -116,7 +116,7 @@
                        int64_t now_us)
 {
     if (m->unreachable_since_us) {
-        r->x.next_hub_list_us = 0; /* leaves may return to it */
+        r->exchange.next_hub_list_us = 0; /* leaves may return to it */
     }
     m->last_message_us = now_us;
     m->awaiting_since_us = 0;
@@ -127,8 +127,8 @@
 static void
 member_free(struct fw_relay *r, struct fw_rl_member *m)
 {
-    if (r->x.hub == m) {
-        r->x.hub = NULL;
+    if (r->exchange.hub == m) {
+        r->exchange.hub = NULL;
     }
     find_or_add_instance(r, m->hash)->member = NULL;
     Fw_Load_Drop(r, m);
@@ -202,10 +202,10 @@
     GHashTableIter it;
     gpointer v;
 
-    r->x.counted_us = now_us;
-    r->x.recount = 0;
-    r->x.n_instances = 1;
-    r->x.n_live = 1;
+    r->exchange.counted_us = now_us;
+    r->exchange.recount = 0;
+    r->exchange.n_instances = 1;
+    r->exchange.n_live = 1;
     g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct known_instance *known = v;
@@ -213,8 +213,9 @@
         if (known->is_expired) {
             continue;
         }
-        r->x.n_instances++;
-        r->x.n_live += known->seen_us && now_us - known->seen_us < timeout_us;
+        r->exchange.n_instances++;
+        r->exchange.n_live +=
+            known->seen_us && now_us - known->seen_us < timeout_us;
     }
 }
 
@@ -225,7 +226,7 @@
 int
 Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *n_live)
 {
-    struct fw_rl_exchange *x = &r->x;
+    struct fw_rl_exchange *x = &r->exchange;
     int has_hub = !x->is_hub && x->hub;
 
     if (has_hub && now_us - x->counted_us >= Fw_Members_TimeoutUs(r)) {
@@ -252,7 +253,8 @@
     int64_t seen_us =
         MAX(find_or_add_instance(r, m->hash)->seen_us, m->last_message_us);
 
-    return ((r->x.is_hub && m->last_message_us) || m->unreachable_since_us) &&
+    return ((r->exchange.is_hub && m->last_message_us) ||
+            m->unreachable_since_us) &&
            now_us - MAX(seen_us, m->added_us) >= FW_MEMBER_EXPIRY_US;
 }
 
@@ -294,5 +296,5 @@
         }
     }
     expire_instances(r, now_us);
-    r->n.members.value = Fw_Members_Count(r, now_us, NULL);
+    r->relay_metrics.members.value = Fw_Members_Count(r, now_us, NULL);
 }
--- a/src/relay/message.c
+++ b/src/relay/message.c
@@ -85,7 +85,7 @@
                                .running = s->running,
                                .kv_tokens = s->kv_tokens,
                                .prefill_tokens = s->prefill_tokens};
-    if (!r->x.is_hub) {
+    if (!r->exchange.is_hub) {
         return;
     }
     Fw_Load_GetTotal(r, s->hash, FW_RL_SCOPE_LEAF, &part);
@@ -195,7 +195,7 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (r->x.is_hub && (to ? m != to : m->last_report_us != 0)) {
+        if (r->exchange.is_hub && (to ? m != to : m->last_report_us != 0)) {
             add_counts(counts, m->strikes);
         }
     }
@@ -224,7 +224,7 @@
         const struct fw_rl_member *m =
             FW_LIST_ENTRY(pos, struct fw_rl_member, link);
 
-        if (r->x.is_hub && Fw_Hubs_IsLeaf(r, m, now_us)) {
+        if (r->exchange.is_hub && Fw_Hubs_IsLeaf(r, m, now_us)) {
             add_counts(rates, m->prefill_rates);
         }
     }
--- a/src/relay/metrics.c
+++ b/src/relay/metrics.c
@@ -11,39 +11,43 @@
         const char *help;
         int gauge;
     } rows[] = {
-        {&r->n.requests, "fw_requests_total", "Requests of callers", 0},
-        {&r->n.forwarded, "fw_requests_passed_total",
+        {&r->relay_metrics.requests, "fw_requests_total",
+         "Requests of callers", 0},
+        {&r->relay_metrics.forwarded, "fw_requests_passed_total",
          "Requests whose answer from an upstream was passed on", 0},
-        {&r->n.rejected, "fw_requests_refused_total",
+        {&r->relay_metrics.rejected, "fw_requests_refused_total",
          "Requests refused that surely did not run", 0},
-        {&r->n.failed, "fw_requests_failed_total",
+        {&r->relay_metrics.failed, "fw_requests_failed_total",
          "Requests answered 502 or 504: they may have run", 0},
-        {&r->n.abandoned, "fw_requests_left_total",
+        {&r->relay_metrics.abandoned, "fw_requests_left_total",
          "Requests whose caller left before the answer", 0},
-        {&r->n.aborted, "fw_requests_cut_total",
+        {&r->relay_metrics.aborted, "fw_requests_cut_total",
          "Answers that broke off after they had begun", 0},
-        {&r->n.retries, "fw_repeats_total",
+        {&r->relay_metrics.retries, "fw_repeats_total",
          "Requests sent to a further server", 0},
-        {&r->n.reservations, "fw_reservations_total",
+        {&r->relay_metrics.reservations, "fw_reservations_total",
          "Reservations asked of engines", 0},
-        {&r->n.reservations_rejected, "fw_reservations_refused_total",
-         "Reservations that engines refused", 0},
-        {&r->n.prefills, "fw_prefills_total", "Prompts sent to be read", 0},
-        {&r->n.open, "fw_requests_open", "Requests not answered yet", 1},
-        {&r->n.queued, "fw_requests_queued",
+        {&r->relay_metrics.reservations_rejected,
+         "fw_reservations_refused_total", "Reservations that engines refused",
+         0},
+        {&r->relay_metrics.prefills, "fw_prefills_total",
+         "Prompts sent to be read", 0},
+        {&r->relay_metrics.open, "fw_requests_open",
+         "Requests not answered yet", 1},
+        {&r->relay_metrics.queued, "fw_requests_queued",
          "Requests waiting for room at an engine", 1},
-        {&r->n.members, "fw_members",
+        {&r->relay_metrics.members, "fw_members",
          "Instances that count, this one included", 1},
-        {&r->n.version, "fw_configuration_version",
+        {&r->relay_metrics.version, "fw_configuration_version",
          "Version of the configuration in force", 1},
-        {&r->n.rules_age_ms, "fw_configuration_age_ms",
+        {&r->relay_metrics.rules_age_ms, "fw_configuration_age_ms",
          "Since when the configuration in force is surely the newest", 1},
-        {&r->n.servers_usable, "fw_servers_usable",
+        {&r->relay_metrics.servers_usable, "fw_servers_usable",
          "Servers that new requests may go to", 1},
-        {&r->n.tokens_reserved, "fw_engine_tokens_reserved",
+        {&r->relay_metrics.tokens_reserved, "fw_engine_tokens_reserved",
          "Tokens of engine memory that this instance has reserved or in use",
          1},
-        {&r->n.role_held, "fw_order_role_held",
+        {&r->relay_metrics.role_held, "fw_order_role_held",
          "1 while this instance may order engines", 1},
     };
     struct {
@@ -51,13 +55,13 @@
         const char *name;
         const char *help;
     } times[] = {
-        {&r->n.queued_s, "fw_phase_queue_seconds",
+        {&r->relay_metrics.queued_s, "fw_phase_queue_seconds",
          "From a generation's arrival until an engine has room"},
-        {&r->n.prefill_s, "fw_phase_prefill_seconds",
+        {&r->relay_metrics.prefill_s, "fw_phase_prefill_seconds",
          "From then until its prompt is read"},
-        {&r->n.response_s, "fw_phase_first_seconds",
+        {&r->relay_metrics.response_s, "fw_phase_first_seconds",
          "From a request's arrival until its answer begins"},
-        {&r->n.total_s, "fw_phase_whole_seconds",
+        {&r->relay_metrics.total_s, "fw_phase_whole_seconds",
          "From a request's arrival until its answer is whole"},
     };
 
@@ -77,27 +81,28 @@
 void
 Fw_Relay_CountRejection(struct fw_relay *r, const char *reason)
 {
-    char labels[sizeof(r->n.labels[0])];
+    char labels[sizeof(r->relay_metrics.labels[0])];
     int i;
 
     g_snprintf(labels, sizeof(labels), "reason=\"%s\"", reason);
-    for (i = 0; i < r->n.n_reasons; i++) {
-        if (strcmp(r->n.labels[i], labels) == 0) {
-            r->n.reasons[i].value++;
+    for (i = 0; i < r->relay_metrics.n_reasons; i++) {
+        if (strcmp(r->relay_metrics.labels[i], labels) == 0) {
+            r->relay_metrics.reasons[i].value++;
             return;
         }
     }
     if (i == FW_RL_REJECT_REASONS_MAX) {
         return; /* still counted in the total */
     }
-    g_strlcpy(r->n.labels[i], labels, sizeof(r->n.labels[i]));
-    r->n.reasons[i] =
+    g_strlcpy(r->relay_metrics.labels[i], labels,
+              sizeof(r->relay_metrics.labels[i]));
+    r->relay_metrics.reasons[i] =
         (struct fw_metric){.name = "fw_refusals_total",
                            .help = "Answers of our own to callers, by reason",
-                           .labels = r->n.labels[i],
+                           .labels = r->relay_metrics.labels[i],
                            .value = 1};
-    Fw_Metrics_Add(&r->metrics, &r->n.reasons[i]);
-    r->n.n_reasons++;
+    Fw_Metrics_Add(&r->metrics, &r->relay_metrics.reasons[i]);
+    r->relay_metrics.n_reasons++;
 }
 
 void
@@ -114,11 +119,12 @@
         usable += Fw_Servers_IsUsable(s, now_us);
         reserved += s->kv_tokens;
     }
-    r->n.open.value = g_hash_table_size(r->calls);
-    r->n.queued.value = r->queue.n;
-    r->n.rules_age_ms.value = Fw_Relay_UsToMs(now_us - r->rules_fresh_us);
-    r->n.servers_usable.value = usable;
-    r->n.tokens_reserved.value = reserved;
-    r->n.role_held.value =
+    r->relay_metrics.open.value = g_hash_table_size(r->calls);
+    r->relay_metrics.queued.value = r->queue.n;
+    r->relay_metrics.rules_age_ms.value =
+        Fw_Relay_UsToMs(now_us - r->rules_fresh_us);
+    r->relay_metrics.servers_usable.value = usable;
+    r->relay_metrics.tokens_reserved.value = reserved;
+    r->relay_metrics.role_held.value =
         r->order_lease.fence && now_us < r->order_lease.expires_us;
 }
--- a/src/relay/open.c
+++ b/src/relay/open.c
@@ -91,7 +91,7 @@
     c->deadline_us = INT64_MAX;
     Fw_List_Append(&r->call_list, &c->link);
     g_hash_table_insert(r->calls, &c->id, c);
-    r->n.requests.value++;
+    r->relay_metrics.requests.value++;
     return c;
 }
 
@@ -259,7 +259,7 @@
     else if (!admit_team(r, c, now_us, out)) {
         return;
     }
-    if (Fw_Poison_CountStrikes(r, info->body_digest, now_us) >=
+    if (Fw_Poison_CountStrikes(r, info->fingerprint, now_us) >=
         FW_REJECT_STRIKES) {
         Fw_Call_Reject(r, c, 503, FW_RETRY_POISON_US, "poison", now_us, out);
         return;
@@ -276,7 +276,7 @@
     if (!c) {
         return;
     }
-    r->n.abandoned.value++;
+    r->relay_metrics.abandoned.value++;
     Fw_RelayActions_Log(out, r, LOG_NOTICE, "caller_left",
                         "\"id\":\"%s\",\"route\":\"%s\",\"state\":%d,"
                         "\"after_ms\":%" G_GINT64_FORMAT,
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -23,9 +23,9 @@
     Fw_Relay_SetOpts(r, opts);
     r->hash = Fw_Hash_Str(opts->name);
     r->start_us = now_us;
-    r->x.is_hub = 1;
-    r->x.n_instances = 1;
-    r->x.n_live = 1;
+    r->exchange.is_hub = 1;
+    r->exchange.n_instances = 1;
+    r->exchange.n_live = 1;
     r->rand = g_rand_new_with_seed(opts->seed);
     r->rules_fresh_us = now_us - opts->key_stale_us;
     r->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -114,7 +114,7 @@
     Fw_Rules_Unref(r->rules);
     r->rules = Fw_Rules_Ref(rules);
     r->rules_offset = offset;
-    r->n.version.value = rules->version;
+    r->relay_metrics.version.value = rules->version;
     Fw_RelayActions_Log(out, r, LOG_NOTICE, "configuration",
                         "\"version\":%" G_GINT64_FORMAT
                         ",\"offset\":%" G_GUINT64_FORMAT
--- a/src/relay/relay_internal.h
+++ b/src/relay/relay_internal.h
@@ -374,7 +374,7 @@
     GRand *rand;
     int64_t start_us;
     struct fw_metrics metrics;
-    struct fw_rl_metrics n;
+    struct fw_rl_metrics relay_metrics;
     struct fw_rl_rules *rules;
     uint64_t rules_offset;
     int64_t rules_fresh_us;
@@ -388,7 +388,7 @@
     struct fw_queue queue;
     uint64_t last_xid;
     struct fw_list members;
-    struct fw_rl_exchange x;
+    struct fw_rl_exchange exchange;
     uint64_t hash;
     GHashTable *known_instances;
     GHashTable *loads;
@@ -683,7 +683,7 @@
 void
 Fw_RetryBudget_NoteRequest(struct fw_relay *r, const char *service,
                            int64_t now_us);
-/* Takes @n retries. Return: nonzero if the budget allowed them. */
+/* Takes @relay_metrics retries. Return: nonzero if the budget allowed them. */
 int
 Fw_RetryBudget_Take(struct fw_relay *r, const char *service, int n,
                     int64_t now_us);
--- a/src/relay/reply.c
+++ b/src/relay/reply.c
@@ -153,7 +153,7 @@
             g_clear_pointer(&m->strikes, g_hash_table_destroy);
         }
     }
-    r->x.load_as_of_us = r->x.report_sent_us;
+    r->exchange.load_as_of_us = r->exchange.report_sent_us;
     Fw_Load_Replace(r, hub, p->load, FW_RL_SCOPE_OTHER, now_us);
     Fw_Rows_ReplaceTable(&hub->strikes, p->strikes);
 }
@@ -167,7 +167,7 @@
 apply_freshness(struct fw_relay *r, const struct reply *p, int64_t now_us)
 {
     int64_t age_us = MAX(Fw_Rows_Cell(p->store_state, 0, 5), 0);
-    int64_t from_us = r->x.report_sent_us;
+    int64_t from_us = r->exchange.report_sent_us;
 
     if (FW_FAULT("fresh-from-arrival")) {
         from_us = now_us;
@@ -184,7 +184,7 @@
 {
     hub->unreachable_since_us = now_us;
     Fw_Hubs_UpdateRoles(r, now_us);
-    r->x.send_soon = 1;
+    r->exchange.send_soon = 1;
 }
 
 int
@@ -196,23 +196,24 @@
     if (read_reply(o, &p)) {
         return -EBADMSG;
     }
-    hub = r->x.hub;
-    if (!hub || r->x.is_hub || strcmp(hub->name, p.name) != 0 ||
-        p.leaf_boot != r->opts.boot || p.session != r->x.report_session) {
+    hub = r->exchange.hub;
+    if (!hub || r->exchange.is_hub || strcmp(hub->name, p.name) != 0 ||
+        p.leaf_boot != r->opts.boot ||
+        p.session != r->exchange.report_session) {
         return 0; /* to a report of an earlier session or to another hub */
     }
     Fw_Members_NoteMessage(r, hub, now_us);
-    if (p.report_seq && p.report_seq != r->x.report_seq) {
+    if (p.report_seq && p.report_seq != r->exchange.report_seq) {
         return 0; /* not to the last report */
     }
     if (Fw_Rows_Cell(p.counts, 0, 0) <= 0) {
         leave_hub(r, hub, now_us);
         return 0;
     }
-    r->x.n_instances = (int)Fw_Rows_Cell(p.counts, 0, 0);
-    r->x.n_live =
-        (int)CLAMP(Fw_Rows_Cell(p.counts, 0, 1), 1, r->x.n_instances);
-    r->x.counted_us = now_us;
+    r->exchange.n_instances = (int)Fw_Rows_Cell(p.counts, 0, 0);
+    r->exchange.n_live =
+        (int)CLAMP(Fw_Rows_Cell(p.counts, 0, 1), 1, r->exchange.n_instances);
+    r->exchange.counted_us = now_us;
     apply_levels(r, &p, now_us);
     if (p.report_seq) {
         apply_load(r, hub, &p, now_us);
--- a/src/relay/report.c
+++ b/src/relay/report.c
@@ -46,13 +46,13 @@
 {
     msgpack_packer pk;
 
-    r->x.report_sent_us = now_us;
+    r->exchange.report_sent_us = now_us;
     Fw_Pack_Begin(&pk, out);
     msgpack_pack_array(&pk, FW_REPORT_ELEMENTS);
     msgpack_pack_int(&pk, FW_MSG_TYPE_REPORT);
     Fw_Message_PackSender(r, &pk);
-    msgpack_pack_uint64(&pk, r->x.report_session);
-    msgpack_pack_uint64(&pk, ++r->x.report_seq);
+    msgpack_pack_uint64(&pk, r->exchange.report_session);
+    msgpack_pack_uint64(&pk, ++r->exchange.report_seq);
     Fw_Message_PackPrefillRates(r, &pk, now_us);
     pack_spent(r, &pk);
     Fw_Message_PackLoad(r, &pk, NULL, 0, now_us);
@@ -156,7 +156,7 @@
         return 0;
     }
     is_new = apply_report(r, m, &p, addr, now_us);
-    if (!r->x.is_hub) {
+    if (!r->exchange.is_hub) {
         Fw_Hubs_UpdateRoles(r, now_us);
     }
     Fw_Reply_Write(r, m, p.seq, now_us, reply);
--- a/src/relay/retry_budget.c
+++ b/src/relay/retry_budget.c
@@ -73,6 +73,6 @@
         return 0;
     }
     b->retries[b->slot % FW_RL_RETRY_BUDGET_SLOTS] += n;
-    r->n.retries.value += n;
+    r->relay_metrics.retries.value += n;
     return 1;
 }
--- a/src/relay/stage_order.c
+++ b/src/relay/stage_order.c
@@ -59,7 +59,7 @@
 {
     struct fw_list *pos;
 
-    if (!r->x.is_hub) {
+    if (!r->exchange.is_hub) {
         return 0;
     }
     FW_LIST_EACH (pos, &r->members) {
--- a/src/relay/store_sync.c
+++ b/src/relay/store_sync.c
@@ -62,9 +62,10 @@
 static int
 waits_after_start(const struct fw_relay *r, int64_t now_us)
 {
-    int64_t wait_us = r->x.is_hub ? FW_MEMBER_LIST_WAIT_US : FW_HUB_WAIT_US;
+    int64_t wait_us =
+        r->exchange.is_hub ? FW_MEMBER_LIST_WAIT_US : FW_HUB_WAIT_US;
 
-    return !(r->store_sync.members_known && r->x.is_hub) &&
+    return !(r->store_sync.members_known && r->exchange.is_hub) &&
            now_us - r->start_us < wait_us;
 }
 
@@ -77,7 +78,7 @@
     if (!r->rules || !r->has_server_list) {
         return !waits_after_start(r, now_us);
     }
-    if (!r->x.is_hub) {
+    if (!r->exchange.is_hub) {
         return Fw_Relay_IsIsolated(r, now_us);
     }
     if (now_us - r->rules_fresh_us > FW_STORE_STALE_US) {
@@ -224,11 +225,11 @@
     GByteArray *msg;
     msgpack_packer pk;
 
-    int64_t interval_us =
-        r->x.is_hub ? FW_QUERY_INTERVAL_HUB_US : FW_QUERY_INTERVAL_LEAF_US;
+    int64_t interval_us = r->exchange.is_hub ? FW_QUERY_INTERVAL_HUB_US
+                                             : FW_QUERY_INTERVAL_LEAF_US;
 
     if (now_us - r->store_sync.query_us < interval_us ||
-        (!r->x.is_hub &&
+        (!r->exchange.is_hub &&
          now_us - r->rules_fresh_us < FW_QUERY_WHEN_STALE_US) ||
         (Fw_Relay_ReadsStore(r, now_us) &&
          now_us - r->rules_fresh_us < FW_QUERY_WHEN_STALE_US)) {
--- a/src/relay/stream.c
+++ b/src/relay/stream.c
@@ -100,7 +100,7 @@
     assign_server(c, s);
     Fw_Delta_NotePlacement(r, s);
     c->state = FW_RL_RESERVING;
-    r->n.reservations.value++;
+    r->relay_metrics.reservations.value++;
     Fw_Call_Upstream(r, c, s, &up, now_us + FW_RESERVE_TIMEOUT_US, now_us,
                      out);
 }
@@ -255,7 +255,7 @@
     s->prefill_tokens += c->info.tokens_in;
     Fw_Delta_NotePlacement(r, s);
     c->state = FW_RL_PREFILLING;
-    r->n.prefills.value++;
+    r->relay_metrics.prefills.value++;
     Fw_Call_Upstream(
         r, c, s, &up,
         MIN(now_us + wait_us + Fw_ServiceStats_PrefillSlack(stats),
@@ -299,12 +299,12 @@
     if (ans->status == 200 && ans->handle[0]) {
         g_strlcpy(c->reservation, ans->handle, sizeof(c->reservation));
         c->reserved_us = now_us;
-        Fw_Histogram_Add(&r->n.queued_s, now_us - c->opened_us);
+        Fw_Histogram_Add(&r->relay_metrics.queued_s, now_us - c->opened_us);
         Fw_Servers_NoteResponse(s, 0, -1);
         start_prefill(r, c, now_us, out);
         return;
     }
-    r->n.reservations_rejected.value++;
+    r->relay_metrics.reservations_rejected.value++;
     if (ans->wrong_server) {
         Fw_Servers_NoteUnreachable(s, now_us);
     }
@@ -325,7 +325,7 @@
         Fw_ServiceStats_NotePrefill(Fw_ServiceStats_Get(r, c->service),
                                     c->prefill_queue_tokens, took_us);
         Fw_Servers_NoteResponse(s, 0, -1);
-        Fw_Histogram_Add(&r->n.prefill_s, now_us - c->reserved_us);
+        Fw_Histogram_Add(&r->relay_metrics.prefill_s, now_us - c->reserved_us);
         g_strlcpy(c->kv_handle, ans->handle, sizeof(c->kv_handle));
         g_strlcpy(c->kv_addr, s->entry.addr, sizeof(c->kv_addr));
         send_run(r, c, now_us, out);
@@ -429,7 +429,7 @@
         Fw_Poison_ServerLost(r, s, now_us, out);
     }
     else if (sent && kind != FW_RL_UP_RESERVE && err != -ETIMEDOUT) {
-        Fw_Poison_NoteDisconnect(r, c->info.body_digest, s, now_us);
+        Fw_Poison_NoteDisconnect(r, c->info.fingerprint, s, now_us);
     }
     if (kind == FW_RL_UP_RESERVE) {
         s->full_us = now_us;
--- a/src/relay/types.h
+++ b/src/relay/types.h
@@ -199,7 +199,7 @@
  * @tokens_out_hint: the caller's estimate of the tokens that will be
  *     generated, -1 if not specified
  * @last_event_id: continue an interrupted stream after this event; -1 for none
- * @body_digest: hash of method, target and body, to recognize poison requests
+ * @fingerprint: hash of method, target and body, to recognize poison requests
  */
 struct fw_rl_request_info {
     char id[FW_ID_MAX];
@@ -211,7 +211,7 @@
     int64_t tokens_out_max;
     int64_t tokens_out_hint;
     int64_t last_event_id;
-    uint64_t body_digest;
+    uint64_t fingerprint;
 };
 
 #endif
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -30,7 +30,7 @@
     g_strlcpy(req.model, rq->model, sizeof(req.model));
     rq->stage = FW_STAGE_QUEUE;
     rq->stage_deadline_us = 0;
-    Fw_Route_Submit(rs->deps.router, Fw_ConfigReplica_Config(rs->deps.fold),
+    Fw_Route_Submit(rs->deps.router, Fw_ConfigReplica_Config(rs->deps.replica),
                     &req, now_us, out);
 }
 
@@ -82,8 +82,8 @@
 start_prefill(struct fw_requests *rs, struct fw_request *rq,
               const struct fw_upstream *up, struct fw_actions *out)
 {
-    const struct fw_team *team =
-        Fw_Config_FindTeam(Fw_ConfigReplica_Config(rs->deps.fold), rq->team);
+    const struct fw_team *team = Fw_Config_FindTeam(
+        Fw_ConfigReplica_Config(rs->deps.replica), rq->team);
     struct fw_up_start *s;
     struct fw_up_prefill *p;
 
@@ -102,7 +102,7 @@
 Fw_Requests_OnPair(struct fw_requests *rs, const struct fw_route_answer *ans,
                    int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.replica);
     struct fw_request *rq = Fw_Request_ByTicket(rs, ans->ticket);
     const struct fw_upstream *up;
 
@@ -136,7 +136,7 @@
                      const struct fw_up_event *ev, int64_t now_us,
                      struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.replica);
     const struct fw_upstream *from = Fw_Config_FindUpstream(cfg, rq->prefill);
     const struct fw_upstream *to = Fw_Config_FindUpstream(cfg, rq->decode);
     struct fw_up_import *im;
@@ -193,7 +193,7 @@
                        enum fw_up_kind kind, struct fw_actions *out)
 {
     const struct fw_upstream *up = Fw_Config_FindUpstream(
-        Fw_ConfigReplica_Config(rs->deps.fold), rq->decode);
+        Fw_ConfigReplica_Config(rs->deps.replica), rq->decode);
     struct fw_up_decode *d;
 
     if (!up) {
@@ -212,7 +212,7 @@
                       uint64_t seq, struct fw_actions *out)
 {
     const struct fw_upstream *up = Fw_Config_FindUpstream(
-        Fw_ConfigReplica_Config(rs->deps.fold), upstream);
+        Fw_ConfigReplica_Config(rs->deps.replica), upstream);
     struct fw_up_start *s;
 
     if (!up) {
--- a/src/request/events.c
+++ b/src/request/events.c
@@ -186,7 +186,7 @@
 Fw_Requests_OnConfig(struct fw_requests *rs, int64_t now_us,
                      struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.replica);
     struct fw_list *pos;
     struct fw_list *tmp;
 
--- a/src/request/fail.c
+++ b/src/request/fail.c
@@ -41,8 +41,8 @@
 refund(struct fw_requests *rs, struct fw_request *rq, int64_t now_us,
        struct fw_actions *out)
 {
-    const struct fw_team *team =
-        Fw_Config_FindTeam(Fw_ConfigReplica_Config(rs->deps.fold), rq->team);
+    const struct fw_team *team = Fw_Config_FindTeam(
+        Fw_ConfigReplica_Config(rs->deps.replica), rq->team);
     int64_t unused = rq->granted_tokens - charged_tokens(rq);
 
     rq->granted_tokens = 0;
--- a/src/request/open.c
+++ b/src/request/open.c
@@ -10,7 +10,7 @@
 static const struct fw_config *
 config_of(const struct fw_requests *rs)
 {
-    return Fw_ConfigReplica_Config(rs->deps.fold);
+    return Fw_ConfigReplica_Config(rs->deps.replica);
 }
 
 static void
--- a/src/request/orphan.c
+++ b/src/request/orphan.c
@@ -75,7 +75,7 @@
 static int
 poll_all(struct fw_requests *rs, struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.replica);
     GHashTableIter it;
     gpointer value;
     int n = 0;
@@ -159,8 +159,8 @@
 cancel_orphan(struct fw_requests *rs, const char *engine, const char *id,
               struct fw_actions *out)
 {
-    const struct fw_upstream *up =
-        Fw_Config_FindUpstream(Fw_ConfigReplica_Config(rs->deps.fold), engine);
+    const struct fw_upstream *up = Fw_Config_FindUpstream(
+        Fw_ConfigReplica_Config(rs->deps.replica), engine);
     struct fw_up_start *s;
 
     if (!up) {
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -27,7 +27,7 @@
  */
 struct fw_request_deps {
     const struct fw_self *self;
-    const struct fw_config_replica *fold;
+    const struct fw_config_replica *replica;
     const struct fw_fleet *fleet;
     struct fw_limit *limit;
     struct fw_idem *idem;
--- a/src/request/service.c
+++ b/src/request/service.c
@@ -55,7 +55,7 @@
         avoid[i] = rq->failed_upstreams[i];
     }
     up = Fw_Route_PickServer(rs->deps.router,
-                             Fw_ConfigReplica_Config(rs->deps.fold),
+                             Fw_ConfigReplica_Config(rs->deps.replica),
                              rq->service, avoid, now_us);
     if (!up) {
         if (!rq->idempotent) {
@@ -93,7 +93,7 @@
                 struct fw_actions *out)
 {
     const struct fw_service *svc = Fw_Config_FindService(
-        Fw_ConfigReplica_Config(rs->deps.fold), call->service);
+        Fw_ConfigReplica_Config(rs->deps.replica), call->service);
     const struct fw_service_call *allowed =
         svc ? Fw_Config_FindServiceCall(svc, call->method, call->path) : NULL;
     struct fw_request *rq;
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -45,7 +45,7 @@
 view_of(const struct fw_rig *rig, int i)
 {
     return (struct fw_operate_view){.self = &rig->selves[i],
-                                    .fold = rig->replicas[i]};
+                                    .replica = rig->replicas[i]};
 }
 
 struct fw_rig *
--- a/tests/relay/script.c
+++ b/tests/relay/script.c
@@ -144,7 +144,7 @@
     g_strlcpy(info.key, key ? key : "", sizeof(info.key));
     g_strlcpy(info.id, id ? id : run->word[1], sizeof(info.id));
     info.timeout_us = Fw_RelayScript_GetNumber(run, "left_ms", 0) * FW_MSEC;
-    info.body_digest = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
+    info.fingerprint = (uint64_t)Fw_RelayScript_GetNumber(run, "digest", 0);
     Fw_Relay_Open(run->r, Fw_RelayScript_GetArg(run, 1), &info, run->now_us,
                   &run->acts);
 }
--- a/tests/relay/test_digest.c
+++ b/tests/relay/test_digest.c
@@ -149,7 +149,7 @@
 
     pair_init(&p);
     ck_assert(try_spend(p.from, &p));
-    ck_assert(p.from->x.delta_pending);
+    ck_assert(p.from->exchange.delta_pending);
     Fw_Delta_Write(p.from, FW_NOW_US, p.msg);
     deliver(&p);
     ck_assert(!try_spend(p.to, &p));
@@ -196,7 +196,7 @@
     s->running = 1;
     s->kv_tokens = 7000;
     Fw_Delta_NotePlacement(p.from, s);
-    ck_assert(p.from->x.delta_pending);
+    ck_assert(p.from->exchange.delta_pending);
     Fw_Delta_Write(p.from, FW_NOW_US, p.msg);
     deliver(&p);
     Fw_Place_Load(p.to, Fw_Servers_Find(p.to, "e1"), FW_NOW_US, &load);
--- a/tests/relay/test_hubs.c
+++ b/tests/relay/test_hubs.c
@@ -66,7 +66,7 @@
 find_by_role(struct fleet_fixture *g, int is_hub, int from)
 {
     for (int i = from; i < g->f.n; i++) {
-        if (relay_at(g, i)->x.is_hub == is_hub) {
+        if (relay_at(g, i)->exchange.is_hub == is_hub) {
             return i;
         }
     }
@@ -110,10 +110,10 @@
     for (int i = 0; i < FW_LARGE; i++) {
         int got = g.f.sites[i].n_received;
 
-        hubs += relay_at(&g, i)->x.is_hub;
+        hubs += relay_at(&g, i)->exchange.is_hub;
         all += got;
         /* A reply each period, and a list of hubs each second. */
-        ck_assert(relay_at(&g, i)->x.is_hub || got <= 3 * 9);
+        ck_assert(relay_at(&g, i)->exchange.is_hub || got <= 3 * 9);
         ck_assert_int_eq(count_live(&g, i), FW_LARGE);
     }
     ck_assert_int_ge(hubs, 2 * FW_DOMAINS);
@@ -134,7 +134,7 @@
 
     fixture_init(&g, 9);
     for (int i = 0; i < 9; i++) {
-        ck_assert(relay_at(&g, i)->x.is_hub);
+        ck_assert(relay_at(&g, i)->exchange.is_hub);
         ck_assert_int_eq(count_live(&g, i), 9);
     }
     fixture_clear(&g);
@@ -183,7 +183,8 @@
     leaf = find_by_role(&g, 0, 0);
     Fw_RelayFleet_Advance(&g.f, 10 * FW_SEC);
     hub = 0;
-    while (strcmp(g.f.sites[hub].name, relay_at(&g, leaf)->x.hub->name) != 0) {
+    while (strcmp(g.f.sites[hub].name,
+                  relay_at(&g, leaf)->exchange.hub->name) != 0) {
         hub++;
     }
     ck_assert(Fw_Allowance_Take(relay_at(&g, leaf), g.team, 10 * FW_COST,
@@ -196,7 +197,8 @@
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 1500 * FW_MSEC);
     Fw_Allowance_Describe(relay_at(&g, other), "t", &after, &part_permille);
-    ck_assert_str_ne(relay_at(&g, leaf)->x.hub->name, g.f.sites[hub].name);
+    ck_assert_str_ne(relay_at(&g, leaf)->exchange.hub->name,
+                     g.f.sites[hub].name);
     /* Refilled for up to two seconds, less the one request. */
     ck_assert_int_le(after, before - FW_COST + 2 * 10500);
     ck_assert_int_ge(after, before - FW_COST);
@@ -240,7 +242,7 @@
                    &g.f.sites[hub].acts);
     Fw_RelayFleet_Advance(&g.f, 300 * FW_MSEC);
     for (int i = 0; i < 60; i++) {
-        struct fw_rl_member *of = relay_at(&g, i)->x.hub;
+        struct fw_rl_member *of = relay_at(&g, i)->exchange.hub;
 
         ck_assert(!of || strcmp(of->name, g.f.sites[hub].name) != 0);
     }
@@ -352,7 +354,7 @@
         Fw_Relay_AddMember(r, &p, FW_SEC);
     }
     Fw_Hubs_UpdateRoles(r, FW_SEC);
-    ck_assert(!r->x.is_hub);
+    ck_assert(!r->exchange.is_hub);
     for (int i = 1; i < 40; i++) {
         char name[FW_NAME_MAX];
         struct fw_rl_member *m;
