--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -9,17 +9,17 @@
 #include "explore/p_relay.h"
 #include "explore/relay_fleet.h"
 
-#define FW_RATE_PER_S 50000
-#define FW_BURST 50000
-#define FW_LARGE_COST 12000
-/* Percentage of small requests, and their cost in tokens. */
+#define FW_RATE_TOKENS_PER_S 50000
+#define FW_BURST_TOKENS 50000
+#define FW_LARGE_COST_TOKENS 12000
+/* Percentage of requests that have the small cost. */
 #define FW_SMALL_PCT 30
-#define FW_SMALL_COST 1000
+#define FW_SMALL_COST_TOKENS 1000
 #define FW_FAULTY_MAX 2
 #define FW_FAULT_INTERVAL_US (4 * FW_SEC)
 #define FW_STEP_MAX_MS 80
 #define FW_WINDOW_US (8 * FW_SEC)
-#define FW_TOLERANCE 72000
+#define FW_TOLERANCE_TOKENS 72000
 #define FW_OVERAGE_FACTOR 1.1
 
 /** struct grant - tokens granted to a request at @at_us. */
@@ -36,8 +36,8 @@
 
     r->version = 1;
     g_strlcpy(t->name, "t", sizeof(t->name));
-    t->rate = FW_RATE_PER_S;
-    t->burst = FW_BURST;
+    t->rate = FW_RATE_TOKENS_PER_S;
+    t->burst = FW_BURST_TOKENS;
     t->priority = -1;
     return r;
 }
@@ -47,9 +47,10 @@
 {
     const struct grant *last =
         &g_array_index(grants, struct grant, grants->len - 1);
-    double limit = (FW_RATE_PER_S * (double)FW_WINDOW_US / FW_SEC + FW_BURST) *
+    double limit = (FW_RATE_TOKENS_PER_S * (double)FW_WINDOW_US / FW_SEC +
+                    FW_BURST_TOKENS) *
                        FW_OVERAGE_FACTOR +
-                   FW_TOLERANCE;
+                   FW_TOLERANCE_TOKENS;
     int64_t sum = 0;
 
     for (guint i = grants->len; i > 0; i--) {
@@ -69,47 +70,47 @@
 }
 
 static int
-count_faulty(const struct fleet *f)
+count_faulty(const struct fleet *fleet)
 {
     int n = 0;
 
-    for (int i = 0; i < f->n; i++) {
-        n += f->sites[i].isolated || !Fw_RelayFleet_IsRunning(f, i);
+    for (int i = 0; i < fleet->n; i++) {
+        n += fleet->sites[i].isolated || !Fw_RelayFleet_IsRunning(fleet, i);
     }
     return n;
 }
 
 static void
-inject_fault(struct fleet *f, int64_t *last_us)
+inject_fault(struct fleet *fleet, int64_t *last_us)
 {
-    int i = Fw_RelayFleet_RandBelow(f, f->n);
-    int event = Fw_RelayFleet_RandBelow(f, 100);
+    int i = Fw_RelayFleet_RandBelow(fleet, fleet->n);
+    int event = Fw_RelayFleet_RandBelow(fleet, 100);
 
-    if (event != 1 && (count_faulty(f) >= FW_FAULTY_MAX ||
-                       f->now_us - *last_us < FW_FAULT_INTERVAL_US)) {
+    if (event != 1 && (count_faulty(fleet) >= FW_FAULTY_MAX ||
+                       fleet->now_us - *last_us < FW_FAULT_INTERVAL_US)) {
         return;
     }
     if (event == 0 || event == 3 || event == 4) {
-        *last_us = f->now_us;
+        *last_us = fleet->now_us;
     }
     switch (event) {
     case 0:
-        f->sites[i].isolated = 1;
-        Fw_Run_Trace(f->run, "%s isolated", f->sites[i].name);
+        fleet->sites[i].isolated = 1;
+        Fw_Run_Trace(fleet->run, "%s isolated", fleet->sites[i].name);
         break;
     case 1:
-        for (int k = 0; k < f->n; k++) {
-            f->sites[k].isolated = 0;
+        for (int k = 0; k < fleet->n; k++) {
+            fleet->sites[k].isolated = 0;
         }
         break;
     case 3:
-        f->sites[i].frozen_until_us =
-            f->now_us + Fw_RelayFleet_RandBelow(f, 6 * FW_SEC);
-        Fw_Run_Trace(f->run, "%s frozen", f->sites[i].name);
+        fleet->sites[i].frozen_until_us =
+            fleet->now_us + Fw_RelayFleet_RandBelow(fleet, 6 * FW_SEC);
+        Fw_Run_Trace(fleet->run, "%s frozen", fleet->sites[i].name);
         break;
     case 4:
-        Fw_RelayFleet_Restart(f, i);
-        Fw_Run_Trace(f->run, "%s restarted", f->sites[i].name);
+        Fw_RelayFleet_Restart(fleet, i);
+        Fw_Run_Trace(fleet->run, "%s restarted", fleet->sites[i].name);
         break;
     default:
         break;
@@ -122,36 +123,36 @@
     struct fw_rl_rules *rules = make_rules();
     GArray *grants = g_array_new(FALSE, FALSE, sizeof(struct grant));
     const struct fw_rl_team_rule *t = g_ptr_array_index(rules->teams, 0);
-    struct fleet f;
+    struct fleet fleet;
     int64_t last_us = 0;
 
-    Fw_RelayFleet_Init(&f, run,
+    Fw_RelayFleet_Init(&fleet, run,
                        n_min + g_rand_int_range(run->rand, 0, n_extra), rules);
-    f.expires_members = expires_members;
-    Fw_RelayFleet_Advance(&f, 10 * FW_SEC);
+    fleet.expires_members = expires_members;
+    Fw_RelayFleet_Advance(&fleet, 10 * FW_SEC);
     for (int s = 0; s < run->steps && !run->failure[0]; s++) {
-        int i = Fw_RelayFleet_RandBelow(&f, f.n);
-        int64_t cost = Fw_RelayFleet_RandBelow(&f, 100) < FW_SMALL_PCT
-                           ? FW_SMALL_COST
-                           : FW_LARGE_COST;
+        int i = Fw_RelayFleet_RandBelow(&fleet, fleet.n);
+        int64_t cost = Fw_RelayFleet_RandBelow(&fleet, 100) < FW_SMALL_PCT
+                           ? FW_SMALL_COST_TOKENS
+                           : FW_LARGE_COST_TOKENS;
         int64_t retry_us;
 
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_RandBelow(&f, FW_STEP_MAX_MS) *
-                                      FW_MSEC);
-        inject_fault(&f, &last_us);
-        if (!Fw_RelayFleet_IsRunning(&f, i) ||
-            !Fw_Allowance_Take(f.sites[i].relay, t, cost,
-                               Fw_RelayFleet_Now(&f, i), &retry_us)) {
+        Fw_RelayFleet_Advance(
+            &fleet, Fw_RelayFleet_RandBelow(&fleet, FW_STEP_MAX_MS) * FW_MSEC);
+        inject_fault(&fleet, &last_us);
+        if (!Fw_RelayFleet_IsRunning(&fleet, i) ||
+            !Fw_Allowance_Take(fleet.sites[i].relay, t, cost,
+                               Fw_RelayFleet_Now(&fleet, i), &retry_us)) {
             continue;
         }
-        Fw_RelayFleet_Send(&f, i);
+        Fw_RelayFleet_Send(&fleet, i);
         g_array_append_vals(
-            grants, &(struct grant){.at_us = f.now_us, .tokens = cost}, 1);
+            grants, &(struct grant){.at_us = fleet.now_us, .tokens = cost}, 1);
         check_window(run, grants);
     }
     Fw_Run_Trace(run, "%u grants", grants->len);
     g_array_unref(grants);
-    Fw_RelayFleet_Clear(&f);
+    Fw_RelayFleet_Clear(&fleet);
     Fw_Rules_Unref(rules);
 }
 
--- a/explore/relay_fleet.c
+++ b/explore/relay_fleet.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #define FW_STEP_US (20 * FW_MSEC)
-#define FW_DOMAINS 3
+#define FW_DOMAIN_COUNT 3
 
-/** struct datagram - a message in flight between two sites. */
+/** struct datagram - a message in flight between two instances. */
 struct datagram {
     int from;
     int to;
@@ -23,35 +23,35 @@
 }
 
 int
-Fw_RelayFleet_RandBelow(struct fleet *f, int n)
+Fw_RelayFleet_RandBelow(struct fleet *fleet, int n)
 {
-    return g_rand_int_range(f->run->rand, 0, n);
+    return g_rand_int_range(fleet->run->rand, 0, n);
 }
 
 int64_t
-Fw_RelayFleet_Now(const struct fleet *f, int i)
+Fw_RelayFleet_Now(const struct fleet *fleet, int i)
 {
-    return f->now_us + f->sites[i].skew_us;
+    return fleet->now_us + fleet->sites[i].skew_us;
 }
 
 int
-Fw_RelayFleet_IsRunning(const struct fleet *f, int i)
+Fw_RelayFleet_IsRunning(const struct fleet *fleet, int i)
 {
-    return f->now_us >= f->sites[i].frozen_until_us;
+    return fleet->now_us >= fleet->sites[i].frozen_until_us;
 }
 
 static void
 domain_name(int i, char out[FW_NAME_MAX])
 {
-    g_snprintf(out, FW_NAME_MAX, "d%d", i % FW_DOMAINS);
+    g_snprintf(out, FW_NAME_MAX, "d%d", i % FW_DOMAIN_COUNT);
 }
 
 static void
-start(struct fleet *f, int i)
+start(struct fleet *fleet, int i)
 {
-    struct fleet_site *s = &f->sites[i];
-    struct fw_relay_opts o = {.boot = s->boot,
-                              .seed = g_rand_int(f->run->rand),
+    struct fleet_instance *inst = &fleet->sites[i];
+    struct fw_relay_opts o = {.boot = inst->boot,
+                              .seed = g_rand_int(fleet->run->rand),
                               .retry_ratio_ppm = 200000,
                               .retry_extra = 100,
                               .retry_window_us = 10 * FW_SEC,
@@ -65,100 +65,100 @@
                               .lease_us = 3 * FW_SEC,
                               .grace_us = 8 * FW_SEC,
                               .log_level = 0};
-    int64_t now = Fw_RelayFleet_Now(f, i);
+    int64_t now = Fw_RelayFleet_Now(fleet, i);
 
-    g_strlcpy(o.name, s->name, sizeof(o.name));
+    g_strlcpy(o.name, inst->name, sizeof(o.name));
     domain_name(i, o.domain);
-    s->relay = Fw_Relay_New(&o, now);
-    Fw_RelayActions_Init(&s->acts);
-    Fw_Relay_SetRules(s->relay, f->rules, 1, now, &s->acts);
-    Fw_Relay_SetFreshAsOf(s->relay, now);
-    Fw_Relay_EndServerList(s->relay, now, &s->acts);
-    for (int k = 0; k < f->n; k++) {
+    inst->relay = Fw_Relay_New(&o, now);
+    Fw_RelayActions_Init(&inst->acts);
+    Fw_Relay_SetRules(inst->relay, fleet->rules, 1, now, &inst->acts);
+    Fw_Relay_SetFreshAsOf(inst->relay, now);
+    Fw_Relay_EndServerList(inst->relay, now, &inst->acts);
+    for (int k = 0; k < fleet->n; k++) {
         struct fw_rl_peer peer = {0};
 
-        g_strlcpy(peer.name, f->sites[k].name, sizeof(peer.name));
-        g_strlcpy(peer.addr, f->sites[k].addr, sizeof(peer.addr));
+        g_strlcpy(peer.name, fleet->sites[k].name, sizeof(peer.name));
+        g_strlcpy(peer.addr, fleet->sites[k].addr, sizeof(peer.addr));
         domain_name(k, peer.domain);
-        Fw_Relay_AddMember(s->relay, &peer, now);
+        Fw_Relay_AddMember(inst->relay, &peer, now);
     }
 }
 
 void
-Fw_RelayFleet_Init(struct fleet *f, struct fw_run *run, int n,
+Fw_RelayFleet_Init(struct fleet *fleet, struct fw_run *run, int n,
                    struct fw_rl_rules *rules)
 {
-    *f = (struct fleet){.run = run,
-                        .n = n,
-                        .rules = rules,
-                        .now_us = 1000 * FW_SEC,
-                        .loss_pct = 3,
-                        .delay_pct = 3,
-                        .delay_max_us = 5 * FW_SEC};
-    f->in_flight = g_ptr_array_new_with_free_func(msg_free);
-    Fw_Outbox_Init(&f->outbox);
+    *fleet = (struct fleet){.run = run,
+                            .n = n,
+                            .rules = rules,
+                            .now_us = 1000 * FW_SEC,
+                            .loss_pct = 3,
+                            .delay_pct = 3,
+                            .delay_max_us = 5 * FW_SEC};
+    fleet->in_flight = g_ptr_array_new_with_free_func(msg_free);
+    Fw_Outbox_Init(&fleet->outbox);
     for (int i = 0; i < n; i++) {
-        struct fleet_site *s = &f->sites[i];
+        struct fleet_instance *inst = &fleet->sites[i];
 
-        g_snprintf(s->name, sizeof(s->name), "n%02d", i);
-        g_snprintf(s->addr, sizeof(s->addr), "10.0.0.%d:1", i + 1);
-        s->skew_us = Fw_RelayFleet_RandBelow(f, 1000) * FW_SEC;
-        s->boot = 1;
+        g_snprintf(inst->name, sizeof(inst->name), "n%02d", i);
+        g_snprintf(inst->addr, sizeof(inst->addr), "10.0.0.%d:1", i + 1);
+        inst->skew_us = Fw_RelayFleet_RandBelow(fleet, 1000) * FW_SEC;
+        inst->boot = 1;
     }
     for (int i = 0; i < n; i++) {
-        start(f, i);
+        start(fleet, i);
     }
 }
 
 void
-Fw_RelayFleet_Clear(struct fleet *f)
+Fw_RelayFleet_Clear(struct fleet *fleet)
 {
-    for (int i = 0; i < f->n; i++) {
-        Fw_RelayActions_Clear(&f->sites[i].acts);
-        Fw_Relay_Free(f->sites[i].relay);
+    for (int i = 0; i < fleet->n; i++) {
+        Fw_RelayActions_Clear(&fleet->sites[i].acts);
+        Fw_Relay_Free(fleet->sites[i].relay);
     }
-    g_ptr_array_unref(f->in_flight);
-    Fw_Outbox_Clear(&f->outbox);
-    g_ptr_array_unref(f->outbox.all);
+    g_ptr_array_unref(fleet->in_flight);
+    Fw_Outbox_Clear(&fleet->outbox);
+    g_ptr_array_unref(fleet->outbox.all);
 }
 
 void
-Fw_RelayFleet_Restart(struct fleet *f, int i)
+Fw_RelayFleet_Restart(struct fleet *fleet, int i)
 {
-    Fw_RelayActions_Clear(&f->sites[i].acts);
-    Fw_Relay_Free(f->sites[i].relay);
-    f->sites[i].boot++;
-    f->sites[i].frozen_until_us = 0;
-    start(f, i);
+    Fw_RelayActions_Clear(&fleet->sites[i].acts);
+    Fw_Relay_Free(fleet->sites[i].relay);
+    fleet->sites[i].boot++;
+    fleet->sites[i].frozen_until_us = 0;
+    start(fleet, i);
 }
 
 static void
-send_datagram(struct fleet *f, int from, int to, GBytes *data)
+send_datagram(struct fleet *fleet, int from, int to, GBytes *data)
 {
     struct datagram *m;
     int64_t delay = FW_MSEC;
 
-    if (f->sites[from].isolated || f->sites[to].isolated ||
-        f->sites[from].partition != f->sites[to].partition ||
-        Fw_RelayFleet_RandBelow(f, 100) < f->loss_pct) {
+    if (fleet->sites[from].isolated || fleet->sites[to].isolated ||
+        fleet->sites[from].partition != fleet->sites[to].partition ||
+        Fw_RelayFleet_RandBelow(fleet, 100) < fleet->loss_pct) {
         return;
     }
-    if (Fw_RelayFleet_RandBelow(f, 100) < f->delay_pct) {
-        delay = Fw_RelayFleet_RandBelow(f, (int)f->delay_max_us);
+    if (Fw_RelayFleet_RandBelow(fleet, 100) < fleet->delay_pct) {
+        delay = Fw_RelayFleet_RandBelow(fleet, (int)fleet->delay_max_us);
     }
     m = g_new0(struct datagram, 1);
     m->from = from;
     m->to = to;
-    m->due_us = f->now_us + delay;
+    m->due_us = fleet->now_us + delay;
     m->data = g_bytes_ref(data);
-    g_ptr_array_add(f->in_flight, m);
+    g_ptr_array_add(fleet->in_flight, m);
 }
 
 static int
-site_at(const struct fleet *f, const char *addr)
+find_instance(const struct fleet *fleet, const char *addr)
 {
-    for (int i = 0; i < f->n; i++) {
-        if (strcmp(f->sites[i].addr, addr) == 0) {
+    for (int i = 0; i < fleet->n; i++) {
+        if (strcmp(fleet->sites[i].addr, addr) == 0) {
             return i;
         }
     }
@@ -166,91 +166,94 @@
 }
 
 static void
-send_outbox(struct fleet *f, int from, struct fw_rl_outbox *outbox)
+send_outbox(struct fleet *fleet, int from, struct fw_rl_outbox *outbox)
 {
     for (guint i = 0; i < outbox->all->len; i++) {
         const struct fw_rl_datagram *d = g_ptr_array_index(outbox->all, i);
-        int to = site_at(f, d->addr);
+        int to = find_instance(fleet, d->addr);
 
         if (to >= 0) {
-            send_datagram(f, from, to, d->data);
+            send_datagram(fleet, from, to, d->data);
         }
     }
     Fw_Outbox_Clear(outbox);
 }
 
 static void
-receive(struct fleet *f, const struct datagram *m)
+receive(struct fleet *fleet, const struct datagram *m)
 {
     gsize len;
     const void *data = g_bytes_get_data(m->data, &len);
 
-    f->n_cross_domain += m->from % FW_DOMAINS != m->to % FW_DOMAINS;
-    f->sites[m->to].n_received++;
-    Fw_Relay_ReadMessage(f->sites[m->to].relay, f->sites[m->from].addr, data,
-                         len, Fw_RelayFleet_Now(f, m->to), &f->outbox);
-    send_outbox(f, m->to, &f->outbox);
+    fleet->n_cross_domain +=
+        m->from % FW_DOMAIN_COUNT != m->to % FW_DOMAIN_COUNT;
+    fleet->sites[m->to].n_received++;
+    Fw_Relay_ReadMessage(fleet->sites[m->to].relay, fleet->sites[m->from].addr,
+                         data, len, Fw_RelayFleet_Now(fleet, m->to),
+                         &fleet->outbox);
+    send_outbox(fleet, m->to, &fleet->outbox);
 }
 
 static void
-deliver_due(struct fleet *f)
+deliver_due(struct fleet *fleet)
 {
-    for (guint i = 0; i < f->in_flight->len;) {
-        struct datagram *m = g_ptr_array_index(f->in_flight, i);
+    for (guint i = 0; i < fleet->in_flight->len;) {
+        struct datagram *m = g_ptr_array_index(fleet->in_flight, i);
 
-        if (m->due_us > f->now_us || !Fw_RelayFleet_IsRunning(f, m->to)) {
+        if (m->due_us > fleet->now_us ||
+            !Fw_RelayFleet_IsRunning(fleet, m->to)) {
             i++;
             continue;
         }
-        receive(f, m);
-        g_ptr_array_remove_index(f->in_flight, i);
+        receive(fleet, m);
+        g_ptr_array_remove_index(fleet->in_flight, i);
     }
 }
 
 void
-Fw_RelayFleet_Send(struct fleet *f, int i)
+Fw_RelayFleet_Send(struct fleet *fleet, int i)
 {
-    if (Fw_RelayFleet_IsRunning(f, i)) {
-        if (f->expires_members) {
-            Fw_Members_Tick(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
-                            &f->sites[i].acts);
-            g_array_set_size(f->sites[i].acts.all, 0);
+    if (Fw_RelayFleet_IsRunning(fleet, i)) {
+        if (fleet->expires_members) {
+            Fw_Members_Tick(fleet->sites[i].relay, Fw_RelayFleet_Now(fleet, i),
+                            &fleet->sites[i].acts);
+            g_array_set_size(fleet->sites[i].acts.all, 0);
         }
-        Fw_Relay_WriteMessages(f->sites[i].relay, Fw_RelayFleet_Now(f, i),
-                               &f->outbox);
-        send_outbox(f, i, &f->outbox);
+        Fw_Relay_WriteMessages(fleet->sites[i].relay,
+                               Fw_RelayFleet_Now(fleet, i), &fleet->outbox);
+        send_outbox(fleet, i, &fleet->outbox);
     }
 }
 
 void
-Fw_RelayFleet_Partition(struct fleet *f)
+Fw_RelayFleet_Partition(struct fleet *fleet)
 {
-    int domain = Fw_RelayFleet_RandBelow(f, FW_DOMAINS);
+    int domain = Fw_RelayFleet_RandBelow(fleet, FW_DOMAIN_COUNT);
 
-    for (int i = domain; i < f->n; i += FW_DOMAINS) {
-        f->sites[i].partition = 1;
+    for (int i = domain; i < fleet->n; i += FW_DOMAIN_COUNT) {
+        fleet->sites[i].partition = 1;
     }
 }
 
 void
-Fw_RelayFleet_Heal(struct fleet *f)
+Fw_RelayFleet_Heal(struct fleet *fleet)
 {
-    for (int i = 0; i < f->n; i++) {
-        f->sites[i].isolated = 0;
-        f->sites[i].partition = 0;
+    for (int i = 0; i < fleet->n; i++) {
+        fleet->sites[i].isolated = 0;
+        fleet->sites[i].partition = 0;
     }
 }
 
 void
-Fw_RelayFleet_Advance(struct fleet *f, int64_t us)
+Fw_RelayFleet_Advance(struct fleet *fleet, int64_t us)
 {
-    int64_t end = f->now_us + us;
+    int64_t end = fleet->now_us + us;
 
-    while (f->now_us < end) {
-        f->now_us += MIN(FW_STEP_US, end - f->now_us);
-        deliver_due(f);
-        for (int i = 0; i < f->n; i++) {
-            Fw_RelayFleet_Send(f, i);
+    while (fleet->now_us < end) {
+        fleet->now_us += MIN(FW_STEP_US, end - fleet->now_us);
+        deliver_due(fleet);
+        for (int i = 0; i < fleet->n; i++) {
+            Fw_RelayFleet_Send(fleet, i);
         }
     }
 }
--- a/explore/relay_fleet.h
+++ b/explore/relay_fleet.h
@@ -11,7 +11,7 @@
 #define FW_FLEET_MAX 128
 
 /**
- * struct fleet_site - one instance.
+ * struct fleet_instance - one instance.
  * @skew_us: offset of its clock from the run's
  * @frozen_until_us: it runs from this time of the run on
  * @boot: number of its process lifetime
@@ -19,7 +19,7 @@
  * @partition: messages pass only between instances of the same partition
  * @n_received: messages received
  */
-struct fleet_site {
+struct fleet_instance {
     struct fw_relay *relay;
     struct fw_rl_actions acts;
     char name[FW_NAME_MAX];
@@ -34,7 +34,7 @@
 
 /**
  * struct fleet - the instances and the messages between them.
- * @n: number of @sites in use
+ * @n: number of @instances in use
  * @now_us: time of the run
  * @in_flight: messages sent and not received, of struct datagram
  * @loss_pct, @delay_pct: percentage of messages that are lost, or delayed by
@@ -46,7 +46,7 @@
 struct fleet {
     struct fw_run *run;
     int n;
-    struct fleet_site sites[FW_FLEET_MAX];
+    struct fleet_instance sites[FW_FLEET_MAX];
     struct fw_rl_rules *rules;
     int64_t now_us;
     GPtrArray *in_flight;
@@ -59,33 +59,33 @@
 };
 
 void
-Fw_RelayFleet_Init(struct fleet *f, struct fw_run *run, int n,
+Fw_RelayFleet_Init(struct fleet *fleet, struct fw_run *run, int n,
                    struct fw_rl_rules *rules);
 void
-Fw_RelayFleet_Clear(struct fleet *f);
+Fw_RelayFleet_Clear(struct fleet *fleet);
 /* A random number from 0 to @n - 1, from the run's generator. */
 int
-Fw_RelayFleet_RandBelow(struct fleet *f, int n);
+Fw_RelayFleet_RandBelow(struct fleet *fleet, int n);
 /* Kills the instance and starts it without state. */
 void
-Fw_RelayFleet_Restart(struct fleet *f, int i);
+Fw_RelayFleet_Restart(struct fleet *fleet, int i);
 /* The time by the clock of instance @i. */
 int64_t
-Fw_RelayFleet_Now(const struct fleet *f, int i);
+Fw_RelayFleet_Now(const struct fleet *fleet, int i);
 /* Advances time by @us in small steps, delivering and sending messages. */
 void
-Fw_RelayFleet_Advance(struct fleet *f, int64_t us);
+Fw_RelayFleet_Advance(struct fleet *fleet, int64_t us);
 /* Lets instance @i send the messages that are due, unless it is frozen. */
 void
-Fw_RelayFleet_Send(struct fleet *f, int i);
+Fw_RelayFleet_Send(struct fleet *fleet, int i);
 /* Partitions a random failure domain from the others. */
 void
-Fw_RelayFleet_Partition(struct fleet *f);
+Fw_RelayFleet_Partition(struct fleet *fleet);
 /* Ends all partitions and isolation. */
 void
-Fw_RelayFleet_Heal(struct fleet *f);
+Fw_RelayFleet_Heal(struct fleet *fleet);
 /* Is instance @i not frozen? */
 int
-Fw_RelayFleet_IsRunning(const struct fleet *f, int i);
+Fw_RelayFleet_IsRunning(const struct fleet *fleet, int i);
 
 #endif
--- a/explore/relay_hubs.c
+++ b/explore/relay_hubs.c
@@ -13,57 +13,57 @@
 #define FW_SERVER "e0"
 
 static void
-list_server(struct fleet *f, int i)
+list_server(struct fleet *fleet, int i)
 {
-    struct fleet_site *s = &f->sites[i];
+    struct fleet_instance *inst = &fleet->sites[i];
     struct fw_rl_server_entry e = {
         .id = FW_SERVER, .service = "llm", .slots = 8, .born_ms = 1};
 
-    Fw_Relay_UpdateServer(s->relay, e.id, &e, Fw_RelayFleet_Now(f, i),
-                          &s->acts);
-    g_array_set_size(s->acts.all, 0);
+    Fw_Relay_UpdateServer(inst->relay, e.id, &e, Fw_RelayFleet_Now(fleet, i),
+                          &inst->acts);
+    g_array_set_size(inst->acts.all, 0);
 }
 
 /* Sets a random number of requests of instance @i on the server. */
 static void
-set_load(struct fleet *f, int i)
+set_load(struct fleet *fleet, int i)
 {
-    struct fw_relay *r = f->sites[i].relay;
+    struct fw_relay *r = fleet->sites[i].relay;
     struct fw_rl_server *s = Fw_Servers_Find(r, FW_SERVER);
 
-    s->running = Fw_RelayFleet_RandBelow(f, 9);
+    s->running = Fw_RelayFleet_RandBelow(fleet, 9);
     s->kv_tokens = s->running * 1000;
     Fw_Delta_NotePlacement(r, s);
 }
 
 static void
-inject_fault(struct fleet *f)
+inject_fault(struct fleet *fleet)
 {
-    int i = Fw_RelayFleet_RandBelow(f, f->n);
+    int i = Fw_RelayFleet_RandBelow(fleet, fleet->n);
 
-    switch (Fw_RelayFleet_RandBelow(f, 30)) {
+    switch (Fw_RelayFleet_RandBelow(fleet, 30)) {
     case 0:
-        f->sites[i].isolated = 1;
-        Fw_Run_Trace(f->run, "%s isolated", f->sites[i].name);
+        fleet->sites[i].isolated = 1;
+        Fw_Run_Trace(fleet->run, "%s isolated", fleet->sites[i].name);
         break;
     case 1:
-        Fw_RelayFleet_Partition(f);
-        Fw_Run_Trace(f->run, "a domain partitioned");
+        Fw_RelayFleet_Partition(fleet);
+        Fw_Run_Trace(fleet->run, "a domain partitioned");
         break;
     case 2:
-        f->sites[i].frozen_until_us =
-            f->now_us + Fw_RelayFleet_RandBelow(f, 3 * FW_SEC);
-        Fw_Run_Trace(f->run, "%s frozen", f->sites[i].name);
+        fleet->sites[i].frozen_until_us =
+            fleet->now_us + Fw_RelayFleet_RandBelow(fleet, 3 * FW_SEC);
+        Fw_Run_Trace(fleet->run, "%s frozen", fleet->sites[i].name);
         break;
     case 3:
     case 4:
-        Fw_RelayFleet_Restart(f, i);
-        list_server(f, i);
-        Fw_Run_Trace(f->run, "%s restarted", f->sites[i].name);
+        Fw_RelayFleet_Restart(fleet, i);
+        list_server(fleet, i);
+        Fw_Run_Trace(fleet->run, "%s restarted", fleet->sites[i].name);
         break;
     case 5:
-        Fw_RelayFleet_Heal(f);
-        Fw_Run_Trace(f->run, "partitions and isolation ended");
+        Fw_RelayFleet_Heal(fleet);
+        Fw_Run_Trace(fleet->run, "partitions and isolation ended");
         break;
     default:
         break;
@@ -71,36 +71,37 @@
 }
 
 static void
-end_faults(struct fleet *f)
+end_faults(struct fleet *fleet)
 {
-    Fw_RelayFleet_Heal(f);
-    for (int i = 0; i < f->n; i++) {
-        f->sites[i].frozen_until_us = 0;
+    Fw_RelayFleet_Heal(fleet);
+    for (int i = 0; i < fleet->n; i++) {
+        fleet->sites[i].frozen_until_us = 0;
     }
-    f->loss_pct = 0;
-    f->delay_pct = 0;
+    fleet->loss_pct = 0;
+    fleet->delay_pct = 0;
     /* Delayed messages count as faults until the last one has arrived. */
-    Fw_RelayFleet_Advance(f, f->delay_max_us);
-    Fw_RelayFleet_Advance(f, FW_SETTLE_US);
+    Fw_RelayFleet_Advance(fleet, fleet->delay_max_us);
+    Fw_RelayFleet_Advance(fleet, FW_SETTLE_US);
 }
 
 static void
-check_view(struct fleet *f, int i, int running)
+check_view(struct fleet *fleet, int i, int running)
 {
-    struct fw_relay *r = f->sites[i].relay;
-    int64_t now = Fw_RelayFleet_Now(f, i);
+    struct fw_relay *r = fleet->sites[i].relay;
+    int64_t now = Fw_RelayFleet_Now(fleet, i);
     struct fw_rl_load load;
-    int in_touch;
-    int count = Fw_Members_Count(r, now, &in_touch);
+    int n_live;
+    int n_known = Fw_Members_Count(r, now, &n_live);
 
-    if (count != f->n || in_touch != f->n) {
-        Fw_Run_Fail(f->run, "%s counts %d instances, %d live, of %d",
-                    f->sites[i].name, count, in_touch, f->n);
+    if (n_known != fleet->n || n_live != fleet->n) {
+        Fw_Run_Fail(fleet->run, "%s counts %d instances, %d live, of %d",
+                    fleet->sites[i].name, n_known, n_live, fleet->n);
     }
     Fw_Place_Load(r, Fw_Servers_Find(r, FW_SERVER), now, &load);
     if (load.running != running || load.kv_tokens != running * 1000) {
-        Fw_Run_Fail(f->run, "%s computes a load of %d requests, expected %d",
-                    f->sites[i].name, load.running, running);
+        Fw_Run_Fail(fleet->run,
+                    "%s computes a load of %d requests, expected %d",
+                    fleet->sites[i].name, load.running, running);
     }
 }
 
@@ -108,33 +109,33 @@
 Fw_Explore_RelayHubs(struct fw_run *run)
 {
     struct fw_rl_rules *rules = Fw_Rules_New();
-    struct fleet f;
+    struct fleet fleet;
     int running = 0;
 
     rules->version = 1;
     Fw_RelayFleet_Init(
-        &f, run,
+        &fleet, run,
         FW_INSTANCES_MIN +
             g_rand_int_range(run->rand, 0,
                              FW_INSTANCES_MAX - FW_INSTANCES_MIN),
         rules);
-    f.expires_members = 1;
-    for (int i = 0; i < f.n; i++) {
-        list_server(&f, i);
+    fleet.expires_members = 1;
+    for (int i = 0; i < fleet.n; i++) {
+        list_server(&fleet, i);
     }
     for (int s = 0; s < run->steps; s++) {
-        Fw_RelayFleet_Advance(&f, Fw_RelayFleet_RandBelow(&f, FW_STEP_MAX_MS) *
-                                      FW_MSEC);
-        inject_fault(&f);
-        set_load(&f, Fw_RelayFleet_RandBelow(&f, f.n));
+        Fw_RelayFleet_Advance(
+            &fleet, Fw_RelayFleet_RandBelow(&fleet, FW_STEP_MAX_MS) * FW_MSEC);
+        inject_fault(&fleet);
+        set_load(&fleet, Fw_RelayFleet_RandBelow(&fleet, fleet.n));
     }
-    end_faults(&f);
-    for (int i = 0; i < f.n; i++) {
-        running += Fw_Servers_Find(f.sites[i].relay, FW_SERVER)->running;
+    end_faults(&fleet);
+    for (int i = 0; i < fleet.n; i++) {
+        running += Fw_Servers_Find(fleet.sites[i].relay, FW_SERVER)->running;
     }
-    for (int i = 0; i < f.n && !run->failure[0]; i++) {
-        check_view(&f, i, running);
+    for (int i = 0; i < fleet.n && !run->failure[0]; i++) {
+        check_view(&fleet, i, running);
     }
-    Fw_RelayFleet_Clear(&f);
+    Fw_RelayFleet_Clear(&fleet);
     Fw_Rules_Unref(rules);
 }
--- a/explore/relay_orders.c
+++ b/explore/relay_orders.c
@@ -18,7 +18,7 @@
  * @decided: the log has decided; @result and @offset are set
  */
 struct claim {
-    int site;
+    int instance;
     uint64_t boot;
     uint64_t append_at;
     int64_t sent_us;
@@ -29,104 +29,112 @@
 };
 
 /**
- * struct order_world - instances, the log, and the engines.
+ * struct order_env - instances, the log, and the engines.
  * @claims: of struct claim
  * @log_end: offset at which the log appends next
  * @last_fence: highest token of an order so far, 0 before the first
- * @last_site, @last_us: sender and time of the last order
+ * @last_sender, @last_us: sending instance and time of the last order
  * @stage, @orders: of each engine; @orders: orders accepted
  */
-struct order_world {
-    struct fleet f;
+struct order_env {
+    struct fleet fleet;
     GPtrArray *claims;
     uint64_t log_end;
     uint64_t last_fence;
-    int last_site;
+    int last_sender;
     int64_t last_us;
     enum fw_rl_stage stage[FW_ENGINE_COUNT];
     int64_t orders[FW_ENGINE_COUNT];
 };
 
 static void
-update_engines(struct order_world *w, int i)
+update_engines(struct order_env *env, int i)
 {
-    struct fleet_site *s = &w->f.sites[i];
+    struct fleet_instance *inst = &env->fleet.sites[i];
 
     for (int e = 0; e < FW_ENGINE_COUNT; e++) {
-        struct fw_rl_server_entry entry = {
-            .service = "llm", .slots = 8, .stage = w->stage[e], .born_ms = 1};
+        struct fw_rl_server_entry entry = {.service = "llm",
+                                           .slots = 8,
+                                           .stage = env->stage[e],
+                                           .born_ms = 1};
 
         g_snprintf(entry.id, sizeof(entry.id), "e%d", e);
         g_snprintf(entry.addr, sizeof(entry.addr), "10.1.0.%d:1", e);
-        Fw_Relay_UpdateServer(s->relay, entry.id, &entry,
-                              Fw_RelayFleet_Now(&w->f, i), &s->acts);
+        Fw_Relay_UpdateServer(inst->relay, entry.id, &entry,
+                              Fw_RelayFleet_Now(&env->fleet, i), &inst->acts);
     }
-    Fw_Relay_SetFreshAsOf(s->relay, Fw_RelayFleet_Now(&w->f, i));
+    Fw_Relay_SetFreshAsOf(inst->relay, Fw_RelayFleet_Now(&env->fleet, i));
 }
 
 /* Checks an order of instance @i against earlier ones and carries it out. */
 static void
-apply_order(struct order_world *w, int i, const struct fw_rl_upstream_call *c)
+apply_order(struct order_env *env, int i, const struct fw_rl_upstream_call *c)
 {
     int e = c->server[1] - '0';
 
-    if (w->last_fence && c->fence < w->last_fence) {
-        Fw_Run_Fail(w->f.run, "%s orders with token %d after %d",
-                    w->f.sites[i].name, (int)c->fence, (int)w->last_fence);
+    if (env->last_fence && c->fence < env->last_fence) {
+        Fw_Run_Fail(env->fleet.run, "%s orders with token %d after %d",
+                    env->fleet.sites[i].name, (int)c->fence,
+                    (int)env->last_fence);
     }
-    if (w->last_fence && w->last_site != i &&
-        w->f.now_us - w->last_us < 3 * FW_SEC && c->fence <= w->last_fence) {
-        Fw_Run_Fail(w->f.run, "%s and %s share token %d", w->f.sites[i].name,
-                    w->f.sites[w->last_site].name, (int)c->fence);
+    if (env->last_fence && env->last_sender != i &&
+        env->fleet.now_us - env->last_us < 3 * FW_SEC &&
+        c->fence <= env->last_fence) {
+        Fw_Run_Fail(env->fleet.run, "%s and %s share token %d",
+                    env->fleet.sites[i].name,
+                    env->fleet.sites[env->last_sender].name, (int)c->fence);
     }
-    if (w->last_fence && w->last_site != i &&
-        w->f.now_us - w->last_us < 2 * FW_SEC) {
-        Fw_Run_Fail(w->f.run, "%s orders %d ms after %s", w->f.sites[i].name,
-                    (int)((w->f.now_us - w->last_us) / FW_MSEC),
-                    w->f.sites[w->last_site].name);
+    if (env->last_fence && env->last_sender != i &&
+        env->fleet.now_us - env->last_us < 2 * FW_SEC) {
+        Fw_Run_Fail(env->fleet.run, "%s orders %d ms after %s",
+                    env->fleet.sites[i].name,
+                    (int)((env->fleet.now_us - env->last_us) / FW_MSEC),
+                    env->fleet.sites[env->last_sender].name);
     }
-    w->last_fence = MAX(c->fence, w->last_fence);
-    w->last_site = i;
-    w->last_us = w->f.now_us;
-    w->stage[e] = c->stage;
-    w->orders[e]++;
-    Fw_Run_Trace(w->f.run, "%s orders e%d token %d", w->f.sites[i].name, e,
-                 (int)c->fence);
+    env->last_fence = MAX(c->fence, env->last_fence);
+    env->last_sender = i;
+    env->last_us = env->fleet.now_us;
+    env->stage[e] = c->stage;
+    env->orders[e]++;
+    Fw_Run_Trace(env->fleet.run, "%s orders e%d token %d",
+                 env->fleet.sites[i].name, e, (int)c->fence);
 }
 
 static void
-respond(struct order_world *w, int i, const struct fw_rl_upstream_call *c)
+respond(struct order_env *env, int i, const struct fw_rl_upstream_call *c)
 {
-    struct fleet_site *s = &w->f.sites[i];
+    struct fleet_instance *inst = &env->fleet.sites[i];
     int e = c->server[1] - '0';
     struct fw_rl_upstream_response a = {
-        .status = 200, .stage = w->stage[e], .orders = w->orders[e]};
+        .status = 200, .stage = env->stage[e], .orders = env->orders[e]};
 
     if (c->kind == FW_RL_UP_SET_STAGE) {
-        apply_order(w, i, c);
+        apply_order(env, i, c);
         a.status = 202;
     }
-    if (Fw_RelayFleet_RandBelow(&w->f, 100) < 10) {
-        Fw_Relay_UpstreamFailed(s->relay, c->xid, -110, 1,
-                                Fw_RelayFleet_Now(&w->f, i), &s->acts);
+    if (Fw_RelayFleet_RandBelow(&env->fleet, 100) < 10) {
+        Fw_Relay_UpstreamFailed(inst->relay, c->xid, -110, 1,
+                                Fw_RelayFleet_Now(&env->fleet, i),
+                                &inst->acts);
         return;
     }
-    Fw_Relay_ResponseEnded(s->relay, c->xid, &a, Fw_RelayFleet_Now(&w->f, i),
-                           &s->acts);
+    Fw_Relay_ResponseEnded(inst->relay, c->xid, &a,
+                           Fw_RelayFleet_Now(&env->fleet, i), &inst->acts);
 }
 
 static void
-send_claim(struct order_world *w, int i, uint64_t append_at)
+send_claim(struct order_env *env, int i, uint64_t append_at)
 {
     struct claim *c = g_new0(struct claim, 1);
 
     *c = (struct claim){
-        .site = i,
-        .boot = w->f.sites[i].boot,
+        .instance = i,
+        .boot = env->fleet.sites[i].boot,
         .append_at = append_at,
-        .sent_us = Fw_RelayFleet_Now(&w->f, i),
-        .due_us = w->f.now_us + Fw_RelayFleet_RandBelow(&w->f, 900 * FW_MSEC)};
-    g_ptr_array_add(w->claims, c);
+        .sent_us = Fw_RelayFleet_Now(&env->fleet, i),
+        .due_us = env->fleet.now_us +
+                  Fw_RelayFleet_RandBelow(&env->fleet, 900 * FW_MSEC)};
+    g_ptr_array_add(env->claims, c);
 }
 
 /*
@@ -135,60 +143,61 @@
  * has been restarted are dropped.
  */
 static void
-deliver_claims(struct order_world *w)
+deliver_claims(struct order_env *env)
 {
-    for (guint k = 0; k < w->claims->len;) {
-        struct claim *c = g_ptr_array_index(w->claims, k);
-        struct fleet_site *s = &w->f.sites[c->site];
+    for (guint k = 0; k < env->claims->len;) {
+        struct claim *c = g_ptr_array_index(env->claims, k);
+        struct fleet_instance *inst = &env->fleet.sites[c->instance];
 
-        if (w->f.now_us < c->due_us ||
-            (c->decided && !Fw_RelayFleet_IsRunning(&w->f, c->site))) {
+        if (env->fleet.now_us < c->due_us ||
+            (c->decided &&
+             !Fw_RelayFleet_IsRunning(&env->fleet, c->instance))) {
             k++;
             continue;
         }
         if (!c->decided) {
             c->decided = 1;
-            c->result = c->append_at == w->log_end ? FW_RL_CLAIM_WON
-                                                   : FW_RL_CLAIM_LOST;
-            w->log_end += c->result == FW_RL_CLAIM_WON;
+            c->result = c->append_at == env->log_end ? FW_RL_CLAIM_WON
+                                                     : FW_RL_CLAIM_LOST;
+            env->log_end += c->result == FW_RL_CLAIM_WON;
             c->offset =
-                c->result == FW_RL_CLAIM_WON ? w->log_end - 1 : w->log_end;
-            c->due_us += Fw_RelayFleet_RandBelow(&w->f, 900 * FW_MSEC);
-            if (Fw_RelayFleet_RandBelow(&w->f, 100) < 15) {
+                c->result == FW_RL_CLAIM_WON ? env->log_end - 1 : env->log_end;
+            c->due_us += Fw_RelayFleet_RandBelow(&env->fleet, 900 * FW_MSEC);
+            if (Fw_RelayFleet_RandBelow(&env->fleet, 100) < 15) {
                 c->result = FW_RL_CLAIM_UNKNOWN;
             }
             k++;
             continue;
         }
-        if (c->boot == s->boot) {
-            Fw_Relay_ClaimEnded(s->relay, c->result, c->offset, c->sent_us,
-                                Fw_RelayFleet_Now(&w->f, c->site));
+        if (c->boot == inst->boot) {
+            Fw_Relay_ClaimEnded(inst->relay, c->result, c->offset, c->sent_us,
+                                Fw_RelayFleet_Now(&env->fleet, c->instance));
         }
-        g_ptr_array_remove_index(w->claims, k);
+        g_ptr_array_remove_index(env->claims, k);
     }
 }
 
 static void
-run_instance(struct order_world *w, int i)
+run_instance(struct order_env *env, int i)
 {
-    struct fleet_site *s = &w->f.sites[i];
+    struct fleet_instance *inst = &env->fleet.sites[i];
 
-    if (!Fw_RelayFleet_IsRunning(&w->f, i)) {
+    if (!Fw_RelayFleet_IsRunning(&env->fleet, i)) {
         return;
     }
-    Fw_Relay_Tick(s->relay, Fw_RelayFleet_Now(&w->f, i), &s->acts);
-    for (guint k = 0; k < s->acts.all->len; k++) {
+    Fw_Relay_Tick(inst->relay, Fw_RelayFleet_Now(&env->fleet, i), &inst->acts);
+    for (guint k = 0; k < inst->acts.all->len; k++) {
         struct fw_rl_action a =
-            g_array_index(s->acts.all, struct fw_rl_action, k);
+            g_array_index(inst->acts.all, struct fw_rl_action, k);
 
         if (a.kind == FW_RL_DO_CLAIM_ROLE) {
-            send_claim(w, i, a.u.claim_offset);
+            send_claim(env, i, a.u.claim_offset);
         }
         else if (a.kind == FW_RL_DO_CALL) {
-            respond(w, i, &a.u.upstream_call);
+            respond(env, i, &a.u.upstream_call);
         }
     }
-    g_array_set_size(s->acts.all, 0);
+    g_array_set_size(inst->acts.all, 0);
 }
 
 static struct fw_rl_rules *
@@ -209,34 +218,36 @@
 Fw_Explore_RelayOrders(struct fw_run *run)
 {
     struct fw_rl_rules *rules = make_rules();
-    struct order_world w = {.last_site = -1};
+    struct order_env env = {.last_sender = -1};
 
-    Fw_RelayFleet_Init(&w.f, run, 3, rules);
-    w.claims = g_ptr_array_new_with_free_func(g_free);
+    Fw_RelayFleet_Init(&env.fleet, run, 3, rules);
+    env.claims = g_ptr_array_new_with_free_func(g_free);
     for (int s = 0; s < run->steps && !run->failure[0]; s++) {
-        int i = Fw_RelayFleet_RandBelow(&w.f, w.f.n);
-        int e = Fw_RelayFleet_RandBelow(&w.f, FW_ENGINE_COUNT);
-
-        Fw_RelayFleet_Advance(&w.f,
-                              Fw_RelayFleet_RandBelow(&w.f, 200) * FW_MSEC);
-        if (Fw_RelayFleet_RandBelow(&w.f, 8) == 0) {
-            w.stage[e] = Fw_RelayFleet_RandBelow(&w.f, 2) ? FW_RL_STAGE_PREFILL
-                                                          : FW_RL_STAGE_DECODE;
+        int i = Fw_RelayFleet_RandBelow(&env.fleet, env.fleet.n);
+        int e = Fw_RelayFleet_RandBelow(&env.fleet, FW_ENGINE_COUNT);
+
+        Fw_RelayFleet_Advance(
+            &env.fleet, Fw_RelayFleet_RandBelow(&env.fleet, 200) * FW_MSEC);
+        if (Fw_RelayFleet_RandBelow(&env.fleet, 8) == 0) {
+            env.stage[e] = Fw_RelayFleet_RandBelow(&env.fleet, 2)
+                               ? FW_RL_STAGE_PREFILL
+                               : FW_RL_STAGE_DECODE;
         }
-        if (Fw_RelayFleet_RandBelow(&w.f, 25) == 0) {
-            w.f.sites[i].frozen_until_us =
-                w.f.now_us + Fw_RelayFleet_RandBelow(&w.f, 7 * FW_SEC);
+        if (Fw_RelayFleet_RandBelow(&env.fleet, 25) == 0) {
+            env.fleet.sites[i].frozen_until_us =
+                env.fleet.now_us +
+                Fw_RelayFleet_RandBelow(&env.fleet, 7 * FW_SEC);
         }
-        if (Fw_RelayFleet_RandBelow(&w.f, 150) == 0) {
-            Fw_RelayFleet_Restart(&w.f, i);
+        if (Fw_RelayFleet_RandBelow(&env.fleet, 150) == 0) {
+            Fw_RelayFleet_Restart(&env.fleet, i);
         }
-        deliver_claims(&w);
-        for (int k = 0; k < w.f.n; k++) {
-            update_engines(&w, k);
-            run_instance(&w, k);
+        deliver_claims(&env);
+        for (int k = 0; k < env.fleet.n; k++) {
+            update_engines(&env, k);
+            run_instance(&env, k);
         }
     }
-    g_ptr_array_unref(w.claims);
-    Fw_RelayFleet_Clear(&w.f);
+    g_ptr_array_unref(env.claims);
+    Fw_RelayFleet_Clear(&env.fleet);
     Fw_Rules_Unref(rules);
 }
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -6,7 +6,7 @@
 static char *
 replica_name(int i)
 {
-    return g_strdup_printf("fold%d", i);
+    return g_strdup_printf("node%d", i);
 }
 
 static struct fw_config_replica *
--- a/tests/fleet/fleet_script.c
+++ b/tests/fleet/fleet_script.c
@@ -30,7 +30,7 @@
 }
 
 static int
-site_arg(const struct script_run *s, int i)
+instance_arg(const struct script_run *s, int i)
 {
     int k = int_arg(s, i) - 1;
 
@@ -49,7 +49,7 @@
 print_view(struct script_run *s)
 {
     static const char *const names[] = {"alive", "suspect", "leaving", "dead"};
-    int i = site_arg(s, 1);
+    int i = instance_arg(s, 1);
 
     g_string_append_printf(s->out, "n%d:", i + 1);
     for (int j = 0; j < s->env.n; j++) {
@@ -87,15 +87,15 @@
 }
 
 static void
-run_ask(struct script_run *s)
+request_tokens(struct script_run *s)
 {
     struct fw_account *a = &s->checker.accounts[team_arg(s, 2)];
     int granted = a->granted;
     int refused = a->refused;
     int64_t started_us = s->env.real_us;
 
-    Fw_LimitCheck_Request(&s->checker, &s->env, site_arg(s, 1), team_arg(s, 2),
-                          int_arg(s, 3));
+    Fw_LimitCheck_Request(&s->checker, &s->env, instance_arg(s, 1),
+                          team_arg(s, 2), int_arg(s, 3));
     while (a->granted == granted && a->refused == refused &&
            s->env.real_us < started_us + RESULT_TIMEOUT_US) {
         Fw_FleetEnv_Advance(&s->env, FW_MSEC);
@@ -132,20 +132,21 @@
     const char *c = s->words[0];
 
     if (strcmp(c, "start") == 0) {
-        Fw_FleetEnv_Start(&s->env, site_arg(s, 1));
+        Fw_FleetEnv_Start(&s->env, instance_arg(s, 1));
     }
     else if (strcmp(c, "kill") == 0) {
-        Fw_FleetEnv_Kill(&s->env, site_arg(s, 1));
+        Fw_FleetEnv_Kill(&s->env, instance_arg(s, 1));
     }
     else if (strcmp(c, "drain") == 0) {
-        Fw_FleetEnv_Drain(&s->env, site_arg(s, 1));
+        Fw_FleetEnv_Drain(&s->env, instance_arg(s, 1));
     }
     else if (strcmp(c, "pause") == 0) {
-        Fw_FleetEnv_Pause(&s->env, site_arg(s, 1), int_arg(s, 2) * FW_MSEC);
+        Fw_FleetEnv_Pause(&s->env, instance_arg(s, 1),
+                          int_arg(s, 2) * FW_MSEC);
     }
     else if (strcmp(c, "cut") == 0 || strcmp(c, "join") == 0) {
-        Fw_FleetEnv_SetLinkDown(&s->env, site_arg(s, 1), site_arg(s, 2),
-                                c[0] == 'c');
+        Fw_FleetEnv_SetLinkDown(&s->env, instance_arg(s, 1),
+                                instance_arg(s, 2), c[0] == 'c');
     }
     else {
         return 0;
@@ -202,10 +203,10 @@
         print_role(s);
     }
     else if (strcmp(c, "ask") == 0) {
-        run_ask(s);
+        request_tokens(s);
     }
     else if (strcmp(c, "refund") == 0) {
-        Fw_LimitCheck_RefundTokens(&s->checker, &s->env, site_arg(s, 1),
+        Fw_LimitCheck_RefundTokens(&s->checker, &s->env, instance_arg(s, 1),
                                    team_arg(s, 2), int_arg(s, 3));
     }
     else if (strcmp(c, "rate") == 0) {
@@ -226,7 +227,7 @@
     char *script = g_strdup(p->script);
     char *save = NULL;
 
-    Fw_FleetEnv_Init(&s.env, &s.run, p->sites);
+    Fw_FleetEnv_Init(&s.env, &s.run, p->n_instances);
     Fw_LimitCheck_Init(&s.checker, &s.env, LEASE_US);
     s.checker.fail_on_overspend = 1;
     for (char *line = strtok_r(script, "\n", &save); line;
--- a/tests/fleet/fleet_script.h
+++ b/tests/fleet/fleet_script.h
@@ -4,7 +4,7 @@
 
 /**
  * struct fleet_script - a script with one command per line.
- * @sites: number of instances, n1 to nN
+ * @n_instances: number of instances, n1 to nN
  * @expected: output of the script
  *
  * Instances: start N, kill N, drain N, pause N MS.
@@ -18,7 +18,7 @@
  */
 struct fleet_script {
     const char *name;
-    int sites;
+    int n_instances;
     const char *script;
     const char *expected;
 };
--- a/tests/idem/test_idem.c
+++ b/tests/idem/test_idem.c
@@ -11,36 +11,36 @@
 /** struct script - @run: one command per line; @seen: the expected trace. */
 struct script {
     const char *name;
-    int sites;
+    int n_instances;
     const char *run;
     const char *seen;
 };
 
 static void
-log_command(struct fw_idem_env *b, const char *what, const char *arg)
+log_command(struct fw_idem_env *env, const char *what, const char *arg)
 {
     int n = arg ? atoi(arg) : 1;
 
     if (strcmp(what, "down") == 0) {
-        b->log.down = 1;
+        env->log.down = 1;
     }
     else if (strcmp(what, "up") == 0) {
-        b->log.down = 0;
+        env->log.down = 0;
     }
     else if (strcmp(what, "lose") == 0) {
-        b->log.lose_answers = n;
+        env->log.lose_answers = n;
     }
     else if (strcmp(what, "drop") == 0) {
-        b->log.drop_appends = n;
+        env->log.drop_appends = n;
     }
     else if (strcmp(what, "late") == 0) {
-        b->log.delay_appends = n;
+        env->log.delay_appends = n;
     }
     else if (strcmp(what, "slow") == 0) {
-        b->log.latency_us = n * FW_MSEC;
+        env->log.latency_us = n * FW_MSEC;
     }
     else if (strcmp(what, "retain") == 0) {
-        b->log.retain_records = n;
+        env->log.retain_records = n;
     }
     else {
         ck_abort_msg("no such command: log %s", what);
@@ -48,13 +48,13 @@
 }
 
 static void
-service_command(struct fw_idem_env *b, const char *what)
+service_command(struct fw_idem_env *env, const char *what)
 {
     static const char *const names[] = {"answers", "loses", "refuses"};
 
     for (int i = 0; i < 3; i++) {
         if (strcmp(names[i], what) == 0) {
-            b->service = (enum fw_idem_env_service)i;
+            env->service = (enum fw_idem_env_service)i;
             return;
         }
     }
@@ -62,24 +62,25 @@
 }
 
 static void
-site_command(struct fw_idem_env *b, char **w)
+instance_command(struct fw_idem_env *env, char **w)
 {
-    int site = atoi(w[1]);
+    int instance = atoi(w[1]);
 
     if (strcmp(w[0], "call") == 0) {
-        Fw_IdemEnv_SubmitCall(b, site, w[2], w[3]);
+        Fw_IdemEnv_SubmitCall(env, instance, w[2], w[3]);
     }
     else if (strcmp(w[0], "kill") == 0) {
-        Fw_IdemEnv_Kill(b, site);
+        Fw_IdemEnv_Kill(env, instance);
     }
     else if (strcmp(w[0], "start") == 0) {
-        Fw_IdemEnv_Start(b, site);
+        Fw_IdemEnv_Start(env, instance);
     }
     else if (strcmp(w[0], "cut") == 0) {
-        b->instances[site].isolated = 1;
+        env->instances[instance].isolated = 1;
     }
     else if (strcmp(w[0], "pause") == 0) {
-        b->instances[site].paused_until_us = b->now_us + atoi(w[2]) * FW_MSEC;
+        env->instances[instance].paused_until_us =
+            env->now_us + atoi(w[2]) * FW_MSEC;
     }
     else {
         ck_abort_msg("no such command: %s", w[0]);
@@ -87,21 +88,21 @@
 }
 
 static void
-command(struct fw_idem_env *b, const char *line)
+command(struct fw_idem_env *env, const char *line)
 {
     char **w = g_strsplit(line, " ", -1);
 
     if (strcmp(w[0], "run") == 0) {
-        Fw_IdemEnv_Advance(b, atoi(w[1]) * FW_MSEC);
+        Fw_IdemEnv_Advance(env, atoi(w[1]) * FW_MSEC);
     }
     else if (strcmp(w[0], "log") == 0) {
-        log_command(b, w[1], w[2]);
+        log_command(env, w[1], w[2]);
     }
     else if (strcmp(w[0], "service") == 0) {
-        service_command(b, w[1]);
+        service_command(env, w[1]);
     }
     else {
-        site_command(b, w);
+        instance_command(env, w);
     }
     g_strfreev(w);
 }
@@ -110,18 +111,18 @@
 static char *
 play(const struct script *s, GString *trace)
 {
-    struct fw_idem_env b;
+    struct fw_idem_env env;
     char **lines = g_strsplit(s->run, "\n", -1);
-    char *breach;
+    char *violation;
 
-    Fw_IdemEnv_Init(&b, s->sites, trace);
+    Fw_IdemEnv_Init(&env, s->n_instances, trace);
     for (int i = 0; lines[i]; i++) {
-        command(&b, lines[i]);
+        command(&env, lines[i]);
     }
-    breach = g_strdup(b.failure);
+    violation = g_strdup(env.failure);
     g_strfreev(lines);
-    Fw_IdemEnv_Clear(&b);
-    return breach;
+    Fw_IdemEnv_Clear(&env);
+    return violation;
 }
 
 static const struct script scripts[] = {
@@ -221,13 +222,13 @@
 {
     const struct script *s = &scripts[_i];
     GString *trace = g_string_new(NULL);
-    char *breach = play(s, trace);
+    char *violation = play(s, trace);
 
     ck_assert_msg(strcmp(trace->str, s->seen) == 0,
                   "%s\n-- seen:\n%s-- expected:\n%s", s->name, trace->str,
                   s->seen);
-    ck_assert_str_eq(breach, "");
-    g_free(breach);
+    ck_assert_str_eq(violation, "");
+    g_free(violation);
     g_string_free(trace, TRUE);
 }
 END_TEST
@@ -243,13 +244,13 @@
         "call 0 a buy\nrun 1000",
         ""};
     GString *trace = g_string_new(NULL);
-    char *breach;
+    char *violation;
 
     Fw_Fault_Active = "idem-forgets";
-    breach = play(&s, trace);
+    violation = play(&s, trace);
     Fw_Fault_Active = NULL;
-    ck_assert_ptr_nonnull(strstr(breach, "twice"));
-    g_free(breach);
+    ck_assert_ptr_nonnull(strstr(violation, "twice"));
+    g_free(violation);
     g_string_free(trace, TRUE);
 }
 END_TEST
@@ -259,27 +260,28 @@
 START_TEST(append_rate_is_limited)
 {
     GString *trace = g_string_new(NULL);
-    struct fw_idem_env b;
+    struct fw_idem_env env;
     int seconds = 3;
     int rate = 400;
     int sent = 0;
     char key[FW_ID_MAX];
 
-    Fw_IdemEnv_Init(&b, 3, trace);
+    Fw_IdemEnv_Init(&env, 3, trace);
     for (int i = 0; i < seconds * rate; i++) {
         g_snprintf(key, sizeof(key), "order-%d", i);
-        Fw_IdemEnv_SubmitCall(&b, i % 3, key, "buy");
-        Fw_IdemEnv_Advance(&b, FW_SEC / rate);
+        Fw_IdemEnv_SubmitCall(&env, i % 3, key, "buy");
+        Fw_IdemEnv_Advance(&env, FW_SEC / rate);
     }
-    Fw_IdemEnv_Advance(&b, 5 * FW_SEC);
-    for (guint i = 0; i < b.calls->len; i++) {
-        sent +=
-            ((struct fw_idem_env_call *)g_ptr_array_index(b.calls, i))->sends;
+    Fw_IdemEnv_Advance(&env, 5 * FW_SEC);
+    for (guint i = 0; i < env.calls->len; i++) {
+        sent += ((struct fw_idem_env_call *)g_ptr_array_index(env.calls, i))
+                    ->sends;
     }
     ck_assert_int_eq(sent, seconds * rate);
-    ck_assert_int_le(b.log.appends, seconds * FW_IDEM_APPENDS_PER_S * 11 / 10);
-    ck_assert_str_eq(b.failure, "");
-    Fw_IdemEnv_Clear(&b);
+    ck_assert_int_le(env.log.appends,
+                     seconds * FW_IDEM_APPENDS_PER_S * 11 / 10);
+    ck_assert_str_eq(env.failure, "");
+    Fw_IdemEnv_Clear(&env);
     g_string_free(trace, TRUE);
 }
 END_TEST
