--- a/src/config/item_query.c
+++ b/src/config/item_query.c
@@ -43,24 +43,25 @@
 static void
 add_upstream_members(JsonObject *o, const struct fw_upstream *u)
 {
-    static const char *const roles[] = {"prefill", "decode", "service"};
-    static const char *const fencings[] = {"checked", "ignored"};
+    static const char *const role_names[] = {"prefill", "decode", "service"};
+    static const char *const fencing_names[] = {"checked", "ignored"};
     JsonArray *links = json_array_new();
 
     json_object_set_string_member(o, "pool", u->pool);
     json_object_set_string_member(o, "url", u->url);
     json_object_set_string_member(o, "domain", u->domain);
-    json_object_set_string_member(o, "role", roles[u->role]);
-    json_object_set_string_member(o, "fencing", fencings[u->fencing]);
+    json_object_set_string_member(o, "role", role_names[u->role]);
+    json_object_set_string_member(o, "fencing", fencing_names[u->fencing]);
     json_object_set_int_member(o, "slots", u->slots);
     json_object_set_int_member(o, "prefill_rate", u->prefill_rate);
     json_object_set_boolean_member(o, "drained", u->drained);
     for (int i = 0; i < u->n_links; i++) {
-        JsonObject *l = json_object_new();
+        JsonObject *link = json_object_new();
 
-        json_object_set_string_member(l, "domain", u->links[i].domain);
-        json_object_set_int_member(l, "bytes_per_s", u->links[i].bytes_per_s);
-        json_array_add_object_element(links, l);
+        json_object_set_string_member(link, "domain", u->links[i].domain);
+        json_object_set_int_member(link, "bytes_per_s",
+                                   u->links[i].bytes_per_s);
+        json_array_add_object_element(links, link);
     }
     json_object_set_array_member(o, "links", links);
 }
@@ -91,12 +92,12 @@
 
     for (int i = 0; i < svc->n_calls; i++) {
         const struct fw_service_call *c = &svc->calls[i];
-        JsonObject *co = json_object_new();
+        JsonObject *call = json_object_new();
 
-        json_object_set_string_member(co, "method", c->method);
-        json_object_set_string_member(co, "path", c->path);
-        json_object_set_boolean_member(co, "idempotent", c->idempotent);
-        json_array_add_object_element(calls, co);
+        json_object_set_string_member(call, "method", c->method);
+        json_object_set_string_member(call, "path", c->path);
+        json_object_set_boolean_member(call, "idempotent", c->idempotent);
+        json_array_add_object_element(calls, call);
     }
     json_object_set_array_member(o, "calls", calls);
 }
--- a/src/config/replica_cmd.c
+++ b/src/config/replica_cmd.c
@@ -1,4 +1,4 @@
-/* Following the configuration log by long polls, one at a time. */
+/* Follows the configuration log with one long-polling read at a time. */
 #include <string.h>
 #include <syslog.h>
 
@@ -9,7 +9,7 @@
 static void
 add_metrics(struct fw_config_replica *rep, struct fw_metrics *metrics)
 {
-    static const struct fw_metric all[] = {
+    static const struct fw_metric definitions[] = {
         {.name = "fw_config_version",
          .help = "Offset of the last configuration record in force here.",
          .is_gauge = 1},
@@ -36,16 +36,16 @@
          .is_gauge = 1},
     };
     struct fw_replica_metrics *m = &rep->metrics;
-    struct fw_metric *const to[] = {
+    struct fw_metric *const targets[] = {
         &m->offset,       &m->verdicts[0],   &m->verdicts[1], &m->verdicts[2],
         &m->verdicts[3],  &m->read_failures, &m->adopted_log, &m->adopted_peer,
         &m->snap_refused, &m->snap_written,  &m->gap,
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(all); i++) {
-        *to[i] = all[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(definitions); i++) {
+        *targets[i] = definitions[i];
         if (metrics) {
-            Fw_Metrics_Add(metrics, to[i]);
+            Fw_Metrics_Add(metrics, targets[i]);
         }
     }
 }
--- a/src/ctl/commands.c
+++ b/src/ctl/commands.c
@@ -1,4 +1,4 @@
-/* Subcommands that change the configuration, each by one change. */
+/* Subcommands that change the configuration; each sends one change. */
 #include <errno.h>
 #include <stdio.h>
 #include <string.h>
@@ -87,7 +87,7 @@
     return set_flag(ctl, cmd, args->operands[0], "drained", 0);
 }
 
-/* Prints the key to stdout, but only if the change was applied. */
+/* Prints a new key on standard output if the change was applied. */
 static int
 print_new_key(int rc, const char *key, const char *digest)
 {
@@ -123,8 +123,8 @@
     return rc;
 }
 
-/* Reads a digest, or for "-" the key from stdin, which keeps it out of the
- * process list and the shell's history. */
+/* Stores the digest @word, or for "-" the digest of the key on standard input,
+ * which keeps the key out of the process list and the shell's history. */
 static int
 read_digest(const char *word, char *digest)
 {
--- a/src/ctl/queries.c
+++ b/src/ctl/queries.c
@@ -16,7 +16,7 @@
 
 static void
 append_rows(JsonArray *all, const struct fw_response *resp,
-            const char *with_instance)
+            const char *instance)
 {
     JsonArray *rows = response_rows(resp);
     unsigned n = rows ? json_array_get_length(rows) : 0;
@@ -24,8 +24,8 @@
     for (unsigned i = 0; i < n; i++) {
         JsonObject *row = json_array_get_object_element(rows, i);
 
-        if (with_instance) {
-            json_object_set_string_member(row, "instance", with_instance);
+        if (instance) {
+            json_object_set_string_member(row, "instance", instance);
         }
         json_array_add_object_element(all, json_object_ref(row));
     }
@@ -49,12 +49,14 @@
     int rc = 0;
 
     while (more && rc == 0) {
-        char *esc = g_uri_escape_string(after, NULL, TRUE);
-        char *only = args->n_operands
-                         ? g_uri_escape_string(args->operands[0], NULL, TRUE)
-                         : NULL;
-        char *path = g_strdup_printf("%s?after=%s%s%s", cmd->path, esc,
-                                     only ? "&name=" : "", only ? only : "");
+        char *escaped = g_uri_escape_string(after, NULL, TRUE);
+        char *name_filter =
+            args->n_operands
+                ? g_uri_escape_string(args->operands[0], NULL, TRUE)
+                : NULL;
+        char *path = g_strdup_printf("%s?after=%s%s%s", cmd->path, escaped,
+                                     name_filter ? "&name=" : "",
+                                     name_filter ? name_filter : "");
         struct fw_response resp;
 
         Fw_Ctl_CallAny(ctl, "GET", path, NULL, 0, &resp);
@@ -70,8 +72,8 @@
         }
         Fw_Response_Clear(&resp);
         g_free(path);
-        g_free(only);
-        g_free(esc);
+        g_free(name_filter);
+        g_free(escaped);
     }
     if (rc == 0) {
         Fw_Ctl_PrintRows(ctl, all);
@@ -134,15 +136,15 @@
     for (unsigned i = 0; i < ctl->urls->len; i++) {
         const char *url = g_ptr_array_index(ctl->urls, i);
         struct fw_response resp;
-        int one;
+        int url_rc;
 
         Fw_Ctl_Call(ctl, url, "GET", path, NULL, 0, &resp);
-        one = resp.err ? 0 : Fw_Response_Check(&resp);
+        url_rc = resp.err ? 0 : Fw_Response_Check(&resp);
         if (resp.err) {
             fprintf(stderr, "fuchsiaward: %s does not respond\n", url);
         }
         answered += resp.err == 0;
-        rc = one ? one : rc;
+        rc = url_rc ? url_rc : rc;
         append_rows(all, &resp, Fw_Response_Text(&resp, "instance", url));
         Fw_Response_Clear(&resp);
     }
@@ -203,8 +205,8 @@
     return rc;
 }
 
-/* The version in force on each instance, and the member list of the first
- * instance that responds. */
+/* Prints the version in force on each instance, and the members as seen by the
+ * first instance that responds. */
 static int
 show_instances(struct fw_ctl *ctl, const struct fw_subcommand *cmd,
                const struct fw_args *args)
@@ -310,12 +312,12 @@
 
     for (int i = 0; audit_options[i].name; i++) {
         if (args->options[i]) {
-            char *esc = g_uri_escape_string(args->options[i], NULL, TRUE);
+            char *escaped = g_uri_escape_string(args->options[i], NULL, TRUE);
 
             g_string_append_printf(path, "%c%s=%s",
                                    strchr(path->str, '?') ? '&' : '?',
-                                   audit_options[i].name, esc);
-            g_free(esc);
+                                   audit_options[i].name, escaped);
+            g_free(escaped);
         }
     }
     Fw_Ctl_CallAny(ctl, "GET", path->str, NULL, 0, &resp);
--- a/src/fleet/fleet_msg.c
+++ b/src/fleet/fleet_msg.c
@@ -43,38 +43,38 @@
 static int
 unpack_state(const msgpack_object *obj, uint32_t i, int *state)
 {
-    int64_t v;
+    int64_t value;
 
-    if (Fw_Unpack_I64(obj, i, &v) || v < FW_MEMBER_ALIVE ||
-        v > FW_MEMBER_DEAD) {
+    if (Fw_Unpack_I64(obj, i, &value) || value < FW_MEMBER_ALIVE ||
+        value > FW_MEMBER_DEAD) {
         return -EBADMSG;
     }
-    *state = (int)v;
+    *state = (int)value;
     return 0;
 }
 
 static int
 unpack_incarnation(const msgpack_object *obj, uint32_t i, uint32_t *out)
 {
-    uint64_t v;
+    uint64_t value;
 
-    if (Fw_Unpack_U64(obj, i, &v) || v > UINT32_MAX) {
+    if (Fw_Unpack_U64(obj, i, &value) || value > UINT32_MAX) {
         return -EBADMSG;
     }
-    *out = (uint32_t)v;
+    *out = (uint32_t)value;
     return 0;
 }
 
 static int
-unpack_update(const msgpack_object *o, struct fw_fleet_update *u)
+unpack_update(const msgpack_object *obj, struct fw_fleet_update *u)
 {
-    if (Fw_Unpack_Str(o, 0, u->name, sizeof(u->name)) ||
-        Fw_Unpack_Str(o, 1, u->addr, sizeof(u->addr)) ||
-        Fw_Unpack_Str(o, 2, u->domain, sizeof(u->domain)) ||
-        Fw_Unpack_Str(o, 3, u->region, sizeof(u->region)) ||
-        Fw_Unpack_U64(o, 4, &u->boot) ||
-        unpack_incarnation(o, 5, &u->incarnation) ||
-        unpack_state(o, 6, &u->state) || !u->name[0]) {
+    if (Fw_Unpack_Str(obj, 0, u->name, sizeof(u->name)) ||
+        Fw_Unpack_Str(obj, 1, u->addr, sizeof(u->addr)) ||
+        Fw_Unpack_Str(obj, 2, u->domain, sizeof(u->domain)) ||
+        Fw_Unpack_Str(obj, 3, u->region, sizeof(u->region)) ||
+        Fw_Unpack_U64(obj, 4, &u->boot) ||
+        unpack_incarnation(obj, 5, &u->incarnation) ||
+        unpack_state(obj, 6, &u->state) || !u->name[0]) {
         return -EBADMSG;
     }
     return 0;
@@ -83,7 +83,7 @@
 int
 Fw_Fleet_UnpackMsg(const msgpack_object *obj, struct fw_fleet_msg *msg)
 {
-    const msgpack_object *list = Fw_Unpack_Array(obj, 7);
+    const msgpack_object *updates = Fw_Unpack_Array(obj, 7);
     int64_t kind;
 
     memset(msg, 0, sizeof(*msg));
@@ -93,14 +93,14 @@
         Fw_Unpack_Str(obj, 3, msg->target_addr, sizeof(msg->target_addr)) ||
         Fw_Unpack_U64(obj, 4, &msg->boot) ||
         unpack_incarnation(obj, 5, &msg->incarnation) ||
-        unpack_state(obj, 6, &msg->state) || !list ||
-        list->via.array.size > FW_FLEET_UPDATES_MAX) {
+        unpack_state(obj, 6, &msg->state) || !updates ||
+        updates->via.array.size > FW_FLEET_UPDATES_MAX) {
         return -EBADMSG;
     }
     msg->kind = (enum fw_fleet_msg_kind)kind;
     msg->updates = g_new0(struct fw_fleet_update, FW_FLEET_UPDATES_MAX);
-    for (uint32_t i = 0; i < list->via.array.size; i++) {
-        if (unpack_update(&list->via.array.ptr[i], &msg->updates[i])) {
+    for (uint32_t i = 0; i < updates->via.array.size; i++) {
+        if (unpack_update(&updates->via.array.ptr[i], &msg->updates[i])) {
             Fw_Fleet_ClearMsg(msg);
             return -EBADMSG;
         }
--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -80,13 +80,14 @@
     }
 }
 
-/* Records were missed, which may have changed any role. */
+/* Forgets all roles, since any may have changed in records that were missed.
+ */
 static void
 reset_slots(struct fw_roles *r)
 {
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-        struct fw_role_slot *s = &r->slots[i];
-        *s = (struct fw_role_slot){.vacant_since_us = 0};
+        struct fw_role_slot *slot = &r->slots[i];
+        *slot = (struct fw_role_slot){.vacant_since_us = 0};
     }
 }
 
@@ -94,17 +95,17 @@
 apply_records(struct fw_roles *r, const struct fw_log_records *rec,
               int64_t now_us, struct fw_actions *out)
 {
-    uint64_t from = rec->n > 0 ? rec->first_offset
-                               : MAX(rec->oldest_offset, r->next_offset);
+    uint64_t first = rec->n > 0 ? rec->first_offset
+                                : MAX(rec->oldest_offset, r->next_offset);
 
-    if (!r->has_read && rec->oldest_offset <= 1 && from <= 1) {
+    if (!r->has_read && rec->oldest_offset <= 1 && first <= 1) {
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-            r->slots[i].known = 1; /* read from the first record on */
+            r->slots[i].known = 1; /* the stream is read from its start */
         }
     }
-    if (from > r->next_offset || rec->end_offset < r->next_offset) {
+    if (first > r->next_offset || rec->end_offset < r->next_offset) {
         reset_slots(r);
-        r->next_offset = from;
+        r->next_offset = first;
     }
     r->has_read = 1;
     for (int i = 0; i < rec->n; i++) {
@@ -161,8 +162,9 @@
     }
     r->append_ticket = 0;
     if (a->err) {
-        /* It may have been appended nevertheless. Claiming again is safe, as a
-         * record that replaces an old one is void. */
+        /* The records may have been appended nevertheless. Claiming again is
+         * safe: a claim is void if the record that it names as replaced is no
+         * longer in force. */
         r->next_append_us = now_us + jitter(r, FW_SEC);
         for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
             r->slots[i].claimed_us = 0;
@@ -172,27 +174,28 @@
 }
 
 /* Return: how long the role must be vacant before it is claimed, -1 if it has
- * a live holder. That is kept even if it isn't the first choice any more. */
+ * a live holder. A live holder keeps the role even if the rendezvous hash no
+ * longer chooses it first. */
 static int64_t
 takeover_delay(const struct fw_roles *r, const struct fw_fleet *fleet,
-               const struct fw_role_slot *s)
+               const struct fw_role_slot *slot)
 {
     const struct fw_member *m;
 
-    if (!s->known) {
+    if (!slot->known) {
         return FW_ROLE_UNSURE_DELAY_US;
     }
-    if (s->offset == 0) {
+    if (slot->offset == 0) {
         return 0;
     }
-    if (strcmp(s->holder, r->self.name) == 0) {
-        return s->boot == r->self.boot ? -1 : 0;
+    if (strcmp(slot->holder, r->self.name) == 0) {
+        return slot->boot == r->self.boot ? -1 : 0;
     }
-    m = Fw_Fleet_Find(fleet, s->holder);
+    m = Fw_Fleet_Find(fleet, slot->holder);
     if (!m) {
         return FW_ROLE_UNSURE_DELAY_US;
     }
-    if (m->boot > s->boot || m->state == FW_MEMBER_DEAD) {
+    if (m->boot > slot->boot || m->state == FW_MEMBER_DEAD) {
         return FW_ROLE_DEAD_DELAY_US;
     }
     return m->state == FW_MEMBER_LEAVING ? FW_ROLE_UNSURE_DELAY_US : -1;
@@ -203,24 +206,25 @@
  */
 static int
 needs_claim(struct fw_roles *r, const struct fw_fleet *fleet,
-            struct fw_role_slot *s, int64_t now_us, struct fw_role_record *rec)
+            struct fw_role_slot *slot, int64_t now_us,
+            struct fw_role_record *rec)
 {
-    int64_t delay = takeover_delay(r, fleet, s);
+    int64_t delay = takeover_delay(r, fleet, slot);
     const struct fw_member *m;
 
-    rec->replaces = s->known ? (int64_t)s->offset : FW_ROLE_REPLACES_ANY;
+    rec->replaces = slot->known ? (int64_t)slot->offset : FW_ROLE_REPLACES_ANY;
     if (delay < 0) {
-        s->vacant_since_us = 0;
+        slot->vacant_since_us = 0;
         /* The log drops old records: without a refresh, an instance that
          * starts later would not know the holder. */
         rec->replaces = FW_ROLE_REPLACES_ANY;
-        return Fw_Role_IsHeldHere(r, s) && !s->stopped &&
-               now_us >= s->applied_us + FW_ROLE_REFRESH_INTERVAL_US;
+        return Fw_Role_IsHeldHere(r, slot) && !slot->stopped &&
+               now_us >= slot->applied_us + FW_ROLE_REFRESH_INTERVAL_US;
     }
-    if (s->vacant_since_us == 0) {
-        s->vacant_since_us = now_us;
+    if (slot->vacant_since_us == 0) {
+        slot->vacant_since_us = now_us;
     }
-    if (now_us < s->vacant_since_us + delay) {
+    if (now_us < slot->vacant_since_us + delay) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
@@ -229,40 +233,40 @@
 
 static int
 needs_handover(struct fw_roles *r, const struct fw_fleet *fleet,
-               struct fw_role_slot *s, int64_t now_us,
+               struct fw_role_slot *slot, int64_t now_us,
                struct fw_role_record *rec)
 {
     const struct fw_member *m;
 
-    if (!Fw_Role_IsHeldHere(r, s)) {
+    if (!Fw_Role_IsHeldHere(r, slot)) {
         return 0;
     }
     m = Fw_Fleet_Pick(fleet, Fw_Roles_Key(rec->kind, rec->partition), 0);
-    s->stopped = 1;
+    slot->stopped = 1;
     if (!m || Fw_Fleet_IsSelf(fleet, m)) {
         return 0;
     }
-    rec->replaces = (int64_t)s->offset;
+    rec->replaces = (int64_t)slot->offset;
     /* A holder that never acted has granted nothing, so the remaining wait for
      * older grants suffices. After a handover it may have acted before
      * acts_from_us. */
-    rec->wait_us = now_us < s->acts_from_us && !s->predecessor_tenure
-                       ? s->acts_from_us - now_us
+    rec->wait_us = now_us < slot->acts_from_us && !slot->predecessor_tenure
+                       ? slot->acts_from_us - now_us
                        : r->wait_us[rec->kind];
     g_strlcpy(rec->holder, m->name, sizeof(rec->holder));
     rec->boot = m->boot;
     return 1;
 }
 
-/* Appends all due records at once. */
+/* Appends the claims, refreshes or handovers that are due, in one append. */
 static void
-append_claims(struct fw_roles *r, const struct fw_fleet *fleet, int64_t now_us,
-              struct fw_actions *out)
+append_due_records(struct fw_roles *r, const struct fw_fleet *fleet,
+                   int64_t now_us, struct fw_actions *out)
 {
-    GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *records = g_ptr_array_new_with_free_func(g_free);
 
     for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
-        struct fw_role_slot *s = &r->slots[i];
+        struct fw_role_slot *slot = &r->slots[i];
         struct fw_role_record rec = {
             .kind = (enum fw_role_kind)(i / r->partitions),
             .partition = i % r->partitions,
@@ -270,24 +274,24 @@
             .wait_us = -1,
         };
         g_strlcpy(rec.holder, r->self.name, sizeof(rec.holder));
-        if (s->claimed_us &&
-            now_us < s->claimed_us + FW_ROLE_VIEW_MAX_AGE_US) {
+        if (slot->claimed_us &&
+            now_us < slot->claimed_us + FW_ROLE_VIEW_MAX_AGE_US) {
             continue;
         }
-        if (r->draining ? needs_handover(r, fleet, s, now_us, &rec)
-                        : needs_claim(r, fleet, s, now_us, &rec)) {
-            s->claimed_us = now_us;
-            g_ptr_array_add(texts, Fw_Role_Format(&rec));
+        if (r->draining ? needs_handover(r, fleet, slot, now_us, &rec)
+                        : needs_claim(r, fleet, slot, now_us, &rec)) {
+            slot->claimed_us = now_us;
+            g_ptr_array_add(records, Fw_Role_Format(&rec));
         }
     }
-    if (texts->len > 0) {
+    if (records->len > 0) {
         r->append_ticket = Fw_Owner_MakeId(FW_OWNER_ROLES, ++r->ticket);
         r->append_sent_us = now_us;
         Fw_Actions_AppendLog(out, r->append_ticket, r->stream,
-                             (const char *const *)texts->pdata,
-                             (int)texts->len);
+                             (const char *const *)records->pdata,
+                             (int)records->len);
     }
-    g_ptr_array_unref(texts);
+    g_ptr_array_unref(records);
 }
 
 void
@@ -314,7 +318,7 @@
         now_us - r->view_us >= FW_ROLE_VIEW_MAX_AGE_US) {
         return;
     }
-    append_claims(r, fleet, now_us, out);
+    append_due_records(r, fleet, now_us, out);
 }
 
 void
--- a/src/idem/claim_cmd.c
+++ b/src/idem/claim_cmd.c
@@ -17,10 +17,11 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &c->calls) {
-        struct fw_idem_call *k = FW_LIST_ENTRY(pos, struct fw_idem_call, link);
+        struct fw_idem_call *call =
+            FW_LIST_ENTRY(pos, struct fw_idem_call, link);
 
-        if (k->answer.ticket == ticket) {
-            return k;
+        if (call->answer.ticket == ticket) {
+            return call;
         }
     }
     return NULL;
@@ -32,21 +33,22 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &c->calls) {
-        struct fw_idem_call *k = FW_LIST_ENTRY(pos, struct fw_idem_call, link);
+        struct fw_idem_call *call =
+            FW_LIST_ENTRY(pos, struct fw_idem_call, link);
 
-        if (k->claim.op == op) {
-            return k;
+        if (call->claim.op == op) {
+            return call;
         }
     }
     return NULL;
 }
 
 static void
-free_call(struct fw_idem_call *k)
+free_call(struct fw_idem_call *call)
 {
-    Fw_List_Remove(&k->link);
-    g_clear_pointer(&k->answer.body, g_bytes_unref);
-    g_free(k);
+    Fw_List_Remove(&call->link);
+    g_clear_pointer(&call->answer.body, g_bytes_unref);
+    g_free(call);
 }
 
 /* Sends an outcome to the coordinator, or queues it for append here. */
@@ -74,16 +76,16 @@
 }
 
 static void
-record_outcome(struct fw_idem *c, const struct fw_idem_call *k,
+record_outcome(struct fw_idem *c, const struct fw_idem_call *call,
                enum fw_ran ran, int64_t now_us,
                struct fw_idem_pending_outcome *o, struct fw_actions *out)
 {
     o->created_us = now_us;
-    o->msg.op = k->claim.op;
+    o->msg.op = call->claim.op;
     o->msg.rec.kind = FW_IDEM_REC_OUTCOME;
     o->msg.rec.ran = ran;
-    g_strlcpy(o->msg.rec.digest, k->claim.digest, FW_IDEM_DIGEST_MAX);
-    g_strlcpy(o->msg.rec.owner, k->claim.owner, FW_IDEM_OWNER_MAX);
+    g_strlcpy(o->msg.rec.digest, call->claim.digest, FW_IDEM_DIGEST_MAX);
+    g_strlcpy(o->msg.rec.owner, call->claim.owner, FW_IDEM_OWNER_MAX);
     Fw_List_Append(&c->outcomes, &o->link);
     send_outcome(c, o, now_us, out);
 }
@@ -94,35 +96,35 @@
  * Only the claimant knows that the call was not sent.
  */
 static void
-void_intent(struct fw_idem *c, const struct fw_idem_call *k, int64_t now_us,
+void_intent(struct fw_idem *c, const struct fw_idem_call *call, int64_t now_us,
             struct fw_actions *out)
 {
-    record_outcome(c, k, FW_RAN_NO, now_us,
+    record_outcome(c, call, FW_RAN_NO, now_us,
                    g_new0(struct fw_idem_pending_outcome, 1), out);
 }
 
 static void
-claim_locally(struct fw_idem *c, struct fw_idem_call *k, int64_t now_us,
+claim_locally(struct fw_idem *c, struct fw_idem_call *call, int64_t now_us,
               struct fw_actions *out)
 {
-    k->local = 1;
-    Fw_Idem_OnClaim(c, "", &k->claim, now_us, out);
+    call->local = 1;
+    Fw_Idem_OnClaim(c, "", &call->claim, now_us, out);
 }
 
 static void
-send_claim(struct fw_idem *c, struct fw_idem_call *k, int64_t now_us,
+send_claim(struct fw_idem *c, struct fw_idem_call *call, int64_t now_us,
            struct fw_actions *out)
 {
     const struct fw_member *m =
-        Fw_Idem_Coordinator(c, Fw_Idem_FindPartition(c, k->claim.digest));
+        Fw_Idem_Coordinator(c, Fw_Idem_FindPartition(c, call->claim.digest));
     struct fw_msg msg = {.area = FW_AREA_IDEM};
 
     if (!m || Fw_Fleet_IsSelf(c->fleet, m)) {
-        claim_locally(c, k, now_us, out);
+        claim_locally(c, call, now_us, out);
         return;
     }
     msg.u.idem.kind = FW_IDEM_CLAIM;
-    msg.u.idem.u.claim = k->claim;
+    msg.u.idem.u.claim = call->claim;
     Fw_Actions_SendPeer(out, m->name, m->addr, &msg);
     Fw_Actions_Wake(out, now_us + FW_IDEM_COORDINATOR_TIMEOUT_US);
 }
@@ -132,21 +134,21 @@
               const char *team, const char *idem_key, uint64_t body_hash,
               int64_t now_us, struct fw_actions *out)
 {
-    struct fw_idem_call *k = g_new0(struct fw_idem_call, 1);
-
-    k->answer.ticket = ticket;
-    k->claimed_us = now_us;
-    k->claim.op = Fw_Idem_NewOp(c);
-    k->claim.body_hash = body_hash;
-    k->claim.key_time_ms = Fw_Idem_ParseKeyTime(idem_key);
-    Fw_Idem_Digest(service, team, idem_key, k->claim.digest);
-    g_snprintf(k->claim.owner, sizeof(k->claim.owner),
+    struct fw_idem_call *call = g_new0(struct fw_idem_call, 1);
+
+    call->answer.ticket = ticket;
+    call->claimed_us = now_us;
+    call->claim.op = Fw_Idem_NewOp(c);
+    call->claim.body_hash = body_hash;
+    call->claim.key_time_ms = Fw_Idem_ParseKeyTime(idem_key);
+    Fw_Idem_Digest(service, team, idem_key, call->claim.digest);
+    g_snprintf(call->claim.owner, sizeof(call->claim.owner),
                "%s.%" G_GINT64_MODIFIER "x.%" G_GUINT64_FORMAT, c->self->name,
                c->self->boot, c->seq);
-    Fw_List_Append(&c->calls, &k->link);
+    Fw_List_Append(&c->calls, &call->link);
     c->opened.value++;
     Fw_Actions_Wake(out, now_us + FW_IDEM_CLAIM_TIMEOUT_US);
-    send_claim(c, k, now_us, out);
+    send_claim(c, call, now_us, out);
 }
 
 int
@@ -155,16 +157,17 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &c->calls) {
-        struct fw_idem_call *k = FW_LIST_ENTRY(pos, struct fw_idem_call, link);
+        struct fw_idem_call *call =
+            FW_LIST_ENTRY(pos, struct fw_idem_call, link);
 
-        if (k->stage != FW_IDEM_ANSWERED) {
+        if (call->stage != FW_IDEM_ANSWERED) {
             continue;
         }
-        *ans = k->answer;
-        k->answer.body = NULL;
-        k->stage = FW_IDEM_TAKEN;
+        *ans = call->answer;
+        call->answer.body = NULL;
+        call->stage = FW_IDEM_TAKEN;
         if (ans->result != FW_IDEM_RUN && !FW_FAULT("idem-late-run")) {
-            free_call(k);
+            free_call(call);
         }
         return 1;
     }
@@ -174,17 +177,18 @@
 int
 Fw_Idem_BeginRun(struct fw_idem *c, uint64_t ticket, int64_t now_us)
 {
-    struct fw_idem_call *k = find_ticket(c, ticket);
+    struct fw_idem_call *call = find_ticket(c, ticket);
 
-    if (!k || k->stage != FW_IDEM_TAKEN || k->answer.result != FW_IDEM_RUN) {
+    if (!call || call->stage != FW_IDEM_TAKEN ||
+        call->answer.result != FW_IDEM_RUN) {
         return -EALREADY;
     }
     /* An instance that was paused must not send a call that its caller has
      * given up on. */
-    if (now_us - k->claimed_us > FW_IDEM_GRANT_TTL_US) {
+    if (now_us - call->claimed_us > FW_IDEM_GRANT_TTL_US) {
         return -ESTALE;
     }
-    k->stage = FW_IDEM_SENT;
+    call->stage = FW_IDEM_SENT;
     return 0;
 }
 
@@ -193,10 +197,10 @@
                const char *content_type, GBytes *body, int64_t now_us,
                struct fw_actions *out)
 {
-    struct fw_idem_call *k = find_ticket(c, ticket);
+    struct fw_idem_call *call = find_ticket(c, ticket);
     struct fw_idem_pending_outcome *o;
 
-    if (!k || k->stage < FW_IDEM_TAKEN) {
+    if (!call || call->stage < FW_IDEM_TAKEN) {
         return;
     }
     o = g_new0(struct fw_idem_pending_outcome, 1);
@@ -207,40 +211,42 @@
         o->msg.rec.body = g_bytes_ref(body);
     }
     o->msg.rec.body_omitted = body && !o->msg.rec.body;
-    record_outcome(c, k, ran, now_us, o, out);
-    free_call(k);
+    record_outcome(c, call, ran, now_us, o, out);
+    free_call(call);
 }
 
 void
 Fw_Idem_OnClaimReply(struct fw_idem *c, struct fw_idem_claim_reply *reply,
                      int64_t now_us, struct fw_actions *out)
 {
-    struct fw_idem_call *k = find_op(c, reply->op);
+    struct fw_idem_call *call = find_op(c, reply->op);
 
     /* Already answered, locally or by timeout: a late grant must not start
      * the call. */
-    if (!k || (k->stage != FW_IDEM_CLAIMING && !FW_FAULT("idem-late-run"))) {
+    if (!call ||
+        (call->stage != FW_IDEM_CLAIMING && !FW_FAULT("idem-late-run"))) {
         g_clear_pointer(&reply->body, g_bytes_unref);
         return;
     }
-    k->stage = FW_IDEM_ANSWERED;
-    k->answer.result = reply->result;
-    k->answer.status = reply->status;
-    k->answer.body = g_steal_pointer(&reply->body);
-    k->answer.retry_after_us = reply->retry_after_us;
-    g_strlcpy(k->answer.content_type, reply->content_type,
-              sizeof(k->answer.content_type));
+    call->stage = FW_IDEM_ANSWERED;
+    call->answer.result = reply->result;
+    call->answer.status = reply->status;
+    call->answer.body = g_steal_pointer(&reply->body);
+    call->answer.retry_after_us = reply->retry_after_us;
+    g_strlcpy(call->answer.content_type, reply->content_type,
+              sizeof(call->answer.content_type));
     if (reply->body_omitted) {
-        k->answer.body = g_bytes_new_static("{\"note\":\"the answer was too "
-                                            "large to be kept\"}",
-                                            43);
-        g_strlcpy(k->answer.content_type, "application/json",
-                  sizeof(k->answer.content_type));
+        call->answer.body =
+            g_bytes_new_static("{\"note\":\"the answer was too "
+                               "large to be kept\"}",
+                               43);
+        g_strlcpy(call->answer.content_type, "application/json",
+                  sizeof(call->answer.content_type));
     }
     c->unavailable.value += reply->result == FW_IDEM_UNAVAILABLE;
     c->too_old.value += reply->result == FW_IDEM_TOO_OLD;
     if (reply->result == FW_IDEM_UNAVAILABLE && reply->intent_may_exist) {
-        void_intent(c, k, now_us, out);
+        void_intent(c, call, now_us, out);
     }
 }
 
@@ -263,40 +269,42 @@
 }
 
 static void
-tick_call(struct fw_idem *c, struct fw_idem_call *k, int64_t now_us,
+tick_call(struct fw_idem *c, struct fw_idem_call *call, int64_t now_us,
           struct fw_actions *out)
 {
-    struct fw_idem_partition *p = Fw_Idem_FindPartition(c, k->claim.digest);
+    struct fw_idem_partition *p = Fw_Idem_FindPartition(c, call->claim.digest);
 
-    if (k->stage == FW_IDEM_TAKEN) {
-        if (now_us - k->claimed_us > FW_IDEM_GRANT_TTL_US) {
-            void_intent(c, k, now_us, out);
-            free_call(k);
+    if (call->stage == FW_IDEM_TAKEN) {
+        if (now_us - call->claimed_us > FW_IDEM_GRANT_TTL_US) {
+            void_intent(c, call, now_us, out);
+            free_call(call);
             return;
         }
-        Fw_Actions_Wake(out, k->claimed_us + FW_IDEM_GRANT_TTL_US + 1);
+        Fw_Actions_Wake(out, call->claimed_us + FW_IDEM_GRANT_TTL_US + 1);
     }
-    if (k->stage != FW_IDEM_CLAIMING) {
+    if (call->stage != FW_IDEM_CLAIMING) {
         return;
     }
-    if (now_us - k->claimed_us >= FW_IDEM_CLAIM_TIMEOUT_US) {
-        struct fw_idem_claim_reply reply = {.op = k->claim.op,
+    if (now_us - call->claimed_us >= FW_IDEM_CLAIM_TIMEOUT_US) {
+        struct fw_idem_claim_reply reply = {.op = call->claim.op,
                                             .intent_may_exist = 1};
 
         reply.result = FW_IDEM_UNAVAILABLE;
-        reply.retry_after_us = Fw_Idem_RetryAfter(c, p, k->claim.op, now_us);
+        reply.retry_after_us =
+            Fw_Idem_RetryAfter(c, p, call->claim.op, now_us);
         Fw_Idem_OnClaimReply(c, &reply, now_us, out);
         return;
     }
-    Fw_Actions_Wake(out, k->claimed_us + FW_IDEM_CLAIM_TIMEOUT_US);
-    if (k->local) {
+    Fw_Actions_Wake(out, call->claimed_us + FW_IDEM_CLAIM_TIMEOUT_US);
+    if (call->local) {
         return;
     }
-    if (now_us - k->claimed_us < FW_IDEM_COORDINATOR_TIMEOUT_US) {
-        Fw_Actions_Wake(out, k->claimed_us + FW_IDEM_COORDINATOR_TIMEOUT_US);
+    if (now_us - call->claimed_us < FW_IDEM_COORDINATOR_TIMEOUT_US) {
+        Fw_Actions_Wake(out,
+                        call->claimed_us + FW_IDEM_COORDINATOR_TIMEOUT_US);
         return;
     }
-    claim_locally(c, k, now_us, out);
+    claim_locally(c, call, now_us, out);
 }
 
 void
--- a/src/idem/decide_cmd.c
+++ b/src/idem/decide_cmd.c
@@ -1,13 +1,13 @@
-/* Decides claims from a partition's table and answers them. */
+/* Decides claims by the partition's table and replies to the claimants. */
 #include <string.h>
 
 #include "base/fault.h"
 #include "idem/idem_internal.h"
 
 static void
-answer(struct fw_idem *c, struct fw_idem_request *rq,
-       struct fw_idem_claim_reply *reply, int64_t now_us,
-       struct fw_actions *out)
+send_reply(struct fw_idem *c, struct fw_idem_request *rq,
+           struct fw_idem_claim_reply *reply, int64_t now_us,
+           struct fw_actions *out)
 {
     const struct fw_member *m;
     struct fw_msg msg = {.area = FW_AREA_IDEM};
@@ -32,16 +32,16 @@
 }
 
 static void
-answer_result(struct fw_idem *c, struct fw_idem_request *rq,
-              enum fw_idem_result result, int64_t now_us,
-              struct fw_actions *out)
+reply_result(struct fw_idem *c, struct fw_idem_request *rq,
+             enum fw_idem_result result, int64_t now_us,
+             struct fw_actions *out)
 {
     struct fw_idem_claim_reply reply = {.result = result};
 
     if (result == FW_IDEM_NOT_RUN) {
         reply.retry_after_us = FW_SEC;
     }
-    answer(c, rq, &reply, now_us, out);
+    send_reply(c, rq, &reply, now_us, out);
 }
 
 static void
@@ -81,7 +81,7 @@
     if (!Fw_Idem_IsFirstOwner(e, rq->rec.owner) &&
         !FW_FAULT("idem-no-order")) {
         if (rq->wait_until_us && now_us >= rq->wait_until_us) {
-            answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
+            reply_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
             return;
         }
         wait_for_outcome(
@@ -90,10 +90,10 @@
         return;
     }
     if (!Fw_Idem_IsKeyRetained(c, &p->table, rq->key_time_ms, now_us)) {
-        answer_result(c, rq, FW_IDEM_TOO_OLD, now_us, out);
+        reply_result(c, rq, FW_IDEM_TOO_OLD, now_us, out);
         return;
     }
-    answer_result(c, rq, FW_IDEM_RUN, now_us, out);
+    reply_result(c, rq, FW_IDEM_RUN, now_us, out);
 }
 
 void
@@ -105,16 +105,16 @@
         Fw_Idem_FindEntry(&p->table, rq->rec.digest);
 
     if (!e) {
-        answer_result(c, rq, FW_IDEM_TOO_OLD, now_us, out);
+        reply_result(c, rq, FW_IDEM_TOO_OLD, now_us, out);
         return;
     }
     if (Fw_Idem_BodyDiffers(e, rq->rec.body_hash)) {
-        answer_result(c, rq, FW_IDEM_MISMATCH, now_us, out);
+        reply_result(c, rq, FW_IDEM_MISMATCH, now_us, out);
         return;
     }
     switch (e->state) {
     case FW_IDEM_ST_FREE:
-        answer_result(
+        reply_result(
             c, rq,
             Fw_Idem_IsKeyRetained(c, &p->table, rq->key_time_ms, now_us)
                 ? FW_IDEM_NOT_RUN
@@ -128,7 +128,7 @@
         fetch_outcome(c, p, rq, e->outcome_offset, now_us, out);
         break;
     case FW_IDEM_ST_UNKNOWN:
-        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
+        reply_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         break;
     }
 }
@@ -154,7 +154,7 @@
             Fw_Idem_Decide(c, p, rq, now_us, out);
         }
         else if (now_us >= rq->wait_until_us) {
-            answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
+            reply_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         }
         else {
             wait_for_outcome(p, rq, rq->wait_until_us, now_us, out);
@@ -174,11 +174,11 @@
     /* Another attempt with this key has begun and may have run. */
     if (e && e->state != FW_IDEM_ST_FREE &&
         !Fw_Idem_IsFirstOwner(e, rq->rec.owner)) {
-        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
+        reply_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         return;
     }
     reply.retry_after_us = Fw_Idem_RetryAfter(c, p, rq->op, now_us);
-    answer(c, rq, &reply, now_us, out);
+    send_reply(c, rq, &reply, now_us, out);
 }
 
 void
@@ -191,14 +191,14 @@
 
     (void)p;
     if (r->err || r->n < 1 || Fw_Idem_ParseRecord(r->records[0], &rec)) {
-        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
+        reply_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         return;
     }
-    /* A read of a deleted record returns a later one. */
+    /* A read at the offset of a deleted record returns a later record. */
     if (rec.kind != FW_IDEM_REC_OUTCOME || rec.ran != FW_RAN_YES ||
         strcmp(rec.digest, rq->rec.digest) != 0) {
         Fw_Idem_ClearRecord(&rec);
-        answer_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
+        reply_result(c, rq, FW_IDEM_OUTCOME_UNKNOWN, now_us, out);
         return;
     }
     reply.status = rec.status;
@@ -206,5 +206,5 @@
     reply.body_omitted = rec.body_omitted;
     g_strlcpy(reply.content_type, rec.content_type,
               sizeof(reply.content_type));
-    answer(c, rq, &reply, now_us, out);
+    send_reply(c, rq, &reply, now_us, out);
 }
--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -75,12 +75,12 @@
 free_calls(struct fw_idem *c)
 {
     while (!Fw_List_Empty(&c->calls)) {
-        struct fw_idem_call *k =
+        struct fw_idem_call *call =
             FW_LIST_ENTRY(c->calls.next, struct fw_idem_call, link);
 
-        Fw_List_Remove(&k->link);
-        g_clear_pointer(&k->answer.body, g_bytes_unref);
-        g_free(k);
+        Fw_List_Remove(&call->link);
+        g_clear_pointer(&call->answer.body, g_bytes_unref);
+        g_free(call);
     }
     while (!Fw_List_Empty(&c->outcomes)) {
         struct fw_idem_pending_outcome *o = FW_LIST_ENTRY(
@@ -212,13 +212,13 @@
 }
 
 void
-Fw_Idem_OnAppended(struct fw_idem *c, const struct fw_log_appended *a,
+Fw_Idem_OnAppended(struct fw_idem *c, const struct fw_log_appended *appended,
                    int64_t now_us, struct fw_actions *out)
 {
     for (int i = 0; i < c->partitions; i++) {
-        if (c->parts[i].ticket == a->ticket) {
+        if (c->parts[i].ticket == appended->ticket) {
             c->parts[i].ticket = 0;
-            Fw_Idem_FinishAppend(c, &c->parts[i], a, now_us, out);
+            Fw_Idem_FinishAppend(c, &c->parts[i], appended, now_us, out);
             return;
         }
     }
--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -88,7 +88,7 @@
 Fw_Idem_OnRecords(struct fw_idem *c, const struct fw_log_records *r,
                   int64_t now_us, struct fw_actions *out);
 void
-Fw_Idem_OnAppended(struct fw_idem *c, const struct fw_log_appended *a,
+Fw_Idem_OnAppended(struct fw_idem *c, const struct fw_log_appended *appended,
                    int64_t now_us, struct fw_actions *out);
 
 #endif
--- a/src/idem/idem_internal.h
+++ b/src/idem/idem_internal.h
@@ -216,7 +216,7 @@
                   struct fw_actions *out);
 void
 Fw_Idem_FinishAppend(struct fw_idem *c, struct fw_idem_partition *p,
-                     const struct fw_log_appended *a, int64_t now_us,
+                     const struct fw_log_appended *appended, int64_t now_us,
                      struct fw_actions *out);
 void
 Fw_Idem_FinishRead(struct fw_idem *c, struct fw_idem_partition *p,
--- a/src/idem/partition_read.c
+++ b/src/idem/partition_read.c
@@ -77,19 +77,19 @@
 
 void
 Fw_Idem_FinishAppend(struct fw_idem *c, struct fw_idem_partition *p,
-                     const struct fw_log_appended *a, int64_t now_us,
+                     const struct fw_log_appended *appended, int64_t now_us,
                      struct fw_actions *out)
 {
     struct fw_list *pos;
 
-    if (a->err == -EAGAIN) {
+    if (appended->err == -EAGAIN) {
         requeue_batch(p, 0);
         p->phase = FW_IDEM_READY;
         Fw_Idem_BackOff(c, p, now_us);
         Fw_Idem_RunPartition(c, p, now_us, out);
         return;
     }
-    if (a->err) {
+    if (appended->err) {
         c->lost_answers.value++;
         FW_LIST_EACH (pos, &p->in_flight) {
             FW_LIST_ENTRY(pos, struct fw_idem_request, link)->append_sent = 1;
@@ -100,12 +100,12 @@
         return;
     }
     p->failures = 0;
-    p->target_offset = a->first_offset;
+    p->target_offset = appended->first_offset;
     FW_LIST_EACH (pos, &p->in_flight) {
         FW_LIST_ENTRY(pos, struct fw_idem_request, link)->append_sent = 1;
         p->target_offset++;
     }
-    if (a->first_offset != p->table.next_offset) {
+    if (appended->first_offset != p->table.next_offset) {
         /* Another instance has appended to the stream in between. */
         p->phase = FW_IDEM_READING_BACK;
         Fw_Idem_StartRead(c, p, out);
--- a/src/idem/record.c
+++ b/src/idem/record.c
@@ -97,20 +97,20 @@
 static int
 copy_str(JsonObject *o, const char *name, char *out, size_t size)
 {
-    const char *s = get_str(o, name);
+    const char *text = get_str(o, name);
 
-    if (!s || strlen(s) >= size) {
+    if (!text || strlen(text) >= size) {
         return -EBADMSG;
     }
-    g_strlcpy(out, s, size);
+    g_strlcpy(out, text, size);
     return 0;
 }
 
 static int
-find_name(const char *const *names, size_t n, const char *s)
+find_name(const char *const *names, size_t n, const char *text)
 {
-    for (size_t i = 0; s && i < n; i++) {
-        if (strcmp(names[i], s) == 0) {
+    for (size_t i = 0; text && i < n; i++) {
+        if (strcmp(names[i], text) == 0) {
             return (int)i;
         }
     }
--- a/src/limit/handover.c
+++ b/src/limit/handover.c
@@ -60,17 +60,17 @@
 }
 
 static void
-fill_entry(const struct fw_team_share *s, struct fw_limit_entry *e)
+fill_entry(const struct fw_team_share *share, struct fw_limit_entry *e)
 {
-    g_strlcpy(e->team, s->name, sizeof(e->team));
-    e->rate = s->unleased.rate;
-    e->burst = s->unleased.burst;
-    e->level = s->unleased.level;
-    e->n_grants = (int)s->grants->len;
-    e->grants = g_new0(struct fw_limit_grant, s->grants->len);
-    for (guint i = 0; i < s->grants->len; i++) {
+    g_strlcpy(e->team, share->name, sizeof(e->team));
+    e->rate = share->unleased.rate;
+    e->burst = share->unleased.burst;
+    e->level = share->unleased.level;
+    e->n_grants = (int)share->grants->len;
+    e->grants = g_new0(struct fw_limit_grant, share->grants->len);
+    for (guint i = 0; i < share->grants->len; i++) {
         const struct fw_lease_grant *g =
-            &g_array_index(s->grants, struct fw_lease_grant, i);
+            &g_array_index(share->grants, struct fw_lease_grant, i);
         e->grants[i] = (struct fw_limit_grant){
             .holder = g->holder,
             .rate = g->rate,
@@ -128,10 +128,10 @@
     answer.expires_in_us = MAX(p->handed_until_us - now_us, 0);
     answer.entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        if (s->ledger == p->ledger) {
-            Fw_Bucket_Refill(&s->unleased, now_us);
-            fill_entry(s, &answer.entries[answer.n_entries++]);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        if (share->ledger == p->ledger) {
+            Fw_Bucket_Refill(&share->unleased, now_us);
+            fill_entry(share, &answer.entries[answer.n_entries++]);
         }
     }
     fill_holders(p, &answer, now_us);
@@ -160,10 +160,10 @@
 }
 
 static void
-load_entry(struct fw_limit *l, struct fw_team_share *s, uint64_t ledger,
+load_entry(struct fw_limit *l, struct fw_team_share *share, uint64_t ledger,
            const struct fw_limit_entry *e, int64_t now_us)
 {
-    g_array_set_size(s->grants, 0);
+    g_array_set_size(share->grants, 0);
     for (int i = 0; i < e->n_grants; i++) {
         struct fw_lease_grant g = {
             .holder = e->grants[i].holder,
@@ -173,14 +173,14 @@
             .offered_burst = e->grants[i].offered_burst,
             .offered_level = e->grants[i].offered_level,
         };
-        g_array_append_val(s->grants, g);
+        g_array_append_val(share->grants, g);
     }
-    s->ledger = ledger;
-    s->fitted_version = s->version;
-    Fw_Bucket_Refill(&s->unleased, now_us);
-    s->unleased.level = 0;
-    Fw_Ledger_ResizeUnleased(l, s, now_us);
-    Fw_Bucket_Put(&s->unleased, e->level, now_us);
+    share->ledger = ledger;
+    share->fitted_version = share->version;
+    Fw_Bucket_Refill(&share->unleased, now_us);
+    share->unleased.level = 0;
+    Fw_Ledger_ResizeUnleased(l, share, now_us);
+    Fw_Bucket_Put(&share->unleased, e->level, now_us);
 }
 
 /* Moves this instance's own leases of the ledger to the unleased buckets. */
@@ -197,20 +197,20 @@
             continue;
         }
         for (guint k = 0; k < p->shares->len; k++) {
-            struct fw_team_share *s = g_ptr_array_index(p->shares, k);
+            struct fw_team_share *share = g_ptr_array_index(p->shares, k);
             int64_t level;
-            Fw_Bucket_Refill(&s->leased, now_us);
-            level = usable ? s->leased.level : 0;
-            Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
-            for (guint g = s->grants->len; g > 0; g--) {
-                if (g_array_index(s->grants, struct fw_lease_grant, g - 1)
+            Fw_Bucket_Refill(&share->leased, now_us);
+            level = usable ? share->leased.level : 0;
+            Fw_Bucket_Resize(&share->leased, 0, 0, now_us);
+            for (guint g = share->grants->len; g > 0; g--) {
+                if (g_array_index(share->grants, struct fw_lease_grant, g - 1)
                         .holder == (int)i) {
-                    g_array_remove_index_fast(s->grants, g - 1);
+                    g_array_remove_index_fast(share->grants, g - 1);
                 }
             }
-            if (s->ledger == p->ledger) {
-                Fw_Ledger_ResizeUnleased(l, s, now_us);
-                Fw_Bucket_Put(&s->unleased, level, now_us);
+            if (share->ledger == p->ledger) {
+                Fw_Ledger_ResizeUnleased(l, share, now_us);
+                Fw_Bucket_Put(&share->unleased, level, now_us);
             }
         }
         memset(h, 0, sizeof(*h));
@@ -241,10 +241,10 @@
     for (int i = 0; i < msg->n_entries; i++) {
         /* Teams that aren't configured here yet are added too, since their
          * leases must count once the configuration arrives. */
-        struct fw_team_share *s =
+        struct fw_team_share *share =
             Fw_TeamShare_FindOrAdd(l, msg->entries[i].team, now_us);
-        if (s->partition == msg->partition) {
-            load_entry(l, s, p->ledger, &msg->entries[i], now_us);
+        if (share->partition == msg->partition) {
+            load_entry(l, share, p->ledger, &msg->entries[i], now_us);
         }
     }
     absorb_own_lease(l, p, now_us);
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -9,7 +9,8 @@
 
 #define FW_RETRY_DELAY_MAX_US (3 * FW_SEC)
 
-/* Sets the wanted rates from the demand of the last renewal interval. */
+/* Sets the rates of the leases to request, from the demand of the last renewal
+ * interval. A rate that is no longer needed is halved each interval. */
 static void
 measure_demand(struct fw_limit *l)
 {
@@ -18,17 +19,18 @@
 
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_team_share *s = value;
-        int64_t rate = s->demand_tokens * FW_SEC / FW_RENEW_INTERVAL_US;
-        s->wanted_rate /= 2;
-        if (s->demand_requests >= FW_LEASE_REQUESTS_MIN && s->rate > 0 &&
-            (double)s->burst * (double)rate / (double)s->rate >=
+        struct fw_team_share *share = value;
+        int64_t rate = share->demand_tokens * FW_SEC / FW_RENEW_INTERVAL_US;
+        share->wanted_rate /= 2;
+        if (share->demand_requests >= FW_LEASE_REQUESTS_MIN &&
+            share->rate > 0 &&
+            (double)share->burst * (double)rate / (double)share->rate >=
                 (double)FW_LEASE_BURST_REQUESTS_MIN *
-                    (double)s->demand_tokens / s->demand_requests) {
-            s->wanted_rate = MAX(s->wanted_rate, rate + rate / 2);
+                    (double)share->demand_tokens / share->demand_requests) {
+            share->wanted_rate = MAX(share->wanted_rate, rate + rate / 2);
         }
-        s->demand_tokens = 0;
-        s->demand_requests = 0;
+        share->demand_tokens = 0;
+        share->demand_requests = 0;
     }
 }
 
@@ -76,12 +78,12 @@
     }
     p->lease_seq = 0;
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        Fw_Bucket_Resize(&share->leased, 0, 0, now_us);
     }
 }
 
-/* Return: nonzero when there is a lease to renew, request or give back. */
+/* Return: nonzero when there is a lease to request, renew or return. */
 static int
 fill_renew(const struct fw_limit *l, const struct fw_limit_partition *p,
            int follows, struct fw_limit_msg *msg)
@@ -89,14 +91,15 @@
     msg->entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0;
          i < p->shares->len && msg->n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
-        const struct fw_team_share *s = g_ptr_array_index(p->shares, i);
+        const struct fw_team_share *share = g_ptr_array_index(p->shares, i);
         struct fw_limit_entry *e = &msg->entries[msg->n_entries];
-        if ((s->wanted_rate > 0 || s->scaled_down || s->excess > 0) &&
-            !s->removed) {
-            g_strlcpy(e->team, s->name, sizeof(e->team));
-            e->rate = s->wanted_rate;
-            e->level = s->scaled_down;
-            e->burst = s->excess;
+        if ((share->wanted_rate > 0 || share->scaled_down ||
+             share->excess > 0) &&
+            !share->removed) {
+            g_strlcpy(e->team, share->name, sizeof(e->team));
+            e->rate = share->wanted_rate;
+            e->level = share->scaled_down;
+            e->burst = share->excess;
             msg->n_entries++;
         }
     }
@@ -145,21 +148,22 @@
 /* Returns unused tokens to the leader and the followers in rotation; a large
  * amount is spread over all, as each has capacity for its part only. */
 static void
-send_returns(struct fw_limit *l, struct fw_team_share *s,
+send_returns(struct fw_limit *l, struct fw_team_share *share,
              struct fw_actions *out)
 {
-    int is_large = s->unreturned > s->burst / FW_LARGE_GRANT_DIVISOR;
+    int is_large = share->unreturned > share->burst / FW_LARGE_GRANT_DIVISOR;
     int n_peers = FW_FOLLOWERS_MAX + 1;
     uint64_t first = l->seq;
 
-    for (int i = 0; i < n_peers && s->unreturned > 0; i++) {
+    for (int i = 0; i < n_peers && share->unreturned > 0; i++) {
         int64_t part =
-            is_large ? s->unreturned / (n_peers - i) : s->unreturned;
+            is_large ? share->unreturned / (n_peers - i) : share->unreturned;
         const struct fw_member *m = Fw_Limit_LeaderOrFollower(
-            l, s->partition, (int)((first + (uint64_t)i) % (uint64_t)n_peers));
+            l, share->partition,
+            (int)((first + (uint64_t)i) % (uint64_t)n_peers));
         if (m && !Fw_Fleet_IsSelf(l->fleet, m)) {
-            Fw_PeerGrant_SendReturn(l, m->name, s->name, part, 0, out);
-            s->unreturned -= part;
+            Fw_PeerGrant_SendReturn(l, m->name, share->name, part, 0, out);
+            share->unreturned -= part;
         }
     }
 }
@@ -172,13 +176,14 @@
 
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_team_share *s = value;
-        if (s->unreturned == 0) {
+        struct fw_team_share *share = value;
+        if (share->unreturned == 0) {
             continue;
         }
-        s->unreturned -= Fw_TeamShare_Put(l, s, s->unreturned, now_us);
-        send_returns(l, s, out);
-        s->unreturned = 0;
+        share->unreturned -=
+            Fw_TeamShare_Put(l, share, share->unreturned, now_us);
+        send_returns(l, share, out);
+        share->unreturned = 0;
     }
 }
 
@@ -212,13 +217,14 @@
     }
 }
 
-/* Nonzero when the lease of some team has less than an eighth of its rate. */
+/* Nonzero when the lease of some team has less than an eighth of the team's
+ * rate. */
 static int
 is_below_share(const struct fw_limit_partition *p)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        const struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        if (!s->removed && s->leased.rate * 8 < s->rate) {
+        const struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        if (!share->removed && share->leased.rate * 8 < share->rate) {
             return 1;
         }
     }
@@ -241,7 +247,7 @@
     p->renew_pending = 0;
     p->lease_seq = msg->seq;
     p->lease_ledger = msg->fence;
-    /* From the time of the renewal, as the answer may have been delayed. */
+    /* Counted from when the renewal was sent: the answer may be delayed. */
     p->lease_until_us = p->renew_sent_us + l->lease_us;
     for (guint i = 0; i < p->shares->len; i++) {
         ((struct fw_team_share *)g_ptr_array_index(p->shares, i))->excess = 0;
@@ -249,24 +255,25 @@
     for (int i = 0; i < msg->n_entries; i++) {
         const struct fw_limit_entry *e = &msg->entries[i];
         const struct fw_team *team = Fw_Config_FindTeam(cfg, e->team);
-        struct fw_team_share *s =
+        struct fw_team_share *share =
             team ? Fw_TeamShare_Get(l, team, now_us) : NULL;
-        if (!s || s->partition != msg->partition) {
+        if (!share || share->partition != msg->partition) {
             continue;
         }
-        Fw_Bucket_Refill(&s->leased, now_us);
-        s->excess = s->leased.level;
-        Fw_Bucket_Resize(&s->leased, e->rate, e->burst, now_us);
-        s->excess -= s->leased.level;
-        reduced |= s->excess > 0;
-        Fw_Bucket_Put(&s->leased, e->level, now_us);
-        s->scaled_down = 0;
+        Fw_Bucket_Refill(&share->leased, now_us);
+        share->excess = share->leased.level;
+        Fw_Bucket_Resize(&share->leased, e->rate, e->burst, now_us);
+        share->excess -= share->leased.level;
+        reduced |= share->excess > 0;
+        Fw_Bucket_Put(&share->leased, e->level, now_us);
+        share->scaled_down = 0;
     }
     if (reduced) {
-        p->next_renew_us = now_us; /* gives the excess back */
+        p->next_renew_us = now_us; /* the renewal returns the excess */
     }
     else if (p->reported_follower && is_below_share(p)) {
-        p->next_renew_us = now_us + FW_SEC; /* others reduce theirs first */
+        /* Others must reduce their leases first. */
+        p->next_renew_us = now_us + FW_SEC;
     }
 }
 
@@ -289,18 +296,18 @@
     msg.seq = p->renew_seq;
     msg.boot = l->self.boot;
     msg.entries = g_new0(struct fw_limit_entry, p->shares->len);
-    /* Gives the remaining tokens back with the lease. */
+    /* Returns the remaining tokens with the lease. */
     for (guint i = 0;
          i < p->shares->len && msg.n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
         struct fw_limit_entry *e = &msg.entries[msg.n_entries];
-        Fw_Bucket_Refill(&s->leased, now_us);
-        if (s->leased.level > 0) {
-            g_strlcpy(e->team, s->name, sizeof(e->team));
-            e->burst = s->leased.level;
+        Fw_Bucket_Refill(&share->leased, now_us);
+        if (share->leased.level > 0) {
+            g_strlcpy(e->team, share->name, sizeof(e->team));
+            e->burst = share->leased.level;
             msg.n_entries++;
         }
-        Fw_Bucket_Resize(&s->leased, 0, 0, now_us);
+        Fw_Bucket_Resize(&share->leased, 0, 0, now_us);
     }
     Fw_Limit_Send(l, leader, &msg, out);
 }
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -39,20 +39,20 @@
 }
 
 void
-Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
+Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *share,
                          int64_t now_us)
 {
-    int64_t rate = s->rate;
-    int64_t burst = s->burst;
+    int64_t rate = share->rate;
+    int64_t burst = share->burst;
 
     (void)l;
-    for (guint i = 0; i < s->grants->len; i++) {
+    for (guint i = 0; i < share->grants->len; i++) {
         const struct fw_lease_grant *g =
-            &g_array_index(s->grants, struct fw_lease_grant, i);
+            &g_array_index(share->grants, struct fw_lease_grant, i);
         rate -= Fw_Lease_GrantedRate(g);
         burst -= Fw_Lease_GrantedBurst(g);
     }
-    Fw_Bucket_Resize(&s->unleased, rate, burst, now_us);
+    Fw_Bucket_Resize(&share->unleased, rate, burst, now_us);
 }
 
 void
@@ -60,16 +60,16 @@
                       int holder, int64_t now_us)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        guint before = s->grants->len;
-        for (guint g = s->grants->len; g > 0; g--) {
-            if (g_array_index(s->grants, struct fw_lease_grant, g - 1)
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        guint before = share->grants->len;
+        for (guint g = share->grants->len; g > 0; g--) {
+            if (g_array_index(share->grants, struct fw_lease_grant, g - 1)
                     .holder == holder) {
-                g_array_remove_index_fast(s->grants, g - 1);
+                g_array_remove_index_fast(share->grants, g - 1);
             }
         }
-        if (s->grants->len != before && s->ledger == p->ledger) {
-            Fw_Ledger_ResizeUnleased(l, s, now_us);
+        if (share->grants->len != before && share->ledger == p->ledger) {
+            Fw_Ledger_ResizeUnleased(l, share, now_us);
         }
     }
 }
@@ -78,9 +78,9 @@
 clear_ledger(struct fw_limit_partition *p)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        g_array_set_size(s->grants, 0);
-        s->ledger = 0;
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        g_array_set_size(share->grants, 0);
+        share->ledger = 0;
     }
     g_array_set_size(p->holders, 0);
     p->ledger = 0;
@@ -102,10 +102,10 @@
     p->teams_loaded = 0;
     p->is_first = is_first;
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        Fw_Bucket_Refill(&s->unleased, now_us);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        Fw_Bucket_Refill(&share->unleased, now_us);
         if (!usable) {
-            s->unleased.level = 0;
+            share->unleased.level = 0;
         }
     }
 }
@@ -167,28 +167,30 @@
 }
 
 void
-Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us)
+Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *share,
+                  int64_t now_us)
 {
-    const struct fw_limit_partition *p = &l->partitions[s->partition];
+    const struct fw_limit_partition *p = &l->partitions[share->partition];
 
     if (!p->ledger || p->successor[0]) {
         return;
     }
-    if (s->ledger == p->ledger) {
-        if (s->scaled_down || s->fitted_version != s->version) {
-            s->fitted_version = s->version;
-            Fw_Ledger_ResizeUnleased(l, s, now_us);
+    if (share->ledger == p->ledger) {
+        if (share->scaled_down || share->fitted_version != share->version) {
+            share->fitted_version = share->version;
+            Fw_Ledger_ResizeUnleased(l, share, now_us);
         }
         return;
     }
-    s->ledger = p->ledger;
-    s->fitted_version = s->version;
-    Fw_Ledger_ResizeUnleased(l, s, now_us);
+    share->ledger = p->ledger;
+    share->fitted_version = share->version;
+    Fw_Ledger_ResizeUnleased(l, share, now_us);
     /* Full at once only if no tokens of it can have been spent: no leader came
      * before, or the team was added well after this ledger was started. */
     if (p->is_first || (p->teams_loaded &&
                         now_us >= p->ledger_since_us + FW_NEW_TEAM_DELAY_US)) {
-        Fw_Bucket_Put(&s->unleased,
-                      s->unleased.burst * FW_MICROTOKENS_PER_TOKEN, now_us);
+        Fw_Bucket_Put(&share->unleased,
+                      share->unleased.burst * FW_MICROTOKENS_PER_TOKEN,
+                      now_us);
     }
 }
--- a/src/limit/ledger_renew.c
+++ b/src/limit/ledger_renew.c
@@ -39,11 +39,11 @@
 }
 
 static struct fw_lease_grant *
-find_grant(struct fw_team_share *s, int holder)
+find_grant(struct fw_team_share *share, int holder)
 {
-    for (guint i = 0; i < s->grants->len; i++) {
+    for (guint i = 0; i < share->grants->len; i++) {
         struct fw_lease_grant *g =
-            &g_array_index(s->grants, struct fw_lease_grant, i);
+            &g_array_index(share->grants, struct fw_lease_grant, i);
         if (g->holder == holder) {
             return g;
         }
@@ -71,13 +71,13 @@
               const struct fw_limit_msg *renewal, int64_t now_us)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        struct fw_lease_grant *g = find_grant(s, holder);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        struct fw_lease_grant *g = find_grant(share, holder);
         int64_t back;
         if (!g) {
             continue;
         }
-        back = renewal ? MIN(returned_level(renewal, s->name),
+        back = renewal ? MIN(returned_level(renewal, share->name),
                              (g->burst - MIN(g->burst, g->offered_burst)) *
                                  FW_MICROTOKENS_PER_TOKEN)
                        : g->offered_level;
@@ -88,8 +88,8 @@
         g->offered_rate = g->rate;
         g->offered_burst = g->burst;
         g->offered_level = 0;
-        Fw_Ledger_ResizeUnleased(l, s, now_us);
-        Fw_Bucket_Put(&s->unleased, back, now_us);
+        Fw_Ledger_ResizeUnleased(l, share, now_us);
+        Fw_Bucket_Put(&share->unleased, back, now_us);
     }
 }
 
@@ -102,17 +102,17 @@
     int64_t *back = g_new0(int64_t, p->shares->len + 1);
 
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        const struct fw_lease_grant *g = find_grant(s, holder);
-        back[i] = g ? MIN(returned_level(msg, s->name),
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        const struct fw_lease_grant *g = find_grant(share, holder);
+        back[i] = g ? MIN(returned_level(msg, share->name),
                           g->burst * FW_MICROTOKENS_PER_TOKEN)
                     : 0;
     }
     Fw_Ledger_ClearGrants(l, p, holder, now_us);
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        if (s->ledger == p->ledger) {
-            Fw_Bucket_Put(&s->unleased, back[i], now_us);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        if (share->ledger == p->ledger) {
+            Fw_Bucket_Put(&share->unleased, back[i], now_us);
         }
     }
     g_free(back);
@@ -153,12 +153,12 @@
                     const struct fw_limit_msg *msg)
 {
     for (guint i = 0; i < p->shares->len; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        struct fw_lease_grant *g = find_grant(s, holder);
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        struct fw_lease_grant *g = find_grant(share, holder);
         int64_t want = 0;
         int resend = 0;
         for (int e = 0; e < msg->n_entries; e++) {
-            if (strcmp(msg->entries[e].team, s->name) == 0) {
+            if (strcmp(msg->entries[e].team, share->name) == 0) {
                 want = msg->entries[e].rate;
                 resend = msg->entries[e].level > 0;
             }
@@ -170,7 +170,7 @@
         else if (want > 0) {
             struct fw_lease_grant fresh = {.holder = holder,
                                            .wanted_rate = want};
-            g_array_append_val(s->grants, fresh);
+            g_array_append_val(share->grants, fresh);
         }
     }
 }
@@ -178,40 +178,40 @@
 /* Rate for the holder: by its demand, and for followers (@followers nonzero)
  * at least an equal part of the team's rate. */
 static int64_t
-target_rate(const struct fw_team_share *s, const struct fw_lease_grant *mine,
-            int followers)
+target_rate(const struct fw_team_share *share,
+            const struct fw_lease_grant *mine, int followers)
 {
     int64_t wanted = 0;
     int64_t rate = mine->wanted_rate;
 
-    for (guint i = 0; i < s->grants->len; i++) {
+    for (guint i = 0; i < share->grants->len; i++) {
         const struct fw_lease_grant *g =
-            &g_array_index(s->grants, struct fw_lease_grant, i);
+            &g_array_index(share->grants, struct fw_lease_grant, i);
         wanted += g->wanted_rate;
     }
-    if ((double)wanted > FW_LEASED_FRACTION_MAX * (double)s->rate) {
+    if ((double)wanted > FW_LEASED_FRACTION_MAX * (double)share->rate) {
         rate = (int64_t)((double)mine->wanted_rate / (double)wanted *
-                         FW_LEASED_FRACTION_MAX * (double)s->rate);
+                         FW_LEASED_FRACTION_MAX * (double)share->rate);
     }
     if (followers > 0) {
-        rate = MAX(rate, s->rate / (followers + 1));
+        rate = MAX(rate, share->rate / (followers + 1));
     }
-    return MIN(rate, mine->rate + MAX(s->unleased.rate, 0));
+    return MIN(rate, mine->rate + MAX(share->unleased.rate, 0));
 }
 
 /* Offers the lease's new size in @e, unless it differs by at most an eighth.
  * Return: nonzero when it was offered. */
 static int
-offer_lease(struct fw_limit *l, struct fw_team_share *s,
+offer_lease(struct fw_limit *l, struct fw_team_share *share,
             struct fw_lease_grant *g, int followers, struct fw_limit_entry *e,
             int64_t now_us)
 {
-    int64_t rate = target_rate(s, g, followers);
-    int64_t burst =
-        s->rate > 0
-            ? (int64_t)((double)s->burst * (double)rate / (double)s->rate)
-            : 0;
-    int64_t room = s->unleased.burst;
+    int64_t rate = target_rate(share, g, followers);
+    int64_t burst = share->rate > 0
+                        ? (int64_t)((double)share->burst * (double)rate /
+                                    (double)share->rate)
+                        : 0;
+    int64_t room = share->unleased.burst;
     int64_t level;
 
     burst = MIN(burst, g->burst + room);
@@ -220,16 +220,16 @@
         return 0;
     }
     level = room > 0 && burst > g->burst
-                ? (int64_t)((double)s->unleased.level *
+                ? (int64_t)((double)share->unleased.level *
                             (double)(burst - g->burst) / (double)room)
                 : 0;
     g->resend = 0;
     g->offered_rate = rate;
     g->offered_burst = burst;
     g->offered_level = level;
-    s->unleased.level -= level;
-    Fw_Ledger_ResizeUnleased(l, s, now_us);
-    g_strlcpy(e->team, s->name, sizeof(e->team));
+    share->unleased.level -= level;
+    Fw_Ledger_ResizeUnleased(l, share, now_us);
+    g_strlcpy(e->team, share->name, sizeof(e->team));
     e->rate = rate;
     e->burst = burst;
     e->level = level;
@@ -257,18 +257,18 @@
     answer->entries = g_new0(struct fw_limit_entry, p->shares->len);
     for (guint i = 0;
          i < p->shares->len && answer->n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
-        struct fw_team_share *s = g_ptr_array_index(p->shares, i);
-        struct fw_lease_grant *g = find_grant(s, holder);
-        if (s->ledger != p->ledger) {
+        struct fw_team_share *share = g_ptr_array_index(p->shares, i);
+        struct fw_lease_grant *g = find_grant(share, holder);
+        if (share->ledger != p->ledger) {
             continue;
         }
         if (!g && msg->is_follower) {
             struct fw_lease_grant fresh = {.holder = holder};
-            g_array_append_val(s->grants, fresh);
-            g = find_grant(s, holder);
+            g_array_append_val(share->grants, fresh);
+            g = find_grant(share, holder);
         }
-        Fw_Bucket_Refill(&s->unleased, now_us);
-        if (g && offer_lease(l, s, g, followers,
+        Fw_Bucket_Refill(&share->unleased, now_us);
+        if (g && offer_lease(l, share, g, followers,
                              &answer->entries[answer->n_entries], now_us)) {
             answer->n_entries++;
         }
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -39,12 +39,12 @@
 }
 
 void
-Fw_TeamShare_Free(gpointer share)
+Fw_TeamShare_Free(gpointer data)
 {
-    struct fw_team_share *s = share;
+    struct fw_team_share *share = data;
 
-    g_array_unref(s->grants);
-    g_free(s);
+    g_array_unref(share->grants);
+    g_free(share);
 }
 
 struct fw_limit *
@@ -102,38 +102,43 @@
 /* Reduces the local buckets in proportion as soon as a team's rate or burst is
  * lowered; the leader adjusts its ledger at the next renewal. */
 static void
-scale_down(struct fw_team_share *s, int64_t rate, int64_t burst,
+scale_down(struct fw_team_share *share, int64_t rate, int64_t burst,
            int64_t now_us)
 {
-    double r = s->rate > 0 ? (double)rate / (double)s->rate : 1;
-    double b = s->burst > 0 ? (double)burst / (double)s->burst : 1;
-
-    r = MIN(r, 1.0);
-    b = MIN(b, 1.0);
-    if (r < 1.0 || b < 1.0) {
-        s->scaled_down = 1;
-        Fw_Bucket_Resize(&s->leased, (int64_t)((double)s->leased.rate * r),
-                         (int64_t)((double)s->leased.burst * b), now_us);
-        Fw_Bucket_Resize(&s->unleased, (int64_t)((double)s->unleased.rate * r),
-                         (int64_t)((double)s->unleased.burst * b), now_us);
+    double rate_ratio =
+        share->rate > 0 ? (double)rate / (double)share->rate : 1;
+    double burst_ratio =
+        share->burst > 0 ? (double)burst / (double)share->burst : 1;
+
+    rate_ratio = MIN(rate_ratio, 1.0);
+    burst_ratio = MIN(burst_ratio, 1.0);
+    if (rate_ratio < 1.0 || burst_ratio < 1.0) {
+        share->scaled_down = 1;
+        Fw_Bucket_Resize(
+            &share->leased, (int64_t)((double)share->leased.rate * rate_ratio),
+            (int64_t)((double)share->leased.burst * burst_ratio), now_us);
+        Fw_Bucket_Resize(
+            &share->unleased,
+            (int64_t)((double)share->unleased.rate * rate_ratio),
+            (int64_t)((double)share->unleased.burst * burst_ratio), now_us);
     }
 }
 
 static void
-apply_team(struct fw_limit *l, struct fw_team_share *s,
+apply_team(struct fw_limit *l, struct fw_team_share *share,
            const struct fw_team *team, int64_t now_us)
 {
     int regions = MAX(l->self.regions, 1);
     int64_t rate = team->rate / regions;
     int64_t burst = team->burst / regions;
 
-    s->version = team->version;
-    if (rate != s->rate || burst != s->burst) {
-        scale_down(s, rate, burst, now_us);
-        s->rate = rate;
-        s->burst = burst;
+    share->version = team->version;
+    if (rate != share->rate || burst != share->burst) {
+        scale_down(share, rate, burst, now_us);
+        share->rate = rate;
+        share->burst = burst;
     }
-    Fw_Ledger_AddTeam(l, s, now_us);
+    Fw_Ledger_AddTeam(l, share, now_us);
 }
 
 struct fw_team_share *
@@ -145,49 +150,52 @@
 struct fw_team_share *
 Fw_TeamShare_FindOrAdd(struct fw_limit *l, const char *team, int64_t now_us)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, team);
-
-    if (!s) {
-        s = g_new0(struct fw_team_share, 1);
-        g_strlcpy(s->name, team, sizeof(s->name));
-        s->partition = Fw_Roles_PartitionOf(l->roles, team);
-        s->removed = 1;
-        s->grants = g_array_new(FALSE, TRUE, sizeof(struct fw_lease_grant));
-        s->unleased.at_us = now_us;
-        s->leased.at_us = now_us;
-        g_hash_table_insert(l->shares, s->name, s);
-        g_ptr_array_add(l->partitions[s->partition].shares, s);
+    struct fw_team_share *share = Fw_TeamShare_Find(l, team);
+
+    if (!share) {
+        share = g_new0(struct fw_team_share, 1);
+        g_strlcpy(share->name, team, sizeof(share->name));
+        share->partition = Fw_Roles_PartitionOf(l->roles, team);
+        share->removed = 1;
+        share->grants =
+            g_array_new(FALSE, TRUE, sizeof(struct fw_lease_grant));
+        share->unleased.at_us = now_us;
+        share->leased.at_us = now_us;
+        g_hash_table_insert(l->shares, share->name, share);
+        g_ptr_array_add(l->partitions[share->partition].shares, share);
     }
-    return s;
+    return share;
 }
 
 struct fw_team_share *
 Fw_TeamShare_Get(struct fw_limit *l, const struct fw_team *team,
                  int64_t now_us)
 {
-    struct fw_team_share *s = Fw_TeamShare_FindOrAdd(l, team->name, now_us);
+    struct fw_team_share *share =
+        Fw_TeamShare_FindOrAdd(l, team->name, now_us);
 
-    if (s->removed || s->version != team->version || !s->version) {
-        s->removed = 0;
-        apply_team(l, s, team, now_us);
+    if (share->removed || share->version != team->version || !share->version) {
+        share->removed = 0;
+        apply_team(l, share, team, now_us);
     }
-    return s;
+    return share;
 }
 
 int
 Fw_TeamShare_UnleasedUsable(const struct fw_limit *l,
-                            const struct fw_team_share *s, int64_t margin_us,
-                            int64_t now_us)
+                            const struct fw_team_share *share,
+                            int64_t margin_us, int64_t now_us)
 {
-    return now_us + margin_us < l->partitions[s->partition].unleased_until_us;
+    return now_us + margin_us <
+           l->partitions[share->partition].unleased_until_us;
 }
 
 int
 Fw_TeamShare_LeaseUsable(const struct fw_limit *l,
-                         const struct fw_team_share *s, int64_t margin_us,
+                         const struct fw_team_share *share, int64_t margin_us,
                          int64_t now_us)
 {
-    const struct fw_limit_partition *p = &l->partitions[s->partition];
+    const struct fw_limit_partition *p = &l->partitions[share->partition];
 
     /* Checked at each use: the lease may have expired during a pause of this
      * process and been granted to others. */
@@ -196,33 +204,33 @@
 }
 
 struct fw_token_split
-Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                  int reserve, int64_t now_us)
+Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *share,
+                  int64_t tokens, int reserve, int64_t now_us)
 {
     int64_t margin = reserve ? FW_RESERVATION_US : 0;
     struct fw_token_split got = {0, 0};
 
-    if (Fw_TeamShare_LeaseUsable(l, s, margin, now_us)) {
-        got.leased = Fw_Bucket_Take(&s->leased, tokens, reserve, now_us);
+    if (Fw_TeamShare_LeaseUsable(l, share, margin, now_us)) {
+        got.leased = Fw_Bucket_Take(&share->leased, tokens, reserve, now_us);
     }
-    if (Fw_TeamShare_UnleasedUsable(l, s, margin, now_us)) {
-        got.unleased =
-            Fw_Bucket_Take(&s->unleased, tokens - got.leased, reserve, now_us);
+    if (Fw_TeamShare_UnleasedUsable(l, share, margin, now_us)) {
+        got.unleased = Fw_Bucket_Take(&share->unleased, tokens - got.leased,
+                                      reserve, now_us);
     }
     return got;
 }
 
 int64_t
-Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                 int64_t now_us)
+Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *share,
+                 int64_t tokens, int64_t now_us)
 {
     int64_t left = tokens * FW_MICROTOKENS_PER_TOKEN;
 
-    if (Fw_TeamShare_UnleasedUsable(l, s, 0, now_us)) {
-        left -= Fw_Bucket_Put(&s->unleased, left, now_us);
+    if (Fw_TeamShare_UnleasedUsable(l, share, 0, now_us)) {
+        left -= Fw_Bucket_Put(&share->unleased, left, now_us);
     }
-    if (Fw_TeamShare_LeaseUsable(l, s, 0, now_us)) {
-        left -= Fw_Bucket_Put(&s->leased, left, now_us);
+    if (Fw_TeamShare_LeaseUsable(l, share, 0, now_us)) {
+        left -= Fw_Bucket_Put(&share->leased, left, now_us);
     }
     return tokens - left / FW_MICROTOKENS_PER_TOKEN;
 }
@@ -266,11 +274,12 @@
     }
     g_hash_table_iter_init(&it, l->shares);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        struct fw_team_share *s = value;
-        if (!s->removed && !g_hash_table_contains(cfg->teams, s->name)) {
+        struct fw_team_share *share = value;
+        if (!share->removed &&
+            !g_hash_table_contains(cfg->teams, share->name)) {
             const struct fw_team none = {.version = 0};
-            s->removed = 1;
-            apply_team(l, s, &none, now_us);
+            share->removed = 1;
+            apply_team(l, share, &none, now_us);
         }
     }
 }
@@ -351,13 +360,13 @@
 int
 Fw_Limit_TakeAnswer(struct fw_limit *l, struct fw_limit_answer *ans)
 {
-    struct fw_limit_answer *a = g_queue_pop_head(&l->answers);
+    struct fw_limit_answer *answer = g_queue_pop_head(&l->answers);
 
-    if (!a) {
+    if (!answer) {
         return 0;
     }
-    *ans = *a;
-    g_free(a);
+    *ans = *answer;
+    g_free(answer);
     return 1;
 }
 
--- a/src/limit/limit_internal.h
+++ b/src/limit/limit_internal.h
@@ -301,23 +301,23 @@
  */
 int
 Fw_TeamShare_UnleasedUsable(const struct fw_limit *l,
-                            const struct fw_team_share *s, int64_t margin_us,
-                            int64_t now_us);
+                            const struct fw_team_share *share,
+                            int64_t margin_us, int64_t now_us);
 int
 Fw_TeamShare_LeaseUsable(const struct fw_limit *l,
-                         const struct fw_team_share *s, int64_t margin_us,
+                         const struct fw_team_share *share, int64_t margin_us,
                          int64_t now_us);
 /* Takes up to @tokens from the usable buckets, kept reserved if @reserve is
  * nonzero. */
 struct fw_token_split
-Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                  int reserve, int64_t now_us);
+Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *share,
+                  int64_t tokens, int reserve, int64_t now_us);
 /* Puts up to @tokens into the usable buckets. Return: tokens that fitted. */
 int64_t
-Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                 int64_t now_us);
+Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *share,
+                 int64_t tokens, int64_t now_us);
 void
-Fw_TeamShare_Free(gpointer share);
+Fw_TeamShare_Free(gpointer data);
 
 static inline int64_t
 Fw_Lease_GrantedRate(const struct fw_lease_grant *g)
@@ -348,7 +348,7 @@
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us);
 /* Resizes the unleased bucket to the part of the team that isn't granted. */
 void
-Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
+Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *share,
                          int64_t now_us);
 void
 Fw_Ledger_OnRenew(struct fw_limit *l, const char *from,
@@ -357,7 +357,8 @@
 /* Adds the team to its partition's ledger or applies its new configuration.
  */
 void
-Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us);
+Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *share,
+                  int64_t now_us);
 
 /* Return: the leader of @partition (@index 0) or a follower (@index from 1 to
  * FW_FOLLOWERS_MAX), NULL when there is none. */
--- a/src/limit/peer_grant.c
+++ b/src/limit/peer_grant.c
@@ -50,7 +50,7 @@
  * failed, or none, as they were spent. A grant whose reservation expired is
  * not put back, since the bucket has refilled its capacity. */
 static void
-settle_grant(struct fw_limit *l, struct fw_team_share *s, const char *from,
+settle_grant(struct fw_limit *l, struct fw_team_share *share, const char *from,
              const struct fw_limit_msg *msg, int64_t now_us)
 {
     struct fw_peer_grant *g;
@@ -62,14 +62,14 @@
         return;
     }
     g = e->data;
-    if (strcmp(g->team, s->name) == 0 && msg->tokens == 0) {
-        Fw_Bucket_Commit(&s->leased, g->split.leased, now_us);
-        Fw_Bucket_Commit(&s->unleased, g->split.unleased, now_us);
+    if (strcmp(g->team, share->name) == 0 && msg->tokens == 0) {
+        Fw_Bucket_Commit(&share->leased, g->split.leased, now_us);
+        Fw_Bucket_Commit(&share->unleased, g->split.unleased, now_us);
     }
-    else if (strcmp(g->team, s->name) == 0 &&
+    else if (strcmp(g->team, share->name) == 0 &&
              msg->tokens == g->split.leased + g->split.unleased) {
-        Fw_Bucket_Cancel(&s->leased, g->split.leased, now_us);
-        Fw_Bucket_Cancel(&s->unleased, g->split.unleased, now_us);
+        Fw_Bucket_Cancel(&share->leased, g->split.leased, now_us);
+        Fw_Bucket_Cancel(&share->unleased, g->split.unleased, now_us);
     }
     /* The entry stays, so that a duplicate doesn't count. */
     g->split = (struct fw_token_split){0, 0};
@@ -80,7 +80,7 @@
                        const struct fw_limit_msg *msg, int64_t now_us,
                        struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, msg->team);
+    struct fw_team_share *share = Fw_TeamShare_Find(l, msg->team);
     struct fw_limit_msg answer = {.kind = FW_LIMIT_TOKEN_GRANT,
                                   .seq = msg->seq};
     struct fw_token_split got;
@@ -89,10 +89,10 @@
     if (find_peer_grant(l, from, msg->seq)) {
         return; /* duplicate: the requester would ignore a second grant */
     }
-    if (s && !s->removed) {
-        Fw_Ledger_Refresh(l, s->partition, now_us);
-        Fw_Ledger_AddTeam(l, s, now_us);
-        got = Fw_TeamShare_Take(l, s, msg->tokens, 1, now_us);
+    if (share && !share->removed) {
+        Fw_Ledger_Refresh(l, share->partition, now_us);
+        Fw_Ledger_AddTeam(l, share, now_us);
+        got = Fw_TeamShare_Take(l, share, msg->tokens, 1, now_us);
         answer.tokens = got.leased + got.unleased;
         record_grant(l, from, msg, &got, now_us);
     }
@@ -145,31 +145,31 @@
 Fw_PeerGrant_OnReturn(struct fw_limit *l, const char *from,
                       const struct fw_limit_msg *msg, int64_t now_us)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, msg->team);
+    struct fw_team_share *share = Fw_TeamShare_Find(l, msg->team);
 
-    if (!s || msg->boot != l->self.boot || msg->tokens > s->burst ||
+    if (!share || msg->boot != l->self.boot || msg->tokens > share->burst ||
         !is_new_return(l, from, msg)) {
         return;
     }
     if (msg->fence) {
-        settle_grant(l, s, from, msg, now_us);
+        settle_grant(l, share, from, msg, now_us);
         return;
     }
     l->n_returned.value += msg->tokens;
-    Fw_TeamShare_Put(l, s, msg->tokens, now_us);
+    Fw_TeamShare_Put(l, share, msg->tokens, now_us);
 }
 
 void
 Fw_Limit_Refund(struct fw_limit *l, const struct fw_team *team, int64_t tokens,
                 int64_t now_us, struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
+    struct fw_team_share *share = Fw_TeamShare_Get(l, team, now_us);
     int64_t left = MAX(tokens, 0);
 
     l->n_returned.value += left;
-    left -= Fw_TeamShare_Put(l, s, left, now_us);
+    left -= Fw_TeamShare_Put(l, share, left, now_us);
     if (left > 0) {
-        s->unreturned = MIN(s->unreturned + left, s->burst);
+        share->unreturned = MIN(share->unreturned + left, share->burst);
         Fw_Actions_Wake(out, now_us + FW_RETURN_INTERVAL_US);
     }
 }
--- a/src/limit/token_request.c
+++ b/src/limit/token_request.c
@@ -11,39 +11,40 @@
 /* Ends the reservations, since all tokens are spent now. Peers are
  * notified for large grants only; the reservations of small ones expire. */
 static void
-commit_grants(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
+commit_grants(struct fw_limit *l, struct fw_token_request *req, int64_t now_us,
               struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
+    struct fw_team_share *share = Fw_TeamShare_Find(l, req->team);
 
-    if (s && now_us < a->first_sent_us + FW_RESERVATION_US) {
-        Fw_Bucket_Commit(&s->leased, a->leased, now_us);
-        Fw_Bucket_Commit(&s->unleased, a->unleased, now_us);
+    if (share && now_us < req->first_sent_us + FW_RESERVATION_US) {
+        Fw_Bucket_Commit(&share->leased, req->leased, now_us);
+        Fw_Bucket_Commit(&share->unleased, req->unleased, now_us);
     }
-    for (int i = 0; i < a->n_peers; i++) {
-        struct fw_peer_request *peer = &a->peers[i];
-        if (s && peer->tokens > s->burst / FW_LARGE_GRANT_DIVISOR) {
-            Fw_PeerGrant_SendReturn(l, peer->name, a->team, 0, peer->seq, out);
+    for (int i = 0; i < req->n_peers; i++) {
+        struct fw_peer_request *peer = &req->peers[i];
+        if (share && peer->tokens > share->burst / FW_LARGE_GRANT_DIVISOR) {
+            Fw_PeerGrant_SendReturn(l, peer->name, req->team, 0, peer->seq,
+                                    out);
         }
         peer->tokens = 0; /* not to be returned */
     }
 }
 
 static void
-finish_request(struct fw_limit *l, struct fw_token_request *a, int granted,
+finish_request(struct fw_limit *l, struct fw_token_request *req, int granted,
                int64_t retry_us, int64_t now_us, struct fw_actions *out)
 {
     struct fw_limit_answer *ans = g_new0(struct fw_limit_answer, 1);
 
-    ans->ticket = a->ticket;
+    ans->ticket = req->ticket;
     ans->granted = granted;
     ans->retry_after_us = retry_us;
     g_queue_push_tail(&l->answers, ans);
-    a->done = 1;
-    a->free_us = now_us + FW_LATE_GRANT_US;
+    req->done = 1;
+    req->free_us = now_us + FW_LATE_GRANT_US;
     if (granted) {
         l->n_granted.value++;
-        commit_grants(l, a, now_us, out);
+        commit_grants(l, req, now_us, out);
     }
     else {
         l->n_refused.value++;
@@ -56,57 +57,58 @@
  * refilled then, and the team would have the tokens twice.
  */
 static void
-return_collected(struct fw_limit *l, struct fw_token_request *a,
+return_collected(struct fw_limit *l, struct fw_token_request *req,
                  int64_t now_us, struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
+    struct fw_team_share *share = Fw_TeamShare_Find(l, req->team);
 
-    if (s && now_us < a->first_sent_us + FW_RESERVATION_US) {
-        Fw_Bucket_Cancel(&s->leased, a->leased, now_us);
-        Fw_Bucket_Cancel(&s->unleased, a->unleased, now_us);
+    if (share && now_us < req->first_sent_us + FW_RESERVATION_US) {
+        Fw_Bucket_Cancel(&share->leased, req->leased, now_us);
+        Fw_Bucket_Cancel(&share->unleased, req->unleased, now_us);
     }
-    a->leased = 0;
-    a->unleased = 0;
-    for (int i = 0; i < a->n_peers; i++) {
-        if (a->peers[i].tokens > 0) {
-            Fw_PeerGrant_SendReturn(l, a->peers[i].name, a->team,
-                                    a->peers[i].tokens, a->peers[i].seq, out);
+    req->leased = 0;
+    req->unleased = 0;
+    for (int i = 0; i < req->n_peers; i++) {
+        if (req->peers[i].tokens > 0) {
+            Fw_PeerGrant_SendReturn(l, req->peers[i].name, req->team,
+                                    req->peers[i].tokens, req->peers[i].seq,
+                                    out);
         }
-        a->peers[i].tokens = 0;
+        req->peers[i].tokens = 0;
     }
 }
 
 static void
-refuse_request(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-               struct fw_actions *out)
+refuse_request(struct fw_limit *l, struct fw_token_request *req,
+               int64_t now_us, struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
-    int64_t missing = a->tokens - a->collected;
+    struct fw_team_share *share = Fw_TeamShare_Find(l, req->team);
+    int64_t missing = req->tokens - req->collected;
     int64_t retry = FW_SEC;
     int silent = 0;
 
-    for (int i = 0; i < a->n_peers; i++) {
-        silent |= !a->peers[i].answered;
+    for (int i = 0; i < req->n_peers; i++) {
+        silent |= !req->peers[i].answered;
     }
     l->n_unreachable.value += silent;
-    if (s && s->rate > 0) {
+    if (share && share->rate > 0) {
         /* Time in which the region refills the missing tokens. */
-        double wait = (double)missing / (double)s->rate * (double)FW_SEC;
+        double wait = (double)missing / (double)share->rate * (double)FW_SEC;
         retry = (int64_t)CLAMP(wait, (double)FW_MSEC, 3600.0 * FW_SEC);
     }
-    if (s && !silent && a->n_peers > 0) {
-        s->exhausted_until_us = now_us + MIN(retry, FW_EXHAUSTED_MAX_US);
-        s->exhausted_tokens = a->tokens;
+    if (share && !silent && req->n_peers > 0) {
+        share->exhausted_until_us = now_us + MIN(retry, FW_EXHAUSTED_MAX_US);
+        share->exhausted_tokens = req->tokens;
     }
-    return_collected(l, a, now_us, out);
-    finish_request(l, a, 0, retry, now_us, out);
+    return_collected(l, req, now_us, out);
+    finish_request(l, req, 0, retry, now_us, out);
 }
 
 static int
-was_contacted(const struct fw_token_request *a, const char *name)
+was_contacted(const struct fw_token_request *req, const char *name)
 {
-    for (int i = 0; i < a->n_peers; i++) {
-        if (strcmp(a->peers[i].name, name) == 0) {
+    for (int i = 0; i < req->n_peers; i++) {
+        if (strcmp(req->peers[i].name, name) == 0) {
             return 1;
         }
     }
@@ -116,14 +118,16 @@
 /* Return: the leader or a follower not asked yet, NULL when there is none. The
  * ticket decides which one is asked first, to spread the load. */
 static const struct fw_member *
-next_peer(const struct fw_limit *l, const struct fw_token_request *a,
+next_peer(const struct fw_limit *l, const struct fw_token_request *req,
           int partition)
 {
     for (int i = 0; i <= FW_FOLLOWERS_MAX; i++) {
-        int index = (int)((a->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
+        int index =
+            (int)((req->ticket + (uint64_t)i) % (FW_FOLLOWERS_MAX + 1));
         const struct fw_member *m =
             Fw_Limit_LeaderOrFollower(l, partition, index);
-        if (m && !Fw_Fleet_IsSelf(l->fleet, m) && !was_contacted(a, m->name)) {
+        if (m && !Fw_Fleet_IsSelf(l->fleet, m) &&
+            !was_contacted(req, m->name)) {
             return m;
         }
     }
@@ -137,93 +141,94 @@
 }
 
 static void
-request_next_peer(struct fw_limit *l, struct fw_token_request *a,
+request_next_peer(struct fw_limit *l, struct fw_token_request *req,
                   int64_t now_us, struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
-    const struct fw_member *m = s && a->n_peers < FW_PEER_REQUESTS_MAX
-                                    ? next_peer(l, a, s->partition)
+    struct fw_team_share *share = Fw_TeamShare_Find(l, req->team);
+    const struct fw_member *m = share && req->n_peers < FW_PEER_REQUESTS_MAX
+                                    ? next_peer(l, req, share->partition)
                                     : NULL;
     struct fw_limit_msg msg = {.kind = FW_LIMIT_TOKEN_REQUEST};
     struct fw_peer_request *peer;
 
-    if (!m || (a->first_sent_us &&
-               now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US)) {
-        refuse_request(l, a, now_us, out);
+    if (!m || (req->first_sent_us &&
+               now_us >= req->first_sent_us + FW_REQUEST_TIMEOUT_US)) {
+        refuse_request(l, req, now_us, out);
         return;
     }
-    peer = &a->peers[a->n_peers++];
+    peer = &req->peers[req->n_peers++];
     g_strlcpy(peer->name, m->name, sizeof(peer->name));
     peer->seq = ++l->seq;
-    a->first_sent_us = a->first_sent_us ? a->first_sent_us : now_us;
-    a->last_sent_us = now_us;
+    req->first_sent_us = req->first_sent_us ? req->first_sent_us : now_us;
+    req->last_sent_us = now_us;
     msg.seq = peer->seq;
-    msg.tokens = a->tokens - a->collected;
-    g_strlcpy(msg.team, a->team, sizeof(msg.team));
+    msg.tokens = req->tokens - req->collected;
+    g_strlcpy(msg.team, req->team, sizeof(msg.team));
     Fw_Limit_Send(l, m->name, &msg, out);
     Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
 }
 
 /* Grants the request if local tokens make up what is missing. */
 static int
-try_local(struct fw_limit *l, struct fw_team_share *s,
-          struct fw_token_request *a, int64_t now_us, struct fw_actions *out)
+try_local(struct fw_limit *l, struct fw_team_share *share,
+          struct fw_token_request *req, int64_t now_us, struct fw_actions *out)
 {
-    int64_t need = a->tokens - a->collected;
-    struct fw_token_split got = Fw_TeamShare_Take(l, s, need, 0, now_us);
+    int64_t need = req->tokens - req->collected;
+    struct fw_token_split got = Fw_TeamShare_Take(l, share, need, 0, now_us);
 
     if (got.leased + got.unleased >= need) {
-        finish_request(l, a, 1, 0, now_us, out);
+        finish_request(l, req, 1, 0, now_us, out);
         return 1;
     }
-    Fw_Bucket_Put(&s->leased, got.leased * FW_MICROTOKENS_PER_TOKEN, now_us);
-    Fw_Bucket_Put(&s->unleased, got.unleased * FW_MICROTOKENS_PER_TOKEN,
+    Fw_Bucket_Put(&share->leased, got.leased * FW_MICROTOKENS_PER_TOKEN,
+                  now_us);
+    Fw_Bucket_Put(&share->unleased, got.unleased * FW_MICROTOKENS_PER_TOKEN,
                   now_us);
     return 0;
 }
 
 /* Reserves the local tokens while peers are asked for the rest. */
 static void
-reserve_local(struct fw_limit *l, struct fw_team_share *s,
-              struct fw_token_request *a, int64_t now_us)
+reserve_local(struct fw_limit *l, struct fw_team_share *share,
+              struct fw_token_request *req, int64_t now_us)
 {
     struct fw_token_split got =
-        Fw_TeamShare_Take(l, s, a->tokens - a->collected, 1, now_us);
+        Fw_TeamShare_Take(l, share, req->tokens - req->collected, 1, now_us);
 
-    a->leased += got.leased;
-    a->unleased += got.unleased;
-    a->collected += got.leased + got.unleased;
+    req->leased += got.leased;
+    req->unleased += got.unleased;
+    req->collected += got.leased + got.unleased;
 }
 
 static void
-advance_request(struct fw_limit *l, struct fw_token_request *a, int64_t now_us,
-                struct fw_actions *out)
+advance_request(struct fw_limit *l, struct fw_token_request *req,
+                int64_t now_us, struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Find(l, a->team);
+    struct fw_team_share *share = Fw_TeamShare_Find(l, req->team);
 
-    if (!s) {
-        refuse_request(l, a, now_us, out);
+    if (!share) {
+        refuse_request(l, req, now_us, out);
         return;
     }
-    if (a->n_peers == 0) {
-        Fw_Ledger_Refresh(l, s->partition, now_us);
-        Fw_Ledger_AddTeam(l, s, now_us);
-        if (try_local(l, s, a, now_us, out)) {
+    if (req->n_peers == 0) {
+        Fw_Ledger_Refresh(l, share->partition, now_us);
+        Fw_Ledger_AddTeam(l, share, now_us);
+        if (try_local(l, share, req, now_us, out)) {
             return;
         }
-        if (!has_leader(l, s->partition) &&
-            now_us < a->started_us + FW_LEADER_WAIT_US) {
+        if (!has_leader(l, share->partition) &&
+            now_us < req->started_us + FW_LEADER_WAIT_US) {
             Fw_Actions_Wake(out, now_us + FW_PEER_TIMEOUT_US);
             return; /* no leader yet after a start of the fleet */
         }
-        reserve_local(l, s, a, now_us);
-        request_next_peer(l, a, now_us, out);
+        reserve_local(l, share, req, now_us);
+        request_next_peer(l, req, now_us, out);
     }
-    else if (now_us >= a->last_sent_us + FW_PEER_TIMEOUT_US) {
-        request_next_peer(l, a, now_us, out);
+    else if (now_us >= req->last_sent_us + FW_PEER_TIMEOUT_US) {
+        request_next_peer(l, req, now_us, out);
     }
     else {
-        Fw_Actions_Wake(out, a->last_sent_us + FW_PEER_TIMEOUT_US);
+        Fw_Actions_Wake(out, req->last_sent_us + FW_PEER_TIMEOUT_US);
     }
 }
 
@@ -232,29 +237,30 @@
                  uint64_t ticket, int64_t tokens, int64_t now_us,
                  struct fw_actions *out)
 {
-    struct fw_team_share *s = Fw_TeamShare_Get(l, team, now_us);
-    struct fw_token_request *a = g_new0(struct fw_token_request, 1);
+    struct fw_team_share *share = Fw_TeamShare_Get(l, team, now_us);
+    struct fw_token_request *req = g_new0(struct fw_token_request, 1);
 
     l->n_requests.value++;
-    s->demand_requests++;
-    s->demand_tokens += MAX(tokens, 0);
-    a->ticket = ticket;
-    a->tokens = MAX(tokens, 0);
-    a->started_us = now_us;
-    g_strlcpy(a->team, team->name, sizeof(a->team));
-    Fw_List_Append(&l->requests, &a->link);
-    if (a->tokens > s->burst) {
-        finish_request(l, a, 0, 0, now_us, out); /* can never be granted */
+    share->demand_requests++;
+    share->demand_tokens += MAX(tokens, 0);
+    req->ticket = ticket;
+    req->tokens = MAX(tokens, 0);
+    req->started_us = now_us;
+    g_strlcpy(req->team, team->name, sizeof(req->team));
+    Fw_List_Append(&l->requests, &req->link);
+    if (req->tokens > share->burst) {
+        finish_request(l, req, 0, 0, now_us, out); /* can never be granted */
         return;
     }
-    if (now_us < s->exhausted_until_us && a->tokens >= s->exhausted_tokens) {
+    if (now_us < share->exhausted_until_us &&
+        req->tokens >= share->exhausted_tokens) {
         /* Peers had too few tokens just now; only local ones can suffice. */
-        if (!try_local(l, s, a, now_us, out)) {
-            refuse_request(l, a, now_us, out);
+        if (!try_local(l, share, req, now_us, out)) {
+            refuse_request(l, req, now_us, out);
         }
         return;
     }
-    advance_request(l, a, now_us, out);
+    advance_request(l, req, now_us, out);
 }
 
 void
@@ -265,19 +271,19 @@
     struct fw_list *tmp;
 
     FW_LIST_EACH_SAFE (pos, tmp, &l->requests) {
-        struct fw_token_request *a =
+        struct fw_token_request *req =
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
-        if (a->cancelled) {
-            a->cancelled = 0;
-            a->free_us = now_us + FW_LATE_GRANT_US;
-            return_collected(l, a, now_us, out);
+        if (req->cancelled) {
+            req->cancelled = 0;
+            req->free_us = now_us + FW_LATE_GRANT_US;
+            return_collected(l, req, now_us, out);
         }
-        else if (!a->done) {
-            advance_request(l, a, now_us, out);
+        else if (!req->done) {
+            advance_request(l, req, now_us, out);
         }
-        else if (now_us >= a->free_us) {
-            Fw_List_Remove(&a->link);
-            g_free(a);
+        else if (now_us >= req->free_us) {
+            Fw_List_Remove(&req->link);
+            g_free(req);
         }
     }
 }
@@ -288,12 +294,12 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &l->requests) {
-        struct fw_token_request *a =
+        struct fw_token_request *req =
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
-        for (int i = 0; i < a->n_peers; i++) {
-            if (a->peers[i].seq == seq) {
-                *peer = &a->peers[i];
-                return a;
+        for (int i = 0; i < req->n_peers; i++) {
+            if (req->peers[i].seq == seq) {
+                *peer = &req->peers[i];
+                return req;
             }
         }
     }
@@ -306,28 +312,28 @@
                         struct fw_actions *out)
 {
     struct fw_peer_request *peer = NULL;
-    struct fw_token_request *a = find_request(l, msg->seq, &peer);
-    struct fw_team_share *s;
+    struct fw_token_request *req = find_request(l, msg->seq, &peer);
+    struct fw_team_share *share;
 
-    if (!a || peer->answered || strcmp(peer->name, from) != 0) {
+    if (!req || peer->answered || strcmp(peer->name, from) != 0) {
         return; /* duplicate, or later than FW_LATE_GRANT_US */
     }
     peer->answered = 1;
-    if (a->done || now_us >= a->first_sent_us + FW_REQUEST_TIMEOUT_US) {
+    if (req->done || now_us >= req->first_sent_us + FW_REQUEST_TIMEOUT_US) {
         /* Too late to be spent before the peer's reservation expires. */
         if (msg->tokens > 0) {
-            Fw_PeerGrant_SendReturn(l, from, a->team, msg->tokens, peer->seq,
+            Fw_PeerGrant_SendReturn(l, from, req->team, msg->tokens, peer->seq,
                                     out);
         }
         return;
     }
-    peer->tokens = MIN(msg->tokens, a->tokens - a->collected);
-    a->collected += peer->tokens;
-    s = Fw_TeamShare_Find(l, a->team);
-    if (s && try_local(l, s, a, now_us, out)) {
+    peer->tokens = MIN(msg->tokens, req->tokens - req->collected);
+    req->collected += peer->tokens;
+    share = Fw_TeamShare_Find(l, req->team);
+    if (share && try_local(l, share, req, now_us, out)) {
         return;
     }
-    request_next_peer(l, a, now_us, out);
+    request_next_peer(l, req, now_us, out);
 }
 
 void
@@ -336,11 +342,11 @@
     struct fw_list *pos;
 
     FW_LIST_EACH (pos, &l->requests) {
-        struct fw_token_request *a =
+        struct fw_token_request *req =
             FW_LIST_ENTRY(pos, struct fw_token_request, link);
-        if (!a->done && a->ticket == ticket) {
-            a->done = 1;
-            a->cancelled = 1;
+        if (!req->done && req->ticket == ticket) {
+            req->done = 1;
+            req->cancelled = 1;
         }
     }
 }
--- a/tests/config/test_fold.c
+++ b/tests/config/test_fold.c
@@ -71,7 +71,7 @@
 int
 main(void)
 {
-    TCase *tc = Fw_Suite_New("fold");
+    TCase *tc = Fw_Suite_New("verdicts");
 
     tcase_add_test(tc, records_get_their_verdicts);
     return Fw_Suite_Run(tc);
