--- a/explore/p_config_env.c
+++ b/explore/p_config_env.c
@@ -201,19 +201,19 @@
 static void
 request_from_peer(struct fw_config_env *env, int i)
 {
-    struct fw_config_replica *f = env->replicas[i].replica;
+    struct fw_config_replica *replica = env->replicas[i].replica;
     struct fw_actions out;
     char name[16];
     int peer =
         (i + 1 + Fw_ConfigEnv_RandBelow(env, FW_CONFIG_ENV_REPLICAS - 1)) %
         FW_CONFIG_ENV_REPLICAS;
 
-    if (!Fw_ConfigReplica_NeedsPeer(f, env->now_us)) {
+    if (!Fw_ConfigReplica_NeedsPeer(replica, env->now_us)) {
         return;
     }
     g_snprintf(name, sizeof(name), "node%d", peer);
     Fw_Actions_Init(&out);
-    Fw_ConfigReplica_RequestFromPeer(f, name, "addr", env->now_us, &out);
+    Fw_ConfigReplica_RequestFromPeer(replica, name, "addr", env->now_us, &out);
     perform_actions(env, i, &out);
 }
 
--- a/explore/p_fleet.c
+++ b/explore/p_fleet.c
@@ -151,18 +151,18 @@
     for (int k = 0; k < (int)FW_ROLE_KINDS; k++) {
         const char *holder = NULL;
         for (int i = 0; i < env->n; i++) {
-            const struct fw_fleet_env_instance *s = &env->instances[i];
+            const struct fw_fleet_env_instance *inst = &env->instances[i];
             if (!Fw_FleetEnv_IsRunning(env, i) ||
-                Fw_Roles_MayAct(s->roles, (enum fw_role_kind)k, 0,
+                Fw_Roles_MayAct(inst->roles, (enum fw_role_kind)k, 0,
                                 Fw_FleetEnv_LocalTime(env, i), NULL)) {
                 continue;
             }
             if (holder) {
                 Fw_Run_Fail(env->run, "at %.3f both %s and %s act on role %d",
                             (double)env->real_us / FW_SEC, holder,
-                            s->self.name, k);
+                            inst->self.name, k);
             }
-            holder = s->self.name;
+            holder = inst->self.name;
         }
     }
 }
--- a/explore/p_fleet_delivery.c
+++ b/explore/p_fleet_delivery.c
@@ -172,7 +172,7 @@
 static void
 deliver_msg(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_fleet_env_instance *s = &env->instances[d->instance];
+    struct fw_fleet_env_instance *inst = &env->instances[d->instance];
     const char *from = env->instances[d->from].self.name;
     struct fw_actions out;
     struct fw_msg msg;
@@ -182,7 +182,7 @@
     size_t off = 0;
     int64_t now = Fw_FleetEnv_LocalTime(env, d->instance);
 
-    if (!s->up) {
+    if (!inst->up) {
         return;
     }
     Fw_Actions_Init(&out);
@@ -193,10 +193,11 @@
     }
     else {
         if (msg.area == FW_AREA_FLEET) {
-            Fw_Fleet_OnMsg(s->fleet, from, &msg.u.fleet, now, &out);
+            Fw_Fleet_OnMsg(inst->fleet, from, &msg.u.fleet, now, &out);
         }
-        else if (msg.area == FW_AREA_LIMIT && s->limit) {
-            Fw_Limit_OnMsg(s->limit, env->cfg, from, &msg.u.limit, now, &out);
+        else if (msg.area == FW_AREA_LIMIT && inst->limit) {
+            Fw_Limit_OnMsg(inst->limit, env->cfg, from, &msg.u.limit, now,
+                           &out);
         }
         Fw_Msg_Clear(&msg);
     }
@@ -275,18 +276,18 @@
 static void
 deliver_log_answer(struct fw_fleet_env *env, struct fw_fleet_env_delivery *d)
 {
-    struct fw_fleet_env_instance *s = &env->instances[d->instance];
+    struct fw_fleet_env_instance *inst = &env->instances[d->instance];
     struct fw_actions out;
     int64_t now = Fw_FleetEnv_LocalTime(env, d->instance);
 
-    if (!s->up || !s->roles || s->self.boot != d->boot) {
+    if (!inst->up || !inst->roles || inst->self.boot != d->boot) {
         return;
     }
     Fw_Actions_Init(&out);
     if (d->kind == FW_FLEET_ENV_APPENDED) {
         struct fw_log_appended a = {
             .ticket = d->ticket, .err = d->err, .first_offset = d->offset};
-        Fw_Roles_OnAppended(s->roles, &a, now, &out);
+        Fw_Roles_OnAppended(inst->roles, &a, now, &out);
     }
     else {
         struct fw_log_records r = {
@@ -300,7 +301,7 @@
             .records =
                 d->records ? (const char *const *)d->records->pdata : NULL,
         };
-        Fw_Roles_OnRecords(s->roles, &r, now, &out);
+        Fw_Roles_OnRecords(inst->roles, &r, now, &out);
     }
     Fw_FleetEnv_PerformActions(env, d->instance, &out);
 }
--- a/explore/p_fleet_env.c
+++ b/explore/p_fleet_env.c
@@ -19,12 +19,13 @@
     env->deliveries = g_ptr_array_new();
     env->records = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < n; i++) {
-        struct fw_fleet_env_instance *s = &env->instances[i];
-        g_snprintf(s->self.name, sizeof(s->self.name), "n%d", i + 1);
-        g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", i + 1);
-        g_strlcpy(s->self.domain, "d", sizeof(s->self.domain));
-        g_strlcpy(s->self.region, "r", sizeof(s->self.region));
-        s->offset_us = (int64_t)i * 7 * FW_SEC;
+        struct fw_fleet_env_instance *inst = &env->instances[i];
+        g_snprintf(inst->self.name, sizeof(inst->self.name), "n%d", i + 1);
+        g_snprintf(inst->self.addr, sizeof(inst->self.addr), "10.0.0.%d:1",
+                   i + 1);
+        g_strlcpy(inst->self.domain, "d", sizeof(inst->self.domain));
+        g_strlcpy(inst->self.region, "r", sizeof(inst->self.region));
+        inst->offset_us = (int64_t)i * 7 * FW_SEC;
     }
 }
 
@@ -52,10 +53,10 @@
 int64_t
 Fw_FleetEnv_LocalTime(const struct fw_fleet_env *env, int i)
 {
-    const struct fw_fleet_env_instance *s = &env->instances[i];
+    const struct fw_fleet_env_instance *inst = &env->instances[i];
 
-    return s->offset_us + env->real_us +
-           env->real_us / 1000 * s->drift_ppm / 1000;
+    return inst->offset_us + env->real_us +
+           env->real_us / 1000 * inst->drift_ppm / 1000;
 }
 
 int
@@ -68,36 +69,38 @@
 void
 Fw_FleetEnv_Start(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->instances[i];
+    struct fw_fleet_env_instance *inst = &env->instances[i];
 
-    s->self.boot += BOOT_STEP;
-    Fw_Metrics_Init(&s->metrics);
-    s->fleet = Fw_Fleet_New(&s->self, (uint32_t)(s->self.boot + (uint64_t)i),
-                            &s->metrics);
+    inst->self.boot += BOOT_STEP;
+    Fw_Metrics_Init(&inst->metrics);
+    inst->fleet =
+        Fw_Fleet_New(&inst->self, (uint32_t)(inst->self.boot + (uint64_t)i),
+                     &inst->metrics);
     if (env->use_roles) {
-        s->roles = Fw_Roles_New(&s->self, env->partitions, env->role_wait_us);
+        inst->roles =
+            Fw_Roles_New(&inst->self, env->partitions, env->role_wait_us);
     }
     if (env->cfg) {
-        s->limit =
-            Fw_Limit_New(&s->self, s->fleet, s->roles,
-                         (uint32_t)(s->self.boot + (uint64_t)i), &s->metrics);
-    }
-    s->up = 1;
-    s->draining = 0;
-    s->pause_until_us = 0;
-    s->wake_us = Fw_FleetEnv_LocalTime(env, i);
+        inst->limit = Fw_Limit_New(&inst->self, inst->fleet, inst->roles,
+                                   (uint32_t)(inst->self.boot + (uint64_t)i),
+                                   &inst->metrics);
+    }
+    inst->up = 1;
+    inst->draining = 0;
+    inst->pause_until_us = 0;
+    inst->wake_us = Fw_FleetEnv_LocalTime(env, i);
     Fw_FleetEnv_PublishInstances(env);
 }
 
 void
 Fw_FleetEnv_Kill(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->instances[i];
+    struct fw_fleet_env_instance *inst = &env->instances[i];
 
-    g_clear_pointer(&s->limit, Fw_Limit_Free);
-    g_clear_pointer(&s->roles, Fw_Roles_Free);
-    g_clear_pointer(&s->fleet, Fw_Fleet_Free);
-    s->up = 0;
+    g_clear_pointer(&inst->limit, Fw_Limit_Free);
+    g_clear_pointer(&inst->roles, Fw_Roles_Free);
+    g_clear_pointer(&inst->fleet, Fw_Fleet_Free);
+    inst->up = 0;
 }
 
 void
@@ -109,18 +112,18 @@
 void
 Fw_FleetEnv_Drain(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->instances[i];
+    struct fw_fleet_env_instance *inst = &env->instances[i];
     struct fw_actions out;
     int64_t now = Fw_FleetEnv_LocalTime(env, i);
 
     Fw_Actions_Init(&out);
-    s->draining = 1;
-    Fw_Fleet_Drain(s->fleet, now, &out);
-    if (s->limit) {
-        Fw_Limit_Drain(s->limit, now, &out);
+    inst->draining = 1;
+    Fw_Fleet_Drain(inst->fleet, now, &out);
+    if (inst->limit) {
+        Fw_Limit_Drain(inst->limit, now, &out);
     }
-    if (s->roles) {
-        Fw_Roles_Drain(s->roles, s->fleet, now, &out);
+    if (inst->roles) {
+        Fw_Roles_Drain(inst->roles, inst->fleet, now, &out);
     }
     Fw_FleetEnv_PerformActions(env, i, &out);
 }
@@ -168,32 +171,32 @@
 static int64_t
 next_tick_us(const struct fw_fleet_env *env, int i)
 {
-    const struct fw_fleet_env_instance *s = &env->instances[i];
+    const struct fw_fleet_env_instance *inst = &env->instances[i];
     int64_t ahead;
 
-    if (!s->up || s->wake_us == INT64_MAX) {
+    if (!inst->up || inst->wake_us == INT64_MAX) {
         return INT64_MAX;
     }
-    ahead = MAX(s->wake_us - Fw_FleetEnv_LocalTime(env, i), 0);
+    ahead = MAX(inst->wake_us - Fw_FleetEnv_LocalTime(env, i), 0);
     ahead += ahead / 1000 + FW_MSEC;
-    return MAX(env->real_us + ahead, s->pause_until_us);
+    return MAX(env->real_us + ahead, inst->pause_until_us);
 }
 
 static void
 tick_instance(struct fw_fleet_env *env, int i)
 {
-    struct fw_fleet_env_instance *s = &env->instances[i];
+    struct fw_fleet_env_instance *inst = &env->instances[i];
     struct fw_actions out;
     int64_t now = Fw_FleetEnv_LocalTime(env, i);
 
     Fw_Actions_Init(&out);
-    s->wake_us = INT64_MAX;
-    Fw_Fleet_Tick(s->fleet, now, &out);
-    if (s->roles) {
-        Fw_Roles_Tick(s->roles, s->fleet, now, &out);
+    inst->wake_us = INT64_MAX;
+    Fw_Fleet_Tick(inst->fleet, now, &out);
+    if (inst->roles) {
+        Fw_Roles_Tick(inst->roles, inst->fleet, now, &out);
     }
-    if (s->limit) {
-        Fw_Limit_Tick(s->limit, env->cfg, now, &out);
+    if (inst->limit) {
+        Fw_Limit_Tick(inst->limit, env->cfg, now, &out);
     }
     Fw_FleetEnv_PerformActions(env, i, &out);
 }
--- a/explore/p_idem.c
+++ b/explore/p_idem.c
@@ -77,13 +77,13 @@
     static const char *const names[] = {"kill or start", "pause", "cut"};
     int instance = rand_below(run, env->n);
     int what = rand_below(run, G_N_ELEMENTS(names));
-    struct fw_idem_env_instance *s = &env->instances[instance];
+    struct fw_idem_env_instance *inst = &env->instances[instance];
 
     Fw_Run_Trace(run, "%8.3f instance %d: %s", (double)env->now_us / FW_SEC,
                  instance, names[what]);
     switch (what) {
     case 0:
-        if (s->up) {
+        if (inst->up) {
             Fw_IdemEnv_Kill(env, instance);
         }
         else {
@@ -91,10 +91,10 @@
         }
         break;
     case 1:
-        s->paused_until_us = env->now_us + rand_below(run, 15) * FW_SEC;
+        inst->paused_until_us = env->now_us + rand_below(run, 15) * FW_SEC;
         break;
     default:
-        s->isolated = !s->isolated;
+        inst->isolated = !inst->isolated;
         break;
     }
 }
@@ -114,10 +114,11 @@
     }
     Fw_IdemEnv_Advance(env, RECOVERY_US);
     for (guint i = 0; i < env->calls->len && !env->failure[0]; i++) {
-        const struct fw_idem_env_call *t = g_ptr_array_index(env->calls, i);
-        const struct fw_idem_env_instance *s = &env->instances[t->instance];
+        const struct fw_idem_env_call *call = g_ptr_array_index(env->calls, i);
+        const struct fw_idem_env_instance *inst =
+            &env->instances[call->instance];
 
-        if (!t->answered && s->up && s->self.boot == t->boot) {
+        if (!call->answered && inst->up && inst->self.boot == call->boot) {
             Fw_Run_Fail(run, "call %u was never answered", i + 1);
         }
     }
--- a/explore/p_idem_env.c
+++ b/explore/p_idem_env.c
@@ -48,14 +48,14 @@
 void
 Fw_IdemEnv_Kill(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &env->instances[instance];
+    struct fw_idem_env_instance *inst = &env->instances[instance];
 
-    if (!s->up) {
+    if (!inst->up) {
         return;
     }
-    s->up = 0;
-    Fw_Idem_Free(s->idem);
-    Fw_Fleet_Free(s->fleet);
+    inst->up = 0;
+    Fw_Idem_Free(inst->idem);
+    Fw_Fleet_Free(inst->fleet);
 }
 
 void
@@ -76,16 +76,18 @@
 void
 Fw_IdemEnv_Start(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &env->instances[instance];
+    struct fw_idem_env_instance *inst = &env->instances[instance];
     struct fw_actions none;
 
-    memset(s, 0, sizeof(*s));
-    g_snprintf(s->self.name, sizeof(s->self.name), "instance-%d", instance);
-    g_snprintf(s->self.addr, sizeof(s->self.addr), "10.0.0.%d:1", instance);
-    g_strlcpy(s->self.region, "r", sizeof(s->self.region));
-    s->self.boot = (uint64_t)(WALL_BASE_MS + env->now_us / FW_MSEC);
-    Fw_Metrics_Init(&s->metrics);
-    s->fleet = Fw_Fleet_New(&s->self, 1, &s->metrics);
+    memset(inst, 0, sizeof(*inst));
+    g_snprintf(inst->self.name, sizeof(inst->self.name), "instance-%d",
+               instance);
+    g_snprintf(inst->self.addr, sizeof(inst->self.addr), "10.0.0.%d:1",
+               instance);
+    g_strlcpy(inst->self.region, "r", sizeof(inst->self.region));
+    inst->self.boot = (uint64_t)(WALL_BASE_MS + env->now_us / FW_MSEC);
+    Fw_Metrics_Init(&inst->metrics);
+    inst->fleet = Fw_Fleet_New(&inst->self, 1, &inst->metrics);
     Fw_Actions_Init(&none);
     for (int i = 0; i < env->n; i++) {
         char name[FW_NAME_MAX];
@@ -94,16 +96,16 @@
         g_snprintf(name, sizeof(name), "instance-%d", i);
         g_snprintf(addr, sizeof(addr), "10.0.0.%d:1", i);
         if (i != instance) {
-            Fw_Member_SetState(s->fleet,
-                               Fw_Member_Add(s->fleet, name, addr, "d", "r"),
-                               FW_MEMBER_ALIVE, env->now_us, &none);
+            Fw_Member_SetState(
+                inst->fleet, Fw_Member_Add(inst->fleet, name, addr, "d", "r"),
+                FW_MEMBER_ALIVE, env->now_us, &none);
         }
     }
     Fw_Actions_Clear(&none);
-    s->idem =
-        Fw_Idem_New(&s->self, s->fleet, FW_IDEM_ENV_PARTITIONS, &s->metrics);
-    s->up = 1;
-    s->wake_us = env->now_us;
+    inst->idem = Fw_Idem_New(&inst->self, inst->fleet, FW_IDEM_ENV_PARTITIONS,
+                             &inst->metrics);
+    inst->up = 1;
+    inst->wake_us = env->now_us;
 }
 
 struct fw_idem_env_delivery *
@@ -189,41 +191,43 @@
 
 /* Sends a call whose claim was granted, in the order that src/request uses. */
 static void
-run_call(struct fw_idem_env *env, struct fw_idem_env_call *t, int number,
+run_call(struct fw_idem_env *env, struct fw_idem_env_call *call, int number,
          struct fw_actions *out)
 {
-    struct fw_idem_env_instance *s = &env->instances[t->instance];
-    int rc = Fw_Idem_BeginRun(s->idem, t->ticket, env->now_us);
+    struct fw_idem_env_instance *inst = &env->instances[call->instance];
+    int rc = Fw_Idem_BeginRun(inst->idem, call->ticket, env->now_us);
     int effects;
 
     if (rc) {
-        t->told_not_run = 1;
+        call->told_not_run = 1;
         g_string_append_printf(env->trace, "%d may not run: %s\n", number,
                                rc == -ESTALE ? "stale" : "already");
         return;
     }
     if (env->service == FW_IDEM_ENV_SERVICE_REFUSES) {
         g_string_append_printf(env->trace, "%d not begun\n", number);
-        Fw_Idem_Finish(s->idem, t->ticket, FW_RAN_NO, 0, "", NULL, env->now_us,
-                       out);
-        t->told_not_run = 1;
+        Fw_Idem_Finish(inst->idem, call->ticket, FW_RAN_NO, 0, "", NULL,
+                       env->now_us, out);
+        call->told_not_run = 1;
         return;
     }
-    if (t->told_not_run) {
-        record_failure(
-            env, "a call is sent after its caller was told 'not run'", t->key);
+    if (call->told_not_run) {
+        record_failure(env,
+                       "a call is sent after its caller was told 'not run'",
+                       call->key);
     }
     g_string_append_printf(env->trace, "%d sent\n", number);
-    effects = GPOINTER_TO_INT(g_hash_table_lookup(env->effects, t->key)) + 1;
-    g_hash_table_replace(env->effects, g_strdup(t->key),
+    effects =
+        GPOINTER_TO_INT(g_hash_table_lookup(env->effects, call->key)) + 1;
+    g_hash_table_replace(env->effects, g_strdup(call->key),
                          GINT_TO_POINTER(effects));
-    if (++t->sends > 1 || effects > 1) {
-        record_failure(env, "a call took effect twice", t->key);
+    if (++call->sends > 1 || effects > 1) {
+        record_failure(env, "a call took effect twice", call->key);
     }
-    t->ran = env->service == FW_IDEM_ENV_SERVICE_LOSES_ANSWER ? FW_RAN_MAYBE
-                                                              : FW_RAN_YES;
-    t->finish_us = env->now_us + SERVICE_TIME_US;
-    s->wake_us = MIN(s->wake_us, t->finish_us);
+    call->ran = env->service == FW_IDEM_ENV_SERVICE_LOSES_ANSWER ? FW_RAN_MAYBE
+                                                                 : FW_RAN_YES;
+    call->finish_us = env->now_us + SERVICE_TIME_US;
+    inst->wake_us = MIN(inst->wake_us, call->finish_us);
 }
 
 static void
@@ -235,31 +239,31 @@
     struct fw_idem_answer ans;
 
     while (Fw_Idem_TakeAnswer(env->instances[instance].idem, &ans)) {
-        struct fw_idem_env_call *t =
+        struct fw_idem_env_call *call =
             g_ptr_array_index(env->calls, (guint)ans.ticket - 1);
         gsize len = 0;
         const char *body = ans.body ? g_bytes_get_data(ans.body, &len) : "";
 
-        t->answered = 1;
+        call->answered = 1;
         if (ans.result == FW_IDEM_RUN) {
-            run_call(env, t, (int)ans.ticket, out);
+            run_call(env, call, (int)ans.ticket, out);
         }
         else {
             g_string_append_printf(env->trace, "%d %s%s%.*s\n",
                                    (int)ans.ticket, names[ans.result],
                                    len ? " " : "", (int)len, body);
         }
-        t->told_not_run |= ans.result == FW_IDEM_UNAVAILABLE ||
-                           ans.result == FW_IDEM_NOT_RUN ||
-                           ans.result == FW_IDEM_MISMATCH;
-        if (t->told_not_run && t->sends) {
+        call->told_not_run |= ans.result == FW_IDEM_UNAVAILABLE ||
+                              ans.result == FW_IDEM_NOT_RUN ||
+                              ans.result == FW_IDEM_MISMATCH;
+        if (call->told_not_run && call->sends) {
             record_failure(
                 env, "a caller is told 'not run' after its call was sent",
-                t->key);
+                call->key);
         }
         if (ans.result == FW_IDEM_UNAVAILABLE && ans.retry_after_us < FW_SEC) {
             record_failure(env, "a caller is told to retry within a second",
-                           t->key);
+                           call->key);
         }
         g_clear_pointer(&ans.body, g_bytes_unref);
     }
@@ -269,25 +273,26 @@
 static void
 finish_calls(struct fw_idem_env *env, int instance, struct fw_actions *out)
 {
-    struct fw_idem_env_instance *s = &env->instances[instance];
+    struct fw_idem_env_instance *inst = &env->instances[instance];
 
     for (guint i = 0; i < env->calls->len; i++) {
-        struct fw_idem_env_call *t = g_ptr_array_index(env->calls, i);
+        struct fw_idem_env_call *call = g_ptr_array_index(env->calls, i);
         GBytes *body;
 
-        if (t->instance != instance || t->boot != s->self.boot ||
-            !t->finish_us) {
+        if (call->instance != instance || call->boot != inst->self.boot ||
+            !call->finish_us) {
             continue;
         }
-        if (env->now_us < t->finish_us) {
-            s->wake_us = MIN(s->wake_us, t->finish_us);
+        if (env->now_us < call->finish_us) {
+            inst->wake_us = MIN(inst->wake_us, call->finish_us);
             continue;
         }
-        t->finish_us = 0;
+        call->finish_us = 0;
         body = g_bytes_new_static("done", 4);
-        Fw_Idem_Finish(s->idem, i + 1, t->ran, t->ran == FW_RAN_YES ? 201 : 0,
-                       "text/plain", t->ran == FW_RAN_YES ? body : NULL,
-                       env->now_us, out);
+        Fw_Idem_Finish(inst->idem, i + 1, call->ran,
+                       call->ran == FW_RAN_YES ? 201 : 0, "text/plain",
+                       call->ran == FW_RAN_YES ? body : NULL, env->now_us,
+                       out);
         g_bytes_unref(body);
     }
 }
@@ -303,13 +308,13 @@
 static void
 tick(struct fw_idem_env *env, int instance)
 {
-    struct fw_idem_env_instance *s = &env->instances[instance];
+    struct fw_idem_env_instance *inst = &env->instances[instance];
     struct fw_actions out;
 
     Fw_Actions_Init(&out);
-    s->wake_us = INT64_MAX;
+    inst->wake_us = INT64_MAX;
     finish_calls(env, instance, &out);
-    Fw_Idem_Tick(s->idem, env->now_us, &out);
+    Fw_Idem_Tick(inst->idem, env->now_us, &out);
     handle_outputs(env, instance, &out);
 }
 
@@ -336,21 +341,21 @@
 Fw_IdemEnv_SubmitCall(struct fw_idem_env *env, int instance, const char *name,
                       const char *body)
 {
-    struct fw_idem_env_instance *s = &env->instances[instance];
-    struct fw_idem_env_call *t;
+    struct fw_idem_env_instance *inst = &env->instances[instance];
+    struct fw_idem_env_call *call;
     struct fw_actions out;
 
-    if (!s->up || s->paused_until_us > env->now_us) {
+    if (!inst->up || inst->paused_until_us > env->now_us) {
         return;
     }
-    t = g_new0(struct fw_idem_env_call, 1);
-    g_ptr_array_add(env->calls, t);
-    t->ticket = env->calls->len;
-    t->instance = instance;
-    t->boot = s->self.boot;
-    g_strlcpy(t->key, resolve_key(env, name), sizeof(t->key));
+    call = g_new0(struct fw_idem_env_call, 1);
+    g_ptr_array_add(env->calls, call);
+    call->ticket = env->calls->len;
+    call->instance = instance;
+    call->boot = inst->self.boot;
+    g_strlcpy(call->key, resolve_key(env, name), sizeof(call->key));
     Fw_Actions_Init(&out);
-    Fw_Idem_Claim(s->idem, t->ticket, "grid-desk", "skippers", t->key,
+    Fw_Idem_Claim(inst->idem, call->ticket, "grid-desk", "skippers", call->key,
                   Fw_Hash_Str(body), env->now_us, &out);
     handle_outputs(env, instance, &out);
 }
@@ -358,7 +363,7 @@
 static void
 deliver(struct fw_idem_env *env, struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_instance *s = &env->instances[d->instance];
+    struct fw_idem_env_instance *inst = &env->instances[d->instance];
     struct fw_log_appended app = {.ticket = d->ticket, .err = d->err};
     struct fw_log_records rec = {.ticket = d->ticket, .err = d->err};
     struct fw_actions out;
@@ -371,13 +376,13 @@
         Fw_IdemEnv_HandleRead(env, d);
         return;
     }
-    if (!s->up || s->self.boot != d->boot) {
+    if (!inst->up || inst->self.boot != d->boot) {
         return;
     }
     Fw_Actions_Init(&out);
     if (d->kind == FW_IDEM_ENV_APPENDED) {
         app.first_offset = d->first;
-        Fw_Idem_OnAppended(s->idem, &app, env->now_us, &out);
+        Fw_Idem_OnAppended(inst->idem, &app, env->now_us, &out);
     }
     else if (d->kind == FW_IDEM_ENV_RECORDS) {
         rec.sent_us = d->sent_us;
@@ -386,10 +391,11 @@
         rec.end_offset = d->end;
         rec.n = d->n;
         rec.records = (const char *const *)d->records;
-        Fw_Idem_OnRecords(s->idem, &rec, env->now_us, &out);
+        Fw_Idem_OnRecords(inst->idem, &rec, env->now_us, &out);
     }
     else {
-        Fw_Idem_OnMsg(s->idem, d->sender, &d->msg.u.idem, env->now_us, &out);
+        Fw_Idem_OnMsg(inst->idem, d->sender, &d->msg.u.idem, env->now_us,
+                      &out);
     }
     handle_outputs(env, d->instance, &out);
 }
@@ -423,10 +429,10 @@
         }
     }
     for (int i = 0; i < env->n; i++) {
-        struct fw_idem_env_instance *s = &env->instances[i];
+        struct fw_idem_env_instance *inst = &env->instances[i];
 
-        if (s->up && MAX(s->wake_us, s->paused_until_us) < at) {
-            at = MAX(s->wake_us, s->paused_until_us);
+        if (inst->up && MAX(inst->wake_us, inst->paused_until_us) < at) {
+            at = MAX(inst->wake_us, inst->paused_until_us);
             best = NULL;
             *tick_instance = i;
         }
--- a/explore/p_limit.c
+++ b/explore/p_limit.c
@@ -14,14 +14,14 @@
 Fw_Explore_Limit(struct fw_run *run)
 {
     struct fw_fleet_env env;
-    struct fw_limit_check c;
+    struct fw_limit_check checker;
     int refunds;
-    int busy; /* bursts of small requests, so that instances obtain leases */
+    int has_bursts; /* of small requests, so that instances obtain leases */
 
     Fw_FleetEnv_Init(&env, run, INSTANCES);
-    Fw_LimitCheck_Init(&c, &env, LEASE_US);
-    c.fail_on_overspend = 1;
-    busy = Fw_FleetEnv_RandBelow(&env, 2);
+    Fw_LimitCheck_Init(&checker, &env, LEASE_US);
+    checker.fail_on_overspend = 1;
+    has_bursts = Fw_FleetEnv_RandBelow(&env, 2);
     refunds =
         Fw_FleetEnv_RandBelow(&env, 2); /* the check is stricter without */
     env.loss_pct = 3;
@@ -35,18 +35,18 @@
     }
     for (int s = 0; s < run->steps && !run->failure[0]; s++) {
         int team = Fw_FleetEnv_RandBelow(&env, FW_LIMIT_CHECK_TEAMS);
-        int in_burst = busy && s % 200 < 100;
-        int asks = Fw_FleetEnv_RandBelow(&env, in_burst ? 40 : 4);
+        int in_burst = has_bursts && s % 200 < 100;
+        int n_requests = Fw_FleetEnv_RandBelow(&env, in_burst ? 40 : 4);
         Fw_FleetEnv_Advance(&env, Fw_FleetEnv_RandBelow(&env, 800) * FW_MSEC);
-        for (int i = 0; i < asks; i++) {
+        for (int i = 0; i < n_requests; i++) {
             int64_t max_tokens =
-                c.accounts[team].team.burst / (in_burst ? 100 : 4);
+                checker.accounts[team].team.burst / (in_burst ? 100 : 4);
             Fw_LimitCheck_Request(
-                &c, &env, Fw_FleetEnv_RandBelow(&env, INSTANCES), team,
+                &checker, &env, Fw_FleetEnv_RandBelow(&env, INSTANCES), team,
                 1 + Fw_FleetEnv_RandBelow(&env, (gint32)max_tokens));
         }
         if (refunds && Fw_FleetEnv_RandBelow(&env, 100) < 20) {
-            Fw_LimitCheck_RefundRandom(&c, &env);
+            Fw_LimitCheck_RefundRandom(&checker, &env);
         }
         if (Fw_FleetEnv_RandBelow(&env, 100) < 3) {
             Fw_FleetEnv_InjectFault(&env);
@@ -56,7 +56,7 @@
         }
     }
     Fw_Run_Trace(run, "large: granted %d refused %d wrongful %d",
-                 c.accounts[0].granted, c.accounts[0].refused,
-                 c.accounts[0].wrongful);
-    Fw_LimitCheck_Clear(&c, &env);
+                 checker.accounts[0].granted, checker.accounts[0].refused,
+                 checker.accounts[0].wrongful);
+    Fw_LimitCheck_Clear(&checker, &env);
 }
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -30,7 +30,7 @@
 
 /* Refills the bucket for the time up to @real_us. */
 void
-Fw_Account_Refill(struct fw_account *a, int64_t real_us);
+Fw_Account_Refill(struct fw_account *account, int64_t real_us);
 
 /**
  * struct fw_limit_check_grant - a granted request that may be refunded.
@@ -90,25 +90,27 @@
 };
 
 /* Configures @env, which must be initialised and have no instances started,
- * with two teams, "large" and "small". Leases live for @term_us. */
+ * with two teams, "large" and "small". Leases live for @lease_us. */
 void
-Fw_LimitCheck_Init(struct fw_limit_check *c, struct fw_fleet_env *env,
-                   int64_t term_us);
+Fw_LimitCheck_Init(struct fw_limit_check *checker, struct fw_fleet_env *env,
+                   int64_t lease_us);
 /* Clears @env as well. */
 void
-Fw_LimitCheck_Clear(struct fw_limit_check *c, struct fw_fleet_env *env);
+Fw_LimitCheck_Clear(struct fw_limit_check *checker, struct fw_fleet_env *env);
 /* Requests tokens on an instance; does nothing when it is not running. */
 void
-Fw_LimitCheck_Request(struct fw_limit_check *c, struct fw_fleet_env *env,
+Fw_LimitCheck_Request(struct fw_limit_check *checker, struct fw_fleet_env *env,
                       int instance, int team, int64_t tokens);
 /* Refunds tokens on an instance, which must be running. */
 void
-Fw_LimitCheck_RefundTokens(struct fw_limit_check *c, struct fw_fleet_env *env,
-                           int instance, int team, int64_t tokens);
+Fw_LimitCheck_RefundTokens(struct fw_limit_check *checker,
+                           struct fw_fleet_env *env, int instance, int team,
+                           int64_t tokens);
 /* Refunds a random part of a random grant, unless its instance is down, paused
  * or was restarted. */
 void
-Fw_LimitCheck_RefundRandom(struct fw_limit_check *c, struct fw_fleet_env *env);
+Fw_LimitCheck_RefundRandom(struct fw_limit_check *checker,
+                           struct fw_fleet_env *env);
 
 void
 Fw_Explore_Limit(struct fw_run *run);
--- a/explore/relay_requests.c
+++ b/explore/relay_requests.c
@@ -18,15 +18,15 @@
 
 /**
  * struct request_state - what happened to a request.
- * @once: it must not run more than once
+ * @at_most_once: it must not run more than once
  * @runs: times that a server has run it
- * @over: it has ended
+ * @ended: it has ended
  * @refused: it was refused with 503
  */
 struct request_state {
-    int once;
+    int at_most_once;
     int runs;
-    int over;
+    int ended;
     int refused;
 };
 
@@ -37,49 +37,51 @@
 };
 
 /**
- * struct req_world - the relay under test and its simulated surroundings.
+ * struct request_env - the relay under test and its simulated environment.
  * @pending: of struct pending
- * @requests: by request id; @n: used elements
+ * @requests: by request id; @n_requests: used elements
  * @held: names of reservations and KV caches that engines hold
  */
-struct req_world {
+struct request_env {
     struct fw_run *run;
-    struct fw_relay *r;
+    struct fw_relay *relay;
     struct fw_rl_actions acts;
     int64_t now_us;
     GPtrArray *pending;
     struct request_state requests[FW_REQUESTS_MAX];
-    int n;
+    int n_requests;
     GHashTable *held;
 };
 
 static int
-random_below(struct req_world *w, int n)
+random_below(struct request_env *env, int n)
 {
-    return g_rand_int_range(w->run->rand, 0, n);
+    return g_rand_int_range(env->run->rand, 0, n);
 }
 
 static void
-record_end(struct req_world *w, uint64_t call, int refused, const char *what)
+record_end(struct request_env *env, uint64_t call, int refused,
+           const char *what)
 {
-    struct request_state *state = &w->requests[call];
+    struct request_state *state = &env->requests[call];
 
-    if (state->over) {
-        Fw_Run_Fail(w->run, "request %d ended twice, now %s", (int)call, what);
+    if (state->ended) {
+        Fw_Run_Fail(env->run, "request %d ended twice, now %s", (int)call,
+                    what);
     }
-    state->over = 1;
+    state->ended = 1;
     state->refused = refused;
     if (refused && state->runs) {
-        Fw_Run_Fail(w->run, "request %d refused as not run, but ran",
+        Fw_Run_Fail(env->run, "request %d refused as not run, but ran",
                     (int)call);
     }
 }
 
 static struct pending *
-find_pending(struct req_world *w, uint64_t xid)
+find_pending(struct request_env *env, uint64_t xid)
 {
-    for (guint i = 0; i < w->pending->len; i++) {
-        struct pending *p = g_ptr_array_index(w->pending, i);
+    for (guint i = 0; i < env->pending->len; i++) {
+        struct pending *p = g_ptr_array_index(env->pending, i);
 
         if (p->call.xid == xid) {
             return p;
@@ -89,31 +91,31 @@
 }
 
 static void
-apply_action(struct req_world *w, const struct fw_rl_action *a)
+apply_action(struct request_env *env, const struct fw_rl_action *action)
 {
     struct pending *p;
 
-    switch (a->kind) {
+    switch (action->kind) {
     case FW_RL_DO_CALL:
         p = g_new0(struct pending, 1);
-        p->call = a->u.upstream_call;
-        g_ptr_array_add(w->pending, p);
+        p->call = action->u.upstream_call;
+        g_ptr_array_add(env->pending, p);
         break;
     case FW_RL_DO_CANCEL_CALL:
-        p = find_pending(w, a->u.xid);
+        p = find_pending(env, action->u.xid);
         if (p) {
-            g_ptr_array_remove(w->pending, p);
+            g_ptr_array_remove(env->pending, p);
         }
         break;
     case FW_RL_DO_REJECT:
-        record_end(w, a->u.rejection.call, a->u.rejection.status == 503,
-                   "refused");
+        record_end(env, action->u.rejection.call,
+                   action->u.rejection.status == 503, "refused");
         break;
     case FW_RL_DO_FINISH:
-        record_end(w, a->u.call, 0, "finished");
+        record_end(env, action->u.call, 0, "finished");
         break;
     case FW_RL_DO_ABORT:
-        record_end(w, a->u.call, 0, "cut");
+        record_end(env, action->u.call, 0, "cut");
         break;
     default:
         break;
@@ -121,160 +123,167 @@
 }
 
 static void
-apply_actions(struct req_world *w)
+apply_actions(struct request_env *env)
 {
-    for (guint i = 0; i < w->acts.all->len; i++) {
-        struct fw_rl_action a =
-            g_array_index(w->acts.all, struct fw_rl_action, i);
+    for (guint i = 0; i < env->acts.all->len; i++) {
+        struct fw_rl_action action =
+            g_array_index(env->acts.all, struct fw_rl_action, i);
 
-        apply_action(w, &a);
+        apply_action(env, &action);
     }
-    g_array_set_size(w->acts.all, 0);
+    g_array_set_size(env->acts.all, 0);
 }
 
 static void
-record_run(struct req_world *w, uint64_t call)
+record_run(struct request_env *env, uint64_t call)
 {
-    struct request_state *state = &w->requests[call];
+    struct request_state *state = &env->requests[call];
 
     state->runs++;
-    if (state->once && state->runs > 1) {
-        Fw_Run_Fail(w->run, "request %d ran twice", (int)call);
+    if (state->at_most_once && state->runs > 1) {
+        Fw_Run_Fail(env->run, "request %d ran twice", (int)call);
     }
     if (state->refused) {
-        Fw_Run_Fail(w->run, "request %d ran after it was refused", (int)call);
+        Fw_Run_Fail(env->run, "request %d ran after it was refused",
+                    (int)call);
     }
 }
 
 static void
-allocate(struct req_world *w, struct fw_rl_upstream_response *a,
+allocate(struct request_env *env, struct fw_rl_upstream_response *response,
          const char *prefix)
 {
     static int last_id;
 
-    g_snprintf(a->handle, sizeof(a->handle), "%s%d", prefix, ++last_id);
-    g_hash_table_add(w->held, g_strdup(a->handle));
+    g_snprintf(response->handle, sizeof(response->handle), "%s%d", prefix,
+               ++last_id);
+    g_hash_table_add(env->held, g_strdup(response->handle));
 }
 
 /* A run consumes its reservation and KV cache. */
 static void
-consume(struct req_world *w, const struct fw_rl_upstream_call *c)
+consume(struct request_env *env, const struct fw_rl_upstream_call *c)
 {
-    g_hash_table_remove(w->held, c->reservation);
-    g_hash_table_remove(w->held, c->kv_handle);
+    g_hash_table_remove(env->held, c->reservation);
+    g_hash_table_remove(env->held, c->kv_handle);
 }
 
 static void
-respond_to_run(struct req_world *w, struct pending *p)
+respond_to_run(struct request_env *env, struct pending *p)
 {
-    struct fw_rl_upstream_response a = {.status =
-                                            random_below(w, 5) ? 200 : 500};
+    struct fw_rl_upstream_response response = {
+        .status = random_below(env, 5) ? 200 : 500};
     uint64_t xid = p->call.xid;
 
-    if (!p->begun && random_below(w, 6) == 0) {
-        a.status = 503;
-        a.not_run = 1;
+    if (!p->begun && random_below(env, 6) == 0) {
+        response.status = 503;
+        response.not_run = 1;
     }
     else if (!p->begun) {
-        record_run(w, p->call.call);
-        consume(w, &p->call);
+        record_run(env, p->call.call);
+        consume(env, &p->call);
         if (!p->call.buffer_response) {
             p->begun = 1;
-            Fw_Relay_ResponseBegan(w->r, xid, &a, w->now_us, &w->acts);
+            Fw_Relay_ResponseBegan(env->relay, xid, &response, env->now_us,
+                                   &env->acts);
             return;
         }
     }
-    g_ptr_array_remove(w->pending, p);
-    Fw_Relay_ResponseEnded(w->r, xid, &a, w->now_us, &w->acts);
+    g_ptr_array_remove(env->pending, p);
+    Fw_Relay_ResponseEnded(env->relay, xid, &response, env->now_us,
+                           &env->acts);
 }
 
 static void
-fail_call(struct req_world *w, struct pending *p)
+fail_call(struct request_env *env, struct pending *p)
 {
     uint64_t xid = p->call.xid;
-    int sent = p->begun || random_below(w, 3) > 0;
+    int sent = p->begun || random_below(env, 3) > 0;
 
     if (sent && p->call.kind == FW_RL_UP_RUN && !p->begun &&
-        random_below(w, 2)) {
-        record_run(w, p->call.call); /* it ran, but the response is lost */
-        consume(w, &p->call);
+        random_below(env, 2)) {
+        record_run(env, p->call.call); /* it ran, but the response is lost */
+        consume(env, &p->call);
     }
-    g_ptr_array_remove(w->pending, p);
-    Fw_Relay_UpstreamFailed(w->r, xid, sent ? -ECONNRESET : -ECONNREFUSED,
-                            sent, w->now_us, &w->acts);
+    g_ptr_array_remove(env->pending, p);
+    Fw_Relay_UpstreamFailed(env->relay, xid,
+                            sent ? -ECONNRESET : -ECONNREFUSED, sent,
+                            env->now_us, &env->acts);
 }
 
 static void
-advance_call(struct req_world *w, struct pending *p)
+advance_call(struct request_env *env, struct pending *p)
 {
-    struct fw_rl_upstream_response a = {.status = 200};
+    struct fw_rl_upstream_response response = {.status = 200};
     uint64_t xid = p->call.xid;
 
-    if (random_below(w, 8) == 0) {
-        fail_call(w, p);
+    if (random_below(env, 8) == 0) {
+        fail_call(env, p);
         return;
     }
     switch (p->call.kind) {
     case FW_RL_UP_RUN:
-        respond_to_run(w, p);
+        respond_to_run(env, p);
         return;
     case FW_RL_UP_RESERVE:
-        a.status = random_below(w, 4) ? 200 : 503;
-        if (a.status == 200) {
-            allocate(w, &a, "h");
+        response.status = random_below(env, 4) ? 200 : 503;
+        if (response.status == 200) {
+            allocate(env, &response, "h");
         }
         break;
     case FW_RL_UP_PREFILL:
-        a.status = random_below(w, 8) ? 200 : 503;
-        a.not_run = a.status != 200;
-        if (a.status == 200) {
-            allocate(w, &a, "k");
+        response.status = random_below(env, 8) ? 200 : 503;
+        response.not_run = response.status != 200;
+        if (response.status == 200) {
+            allocate(env, &response, "k");
         }
         break;
     case FW_RL_UP_RELEASE:
-        g_hash_table_remove(w->held, p->call.reservation);
+        g_hash_table_remove(env->held, p->call.reservation);
         break;
     case FW_RL_UP_FREE_KV:
-        g_hash_table_remove(w->held, p->call.kv_handle);
+        g_hash_table_remove(env->held, p->call.kv_handle);
         break;
     case FW_RL_UP_REPORT:
     case FW_RL_UP_SET_STAGE:
         break;
     }
-    g_ptr_array_remove(w->pending, p);
-    Fw_Relay_ResponseEnded(w->r, xid, &a, w->now_us, &w->acts);
+    g_ptr_array_remove(env->pending, p);
+    Fw_Relay_ResponseEnded(env->relay, xid, &response, env->now_us,
+                           &env->acts);
 }
 
 static void
-open_request(struct req_world *w)
+open_request(struct request_env *env)
 {
     static const char *const paths[] = {"/read/", "/order/", "/gen/"};
-    int kind = random_below(w, 3);
-    struct fw_rl_request_info ask = {.host = "h",
-                                     .tokens_in = kind == 2 ? 1000 : -1,
-                                     .tokens_out_max = kind == 2 ? 1000 : -1,
-                                     .fingerprint = (uint64_t)w->n};
-    uint64_t id = (uint64_t)w->n++;
-
-    w->requests[id].once = kind != 0;
-    g_strlcpy(ask.path, paths[kind], sizeof(ask.path));
-    g_snprintf(ask.id, sizeof(ask.id), "%d", (int)id);
-    Fw_Relay_Open(w->r, id, &ask, w->now_us, &w->acts);
+    int kind = random_below(env, 3);
+    struct fw_rl_request_info request = {
+        .host = "h",
+        .tokens_in = kind == 2 ? 1000 : -1,
+        .tokens_out_max = kind == 2 ? 1000 : -1,
+        .fingerprint = (uint64_t)env->n_requests};
+    uint64_t id = (uint64_t)env->n_requests++;
+
+    env->requests[id].at_most_once = kind != 0;
+    g_strlcpy(request.path, paths[kind], sizeof(request.path));
+    g_snprintf(request.id, sizeof(request.id), "%d", (int)id);
+    Fw_Relay_Open(env->relay, id, &request, env->now_us, &env->acts);
 }
 
 static void
-disconnect_caller(struct req_world *w)
+disconnect_caller(struct request_env *env)
 {
-    uint64_t id = (uint64_t)random_below(w, w->n);
+    uint64_t id = (uint64_t)random_below(env, env->n_requests);
 
-    if (!w->requests[id].over) {
-        record_end(w, id, 0, "left");
-        Fw_Relay_CallerLeft(w->r, id, w->now_us, &w->acts);
+    if (!env->requests[id].ended) {
+        record_end(env, id, 0, "left");
+        Fw_Relay_CallerLeft(env->relay, id, env->now_us, &env->acts);
     }
 }
 
 static void
-update_server(struct req_world *w, int i, int born)
+update_server(struct request_env *env, int i, int born)
 {
     struct fw_rl_server_entry e = {
         .slots = 4,
@@ -288,7 +297,7 @@
     g_snprintf(e.addr, sizeof(e.addr), "10.0.0.%d:1", i + 1);
     g_strlcpy(e.service, i < FW_PLAIN_SERVERS ? "plain" : "llm",
               sizeof(e.service));
-    Fw_Relay_UpdateServer(w->r, e.id, &e, w->now_us, &w->acts);
+    Fw_Relay_UpdateServer(env->relay, e.id, &e, env->now_us, &env->acts);
 }
 
 static void
@@ -311,7 +320,7 @@
 }
 
 static void
-world_init(struct req_world *w, struct fw_run *run)
+init_env(struct request_env *env, struct fw_run *run)
 {
     struct fw_rl_rules *rules = Fw_Rules_New();
     struct fw_rl_service_rule *s;
@@ -330,11 +339,11 @@
                               .grace_us = 8 * FW_SEC,
                               .log_level = 0};
 
-    *w = (struct req_world){.run = run, .now_us = 1000 * FW_SEC};
-    w->r = Fw_Relay_New(&o, w->now_us);
-    w->pending = g_ptr_array_new_with_free_func(g_free);
-    w->held = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    Fw_RelayActions_Init(&w->acts);
+    *env = (struct request_env){.run = run, .now_us = 1000 * FW_SEC};
+    env->relay = Fw_Relay_New(&o, env->now_us);
+    env->pending = g_ptr_array_new_with_free_func(g_free);
+    env->held = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    Fw_RelayActions_Init(&env->acts);
     rules->version = 1;
     add_route(rules, "/read/", FW_RL_IDEMPOTENT);
     add_route(rules, "/order/", FW_RL_NON_IDEMPOTENT);
@@ -346,57 +355,58 @@
     s->engine = (struct fw_rl_engine_spec){
         .slots = 8, .kv_tokens = 8000, .reservation_ttl_us = 2 * FW_SEC};
     Fw_Rules_Index(rules);
-    Fw_Relay_SetRules(w->r, rules, 1, w->now_us, &w->acts);
+    Fw_Relay_SetRules(env->relay, rules, 1, env->now_us, &env->acts);
     Fw_Rules_Unref(rules);
     for (int i = 0; i < FW_SERVERS; i++) {
-        update_server(w, i, 1);
+        update_server(env, i, 1);
     }
 }
 
 static void
-step(struct req_world *w)
+step(struct request_env *env)
 {
-    w->now_us += random_below(w, 60) * FW_MSEC;
-    if (w->n < FW_REQUESTS_MAX && random_below(w, 3) == 0) {
-        open_request(w);
-        apply_actions(w);
+    env->now_us += random_below(env, 60) * FW_MSEC;
+    if (env->n_requests < FW_REQUESTS_MAX && random_below(env, 3) == 0) {
+        open_request(env);
+        apply_actions(env);
     }
-    if (w->n && random_below(w, 30) == 0) {
-        disconnect_caller(w);
-        apply_actions(w);
+    if (env->n_requests && random_below(env, 30) == 0) {
+        disconnect_caller(env);
+        apply_actions(env);
     }
-    if (random_below(w, 120) == 0) {
-        update_server(w, random_below(w, FW_SERVERS), random_below(w, 1000));
-        apply_actions(w);
+    if (random_below(env, 120) == 0) {
+        update_server(env, random_below(env, FW_SERVERS),
+                      random_below(env, 1000));
+        apply_actions(env);
     }
-    if (w->pending->len) {
-        advance_call(
-            w, g_ptr_array_index(
-                   w->pending, (guint)random_below(w, (int)w->pending->len)));
-        apply_actions(w);
+    if (env->pending->len) {
+        advance_call(env, g_ptr_array_index(env->pending,
+                                            (guint)random_below(
+                                                env, (int)env->pending->len)));
+        apply_actions(env);
     }
-    Fw_Relay_Tick(w->r, w->now_us, &w->acts);
-    apply_actions(w);
+    Fw_Relay_Tick(env->relay, env->now_us, &env->acts);
+    apply_actions(env);
 }
 
 /* Once all requests have ended no server may have load counted. */
 static void
-check_final_state(struct req_world *w)
+check_final_state(struct request_env *env)
 {
     struct fw_list *pos;
 
-    FW_LIST_EACH (pos, &w->r->servers) {
+    FW_LIST_EACH (pos, &env->relay->servers) {
         const struct fw_rl_server *s =
             FW_LIST_ENTRY(pos, struct fw_rl_server, link);
 
         if (s->running || s->kv_tokens || s->prefill_tokens) {
-            Fw_Run_Fail(w->run, "%s still counts %d running, %d tokens",
+            Fw_Run_Fail(env->run, "%s still counts %d running, %d tokens",
                         s->entry.id, s->running, (int)s->kv_tokens);
         }
     }
-    for (int i = 0; i < w->n; i++) {
-        if (!w->requests[i].over) {
-            Fw_Run_Fail(w->run, "request %d never ended", i);
+    for (int i = 0; i < env->n_requests; i++) {
+        if (!env->requests[i].ended) {
+            Fw_Run_Fail(env->run, "request %d never ended", i);
         }
     }
 }
@@ -404,29 +414,29 @@
 void
 Fw_Explore_RelayRequests(struct fw_run *run)
 {
-    struct req_world *w = g_new0(struct req_world, 1);
+    struct request_env *env = g_new0(struct request_env, 1);
 
-    world_init(w, run);
-    apply_actions(w);
+    init_env(env, run);
+    apply_actions(env);
     for (int s = 0; s < run->steps && !run->failure[0]; s++) {
-        step(w);
+        step(env);
     }
     for (int s = 0; s < 400 && !run->failure[0]; s++) {
-        w->now_us += 50 * FW_MSEC;
-        if (w->pending->len) {
-            advance_call(w, g_ptr_array_index(w->pending, 0));
+        env->now_us += 50 * FW_MSEC;
+        if (env->pending->len) {
+            advance_call(env, g_ptr_array_index(env->pending, 0));
         }
-        apply_actions(w);
-        Fw_Relay_Tick(w->r, w->now_us, &w->acts);
-        apply_actions(w);
+        apply_actions(env);
+        Fw_Relay_Tick(env->relay, env->now_us, &env->acts);
+        apply_actions(env);
     }
     if (!run->failure[0]) {
-        check_final_state(w);
+        check_final_state(env);
     }
-    Fw_Run_Trace(run, "%d requests", w->n);
-    Fw_RelayActions_Clear(&w->acts);
-    Fw_Relay_Free(w->r);
-    g_ptr_array_unref(w->pending);
-    g_hash_table_destroy(w->held);
-    g_free(w);
+    Fw_Run_Trace(run, "%d requests", env->n_requests);
+    Fw_RelayActions_Clear(&env->acts);
+    Fw_Relay_Free(env->relay);
+    g_ptr_array_unref(env->pending);
+    g_hash_table_destroy(env->held);
+    g_free(env);
 }
