--- a/explore/p_request.c
+++ b/explore/p_request.c
@@ -36,21 +36,21 @@
 random_step(struct fw_request_env *env)
 {
     GRand *rand = env->run->rand;
-    int dice = g_rand_int_range(rand, 0, 100);
+    int event = g_rand_int_range(rand, 0, 100);
     struct fw_request_env_op *op;
 
-    if (dice < 8 && env->n_callers < FW_REQUEST_ENV_CALLERS_MAX) {
+    if (event < 8 && env->n_callers < FW_REQUEST_ENV_CALLERS_MAX) {
         Fw_RequestEnv_OpenCall(env);
     }
-    else if (dice < 11 && env->n_callers > 0) {
+    else if (event < 11 && env->n_callers > 0) {
         Fw_RequestEnv_CloseCall(env,
                                 g_rand_int_range(rand, 0, env->n_callers));
     }
-    else if (dice < 12) {
+    else if (event < 12) {
         Fw_RequestEnv_CrashEngine(
             env, g_rand_int_range(rand, 0, FW_REQUEST_ENV_ENGINES));
     }
-    else if (dice < 30) {
+    else if (event < 30) {
         Fw_RequestEnv_Advance(env, g_rand_int_range(rand, 1, 100) * FW_MSEC);
     }
     else if ((op = Fw_RequestEnv_RandomOp(env))) {
@@ -88,17 +88,17 @@
 random_step_without_faults(struct fw_request_env *env)
 {
     GRand *rand = env->run->rand;
-    int dice = g_rand_int_range(rand, 0, 100);
+    int event = g_rand_int_range(rand, 0, 100);
     struct fw_request_env_op *op;
 
-    if (dice < 8 && env->n_callers < FW_REQUEST_ENV_CALLERS_MAX) {
+    if (event < 8 && env->n_callers < FW_REQUEST_ENV_CALLERS_MAX) {
         Fw_RequestEnv_OpenCall(env);
     }
-    else if (dice < 10 && env->n_callers > 0) {
+    else if (event < 10 && env->n_callers > 0) {
         Fw_RequestEnv_CloseCall(env,
                                 g_rand_int_range(rand, 0, env->n_callers));
     }
-    else if (dice < 25) {
+    else if (event < 25) {
         Fw_RequestEnv_Advance(env, g_rand_int_range(rand, 1, 20) * FW_MSEC);
     }
     else if ((op = Fw_RequestEnv_RandomOp(env))) {
--- a/explore/p_request_engines.c
+++ b/explore/p_request_engines.c
@@ -73,7 +73,7 @@
 advance_stream(struct fw_request_env *env, struct fw_request_env_op *op)
 {
     struct fw_event ev = {.kind = FW_EV_UP};
-    int dice = env->no_faults ? 9 : g_rand_int_range(env->run->rand, 0, 10);
+    int event = env->no_faults ? 9 : g_rand_int_range(env->run->rand, 0, 10);
     struct fw_request_env_held *h = Fw_RequestEnv_FindHeld(
         env, op->engine, Fw_RequestEnv_RequestId(&op->up));
 
@@ -81,10 +81,10 @@
         fail_op(env, op);
         return;
     }
-    if (dice == 0 && op->next_piece > op->first_piece) {
+    if (event == 0 && op->next_piece > op->first_piece) {
         send_piece(env, op, op->next_piece - 1); /* duplicate */
     }
-    else if (dice == 1 && op->next_piece + 1 < FW_REQUEST_ENV_PIECES) {
+    else if (event == 1 && op->next_piece + 1 < FW_REQUEST_ENV_PIECES) {
         op->next_piece++; /* lost */
         send_piece(env, op, op->next_piece);
         op->next_piece++;
--- a/src/config/audit.c
+++ b/src/config/audit.c
@@ -38,12 +38,13 @@
 }
 
 void
-Fw_Audit_Add(struct fw_audit *a, uint64_t offset, const char *who, char *text)
+Fw_Audit_Add(struct fw_audit *a, uint64_t offset, const char *author,
+             char *text)
 {
     struct fw_audit_entry *e = g_new0(struct fw_audit_entry, 1);
 
     e->offset = offset;
-    g_strlcpy(e->author, who, sizeof(e->author));
+    g_strlcpy(e->author, author, sizeof(e->author));
     e->text = text;
     Fw_List_Append(&a->entries, &e->link);
     a->n++;
--- a/src/config/audit.h
+++ b/src/config/audit.h
@@ -51,7 +51,8 @@
  * FW_AUDIT_ENTRIES_MAX or FW_AUDIT_BYTES_MAX.
  */
 void
-Fw_Audit_Add(struct fw_audit *a, uint64_t offset, const char *who, char *text);
+Fw_Audit_Add(struct fw_audit *a, uint64_t offset, const char *author,
+             char *text);
 /* Returns the entry of the record at @offset, or NULL. */
 const struct fw_audit_entry *
 Fw_Audit_Find(const struct fw_audit *a, uint64_t offset);
--- a/src/fleet/role_internal.h
+++ b/src/fleet/role_internal.h
@@ -97,7 +97,7 @@
 Fw_Role_Slot(const struct fw_roles *r, enum fw_role_kind kind, int partition);
 /* Nonzero when the record in force names this process. */
 int
-Fw_Role_IsHeldHere(const struct fw_roles *r, const struct fw_role_slot *s);
+Fw_Role_IsHeldHere(const struct fw_roles *r, const struct fw_role_slot *slot);
 /* Return: local time in which @us have surely passed by any clock. */
 int64_t
 Fw_Role_WithDrift(int64_t us);
--- a/src/fleet/role_query.c
+++ b/src/fleet/role_query.c
@@ -13,10 +13,10 @@
 }
 
 int
-Fw_Role_IsHeldHere(const struct fw_roles *r, const struct fw_role_slot *s)
+Fw_Role_IsHeldHere(const struct fw_roles *r, const struct fw_role_slot *slot)
 {
-    return s->known && s->offset > 0 && s->boot == r->self.boot &&
-           strcmp(s->holder, r->self.name) == 0;
+    return slot->known && slot->offset > 0 && slot->boot == r->self.boot &&
+           strcmp(slot->holder, r->self.name) == 0;
 }
 
 int64_t
@@ -29,18 +29,18 @@
 Fw_Roles_Holder(const struct fw_roles *r, enum fw_role_kind kind,
                 int partition)
 {
-    const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
+    const struct fw_role_slot *slot = Fw_Role_Slot(r, kind, partition);
 
-    return s->known && s->offset > 0 ? s->holder : NULL;
+    return slot->known && slot->offset > 0 ? slot->holder : NULL;
 }
 
 int
 Fw_Roles_MayAct(const struct fw_roles *r, enum fw_role_kind kind,
                 int partition, int64_t now_us, uint64_t *fence)
 {
-    const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
+    const struct fw_role_slot *slot = Fw_Role_Slot(r, kind, partition);
 
-    if (!Fw_Role_IsHeldHere(r, s) || s->stopped) {
+    if (!Fw_Role_IsHeldHere(r, slot) || slot->stopped) {
         return -EPERM;
     }
     /* Stops a holder that was paused or cut off and may have been replaced.
@@ -49,11 +49,11 @@
         !FW_FAULT("role-stale-read")) {
         return -ESTALE;
     }
-    if (now_us < s->acts_from_us) {
+    if (now_us < slot->acts_from_us) {
         return -EAGAIN;
     }
     if (fence) {
-        *fence = s->offset;
+        *fence = slot->offset;
     }
     return 0;
 }
@@ -62,27 +62,27 @@
 Fw_Roles_Tenure(const struct fw_roles *r, enum fw_role_kind kind,
                 int partition)
 {
-    const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
+    const struct fw_role_slot *slot = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_IsHeldHere(r, s) ? s->tenure : 0;
+    return Fw_Role_IsHeldHere(r, slot) ? slot->tenure : 0;
 }
 
 uint64_t
 Fw_Roles_PredecessorTenure(const struct fw_roles *r, enum fw_role_kind kind,
                            int partition)
 {
-    const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
+    const struct fw_role_slot *slot = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_IsHeldHere(r, s) ? s->predecessor_tenure : 0;
+    return Fw_Role_IsHeldHere(r, slot) ? slot->predecessor_tenure : 0;
 }
 
 int
 Fw_Roles_IsFirst(const struct fw_roles *r, enum fw_role_kind kind,
                  int partition)
 {
-    const struct fw_role_slot *s = Fw_Role_Slot(r, kind, partition);
+    const struct fw_role_slot *slot = Fw_Role_Slot(r, kind, partition);
 
-    return Fw_Role_IsHeldHere(r, s) && s->is_first;
+    return Fw_Role_IsHeldHere(r, slot) && slot->is_first;
 }
 
 int
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -94,7 +94,7 @@
  * lives for wait_us more, both by its own clock.
  */
 static int64_t
-acts_from(const struct fw_roles *r, const struct fw_role_slot *s,
+acts_from(const struct fw_roles *r, const struct fw_role_slot *slot,
           const struct fw_role_record *rec, int64_t now_us)
 {
     if (FW_FAULT("role-no-wait")) {
@@ -103,8 +103,8 @@
     if (rec->replaces == 0) {
         return now_us; /* there is no last holder */
     }
-    if (Fw_Role_IsHeldHere(r, s)) {
-        return s->acts_from_us;
+    if (Fw_Role_IsHeldHere(r, slot)) {
+        return slot->acts_from_us;
     }
     if (rec->wait_us >= 0) {
         return now_us + Fw_Role_WithDrift(rec->wait_us);
@@ -117,30 +117,31 @@
 Fw_Role_Apply(struct fw_roles *r, const struct fw_role_record *rec,
               uint64_t offset, int64_t now_us, struct fw_actions *out)
 {
-    struct fw_role_slot *s = Fw_Role_Slot(r, rec->kind, rec->partition);
-    int was_held = Fw_Role_IsHeldHere(r, s);
+    struct fw_role_slot *slot = Fw_Role_Slot(r, rec->kind, rec->partition);
+    int was_held = Fw_Role_IsHeldHere(r, slot);
     int same_holder;
     char role[24];
 
     if (rec->replaces != FW_ROLE_REPLACES_ANY &&
-        (!s->known || rec->replaces != (int64_t)s->offset)) {
+        (!slot->known || rec->replaces != (int64_t)slot->offset)) {
         return;
     }
-    s->acts_from_us = acts_from(r, s, rec, now_us);
-    same_holder = s->boot == rec->boot && strcmp(s->holder, rec->holder) == 0;
-    if (!same_holder || !s->tenure) {
-        s->predecessor_tenure = rec->wait_us >= 0 ? s->tenure : 0;
-        s->tenure = offset;
+    slot->acts_from_us = acts_from(r, slot, rec, now_us);
+    same_holder =
+        slot->boot == rec->boot && strcmp(slot->holder, rec->holder) == 0;
+    if (!same_holder || !slot->tenure) {
+        slot->predecessor_tenure = rec->wait_us >= 0 ? slot->tenure : 0;
+        slot->tenure = offset;
     }
-    s->known = 1;
-    s->is_first = rec->replaces == 0;
-    s->offset = offset;
-    g_strlcpy(s->holder, rec->holder, sizeof(s->holder));
-    s->boot = rec->boot;
-    s->applied_us = now_us;
-    s->vacant_since_us = 0;
-    s->stopped = r->draining && Fw_Role_IsHeldHere(r, s);
-    if (was_held != Fw_Role_IsHeldHere(r, s)) {
+    slot->known = 1;
+    slot->is_first = rec->replaces == 0;
+    slot->offset = offset;
+    g_strlcpy(slot->holder, rec->holder, sizeof(slot->holder));
+    slot->boot = rec->boot;
+    slot->applied_us = now_us;
+    slot->vacant_since_us = 0;
+    slot->stopped = r->draining && Fw_Role_IsHeldHere(r, slot);
+    if (was_held != Fw_Role_IsHeldHere(r, slot)) {
         g_snprintf(role, sizeof(role), "%d/%d", (int)rec->kind,
                    rec->partition);
         Fw_Actions_Note(out, LOG_INFO, was_held ? "role_lost" : "role_taken",
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -1,5 +1,5 @@
 /*
- * Leases, on the holder. An instance renews its leases of a partition with the
+ * Lease holder side. An instance renews its leases of a partition with the
  * leader if its own demand is high enough or if it is a follower.
  */
 #include <string.h>
