--- a/src/fleet/role.c
+++ b/src/fleet/role.c
@@ -14,7 +14,7 @@
 #include "fleet/role_internal.h"
 
 struct fw_roles *
-Fw_Roles_New(const struct fw_self *self, int partitions,
+Fw_Roles_New(const struct fw_self *self, int n_partitions,
              const int64_t wait_us[FW_ROLE_KINDS])
 {
     struct fw_roles *r = g_new0(struct fw_roles, 1);
@@ -22,10 +22,10 @@
     r->self = *self;
     r->rand =
         g_rand_new_with_seed((guint32)(Fw_Hash_Str(self->name) ^ self->boot));
-    r->partitions = MAX(partitions, 1);
+    r->n_partitions = MAX(n_partitions, 1);
     memcpy(r->wait_us, wait_us, sizeof(r->wait_us));
     r->slots = g_new0(struct fw_role_slot,
-                      (gsize)FW_ROLE_KINDS * (gsize)r->partitions);
+                      (gsize)FW_ROLE_KINDS * (gsize)r->n_partitions);
     /* Each region has its own stream. */
     if (self->region[0]) {
         g_snprintf(r->stream, sizeof(r->stream), "%s-%s", FW_STREAM_ROLES,
@@ -85,7 +85,7 @@
 static void
 reset_slots(struct fw_roles *r)
 {
-    for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
+    for (int i = 0; i < (int)FW_ROLE_KINDS * r->n_partitions; i++) {
         struct fw_role_slot *slot = &r->slots[i];
         *slot = (struct fw_role_slot){.vacant_since_us = 0};
     }
@@ -99,7 +99,7 @@
                                 : MAX(rec->oldest_offset, r->next_offset);
 
     if (!r->has_read && rec->oldest_offset <= 1 && first <= 1) {
-        for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
+        for (int i = 0; i < (int)FW_ROLE_KINDS * r->n_partitions; i++) {
             r->slots[i].known = 1; /* the stream is read from its start */
         }
     }
@@ -115,7 +115,7 @@
             continue;
         }
         r->next_offset = offset + 1;
-        if (Fw_Role_Parse(rec->records[i], r->partitions, &one)) {
+        if (Fw_Role_Parse(rec->records[i], r->n_partitions, &one)) {
             Fw_Actions_Note(out, LOG_ERR, "role_record_bad", "stream",
                             r->stream, "record", rec->records[i], NULL);
             continue;
@@ -166,7 +166,7 @@
          * safe: a claim is void if the record that it names as replaced is no
          * longer in force. */
         r->next_append_us = now_us + jitter(r, FW_SEC);
-        for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
+        for (int i = 0; i < (int)FW_ROLE_KINDS * r->n_partitions; i++) {
             r->slots[i].claimed_us = 0;
         }
         Fw_Actions_Wake(out, r->next_append_us);
@@ -265,11 +265,11 @@
 {
     GPtrArray *records = g_ptr_array_new_with_free_func(g_free);
 
-    for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
+    for (int i = 0; i < (int)FW_ROLE_KINDS * r->n_partitions; i++) {
         struct fw_role_slot *slot = &r->slots[i];
         struct fw_role_record rec = {
-            .kind = (enum fw_role_kind)(i / r->partitions),
-            .partition = i % r->partitions,
+            .kind = (enum fw_role_kind)(i / r->n_partitions),
+            .partition = i % r->n_partitions,
             .boot = r->self.boot,
             .wait_us = -1,
         };
@@ -327,7 +327,7 @@
 {
     r->draining = 1;
     /* Stops before the append, as the successor's shorter wait requires. */
-    for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
+    for (int i = 0; i < (int)FW_ROLE_KINDS * r->n_partitions; i++) {
         if (Fw_Role_IsHeldHere(r, &r->slots[i])) {
             r->slots[i].stopped = 1;
         }
--- a/src/fleet/role.h
+++ b/src/fleet/role.h
@@ -27,12 +27,12 @@
 
 /**
  * Fw_Roles_New
- * @partitions: number of roles of each kind
+ * @n_partitions: number of roles of each kind
  * @wait_us: for each kind, the lifetime of what a holder grants; a new holder
  *           waits for it in addition to FW_ROLE_VIEW_MAX_AGE_US
  */
 struct fw_roles *
-Fw_Roles_New(const struct fw_self *self, int partitions,
+Fw_Roles_New(const struct fw_self *self, int n_partitions,
              const int64_t wait_us[FW_ROLE_KINDS]);
 void
 Fw_Roles_Free(struct fw_roles *r);
--- a/src/fleet/role_internal.h
+++ b/src/fleet/role_internal.h
@@ -73,7 +73,7 @@
 struct fw_roles {
     struct fw_self self;
     GRand *rand;
-    int partitions;
+    int n_partitions;
     int64_t wait_us[FW_ROLE_KINDS];
     struct fw_role_slot *slots; /* by kind, then partition */
     char stream[FW_NAME_MAX];
@@ -107,7 +107,7 @@
 Fw_Role_Format(const struct fw_role_record *rec);
 /* Return: 0 or -EBADMSG. */
 int
-Fw_Role_Parse(const char *text, int partitions, struct fw_role_record *rec);
+Fw_Role_Parse(const char *text, int n_partitions, struct fw_role_record *rec);
 /* Applies a record of the stream; ignored if void. */
 void
 Fw_Role_Apply(struct fw_roles *r, const struct fw_role_record *rec,
--- a/src/fleet/role_query.c
+++ b/src/fleet/role_query.c
@@ -9,7 +9,7 @@
 struct fw_role_slot *
 Fw_Role_Slot(const struct fw_roles *r, enum fw_role_kind kind, int partition)
 {
-    return &r->slots[(int)kind * r->partitions + partition];
+    return &r->slots[(int)kind * r->n_partitions + partition];
 }
 
 int
@@ -90,7 +90,7 @@
 {
     int n = 0;
 
-    for (int i = 0; i < (int)FW_ROLE_KINDS * r->partitions; i++) {
+    for (int i = 0; i < (int)FW_ROLE_KINDS * r->n_partitions; i++) {
         n += Fw_Role_IsHeldHere(r, &r->slots[i]);
     }
     return n;
@@ -105,7 +105,7 @@
 int
 Fw_Roles_PartitionCount(const struct fw_roles *r)
 {
-    return r->partitions;
+    return r->n_partitions;
 }
 
 uint64_t
@@ -119,5 +119,5 @@
 int
 Fw_Roles_PartitionOf(const struct fw_roles *r, const char *name)
 {
-    return (int)(Fw_Hash_Str(name) % (uint64_t)r->partitions);
+    return (int)(Fw_Hash_Str(name) % (uint64_t)r->n_partitions);
 }
--- a/src/fleet/role_record.c
+++ b/src/fleet/role_record.c
@@ -43,7 +43,7 @@
 }
 
 static int
-parse_object(JsonObject *o, int partitions, struct fw_role_record *rec)
+parse_object(JsonObject *o, int n_partitions, struct fw_role_record *rec)
 {
     JsonNode *holder = json_object_get_member(o, "i");
     int64_t kind;
@@ -51,7 +51,7 @@
     int64_t boot;
 
     if (get_int(o, "k", 0, &kind) || kind >= FW_ROLE_KINDS ||
-        get_int(o, "p", 0, &partition) || partition >= partitions ||
+        get_int(o, "p", 0, &partition) || partition >= n_partitions ||
         get_int(o, "b", 0, &boot) ||
         get_int(o, "was", FW_ROLE_REPLACES_ANY, &rec->replaces) || !holder ||
         !JSON_NODE_HOLDS_VALUE(holder) ||
@@ -73,14 +73,14 @@
 }
 
 int
-Fw_Role_Parse(const char *text, int partitions, struct fw_role_record *rec)
+Fw_Role_Parse(const char *text, int n_partitions, struct fw_role_record *rec)
 {
     JsonNode *node = json_from_string(text, NULL);
     int err = -EBADMSG;
 
     memset(rec, 0, sizeof(*rec));
     if (node && JSON_NODE_HOLDS_OBJECT(node)) {
-        err = parse_object(json_node_get_object(node), partitions, rec);
+        err = parse_object(json_node_get_object(node), n_partitions, rec);
     }
     if (node) {
         json_node_unref(node);
--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -17,7 +17,7 @@
 }
 
 static void
-init_part(struct fw_idem_partition *p, int number)
+init_partition(struct fw_idem_partition *p, int number)
 {
     g_snprintf(p->stream, sizeof(p->stream), FW_STREAM_IDEM "-%d", number);
     Fw_Idem_InitTable(&p->table);
@@ -34,14 +34,14 @@
 
     c->self = self;
     c->fleet = fleet;
-    c->partitions = MAX(partitions, 1);
+    c->n_partitions = MAX(partitions, 1);
     c->start_us = -1;
     /* Numbers are not reused after a restart: a reply meant for the previous
      * process must not grant a claim of this one. */
     c->seq = (self->boot & UINT32_MAX) << FW_SEQ_BITS;
-    c->parts = g_new0(struct fw_idem_partition, c->partitions);
-    for (int i = 0; i < c->partitions; i++) {
-        init_part(&c->parts[i], i);
+    c->partitions = g_new0(struct fw_idem_partition, c->n_partitions);
+    for (int i = 0; i < c->n_partitions; i++) {
+        init_partition(&c->partitions[i], i);
     }
     Fw_List_Init(&c->calls);
     Fw_List_Init(&c->outcomes);
@@ -99,13 +99,13 @@
         return;
     }
     free_calls(c);
-    for (int i = 0; i < c->partitions; i++) {
-        free_requests(&c->parts[i].queued);
-        free_requests(&c->parts[i].in_flight);
-        free_requests(&c->parts[i].waiters);
-        Fw_Idem_ClearTable(&c->parts[i].table);
+    for (int i = 0; i < c->n_partitions; i++) {
+        free_requests(&c->partitions[i].queued);
+        free_requests(&c->partitions[i].in_flight);
+        free_requests(&c->partitions[i].waiters);
+        Fw_Idem_ClearTable(&c->partitions[i].table);
     }
-    g_free(c->parts);
+    g_free(c->partitions);
     g_free(c);
 }
 
@@ -117,10 +117,10 @@
     struct fw_idem_partition *p;
     const struct fw_member *m;
 
-    if (now_us < c->next_preload_us || c->next_preload >= c->partitions) {
+    if (now_us < c->next_preload_us || c->next_preload >= c->n_partitions) {
         return;
     }
-    p = &c->parts[c->next_preload++];
+    p = &c->partitions[c->next_preload++];
     m = Fw_Idem_Coordinator(c, p);
     if (p->phase == FW_IDEM_UNLOADED && m && Fw_Fleet_IsSelf(c->fleet, m)) {
         p->phase = FW_IDEM_LOADING;
@@ -137,14 +137,14 @@
         c->next_preload_us = now_us + FW_IDEM_PRELOAD_DELAY_US;
     }
     preload(c, now_us, out);
-    if (c->next_preload < c->partitions) {
+    if (c->next_preload < c->n_partitions) {
         Fw_Actions_Wake(out, c->next_preload_us);
     }
     Fw_Idem_TickCalls(c, now_us, out);
-    for (int i = 0; i < c->partitions; i++) {
-        if (c->parts[i].phase != FW_IDEM_UNLOADED ||
-            !Fw_List_Empty(&c->parts[i].queued)) {
-            Fw_Idem_RunPartition(c, &c->parts[i], now_us, out);
+    for (int i = 0; i < c->n_partitions; i++) {
+        if (c->partitions[i].phase != FW_IDEM_UNLOADED ||
+            !Fw_List_Empty(&c->partitions[i].queued)) {
+            Fw_Idem_RunPartition(c, &c->partitions[i], now_us, out);
         }
     }
 }
@@ -194,8 +194,8 @@
 Fw_Idem_OnRecords(struct fw_idem *c, const struct fw_log_records *r,
                   int64_t now_us, struct fw_actions *out)
 {
-    for (int i = 0; i < c->partitions; i++) {
-        struct fw_idem_partition *p = &c->parts[i];
+    for (int i = 0; i < c->n_partitions; i++) {
+        struct fw_idem_partition *p = &c->partitions[i];
         struct fw_idem_request *rq;
 
         if (p->ticket == r->ticket) {
@@ -215,10 +215,10 @@
 Fw_Idem_OnAppended(struct fw_idem *c, const struct fw_log_appended *appended,
                    int64_t now_us, struct fw_actions *out)
 {
-    for (int i = 0; i < c->partitions; i++) {
-        if (c->parts[i].ticket == appended->ticket) {
-            c->parts[i].ticket = 0;
-            Fw_Idem_FinishAppend(c, &c->parts[i], appended, now_us, out);
+    for (int i = 0; i < c->n_partitions; i++) {
+        if (c->partitions[i].ticket == appended->ticket) {
+            c->partitions[i].ticket = 0;
+            Fw_Idem_FinishAppend(c, &c->partitions[i], appended, now_us, out);
             return;
         }
     }
--- a/src/idem/idem_internal.h
+++ b/src/idem/idem_internal.h
@@ -133,8 +133,8 @@
 struct fw_idem {
     const struct fw_self *self;
     const struct fw_fleet *fleet;
-    int partitions;
-    struct fw_idem_partition *parts;
+    int n_partitions;
+    struct fw_idem_partition *partitions;
     uint64_t seq;
     int64_t start_us;
     int64_t next_preload_us;
--- a/src/idem/idem_query.c
+++ b/src/idem/idem_query.c
@@ -45,9 +45,9 @@
             return 1;
         }
     }
-    for (int i = 0; i < c->partitions; i++) {
-        if (has_required_outcome(&c->parts[i].queued) ||
-            has_required_outcome(&c->parts[i].in_flight)) {
+    for (int i = 0; i < c->n_partitions; i++) {
+        if (has_required_outcome(&c->partitions[i].queued) ||
+            has_required_outcome(&c->partitions[i].in_flight)) {
             return 1;
         }
     }
@@ -65,7 +65,7 @@
 struct fw_idem_partition *
 Fw_Idem_FindPartition(struct fw_idem *c, const char *digest)
 {
-    return &c->parts[Fw_Hash_Str(digest) % (uint64_t)c->partitions];
+    return &c->partitions[Fw_Hash_Str(digest) % (uint64_t)c->n_partitions];
 }
 
 const struct fw_member *
--- a/src/idem/partition_cmd.c
+++ b/src/idem/partition_cmd.c
@@ -174,15 +174,15 @@
 append_batch(struct fw_idem *c, struct fw_idem_partition *p, int64_t now_us,
              struct fw_actions *out)
 {
-    int64_t interval_us = c->partitions * Fw_Idem_CountRegions(c) * FW_SEC /
+    int64_t interval_us = c->n_partitions * Fw_Idem_CountRegions(c) * FW_SEC /
                           FW_IDEM_APPENDS_PER_S;
     int n = take_batch(c, p, now_us, out);
-    char **texts = g_new0(char *, n + 1);
+    char **records = g_new0(char *, n + 1);
     struct fw_list *pos;
     int i = 0;
 
     FW_LIST_EACH (pos, &p->in_flight) {
-        texts[i++] = Fw_Idem_FormatRecord(
+        records[i++] = Fw_Idem_FormatRecord(
             &FW_LIST_ENTRY(pos, struct fw_idem_request, link)->rec);
     }
     if (n > 0) {
@@ -194,9 +194,9 @@
         c->appends.value++;
         c->records.value += n;
         Fw_Actions_AppendLog(out, p->ticket, p->stream,
-                             (const char *const *)texts, n);
+                             (const char *const *)records, n);
     }
-    g_strfreev(texts);
+    g_strfreev(records);
 }
 
 /* Rejects or drops queued requests whose requester no longer waits. */
--- a/src/limit/lease.c
+++ b/src/limit/lease.c
@@ -97,6 +97,7 @@
              share->excess > 0) &&
             !share->removed) {
             g_strlcpy(e->team, share->name, sizeof(e->team));
+            /* In a renewal, level is a flag and burst is in micro-tokens. */
             e->rate = share->wanted_rate;
             e->level = share->scaled_down;
             e->burst = share->excess;
@@ -296,7 +297,7 @@
     msg.seq = p->renew_seq;
     msg.boot = l->self.boot;
     msg.entries = g_new0(struct fw_limit_entry, p->shares->len);
-    /* Returns the remaining tokens with the lease. */
+    /* Returns the remaining tokens, in micro-tokens, with the lease. */
     for (guint i = 0;
          i < p->shares->len && msg.n_entries < FW_LIMIT_ENTRIES_MAX; i++) {
         struct fw_team_share *share = g_ptr_array_index(p->shares, i);
--- a/src/limit/ledger.c
+++ b/src/limit/ledger.c
@@ -90,8 +90,8 @@
 /* Starts an empty ledger: all leases granted by former leaders have expired.
  */
 static void
-begin(struct fw_limit *l, int partition, uint64_t tenure, int is_first,
-      int64_t now_us)
+start_ledger(struct fw_limit *l, int partition, uint64_t tenure, int is_first,
+             int64_t now_us)
 {
     struct fw_limit_partition *p = &l->partitions[partition];
     int usable = now_us < p->unleased_until_us;
@@ -153,14 +153,14 @@
                 p->predecessor_tenure;
         p->tenure = tenure;
         if (!inherited) {
-            begin(l, partition, tenure,
-                  Fw_Roles_IsFirst(l->roles, FW_ROLE_BUDGET, partition),
-                  now_us);
+            start_ledger(l, partition, tenure,
+                         Fw_Roles_IsFirst(l->roles, FW_ROLE_BUDGET, partition),
+                         now_us);
         }
     }
     else if (!p->ledger) {
         /* The ledger expired while the log was unavailable. */
-        begin(l, partition, tenure, 0, now_us);
+        start_ledger(l, partition, tenure, 0, now_us);
     }
     expire_holders(l, p, now_us);
     p->unleased_until_us = now_us + l->lease_us;
