--- a/explore/p_idem_log.c
+++ b/explore/p_idem_log.c
@@ -9,15 +9,15 @@
 static void
 store_records(struct fw_idem_env *env, const struct fw_idem_env_delivery *d)
 {
-    GPtrArray *recs = env->log.records[d->partition];
+    GPtrArray *records = env->log.records[d->partition];
 
     for (int i = 0; i < d->n; i++) {
-        g_ptr_array_add(recs, g_strdup(d->records[i]));
+        g_ptr_array_add(records, g_strdup(d->records[i]));
     }
-    if ((int)recs->len > env->log.retain_records) {
-        guint drop = recs->len - (guint)env->log.retain_records;
+    if ((int)records->len > env->log.retain_records) {
+        guint drop = records->len - (guint)env->log.retain_records;
 
-        g_ptr_array_remove_range(recs, 0, drop);
+        g_ptr_array_remove_range(records, 0, drop);
         env->log.oldest[d->partition] += drop;
     }
 }
@@ -26,39 +26,40 @@
 Fw_IdemEnv_HandleAppend(struct fw_idem_env *env,
                         struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_log *l = &env->log;
-    uint64_t first = l->oldest[d->partition] + l->records[d->partition]->len;
+    struct fw_idem_env_log *log = &env->log;
+    uint64_t first =
+        log->oldest[d->partition] + log->records[d->partition]->len;
     struct fw_idem_env_delivery *back;
 
     if (d->err) { /* delayed; its sender was already answered */
         store_records(env, d);
         return;
     }
-    l->appends++;
+    log->appends++;
     back = Fw_IdemEnv_Schedule(env, FW_IDEM_ENV_APPENDED, d->instance,
                                FW_IDEM_ENV_HOP_US);
     back->boot = d->boot;
     back->ticket = d->ticket;
     back->partition = d->partition;
     back->first = first;
-    if (l->down) {
+    if (log->down) {
         back->err = -EAGAIN;
     }
-    else if (l->lose_answers > 0) {
-        l->lose_answers--;
+    else if (log->lose_answers > 0) {
+        log->lose_answers--;
         back->err = -EIO;
         back->at_us += FW_APPEND_TIMEOUT_US;
         store_records(env, d);
     }
-    else if (l->drop_appends > 0) {
-        l->drop_appends--;
+    else if (log->drop_appends > 0) {
+        log->drop_appends--;
         back->err = -EIO;
     }
-    else if (l->delay_appends > 0) {
+    else if (log->delay_appends > 0) {
         struct fw_idem_env_delivery *again = Fw_IdemEnv_Schedule(
             env, FW_IDEM_ENV_APPEND, d->instance, FW_APPEND_DELAY_US);
 
-        l->delay_appends--;
+        log->delay_appends--;
         back->err = -EIO;
         again->partition = d->partition;
         again->n = d->n;
@@ -74,8 +75,8 @@
 Fw_IdemEnv_HandleRead(struct fw_idem_env *env,
                       const struct fw_idem_env_delivery *d)
 {
-    struct fw_idem_env_log *l = &env->log;
-    GPtrArray *recs = l->records[d->partition];
+    struct fw_idem_env_log *log = &env->log;
+    GPtrArray *records = log->records[d->partition];
     struct fw_idem_env_delivery *back = Fw_IdemEnv_Schedule(
         env, FW_IDEM_ENV_RECORDS, d->instance, FW_IDEM_ENV_HOP_US);
 
@@ -83,14 +84,14 @@
     back->ticket = d->ticket;
     back->partition = d->partition;
     back->sent_us = d->sent_us;
-    back->err = l->down ? -EAGAIN : 0;
-    back->oldest = l->oldest[d->partition];
-    back->end = back->oldest + recs->len;
+    back->err = log->down ? -EAGAIN : 0;
+    back->oldest = log->oldest[d->partition];
+    back->end = back->oldest + records->len;
     back->first = CLAMP(d->from, back->oldest, back->end);
     back->n = (int)MIN((uint64_t)d->max_records, back->end - back->first);
     back->records = g_new0(char *, back->n + 1);
     for (int i = 0; i < back->n; i++) {
         back->records[i] = g_strdup(g_ptr_array_index(
-            recs, (guint)(back->first - back->oldest) + (guint)i));
+            records, (guint)(back->first - back->oldest) + (guint)i));
     }
 }
--- a/explore/p_order_env.c
+++ b/explore/p_order_env.c
@@ -34,10 +34,10 @@
 {
     JsonNode *node = json_from_string(item_text, NULL);
     struct fw_item item = {.kind = FW_ITEM_TEAM};
-    struct fw_config_error why;
+    struct fw_config_error err;
 
-    if (Fw_Item_Parse(json_node_get_object(node), &item, &why)) {
-        g_error("%s", why.text);
+    if (Fw_Item_Parse(json_node_get_object(node), &item, &err)) {
+        g_error("%s", err.text);
     }
     Fw_Config_PutItem(env->cfg, &item, 1);
     json_node_unref(node);
--- a/explore/p_request.c
+++ b/explore/p_request.c
@@ -80,7 +80,7 @@
         Fw_Run_Fail(run, "engines still hold %d requests without a caller",
                     Fw_RequestEnv_CountHeld(&env));
     }
-    Fw_RequestEnv_Fini(&env);
+    Fw_RequestEnv_Clear(&env);
 }
 
 /* A random step without faults of the engines. */
@@ -131,5 +131,5 @@
     if (!run->failure[0] && !env.exited) {
         Fw_Run_Fail(run, "the drained instance never exits");
     }
-    Fw_RequestEnv_Fini(&env);
+    Fw_RequestEnv_Clear(&env);
 }
--- a/explore/p_request_env.c
+++ b/explore/p_request_env.c
@@ -357,7 +357,7 @@
 }
 
 void
-Fw_RequestEnv_Fini(struct fw_request_env *env)
+Fw_RequestEnv_Clear(struct fw_request_env *env)
 {
     while (!Fw_List_Empty(&env->ops)) {
         Fw_RequestEnv_FreeOp(
--- a/explore/p_request_env.h
+++ b/explore/p_request_env.h
@@ -103,7 +103,7 @@
 void
 Fw_RequestEnv_Init(struct fw_request_env *env, struct fw_run *run);
 void
-Fw_RequestEnv_Fini(struct fw_request_env *env);
+Fw_RequestEnv_Clear(struct fw_request_env *env);
 /* Answers the reads of the log, then advances the time by @us with the ticks
  * and expiries due. */
 void
