--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -168,7 +168,7 @@
     p->leader_seen_us[g] = now_us;
     for (int t = 0; t < FW_LIMIT_CHECK_TEAMS; t++) {
         p->buckets[next][t].level = 0;
-        p->buckets[next][t].at_us = p->leads_from_us[g];
+        p->buckets[next][t].refilled_us = p->leads_from_us[g];
     }
 }
 
--- a/explore/p_limit.h
+++ b/explore/p_limit.h
@@ -13,7 +13,7 @@
 /**
  * struct fw_account - reference token bucket of a team, in real time.
  * @level: tokens in the bucket
- * @at_us: real time of @level
+ * @refilled_us: real time of @level
  * @spent: tokens granted by all instances
  * @granted, @refused: number of requests
  * @wrongful: refused requests that the bucket had the tokens for
@@ -21,7 +21,7 @@
 struct fw_account {
     struct fw_team team;
     double level;
-    int64_t at_us;
+    int64_t refilled_us;
     int64_t spent;
     int granted;
     int refused;
--- a/explore/p_limit_check.c
+++ b/explore/p_limit_check.c
@@ -11,9 +11,9 @@
 void
 Fw_Account_Refill(struct fw_account *account, int64_t real_us)
 {
-    double dt = (double)MAX(real_us - account->at_us, 0) / FW_SEC;
+    double dt = (double)MAX(real_us - account->refilled_us, 0) / FW_SEC;
 
-    account->at_us = MAX(real_us, account->at_us);
+    account->refilled_us = MAX(real_us, account->refilled_us);
     account->level =
         MIN(account->level + dt * (double)account->team.rate * DRIFT_FACTOR,
             (double)account->team.burst);
--- a/explore/relay_allowance.c
+++ b/explore/relay_allowance.c
@@ -75,7 +75,8 @@
     int n = 0;
 
     for (int i = 0; i < fleet->n; i++) {
-        n += fleet->sites[i].isolated || !Fw_RelayFleet_IsRunning(fleet, i);
+        n +=
+            fleet->instances[i].isolated || !Fw_RelayFleet_IsRunning(fleet, i);
     }
     return n;
 }
@@ -95,22 +96,22 @@
     }
     switch (event) {
     case 0:
-        fleet->sites[i].isolated = 1;
-        Fw_Run_Trace(fleet->run, "%s isolated", fleet->sites[i].name);
+        fleet->instances[i].isolated = 1;
+        Fw_Run_Trace(fleet->run, "%s isolated", fleet->instances[i].name);
         break;
     case 1:
         for (int k = 0; k < fleet->n; k++) {
-            fleet->sites[k].isolated = 0;
+            fleet->instances[k].isolated = 0;
         }
         break;
     case 3:
-        fleet->sites[i].frozen_until_us =
+        fleet->instances[i].frozen_until_us =
             fleet->now_us + Fw_RelayFleet_RandBelow(fleet, 6 * FW_SEC);
-        Fw_Run_Trace(fleet->run, "%s frozen", fleet->sites[i].name);
+        Fw_Run_Trace(fleet->run, "%s frozen", fleet->instances[i].name);
         break;
     case 4:
         Fw_RelayFleet_Restart(fleet, i);
-        Fw_Run_Trace(fleet->run, "%s restarted", fleet->sites[i].name);
+        Fw_Run_Trace(fleet->run, "%s restarted", fleet->instances[i].name);
         break;
     default:
         break;
@@ -141,7 +142,7 @@
             &fleet, Fw_RelayFleet_RandBelow(&fleet, FW_STEP_MAX_MS) * FW_MSEC);
         inject_fault(&fleet, &last_us);
         if (!Fw_RelayFleet_IsRunning(&fleet, i) ||
-            !Fw_Allowance_Take(fleet.sites[i].relay, t, cost,
+            !Fw_Allowance_Take(fleet.instances[i].relay, t, cost,
                                Fw_RelayFleet_Now(&fleet, i), &retry_us)) {
             continue;
         }
--- a/explore/relay_fleet.c
+++ b/explore/relay_fleet.c
@@ -31,13 +31,13 @@
 int64_t
 Fw_RelayFleet_Now(const struct fleet *fleet, int i)
 {
-    return fleet->now_us + fleet->sites[i].skew_us;
+    return fleet->now_us + fleet->instances[i].skew_us;
 }
 
 int
 Fw_RelayFleet_IsRunning(const struct fleet *fleet, int i)
 {
-    return fleet->now_us >= fleet->sites[i].frozen_until_us;
+    return fleet->now_us >= fleet->instances[i].frozen_until_us;
 }
 
 static void
@@ -49,7 +49,7 @@
 static void
 start(struct fleet *fleet, int i)
 {
-    struct fleet_instance *inst = &fleet->sites[i];
+    struct fleet_instance *inst = &fleet->instances[i];
     struct fw_relay_opts o = {.boot = inst->boot,
                               .seed = g_rand_int(fleet->run->rand),
                               .retry_ratio_ppm = 200000,
@@ -77,8 +77,8 @@
     for (int k = 0; k < fleet->n; k++) {
         struct fw_rl_peer peer = {0};
 
-        g_strlcpy(peer.name, fleet->sites[k].name, sizeof(peer.name));
-        g_strlcpy(peer.addr, fleet->sites[k].addr, sizeof(peer.addr));
+        g_strlcpy(peer.name, fleet->instances[k].name, sizeof(peer.name));
+        g_strlcpy(peer.addr, fleet->instances[k].addr, sizeof(peer.addr));
         domain_name(k, peer.domain);
         Fw_Relay_AddMember(inst->relay, &peer, now);
     }
@@ -98,7 +98,7 @@
     fleet->in_flight = g_ptr_array_new_with_free_func(msg_free);
     Fw_Outbox_Init(&fleet->outbox);
     for (int i = 0; i < n; i++) {
-        struct fleet_instance *inst = &fleet->sites[i];
+        struct fleet_instance *inst = &fleet->instances[i];
 
         g_snprintf(inst->name, sizeof(inst->name), "n%02d", i);
         g_snprintf(inst->addr, sizeof(inst->addr), "10.0.0.%d:1", i + 1);
@@ -114,8 +114,8 @@
 Fw_RelayFleet_Clear(struct fleet *fleet)
 {
     for (int i = 0; i < fleet->n; i++) {
-        Fw_RelayActions_Clear(&fleet->sites[i].acts);
-        Fw_Relay_Free(fleet->sites[i].relay);
+        Fw_RelayActions_Clear(&fleet->instances[i].acts);
+        Fw_Relay_Free(fleet->instances[i].relay);
     }
     g_ptr_array_unref(fleet->in_flight);
     Fw_Outbox_Clear(&fleet->outbox);
@@ -125,10 +125,10 @@
 void
 Fw_RelayFleet_Restart(struct fleet *fleet, int i)
 {
-    Fw_RelayActions_Clear(&fleet->sites[i].acts);
-    Fw_Relay_Free(fleet->sites[i].relay);
-    fleet->sites[i].boot++;
-    fleet->sites[i].frozen_until_us = 0;
+    Fw_RelayActions_Clear(&fleet->instances[i].acts);
+    Fw_Relay_Free(fleet->instances[i].relay);
+    fleet->instances[i].boot++;
+    fleet->instances[i].frozen_until_us = 0;
     start(fleet, i);
 }
 
@@ -138,8 +138,8 @@
     struct datagram *m;
     int64_t delay = FW_MSEC;
 
-    if (fleet->sites[from].isolated || fleet->sites[to].isolated ||
-        fleet->sites[from].partition != fleet->sites[to].partition ||
+    if (fleet->instances[from].isolated || fleet->instances[to].isolated ||
+        fleet->instances[from].partition != fleet->instances[to].partition ||
         Fw_RelayFleet_RandBelow(fleet, 100) < fleet->loss_pct) {
         return;
     }
@@ -158,7 +158,7 @@
 find_instance(const struct fleet *fleet, const char *addr)
 {
     for (int i = 0; i < fleet->n; i++) {
-        if (strcmp(fleet->sites[i].addr, addr) == 0) {
+        if (strcmp(fleet->instances[i].addr, addr) == 0) {
             return i;
         }
     }
@@ -187,10 +187,10 @@
 
     fleet->n_cross_domain +=
         m->from % FW_DOMAIN_COUNT != m->to % FW_DOMAIN_COUNT;
-    fleet->sites[m->to].n_received++;
-    Fw_Relay_ReadMessage(fleet->sites[m->to].relay, fleet->sites[m->from].addr,
-                         data, len, Fw_RelayFleet_Now(fleet, m->to),
-                         &fleet->outbox);
+    fleet->instances[m->to].n_received++;
+    Fw_Relay_ReadMessage(fleet->instances[m->to].relay,
+                         fleet->instances[m->from].addr, data, len,
+                         Fw_RelayFleet_Now(fleet, m->to), &fleet->outbox);
     send_outbox(fleet, m->to, &fleet->outbox);
 }
 
@@ -215,11 +215,12 @@
 {
     if (Fw_RelayFleet_IsRunning(fleet, i)) {
         if (fleet->expires_members) {
-            Fw_Members_Tick(fleet->sites[i].relay, Fw_RelayFleet_Now(fleet, i),
-                            &fleet->sites[i].acts);
-            g_array_set_size(fleet->sites[i].acts.all, 0);
+            Fw_Members_Tick(fleet->instances[i].relay,
+                            Fw_RelayFleet_Now(fleet, i),
+                            &fleet->instances[i].acts);
+            g_array_set_size(fleet->instances[i].acts.all, 0);
         }
-        Fw_Relay_WriteMessages(fleet->sites[i].relay,
+        Fw_Relay_WriteMessages(fleet->instances[i].relay,
                                Fw_RelayFleet_Now(fleet, i), &fleet->outbox);
         send_outbox(fleet, i, &fleet->outbox);
     }
@@ -231,7 +232,7 @@
     int domain = Fw_RelayFleet_RandBelow(fleet, FW_DOMAIN_COUNT);
 
     for (int i = domain; i < fleet->n; i += FW_DOMAIN_COUNT) {
-        fleet->sites[i].partition = 1;
+        fleet->instances[i].partition = 1;
     }
 }
 
@@ -239,8 +240,8 @@
 Fw_RelayFleet_Heal(struct fleet *fleet)
 {
     for (int i = 0; i < fleet->n; i++) {
-        fleet->sites[i].isolated = 0;
-        fleet->sites[i].partition = 0;
+        fleet->instances[i].isolated = 0;
+        fleet->instances[i].partition = 0;
     }
 }
 
--- a/explore/relay_fleet.h
+++ b/explore/relay_fleet.h
@@ -46,7 +46,7 @@
 struct fleet {
     struct fw_run *run;
     int n;
-    struct fleet_instance sites[FW_FLEET_MAX];
+    struct fleet_instance instances[FW_FLEET_MAX];
     struct fw_rl_rules *rules;
     int64_t now_us;
     GPtrArray *in_flight;
--- a/explore/relay_freshness.c
+++ b/explore/relay_freshness.c
@@ -24,7 +24,7 @@
 static void
 read_store(struct fleet *fleet, int i, const struct history *h)
 {
-    struct fleet_instance *inst = &fleet->sites[i];
+    struct fleet_instance *inst = &fleet->instances[i];
     int64_t now = Fw_RelayFleet_Now(fleet, i);
     struct fw_rl_rules *r = Fw_Rules_New();
 
@@ -38,11 +38,11 @@
 static void
 update_config(struct fleet *fleet, int i, const struct history *h)
 {
-    struct fw_relay *r = fleet->sites[i].relay;
+    struct fw_relay *r = fleet->instances[i].relay;
     char addr[FW_URL_MAX];
     int must_read;
 
-    if (!Fw_RelayFleet_IsRunning(fleet, i) || fleet->sites[i].isolated ||
+    if (!Fw_RelayFleet_IsRunning(fleet, i) || fleet->instances[i].isolated ||
         h->store_rejects[i]) {
         return;
     }
@@ -57,7 +57,7 @@
 static void
 check_keys(struct fleet *fleet, int i, const struct history *h)
 {
-    struct fw_relay *r = fleet->sites[i].relay;
+    struct fw_relay *r = fleet->instances[i].relay;
     int64_t version = r->rules->version;
     int64_t stale_us = r->opts.key_stale_us;
 
@@ -69,7 +69,7 @@
     if (fleet->now_us - h->replaced_us[version] > stale_us) {
         Fw_Run_Fail(
             fleet->run, "%s trusts keys of version %d, replaced %d ms ago",
-            fleet->sites[i].name, (int)version,
+            fleet->instances[i].name, (int)version,
             (int)((fleet->now_us - h->replaced_us[version]) / FW_MSEC));
     }
 }
@@ -98,13 +98,13 @@
             Fw_Run_Trace(run, "version %d", h.version);
         }
         if (Fw_RelayFleet_RandBelow(&fleet, 50) == 0) {
-            fleet.sites[i].isolated = !fleet.sites[i].isolated;
+            fleet.instances[i].isolated = !fleet.instances[i].isolated;
         }
         if (Fw_RelayFleet_RandBelow(&fleet, 30) == 0) {
             h.store_rejects[i] = !h.store_rejects[i];
         }
         if (Fw_RelayFleet_RandBelow(&fleet, 80) == 0) {
-            fleet.sites[i].frozen_until_us =
+            fleet.instances[i].frozen_until_us =
                 fleet.now_us + Fw_RelayFleet_RandBelow(&fleet, 9 * FW_SEC);
         }
         for (int k = 0; k < fleet.n; k++) {
--- a/explore/relay_hubs.c
+++ b/explore/relay_hubs.c
@@ -15,7 +15,7 @@
 static void
 list_server(struct fleet *fleet, int i)
 {
-    struct fleet_instance *inst = &fleet->sites[i];
+    struct fleet_instance *inst = &fleet->instances[i];
     struct fw_rl_server_entry e = {
         .id = FW_SERVER, .service = "llm", .slots = 8, .born_ms = 1};
 
@@ -28,7 +28,7 @@
 static void
 set_load(struct fleet *fleet, int i)
 {
-    struct fw_relay *r = fleet->sites[i].relay;
+    struct fw_relay *r = fleet->instances[i].relay;
     struct fw_rl_server *s = Fw_Servers_Find(r, FW_SERVER);
 
     s->running = Fw_RelayFleet_RandBelow(fleet, 9);
@@ -43,23 +43,23 @@
 
     switch (Fw_RelayFleet_RandBelow(fleet, 30)) {
     case 0:
-        fleet->sites[i].isolated = 1;
-        Fw_Run_Trace(fleet->run, "%s isolated", fleet->sites[i].name);
+        fleet->instances[i].isolated = 1;
+        Fw_Run_Trace(fleet->run, "%s isolated", fleet->instances[i].name);
         break;
     case 1:
         Fw_RelayFleet_Partition(fleet);
         Fw_Run_Trace(fleet->run, "a domain partitioned");
         break;
     case 2:
-        fleet->sites[i].frozen_until_us =
+        fleet->instances[i].frozen_until_us =
             fleet->now_us + Fw_RelayFleet_RandBelow(fleet, 3 * FW_SEC);
-        Fw_Run_Trace(fleet->run, "%s frozen", fleet->sites[i].name);
+        Fw_Run_Trace(fleet->run, "%s frozen", fleet->instances[i].name);
         break;
     case 3:
     case 4:
         Fw_RelayFleet_Restart(fleet, i);
         list_server(fleet, i);
-        Fw_Run_Trace(fleet->run, "%s restarted", fleet->sites[i].name);
+        Fw_Run_Trace(fleet->run, "%s restarted", fleet->instances[i].name);
         break;
     case 5:
         Fw_RelayFleet_Heal(fleet);
@@ -75,7 +75,7 @@
 {
     Fw_RelayFleet_Heal(fleet);
     for (int i = 0; i < fleet->n; i++) {
-        fleet->sites[i].frozen_until_us = 0;
+        fleet->instances[i].frozen_until_us = 0;
     }
     fleet->loss_pct = 0;
     fleet->delay_pct = 0;
@@ -87,7 +87,7 @@
 static void
 check_view(struct fleet *fleet, int i, int running)
 {
-    struct fw_relay *r = fleet->sites[i].relay;
+    struct fw_relay *r = fleet->instances[i].relay;
     int64_t now = Fw_RelayFleet_Now(fleet, i);
     struct fw_rl_load load;
     int n_live;
@@ -95,13 +95,13 @@
 
     if (n_known != fleet->n || n_live != fleet->n) {
         Fw_Run_Fail(fleet->run, "%s counts %d instances, %d live, of %d",
-                    fleet->sites[i].name, n_known, n_live, fleet->n);
+                    fleet->instances[i].name, n_known, n_live, fleet->n);
     }
     Fw_Place_Load(r, Fw_Servers_Find(r, FW_SERVER), now, &load);
     if (load.running != running || load.kv_tokens != running * 1000) {
         Fw_Run_Fail(fleet->run,
                     "%s computes a load of %d requests, expected %d",
-                    fleet->sites[i].name, load.running, running);
+                    fleet->instances[i].name, load.running, running);
     }
 }
 
@@ -131,7 +131,8 @@
     }
     end_faults(&fleet);
     for (int i = 0; i < fleet.n; i++) {
-        running += Fw_Servers_Find(fleet.sites[i].relay, FW_SERVER)->running;
+        running +=
+            Fw_Servers_Find(fleet.instances[i].relay, FW_SERVER)->running;
     }
     for (int i = 0; i < fleet.n && !run->failure[0]; i++) {
         check_view(&fleet, i, running);
--- a/explore/relay_orders.c
+++ b/explore/relay_orders.c
@@ -50,7 +50,7 @@
 static void
 update_engines(struct order_env *env, int i)
 {
-    struct fleet_instance *inst = &env->fleet.sites[i];
+    struct fleet_instance *inst = &env->fleet.instances[i];
 
     for (int e = 0; e < FW_ENGINE_COUNT; e++) {
         struct fw_rl_server_entry entry = {.service = "llm",
@@ -74,22 +74,23 @@
 
     if (env->last_fence && c->fence < env->last_fence) {
         Fw_Run_Fail(env->fleet.run, "%s orders with token %d after %d",
-                    env->fleet.sites[i].name, (int)c->fence,
+                    env->fleet.instances[i].name, (int)c->fence,
                     (int)env->last_fence);
     }
     if (env->last_fence && env->last_sender != i &&
         env->fleet.now_us - env->last_us < 3 * FW_SEC &&
         c->fence <= env->last_fence) {
         Fw_Run_Fail(env->fleet.run, "%s and %s share token %d",
-                    env->fleet.sites[i].name,
-                    env->fleet.sites[env->last_sender].name, (int)c->fence);
+                    env->fleet.instances[i].name,
+                    env->fleet.instances[env->last_sender].name,
+                    (int)c->fence);
     }
     if (env->last_fence && env->last_sender != i &&
         env->fleet.now_us - env->last_us < 2 * FW_SEC) {
         Fw_Run_Fail(env->fleet.run, "%s orders %d ms after %s",
-                    env->fleet.sites[i].name,
+                    env->fleet.instances[i].name,
                     (int)((env->fleet.now_us - env->last_us) / FW_MSEC),
-                    env->fleet.sites[env->last_sender].name);
+                    env->fleet.instances[env->last_sender].name);
     }
     env->last_fence = MAX(c->fence, env->last_fence);
     env->last_sender = i;
@@ -97,13 +98,13 @@
     env->stage[e] = c->stage;
     env->orders[e]++;
     Fw_Run_Trace(env->fleet.run, "%s orders e%d token %d",
-                 env->fleet.sites[i].name, e, (int)c->fence);
+                 env->fleet.instances[i].name, e, (int)c->fence);
 }
 
 static void
 respond(struct order_env *env, int i, const struct fw_rl_upstream_call *c)
 {
-    struct fleet_instance *inst = &env->fleet.sites[i];
+    struct fleet_instance *inst = &env->fleet.instances[i];
     int e = c->server[1] - '0';
     struct fw_rl_upstream_response a = {
         .status = 200, .stage = env->stage[e], .orders = env->orders[e]};
@@ -129,7 +130,7 @@
 
     *c = (struct claim){
         .instance = i,
-        .boot = env->fleet.sites[i].boot,
+        .boot = env->fleet.instances[i].boot,
         .append_at = append_at,
         .sent_us = Fw_RelayFleet_Now(&env->fleet, i),
         .due_us = env->fleet.now_us +
@@ -147,7 +148,7 @@
 {
     for (guint k = 0; k < env->claims->len;) {
         struct claim *c = g_ptr_array_index(env->claims, k);
-        struct fleet_instance *inst = &env->fleet.sites[c->instance];
+        struct fleet_instance *inst = &env->fleet.instances[c->instance];
 
         if (env->fleet.now_us < c->due_us ||
             (c->decided &&
@@ -180,7 +181,7 @@
 static void
 run_instance(struct order_env *env, int i)
 {
-    struct fleet_instance *inst = &env->fleet.sites[i];
+    struct fleet_instance *inst = &env->fleet.instances[i];
 
     if (!Fw_RelayFleet_IsRunning(&env->fleet, i)) {
         return;
@@ -234,7 +235,7 @@
                                : FW_RL_STAGE_DECODE;
         }
         if (Fw_RelayFleet_RandBelow(&env.fleet, 25) == 0) {
-            env.fleet.sites[i].frozen_until_us =
+            env.fleet.instances[i].frozen_until_us =
                 env.fleet.now_us +
                 Fw_RelayFleet_RandBelow(&env.fleet, 7 * FW_SEC);
         }
--- a/src/config/change.h
+++ b/src/config/change.h
@@ -56,13 +56,13 @@
 Fw_Item_ParseKind(const char *name);
 /* 1 to 47 characters of A-Z a-z 0-9 . _ - : / with a letter or digit first. */
 int
-Fw_Name_Valid(const char *name);
+Fw_Name_IsValid(const char *name);
 /* "model" or "model+adapter", both of them valid names. */
 int
-Fw_ModelName_Valid(const char *name);
+Fw_ModelName_IsValid(const char *name);
 /* A SHA-256 digest as 64 lower-case hex digits. */
 int
-Fw_Digest_Valid(const char *digest);
+Fw_Digest_IsValid(const char *digest);
 
 /**
  * struct fw_item - new value of one item, or its removal.
--- a/src/config/change_parse.c
+++ b/src/config/change_parse.c
@@ -63,25 +63,25 @@
 }
 
 int
-Fw_Name_Valid(const char *name)
+Fw_Name_IsValid(const char *name)
 {
     return name_is_valid(name, strlen(name));
 }
 
 int
-Fw_ModelName_Valid(const char *name)
+Fw_ModelName_IsValid(const char *name)
 {
     const char *plus = strchr(name, '+');
 
     if (!plus) {
-        return Fw_Name_Valid(name);
+        return Fw_Name_IsValid(name);
     }
     return name_is_valid(name, (size_t)(plus - name)) &&
-           Fw_Name_Valid(plus + 1);
+           Fw_Name_IsValid(plus + 1);
 }
 
 int
-Fw_Digest_Valid(const char *digest)
+Fw_Digest_IsValid(const char *digest)
 {
     return strlen(digest) == FW_DIGEST_HEX_SIZE - 1 &&
            strspn(digest, "0123456789abcdef") == FW_DIGEST_HEX_SIZE - 1;
@@ -91,8 +91,8 @@
 parse_item_name(struct fw_item *item, const char *name,
                 struct fw_config_error *err)
 {
-    int ok = item->kind == FW_ITEM_KEY ? Fw_Digest_Valid(name)
-                                       : Fw_Name_Valid(name);
+    int ok = item->kind == FW_ITEM_KEY ? Fw_Digest_IsValid(name)
+                                       : Fw_Name_IsValid(name);
 
     if (item->kind == FW_ITEM_SETTING) {
         ok = strcmp(name, "on-withdraw") == 0;
--- a/src/config/config_internal.h
+++ b/src/config/config_internal.h
@@ -62,7 +62,7 @@
 int
 Fw_Field_Bool(const struct fw_field_reader *r, const char *name, int *out);
 /*
- * Reads a name (see Fw_Name_Valid) into @out of FW_NAME_MAX bytes. A NULL
+ * Reads a name (see Fw_Name_IsValid) into @out of FW_NAME_MAX bytes. A NULL
  * @dflt makes the member required; otherwise it may be an empty string too.
  */
 int
--- a/src/config/field.c
+++ b/src/config/field.c
@@ -98,7 +98,7 @@
                                             : NULL;
     }
     /* Optional names may be empty. */
-    if (!s || (!Fw_Name_Valid(s) && !(dflt && s[0] == '\0'))) {
+    if (!s || (!Fw_Name_IsValid(s) && !(dflt && s[0] == '\0'))) {
         return reject(r, name, node,
                       "1 to 47 of letters, digits and . _ - : /");
     }
@@ -139,7 +139,7 @@
         return reject(r, name, node, "64 hex digits");
     }
     s = json_node_get_string(node);
-    if (!Fw_Digest_Valid(s)) {
+    if (!Fw_Digest_IsValid(s)) {
         return reject(r, name, node, "64 hex digits in lower case");
     }
     g_strlcpy(out, s, FW_DIGEST_HEX_SIZE);
--- a/src/config/value_parse.c
+++ b/src/config/value_parse.c
@@ -26,7 +26,7 @@
         const char *s =
             JSON_NODE_HOLDS_VALUE(node) ? json_node_get_string(node) : NULL;
 
-        if (!s || !Fw_ModelName_Valid(s)) {
+        if (!s || !Fw_ModelName_IsValid(s)) {
             Fw_ConfigError_Set(r->err,
                                "%s: models: name %u is not a model's name",
                                r->where, i + 1);
--- a/src/ctl/commands.c
+++ b/src/ctl/commands.c
@@ -131,7 +131,7 @@
     char line[256];
 
     if (strcmp(word, "-") != 0) {
-        if (!Fw_Digest_Valid(word)) {
+        if (!Fw_Digest_IsValid(word)) {
             fputs("fuchsiaward: expected a digest of 64 hex digits, or - to "
                   "read the key from standard input\n",
                   stderr);
--- a/src/limit/bucket.c
+++ b/src/limit/bucket.c
@@ -15,9 +15,9 @@
 static void
 add_tokens(struct fw_bucket *b, int64_t to_us)
 {
-    int64_t dt = CLAMP(to_us - b->at_us, 0, FW_REFILL_MAX_US);
+    int64_t dt = CLAMP(to_us - b->refilled_us, 0, FW_REFILL_MAX_US);
 
-    b->at_us = MAX(b->at_us, to_us);
+    b->refilled_us = MAX(b->refilled_us, to_us);
     b->level = MIN(b->level + b->rate * dt, max_level(b));
 }
 
--- a/src/limit/bucket.h
+++ b/src/limit/bucket.h
@@ -20,7 +20,7 @@
  * struct fw_bucket - token bucket for part of a team's rate and burst.
  * @rate: tokens per second
  * @burst: tokens
- * @level: micro-tokens at @at_us
+ * @level: micro-tokens at @refilled_us
  * @reserved: tokens reserved in the current and the previous window of
  *            FW_RESERVATION_US; neither available nor refilled
  * @window_us: start of the current window
@@ -29,7 +29,7 @@
     int64_t rate;
     int64_t burst;
     int64_t level;
-    int64_t at_us;
+    int64_t refilled_us;
     int64_t reserved[2];
     int64_t window_us;
 };
--- a/src/limit/limit.c
+++ b/src/limit/limit.c
@@ -159,8 +159,8 @@
         share->removed = 1;
         share->grants =
             g_array_new(FALSE, TRUE, sizeof(struct fw_lease_grant));
-        share->unleased.at_us = now_us;
-        share->leased.at_us = now_us;
+        share->unleased.refilled_us = now_us;
+        share->leased.refilled_us = now_us;
         g_hash_table_insert(l->shares, share->name, share);
         g_ptr_array_add(l->partitions[share->partition].shares, share);
     }
--- a/src/operate/command.c
+++ b/src/operate/command.c
@@ -220,7 +220,7 @@
         return 0;
     }
     text = JSON_NODE_HOLDS_VALUE(node) ? json_node_get_string(node) : NULL;
-    if (!text || strlen(text) >= FW_CHANGE_ID_MAX || !Fw_Name_Valid(text)) {
+    if (!text || strlen(text) >= FW_CHANGE_ID_MAX || !Fw_Name_IsValid(text)) {
         return -EINVAL;
     }
     g_strlcpy(id, text, FW_CHANGE_ID_MAX);
@@ -293,7 +293,8 @@
     char *text;
 
     new_change_id(op, id);
-    if (given_id && Fw_Name_Valid(given_id) && strlen(given_id) < sizeof(id)) {
+    if (given_id && Fw_Name_IsValid(given_id) &&
+        strlen(given_id) < sizeof(id)) {
         g_strlcpy(id, given_id, sizeof(id));
     }
     if (apply && answer_if_decided(view, req->call->call, id, NULL, out)) {
--- a/src/operate/sheet_row.c
+++ b/src/operate/sheet_row.c
@@ -105,7 +105,7 @@
         if (names[i][0] == '\0' || strcmp(names[i], "all") == 0) {
             continue;
         }
-        if (!Fw_ModelName_Valid(names[i])) {
+        if (!Fw_ModelName_IsValid(names[i])) {
             rc = add_cell_error(
                 plan, cells, FW_COL_MODELS,
                 "all, or names apart by blanks, as m1 m2+adapter");
@@ -125,8 +125,8 @@
     char **plus = at[0] && at[1] ? g_strsplit(at[1], "+", 2) : NULL;
     JsonObject *o = NULL;
 
-    if (plus && Fw_Name_Valid(at[0]) && plus[0] && Fw_Name_Valid(plus[0]) &&
-        (!plus[1] || Fw_Name_Valid(plus[1]))) {
+    if (plus && Fw_Name_IsValid(at[0]) && plus[0] &&
+        Fw_Name_IsValid(plus[0]) && (!plus[1] || Fw_Name_IsValid(plus[1]))) {
         o = json_object_new();
         json_object_set_string_member(o, "model", at[0]);
         json_object_set_string_member(o, "version", plus[0]);
@@ -260,8 +260,8 @@
                        "sheet, team, pool, upstream, key");
         return;
     }
-    if (!name || (kind == FW_ITEM_KEY ? !Fw_Digest_Valid(name)
-                                      : !Fw_Name_Valid(name))) {
+    if (!name || (kind == FW_ITEM_KEY ? !Fw_Digest_IsValid(name)
+                                      : !Fw_Name_IsValid(name))) {
         add_cell_error(plan, cells, FW_COL_NAME,
                        kind == FW_ITEM_KEY
                            ? "the key's digest: 64 hex digits in lower case"
--- a/tests/ctl/test_ctl.c
+++ b/tests/ctl/test_ctl.c
@@ -165,7 +165,7 @@
     ck_assert_str_ne(a, b);
     ck_assert_str_ne(x, y);
     ck_assert_uint_eq(strlen(x), 67);
-    ck_assert(Fw_Name_Valid(a));
+    ck_assert(Fw_Name_IsValid(a));
     g_free(x);
     g_free(y);
 }
--- a/tests/relay/test_hubs.c
+++ b/tests/relay/test_hubs.c
@@ -40,9 +40,9 @@
         struct fw_rl_server_entry e = {
             .id = FW_SERVER, .service = "llm", .slots = 8, .born_ms = 1};
 
-        Fw_Relay_UpdateServer(g->f.sites[i].relay, e.id, &e,
+        Fw_Relay_UpdateServer(g->f.instances[i].relay, e.id, &e,
                               Fw_RelayFleet_Now(&g->f, i),
-                              &g->f.sites[i].acts);
+                              &g->f.instances[i].acts);
     }
     Fw_RelayFleet_Advance(&g->f, 3 * FW_SEC);
 }
@@ -58,7 +58,7 @@
 static struct fw_relay *
 relay_at(struct fleet_fixture *g, int i)
 {
-    return g->f.sites[i].relay;
+    return g->f.instances[i].relay;
 }
 
 /* The first leaf, or the first hub, from @from on. */
@@ -88,7 +88,7 @@
 {
     g->f.n_cross_domain = 0;
     for (int i = 0; i < g->f.n; i++) {
-        g->f.sites[i].n_received = 0;
+        g->f.instances[i].n_received = 0;
     }
 }
 
@@ -108,7 +108,7 @@
         Fw_RelayFleet_Advance(&g.f, FW_SEC);
     }
     for (int i = 0; i < FW_LARGE; i++) {
-        int got = g.f.sites[i].n_received;
+        int got = g.f.instances[i].n_received;
 
         hubs += relay_at(&g, i)->exchange.is_hub;
         all += got;
@@ -183,7 +183,7 @@
     leaf = find_by_role(&g, 0, 0);
     Fw_RelayFleet_Advance(&g.f, 10 * FW_SEC);
     hub = 0;
-    while (strcmp(g.f.sites[hub].name,
+    while (strcmp(g.f.instances[hub].name,
                   relay_at(&g, leaf)->exchange.hub->name) != 0) {
         hub++;
     }
@@ -192,13 +192,13 @@
     Fw_RelayFleet_Advance(&g.f, 400 * FW_MSEC);
     other = find_by_role(&g, 1, hub == find_by_role(&g, 1, 0) ? hub + 1 : 0);
     Fw_Allowance_Describe(relay_at(&g, other), "t", &before, &part_permille);
-    g.f.sites[hub].isolated = 1;
+    g.f.instances[hub].isolated = 1;
     ck_assert(Fw_Allowance_Take(relay_at(&g, leaf), g.team, FW_COST,
                                 Fw_RelayFleet_Now(&g.f, leaf), &retry_us));
     Fw_RelayFleet_Advance(&g.f, 1500 * FW_MSEC);
     Fw_Allowance_Describe(relay_at(&g, other), "t", &after, &part_permille);
     ck_assert_str_ne(relay_at(&g, leaf)->exchange.hub->name,
-                     g.f.sites[hub].name);
+                     g.f.instances[hub].name);
     /* Refilled for up to two seconds, less the one request. */
     ck_assert_int_le(after, before - FW_COST + 2 * 10500);
     ck_assert_int_ge(after, before - FW_COST);
@@ -214,14 +214,14 @@
 
     fixture_init(&g, 60);
     hub = find_by_role(&g, 1, 0);
-    g.f.sites[hub].isolated = 1;
+    g.f.instances[hub].isolated = 1;
     Fw_RelayFleet_Advance(&g.f, 2 * FW_SEC);
     for (int i = 0; i < 60; i++) {
         if (i != hub) {
             ck_assert_int_eq(count_live(&g, i), 59);
         }
     }
-    g.f.sites[hub].isolated = 0;
+    g.f.instances[hub].isolated = 0;
     Fw_RelayFleet_Advance(&g.f, 3 * FW_SEC);
     for (int i = 0; i < 60; i++) {
         ck_assert_int_eq(count_live(&g, i), 60);
@@ -239,12 +239,12 @@
     fixture_init(&g, 60);
     hub = find_by_role(&g, 1, 0);
     Fw_Relay_Drain(relay_at(&g, hub), Fw_RelayFleet_Now(&g.f, hub),
-                   &g.f.sites[hub].acts);
+                   &g.f.instances[hub].acts);
     Fw_RelayFleet_Advance(&g.f, 300 * FW_MSEC);
     for (int i = 0; i < 60; i++) {
         struct fw_rl_member *of = relay_at(&g, i)->exchange.hub;
 
-        ck_assert(!of || strcmp(of->name, g.f.sites[hub].name) != 0);
+        ck_assert(!of || strcmp(of->name, g.f.instances[hub].name) != 0);
     }
     Fw_RelayFleet_Advance(&g.f, FW_SEC);
     for (int i = 0; i < 60; i++) {
@@ -305,7 +305,7 @@
 
     fixture_init(&g, 40);
     leaf = find_by_role(&g, 0, 0);
-    g.f.sites[leaf].isolated = 1;
+    g.f.instances[leaf].isolated = 1;
     Fw_RelayFleet_Advance(&g.f, 100 * FW_MSEC);
     since = Fw_RelayFleet_Now(&g.f, leaf);
     ck_assert(!may_place(&g, leaf, since));
@@ -324,8 +324,9 @@
     Fw_RelayFleet_Partition(&g.f);
     Fw_RelayFleet_Advance(&g.f, 5 * FW_SEC);
     for (int i = 0; i < 45; i++) {
-        ck_assert_int_eq(count_live(&g, i), g.f.sites[i].partition ? 15 : 30);
-        if (g.f.sites[i].partition) {
+        ck_assert_int_eq(count_live(&g, i),
+                         g.f.instances[i].partition ? 15 : 30);
+        if (g.f.instances[i].partition) {
             Fw_RelayFleet_Restart(&g.f, i);
         }
     }
