--- a/src/idem/idem_internal.h
+++ b/src/idem/idem_internal.h
@@ -133,8 +133,8 @@
 struct fw_idem {
     const struct fw_self *self;
     const struct fw_fleet *fleet;
-    int partitions;
-    struct fw_idem_partition *parts;
+    int n_partitions;
+    struct fw_idem_partition *partitions;
     uint64_t seq;
     int64_t start_us;
     int64_t next_preload_us;
@@ -216,7 +216,7 @@
                   struct fw_actions *out);
 void
 Fw_Idem_FinishAppend(struct fw_idem *c, struct fw_idem_partition *p,
-                     const struct fw_log_appended *a, int64_t now_us,
+                     const struct fw_log_appended *appended, int64_t now_us,
                      struct fw_actions *out);
 void
 Fw_Idem_FinishRead(struct fw_idem *c, struct fw_idem_partition *p,
--- a/src/limit/bucket.c
+++ b/src/limit/bucket.c
@@ -2,20 +2,22 @@
 
 #include <glib.h>
 
-#define REFILL_MAX_US (3600 * FW_SEC) /* bounds rate * time within int64 */
+/* Bounds the product of rate and time within int64. */
+#define FW_REFILL_MAX_US (3600 * FW_SEC)
 
 static int64_t
 max_level(const struct fw_bucket *b)
 {
-    return MAX(b->burst - b->reserved[0] - b->reserved[1], 0) * FW_MICROTOKENS;
+    return MAX(b->burst - b->reserved[0] - b->reserved[1], 0) *
+           FW_MICROTOKENS_PER_TOKEN;
 }
 
 static void
 add_tokens(struct fw_bucket *b, int64_t to_us)
 {
-    int64_t dt = CLAMP(to_us - b->at_us, 0, REFILL_MAX_US);
+    int64_t dt = CLAMP(to_us - b->refilled_us, 0, FW_REFILL_MAX_US);
 
-    b->at_us = MAX(b->at_us, to_us);
+    b->refilled_us = MAX(b->refilled_us, to_us);
     b->level = MIN(b->level + b->rate * dt, max_level(b));
 }
 
@@ -54,8 +56,8 @@
     int64_t n;
 
     Fw_Bucket_Refill(b, now_us);
-    n = CLAMP(tokens, 0, b->level / FW_MICROTOKENS);
-    b->level -= n * FW_MICROTOKENS;
+    n = CLAMP(tokens, 0, b->level / FW_MICROTOKENS_PER_TOKEN);
+    b->level -= n * FW_MICROTOKENS_PER_TOKEN;
     if (reserve) {
         b->reserved[0] += n;
     }
@@ -88,5 +90,5 @@
 Fw_Bucket_Cancel(struct fw_bucket *b, int64_t tokens, int64_t now_us)
 {
     Fw_Bucket_Commit(b, tokens, now_us);
-    Fw_Bucket_Put(b, tokens * FW_MICROTOKENS, now_us);
+    Fw_Bucket_Put(b, tokens * FW_MICROTOKENS_PER_TOKEN, now_us);
 }
--- a/src/limit/bucket.h
+++ b/src/limit/bucket.h
@@ -7,7 +7,7 @@
 
 #include "base/limits.h"
 
-#define FW_MICROTOKENS 1000000LL /* in one token */
+#define FW_MICROTOKENS_PER_TOKEN 1000000LL
 
 /*
  * A peer spends the tokens granted to it within FW_RESERVATION_US or not at
@@ -20,7 +20,7 @@
  * struct fw_bucket - token bucket for part of a team's rate and burst.
  * @rate: tokens per second
  * @burst: tokens
- * @level: micro-tokens at @at_us
+ * @level: micro-tokens at @refilled_us
  * @reserved: tokens reserved in the current and the previous window of
  *            FW_RESERVATION_US; neither available nor refilled
  * @window_us: start of the current window
@@ -29,7 +29,7 @@
     int64_t rate;
     int64_t burst;
     int64_t level;
-    int64_t at_us;
+    int64_t refilled_us;
     int64_t reserved[2];
     int64_t window_us;
 };
--- a/src/limit/limit_internal.h
+++ b/src/limit/limit_internal.h
@@ -79,7 +79,7 @@
  *          fw_limit_partition.lease_until_us
  * @unreturned: unused tokens still to be returned to other instances
  * @demand_tokens, @demand_requests: requested in the current renewal interval
- * @wanted_rate: rate of the lease to ask for, 0 for none
+ * @wanted_rate: rate of the lease to request, 0 for none
  * @excess: micro-tokens above the burst of a reduced lease, to be given back
  *          to the leader
  * @scaled_down: reduced here since the team's rate or burst was lowered, and
@@ -208,7 +208,7 @@
  * @collected: tokens obtained so far, from peers and local buckets
  * @leased, @unleased: tokens reserved in the local buckets
  * @first_sent_us, @last_sent_us: when the first and the last peer was asked
- * @done: its result is decided; kept until @free_us to return late grants
+ * @done: its answer is decided; kept until @free_us to return late grants
  * @cancelled: collected tokens are returned in the next tick
  */
 struct fw_token_request {
@@ -267,7 +267,7 @@
     int n_partitions;
     struct fw_limit_partition *partitions;
     struct fw_list requests; /* struct fw_token_request */
-    GQueue results;          /* struct fw_limit_answer */
+    GQueue answers;          /* struct fw_limit_answer */
     GQueue peer_grants;      /* struct fw_peer_grant, the oldest first */
     GHashTable *senders;     /* peer to struct fw_return_sender */
     uint64_t seq;
@@ -301,23 +301,23 @@
  */
 int
 Fw_TeamShare_UnleasedUsable(const struct fw_limit *l,
-                            const struct fw_team_share *s, int64_t margin_us,
-                            int64_t now_us);
+                            const struct fw_team_share *share,
+                            int64_t margin_us, int64_t now_us);
 int
 Fw_TeamShare_LeaseUsable(const struct fw_limit *l,
-                         const struct fw_team_share *s, int64_t margin_us,
+                         const struct fw_team_share *share, int64_t margin_us,
                          int64_t now_us);
 /* Takes up to @tokens from the usable buckets, kept reserved if @reserve is
  * nonzero. */
 struct fw_token_split
-Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                  int reserve, int64_t now_us);
+Fw_TeamShare_Take(struct fw_limit *l, struct fw_team_share *share,
+                  int64_t tokens, int reserve, int64_t now_us);
 /* Puts up to @tokens into the usable buckets. Return: tokens that fitted. */
 int64_t
-Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *s, int64_t tokens,
-                 int64_t now_us);
+Fw_TeamShare_Put(struct fw_limit *l, struct fw_team_share *share,
+                 int64_t tokens, int64_t now_us);
 void
-Fw_TeamShare_Free(gpointer share);
+Fw_TeamShare_Free(gpointer data);
 
 static inline int64_t
 Fw_Lease_GrantedRate(const struct fw_lease_grant *g)
@@ -348,7 +348,7 @@
 Fw_Ledger_Refresh(struct fw_limit *l, int partition, int64_t now_us);
 /* Resizes the unleased bucket to the part of the team that isn't granted. */
 void
-Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *s,
+Fw_Ledger_ResizeUnleased(struct fw_limit *l, struct fw_team_share *share,
                          int64_t now_us);
 void
 Fw_Ledger_OnRenew(struct fw_limit *l, const char *from,
@@ -357,7 +357,8 @@
 /* Adds the team to its partition's ledger or applies its new configuration.
  */
 void
-Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *s, int64_t now_us);
+Fw_Ledger_AddTeam(struct fw_limit *l, struct fw_team_share *share,
+                  int64_t now_us);
 
 /* Return: the leader of @partition (@index 0) or a follower (@index from 1 to
  * FW_FOLLOWERS_MAX), NULL when there is none. */
--- a/src/relay/members.c
+++ b/src/relay/members.c
@@ -15,8 +15,9 @@
 #define FW_LOAD_EXPIRY_US (2 * FW_SEC)
 
 /**
- * struct known_instance - an instance that this one or a hub has heard of.
- * @seen_us: when this instance or a hub last heard from it, 0 for never
+ * struct known_instance - an instance known to this one or to a hub.
+ * @seen_us: when this instance or a hub last received a message from it, 0 for
+ *     never
  * @member: NULL if only hubs know its name and address
  * @is_expired: excluded from the size of the fleet
  */
@@ -30,13 +31,14 @@
 static struct known_instance *
 find_or_add_instance(struct fw_relay *r, uint64_t hash)
 {
-    struct known_instance *s = g_hash_table_lookup(r->known_instances, &hash);
+    struct known_instance *known =
+        g_hash_table_lookup(r->known_instances, &hash);
 
-    if (!s) {
-        s = g_new0(struct known_instance, 1);
-        g_hash_table_insert(r->known_instances, Fw_Rows_NewKey(hash), s);
+    if (!known) {
+        known = g_new0(struct known_instance, 1);
+        g_hash_table_insert(r->known_instances, Fw_Rows_NewKey(hash), known);
     }
-    return s;
+    return known;
 }
 
 int64_t
@@ -48,14 +50,14 @@
 void
 Fw_Members_NoteSeen(struct fw_relay *r, uint64_t hash, int64_t seen_us)
 {
-    struct known_instance *s;
+    struct known_instance *known;
 
     if (hash == r->hash) {
         return;
     }
-    s = find_or_add_instance(r, hash);
-    s->seen_us = MAX(s->seen_us, seen_us);
-    r->x.recount = 1;
+    known = find_or_add_instance(r, hash);
+    known->seen_us = MAX(known->seen_us, seen_us);
+    r->exchange.recount = 1;
 }
 
 /* The values of @m are in the digests of the hub that it reports to now. */
@@ -78,7 +80,7 @@
         return;
     }
     m = find_or_add_instance(r, hash)->member;
-    if (m && m != r->x.hub && m->last_message_us < seen_us) {
+    if (m && m != r->exchange.hub && m->last_message_us < seen_us) {
         drop_reported_state(r, m);
     }
     Fw_Members_NoteSeen(r, hash, seen_us);
@@ -88,10 +90,10 @@
 Fw_Members_Find(const struct fw_relay *r, const char *name)
 {
     uint64_t hash = Fw_Hash_Str(name);
-    const struct known_instance *s =
+    const struct known_instance *known =
         g_hash_table_lookup(r->known_instances, &hash);
 
-    return s ? s->member : NULL;
+    return known ? known->member : NULL;
 }
 
 struct fw_rl_member *
@@ -104,7 +106,7 @@
     m->added_us = now_us;
     find_or_add_instance(r, m->hash)->added_us = now_us;
     find_or_add_instance(r, m->hash)->member = m;
-    r->x.recount = 1;
+    r->exchange.recount = 1;
     Fw_List_Append(&r->members, &m->link);
     return m;
 }
@@ -114,7 +116,7 @@
                        int64_t now_us)
 {
     if (m->unreachable_since_us) {
-        r->x.next_hub_list_us = 0; /* leaves may return to it */
+        r->exchange.next_hub_list_us = 0; /* leaves may return to it */
     }
     m->last_message_us = now_us;
     m->awaiting_since_us = 0;
@@ -125,8 +127,8 @@
 static void
 member_free(struct fw_relay *r, struct fw_rl_member *m)
 {
-    if (r->x.hub == m) {
-        r->x.hub = NULL;
+    if (r->exchange.hub == m) {
+        r->exchange.hub = NULL;
     }
     find_or_add_instance(r, m->hash)->member = NULL;
     Fw_Load_Drop(r, m);
@@ -187,9 +189,10 @@
 Fw_Members_SeenRecently(struct fw_relay *r, const struct fw_rl_member *m,
                         int64_t now_us)
 {
-    const struct known_instance *s = find_or_add_instance(r, m->hash);
+    const struct known_instance *known = find_or_add_instance(r, m->hash);
 
-    return s->seen_us && now_us - s->seen_us < FW_RL_ISOLATION_TIMEOUT_US;
+    return known->seen_us &&
+           now_us - known->seen_us < FW_RL_ISOLATION_TIMEOUT_US;
 }
 
 static void
@@ -199,19 +202,20 @@
     GHashTableIter it;
     gpointer v;
 
-    r->x.counted_us = now_us;
-    r->x.recount = 0;
-    r->x.n_instances = 1;
-    r->x.n_live = 1;
+    r->exchange.counted_us = now_us;
+    r->exchange.recount = 0;
+    r->exchange.n_instances = 1;
+    r->exchange.n_live = 1;
     g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct known_instance *s = v;
+        const struct known_instance *known = v;
 
-        if (s->is_expired) {
+        if (known->is_expired) {
             continue;
         }
-        r->x.n_instances++;
-        r->x.n_live += s->seen_us && now_us - s->seen_us < timeout_us;
+        r->exchange.n_instances++;
+        r->exchange.n_live +=
+            known->seen_us && now_us - known->seen_us < timeout_us;
     }
 }
 
@@ -222,7 +226,7 @@
 int
 Fw_Members_Count(struct fw_relay *r, int64_t now_us, int *n_live)
 {
-    struct fw_rl_exchange *x = &r->x;
+    struct fw_rl_exchange *x = &r->exchange;
     int has_hub = !x->is_hub && x->hub;
 
     if (has_hub && now_us - x->counted_us >= Fw_Members_TimeoutUs(r)) {
@@ -239,8 +243,9 @@
 }
 
 /*
- * A leaf keeps members that it hasn't found unreachable, a hub also those that
- * it never heard from: they may be live and may have to replace a hub.
+ * A leaf removes only members that are unreachable, a hub also those that have
+ * sent it messages before. The others are kept: they may be live and may have
+ * to replace a hub.
  */
 static int
 is_expired(struct fw_relay *r, const struct fw_rl_member *m, int64_t now_us)
@@ -248,7 +253,8 @@
     int64_t seen_us =
         MAX(find_or_add_instance(r, m->hash)->seen_us, m->last_message_us);
 
-    return ((r->x.is_hub && m->last_message_us) || m->unreachable_since_us) &&
+    return ((r->exchange.is_hub && m->last_message_us) ||
+            m->unreachable_since_us) &&
            now_us - MAX(seen_us, m->added_us) >= FW_MEMBER_EXPIRY_US;
 }
 
@@ -260,11 +266,11 @@
 
     g_hash_table_iter_init(&it, r->known_instances);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct known_instance *s = v;
+        struct known_instance *known = v;
 
-        s->is_expired =
-            now_us - MAX(s->seen_us, s->added_us) >= FW_MEMBER_EXPIRY_US;
-        if (s->is_expired && !s->member) {
+        known->is_expired = now_us - MAX(known->seen_us, known->added_us) >=
+                            FW_MEMBER_EXPIRY_US;
+        if (known->is_expired && !known->member) {
             g_hash_table_iter_remove(&it);
         }
     }
@@ -290,5 +296,5 @@
         }
     }
     expire_instances(r, now_us);
-    r->n.members.value = Fw_Members_Count(r, now_us, NULL);
+    r->relay_metrics.members.value = Fw_Members_Count(r, now_us, NULL);
 }
--- a/src/request/attempt.c
+++ b/src/request/attempt.c
@@ -10,7 +10,7 @@
                    int64_t now_us, struct fw_actions *out)
 {
     const char *avoid[FW_ATTEMPTS_MAX + 1] = {NULL};
-    struct fw_route_request ask = {
+    struct fw_route_request req = {
         .ticket = rq->ticket,
         .prompt = rq->body,
         .prompt_tokens = rq->prompt_tokens + rq->piece_ends->len,
@@ -26,12 +26,12 @@
     for (int i = 0; i < rq->n_failed_upstreams; i++) {
         avoid[i] = rq->failed_upstreams[i];
     }
-    g_strlcpy(ask.team, rq->team, sizeof(ask.team));
-    g_strlcpy(ask.model, rq->model, sizeof(ask.model));
+    g_strlcpy(req.team, rq->team, sizeof(req.team));
+    g_strlcpy(req.model, rq->model, sizeof(req.model));
     rq->stage = FW_STAGE_QUEUE;
     rq->stage_deadline_us = 0;
-    Fw_Route_Submit(rs->deps.router, Fw_ConfigReplica_Config(rs->deps.fold),
-                    &ask, now_us, out);
+    Fw_Route_Submit(rs->deps.router, Fw_ConfigReplica_Config(rs->deps.replica),
+                    &req, now_us, out);
 }
 
 /* Text that an attempt prefills: the prompt and the output emitted so far. */
@@ -82,8 +82,8 @@
 start_prefill(struct fw_requests *rs, struct fw_request *rq,
               const struct fw_upstream *up, struct fw_actions *out)
 {
-    const struct fw_team *team =
-        Fw_Config_FindTeam(Fw_ConfigReplica_Config(rs->deps.fold), rq->team);
+    const struct fw_team *team = Fw_Config_FindTeam(
+        Fw_ConfigReplica_Config(rs->deps.replica), rq->team);
     struct fw_up_start *s;
     struct fw_up_prefill *p;
 
@@ -102,7 +102,7 @@
 Fw_Requests_OnPair(struct fw_requests *rs, const struct fw_route_answer *ans,
                    int64_t now_us, struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.replica);
     struct fw_request *rq = Fw_Request_ByTicket(rs, ans->ticket);
     const struct fw_upstream *up;
 
@@ -136,7 +136,7 @@
                      const struct fw_up_event *ev, int64_t now_us,
                      struct fw_actions *out)
 {
-    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.fold);
+    const struct fw_config *cfg = Fw_ConfigReplica_Config(rs->deps.replica);
     const struct fw_upstream *from = Fw_Config_FindUpstream(cfg, rq->prefill);
     const struct fw_upstream *to = Fw_Config_FindUpstream(cfg, rq->decode);
     struct fw_up_import *im;
@@ -193,7 +193,7 @@
                        enum fw_up_kind kind, struct fw_actions *out)
 {
     const struct fw_upstream *up = Fw_Config_FindUpstream(
-        Fw_ConfigReplica_Config(rs->deps.fold), rq->decode);
+        Fw_ConfigReplica_Config(rs->deps.replica), rq->decode);
     struct fw_up_decode *d;
 
     if (!up) {
@@ -212,7 +212,7 @@
                       uint64_t seq, struct fw_actions *out)
 {
     const struct fw_upstream *up = Fw_Config_FindUpstream(
-        Fw_ConfigReplica_Config(rs->deps.fold), upstream);
+        Fw_ConfigReplica_Config(rs->deps.replica), upstream);
     struct fw_up_start *s;
 
     if (!up) {
--- a/tests/config/rig.c
+++ b/tests/config/rig.c
@@ -6,7 +6,7 @@
 static char *
 replica_name(int i)
 {
-    return g_strdup_printf("fold%d", i);
+    return g_strdup_printf("node%d", i);
 }
 
 static struct fw_config_replica *
@@ -45,7 +45,7 @@
 view_of(const struct fw_rig *rig, int i)
 {
     return (struct fw_operate_view){.self = &rig->selves[i],
-                                    .fold = rig->replicas[i]};
+                                    .replica = rig->replicas[i]};
 }
 
 struct fw_rig *
